--- a/bench/scale/axis_members.cpp
+++ b/bench/scale/axis_members.cpp
@@ -1,5 +1,5 @@
 // Members: what membership costs each member, and how long a fact takes to be at the last one.
-#include "membership_world.h"
+#include "support/membership_world.h"
 #include "net/cluster/frame.h"
 #include "scale/axes.h"
 #include "scale/process.h"
--- a/bench/scale/axis_quota.cpp
+++ b/bench/scale/axis_quota.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 
 #include "net/cluster/frame.h"
-#include "quota_demand.h"
-#include "quota_world.h"
+#include "support/quota_demand.h"
+#include "support/quota_world.h"
 #include "scale/axes.h"
 #include "scale/statistics.h"
 
--- a/bench/scale/fixtures.h
+++ b/bench/scale/fixtures.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "decksail/balancer.h"
+#include "millethollow/balancing/load_balancer.h"
 
 namespace millethollow::scale {
 
@@ -19,12 +19,12 @@
 constexpr int kClasses = 2;
 
 // Of dispatcher 0 of a tier.
-decksail::Settings FleetSettings(int dispatchers, int tenants);
+balancing::Settings FleetSettings(int dispatchers, int tenants);
 
 // Text and a number behind it.
 std::string Numbered(std::string_view text, int number);
 std::string WorkerName(int index);
-std::vector<decksail::Member> Workers(int count);
+std::vector<balancing::Member> Workers(int count);
 
 std::vector<std::string> ZoneNames();
 std::vector<std::string> KindNames();
--- a/bench/scale/hollow_tier.h
+++ b/bench/scale/hollow_tier.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "decksail/balancer.h"
+#include "millethollow/balancing/load_balancer.h"
 
 namespace millethollow::scale {
 
@@ -77,19 +77,19 @@
   };
 
   void At(double when, std::function<void()> what);
-  void Handle(int dispatcher, const decksail::Event& event, bool of_peers = false);
-  void Do(int dispatcher, const decksail::Send& send);
-  void Do(int dispatcher, const decksail::Refuse& refuse);
-  void Do(int dispatcher, const decksail::Fail& fail);
-  void Do(int dispatcher, const decksail::CancelAttempt& cancel);
-  void Do(int dispatcher, const decksail::SetTimer& timer);
-  void Do(int dispatcher, const decksail::TellPeer& tell);
+  void Handle(int dispatcher, const balancing::Event& event, bool of_peers = false);
+  void Do(int dispatcher, const balancing::Send& send);
+  void Do(int dispatcher, const balancing::Refuse& refuse);
+  void Do(int dispatcher, const balancing::Fail& fail);
+  void Do(int dispatcher, const balancing::CancelAttempt& cancel);
+  void Do(int dispatcher, const balancing::SetTimer& timer);
+  void Do(int dispatcher, const balancing::TellPeer& tell);
   template <typename Other>
   void Do(int, const Other&) {}  // nothing that such a tier has
   int Draw(int first, int count);
   void Arrive(std::size_t source, std::uint64_t life);
   void Submit(std::size_t job, int attempt);
-  void End(std::size_t job, int attempt, decksail::Verdict verdict);
+  void End(std::size_t job, int attempt, balancing::Verdict verdict);
   Job& JobOf(const std::string& id) { return jobs_[std::stoul(id)]; }
   void Count(std::vector<std::vector<double>>* slices, int tenant);
   static double Between(const std::vector<double>& slices, double from, double until);
@@ -98,9 +98,9 @@
   double now_ = 0;
   std::uint64_t order_ = 0;
   std::priority_queue<Due> queue_;
-  std::vector<decksail::Member> members_;
+  std::vector<balancing::Member> members_;
   std::vector<int> free_slots_;  // by worker
-  std::vector<decksail::Balancer> balancers_;
+  std::vector<balancing::Balancer> balancers_;
   std::vector<Job> jobs_;
   std::mt19937_64 random_;
   std::vector<Source> sources_;
--- a/bench/scale/planner_fixture.cpp
+++ b/bench/scale/planner_fixture.cpp
@@ -21,7 +21,7 @@
   planner_->NameClasses({"plain", "keyed"}, {true, true});
   forwarder_ = planner_->AddForwarder(this, true);
   planner_->Start({});
-  planner_->ListKnown(decksail::ListKind::kReplace, members_);
+  planner_->ListKnown(balancing::ListKind::kReplace, members_);
 }
 
 RequestId PlannerFixture::Take(int cls, const std::string& key) {
@@ -43,15 +43,15 @@
 }
 
 void PlannerFixture::ChangeWorkers(int count) {
-  std::vector<decksail::Member> changed;
+  std::vector<balancing::Member> changed;
   for (int i = 0; i < count; ++i) {
-    decksail::Member& member = members_[next_change_ / 2 % members_.size()];
+    balancing::Member& member = members_[next_change_ / 2 % members_.size()];
     member.readiness =
-        next_change_ % 2 == 0 ? decksail::Readiness::kDraining : decksail::Readiness::kReady;
+        next_change_ % 2 == 0 ? balancing::Readiness::kDraining : balancing::Readiness::kReady;
     ++next_change_;
     changed.push_back(member);
   }
-  planner_->ListKnown(decksail::ListKind::kUpdate, changed);
+  planner_->ListKnown(balancing::ListKind::kUpdate, changed);
 }
 
 void PlannerFixture::Advance(double seconds) {
--- a/include/decksail/balancer.h
+++ b/include/millethollow/balancing/load_balancer.h
@@ -1,9 +1,9 @@
-// decksail: the interface of the decision module (src/policy/): settings, events, actions.
+// The interface of the decision module (src/balancing/): settings, events, actions.
 //
 // A Balancer decides for one dispatcher. It does no I/O, reads no clock, starts no thread and keeps
 // nothing outside itself: hand it events in order of arrival and carry out the actions it returns.
-#ifndef DECKSAIL_BALANCER_H_
-#define DECKSAIL_BALANCER_H_
+#ifndef MILLETHOLLOW_BALANCING_LOAD_BALANCER_H_
+#define MILLETHOLLOW_BALANCING_LOAD_BALANCER_H_
 
 #include <cstdint>
 #include <memory>
@@ -12,7 +12,7 @@
 #include <variant>
 #include <vector>
 
-namespace decksail {
+namespace millethollow::balancing {
 
 // All times and spans are seconds on the caller's clock, which never runs backwards.
 enum class Semantics : std::uint8_t { kRepeatable, kByKey, kOnce };
@@ -316,6 +316,6 @@
   std::unique_ptr<Brain> brain_;
 };
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
 
-#endif  // DECKSAIL_BALANCER_H_
+#endif  // MILLETHOLLOW_BALANCING_LOAD_BALANCER_H_
--- a/src/policy/quotas.cpp
+++ b/src/balancing/admission.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 #include <cmath>
 
-#include "brain.h"
+#include "balancing/load_balancer_impl.h"
 
-namespace decksail {
+namespace millethollow::balancing {
 
 // Depth absorbs chance: a Poisson stream strays by the root of its count.
 constexpr double kDepthS = 0.5;      // steady part of a bucket's depth, in seconds of its rate
@@ -130,4 +130,4 @@
   if (report.fresh && measured_) TellPeers({e.sender}, false, {});
 }
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
--- a/src/agreed_part.h
+++ b/src/balancing/agreed_share.h
@@ -1,17 +1,17 @@
 // What a dispatcher may do of the whole where the tier agrees on parts (a cluster): its even part,
 // or by demand while all hear each other; of a tenant's quota the rate that it was given, where it
 // was given one. Off, until a part is set, nothing is other than without it.
-#ifndef DECKSAIL_SRC_AGREED_PART_H_
-#define DECKSAIL_SRC_AGREED_PART_H_
+#ifndef MILLETHOLLOW_BALANCING_AGREED_SHARE_H_
+#define MILLETHOLLOW_BALANCING_AGREED_SHARE_H_
 
 #include <algorithm>
 #include <cstdint>
 #include <utility>
 #include <vector>
 
-#include "decksail/balancer.h"
+#include "millethollow/balancing/load_balancer.h"
 
-namespace decksail {
+namespace millethollow::balancing {
 
 class AgreedPart {
  public:
@@ -130,6 +130,6 @@
   std::vector<double> tenant_rates_;    // as given; below 0: none
 };
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
 
-#endif  // DECKSAIL_SRC_AGREED_PART_H_
+#endif  // MILLETHOLLOW_BALANCING_AGREED_SHARE_H_
--- a/src/policy/attempts.cpp
+++ b/src/balancing/attempts.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "brain.h"
+#include "balancing/load_balancer_impl.h"
 
-namespace decksail {
+namespace millethollow::balancing {
 
 constexpr double kLimitStep = 0.1;   // a threshold's rise after a good send at the threshold
 constexpr double kSilentS = 0.25;    // no word since a send: the worker is asked whether it lives
@@ -282,4 +282,4 @@
   WatchAt(now_ + std::max(0.25, age / 2), watch.id, watch.attempt);
 }
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
--- a/src/bookkeeping.cpp
+++ b/src/balancing/bookkeeping.cpp
@@ -3,9 +3,9 @@
 #include <cmath>
 #include <numeric>
 
-#include "brain.h"
+#include "balancing/load_balancer_impl.h"
 
-namespace decksail {
+namespace millethollow::balancing {
 
 Brain::Brain(const Settings& settings, std::uint64_t seed)
     : s_(settings), random_(seed), pools_(s_.kinds, s_.zones) {
@@ -282,4 +282,4 @@
   return all > 0 && measured_ ? std::clamp(sum(own_) / all, even / 4, 1.0) : even;
 }
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
--- a/src/policy/tuning.h
+++ b/src/balancing/constants.h
@@ -1,10 +1,10 @@
 // What several files of the policy reckon with.
-#ifndef DECKSAIL_SRC_POLICY_TUNING_H_
-#define DECKSAIL_SRC_POLICY_TUNING_H_
+#ifndef MILLETHOLLOW_BALANCING_CONSTANTS_H_
+#define MILLETHOLLOW_BALANCING_CONSTANTS_H_
 
 #include <cstdint>
 
-namespace decksail {
+namespace millethollow::balancing {
 
 constexpr double kDemandS = 1.5;  // demand is smoothed over this or two report intervals
 // Up to kDirectPeers everyone hears everyone; beyond, kFanout random peers a report.
@@ -24,6 +24,6 @@
 constexpr double kCopies = 1.0;
 constexpr std::uint64_t kReportMark = 1, kWatchMark = 2, kAskMark = 3;  // of timers
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
 
-#endif  // DECKSAIL_SRC_POLICY_TUNING_H_
+#endif  // MILLETHOLLOW_BALANCING_CONSTANTS_H_
--- a/src/policy/discovery.cpp
+++ b/src/balancing/endpoint_discovery.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 #include <cmath>
 
-#include "brain.h"
+#include "balancing/load_balancer_impl.h"
 
-namespace decksail {
+namespace millethollow::balancing {
 
 constexpr double kPeerPoints = 0.003;  // of the result may go into messages
 constexpr double kGroupFade = 0.05;    // what went badly is forgiven with each report interval
@@ -104,4 +104,4 @@
   RemakePools();
 }
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
--- a/src/policy/fleet_rate.cpp
+++ b/src/balancing/fleet_rate.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 #include <cmath>
 
-#include "brain.h"
+#include "balancing/load_balancer_impl.h"
 
-namespace decksail {
+namespace millethollow::balancing {
 
 constexpr double kFullShare = 0.05;  // more jobs than this that found workers full: a cut
 constexpr double kProof = 8;         // jobs of an interval that a share of them must stand against
@@ -101,4 +101,4 @@
   }
 }
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
--- a/src/balancer.cpp
+++ b/src/balancing/load_balancer.cpp
@@ -1,9 +1,9 @@
-#include "decksail/balancer.h"
+#include "millethollow/balancing/load_balancer.h"
 
-#include "brain.h"
-#include "carry.h"
+#include "balancing/load_balancer_impl.h"
+#include "balancing/state_transfer.h"
 
-namespace decksail {
+namespace millethollow::balancing {
 
 Balancer::Balancer(const Settings& settings, std::uint64_t seed)
     : brain_(std::make_unique<Brain>(settings, seed)) {}
@@ -27,4 +27,4 @@
 std::uint64_t Balancer::RefusedPeerMessages() const { return brain_->refused_messages(); }
 double Balancer::DemandPart() const { return brain_->DemandPart(); }
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
--- a/src/brain.h
+++ b/src/balancing/load_balancer_impl.h
@@ -1,7 +1,7 @@
 // The decision module's one class: what it keeps and what it does. No decision stands here; they
 // are in src/policy/, a file for each part.
-#ifndef DECKSAIL_SRC_BRAIN_H_
-#define DECKSAIL_SRC_BRAIN_H_
+#ifndef MILLETHOLLOW_BALANCING_LOAD_BALANCER_IMPL_H_
+#define MILLETHOLLOW_BALANCING_LOAD_BALANCER_IMPL_H_
 
 #include <queue>
 #include <string>
@@ -10,13 +10,13 @@
 #include <utility>
 #include <vector>
 
-#include "agreed_part.h"
-#include "decksail/balancer.h"
-#include "policy/tuning.h"
-#include "state.h"
-#include "support.h"
+#include "balancing/agreed_share.h"
+#include "millethollow/balancing/load_balancer.h"
+#include "balancing/constants.h"
+#include "balancing/state.h"
+#include "balancing/support.h"
 
-namespace decksail {
+namespace millethollow::balancing {
 
 class Brain {
  public:
@@ -207,6 +207,6 @@
   double ask_at_ = kInf;
 };
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
 
-#endif  // DECKSAIL_SRC_BRAIN_H_
+#endif  // MILLETHOLLOW_BALANCING_LOAD_BALANCER_IMPL_H_
--- a/src/policy/health.cpp
+++ b/src/balancing/outlier_detection.cpp
@@ -3,9 +3,9 @@
 #include <cmath>
 #include <tuple>
 
-#include "brain.h"
+#include "balancing/load_balancer_impl.h"
 
-namespace decksail {
+namespace millethollow::balancing {
 
 constexpr double kMostReport = 1e6;  // a larger figure in a report is none
 constexpr double kWaitTrustS = 1.0;  // an observed wait for a start says little after this
@@ -139,4 +139,4 @@
   job.late |= late;
 }
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
--- a/src/policy/placement.cpp
+++ b/src/balancing/placement.cpp
@@ -3,9 +3,9 @@
 #include <cmath>
 #include <tuple>
 
-#include "brain.h"
+#include "balancing/load_balancer_impl.h"
 
-namespace decksail {
+namespace millethollow::balancing {
 
 constexpr int kSample = 12;  // random workers looked at: a small fleet whole
 // In a large tier a node knows too little of them: the best of many would be the same for all, and
@@ -206,4 +206,4 @@
   return it->second;
 }
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
--- a/src/state.h
+++ b/src/balancing/state.h
@@ -1,6 +1,6 @@
 // What the decision module keeps about workers, jobs, buckets and peers. Types only, no decision.
-#ifndef DECKSAIL_SRC_STATE_H_
-#define DECKSAIL_SRC_STATE_H_
+#ifndef MILLETHOLLOW_BALANCING_STATE_H_
+#define MILLETHOLLOW_BALANCING_STATE_H_
 
 #include <algorithm>
 #include <bit>
@@ -11,11 +11,11 @@
 #include <utility>
 #include <vector>
 
-#include "decksail/balancer.h"
-#include "peer_report.h"
-#include "support.h"
+#include "millethollow/balancing/load_balancer.h"
+#include "balancing/usage_report.h"
+#include "balancing/support.h"
 
-namespace decksail {
+namespace millethollow::balancing {
 
 constexpr double kInf = std::numeric_limits<double>::infinity();
 
@@ -306,6 +306,6 @@
   bool operator>(const Watch& o) const { return at != o.at ? at > o.at : order > o.order; }
 };
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
 
-#endif  // DECKSAIL_SRC_STATE_H_
+#endif  // MILLETHOLLOW_BALANCING_STATE_H_
--- a/src/carry.h
+++ b/src/balancing/state_transfer.h
@@ -1,7 +1,7 @@
 // What the decision module has learned, on its way from a process to the one that replaces it: not
 // its jobs, nor their slots out, which the other tells of while it lives.
-#ifndef DECKSAIL_SRC_CARRY_H_
-#define DECKSAIL_SRC_CARRY_H_
+#ifndef MILLETHOLLOW_BALANCING_STATE_TRANSFER_H_
+#define MILLETHOLLOW_BALANCING_STATE_TRANSFER_H_
 
 #include <algorithm>
 #include <string>
@@ -9,9 +9,9 @@
 #include <utility>
 #include <vector>
 
-#include "support.h"
+#include "balancing/support.h"
 
-namespace decksail {
+namespace millethollow::balancing {
 
 struct Carry {
   template <typename Brain, typename Visitor>
@@ -66,6 +66,6 @@
   }
 };
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
 
-#endif  // DECKSAIL_SRC_CARRY_H_
+#endif  // MILLETHOLLOW_BALANCING_STATE_TRANSFER_H_
--- a/src/support.cpp
+++ b/src/balancing/support.cpp
@@ -1,10 +1,10 @@
-#include "support.h"
+#include "balancing/support.h"
 
 #include <cmath>
 
-#include "decksail/balancer.h"
+#include "millethollow/balancing/load_balancer.h"
 
-namespace decksail {
+namespace millethollow::balancing {
 namespace {
 
 constexpr std::size_t kMostTenants = 60'000;  // peer reports index their figures by 16 bits
@@ -37,4 +37,4 @@
   return true;
 }
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
--- a/src/support.h
+++ b/src/balancing/support.h
@@ -1,6 +1,6 @@
 // Helpers of the decision module that decide nothing: seeded random numbers, means, hashing.
-#ifndef DECKSAIL_SRC_SUPPORT_H_
-#define DECKSAIL_SRC_SUPPORT_H_
+#ifndef MILLETHOLLOW_BALANCING_SUPPORT_H_
+#define MILLETHOLLOW_BALANCING_SUPPORT_H_
 
 #include <algorithm>
 #include <cmath>
@@ -13,7 +13,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace decksail {
+namespace millethollow::balancing {
 
 class Random {  // SplitMix64
  public:
@@ -155,6 +155,6 @@
 template <typename T>
 using TextMap = std::unordered_map<std::string, T, TextHash, std::equal_to<>>;
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
 
-#endif  // DECKSAIL_SRC_SUPPORT_H_
+#endif  // MILLETHOLLOW_BALANCING_SUPPORT_H_
--- a/src/peer_report.cpp
+++ b/src/balancing/usage_report.cpp
@@ -1,12 +1,12 @@
-#include "peer_report.h"
+#include "balancing/usage_report.h"
 
 #include <algorithm>
 #include <bit>
 #include <optional>
 
-#include "decksail/balancer.h"
+#include "millethollow/balancing/load_balancer.h"
 
-namespace decksail {
+namespace millethollow::balancing {
 namespace {
 
 // All numbers are little-endian, rates are 32-bit floats. Two forms begin alike: 'D', version,
@@ -181,4 +181,4 @@
   return true;
 }
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
--- a/src/peer_report.h
+++ b/src/balancing/usage_report.h
@@ -1,6 +1,6 @@
 // The messages in which dispatchers tell each other their usage, and their encoding in datagrams.
-#ifndef DECKSAIL_SRC_PEER_REPORT_H_
-#define DECKSAIL_SRC_PEER_REPORT_H_
+#ifndef MILLETHOLLOW_BALANCING_USAGE_REPORT_H_
+#define MILLETHOLLOW_BALANCING_USAGE_REPORT_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-namespace decksail {
+namespace millethollow::balancing {
 
 // Where each figure stands in the row of rates of a report: demand by tenant, then sends, jobs that
 // found all workers full, and late starts. In a large tier these follow: workers asked and those
@@ -63,6 +63,6 @@
 // Reads one datagram. False for a damaged or foreign one, and one for a row of another size.
 bool DecodeReport(std::string_view body, const RowLayout& layout, UsageReport* report);
 
-}  // namespace decksail
+}  // namespace millethollow::balancing
 
-#endif  // DECKSAIL_SRC_PEER_REPORT_H_
+#endif  // MILLETHOLLOW_BALANCING_USAGE_REPORT_H_
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -9,7 +9,7 @@
 #include "config/cluster.h"
 #include "config/scheduling.h"
 #include "net/connection.h"
-#include "wire.h"
+#include "simulator_adapter/adapter.h"
 
 namespace millethollow {
 namespace {
@@ -155,8 +155,8 @@
   c->columns = NamesOf(Child(settings, "report"), "columns");
   std::vector<std::pair<std::string, std::string>> flat;
   Flatten("", settings, &flat);
-  decksail::wire::Pairs pairs(flat.begin(), flat.end());
-  if (!decksail::wire::ParseSettings(pairs, &c->settings, why)) {
+  millethollow::simulator_adapter::Pairs pairs(flat.begin(), flat.end());
+  if (!millethollow::simulator_adapter::ParseSettings(pairs, &c->settings, why)) {
     *why = "configuration: settings: " + *why;
     return false;
   }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "config/cluster.h"
-#include "decksail/balancer.h"
+#include "millethollow/balancing/load_balancer.h"
 #include "scheduling/options.h"
 
 namespace millethollow {
@@ -27,7 +27,7 @@
   std::size_t sockets = 1024;
 
   // From the settings.
-  decksail::Settings settings;
+  balancing::Settings settings;
   std::string text;        // the whole file
   std::vector<bool> live;  // by class: may be asked for; false: only open jobs have it yet
   std::vector<std::string> classes, tenants, zones, kinds, columns;
--- a/src/config/reload.cpp
+++ b/src/config/reload.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using Json = nlohmann::json;
-using decksail::ClassSettings;
+using balancing::ClassSettings;
 
 // A program on the platform has none of these; in an operator's file they come and go.
 bool Optional(const std::string& key) {
@@ -147,8 +147,8 @@
   config->scheduling = fresh.scheduling;
   *changes = MergeClasses(fresh, in_use, config);
   // The shape of the tier, the fleet and the reports stays; peers and workers are known by it.
-  decksail::Settings& now = config->settings;
-  const decksail::Settings before = now;
+  balancing::Settings& now = config->settings;
+  const balancing::Settings before = now;
   now = fresh.settings;
   now.classes = before.classes;
   now.ordinal = before.ordinal;
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -3,15 +3,15 @@
 #include <algorithm>
 #include <charconv>
 
-#include "agreed_part.h"
+#include "balancing/agreed_share.h"
 
 namespace millethollow {
 
-using decksail::Group;
-using decksail::ListKind;
-using decksail::Member;
-using decksail::Readiness;
-using decksail::Semantics;
+using balancing::Group;
+using balancing::ListKind;
+using balancing::Member;
+using balancing::Readiness;
+using balancing::Semantics;
 
 namespace {
 constexpr std::size_t kMostEndedIds = 4096;  // names remembered after their request's end
@@ -22,7 +22,7 @@
                      [](const Attempt& a) { return a.may_have_run; });
 }
 
-Planner::Planner(const decksail::Settings& settings, std::uint64_t seed, Deadlines* deadlines,
+Planner::Planner(const balancing::Settings& settings, std::uint64_t seed, Deadlines* deadlines,
                  Hooks hooks, Counters* counters, const scheduling::Options& options)
     : settings_(settings),
       balancer_(settings, seed, options),
@@ -32,11 +32,11 @@
       demand_(settings.tenants.size()) {}
 
 void Planner::Start(const std::vector<Member>& known) {
-  Post([this] { Deliver(decksail::Started{}); });
+  Post([this] { Deliver(balancing::Started{}); });
   ListKnown(ListKind::kRestored, known);
   for (const auto& [name, worker_state] : workers_) {  // by the process that went before
     if (worker_state.out_since < 0) continue;
-    Post([this, n = name] { Deliver(decksail::Maintenance{n, true}); });
+    Post([this, n = name] { Deliver(balancing::Maintenance{n, true}); });
   }
 }
 
@@ -83,17 +83,17 @@
   running_ = false;
 }
 
-void Planner::Deliver(const decksail::Event& event) {
-  decksail::Actions actions;
+void Planner::Deliver(const balancing::Event& event) {
+  balancing::Actions actions;
   if (hooks_.parts) {
-    decksail::Parts parts = hooks_.parts();
-    parts.stopped = hooks_.now() - parts_at_ > decksail::AgreedPart::kStoppedS;
+    balancing::Parts parts = hooks_.parts();
+    parts.stopped = hooks_.now() - parts_at_ > balancing::AgreedPart::kStoppedS;
     if (parts != parts_) balancer_.Agree(parts);
     parts_ = parts;
     parts_at_ = hooks_.now();
   }
   balancer_.Handle(hooks_.now(), event, &actions);
-  for (const decksail::Action& action : actions) {
+  for (const balancing::Action& action : actions) {
     std::visit([this](const auto& a) { Do(a); }, action);
   }
 }
@@ -133,7 +133,7 @@
   entry.cls = request.cls;
   entry.most_tries = settings_.most_tries;
   entry.promise = request.promised;
-  std::vector<decksail::TriedElsewhere> tried;
+  std::vector<balancing::TriedElsewhere> tried;
   if (!request.tried.empty() && !TakeUp(request, &entry, &tried)) {
     Answer(id, &entry, {});
     return Post([this, id] { Forget(id); });
@@ -144,7 +144,7 @@
   meta.body.clear();
   Post([this, meta = std::move(meta), tried = std::move(tried)] {
     const std::string name = std::to_string(meta.id);
-    Deliver(decksail::JobArrived{.id = name,
+    Deliver(balancing::JobArrived{.id = name,
                                  .expires_s = meta.expires_at,
                                  .slots = meta.slots,
                                  .memory = meta.memory,
@@ -165,9 +165,9 @@
 // What another process tried counts as if it had been tried here. False: where it may have run is
 // not known here, or too long ago, so that it may not go out again.
 bool Planner::TakeUp(const Request& request, Entry* entry,
-                     std::vector<decksail::TriedElsewhere>* tried) {
+                     std::vector<balancing::TriedElsewhere>* tried) {
   if (Repeatable(entry->cls)) return true;
-  const decksail::ClassSettings& c = settings_.classes[static_cast<std::size_t>(entry->cls)];
+  const balancing::ClassSettings& c = settings_.classes[static_cast<std::size_t>(entry->cls)];
   for (const TriedBefore& t : request.tried) {
     const auto worker_state = workers_.find(t.worker);
     if (t.own || worker_state == workers_.end() || worker_state->second.local) return false;
@@ -188,7 +188,7 @@
   deadlines_->Drop(&entry->expiry);
   Post([this, id] {
     const std::string name = std::to_string(id);
-    Deliver(decksail::JobGone{name});
+    Deliver(balancing::JobGone{name});
     Forget(id);
   });
 }
@@ -200,7 +200,7 @@
   entry->attempts[static_cast<std::size_t>(attempt)].began = true;
   Post([this, id, attempt] {
     const std::string name = std::to_string(id);
-    Deliver(decksail::AttemptNote{name, attempt, decksail::NoteKind::kStarted, 0});
+    Deliver(balancing::AttemptNote{name, attempt, balancing::NoteKind::kStarted, 0});
   });
 }
 
@@ -236,7 +236,7 @@
   Post([this, id, attempt, outcome, learned] {
     const Entry* now = Find(id);
     const std::string name = std::to_string(id);
-    decksail::AttemptEnded e{.id = name,
+    balancing::AttemptEnded e{.id = name,
                              .attempt = static_cast<int>(attempt),
                              .verdict = learned,
                              .latency_s = outcome.latency_s,
@@ -250,7 +250,7 @@
 
 void Planner::Probed(const std::string& worker, const Outcome& outcome) {
   Post([this, worker, outcome] {
-    decksail::ProbeAnswered e{.worker = worker,
+    balancing::ProbeAnswered e{.worker = worker,
                               .verdict = outcome.verdict,
                               .latency_s = outcome.latency_s,
                               .has_report = outcome.has_report};
@@ -275,7 +275,7 @@
   Note(member, true, forwarder);
   Post([this, member] {
     const std::vector<Member> changed{member};
-    Deliver(decksail::MembersKnown{ListKind::kUpdate, &changed});
+    Deliver(balancing::MembersKnown{ListKind::kUpdate, &changed});
   });
 }
 
@@ -296,7 +296,7 @@
   }
   for (const Member& m : members) Note(m, false, 0);
   Post([this, kind, list = std::move(list)] {
-    Deliver(decksail::MembersKnown{kind, kind == ListKind::kUnavailable ? nullptr : &list});
+    Deliver(balancing::MembersKnown{kind, kind == ListKind::kUnavailable ? nullptr : &list});
     if (kind == ListKind::kReplace) ForgetWhatTheModuleForgot();
     ListCame();
   });
@@ -324,8 +324,8 @@
 // that a call back still finds it.
 void Planner::ForgetWhatTheModuleForgot() {
   std::unordered_set<std::string_view> known;
-  const std::vector<decksail::WorkerView> views = balancer_.Workers();
-  for (const decksail::WorkerView& v : views) known.insert(v.worker);
+  const std::vector<balancing::WorkerView> views = balancer_.Workers();
+  for (const balancing::WorkerView& v : views) known.insert(v.worker);
   std::erase_if(workers_, [&](const auto& entry) {
     const Worker& worker_state = entry.second;
     return !worker_state.local && worker_state.out_since < 0 &&
@@ -340,7 +340,7 @@
   if (out == (worker_state.out_since >= 0)) return true;
   worker_state.out_since = out ? hooks_.now() : -1;
   hooks_.log(worker + (out ? " is taken out by hand" : " is put back by hand"));
-  Post([this, worker, out] { Deliver(decksail::Maintenance{worker, out}); });
+  Post([this, worker, out] { Deliver(balancing::Maintenance{worker, out}); });
   return true;
 }
 
@@ -358,12 +358,12 @@
   return -1;
 }
 
-void Planner::Configure(const decksail::Settings& settings, std::vector<std::string> names,
+void Planner::Configure(const balancing::Settings& settings, std::vector<std::string> names,
                         std::vector<bool> live, std::vector<int> begun) {
   settings_ = settings;
   NameClasses(std::move(names), std::move(live));
   Post([this, settings, begun = std::move(begun)] {
-    Deliver(decksail::SettingsChanged{&settings, &begun});
+    Deliver(balancing::SettingsChanged{&settings, &begun});
   });
 }
 
@@ -384,7 +384,7 @@
 
 void Planner::PeerSaid(int sender, const std::string& body) {
   counters_->peers_in += 1;
-  Post([this, sender, body] { Deliver(decksail::PeerMessage{sender, body}); });
+  Post([this, sender, body] { Deliver(balancing::PeerMessage{sender, body}); });
 }
 
 // The last line before the wire. What it stops the module learns as 'not sent'.
@@ -404,7 +404,7 @@
   if (worker_state.out_since >= 0 && now - worker_state.out_since > 0.9 * settings_.drain_grace_s)
     return "out";
   if (worker_state.local && worker_state.forwarder != id >> kForwarderShift) return "elsewhere";
-  const decksail::ClassSettings& c = settings_.classes[static_cast<std::size_t>(entry.cls)];
+  const balancing::ClassSettings& c = settings_.classes[static_cast<std::size_t>(entry.cls)];
   for (std::size_t i = 0; i < entry.attempts.size(); ++i) {
     const Attempt& a = entry.attempts[i];
     if (i == itself) continue;
@@ -415,7 +415,7 @@
 }
 
 // An attempt may have run: may another go to this worker?
-const char* Planner::WhyNotAgain(const Attempt& before, const decksail::ClassSettings& c,
+const char* Planner::WhyNotAgain(const Attempt& before, const balancing::ClassSettings& c,
                                  const Worker& worker_state) const {
   if (!before.may_have_run || c.semantics == Semantics::kRepeatable) return nullptr;
   if (c.semantics == Semantics::kOnce) return "once";
@@ -428,7 +428,7 @@
   return nullptr;
 }
 
-void Planner::Do(const decksail::Send& a) {
+void Planner::Do(const balancing::Send& a) {
   RequestId id = 0;
   Entry* entry = Find(a.id, &id);
   if (entry == nullptr) return hooks_.log("send for an unknown request dropped");
@@ -481,11 +481,11 @@
   PortOf(id)->Send(id, static_cast<int>(attempt), worker);
 }
 
-void Planner::Do(const decksail::Refuse& a) {
+void Planner::Do(const balancing::Refuse& a) {
   RequestId id = 0;
   Entry* entry = Find(a.id, &id);
   if (entry == nullptr || entry->answered) return;
-  const decksail::ClassSettings& c = settings_.classes[static_cast<std::size_t>(entry->cls)];
+  const balancing::ClassSettings& c = settings_.classes[static_cast<std::size_t>(entry->cls)];
   const bool repeatable = c.semantics == Semantics::kRepeatable ||
                           (c.semantics == Semantics::kByKey && c.group == Group::kAll);
   if (!repeatable && entry->MayHaveRun()) {  // a refusal says that nothing happened; this can't
@@ -498,7 +498,7 @@
   Post([this, id] { Forget(id); });
 }
 
-void Planner::Do(const decksail::Fail& a) {
+void Planner::Do(const balancing::Fail& a) {
   RequestId id = 0;
   Entry* entry = Find(a.id, &id);
   if (entry == nullptr || entry->answered) return;
@@ -506,7 +506,7 @@
   Post([this, id] { Forget(id); });
 }
 
-void Planner::Do(const decksail::CancelAttempt& a) {
+void Planner::Do(const balancing::CancelAttempt& a) {
   RequestId id = 0;
   Entry* entry = Find(a.id, &id);
   if (entry == nullptr || static_cast<std::size_t>(a.attempt) >= entry->attempts.size()) return;
@@ -517,13 +517,13 @@
   End(id, entry, attempt, {.verdict = waiting ? Verdict::kNotSent : Verdict::kCalledOff});
 }
 
-void Planner::Do(const decksail::SetTimer& a) {
+void Planner::Do(const balancing::SetTimer& a) {
   deadlines_->At(hooks_.now() + a.after_s, [this, mark = a.mark] {
-    Post([this, mark] { Deliver(decksail::TimerFired{mark}); });
+    Post([this, mark] { Deliver(balancing::TimerFired{mark}); });
   });
 }
 
-void Planner::Do(const decksail::Probe& a) {
+void Planner::Do(const balancing::Probe& a) {
   counters_->probes += 1;
   const auto it = workers_.find(a.worker);
   if (it != workers_.end() && !forwarders_.empty()) {
@@ -534,17 +534,17 @@
   Probed(a.worker, {.verdict = Verdict::kNoConnection});
 }
 
-void Planner::Do(const decksail::TellPeer& a) {
-  if (a.body.size() > decksail::kMostPeerBytes) {
+void Planner::Do(const balancing::TellPeer& a) {
+  if (a.body.size() > balancing::kMostPeerBytes) {
     counters_->peers.too_long += 1;
     return;
   }
   counters_->peers_out += 1;
   hooks_.tell_peer(a.whom, a.body);
 }
-void Planner::Do(const decksail::Subscribe& a) { hooks_.subscribe(a.enable); }
-void Planner::Do(const decksail::FetchList&) { hooks_.fetch_list(); }
-void Planner::Do(const decksail::Log& a) { hooks_.log(a.line); }
+void Planner::Do(const balancing::Subscribe& a) { hooks_.subscribe(a.enable); }
+void Planner::Do(const balancing::FetchList&) { hooks_.fetch_list(); }
+void Planner::Do(const balancing::Log& a) { hooks_.log(a.line); }
 
 void Planner::Answer(RequestId id, Entry* entry, FinalAnswer answer) {
   entry->answered = true;
@@ -597,7 +597,7 @@
                       : FinalAnswer{.kind = FinalAnswer::Kind::kRefused, .retry_after_s = advice});
   Post([this, id] {
     const std::string name = std::to_string(id);
-    Deliver(decksail::JobGone{name});
+    Deliver(balancing::JobGone{name});
     Forget(id);
   });
 }
@@ -655,7 +655,7 @@
 }
 
 void Planner::OtherProcess(bool present, bool leaving) {
-  Post([this, present, leaving] { Deliver(decksail::Mate{present, leaving}); });
+  Post([this, present, leaving] { Deliver(balancing::Mate{present, leaving}); });
 }
 
 void Planner::ToldDown(const Member& member) {
@@ -668,7 +668,7 @@
 void Planner::HeardDown(const std::string& worker, double born_s, bool gone) {
   const auto it = workers_.find(worker);
   if (it == workers_.end()) return;
-  decksail::Member member = it->second.member;
+  balancing::Member member = it->second.member;
   const Readiness told = gone ? Readiness::kGone : Readiness::kDraining;
   if (member.readiness >= told) return;
   member.born_s = born_s;
--- a/src/core/planner.h
+++ b/src/core/planner.h
@@ -18,7 +18,7 @@
 #include "core/demand.h"
 #include "core/planner_link.h"
 #include "core/request.h"
-#include "decksail/balancer.h"
+#include "millethollow/balancing/load_balancer.h"
 #include "scheduling/desk.h"
 
 namespace millethollow {
@@ -34,7 +34,7 @@
     std::function<bool()> list_overdue = [] { return false; };
     std::function<void(int, const std::string&)> tell_peer = [](int, const std::string&) {};
     std::function<void(const std::string&)> log = [](const std::string&) {};
-    std::function<decksail::Parts()> parts;  // where nodes agree on them; none: no cluster
+    std::function<balancing::Parts()> parts;  // where nodes agree on them; none: no cluster
     std::function<void(const std::string&)> took = [](const std::string&) {};  // a Request-Id
     // Before an attempt for a promise (its handle) goes out; `own`: the worker is one that
     // connected here by itself. It may once `then(true)` comes, at once or later; `repeatable`: it
@@ -44,11 +44,11 @@
         before_send = {};
   };
 
-  Planner(const decksail::Settings& settings, std::uint64_t seed, Deadlines* deadlines, Hooks hooks,
+  Planner(const balancing::Settings& settings, std::uint64_t seed, Deadlines* deadlines, Hooks hooks,
           Counters* counters, const scheduling::Options& options = {});
 
   // Tells the module that it lives and what it last knew. Call once, before anything else.
-  void Start(const std::vector<decksail::Member>& known);
+  void Start(const std::vector<balancing::Member>& known);
   // A forwarder takes part from now on; its requests carry the number returned. In process, its
   // word of a start cannot be under way while we decide.
   std::uint64_t AddForwarder(ForwarderPort* port, bool in_process);
@@ -60,8 +60,8 @@
   void Began(RequestId id, int attempt);
   void Ended(RequestId id, int attempt, const Outcome& outcome);
   void Probed(const std::string& worker, const Outcome& outcome);
-  void LocalWorker(std::uint64_t forwarder, const decksail::Member& member);
-  void ListKnown(decksail::ListKind kind, const std::vector<decksail::Member>& members);
+  void LocalWorker(std::uint64_t forwarder, const balancing::Member& member);
+  void ListKnown(balancing::ListKind kind, const std::vector<balancing::Member>& members);
   void PeerSaid(int sender, const std::string& body);
   // An operator takes a worker out of service, or puts it back. The state stands over whatever
   // lists say; one call back undoes any number out. False if no such worker was ever listed.
@@ -71,7 +71,7 @@
   int ClassIndex(const std::string& name) const;  // -1: none
   // Other settings under load: open requests keep their class, and so its rules, and the number of
   // attempts that they came with.
-  void Configure(const decksail::Settings& settings, std::vector<std::string> names,
+  void Configure(const balancing::Settings& settings, std::vector<std::string> names,
                  std::vector<bool> live, std::vector<int> begun);
   // Other bounds on the waiting room and on what is held; open requests that wait go on waiting.
   void Configure(const scheduling::Options& options) { balancer_.Configure(options); }
@@ -80,7 +80,7 @@
   // While a process is replaced, two planners are one. What is known of a worker goes from the
   // old one to the new: when a drain was told or it was taken out, each -1 if it was not.
   struct Known {
-    decksail::Member member;
+    balancing::Member member;
     double drain_told_at = -1, out_since = -1;
   };
   std::vector<Known> Knowledge() const;
@@ -92,7 +92,7 @@
   void IdTaken(const std::string& wire_id);  // by the other
   void OtherProcess(bool present, bool leaving);
   // The other was told that a worker drains or is gone: so were we, unless we know a later start.
-  void ToldDown(const decksail::Member& member);
+  void ToldDown(const balancing::Member& member);
   // The same from another node, which names the start that it speaks of.
   void HeardDown(const std::string& worker, double born_s, bool gone);
   bool Knows(const std::string& worker) const { return workers_.contains(worker); }
@@ -109,7 +109,7 @@
   std::size_t pending() const { return pending_; }  // taken and without a final answer yet
   // Workers on the list, and those of them that nothing new goes to.
   std::pair<std::size_t, std::size_t> Members() const;
-  const decksail::Settings& settings() const { return settings_; }
+  const balancing::Settings& settings() const { return settings_; }
 
  private:
   struct Attempt {
@@ -128,7 +128,7 @@
     bool MayHaveRun() const;
   };
   struct Worker {
-    decksail::Member member;
+    balancing::Member member;
     double drain_told_at = -1;    // when it was first told to drain or be gone; -1: in service
     std::uint64_t forwarder = 0;  // owner, for one that connects by itself
     bool local = false;
@@ -136,18 +136,18 @@
   };
 
   void Post(std::function<void()> event);
-  void Deliver(const decksail::Event& event);
-  void Do(const decksail::Send& a);
-  void Do(const decksail::Refuse& a);
-  void Do(const decksail::Fail& a);
-  void Do(const decksail::CancelAttempt& a);
-  void Do(const decksail::SetTimer& a);
-  void Do(const decksail::Probe& a);
-  void Do(const decksail::TellPeer& a);
-  void Do(const decksail::Subscribe& a);
-  void Do(const decksail::FetchList& a);
-  void Do(const decksail::Hold&) {}  // the desk keeps it
-  void Do(const decksail::Log& a);
+  void Deliver(const balancing::Event& event);
+  void Do(const balancing::Send& a);
+  void Do(const balancing::Refuse& a);
+  void Do(const balancing::Fail& a);
+  void Do(const balancing::CancelAttempt& a);
+  void Do(const balancing::SetTimer& a);
+  void Do(const balancing::Probe& a);
+  void Do(const balancing::TellPeer& a);
+  void Do(const balancing::Subscribe& a);
+  void Do(const balancing::FetchList& a);
+  void Do(const balancing::Hold&) {}  // the desk keeps it
+  void Do(const balancing::Log& a);
 
   Entry* Find(RequestId id);
   Entry* Find(const std::string& name, RequestId* id);
@@ -155,9 +155,9 @@
   // `itself`: the attempt that is asked about, where it is in the entry already.
   const char* WhyNot(const Entry& entry, RequestId id, const std::string& worker,
                      std::size_t itself = static_cast<std::size_t>(-1)) const;
-  const char* WhyNotAgain(const Attempt& before, const decksail::ClassSettings& cls,
+  const char* WhyNotAgain(const Attempt& before, const balancing::ClassSettings& cls,
                           const Worker& worker_state) const;
-  bool TakeUp(const Request& request, Entry* entry, std::vector<decksail::TriedElsewhere>* tried);
+  bool TakeUp(const Request& request, Entry* entry, std::vector<balancing::TriedElsewhere>* tried);
   bool Repeatable(int cls) const;
   void ListCame();
   void Dispatch(RequestId id, std::size_t attempt, const std::string& worker, double timeout_s);
@@ -166,11 +166,11 @@
   void Answer(RequestId id, Entry* entry, FinalAnswer answer);
   void Expire(RequestId id);
   void Forget(RequestId id);
-  void Note(const decksail::Member& member, bool local, std::uint64_t forwarder);
+  void Note(const balancing::Member& member, bool local, std::uint64_t forwarder);
   void RememberId(std::string wire_id);
   void ForgetWhatTheModuleForgot();
 
-  decksail::Settings settings_;
+  balancing::Settings settings_;
   scheduling::Desk balancer_;  // the module, with the scheduler before it
   Deadlines* deadlines_;
   Hooks hooks_;
@@ -191,7 +191,7 @@
   std::vector<Waiting> waiting_;  // sends, for the list
   std::deque<std::function<void()>> queue_;
   bool running_ = false;
-  decksail::Parts parts_;  // as last agreed on, where nodes do
+  balancing::Parts parts_;  // as last agreed on, where nodes do
   double parts_at_ = 0;
   DemandMeter demand_;
   std::size_t pending_ = 0;
@@ -210,7 +210,7 @@
     planner_->Ended(id, attempt, o);
   }
   void Probed(const std::string& worker, const Outcome& o) override { planner_->Probed(worker, o); }
-  void WorkerChanged(const decksail::Member& m) override { planner_->LocalWorker(me_, m); }
+  void WorkerChanged(const balancing::Member& m) override { planner_->LocalWorker(me_, m); }
 
  private:
   Planner* planner_;
--- a/src/core/request.h
+++ b/src/core/request.h
@@ -7,11 +7,11 @@
 #include <string>
 #include <vector>
 
-#include "decksail/balancer.h"
+#include "millethollow/balancing/load_balancer.h"
 
 namespace millethollow {
 
-using decksail::Verdict;
+using balancing::Verdict;
 
 // Unique over all forwarders of a planner: the forwarder's number stands in the top 16 bits.
 using RequestId = std::uint64_t;
--- a/src/events.cpp
+++ b/src/logging/event_log.cpp
@@ -1,4 +1,4 @@
-#include "events.h"
+#include "logging/event_log.h"
 
 #include <spdlog/sinks/stdout_sinks.h>
 
--- a/src/events.h
+++ b/src/logging/event_log.h
@@ -1,13 +1,13 @@
 // Structured lines by the registry's logging library, for the parts that tell of changes: a name,
 // then key=value pairs. They go where LogLine's go, in the same form.
-#ifndef MILLETHOLLOW_EVENTS_H_
-#define MILLETHOLLOW_EVENTS_H_
+#ifndef MILLETHOLLOW_LOGGING_EVENT_LOG_H_
+#define MILLETHOLLOW_LOGGING_EVENT_LOG_H_
 
 #include <spdlog/logger.h>
 
 #include <memory>
 
-#include "log.h"
+#include "logging/log.h"
 
 namespace millethollow {
 
@@ -16,4 +16,4 @@
 
 }  // namespace millethollow
 
-#endif  // MILLETHOLLOW_EVENTS_H_
+#endif  // MILLETHOLLOW_LOGGING_EVENT_LOG_H_
--- a/src/log.h
+++ b/src/logging/log.h
@@ -1,6 +1,6 @@
 // Logging: iostreams behind a level filter.
-#ifndef MILLETHOLLOW_LOG_H_
-#define MILLETHOLLOW_LOG_H_
+#ifndef MILLETHOLLOW_LOGGING_LOG_H_
+#define MILLETHOLLOW_LOGGING_LOG_H_
 
 #include <cstdint>
 #include <iostream>
@@ -49,4 +49,4 @@
 
 }  // namespace millethollow
 
-#endif  // MILLETHOLLOW_LOG_H_
+#endif  // MILLETHOLLOW_LOGGING_LOG_H_
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,9 +9,9 @@
 
 #include "config/haproxy.h"
 #include "config/reload.h"
-#include "log.h"
-#include "node.h"
-#include "supervisor.h"
+#include "logging/log.h"
+#include "node/node.h"
+#include "node/supervisor.h"
 
 namespace {
 
--- a/src/net/admin/admin_server.cpp
+++ b/src/net/admin/admin_server.cpp
@@ -6,7 +6,7 @@
 #include <cerrno>
 #include <cstring>
 
-#include "log.h"
+#include "logging/log.h"
 #include "net/connection.h"
 #include "net/http/parser.h"
 
--- a/src/net/cluster/copy_keeper.cpp
+++ b/src/net/cluster/copy_keeper.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "events.h"
+#include "logging/event_log.h"
 
 namespace millethollow::cluster {
 
--- a/src/net/cluster/fact_keeper.cpp
+++ b/src/net/cluster/fact_keeper.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "codec/membership.h"
-#include "events.h"
+#include "logging/event_log.h"
 
 namespace millethollow::cluster {
 namespace {
--- a/src/net/cluster/kept_store.cpp
+++ b/src/net/cluster/kept_store.cpp
@@ -7,7 +7,7 @@
 #include <limits>
 #include <utility>
 
-#include "events.h"
+#include "logging/event_log.h"
 
 namespace millethollow::cluster {
 
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "codec/membership.h"
-#include "events.h"
+#include "logging/event_log.h"
 #include "net/connection.h"
 
 namespace millethollow::cluster {
@@ -395,11 +395,11 @@
 
 bool Member::Leased() const { return cluster_ && cluster_->agreement().Leased(Now()); }
 double Member::LeaseLeft() const { return cluster_ ? cluster_->agreement().LeaseLeft(Now()) : 0; }
-decksail::Parts Member::Parts() const {
+balancing::Parts Member::Parts() const {
   const double now = Now();
   const membership::Agreement& a = cluster_->agreement();
   const int members = a.Leased(now) ? static_cast<int>(a.view().members.size()) : 0;
-  decksail::Parts parts{.part = cluster_->Part(now), .members = members, .epoch = a.view().epoch};
+  balancing::Parts parts{.part = cluster_->Part(now), .members = members, .epoch = a.view().epoch};
   if (quota_) parts.tenant_rates = quota_->Rates();
   return parts;
 }
--- a/src/net/cluster/member.h
+++ b/src/net/cluster/member.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "config/cluster.h"
-#include "decksail/balancer.h"
+#include "millethollow/balancing/load_balancer.h"
 #include "membership/cluster.h"
 #include "net/cluster/copy_keeper.h"
 #include "net/cluster/fact_keeper.h"
@@ -70,7 +70,7 @@
   // With a clock read now, so that a stop that nobody noticed counts.
   bool Leased() const;
   double LeaseLeft() const;       // seconds
-  decksail::Parts Parts() const;  // of what the whole cluster may do
+  balancing::Parts Parts() const;  // of what the whole cluster may do
   const membership::Cluster& decisions() const { return *cluster_; }
   // Copies of what members hold for others; null: this one has no store.
   CopyKeeper* copies() const { return copies_.get(); }
--- a/src/net/cluster/promised_jobs.cpp
+++ b/src/net/cluster/promised_jobs.cpp
@@ -6,7 +6,7 @@
 #include <sstream>
 #include <utility>
 
-#include "events.h"
+#include "logging/event_log.h"
 
 namespace millethollow::cluster {
 namespace {
--- a/src/net/cluster/quota_keeper.cpp
+++ b/src/net/cluster/quota_keeper.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "codec/membership.h"
-#include "events.h"
+#include "logging/event_log.h"
 
 namespace millethollow::cluster {
 namespace {
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -11,7 +11,7 @@
 #include <cerrno>
 #include <charconv>
 
-#include "log.h"
+#include "logging/log.h"
 
 namespace millethollow {
 namespace {
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -3,14 +3,14 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "log.h"
+#include "logging/log.h"
 #include "net/connection.h"
 #include "net/http/parser.h"
 
 namespace millethollow {
 
-using decksail::ListKind;
-using decksail::Readiness;
+using balancing::ListKind;
+using balancing::Readiness;
 using Json = nlohmann::json;
 
 namespace {
@@ -63,8 +63,8 @@
 
 }  // namespace
 
-std::vector<decksail::Member> ServerList::Members() const {
-  std::vector<decksail::Member> members;
+std::vector<balancing::Member> ServerList::Members() const {
+  std::vector<balancing::Member> members;
   for (const ListEntry& e : entries) members.push_back(e.member);
   return members;
 }
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -9,14 +9,14 @@
 #include <string_view>
 #include <vector>
 
-#include "decksail/balancer.h"
+#include "millethollow/balancing/load_balancer.h"
 #include "membership/call_pace.h"
 #include "net/loop.h"
 
 namespace millethollow {
 
 struct ListEntry {
-  decksail::Member member;
+  balancing::Member member;
   std::string address;
   std::size_t most_out = 0;  // requests out at once that it may have of a forwarder; 0: any
 };
@@ -25,7 +25,7 @@
   long long version = 0;
   bool full = false;
   std::vector<ListEntry> entries;
-  std::vector<decksail::Member> Members() const;
+  std::vector<balancing::Member> Members() const;
 };
 
 // Reads a list in discovery's form. False, with `why`, where the whole is unusable; single bad
@@ -46,7 +46,7 @@
     int nodes = 1;  // that ask the same discovery: many ask less often, and not all at once
   };
   struct Hooks {
-    std::function<void(decksail::ListKind, const ServerList&)> known;
+    std::function<void(balancing::ListKind, const ServerList&)> known;
     std::function<void()> unavailable;
   };
   Discovery(Loop* loop, Options options, Hooks hooks);
--- a/src/net/forwarder.cpp
+++ b/src/net/forwarder.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "log.h"
+#include "logging/log.h"
 
 namespace millethollow {
 namespace {
--- a/src/net/gearman/front.cpp
+++ b/src/net/gearman/front.cpp
@@ -2,13 +2,13 @@
 
 #include <algorithm>
 
-#include "log.h"
+#include "logging/log.h"
 #include "net/gearman/peer.h"
 
 namespace millethollow::gearman {
 
-using decksail::Column;
-using decksail::Readiness;
+using balancing::Column;
+using balancing::Readiness;
 
 namespace {
 
@@ -90,7 +90,7 @@
   const bool known = workers_.contains(worker->name());
   if (!able && !known) return;
   workers_[worker->name()] = worker;
-  decksail::Member m;
+  balancing::Member m;
   m.worker = worker->name();
   m.zone = config_.gearman_zone;
   m.kind = config_.gearman_kind;
--- a/src/net/gearman/jobs.cpp
+++ b/src/net/gearman/jobs.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "log.h"
+#include "logging/log.h"
 #include "net/gearman/peer.h"
 
 namespace millethollow::gearman {
@@ -22,7 +22,7 @@
 
 bool Front::Keyed(int cls) const {
   return config_.settings.classes[static_cast<std::size_t>(cls)].semantics !=
-         decksail::Semantics::kRepeatable;
+         balancing::Semantics::kRepeatable;
 }
 
 std::shared_ptr<Job> Front::FindHandle(std::string_view handle) const {
--- a/src/net/handover/handover.cpp
+++ b/src/net/handover/handover.cpp
@@ -10,7 +10,7 @@
 #include <cstring>
 #include <vector>
 
-#include "log.h"
+#include "logging/log.h"
 #include "net/connection.h"
 
 namespace millethollow::handover {
--- a/src/net/handover/succession.cpp
+++ b/src/net/handover/succession.cpp
@@ -6,12 +6,12 @@
 #include <algorithm>
 #include <utility>
 
-#include "log.h"
+#include "logging/log.h"
 
 namespace millethollow::handover {
 
-using decksail::Member;
-using decksail::Readiness;
+using balancing::Member;
+using balancing::Readiness;
 using link::Kind;
 using link::Reader;
 using link::Writer;
--- a/src/net/http/client_front.cpp
+++ b/src/net/http/client_front.cpp
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "log.h"
+#include "logging/log.h"
 
 namespace millethollow::http {
 namespace {
--- a/src/net/http/worker_pool.cpp
+++ b/src/net/http/worker_pool.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "log.h"
+#include "logging/log.h"
 
 namespace millethollow::http {
 namespace {
--- a/src/net/link/frame.cpp
+++ b/src/net/link/frame.cpp
@@ -36,7 +36,7 @@
   return *this;
 }
 
-Writer& Writer::Put(const decksail::Member& m) {
+Writer& Writer::Put(const balancing::Member& m) {
   return Text(m.worker)
       .U8(static_cast<std::uint8_t>(m.readiness))
       .I32(m.zone)
@@ -103,12 +103,12 @@
   return o;
 }
 
-decksail::Member Reader::GetMember() {
-  decksail::Member m;
+balancing::Member Reader::GetMember() {
+  balancing::Member m;
   m.worker = Text();
   const std::uint8_t readiness = U8();
-  if (readiness > static_cast<std::uint8_t>(decksail::Readiness::kGone)) ok_ = false;
-  m.readiness = ok_ ? static_cast<decksail::Readiness>(readiness) : decksail::Readiness::kGone;
+  if (readiness > static_cast<std::uint8_t>(balancing::Readiness::kGone)) ok_ = false;
+  m.readiness = ok_ ? static_cast<balancing::Readiness>(readiness) : balancing::Readiness::kGone;
   m.zone = I32();
   m.kind = I32();
   m.cell = I32();
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -8,7 +8,7 @@
 #include <cerrno>
 #include <cstring>
 
-#include "log.h"
+#include "logging/log.h"
 #include "net/connection.h"
 
 namespace millethollow {
--- a/src/node.cpp
+++ b/src/node/node.cpp
@@ -1,4 +1,4 @@
-#include "node.h"
+#include "node/node.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,7 +8,7 @@
 #include <utility>
 
 #include "config/reload.h"
-#include "log.h"
+#include "logging/log.h"
 
 namespace millethollow {
 namespace {
@@ -198,7 +198,7 @@
     if (succession_) succession_->TellId(id);
   };
   if (config_.cluster.on()) {
-    hooks.parts = [this] { return member_ ? member_->Parts() : decksail::Parts{}; };
+    hooks.parts = [this] { return member_ ? member_->Parts() : balancing::Parts{}; };
     hooks.before_send = [this](const std::string& promise, const std::string& worker, bool own,
                                bool repeatable, std::function<void(bool)> then) {
       if (!promised_) return then(false);
@@ -236,10 +236,10 @@
                            .drain_grace_s = config_.settings.drain_grace_s,
                            .nodes = config_.settings.dispatchers},
         Discovery::Hooks{
-            .known = [this](decksail::ListKind kind, const ServerList& l) { OnList(kind, l); },
+            .known = [this](balancing::ListKind kind, const ServerList& l) { OnList(kind, l); },
             .unavailable =
                 [this] {
-                  planner_->ListKnown(decksail::ListKind::kUnavailable, {});
+                  planner_->ListKnown(balancing::ListKind::kUnavailable, {});
                   if (first_list_) first_list_->Failed();
                   TakeOnceListed();
                 }});
@@ -338,7 +338,7 @@
   for (std::size_t c = 0; c < names.classes.size(); ++c) {
     if (!config_.live[c]) names.classes[c] = kNoName;
     const auto semantics = config_.settings.classes[c].semantics;
-    names.keyed.push_back(semantics == decksail::Semantics::kByKey);
+    names.keyed.push_back(semantics == balancing::Semantics::kByKey);
   }
   if (config_.settings.retry_after) {
     names.retry_after_s = std::min(kTurnedAwayS, config_.settings.max_retry_after_s);
@@ -414,7 +414,7 @@
     });
   }
   if (discovery_) discovery_->Move(config_.discovery);
-  if (fixed) OnList(decksail::ListKind::kReplace, known);
+  if (fixed) OnList(balancing::ListKind::kReplace, known);
 }
 
 void Node::SetAddress(const std::string& worker, const std::string& address, std::size_t most_out) {
@@ -423,21 +423,21 @@
   if (server_) server_->SetAddress(worker, address, most_out);
 }
 
-void Node::OnList(decksail::ListKind kind, const ServerList& list) {
+void Node::OnList(balancing::ListKind kind, const ServerList& list) {
   counters_.lists += 1;
   for (const ListEntry& e : list.entries) SetAddress(e.member.worker, e.address, e.most_out);
   for (const ListEntry& e : list.entries) {
     if (!member_ || !member_->Out(e.member.worker) || planner_->Knows(e.member.worker)) continue;
     // Taken out at another node before it was known here: it comes in without ever being free.
-    decksail::Member first = e.member;
-    first.readiness = decksail::Readiness::kDraining;
-    planner_->ListKnown(decksail::ListKind::kUpdate, {first});
+    balancing::Member first = e.member;
+    first.readiness = balancing::Readiness::kDraining;
+    planner_->ListKnown(balancing::ListKind::kUpdate, {first});
     Maintain(e.member.worker, true);
   }
   planner_->ListKnown(kind, list.Members());
   for (const ListEntry& e : list.entries) {
-    const bool gone = e.member.readiness == decksail::Readiness::kGone;
-    if (!member_ || e.member.readiness == decksail::Readiness::kReady) continue;
+    const bool gone = e.member.readiness == balancing::Readiness::kGone;
+    if (!member_ || e.member.readiness == balancing::Readiness::kReady) continue;
     member_->Told(e.member.worker, e.member.born_s, gone);
   }
   if (succession_) succession_->TellDown();
--- a/src/node.h
+++ b/src/node/node.h
@@ -1,7 +1,7 @@
 // The wiring of one process: on the platform a planner and a forwarder on one loop, joined in
 // process; in a two-level deployment one of the two, joined by the socket link.
-#ifndef MILLETHOLLOW_NODE_H_
-#define MILLETHOLLOW_NODE_H_
+#ifndef MILLETHOLLOW_NODE_NODE_H_
+#define MILLETHOLLOW_NODE_NODE_H_
 
 #include <memory>
 #include <optional>
@@ -62,7 +62,7 @@
   bool StartPlanner(std::uint64_t seed, std::string* why);
   bool StartForwarder(std::string* why);
   void SetAddress(const std::string& worker, const std::string& address, std::size_t most_out);
-  void OnList(decksail::ListKind kind, const ServerList& list);
+  void OnList(balancing::ListKind kind, const ServerList& list);
   void CheckStopped();
   bool StartMember(std::string* why);
   void ServeOnceSynced(double until);
@@ -102,4 +102,4 @@
 
 }  // namespace millethollow
 
-#endif  // MILLETHOLLOW_NODE_H_
+#endif  // MILLETHOLLOW_NODE_NODE_H_
--- a/src/supervisor.cpp
+++ b/src/node/supervisor.cpp
@@ -1,4 +1,4 @@
-#include "supervisor.h"
+#include "node/supervisor.h"
 
 #include <sys/prctl.h>
 #include <sys/wait.h>
@@ -8,7 +8,7 @@
 #include <csignal>
 #include <ctime>
 
-#include "log.h"
+#include "logging/log.h"
 
 namespace millethollow {
 namespace {
--- a/src/supervisor.h
+++ b/src/node/supervisor.h
@@ -1,11 +1,11 @@
 // Starts the processes of a two-level deployment, and starts again one that dies.
-#ifndef MILLETHOLLOW_SUPERVISOR_H_
-#define MILLETHOLLOW_SUPERVISOR_H_
+#ifndef MILLETHOLLOW_NODE_SUPERVISOR_H_
+#define MILLETHOLLOW_NODE_SUPERVISOR_H_
 
 #include <functional>
 #include <vector>
 
-#include "node.h"
+#include "node/node.h"
 
 namespace millethollow {
 
@@ -17,4 +17,4 @@
 
 }  // namespace millethollow
 
-#endif  // MILLETHOLLOW_SUPERVISOR_H_
+#endif  // MILLETHOLLOW_NODE_SUPERVISOR_H_
--- a/src/scheduling/desk.cpp
+++ b/src/scheduling/desk.cpp
@@ -14,9 +14,9 @@
 
 }  // namespace
 
-using decksail::Verdict;
+using balancing::Verdict;
 
-Desk::Desk(const decksail::Settings& settings, std::uint64_t seed, const Options& options)
+Desk::Desk(const balancing::Settings& settings, std::uint64_t seed, const Options& options)
     : options_(options), settings_(settings), balancer_(settings, seed), scheduler_(options, seed) {
   if (!options_.on) return;
   balancer_.KeepRoom(this);
@@ -64,9 +64,9 @@
 void Desk::Sync() {
   if (balancer_.version() == seen_version_) return;
   seen_version_ = balancer_.version();
-  const std::vector<decksail::WorkerView> views = balancer_.Workers();
+  const std::vector<balancing::WorkerView> views = balancer_.Workers();
   for (std::size_t w = 0; w < views.size(); ++w) {
-    const decksail::WorkerView& v = views[w];
+    const balancing::WorkerView& v = views[w];
     if (w >= workers_.size()) workers_.emplace_back();
     if (workers_[w].name != v.worker) {  // new, or in the place of one that the module forgot
       const auto held = index_.find(workers_[w].name);
@@ -106,7 +106,7 @@
   const Worker& w = workers_[static_cast<std::size_t>(worker)];
   const auto& columns = settings_.report_columns;
   for (std::size_t i = 0; i < columns.size() && i < 4; ++i) {
-    if (columns[i] != decksail::Column::kFreeSlots || !(report[i] >= 0)) continue;
+    if (columns[i] != balancing::Column::kFreeSlots || !(report[i] >= 0)) continue;
     const double taken = scheduler_.TakenSince(static_cast<std::size_t>(worker), now_ - kSurelyS) +
                          std::min(w.others, w.others_before);
     capacity_.Told(w.kind, report[i], taken, now_);
@@ -115,7 +115,7 @@
 
 // ---- what the module asks ----
 
-decksail::RoomKeeper::Place Desk::Somewhere(std::string_view job) {
+balancing::RoomKeeper::Place Desk::Somewhere(std::string_view job) {
   Sync();
   const auto it = jobs_.find(job);
   if (it == jobs_.end()) return {};
@@ -140,10 +140,10 @@
 
 // ---- events and actions ----
 
-void Desk::Handle(double now_s, const decksail::Event& event, decksail::Actions* actions) {
+void Desk::Handle(double now_s, const balancing::Event& event, balancing::Actions* actions) {
   now_ = std::max(now_, now_s);
   if (!options_.on) return balancer_.Handle(now_s, event, actions);
-  const auto* timer = std::get_if<decksail::TimerFired>(&event);
+  const auto* timer = std::get_if<balancing::TimerFired>(&event);
   if (timer != nullptr && timer->mark == kTickMark) {
     ticking_ = false;
     scheduler_.Tick(now_);
@@ -156,50 +156,50 @@
     if (!no_room_.empty()) {
       const std::string id = std::move(no_room_.front());
       no_room_.pop_front();
-      Ask(decksail::RoomFound{id, {}}, actions);
+      Ask(balancing::RoomFound{id, {}}, actions);
       continue;
     }
     const auto start = scheduler_.Next(now_);
     if (!start) break;
     const std::string id = ids_.at(start->job);
-    Ask(decksail::RoomFound{id, workers_[start->worker].name}, actions);
+    Ask(balancing::RoomFound{id, workers_[start->worker].name}, actions);
     // Whatever the module made of it, it is not asked the same thing twice in a turn.
     if (scheduler_.Waits(start->job)) scheduler_.Shun(start->worker);
     Sync();
   }
   if (!ticking_ && scheduler_.WantsTick()) {
     ticking_ = true;
-    actions->push_back(decksail::SetTimer{kTickMark, Scheduler::kTickS});
+    actions->push_back(balancing::SetTimer{kTickMark, Scheduler::kTickS});
   }
 }
 
-void Desk::Note(const decksail::Event& event) {
-  if (const auto* e = std::get_if<decksail::JobArrived>(&event)) {
+void Desk::Note(const balancing::Event& event) {
+  if (const auto* e = std::get_if<balancing::JobArrived>(&event)) {
     Arrived(*e);
-  } else if (const auto* note = std::get_if<decksail::AttemptNote>(&event)) {
+  } else if (const auto* note = std::get_if<balancing::AttemptNote>(&event)) {
     const auto it = jobs_.find(note->id);
     const auto a = static_cast<std::size_t>(note->attempt);
     if (it == jobs_.end() || note->attempt < 0 || a >= it->second.attempts.size()) return;
     Attempt& attempt = it->second.attempts[a];
     if (attempt.began_at < 0) attempt.began_at = now_;
-  } else if (const auto* end = std::get_if<decksail::AttemptEnded>(&event)) {
+  } else if (const auto* end = std::get_if<balancing::AttemptEnded>(&event)) {
     Ended(*end);
-  } else if (const auto* gone = std::get_if<decksail::JobGone>(&event)) {
+  } else if (const auto* gone = std::get_if<balancing::JobGone>(&event)) {
     const auto it = jobs_.find(gone->id);
     if (it != jobs_.end()) Finish(it);
-  } else if (const auto* probe = std::get_if<decksail::ProbeAnswered>(&event)) {
+  } else if (const auto* probe = std::get_if<balancing::ProbeAnswered>(&event)) {
     if (probe->has_report) Reported(WorkerOf(probe->worker), probe->report);
-  } else if (const auto* changed = std::get_if<decksail::SettingsChanged>(&event)) {
+  } else if (const auto* changed = std::get_if<balancing::SettingsChanged>(&event)) {
     settings_ = *changed->settings;
     Configure(options_);
   }
 }
 
-void Desk::Arrived(const decksail::JobArrived& e) {
+void Desk::Arrived(const balancing::JobArrived& e) {
   if (e.cls < 0 || static_cast<std::size_t>(e.cls) >= settings_.classes.size()) return;
   const auto [it, fresh] = jobs_.try_emplace(std::string(e.id));
   if (!fresh) return;
-  const decksail::ClassSettings& c = settings_.classes[static_cast<std::size_t>(e.cls)];
+  const balancing::ClassSettings& c = settings_.classes[static_cast<std::size_t>(e.cls)];
   Job& job = it->second.job;
   job.handle = ++last_handle_;
   job.cls = e.cls;
@@ -213,7 +213,7 @@
   const double run = scheduler_.estimates().Remaining(e.cls, -1, e.size_hint_s, 0, kShort);
   job.start_by = std::min(now_ + c.aim_s + std::max(0.0, c.stretch - 1) * run, e.expires_s);
   job.may_hold = MayHold(e.cls);
-  for (const decksail::TriedElsewhere& t : e.tried) {  // attempts are counted from the first
+  for (const balancing::TriedElsewhere& t : e.tried) {  // attempts are counted from the first
     const int w = WorkerOf(t.worker);
     it->second.attempts.push_back(
         {.worker = w < 0 ? 0 : static_cast<std::size_t>(w), .sent_at = t.sent_at, .open = false});
@@ -221,7 +221,7 @@
   ids_.emplace(job.handle, it->first);
 }
 
-void Desk::Ended(const decksail::AttemptEnded& e) {
+void Desk::Ended(const balancing::AttemptEnded& e) {
   const auto it = jobs_.find(e.id);
   const auto a = static_cast<std::size_t>(e.attempt);
   if (it == jobs_.end() || e.attempt < 0 || a >= it->second.attempts.size()) return;
@@ -239,14 +239,14 @@
 }
 
 // Hands an event to the module and sees to the actions that concern the room.
-void Desk::Ask(const decksail::Event& event, decksail::Actions* actions) {
+void Desk::Ask(const balancing::Event& event, balancing::Actions* actions) {
   const std::size_t first = actions->size();
   balancer_.Handle(now_, event, actions);
   std::size_t kept = first;
   for (std::size_t i = first; i < actions->size(); ++i) {
-    decksail::Action& action = (*actions)[i];
+    balancing::Action& action = (*actions)[i];
     bool keep = true;
-    if (const auto* send = std::get_if<decksail::Send>(&action)) {
+    if (const auto* send = std::get_if<balancing::Send>(&action)) {
       Sync();
       const auto it = jobs_.find(send->id);
       const int w = WorkerOf(send->worker);
@@ -255,7 +255,7 @@
         it->second.attempts.push_back({.worker = number, .sent_at = now_});
         scheduler_.Started(it->second.job, number, now_);
       }
-    } else if (const auto* hold = std::get_if<decksail::Hold>(&action)) {
+    } else if (const auto* hold = std::get_if<balancing::Hold>(&action)) {
       keep = false;
       const auto it = jobs_.find(hold->id);
       if (it != jobs_.end()) {
@@ -266,10 +266,10 @@
           scheduler_.Shun(static_cast<std::size_t>(w));  // something else is in the way there
         }
       }
-    } else if (const auto* refuse = std::get_if<decksail::Refuse>(&action)) {
+    } else if (const auto* refuse = std::get_if<balancing::Refuse>(&action)) {
       const auto it = jobs_.find(refuse->id);
       if (it != jobs_.end()) Finish(it);
-    } else if (const auto* fail = std::get_if<decksail::Fail>(&action)) {
+    } else if (const auto* fail = std::get_if<balancing::Fail>(&action)) {
       const auto it = jobs_.find(fail->id);
       if (it != jobs_.end()) Finish(it);
     }
--- a/src/scheduling/desk.h
+++ b/src/scheduling/desk.h
@@ -14,22 +14,22 @@
 #include <utility>
 #include <vector>
 
-#include "decksail/balancer.h"
+#include "millethollow/balancing/load_balancer.h"
 #include "scheduling/capacity.h"
 #include "scheduling/scheduler.h"
 
 namespace millethollow::scheduling {
 
-class Desk final : private decksail::RoomKeeper {
+class Desk final : private balancing::RoomKeeper {
  public:
-  Desk(const decksail::Settings& settings, std::uint64_t seed, const Options& options);
+  Desk(const balancing::Settings& settings, std::uint64_t seed, const Options& options);
 
-  void Handle(double now_s, const decksail::Event& event, decksail::Actions* actions);
+  void Handle(double now_s, const balancing::Event& event, balancing::Actions* actions);
   bool Avoids(std::string_view worker) const { return balancer_.Avoids(worker); }
-  std::vector<decksail::WorkerView> Workers() const { return balancer_.Workers(); }
+  std::vector<balancing::WorkerView> Workers() const { return balancer_.Workers(); }
   std::string Learned() const { return balancer_.Learned(); }
   std::uint64_t RefusedPeerMessages() const { return balancer_.RefusedPeerMessages(); }
-  void Agree(const decksail::Parts& parts) { balancer_.Agree(parts); }
+  void Agree(const balancing::Parts& parts) { balancer_.Agree(parts); }
   bool Learn(std::string_view text, const std::vector<int>& classes) {
     return balancer_.Learn(text, classes);
   }
@@ -64,10 +64,10 @@
   bool Holds(int cls) const override { return options_.hold_of_fleet > 0 && MayHold(cls); }
   double Held(std::string_view worker) const override;
 
-  void Note(const decksail::Event& event);
-  void Arrived(const decksail::JobArrived& e);
-  void Ended(const decksail::AttemptEnded& e);
-  void Ask(const decksail::Event& event, decksail::Actions* actions);
+  void Note(const balancing::Event& event);
+  void Arrived(const balancing::JobArrived& e);
+  void Ended(const balancing::AttemptEnded& e);
+  void Ask(const balancing::Event& event, balancing::Actions* actions);
   void Finish(Jobs::iterator it);
   void Drop(Jobs::iterator it);
   void Sync();
@@ -76,8 +76,8 @@
   bool MayHold(int cls) const;
 
   Options options_;
-  decksail::Settings settings_;
-  decksail::Balancer balancer_;
+  balancing::Settings settings_;
+  balancing::Balancer balancer_;
   Scheduler scheduler_;
   double now_ = 0;
   std::uint64_t seen_version_ = 0, last_handle_ = 0;
--- a/src/wire.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -1,10 +1,10 @@
-#include "wire.h"
+#include "simulator_adapter/adapter.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 
-namespace decksail::wire {
+namespace millethollow::simulator_adapter {
 namespace {
 
 constexpr std::string_view kBase64 =
@@ -293,7 +293,7 @@
 
 void Host::Complain(std::string_view line, std::string_view what) {
   constexpr std::size_t kShown = 200;
-  *errors_ << "decksail: line " << line_number_ << ": " << what << ": " << line.substr(0, kShown)
+  *errors_ << "simulator_adapter: line " << line_number_ << ": " << what << ": " << line.substr(0, kShown)
            << (line.size() > kShown ? "..." : "") << "\n";
 }
 
@@ -621,4 +621,4 @@
   reply_ += "\n";
 }
 
-}  // namespace decksail::wire
+}  // namespace millethollow::simulator_adapter
--- a/src/wire.h
+++ b/src/simulator_adapter/adapter.h
@@ -1,6 +1,6 @@
 // The bench's wire: parsing, formatting, base64, settings. No decision is made here.
-#ifndef DECKSAIL_SRC_WIRE_H_
-#define DECKSAIL_SRC_WIRE_H_
+#ifndef MILLETHOLLOW_SIMULATOR_ADAPTER_ADAPTER_H_
+#define MILLETHOLLOW_SIMULATOR_ADAPTER_ADAPTER_H_
 
 #include <array>
 #include <cstdint>
@@ -13,10 +13,11 @@
 #include <utility>
 #include <vector>
 
-#include "decksail/balancer.h"
+#include "millethollow/balancing/load_balancer.h"
 #include "scheduling/desk.h"
 
-namespace decksail::wire {
+namespace millethollow::simulator_adapter {
+using namespace balancing;  // NOLINT
 
 using Pairs = std::vector<std::pair<std::string_view, std::string_view>>;
 
@@ -79,6 +80,6 @@
   std::string reply_;
 };
 
-}  // namespace decksail::wire
+}  // namespace millethollow::simulator_adapter
 
-#endif  // DECKSAIL_SRC_WIRE_H_
+#endif  // MILLETHOLLOW_SIMULATOR_ADAPTER_ADAPTER_H_
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -1,7 +1,7 @@
 // The second address: its calls, its figures, and workers taken out by hand.
 #include <gtest/gtest.h>
 
-#include "rig.h"
+#include "support/rig.h"
 
 namespace millethollow {
 namespace {
--- a/tests/cluster/days_test.cpp
+++ b/tests/cluster/days_test.cpp
@@ -2,9 +2,9 @@
 // healed at the end. SEEDS plays so many days, and longer ones, from SEED on; a failure says its faults.
 #include <gtest/gtest.h>
 
-#include "../days.h"
-#include "history.h"
-#include "job_history.h"
+#include "support/days.h"
+#include "support/history.h"
+#include "support/job_history.h"
 
 namespace millethollow::rig {
 namespace {
--- a/tests/cluster/jobs_test.cpp
+++ b/tests/cluster/jobs_test.cpp
@@ -3,8 +3,8 @@
 
 #include <deque>
 
-#include "../days.h"
-#include "job_history.h"
+#include "support/days.h"
+#include "support/job_history.h"
 
 namespace millethollow::rig {
 namespace {
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 
 #include "net/cluster/frame.h"
-#include "rig.h"
+#include "support/cluster_rig.h"
 
 namespace millethollow::rig {
 namespace {
--- a/tests/cluster/quota_test.cpp
+++ b/tests/cluster/quota_test.cpp
@@ -12,7 +12,7 @@
 #include <map>
 #include <set>
 
-#include "rig.h"
+#include "support/cluster_rig.h"
 
 namespace millethollow::rig {
 namespace {
--- a/tests/cluster/restart_test.cpp
+++ b/tests/cluster/restart_test.cpp
@@ -11,7 +11,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "rig.h"
+#include "support/cluster_rig.h"
 
 namespace millethollow::rig {
 namespace {
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -6,7 +6,7 @@
 #include "codec/fields.h"
 #include "codec/membership.h"
 #include "config/cluster.h"
-#include "folder.h"
+#include "support/folder.h"
 #include "net/cluster/frame.h"
 #include "store/vote_file.h"
 
--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -3,8 +3,8 @@
 
 #include <deque>
 
-#include "copies_world.h"
-#include "days.h"
+#include "support/copies_world.h"
+#include "support/days.h"
 
 namespace millethollow::copies {
 namespace {
--- a/tests/copy_store_test.cpp
+++ b/tests/copy_store_test.cpp
@@ -6,7 +6,7 @@
 #include <filesystem>
 #include <map>
 
-#include "folder.h"
+#include "support/folder.h"
 #include "membership/types.h"
 #include "store/copy_store.h"
 
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -6,7 +6,7 @@
 #include <filesystem>
 #include <random>
 
-#include "rig.h"
+#include "support/rig.h"
 
 namespace millethollow {
 namespace {
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -4,7 +4,7 @@
 
 #include <map>
 
-#include "rig.h"
+#include "support/rig.h"
 
 namespace millethollow {
 namespace {
--- a/tests/make_room_test.cpp
+++ b/tests/make_room_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
-#include "rig.h"
+#include "support/rig.h"
 
 namespace {
 
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "rig.h"
+#include "support/rig.h"
 
 namespace millethollow {
 namespace {
--- a/tests/quota_days_test.cpp
+++ b/tests/quota_days_test.cpp
@@ -3,9 +3,9 @@
 // more days, SEED begins at another.
 #include <gtest/gtest.h>
 
-#include "days.h"
-#include "quota_demand.h"
-#include "quota_world.h"
+#include "support/days.h"
+#include "support/quota_demand.h"
+#include "support/quota_world.h"
 
 namespace millethollow::quota {
 namespace {
--- a/tests/quota_quiet_test.cpp
+++ b/tests/quota_quiet_test.cpp
@@ -5,8 +5,8 @@
 #include <cmath>
 #include <map>
 
-#include "quota_demand.h"
-#include "quota_world.h"
+#include "support/quota_demand.h"
+#include "support/quota_world.h"
 
 namespace millethollow::quota {
 namespace {
--- a/tests/quota_refusals_test.cpp
+++ b/tests/quota_refusals_test.cpp
@@ -10,7 +10,7 @@
 #include <numeric>
 #include <optional>
 
-#include "days.h"
+#include "support/days.h"
 #include "quota/allocator.h"
 #include "quota/holder.h"
 
--- a/tests/quota_scenarios_test.cpp
+++ b/tests/quota_scenarios_test.cpp
@@ -2,8 +2,8 @@
 // clocks and delays, and the world's checker looks at the sum after each event.
 #include <gtest/gtest.h>
 
-#include "quota_demand.h"
-#include "quota_world.h"
+#include "support/quota_demand.h"
+#include "support/quota_world.h"
 
 namespace millethollow::quota {
 namespace {
--- a/tests/cluster/rig.cpp
+++ b/tests/support/cluster_rig.cpp
@@ -1,4 +1,4 @@
-#include "rig.h"
+#include "support/cluster_rig.h"
 
 #include <fcntl.h>
 #include <netinet/in.h>
--- a/tests/cluster/rig.h
+++ b/tests/support/cluster_rig.h
@@ -2,8 +2,8 @@
 // what goes over a link can be dropped, delayed, doubled, reordered, garbled, cut short, throttled,
 // reset or cut one way, and processes can be stopped, continued, killed and robbed of their folders.
 // Faults come from a seed. What the nodes tell is polled, kept, and checked as it comes.
-#ifndef MILLETHOLLOW_TESTS_CLUSTER_RIG_H_
-#define MILLETHOLLOW_TESTS_CLUSTER_RIG_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_CLUSTER_RIG_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_CLUSTER_RIG_H_
 
 #include <sys/types.h>
 
@@ -14,9 +14,9 @@
 #include <string>
 #include <vector>
 
-#include "../support.h"
+#include "support/support.h"
 #include "membership/types.h"
-#include "shim.h"
+#include "support/network_shim.h"
 
 namespace millethollow::rig {
 
@@ -169,4 +169,4 @@
 
 }  // namespace millethollow::rig
 
-#endif  // MILLETHOLLOW_TESTS_CLUSTER_RIG_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_CLUSTER_RIG_H_
--- a/tests/copies_world.h
+++ b/tests/support/copies_world.h
@@ -1,12 +1,12 @@
 // Copies of promises on a virtual clock: real members agree on views and logs, real logs are kept on disks
 // that a seed wipes, puts back and slows. After every step each promise is checked.
-#ifndef MILLETHOLLOW_TESTS_COPIES_WORLD_H_
-#define MILLETHOLLOW_TESTS_COPIES_WORLD_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_COPIES_WORLD_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_COPIES_WORLD_H_
 
 #include <functional>
 
 #include "copies/copies.h"
-#include "membership_world.h"
+#include "support/membership_world.h"
 
 namespace millethollow::copies {
 
@@ -350,4 +350,4 @@
 
 }  // namespace millethollow::copies
 
-#endif  // MILLETHOLLOW_TESTS_COPIES_WORLD_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_COPIES_WORLD_H_
--- a/tests/days.h
+++ b/tests/support/days.h
@@ -1,6 +1,6 @@
 // What the tests that play many days, each from a seed, have in common.
-#ifndef MILLETHOLLOW_TESTS_DAYS_H_
-#define MILLETHOLLOW_TESTS_DAYS_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_DAYS_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_DAYS_H_
 
 #include <cstdint>
 #include <cstdio>
@@ -30,4 +30,4 @@
 
 }  // namespace millethollow
 
-#endif  // MILLETHOLLOW_TESTS_DAYS_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_DAYS_H_
--- a/tests/folder.h
+++ b/tests/support/folder.h
@@ -1,6 +1,6 @@
 // A folder of a test's own, and the waiting for a store's thread.
-#ifndef MILLETHOLLOW_TESTS_FOLDER_H_
-#define MILLETHOLLOW_TESTS_FOLDER_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_FOLDER_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_FOLDER_H_
 
 #include <gtest/gtest.h>
 
@@ -53,4 +53,4 @@
 
 }  // namespace millethollow
 
-#endif  // MILLETHOLLOW_TESTS_FOLDER_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_FOLDER_H_
--- a/tests/cluster/history.h
+++ b/tests/support/history.h
@@ -1,7 +1,7 @@
 // What clients were told and what workers did, over the whole of a day of faults: kept, and checked at its
 // end against what the program promises.
-#ifndef MILLETHOLLOW_TESTS_CLUSTER_HISTORY_H_
-#define MILLETHOLLOW_TESTS_CLUSTER_HISTORY_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_HISTORY_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_HISTORY_H_
 
 #include <deque>
 #include <map>
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "rig.h"
+#include "support/cluster_rig.h"
 
 namespace millethollow::rig {
 
@@ -82,4 +82,4 @@
 
 }  // namespace millethollow::rig
 
-#endif  // MILLETHOLLOW_TESTS_CLUSTER_HISTORY_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_HISTORY_H_
--- a/tests/cluster/job_history.h
+++ b/tests/support/job_history.h
@@ -1,6 +1,6 @@
 // Promised jobs over a time of faults: what clients were told and what workers did, kept, and checked at the end.
-#ifndef MILLETHOLLOW_TESTS_CLUSTER_JOB_HISTORY_H_
-#define MILLETHOLLOW_TESTS_CLUSTER_JOB_HISTORY_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_JOB_HISTORY_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_JOB_HISTORY_H_
 
 #include <deque>
 #include <map>
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "rig.h"
+#include "support/cluster_rig.h"
 
 namespace millethollow::rig {
 
@@ -103,4 +103,4 @@
 
 }  // namespace millethollow::rig
 
-#endif  // MILLETHOLLOW_TESTS_CLUSTER_JOB_HISTORY_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_JOB_HISTORY_H_
--- a/tests/membership_world.h
+++ b/tests/support/membership_world.h
@@ -1,7 +1,7 @@
 // Members of a cluster on a virtual clock: the real decisions, a network, disks and clocks that a seed
 // breaks. After every step each promise is checked; a seed always plays the same.
-#ifndef MILLETHOLLOW_TESTS_MEMBERSHIP_WORLD_H_
-#define MILLETHOLLOW_TESTS_MEMBERSHIP_WORLD_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_MEMBERSHIP_WORLD_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_MEMBERSHIP_WORLD_H_
 
 #include <algorithm>
 #include <cmath>
@@ -357,4 +357,4 @@
 
 }  // namespace millethollow::membership
 
-#endif  // MILLETHOLLOW_TESTS_MEMBERSHIP_WORLD_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_MEMBERSHIP_WORLD_H_
--- a/tests/cluster/shim.cpp
+++ b/tests/support/network_shim.cpp
@@ -1,6 +1,6 @@
 // Loaded before the system's library: a wall clock that can be set and a disk that can fail, as a page of
 // the rig's says. Everything else passes through; nothing is allocated.
-#include "shim.h"
+#include "support/network_shim.h"
 
 #include <fcntl.h>
 #include <sys/mman.h>
--- a/tests/cluster/shim.h
+++ b/tests/support/network_shim.h
@@ -1,7 +1,7 @@
 // What the rig breaks inside a process without its knowing: the page that it shares with the library that
 // stands before the system's (shim.cpp).
-#ifndef MILLETHOLLOW_TESTS_CLUSTER_SHIM_H_
-#define MILLETHOLLOW_TESTS_CLUSTER_SHIM_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_NETWORK_SHIM_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_NETWORK_SHIM_H_
 
 #include <atomic>
 #include <cstdint>
@@ -18,4 +18,4 @@
 
 }  // namespace millethollow::rig
 
-#endif  // MILLETHOLLOW_TESTS_CLUSTER_SHIM_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_NETWORK_SHIM_H_
--- a/tests/quota_checker.h
+++ b/tests/support/quota_checker.h
@@ -1,7 +1,7 @@
 // The promise on the sum of rates, checked from outside: it sees the true time, what each living
 // process would admit at that moment and which quotas are in force where, and nothing else.
-#ifndef MILLETHOLLOW_TESTS_QUOTA_CHECKER_H_
-#define MILLETHOLLOW_TESTS_QUOTA_CHECKER_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_QUOTA_CHECKER_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_QUOTA_CHECKER_H_
 
 #include <algorithm>
 #include <functional>
@@ -131,4 +131,4 @@
 
 }  // namespace millethollow::quota
 
-#endif  // MILLETHOLLOW_TESTS_QUOTA_CHECKER_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_QUOTA_CHECKER_H_
--- a/tests/quota_demand.h
+++ b/tests/support/quota_demand.h
@@ -1,12 +1,12 @@
 // Demand in the world of quota leases: forms of it, and how much of a quota is in use.
-#ifndef MILLETHOLLOW_TESTS_QUOTA_DEMAND_H_
-#define MILLETHOLLOW_TESTS_QUOTA_DEMAND_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_QUOTA_DEMAND_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_QUOTA_DEMAND_H_
 
 #include <algorithm>
 #include <string>
 #include <vector>
 
-#include "quota_world.h"
+#include "support/quota_world.h"
 
 namespace millethollow::quota {
 
@@ -109,4 +109,4 @@
 
 }  // namespace millethollow::quota
 
-#endif  // MILLETHOLLOW_TESTS_QUOTA_DEMAND_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_QUOTA_DEMAND_H_
--- a/tests/quota_faults.h
+++ b/tests/support/quota_faults.h
@@ -1,7 +1,7 @@
 // Faults that are built into the world of quota leases on purpose: a check that does not find them
 // proves nothing. Each is made outside the decisions, by other timings or by tampered messages.
-#ifndef MILLETHOLLOW_TESTS_QUOTA_FAULTS_H_
-#define MILLETHOLLOW_TESTS_QUOTA_FAULTS_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_QUOTA_FAULTS_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_QUOTA_FAULTS_H_
 
 #include <algorithm>
 #include <map>
@@ -91,4 +91,4 @@
 
 }  // namespace millethollow::quota
 
-#endif  // MILLETHOLLOW_TESTS_QUOTA_FAULTS_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_QUOTA_FAULTS_H_
--- a/tests/quota_world.h
+++ b/tests/support/quota_world.h
@@ -1,8 +1,8 @@
 // Dispatchers and allocators of quota leases on a virtual clock: the real decisions, a network,
 // processes, clocks, views and settings that a seed breaks. After each event the sum of all rates
 // is checked. A seed always plays the same.
-#ifndef MILLETHOLLOW_TESTS_QUOTA_WORLD_H_
-#define MILLETHOLLOW_TESTS_QUOTA_WORLD_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_QUOTA_WORLD_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_QUOTA_WORLD_H_
 
 #include <chrono>
 #include <cmath>
@@ -15,8 +15,8 @@
 
 #include "quota/allocator.h"
 #include "quota/holder.h"
-#include "quota_checker.h"
-#include "quota_faults.h"
+#include "support/quota_checker.h"
+#include "support/quota_faults.h"
 
 namespace millethollow::quota {
 
@@ -449,4 +449,4 @@
 
 }  // namespace millethollow::quota
 
-#endif  // MILLETHOLLOW_TESTS_QUOTA_WORLD_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_QUOTA_WORLD_H_
--- a/tests/rig.h
+++ b/tests/support/rig.h
@@ -1,8 +1,8 @@
 // A node on loopback with toy workers around it, each on a loop of its own that take turns.
-#ifndef MILLETHOLLOW_TESTS_RIG_H_
-#define MILLETHOLLOW_TESTS_RIG_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_RIG_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_RIG_H_
 
-#include "support.h"
+#include "support/support.h"
 
 namespace millethollow {
 
@@ -76,4 +76,4 @@
 
 }  // namespace millethollow
 
-#endif  // MILLETHOLLOW_TESTS_RIG_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_RIG_H_
--- a/tests/support.cpp
+++ b/tests/support/support.cpp
@@ -1,4 +1,4 @@
-#include "support.h"
+#include "support/support.h"
 
 namespace millethollow {
 
--- a/tests/support.h
+++ b/tests/support/support.h
@@ -1,6 +1,6 @@
 // Stand-ins for the loopback tests, on the node's own loop: no thread, no sleep.
-#ifndef MILLETHOLLOW_TESTS_SUPPORT_H_
-#define MILLETHOLLOW_TESTS_SUPPORT_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_SUPPORT_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_SUPPORT_H_
 
 #include <gtest/gtest.h>
 
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "log.h"
+#include "logging/log.h"
 #include "net/connection.h"
 #include "net/gearman/packet.h"
 #include "net/http/parser.h"
 #include "net/listener.h"
-#include "node.h"
+#include "node/node.h"
 
 namespace millethollow {
 
@@ -111,4 +111,4 @@
 
 }  // namespace millethollow
 
-#endif  // MILLETHOLLOW_TESTS_SUPPORT_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_SUPPORT_H_
--- a/tests/worker_model.h
+++ b/tests/support/worker_model.h
@@ -1,7 +1,7 @@
 // A worker without any wire: slots, memory, a queue served in order, as the platform's workers have
 // them. The stand-ins on sockets and the virtual floor share it.
-#ifndef MILLETHOLLOW_TESTS_WORKER_MODEL_H_
-#define MILLETHOLLOW_TESTS_WORKER_MODEL_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_WORKER_MODEL_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_WORKER_MODEL_H_
 
 #include <algorithm>
 #include <deque>
@@ -78,4 +78,4 @@
 
 }  // namespace millethollow
 
-#endif  // MILLETHOLLOW_TESTS_WORKER_MODEL_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_WORKER_MODEL_H_
