--- a/Makefile
+++ b/Makefile
@@ -8,7 +8,7 @@
 	apt-get update -qq
 	DEBIAN_FRONTEND=noninteractive apt-get install -y -qq g++ cmake make pkg-config clang-format cppcheck \
 	  libevent-dev nlohmann-json3-dev libboost-dev libspdlog-dev libxxhash-dev libsqlite3-dev libgtest-dev libbenchmark-dev \
-	  libcli11-dev
+	  libcli11-dev libexpected-dev
 
 build:
 	cmake -B $(BUILD) -DCMAKE_BUILD_TYPE=Release -DMILLETHOLLOW_TESTS=OFF
--- a/bench/scale/axis_dispatchers.cpp
+++ b/bench/scale/axis_dispatchers.cpp
@@ -37,7 +37,7 @@
   Demand demand;
   demand.jobs_per_s = jobs_per_s;
   demand.first_dispatcher = first;
-  demand.dispatchers = dispatchers;
+  demand.dispatcher_count = dispatchers;
   return demand;
 }
 
@@ -54,7 +54,7 @@
   const double demand = std::max(phases.least_jobs_per_s, kJobsPerDispatcherS * dispatchers);
   const double capacity = demand / kOverload;
   HollowTier::Options options;
-  options.dispatchers = dispatchers;
+  options.dispatcher_count = dispatchers;
   options.tenants = tenants;
   options.workers = static_cast<int>(capacity * kRunS / kSlotsPerWorker);
   options.run_s = kRunS;
--- a/bench/scale/axis_members.cpp
+++ b/bench/scale/axis_members.cpp
@@ -1,9 +1,9 @@
 // Members: what membership costs each member, and how long a fact takes to be at the last one.
-#include "support/membership_world.h"
 #include "net/cluster/frame.h"
 #include "scale/axes.h"
 #include "scale/process.h"
 #include "scale/statistics.h"
+#include "support/membership_world.h"
 
 namespace millethollow::scale {
 namespace {
--- a/bench/scale/axis_quota.cpp
+++ b/bench/scale/axis_quota.cpp
@@ -3,10 +3,10 @@
 #include <algorithm>
 
 #include "net/cluster/frame.h"
-#include "support/quota_demand.h"
-#include "support/quota_world.h"
 #include "scale/axes.h"
 #include "scale/statistics.h"
+#include "support/quota_demand.h"
+#include "support/quota_world.h"
 
 namespace millethollow::scale {
 namespace {
--- a/bench/scale/axis_tenants.cpp
+++ b/bench/scale/axis_tenants.cpp
@@ -11,7 +11,7 @@
 
 using balancing::Action;
 using balancing::Actions;
-using balancing::Balancer;
+using balancing::LoadBalancer;
 
 constexpr int kDispatchers = 3;
 constexpr int kWorkers = 100;
@@ -46,10 +46,11 @@
         settings_(FleetSettings(kDispatchers, tenants)),
         teller_(settings_, seed),
         listener_(ListenerSettings(settings_), seed + 1) {
-    const std::vector<balancing::Member> members = Workers(kWorkers);
-    for (Balancer* balancer : {&teller_, &listener_}) {
-      Handle(balancer, balancing::Started{});
-      Handle(balancer, balancing::MembersKnown{balancing::ListKind::kReplace, &members});
+    const std::vector<balancing::Endpoint> members = Workers(kWorkers);
+    for (LoadBalancer* balancer : {&teller_, &listener_}) {
+      Handle(balancer, balancing::DispatcherStarted{});
+      Handle(balancer,
+             balancing::EndpointsUpdated{balancing::EndpointListKind::kSnapshot, &members});
     }
   }
 
@@ -58,7 +59,7 @@
     const int jobs = std::max(kLeastJobsPerRound, tenants_ * kClasses);
     for (int i = 0; i < jobs; ++i) {
       open_.push_back(Numbered("j", next_job_++));
-      balancing::JobArrived job;
+      balancing::RequestArrived job;
       job.id = open_.back();
       job.expires_s = now_ + 30;
       job.tenant = i % tenants_;
@@ -85,14 +86,14 @@
     const Actions actions = Handle(&teller_, balancing::TimerFired{kReportTimer});
     report.nanoseconds = watch.Nanoseconds();
     for (const Action& action : actions) {
-      const auto* tell = std::get_if<balancing::TellPeer>(&action);
-      if (tell != nullptr && tell->whom == kPeer) report.bodies.push_back(tell->body);
+      const auto* tell = std::get_if<balancing::SendPeerMessage>(&action);
+      if (tell != nullptr && tell->recipient == kPeer) report.bodies.push_back(tell->body);
     }
     return report;
   }
   // The listener's own round, with one job of its own, so that its demand is known to be small.
   void ListenerReports() {
-    balancing::JobArrived job;
+    balancing::RequestArrived job;
     const std::string id = Numbered("own", next_job_++);
     job.id = id;
     job.expires_s = now_ + 30;
@@ -107,7 +108,7 @@
   double Hear(const Report& report) {
     const Stopwatch watch;
     for (const std::string& body : report.bodies) {
-      if (body.size() <= kMostPeerBytes) Handle(&listener_, balancing::PeerMessage{0, body});
+      if (body.size() <= kMaxPeerMessageBytes) Handle(&listener_, balancing::PeerMessage{0, body});
     }
     return watch.Nanoseconds();
   }
@@ -123,10 +124,10 @@
 
  private:
   static balancing::Settings ListenerSettings(balancing::Settings settings) {
-    settings.ordinal = kPeer;
+    settings.dispatcher_index = kPeer;
     return settings;
   }
-  Actions Handle(Balancer* balancer, const balancing::Event& event) {
+  Actions Handle(LoadBalancer* balancer, const balancing::Event& event) {
     Actions actions;
     balancer->Handle(now_, event, &actions);
     return actions;
@@ -134,7 +135,7 @@
 
   int tenants_;
   balancing::Settings settings_;
-  Balancer teller_, listener_;
+  LoadBalancer teller_, listener_;
   double now_ = 1000;
   int next_job_ = 0;
   std::vector<std::string> open_;
@@ -158,7 +159,7 @@
   }
   const bool taken = heard || world.TakesAnyLength(loaded);
   const Report quiet = world.MakeReport();
-  const auto fits = [](const Report& report) { return report.Largest() <= kMostPeerBytes; };
+  const auto fits = [](const Report& report) { return report.Largest() <= kMaxPeerMessageBytes; };
   Point point;
   point.Computed("tenants", "tenant", tenants);
   point.Computed("report_bytes", "B", static_cast<double>(loaded.Bytes()));
--- a/bench/scale/axis_workers.cpp
+++ b/bench/scale/axis_workers.cpp
@@ -79,10 +79,10 @@
 // One decision module by itself.
 class BalancerFixture {
  public:
-  BalancerFixture(int workers, int ordinal, std::uint64_t seed)
-      : balancer_(SettingsOf(ordinal), seed), members_(Workers(workers)) {
-    Handle(balancing::Started{});
-    Handle(balancing::MembersKnown{balancing::ListKind::kReplace, &members_});
+  BalancerFixture(int workers, int dispatcher_index, std::uint64_t seed)
+      : balancer_(SettingsOf(dispatcher_index), seed), members_(Workers(workers)) {
+    Handle(balancing::DispatcherStarted{});
+    Handle(balancing::EndpointsUpdated{balancing::EndpointListKind::kSnapshot, &members_});
   }
   balancing::Actions Handle(const balancing::Event& event) {
     balancing::Actions actions;
@@ -92,7 +92,7 @@
   void Advance(double seconds) { now_ += seconds; }
   std::string Take() {
     std::string id = Numbered("j", next_job_++);
-    balancing::JobArrived job;
+    balancing::RequestArrived job;
     job.id = id;
     job.expires_s = now_ + 30;
     job.tenant = next_job_ % 13;
@@ -109,8 +109,8 @@
   Report MakeReport() {
     Report report;
     for (const balancing::Action& action : Handle(balancing::TimerFired{kReportTimer})) {
-      const auto* tell = std::get_if<balancing::TellPeer>(&action);
-      if (tell != nullptr && tell->whom == 0) report.to_first_peer.push_back(tell->body);
+      const auto* tell = std::get_if<balancing::SendPeerMessage>(&action);
+      if (tell != nullptr && tell->recipient == 0) report.to_first_peer.push_back(tell->body);
       const auto* timer = std::get_if<balancing::SetTimer>(&action);
       if (timer != nullptr && timer->mark == kReportTimer) report.next_after_s = timer->after_s;
     }
@@ -118,13 +118,13 @@
   }
 
  private:
-  static balancing::Settings SettingsOf(int ordinal) {
+  static balancing::Settings SettingsOf(int dispatcher_index) {
     balancing::Settings settings = FleetSettings(kDirectTier, 13);
-    settings.ordinal = ordinal;
+    settings.dispatcher_index = dispatcher_index;
     return settings;
   }
-  balancing::Balancer balancer_;
-  std::vector<balancing::Member> members_;
+  balancing::LoadBalancer balancer_;
+  std::vector<balancing::Endpoint> members_;
   double now_ = 1000;
   int next_job_ = 0;
 };
--- a/bench/scale/fixtures.cpp
+++ b/bench/scale/fixtures.cpp
@@ -19,26 +19,26 @@
 
 balancing::Settings FleetSettings(int dispatchers, int tenants) {
   balancing::Settings s;
-  s.dispatchers = dispatchers;
+  s.dispatcher_count = dispatchers;
   s.peers = dispatchers > 1;
   s.classes.resize(kClasses);
   for (balancing::ClassSettings& job_class : s.classes) {
-    job_class.aim_s = 1.7;
-    job_class.give_up_s = 30;
+    job_class.latency_objective_s = 1.7;
+    job_class.client_timeout_s = 30;
   }
-  s.classes[kKeyedClass].semantics = balancing::Semantics::kByKey;
-  s.classes[kKeyedClass].group = balancing::Group::kCell;
-  s.classes[kKeyedClass].window_s = 4;
+  s.classes[kKeyedClass].idempotency = balancing::Idempotency::kIdempotentWithKey;
+  s.classes[kKeyedClass].deduplication_scope = balancing::DeduplicationScope::kCell;
+  s.classes[kKeyedClass].deduplication_window_s = 4;
   s.tenants.assign(static_cast<std::size_t>(tenants), {.share = 1.0 / tenants});
   s.zones = kZones;
   s.tick_s = 0.005;
-  s.most_tries = 3;
-  s.tells_start = true;
+  s.max_attempts = 3;
+  s.workers_notify_start = true;
   s.retry_after = true;
   s.max_retry_after_s = 1;
   s.drain_grace_s = 2;
-  s.cold_share = 0.33;
-  s.cold_s = 8.6;
+  s.slow_start_min_share = 0.33;
+  s.slow_start_s = 8.6;
   s.fall_multiple = 3;
   s.overload_for_s = 3;
   return s;
@@ -52,11 +52,11 @@
 
 std::string WorkerName(int index) { return Numbered("worker-", kFirstName + index); }
 
-std::vector<balancing::Member> Workers(int count) {
-  std::vector<balancing::Member> members;
+std::vector<balancing::Endpoint> Workers(int count) {
+  std::vector<balancing::Endpoint> members;
   members.reserve(static_cast<std::size_t>(count));
   for (int i = 0; i < count; ++i) {
-    balancing::Member member;
+    balancing::Endpoint member;
     member.worker = WorkerName(i);
     member.zone = i % kZones;
     member.cell = i / kWorkersPerCell;
--- a/bench/scale/fixtures.h
+++ b/bench/scale/fixtures.h
@@ -13,9 +13,9 @@
 
 constexpr int kZones = 11;
 constexpr int kSlotsPerWorker = 8;
-constexpr std::size_t kMostPeerBytes = 256;  // a longer message to a peer is not sent
-constexpr int kPlainClass = 0;               // any worker, any number of times
-constexpr int kKeyedClass = 1;               // jobs with a key, by which workers drop repeats
+constexpr std::size_t kMaxPeerMessageBytes = 256;  // a longer message to a peer is not sent
+constexpr int kPlainClass = 0;                     // any worker, any number of times
+constexpr int kKeyedClass = 1;                     // jobs with a key, by which workers drop repeats
 constexpr int kClasses = 2;
 
 // Of dispatcher 0 of a tier.
@@ -24,7 +24,7 @@
 // Text and a number behind it.
 std::string Numbered(std::string_view text, int number);
 std::string WorkerName(int index);
-std::vector<balancing::Member> Workers(int count);
+std::vector<balancing::Endpoint> Workers(int count);
 
 std::vector<std::string> ZoneNames();
 std::vector<std::string> KindNames();
--- a/bench/scale/hollow_tier.cpp
+++ b/bench/scale/hollow_tier.cpp
@@ -24,16 +24,16 @@
       random_(options.seed),
       admitted_(static_cast<std::size_t>(options.tenants)),
       served_(static_cast<std::size_t>(options.tenants)) {
-  balancing::Settings settings = FleetSettings(options_.dispatchers, options_.tenants);
+  balancing::Settings settings = FleetSettings(options_.dispatcher_count, options_.tenants);
   for (std::size_t t = 0; t < options_.quotas_rps.size(); ++t) {
     settings.tenants[t].quota_rps = options_.quotas_rps[t];
   }
-  balancers_.reserve(static_cast<std::size_t>(options_.dispatchers));
-  for (int d = 0; d < options_.dispatchers; ++d) {
-    settings.ordinal = d;
+  balancers_.reserve(static_cast<std::size_t>(options_.dispatcher_count));
+  for (int d = 0; d < options_.dispatcher_count; ++d) {
+    settings.dispatcher_index = d;
     balancers_.emplace_back(settings, options_.seed * 1000003 + static_cast<std::uint64_t>(d));
-    Handle(d, balancing::Started{});
-    Handle(d, balancing::MembersKnown{balancing::ListKind::kReplace, &members_});
+    Handle(d, balancing::DispatcherStarted{});
+    Handle(d, balancing::EndpointsUpdated{balancing::EndpointListKind::kSnapshot, &members_});
   }
   ResetCost();
 }
@@ -109,19 +109,19 @@
   if (from.life != life) return;
   const Demand& demand = from.demand;
   Job job;
-  job.dispatcher = Draw(demand.first_dispatcher, demand.dispatchers);
+  job.dispatcher = Draw(demand.first_dispatcher, demand.dispatcher_count);
   job.tenant = Draw(demand.first_tenant, demand.tenants);
   const std::string id = std::to_string(jobs_.size());
   jobs_.push_back(job);
   At(now_ + 1 / demand.jobs_per_s, [this, source, life] { Arrive(source, life); });
-  balancing::JobArrived arrived;
+  balancing::RequestArrived arrived;
   arrived.id = id;
   arrived.expires_s = now_ + kPatienceS;
   arrived.tenant = job.tenant;
   Handle(job.dispatcher, arrived);
 }
 
-void HollowTier::Do(int, const balancing::Send& send) {
+void HollowTier::Do(int, const balancing::SendAttempt& send) {
   Job& job = JobOf(send.id);
   const auto worker = std::find_if(members_.begin(), members_.end(), [&](const auto& member) {
     return member.worker == send.worker;
@@ -139,45 +139,49 @@
   Attempt& at = job.attempts[static_cast<std::size_t>(attempt)];
   int& free = free_slots_[static_cast<std::size_t>(at.worker)];
   if (free == 0) {
-    At(now_ + kWorkerWireS, [=, this] { End(number, attempt, balancing::Verdict::kTurnedAway); });
+    At(now_ + kWorkerWireS,
+       [=, this] { End(number, attempt, balancing::AttemptStatus::kRejected); });
     return;
   }
   free -= 1;
   at.in_slot = true;
   At(now_ + kWorkerWireS, [=, this] {
     const std::string id = std::to_string(number);
-    Handle(jobs_[number].dispatcher, balancing::AttemptNote{id, attempt});
+    Handle(jobs_[number].dispatcher, balancing::AttemptProgress{id, attempt});
   });
-  At(now_ + options_.run_s, [=, this] { End(number, attempt, balancing::Verdict::kServed); });
+  At(now_ + options_.run_s,
+     [=, this] { End(number, attempt, balancing::AttemptStatus::kSucceeded); });
 }
 
-void HollowTier::End(std::size_t number, int attempt, balancing::Verdict verdict) {
+void HollowTier::End(std::size_t number, int attempt, balancing::AttemptStatus verdict) {
   Job& job = jobs_[number];
   Attempt& at = job.attempts[static_cast<std::size_t>(attempt)];
   const bool held_slot = std::exchange(at.in_slot, false);
   // One that was called off has left its slot already.
-  if (verdict == balancing::Verdict::kServed && !held_slot) return;
+  if (verdict == balancing::AttemptStatus::kSucceeded && !held_slot) return;
   if (held_slot) free_slots_[static_cast<std::size_t>(at.worker)] += 1;
-  if (verdict == balancing::Verdict::kServed && !std::exchange(job.answered, true)) {
+  if (verdict == balancing::AttemptStatus::kSucceeded && !std::exchange(job.answered, true)) {
     Count(&served_, job.tenant);
   }
   balancing::AttemptEnded end;
   const std::string id = std::to_string(number);
   end.id = id;
   end.attempt = attempt;
-  end.verdict = verdict;
+  end.status = verdict;
   end.latency_s = options_.run_s;
   end.terminal = job.answered;
   Handle(job.dispatcher, end);
 }
 
-void HollowTier::Do(int, const balancing::Refuse& refuse) { JobOf(refuse.id).answered = true; }
+void HollowTier::Do(int, const balancing::RejectRequest& refuse) {
+  JobOf(refuse.id).answered = true;
+}
 
-void HollowTier::Do(int, const balancing::Fail& fail) { JobOf(fail.id).answered = true; }
+void HollowTier::Do(int, const balancing::FailRequest& fail) { JobOf(fail.id).answered = true; }
 
 void HollowTier::Do(int, const balancing::CancelAttempt& cancel) {
   At(now_ + kWorkerWireS, [this, number = std::stoul(cancel.id), attempt = cancel.attempt] {
-    End(number, attempt, balancing::Verdict::kCalledOff);
+    End(number, attempt, balancing::AttemptStatus::kCancelled);
   });
 }
 
@@ -187,14 +191,14 @@
   });
 }
 
-void HollowTier::Do(int dispatcher, const balancing::TellPeer& tell) {
-  if (tell.body.size() > kMostPeerBytes) {
+void HollowTier::Do(int dispatcher, const balancing::SendPeerMessage& tell) {
+  if (tell.body.size() > kMaxPeerMessageBytes) {
     cost_.too_long += 1;
     return;
   }
   cost_.datagrams += 1;
   cost_.bytes += tell.body.size();
-  At(now_ + kPeerWireS, [this, dispatcher, whom = tell.whom, body = tell.body] {
+  At(now_ + kPeerWireS, [this, dispatcher, whom = tell.recipient, body = tell.body] {
     Handle(whom, balancing::PeerMessage{dispatcher, body}, true);
   });
 }
--- a/bench/scale/hollow_tier.h
+++ b/bench/scale/hollow_tier.h
@@ -18,7 +18,7 @@
 // random tenant of a range.
 struct Demand {
   double jobs_per_s = 0;
-  int first_dispatcher = 0, dispatchers = 1;
+  int first_dispatcher = 0, dispatcher_count = 1;
   int first_tenant = 0, tenants = 1;
 };
 
@@ -33,7 +33,7 @@
 class HollowTier {
  public:
   struct Options {
-    int dispatchers = 3, tenants = 13, workers = 25;
+    int dispatcher_count = 3, tenants = 13, workers = 25;
     double run_s = 0.2;
     std::vector<double> quotas_rps;  // by tenant
     std::uint64_t seed = 1;
@@ -78,18 +78,18 @@
 
   void At(double when, std::function<void()> what);
   void Handle(int dispatcher, const balancing::Event& event, bool of_peers = false);
-  void Do(int dispatcher, const balancing::Send& send);
-  void Do(int dispatcher, const balancing::Refuse& refuse);
-  void Do(int dispatcher, const balancing::Fail& fail);
+  void Do(int dispatcher, const balancing::SendAttempt& send);
+  void Do(int dispatcher, const balancing::RejectRequest& refuse);
+  void Do(int dispatcher, const balancing::FailRequest& fail);
   void Do(int dispatcher, const balancing::CancelAttempt& cancel);
   void Do(int dispatcher, const balancing::SetTimer& timer);
-  void Do(int dispatcher, const balancing::TellPeer& tell);
+  void Do(int dispatcher, const balancing::SendPeerMessage& tell);
   template <typename Other>
   void Do(int, const Other&) {}  // nothing that such a tier has
   int Draw(int first, int count);
   void Arrive(std::size_t source, std::uint64_t life);
   void Submit(std::size_t job, int attempt);
-  void End(std::size_t job, int attempt, balancing::Verdict verdict);
+  void End(std::size_t job, int attempt, balancing::AttemptStatus verdict);
   Job& JobOf(const std::string& id) { return jobs_[std::stoul(id)]; }
   void Count(std::vector<std::vector<double>>* slices, int tenant);
   static double Between(const std::vector<double>& slices, double from, double until);
@@ -98,9 +98,9 @@
   double now_ = 0;
   std::uint64_t order_ = 0;
   std::priority_queue<Due> queue_;
-  std::vector<balancing::Member> members_;
+  std::vector<balancing::Endpoint> members_;
   std::vector<int> free_slots_;  // by worker
-  std::vector<balancing::Balancer> balancers_;
+  std::vector<balancing::LoadBalancer> balancers_;
   std::vector<Job> jobs_;
   std::mt19937_64 random_;
   std::vector<Source> sources_;
--- a/bench/scale/planner_fixture.cpp
+++ b/bench/scale/planner_fixture.cpp
@@ -21,7 +21,7 @@
   planner_->NameClasses({"plain", "keyed"}, {true, true});
   forwarder_ = planner_->AddForwarder(this, true);
   planner_->Start({});
-  planner_->ListKnown(balancing::ListKind::kReplace, members_);
+  planner_->ListKnown(balancing::EndpointListKind::kSnapshot, members_);
 }
 
 RequestId PlannerFixture::Take(int cls, const std::string& key) {
@@ -39,19 +39,19 @@
 
 void PlannerFixture::Serve(RequestId id) {
   planner_->Began(id, 0);
-  planner_->Ended(id, 0, {.verdict = Verdict::kServed, .latency_s = 0.01});
+  planner_->Ended(id, 0, {.status = AttemptStatus::kSucceeded, .latency_s = 0.01});
 }
 
 void PlannerFixture::ChangeWorkers(int count) {
-  std::vector<balancing::Member> changed;
+  std::vector<balancing::Endpoint> changed;
   for (int i = 0; i < count; ++i) {
-    balancing::Member& member = members_[next_change_ / 2 % members_.size()];
+    balancing::Endpoint& member = members_[next_change_ / 2 % members_.size()];
     member.readiness =
         next_change_ % 2 == 0 ? balancing::Readiness::kDraining : balancing::Readiness::kReady;
     ++next_change_;
     changed.push_back(member);
   }
-  planner_->ListKnown(balancing::ListKind::kUpdate, changed);
+  planner_->ListKnown(balancing::EndpointListKind::kIncremental, changed);
 }
 
 void PlannerFixture::Advance(double seconds) {
@@ -62,7 +62,7 @@
 void PlannerFixture::Send(RequestId id, int, const std::string&) { last_sent_ = id; }
 
 void PlannerFixture::Cancel(RequestId id, int attempt) {
-  planner_->Ended(id, attempt, {.verdict = Verdict::kCalledOff});
+  planner_->Ended(id, attempt, {.status = AttemptStatus::kCancelled});
 }
 
 void PlannerFixture::Probe(const std::string&) {}
--- a/bench/scale/planner_fixture.h
+++ b/bench/scale/planner_fixture.h
@@ -38,7 +38,7 @@
   double now_ = 1000;
   Deadlines deadlines_;
   Counters counters_;
-  std::vector<balancing::Member> members_;
+  std::vector<balancing::Endpoint> members_;
   std::unique_ptr<Planner> planner_;
   std::uint64_t forwarder_ = 0, last_id_ = 0;
   std::size_t next_change_ = 0;
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -23,8 +23,8 @@
 
 using millethollow::balancing::Action;
 using millethollow::balancing::Actions;
-using millethollow::balancing::Balancer;
-using millethollow::balancing::Member;
+using millethollow::balancing::Endpoint;
+using millethollow::balancing::LoadBalancer;
 
 constexpr double kDayS = 3600;    // of virtual time: an hour of traffic stands for a day
 constexpr double kJobsPerS = 30;  // over the tier
@@ -54,32 +54,32 @@
   return n - 3;  // ., .. and the one of opendir
 }
 
-millethollow::balancing::Settings Tier(int ordinal) {
+millethollow::balancing::Settings Tier(int dispatcher_index) {
   millethollow::balancing::Settings s;
   s.classes.resize(2);
-  s.classes[1].semantics = millethollow::balancing::Semantics::kByKey;
-  s.classes[1].group = millethollow::balancing::Group::kCell;
-  s.classes[1].window_s = 4;
-  for (auto& c : s.classes) c.aim_s = 0.2, c.give_up_s = 3;
+  s.classes[1].idempotency = millethollow::balancing::Idempotency::kIdempotentWithKey;
+  s.classes[1].deduplication_scope = millethollow::balancing::DeduplicationScope::kCell;
+  s.classes[1].deduplication_window_s = 4;
+  for (auto& c : s.classes) c.latency_objective_s = 0.2, c.client_timeout_s = 3;
   s.tenants = {{0.4, 0}, {0.3, 0}, {0.2, 0}, {0.1, 0}};
   s.tick_s = 0.005;
-  s.most_tries = 3;
-  s.may_duplicate = s.tells_start = s.peers = s.probing = s.retry_after = true;
+  s.max_attempts = 3;
+  s.allow_hedging = s.workers_notify_start = s.peers = s.probing = s.retry_after = true;
   s.max_retry_after_s = 1;
-  s.cold_share = 0.33;
-  s.cold_s = 8;
+  s.slow_start_min_share = 0.33;
+  s.slow_start_s = 8;
   s.drain_grace_s = 1;
   s.fall_multiple = 3;
   s.overload_for_s = 3;
-  s.dispatchers = kDispatchers;
-  s.ordinal = ordinal;
+  s.dispatcher_count = kDispatchers;
+  s.dispatcher_index = dispatcher_index;
   return s;
 }
 
 struct Soak {
   std::multimap<double, std::function<void()>> due;
-  std::vector<Balancer> tier;
-  std::vector<Member> members;
+  std::vector<LoadBalancer> tier;
+  std::vector<Endpoint> members;
   int next_name = 0;
   double now = 0;
   std::mt19937_64 random{7};
@@ -96,12 +96,14 @@
   void Carry(int d, const Action& a) {
     if (const auto* t = std::get_if<millethollow::balancing::SetTimer>(&a)) {
       const std::uint64_t mark = t->mark;
-      due.emplace(now + t->after_s, [this, d, mark] { Do(d, millethollow::balancing::TimerFired{mark}); });
-    } else if (const auto* s = std::get_if<millethollow::balancing::Send>(&a)) {
+      due.emplace(now + t->after_s,
+                  [this, d, mark] { Do(d, millethollow::balancing::TimerFired{mark}); });
+    } else if (const auto* s = std::get_if<millethollow::balancing::SendAttempt>(&a)) {
       const std::string id = s->id;
       const int attempt = attempts_[id]++;
       due.emplace(now + 0.002, [this, d, id, attempt] {
-        Do(d, millethollow::balancing::AttemptNote{id, attempt, millethollow::balancing::NoteKind::kStarted, 0});
+        Do(d, millethollow::balancing::AttemptProgress{
+                  id, attempt, millethollow::balancing::ProgressKind::kStarted, 0});
       });
       due.emplace(now + kRunS, [this, d, id, attempt] {
         millethollow::balancing::AttemptEnded e;
@@ -113,17 +115,18 @@
         Do(d, e);
         attempts_.erase(id);
       });
-    } else if (const auto* r = std::get_if<millethollow::balancing::Refuse>(&a)) {
+    } else if (const auto* r = std::get_if<millethollow::balancing::RejectRequest>(&a)) {
       ++refused;
       attempts_.erase(r->id);
-    } else if (const auto* f = std::get_if<millethollow::balancing::Fail>(&a)) {
+    } else if (const auto* f = std::get_if<millethollow::balancing::FailRequest>(&a)) {
       ++failed;
       attempts_.erase(f->id);
-    } else if (const auto* p = std::get_if<millethollow::balancing::TellPeer>(&a)) {
-      const int whom = p->whom;
+    } else if (const auto* p = std::get_if<millethollow::balancing::SendPeerMessage>(&a)) {
+      const int whom = p->recipient;
       const std::string body = p->body;
       due.emplace(now + 0.001, [this, d, whom, body] {
-        if (whom >= 0 && whom < kDispatchers) Do(whom, millethollow::balancing::PeerMessage{d, body});
+        if (whom >= 0 && whom < kDispatchers)
+          Do(whom, millethollow::balancing::PeerMessage{d, body});
       });
     } else if (const auto* q = std::get_if<millethollow::balancing::Probe>(&a)) {
       const std::string worker = q->worker;
@@ -136,21 +139,22 @@
   }
   void List() {
     for (int d = 0; d < kDispatchers; ++d) {
-      Do(d, millethollow::balancing::MembersKnown{millethollow::balancing::ListKind::kReplace, &members});
+      Do(d, millethollow::balancing::EndpointsUpdated{
+                millethollow::balancing::EndpointListKind::kSnapshot, &members});
     }
   }
-  Member Fresh() {
-    Member m;
+  Endpoint Fresh() {
+    Endpoint m;
     m.worker =
         "10.1." + std::to_string(next_name / 250) + "." + std::to_string(next_name % 250) + ":8080";
     m.cell = next_name % 8;
-    m.born_s = now;
+    m.started_at_s = now;
     ++next_name;
     return m;
   }
   void Arrive() {
     const int d = static_cast<int>(random() % kDispatchers);
-    millethollow::balancing::JobArrived e;
+    millethollow::balancing::RequestArrived e;
     const std::string id = "j" + std::to_string(jobs++);
     e.id = id;
     e.tenant = static_cast<int>(random() % 4);
@@ -178,7 +182,7 @@
   const double replaced_per_hour = argc > 2 ? std::atof(argv[2]) : 240;
   Soak soak;
   for (int d = 0; d < kDispatchers; ++d) soak.tier.emplace_back(Tier(d), 11 + d);
-  for (int d = 0; d < kDispatchers; ++d) soak.Do(d, millethollow::balancing::Started{});
+  for (int d = 0; d < kDispatchers; ++d) soak.Do(d, millethollow::balancing::DispatcherStarted{});
   for (int i = 0; i < kListed; ++i) soak.members.push_back(soak.Fresh());
   soak.List();
   std::exponential_distribution<double> gap(kJobsPerS);
--- a/src/balancing/admission.cpp
+++ b/src/balancing/admission.cpp
@@ -16,10 +16,10 @@
 constexpr double kFollow = 0.3;      // of the way to peers' rates in a report interval
 constexpr double kCarriedS = 20.0;   // what workers carried in good times is remembered this long
 
-void Brain::On(const JobArrived& e) {
+void LoadBalancerImpl::On(const RequestArrived& e) {
   if (e.cls < 0 || e.cls >= classes_ || jobs_.contains(e.id)) return;
   Job job = JobOf(e, tenants_, index_);
-  job.most_tries = s_.most_tries;
+  job.max_attempts = s_.max_attempts;
   memory_.Add(job.memory / job.slots, 200);
   Bucket& bucket = buckets_[BucketOf(job)];
   if (!std::exchange(bucket.known, true)) {
@@ -50,20 +50,20 @@
   Settle(it->second);
 }
 
-double Brain::Depth(const Bucket& b) {
+double LoadBalancerImpl::Depth(const Bucket& b) {
   const double rate = b.rate == kInf ? b.demand : b.rate;
   return 2 + kDepthS * rate + kDepthRoots * std::sqrt(rate);
 }
 
 // Within its aim a refused job that comes back finds the same quotas: advise to wait that long.
-void Brain::Decline(const Job& job) {
+void LoadBalancerImpl::Decline(const Job& job) {
   refused_.Put(job.print, now_);
-  const double wait = std::min(s_.max_retry_after_s, ClassOf(job.cls).aim_s);
-  actions_->push_back(Refuse{job.id, s_.retry_after ? wait : 0.0});
+  const double wait = std::min(s_.max_retry_after_s, ClassOf(job.cls).latency_objective_s);
+  actions_->push_back(RejectRequest{job.id, s_.retry_after ? wait : 0.0});
 }
 
 // Sends the counts to peers, resets them, and reckons quotas anew.
-void Brain::Report() {
+void LoadBalancerImpl::Report() {
   const double span = std::max(now_ - reported_at_, interval_ / 2);  // one early job is no rush
   reported_at_ = now_;
   const double keep = std::exp(-span / std::max(kDemandS, 2 * interval_));
@@ -100,31 +100,32 @@
   carried_ = Carried(std::max(carried_ * std::exp(-span / kCarriedS), sent / std::max(1, ready_)));
   measured_ = true;
   if (mate_.present) TellMate();
-  if (s_.peers && s_.dispatchers > 1 && !mate_.leaving) {
+  if (s_.peers && s_.dispatcher_count > 1 && !mate_.leaving) {
     std::vector<int> told;
-    for (int i = 0; i < (direct_ ? s_.dispatchers : kFanout); ++i) {
-      const int whom = direct_ ? i : random_.OtherThan(s_.ordinal, s_.dispatchers);
-      if (whom != s_.ordinal) told.push_back(whom);
+    for (int i = 0; i < (direct_ ? s_.dispatcher_count : kFanout); ++i) {
+      const int whom = direct_ ? i : random_.OtherThan(s_.dispatcher_index, s_.dispatcher_count);
+      if (whom != s_.dispatcher_index) told.push_back(whom);
     }
     TellPeers(told, !heard_peers_, std::move(counts));
   }
   Control(span);
 }
 
-void Brain::On(const PeerMessage& e) {
+void LoadBalancerImpl::On(const PeerMessage& e) {
   UsageReport report;
   const bool readable = DecodeReport(e.body, layout_, &report);
-  if (e.sender == s_.ordinal && readable && report.BeginsRow()) {
+  if (e.sender == s_.dispatcher_index && readable && report.BeginsRow()) {
     peers_.mate.TakeOut(report, now_);
     return SumOthers();
   }
-  const bool peer = e.sender >= 0 && e.sender < s_.dispatchers && e.sender != s_.ordinal;
+  const bool peer =
+      e.sender >= 0 && e.sender < s_.dispatcher_count && e.sender != s_.dispatcher_index;
   if (!s_.peers || !peer || !readable) return void(++refused_messages_);
   Take(e.sender, report);
   if (!report.BeginsRow()) return;  // what follows counts once a report
   heard_peers_ = true;
   // Rates draw together, but slowly: else the many that have not cut yet undo each cut at once.
-  const double weight = rate_ == kInf ? 1 : kFollow / (direct_ ? s_.dispatchers - 1 : kFanout);
+  const double weight = rate_ == kInf ? 1 : kFollow / (direct_ ? s_.dispatcher_count - 1 : kFanout);
   if (report.rate > 0) rate_ = std::min(rate_, 1e12) * (1 - weight) + report.rate * weight;
   // A restarted dispatcher is told at once what the fleet does: not held to one Nth for long.
   if (report.fresh && measured_) TellPeers({e.sender}, false, {});
--- a/src/balancing/agreed_share.h
+++ b/src/balancing/agreed_share.h
@@ -23,7 +23,7 @@
   // Nothing was done here for longer: others may have ceased to hear this one since, and taken up
   // what it does not know of.
   static constexpr double kStoppedS = 1.0;
-  void Set(const Parts& parts) {
+  void Set(const FleetShare& parts) {
     const bool by_demand = by_demand_ && parts.members > 0 && !parts.stopped;
     falls_ = shares_;
     for (std::size_t i = 0; i < shares_.size(); ++i) {
--- a/src/balancing/attempts.cpp
+++ b/src/balancing/attempts.cpp
@@ -15,24 +15,24 @@
 constexpr double kDropsKept = 10.0;  // starts that earn the right to call off as much hopeless work
 
 // Sends the job somewhere it may go; false if there is no such place now.
-bool Brain::Place(Job& job) {
-  if (job.attempts.size() >= Idx(job.most_tries) || job.expires_at <= now_) return false;
+bool LoadBalancerImpl::Place(Job& job) {
+  if (job.attempts.size() >= Idx(job.max_attempts) || job.expires_at <= now_) return false;
   const ClassSettings& c = ClassOf(job.cls);
   int anchor = -1;
   for (const Attempt& a : job.attempts) {
-    if (a.open && !s_.may_duplicate) return false;
+    if (a.open && !s_.allow_hedging) return false;
     if (!a.may_have_run) continue;
-    if (c.semantics == Semantics::kOnce) return false;
-    if (c.semantics == Semantics::kByKey) {
+    if (c.idempotency == Idempotency::kNotIdempotent) return false;
+    if (c.idempotency == Idempotency::kIdempotentWithKey) {
       // Repeats are dropped only within the group and the window, counted from the first sending.
-      if (now_ + s_.tick_s > a.sent_at + 0.9 * c.window_s) return false;
+      if (now_ + s_.tick_s > a.sent_at + 0.9 * c.deduplication_window_s) return false;
       if (anchor < 0) anchor = a.worker;
     }
   }
   // A keyed job that may have run has few places left: it queues there. All others wait for room.
   const bool waits = room_keeper_ && anchor < 0 && !job.AnyOpen() && !Pool(c.kind, -1).empty();
   if (waits && job.found < 0) {
-    const RoomKeeper::Place place = room_keeper_->Somewhere(job.id);
+    const CapacityReservations::Place place = room_keeper_->Somewhere(job.id);
     job.impossible = place.never;
     if (place.never) return false;
     if (place.worker.empty()) return PutOnHold(job);
@@ -62,26 +62,28 @@
   if (told && time > AimOf(job)) Blocked(job, job.attempts.back(), false, true);
   sends_ += job.attempts.size() == 1;
   hedges_ = std::min(3.0, hedges_ + copies_);
-  actions_->push_back(Send{job.id, w.name, 0});
+  actions_->push_back(SendAttempt{job.id, w.name, 0});
   // Looked at as soon as the word of a start is overdue, where a second copy is permitted.
-  const bool soon = s_.may_duplicate && c.semantics != Semantics::kOnce;
-  const double first = s_.tells_start ? std::max(soon ? 0.0 : c.aim_s * 0.6, 4 * s_.tick_s)
-                                      : kOverdue * ExpectedRun(job);
+  const bool soon = s_.allow_hedging && c.idempotency != Idempotency::kNotIdempotent;
+  const double first = s_.workers_notify_start
+                           ? std::max(soon ? 0.0 : c.latency_objective_s * 0.6, 4 * s_.tick_s)
+                           : kOverdue * ExpectedRun(job);
   WatchAt(now_ + std::max(first, 0.02), job.id, static_cast<int>(job.attempts.size()) - 1);
   return true;
 }
 
 // To wait for room is not to give up; it ends with the job's time.
-bool Brain::PutOnHold(Job& job) {
+bool LoadBalancerImpl::PutOnHold(Job& job) {
   job.on_hold = true;
-  actions_->push_back(Hold{job.id});
+  actions_->push_back(AwaitCapacity{job.id});
   if (!std::exchange(job.hold_watched, true)) {
-    WatchAt(std::min(now_ + ClassOf(job.cls).aim_s, job.expires_at - kLastWordS), job.id, kOnHold);
+    WatchAt(std::min(now_ + ClassOf(job.cls).latency_objective_s, job.expires_at - kLastWordS),
+            job.id, kOnHold);
   }
   return false;
 }
 
-void Brain::On(const RoomFound& e) {
+void LoadBalancerImpl::On(const CapacityFound& e) {
   const auto it = jobs_.find(e.id);
   if (it == jobs_.end() || !std::exchange(it->second.on_hold, false)) return;
   if (!e.worker.empty()) {
@@ -92,7 +94,7 @@
 }
 
 // One that waits past its aim says of the fleet what a late start at a worker says.
-void Brain::Waited(const Watch& watch) {
+void LoadBalancerImpl::Waited(const Watch& watch) {
   const auto it = jobs_.find(watch.id);
   if (it == jobs_.end()) return;
   Job& job = it->second;
@@ -104,22 +106,23 @@
 }
 
 // Ends a job that has no attempt under way, with the answer that its class allows.
-void Brain::Settle(Job& job) {
+void LoadBalancerImpl::Settle(Job& job) {
   if (job.AnyOpen() || job.on_hold) return;
   if (!job.ended) {
     const ClassSettings& c = ClassOf(job.cls);
-    const bool repeats_dropped = c.semantics == Semantics::kByKey && c.group == Group::kAll;
+    const bool repeats_dropped = c.idempotency == Idempotency::kIdempotentWithKey &&
+                                 c.deduplication_scope == DeduplicationScope::kAll;
     if (!job.impossible &&
-        (!job.MayHaveRun() || c.semantics == Semantics::kRepeatable || repeats_dropped)) {
+        (!job.MayHaveRun() || c.idempotency == Idempotency::kIdempotent || repeats_dropped)) {
       Decline(job);
     } else {
-      actions_->push_back(Fail{job.id});
+      actions_->push_back(FailRequest{job.id});
     }
   }
   jobs_.erase(jobs_.find(job.id));
 }
 
-void Brain::On(const AttemptEnded& e) {
+void LoadBalancerImpl::On(const AttemptEnded& e) {
   Job* job = nullptr;
   Attempt* a = Find(e.id, e.attempt, &job);
   if (a == nullptr || !a->open) return;  // a repeat, or forgotten
@@ -127,10 +130,11 @@
   a->open = false;
   w.Back(job->slots, job->memory, now_);
   if (e.has_report) TakeReport(w, e.report);
-  a->may_have_run = e.verdict != Verdict::kTurnedAway && e.verdict != Verdict::kNoConnection &&
-                    e.verdict != Verdict::kNotSent;
-  switch (e.verdict) {
-    case Verdict::kServed:
+  a->may_have_run = e.status != AttemptStatus::kRejected &&
+                    e.status != AttemptStatus::kConnectFailed &&
+                    e.status != AttemptStatus::kNotSent;
+  switch (e.status) {
+    case AttemptStatus::kSucceeded:
       w.heard_at = now_;
       w.probation = false;
       w.eject_s = 0;
@@ -139,24 +143,25 @@
       LearnPace(*job, *a, w);
       if (!a->blocked && a->out_before + job->slots >= w.limit) w.limit += kLimitStep;
       job->ended = true;
-      if (!s_.tells_start) drops_ = std::min(drops_ + 1, kDropsKept);
+      if (!s_.workers_notify_start) drops_ = std::min(drops_ + 1, kDropsKept);
       break;
-    case Verdict::kTurnedAway:
+    case AttemptStatus::kRejected:
       w.heard_at = now_;
       LearnWait(w, ExpectedRun(*job));
       Room(w) += (2 * kGroupBad - Room(w)) / 20;  // full is not lost
       Blocked(*job, *a, true, false);
       break;
-    case Verdict::kServerError:
+    case AttemptStatus::kServerError:
       w.heard_at = now_;
       [[fallthrough]];
-    case Verdict::kConnectionLost:  // one may be chance; a worker that is gone refuses the next
-      w.errors = w.errors * 0.8 + (e.verdict == Verdict::kServerError ? 0.2 : 0.3);
+    case AttemptStatus::kConnectionLost:  // one may be chance; a worker that is gone refuses the
+                                          // next
+      w.errors = w.errors * 0.8 + (e.status == AttemptStatus::kServerError ? 0.2 : 0.3);
       if (w.errors > 0.45 || w.probation) Eject(a->worker);
       break;
-    case Verdict::kNoConnection:
-    case Verdict::kNoAnswer:
-      if (e.verdict == Verdict::kNoConnection || w.heard_at < a->sent_at) Eject(a->worker);
+    case AttemptStatus::kConnectFailed:
+    case AttemptStatus::kNoResponse:
+      if (e.status == AttemptStatus::kConnectFailed || w.heard_at < a->sent_at) Eject(a->worker);
       break;
     default:  // called off, not sent: nothing is learned
       break;
@@ -170,7 +175,7 @@
   Settle(*job);
 }
 
-void Brain::On(const JobGone& e) {
+void LoadBalancerImpl::On(const RequestCancelled& e) {
   const auto it = jobs_.find(e.id);
   if (it == jobs_.end()) return;
   std::erase(asking_, e.id);
@@ -180,7 +185,8 @@
   Settle(it->second);
 }
 
-void Brain::Begun(std::string_view id, int attempt) {  // word from the worker that it runs
+void LoadBalancerImpl::Begun(std::string_view id,
+                             int attempt) {  // word from the worker that it runs
   Job* job = nullptr;
   Attempt* a = Find(id, attempt, &job);
   if (a == nullptr) return;
@@ -195,13 +201,14 @@
   CancelOpen(*job, true);
 }
 
-void Brain::On(const ProbeAnswered& e) {
+void LoadBalancerImpl::On(const ProbeAnswered& e) {
   const auto it = index_.find(e.worker);
   if (it == index_.end()) return;
   Worker& w = workers_[Idx(it->second)];
-  const bool silent = e.verdict == Verdict::kNoAnswer || e.verdict == Verdict::kNoConnection ||
-                      e.verdict == Verdict::kConnectionLost;
-  if (!silent && e.verdict != Verdict::kNotSent) w.heard_at = now_;
+  const bool silent = e.status == AttemptStatus::kNoResponse ||
+                      e.status == AttemptStatus::kConnectFailed ||
+                      e.status == AttemptStatus::kConnectionLost;
+  if (!silent && e.status != AttemptStatus::kNotSent) w.heard_at = now_;
   if (silent && w.heard_at < w.probed_at) Eject(it->second);
   if (e.has_report) TakeReport(w, e.report);
   for (const std::string& id : std::vector<std::string>(asking_)) {
@@ -212,7 +219,7 @@
   }
 }
 
-void Brain::Answered(std::string_view id) {  // all asked have answered, or time is up
+void LoadBalancerImpl::Answered(std::string_view id) {  // all asked have answered, or time is up
   if (std::erase(asking_, id) == 0) return;
   Job& job = jobs_.find(id)->second;
   const auto has_room = [&](int w) {
@@ -238,13 +245,13 @@
   Settle(job);
 }
 
-bool Brain::Hopeless(const Job& job, const Worker& w, double age) const {
+bool LoadBalancerImpl::Hopeless(const Job& job, const Worker& w, double age) const {
   const double run = ExpectedRun(job) * PaceOf(w);
-  return age > AimOf(job) + (s_.tells_start ? -run : run);
+  return age > AimOf(job) + (s_.workers_notify_start ? -run : run);
 }
 
 // An attempt has not started, or not ended, when it should have.
-void Brain::Overdue(const Watch& watch) {
+void LoadBalancerImpl::Overdue(const Watch& watch) {
   if (watch.attempt == kOnHold) return Waited(watch);
   if (watch.attempt < 0) return Answered(watch.id);
   Job* job = nullptr;
@@ -252,10 +259,11 @@
   if (a == nullptr || !a->open) return;
   Worker& w = workers_[Idx(a->worker)];
   const double age = now_ - a->sent_at;
-  if (s_.tells_start && a->started_at < 0) {
+  if (s_.workers_notify_start && a->started_at < 0) {
     LearnWait(w, std::max(age, WaitOf(w)));
     // One that is left out says nothing of the fleet.
-    Blocked(*job, *a, false, !w.ejected && age > ClassOf(job->cls).aim_s && PaceOf(w) < 2);
+    Blocked(*job, *a, false,
+            !w.ejected && age > ClassOf(job->cls).latency_objective_s && PaceOf(w) < 2);
     if (w.heard_at < a->sent_at && s_.probing && age > kSilentS && w.probed_at < a->sent_at) {
       w.probed_at = now_;
       actions_->push_back(Probe{w.name});
@@ -268,14 +276,15 @@
     job->dropped = true;
     return CancelOpen(*job, false);
   }
-  const double silence = std::max({kOverdue * ExpectedRun(*job), 1.5 * s_.progress_s, 1.0});
+  const double silence =
+      std::max({kOverdue * ExpectedRun(*job), 1.5 * s_.progress_interval_s, 1.0});
   if (w.heard_at < a->sent_at && age > silence) Eject(a->worker);
   const bool lost = w.ejected || !w.ready;
-  const bool waits = s_.tells_start ? a->started_at < 0 : age > silence;
+  const bool waits = s_.workers_notify_start ? a->started_at < 0 : age > silence;
   if (!job->ended && !job->dropped && (lost || waits) && (lost || hedges_ >= 1)) {
-    if (s_.may_duplicate) {
+    if (s_.allow_hedging) {
       if (Place(*job) && !lost) hedges_ -= 1;
-    } else if (lost && s_.cancel && ClassOf(job->cls).semantics != Semantics::kOnce) {
+    } else if (lost && s_.cancel && ClassOf(job->cls).idempotency != Idempotency::kNotIdempotent) {
       actions_->push_back(CancelAttempt{job->id, watch.attempt});
     }
   }
--- a/src/balancing/bookkeeping.cpp
+++ b/src/balancing/bookkeeping.cpp
@@ -7,11 +7,11 @@
 
 namespace millethollow::balancing {
 
-Brain::Brain(const Settings& settings, std::uint64_t seed)
+LoadBalancerImpl::LoadBalancerImpl(const Settings& settings, std::uint64_t seed)
     : s_(settings), random_(seed), pools_(s_.kinds, s_.zones) {
   Fit();
-  direct_ = s_.dispatchers - 1 <= kDirectPeers;
-  interval_ = kReportS * std::max(1.0, std::cbrt(s_.dispatchers / 4.0));
+  direct_ = s_.dispatcher_count - 1 <= kDirectPeers;
+  interval_ = kReportS * std::max(1.0, std::cbrt(s_.dispatcher_count / 4.0));
   lore_classes_ = direct_ ? 0 : classes_;
   layout_ = {.tenants = Idx(tenants_),
              .large_tier = !direct_,
@@ -19,10 +19,11 @@
              .kinds = Idx(std::max(1, s_.kinds))};
   own_.assign(layout_.size(), 0.0);
   mean_ = own_;
-  peers_.rows.resize(direct_ && s_.peers ? Idx(s_.dispatchers) : 0);
-  blind_ = s_.tells_start && s_.report_source == ReportSource::kOff;
+  peers_.rows.resize(direct_ && s_.peers ? Idx(s_.dispatcher_count) : 0);
+  blind_ = s_.workers_notify_start && s_.load_report_source == LoadReportSource::kOff;
   copies_ = blind_ ? kCopies : 0.0;
-  sheds_ = s_.cancel && (s_.tells_start ? blind_ : s_.report_source == ReportSource::kOnProbe);
+  sheds_ = s_.cancel &&
+           (s_.workers_notify_start ? blind_ : s_.load_report_source == LoadReportSource::kOnProbe);
   kind_pace_.resize(Idx(std::max(1, s_.kinds)));
   kind_slots_.assign(kind_pace_.size(), 0.0);
   kind_most_.assign(kind_pace_.size(), {0.0, -1});
@@ -31,7 +32,7 @@
 }
 
 // To the settings, at the start and when they change. By class first, so that indices stay.
-void Brain::Fit() {
+void LoadBalancerImpl::Fit() {
   classes_ = static_cast<int>(s_.classes.size());
   if (s_.tenants.empty()) s_.tenants.push_back({.share = 1});
   tenants_ = static_cast<int>(s_.tenants.size());
@@ -40,7 +41,7 @@
   hinted_.resize(s_.classes.size());
 }
 
-void Brain::On(const SettingsChanged& e) {
+void LoadBalancerImpl::On(const SettingsChanged& e) {
   s_ = *e.settings;
   Fit();
   for (const int c : *e.begun) {
@@ -52,7 +53,7 @@
   }
 }
 
-void Brain::On(const Mate& e) {
+void LoadBalancerImpl::On(const SiblingProcess& e) {
   mate_ = e;
   if (e.present) TellMate();
 }
@@ -63,7 +64,7 @@
 constexpr double kForgetS = 300;
 constexpr double kNothingOut = 1e-6;  // below the least slots of a job: a residue of rounding
 
-int Brain::SlotFor(const std::string& name, std::vector<char>* listed) {
+int LoadBalancerImpl::SlotFor(const std::string& name, std::vector<char>* listed) {
   Worker fresh{.name = name, .hash = HashText(name), .limit = mean_limit_};
   const auto named = [this](int i) {
     return std::any_of(jobs_.begin(), jobs_.end(), [i](const auto& entry) {
@@ -92,7 +93,7 @@
   return static_cast<int>(workers_.size()) - 1;
 }
 
-void Brain::RemakePools() {  // only when the list or an ejection changes
+void LoadBalancerImpl::RemakePools() {  // only when the list or an ejection changes
   pools_.Remake(workers_);
   ready_ = ejected_ = 0;
   double limits = 0;
@@ -108,7 +109,8 @@
   ++version_;
 }
 
-void Brain::Weigh() {  // paces and slots are learned all the time, and what is drawn goes by them
+void LoadBalancerImpl::Weigh() {  // paces and slots are learned all the time, and what is drawn
+                                  // goes by them
   most_power_ = 1e-9;
   double sum = 0;
   for (const Worker& w : workers_) {
@@ -119,7 +121,7 @@
   mean_power_ = sum > 0 ? sum / ready_ : 1.0;
 }
 
-void Brain::Take(int sender, const UsageReport& report) {
+void LoadBalancerImpl::Take(int sender, const UsageReport& report) {
   if (!direct_) return LearnFromPeers(report);
   peers_.rows[Idx(sender)].Take(report, layout_.size(), now_);
   if (report.BeginsRow()) SumOthers();
@@ -128,7 +130,7 @@
 // A node of a large tier ends too few jobs to tell kinds and classes apart by itself: it learns
 // from the sums of all, times and jobs each. The most slots that peers agree on are taken as they
 // are.
-void Brain::LearnFromPeers(const UsageReport& told) {
+void LoadBalancerImpl::LearnFromPeers(const UsageReport& told) {
   const std::size_t first = told.first, end = first + told.rates.size();
   for (std::size_t i = first; i < end; ++i) mean_[i] = (mean_[i] + told.rates[i - first]) / 2;
   const auto holds = [&](std::size_t at) { return at >= first && at < end; };
@@ -146,20 +148,20 @@
   }
 }
 
-Attempt* Brain::Find(std::string_view id, int attempt, Job** job) {
+Attempt* LoadBalancerImpl::Find(std::string_view id, int attempt, Job** job) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end() || Idx(attempt) >= it->second.attempts.size()) return nullptr;
   *job = &it->second;
   return &it->second.attempts[Idx(attempt)];
 }
 
-void Brain::WatchAt(double at, const std::string& id, int attempt) {
+void LoadBalancerImpl::WatchAt(double at, const std::string& id, int attempt) {
   watch_.push({at, ++order_, id, attempt});
   if (!watching_) actions_->push_back(SetTimer{kWatchMark, kWatchS / 4});
   watching_ = true;
 }
 
-void Brain::CancelOpen(const Job& job, bool only_waiting) {
+void LoadBalancerImpl::CancelOpen(const Job& job, bool only_waiting) {
   for (std::size_t i = 0; s_.cancel && i < job.attempts.size(); ++i) {
     const Attempt& a = job.attempts[i];
     if (!a.open || (only_waiting && a.started_at >= 0)) continue;
@@ -168,7 +170,7 @@
 }
 
 // Without the counts of buckets. Peers hear of both our processes.
-UsageReport Brain::ReportOf(bool fresh, bool to_mate) const {
+UsageReport LoadBalancerImpl::ReportOf(bool fresh, bool to_mate) const {
   UsageReport report;
   report.fresh = fresh;
   report.rate = rate_ == kInf ? 0.0 : rate_;
@@ -188,25 +190,28 @@
 // rate would then be as old as there are datagrams, times the interval; what is reckoned from them
 // (kStaleReports, the hold of AgreedPart, the weights of a large tier's means) takes them for no
 // older than one. `counts` is empty where the counts have gone out already.
-void Brain::TellPeers(const std::vector<int>& whom, bool fresh,
-                      std::vector<UsageReport::Usage> counts) {
+void LoadBalancerImpl::TellPeers(const std::vector<int>& whom, bool fresh,
+                                 std::vector<UsageReport::Usage> counts) {
   UsageReport report = ReportOf(fresh, false);
   report.usage = std::move(counts);
   const std::vector<std::string> datagrams = EncodeReport(report, layout_);
   for (const int peer : whom) {
-    for (const std::string& datagram : datagrams) actions_->push_back(TellPeer{peer, datagram});
+    for (const std::string& datagram : datagrams)
+      actions_->push_back(SendPeerMessage{peer, datagram});
   }
 }
 
 // Our other process heeds the slots out alone: they are where the row begins.
-void Brain::TellMate() {
-  actions_->push_back(TellPeer{s_.ordinal, EncodeReport(ReportOf(false, true), layout_).front()});
+void LoadBalancerImpl::TellMate() {
+  actions_->push_back(
+      SendPeerMessage{s_.dispatcher_index, EncodeReport(ReportOf(false, true), layout_).front()});
 }
 
-std::vector<double> Brain::Fleet() {
+std::vector<double> LoadBalancerImpl::Fleet() {
   const double since = now_ - kStaleReports * interval_;
   if (!agreed_.on()) {
-    return direct_ ? peers_.Fleet(own_, s_.ordinal, since) : Times(mean_, s_.dispatchers);
+    return direct_ ? peers_.Fleet(own_, s_.dispatcher_index, since)
+                   : Times(mean_, s_.dispatcher_count);
   }
   if (!direct_) {
     std::vector<double> fleet = Times(mean_, 1 / std::max(agreed_.part(), 1e-6));
@@ -218,7 +223,7 @@
   bool others_hear = true;
   for (std::size_t p = 0; p < peers_.rows.size(); ++p) {
     const Peer& peer = peers_.rows[p];
-    if (static_cast<int>(p) == s_.ordinal || !peer.RowKnown(since)) continue;
+    if (static_cast<int>(p) == s_.dispatcher_index || !peer.RowKnown(since)) continue;
     if (peer.view == 0 || peer.view != agreed_.view()) continue;
     heard += 1;
     others_hear = others_hear && peer.hears_all;
@@ -231,11 +236,11 @@
   return fleet;
 }
 
-double Brain::Carried(double mine) {
+double LoadBalancerImpl::Carried(double mine) {
   return agreed_.Carried(mine, all_sends_ / std::max(1, ready_), Idx(tenants_));
 }
 
-void Brain::Agree(const Parts& parts) {
+void LoadBalancerImpl::SetFleetShare(const FleetShare& parts) {
   agreed_.Set(parts);
   for (std::size_t b = 0; b < buckets_.size(); ++b) {
     Bucket& bucket = buckets_[b];
@@ -253,7 +258,7 @@
   }
 }
 
-std::vector<WorkerView> Brain::Views() const {
+std::vector<WorkerView> LoadBalancerImpl::Views() const {
   std::vector<WorkerView> views;
   views.reserve(workers_.size());
   for (const Worker& w : workers_) {
@@ -271,14 +276,15 @@
   return views;
 }
 
-double Brain::DemandPart() const {
+double LoadBalancerImpl::DemandPart() const {
   const auto sum = [this](const std::vector<double>& rates) {
     return std::accumulate(rates.begin(), rates.begin() + tenants_, 0.0);
   };
-  const double all = direct_ ? sum(peers_.Fleet(own_, s_.ordinal, now_ - kStaleReports * interval_))
-                             : s_.dispatchers * sum(mean_);
+  const double all =
+      direct_ ? sum(peers_.Fleet(own_, s_.dispatcher_index, now_ - kStaleReports * interval_))
+              : s_.dispatcher_count * sum(mean_);
   if (agreed_.on()) return agreed_.part();
-  const double even = 1.0 / std::max(1, s_.dispatchers);
+  const double even = 1.0 / std::max(1, s_.dispatcher_count);
   return all > 0 && measured_ ? std::clamp(sum(own_) / all, even / 4, 1.0) : even;
 }
 
--- a/src/balancing/endpoint_discovery.cpp
+++ b/src/balancing/endpoint_discovery.cpp
@@ -9,31 +9,31 @@
 constexpr double kPeerPoints = 0.003;  // of the result may go into messages
 constexpr double kGroupFade = 0.05;    // what went badly is forgiven with each report interval
 
-void Brain::On(const Started&) {
+void LoadBalancerImpl::On(const DispatcherStarted&) {
   reported_at_ = now_;
   next_cut_ = now_ + std::max(kDemandS, 2 * interval_);  // demand is not known yet
   actions_->push_back(SetTimer{kReportMark, interval_ * (0.2 + random_.Unit())});
-  if (s_.discovery_ask) Ask();
+  if (s_.polls_discovery) Ask();
 }
 
-void Brain::Ask() {
+void LoadBalancerImpl::Ask() {
   actions_->push_back(Subscribe{true});
-  AskIn(std::max(0.5, 0.4 * s_.ask_within_s));  // in case no answer comes
+  AskIn(std::max(0.5, 0.4 * s_.max_poll_interval_s));  // in case no answer comes
 }
 
-void Brain::AskIn(double span) {
+void LoadBalancerImpl::AskIn(double span) {
   ask_at_ = now_ + span;
   actions_->push_back(SetTimer{kAskMark, span});
 }
 
-void Brain::On(const TimerFired& e) {
+void LoadBalancerImpl::On(const TimerFired& e) {
   if (e.mark == kReportMark) {
     LetBack();
     if (!direct_) Weigh();
     SumOthers();
     // Peers of a large tier don't tell what they have out where; they do as this one does.
     for (Worker& w : workers_)
-      w.others = direct_ ? w.others : (s_.dispatchers - 1) * w.MeanOut(now_);
+      w.others = direct_ ? w.others : (s_.dispatcher_count - 1) * w.MeanOut(now_);
     for (double& room : room_) room += (1 - room) * kGroupFade * interval_ / kReportS;
     if (now_ - reported_at_ > interval_ / 4) Report();
     // Jitter keeps dispatchers that started together from reporting in step.
@@ -56,22 +56,23 @@
   }
 }
 
-void Brain::On(const MembersKnown& e) {
-  if (e.kind == ListKind::kUnavailable) {
+void LoadBalancerImpl::On(const EndpointsUpdated& e) {
+  if (e.kind == EndpointListKind::kUnavailable) {
     // Ask again soon, but not all at once: the list service has a fixed capacity.
     subscribed_ = false;
-    if (s_.discovery_ask) AskIn(std::min(0.3 * s_.ask_within_s, 0.4 + 1.2 * random_.Unit()));
+    if (s_.polls_discovery)
+      AskIn(std::min(0.3 * s_.max_poll_interval_s, 0.4 + 1.2 * random_.Unit()));
     return;
   }
-  if (e.kind != ListKind::kRestored) subscribed_ = true;
-  if (e.members == nullptr) return;
-  std::vector<char> listed(workers_.size(), e.kind == ListKind::kUpdate);
-  for (const Member& m : *e.members) {
+  if (e.kind != EndpointListKind::kRestored) subscribed_ = true;
+  if (e.endpoints == nullptr) return;
+  std::vector<char> listed(workers_.size(), e.kind == EndpointListKind::kIncremental);
+  for (const Endpoint& m : *e.endpoints) {
     auto it = index_.find(m.worker);
     if (it == index_.end()) it = index_.emplace(m.worker, SlotFor(m.worker, &listed)).first;
     listed[Idx(it->second)] = 1;
     Worker& w = workers_[Idx(it->second)];
-    const bool restarted = m.born_s > w.born && m.born_s > 0;
+    const bool restarted = m.started_at_s > w.born && m.started_at_s > 0;
     w.Follow(m, now_, static_cast<int>(kind_pace_.size()), zones());
     if (restarted) StartAfresh(w);
   }
@@ -81,7 +82,7 @@
   RemakePools();
 }
 
-void Brain::StartAfresh(Worker& w) {
+void LoadBalancerImpl::StartAfresh(Worker& w) {
   w.ejected = w.probation = false;
   w.eject_s = w.errors = 0;
   w.limit = mean_limit_;
@@ -91,7 +92,7 @@
   w.cold_at = std::max(now_, w.born);
 }
 
-void Brain::On(const Maintenance& e) {
+void LoadBalancerImpl::On(const MaintenanceChanged& e) {
   const auto it = index_.find(e.worker);
   if (it == index_.end()) return;
   Worker& w = workers_[Idx(it->second)];
--- a/src/balancing/fleet_rate.cpp
+++ b/src/balancing/fleet_rate.cpp
@@ -18,7 +18,7 @@
 constexpr double kSpare = 0.2;   // of a class's work, for another that room is held for
 constexpr double kSlack = 1.25;  // a rate this far above demand binds nobody
 
-void Brain::Control(double span) {
+void LoadBalancerImpl::Control(double span) {
   // What live dispatchers report in all, those not yet heard taken as the average one.
   const std::vector<double> fleet = Fleet();
   const double sends = fleet[Idx(tenants_)], fulls = fleet[Idx(tenants_ + 1)];
@@ -31,8 +31,8 @@
     told += part[Idx(t)];
   }
   // One or two jobs prove nothing: shares are taken as of some more sends than were seen.
-  const double shown =
-      sends + kProof / std::max(span, interval_) * (direct_ ? 1.0 : s_.dispatchers * kOwnWeight);
+  const double shown = sends + kProof / std::max(span, interval_) *
+                                   (direct_ ? 1.0 : s_.dispatcher_count * kOwnWeight);
   full_ = sends > 0 && fulls + kLateWeight * lates > kFullShare * shown;
   // Where the tier asks workers, what they say goes before what some slow ones make late.
   const bool roomy = !direct_ && Found(0) > kRoomy;
@@ -86,7 +86,7 @@
     const auto holds = [this](int c) { return room_keeper_ && room_keeper_->Holds(c); };
     for (int c = 0; c < classes_; ++c) {
       const double work =
-          buckets_[Idx(c * tenants_ + t)].demand * run_[Idx(c)].Or(ClassOf(c).aim_s);
+          buckets_[Idx(c * tenants_ + t)].demand * run_[Idx(c)].Or(ClassOf(c).latency_objective_s);
       all += work;
       held += holds(c) ? work : 0;
     }
--- a/src/balancing/load_balancer.cpp
+++ b/src/balancing/load_balancer.cpp
@@ -5,26 +5,28 @@
 
 namespace millethollow::balancing {
 
-Balancer::Balancer(const Settings& settings, std::uint64_t seed)
-    : brain_(std::make_unique<Brain>(settings, seed)) {}
-Balancer::~Balancer() = default;
-Balancer::Balancer(Balancer&&) noexcept = default;
-Balancer& Balancer::operator=(Balancer&&) noexcept = default;
+LoadBalancer::LoadBalancer(const Settings& settings, std::uint64_t seed)
+    : impl_(std::make_unique<LoadBalancerImpl>(settings, seed)) {}
+LoadBalancer::~LoadBalancer() = default;
+LoadBalancer::LoadBalancer(LoadBalancer&&) noexcept = default;
+LoadBalancer& LoadBalancer::operator=(LoadBalancer&&) noexcept = default;
 
-void Balancer::Handle(double now_s, const Event& event, Actions* actions) {
-  brain_->Handle(now_s, event, actions);
+void LoadBalancer::Handle(double now_s, const Event& event, Actions* actions) {
+  impl_->Handle(now_s, event, actions);
 }
 
-std::string Balancer::Learned() const { return Carry::Out(*brain_); }
-bool Balancer::Learn(std::string_view text, const std::vector<int>& classes) {
-  return Carry::In(text, classes, brain_.get());
+std::string LoadBalancer::SaveState() const { return Carry::Out(*impl_); }
+bool LoadBalancer::RestoreState(std::string_view text, const std::vector<int>& classes) {
+  return Carry::In(text, classes, impl_.get());
 }
-bool Balancer::Avoids(std::string_view worker) const { return brain_->Avoids(worker); }
-void Balancer::KeepRoom(RoomKeeper* room) { brain_->KeepRoom(room); }
-std::uint64_t Balancer::version() const { return brain_->version(); }
-std::vector<WorkerView> Balancer::Workers() const { return brain_->Views(); }
-void Balancer::Agree(const Parts& parts) { brain_->Agree(parts); }
-std::uint64_t Balancer::RefusedPeerMessages() const { return brain_->refused_messages(); }
-double Balancer::DemandPart() const { return brain_->DemandPart(); }
+bool LoadBalancer::Excludes(std::string_view worker) const { return impl_->Excludes(worker); }
+void LoadBalancer::SetCapacityReservations(CapacityReservations* room) {
+  impl_->SetCapacityReservations(room);
+}
+std::uint64_t LoadBalancer::version() const { return impl_->version(); }
+std::vector<WorkerView> LoadBalancer::Workers() const { return impl_->Views(); }
+void LoadBalancer::SetFleetShare(const FleetShare& parts) { impl_->SetFleetShare(parts); }
+std::uint64_t LoadBalancer::RejectedPeerMessages() const { return impl_->refused_messages(); }
+double LoadBalancer::DemandPart() const { return impl_->DemandPart(); }
 
 }  // namespace millethollow::balancing
--- a/src/balancing/load_balancer_impl.h
+++ b/src/balancing/load_balancer_impl.h
@@ -11,16 +11,16 @@
 #include <vector>
 
 #include "balancing/agreed_share.h"
-#include "millethollow/balancing/load_balancer.h"
 #include "balancing/constants.h"
 #include "balancing/state.h"
 #include "balancing/support.h"
+#include "millethollow/balancing/load_balancer.h"
 
 namespace millethollow::balancing {
 
-class Brain {
+class LoadBalancerImpl {
  public:
-  Brain(const Settings& settings, std::uint64_t seed);
+  LoadBalancerImpl(const Settings& settings, std::uint64_t seed);
 
   void Handle(double now, const Event& event, Actions* actions) {
     now_ = std::max(now, now_);
@@ -28,24 +28,24 @@
     std::visit([this](const auto& e) { On(e); }, event);
   }
 
-  bool Avoids(std::string_view worker) const {
+  bool Excludes(std::string_view worker) const {
     const auto it = index_.find(worker);
     return it == index_.end() || !workers_[Idx(it->second)].ready ||
            workers_[Idx(it->second)].ejected;
   }
 
-  void KeepRoom(RoomKeeper* room) { room_keeper_ = room; }
+  void SetCapacityReservations(CapacityReservations* room) { room_keeper_ = room; }
   std::uint64_t version() const { return version_; }
   std::uint64_t refused_messages() const { return refused_messages_; }
   std::vector<WorkerView> Views() const;
   double DemandPart() const;
-  void Agree(const Parts& parts);
+  void SetFleetShare(const FleetShare& parts);
 
  private:
   friend struct Carry;  // hands what was learned to the process that replaces this one
 
   // Buckets and quotas.
-  void On(const JobArrived& e);
+  void On(const RequestArrived& e);
   // By class first: classes may be added while the program runs.
   std::size_t BucketOf(const Job& job) const { return Idx(job.cls * tenants_ + job.tenant); }
   static double Depth(const Bucket& b);
@@ -63,7 +63,7 @@
     peers_.SumOut(&workers_, now_ - kStaleReports * interval_);
     ++version_;
   }
-  void On(const Mate& e);
+  void On(const SiblingProcess& e);
 
   // Fleet rate.
   void Control(double span);
@@ -127,14 +127,14 @@
   bool Place(Job& job);
   void WatchAt(double at, const std::string& id, int attempt);
   bool PutOnHold(Job& job);
-  void On(const RoomFound& e);
+  void On(const CapacityFound& e);
   void Settle(Job& job);
   Attempt* Find(std::string_view id, int attempt, Job** job);
   void On(const AttemptEnded& e);
   void CancelOpen(const Job& job, bool only_waiting);
-  void On(const JobGone& e);
-  void On(const StreamBegan& e) { Begun(e.id, e.attempt); }
-  void On(const AttemptNote& e) { Begun(e.id, e.attempt); }
+  void On(const RequestCancelled& e);
+  void On(const StreamStarted& e) { Begun(e.id, e.attempt); }
+  void On(const AttemptProgress& e) { Begun(e.id, e.attempt); }
   void Begun(std::string_view id, int attempt);
   void On(const ProbeAnswered& e);
   void Answered(std::string_view id);
@@ -143,16 +143,16 @@
   void Waited(const Watch& watch);
 
   // Discovery and timers.
-  void On(const Started&);
+  void On(const DispatcherStarted&);
   void Ask();
   void AskIn(double span);
   void On(const TimerFired& e);
-  void On(const MembersKnown& e);
+  void On(const EndpointsUpdated& e);
   int SlotFor(const std::string& name, std::vector<char>* listed);
   void Fit();
   void On(const SettingsChanged& e);
   void StartAfresh(Worker& w);
-  void On(const Maintenance& e);
+  void On(const MaintenanceChanged& e);
 
   Settings s_;
   Random random_;
@@ -169,7 +169,7 @@
   std::vector<double> own_, mean_;
   PeerTable peers_;
   std::uint64_t refused_messages_ = 0;
-  Mate mate_;
+  SiblingProcess mate_;
   AgreedPart agreed_;
   double all_sends_ = 0;  // of those heard, as of the last report
   // Fleet rate.
@@ -178,7 +178,7 @@
   std::vector<Worker> workers_;
   TextMap<int> index_;
   Pools pools_;
-  RoomKeeper* room_keeper_ = nullptr;
+  CapacityReservations* room_keeper_ = nullptr;
   std::uint64_t version_ = 0;  // of all that Views tells
   int ready_ = 0, ejected_ = 0;
   double mean_limit_ = 1, carried_ = 0, most_power_ = 1, mean_power_ = 1;
--- a/src/balancing/outlier_detection.cpp
+++ b/src/balancing/outlier_detection.cpp
@@ -15,29 +15,31 @@
 // In a large tier a cold worker that is asked says itself when it has enough.
 constexpr double kColdPartAsked = 0.8;
 
-bool Brain::Cold(const Worker& w) const { return w.born > 0 && now_ - w.born < s_.cold_s; }
+bool LoadBalancerImpl::Cold(const Worker& w) const {
+  return w.born > 0 && now_ - w.born < s_.slow_start_s;
+}
 
 // A cold worker gets what a warm one gets on average, times the part of the guarantee by the share
 // of capacity that is surely there. Rejected work counts too: every send is charged.
-double Brain::ColdPart(const Worker& w) const {
-  const double age = std::clamp((now_ - w.born) / std::max(s_.cold_s, 1e-9), 0.0, 1.0);
+double LoadBalancerImpl::ColdPart(const Worker& w) const {
+  const double age = std::clamp((now_ - w.born) / std::max(s_.slow_start_s, 1e-9), 0.0, 1.0);
   const double part = !direct_ && s_.probing ? kColdPartAsked : kColdPart;
-  return part * s_.fall_multiple * (s_.cold_share + (1 - s_.cold_share) * age);
+  return part * s_.fall_multiple * (s_.slow_start_min_share + (1 - s_.slow_start_min_share) * age);
 }
-bool Brain::ColdRoom(const Worker& w) const {
+bool LoadBalancerImpl::ColdRoom(const Worker& w) const {
   return now_ - w.report_at > kReportTrustS || w.free - w.sent_since > SlotsOf(w) / 4;
 }
-double Brain::ColdHeld(const Worker& w) const {
+double LoadBalancerImpl::ColdHeld(const Worker& w) const {
   return w.cold_tokens + ColdPart(w) * carried_ * (now_ - w.cold_at);
 }
-double Brain::ColdCost(const Job& job) const {
+double LoadBalancerImpl::ColdCost(const Job& job) const {
   const double run = ExpectedRun(job);
   return std::max(1.0, job.slots) * std::max(0.5, run / all_run_.Or(run));
 }
 
 // In a large tier a node sends a cold worker less than a job: parts can't add up. Each job draws
 // one and, if cold, goes there by a chance that gives it its part by power, times the guarantee's.
-void Brain::DrawCold(Job& job) {
+void LoadBalancerImpl::DrawCold(Job& job) {
   const std::vector<int>& all = Pool(ClassOf(job.cls).kind, -1);
   job.cold_drawn = -1;
   if (direct_ || all.empty()) return;
@@ -49,9 +51,9 @@
 
 // Draws go where jobs find room, by kind and zone. Workers that fail one after the other there
 // are lost: none could find all out one by one. Trials go on as it is forgiven.
-double& Brain::Room(const Worker& w) { return room_[GroupOf(w)]; }
+double& LoadBalancerImpl::Room(const Worker& w) { return room_[GroupOf(w)]; }
 
-void Brain::Eject(int index) {
+void LoadBalancerImpl::Eject(int index) {
   Worker& w = workers_[Idx(index)];
   Room(w) *= 0.75;
   if (w.ejected) return;
@@ -64,7 +66,7 @@
   RemakePools();
 }
 
-void Brain::LetBack() {  // ejected workers return with one repeatable job at a time
+void LoadBalancerImpl::LetBack() {  // ejected workers return with one repeatable job at a time
   bool changed = false;
   for (Worker& w : workers_) {
     if (!w.ejected || now_ < w.eject_until) continue;
@@ -76,11 +78,11 @@
   if (changed) RemakePools();
 }
 
-void Brain::TakeReport(Worker& w, const double (&report)[4]) {
+void LoadBalancerImpl::TakeReport(Worker& w, const double (&report)[4]) {
   for (const double v : report) {  // no worker's figures are negative or so large: unreadable
     if (!(v >= 0 && v < kMostReport)) return;
   }
-  w.TakeReport(now_, s_.report_columns, report);
+  w.TakeReport(now_, s_.load_report_metrics, report);
   ++version_;
   // A kind holds what two workers agree on: one that is wrong must not make it bottomless.
   double& slots = kind_slots_[Idx(w.kind)];
@@ -92,19 +94,19 @@
   if (w.queued < 0) w.queued = std::max(0.0, w.held - busy);  // the rest of what it holds waits
 }
 
-void Brain::LearnWait(Worker& w, double wait) {
+void LoadBalancerImpl::LearnWait(Worker& w, double wait) {
   double& kind = wait_[GroupOf(w)];
   kind += (wait - kind) / 50;
   w.wait = wait;
   w.wait_at = now_;
 }
 // A worker's last known wait says less and less; then its kind's is the better guess.
-double Brain::WaitOf(const Worker& w) const {
+double LoadBalancerImpl::WaitOf(const Worker& w) const {
   const double kind = wait_[GroupOf(w)];
   return kind + (w.wait - kind) * std::exp((w.wait_at - now_) / kWaitTrustS);
 }
 
-void Brain::LearnPace(const Job& job, const Attempt& a, Worker& w) {
+void LoadBalancerImpl::LearnPace(const Job& job, const Attempt& a, Worker& w) {
   const double took = std::max(1e-4, now_ - (a.started_at >= 0 ? a.started_at : a.sent_at));
   const double ratio = std::min(took / std::max(ExpectedRun(job), 1e-4), 10.0);
   run_[Idx(job.cls)].Add(took, 200);
@@ -128,7 +130,7 @@
 
 // No room for the job. Only a warm, ready worker of ordinary pace that could hold it speaks of the
 // fleet; one full worker says little while others have room, two say more.
-void Brain::Blocked(Job& job, Attempt& a, bool full, bool late) {
+void LoadBalancerImpl::Blocked(Job& job, Attempt& a, bool full, bool late) {
   Worker& w = workers_[Idx(a.worker)];
   if (!a.blocked) w.limit = std::max(1.0, (w.limit + a.out_before) / 2);
   a.blocked = true;
--- a/src/balancing/placement.cpp
+++ b/src/balancing/placement.cpp
@@ -24,35 +24,38 @@
 constexpr double kSpeedKeep = 8.0;   // a worker's own pace outweighs its kind's after so many jobs
 constexpr double kKeyPull = 1.5;     // aims that a job waits rather than fetch its key elsewhere
 
-double Brain::ExpectedRun(const Job& job) const {
-  const double mean = run_[Idx(job.cls)].Or(ClassOf(job.cls).aim_s);
+double LoadBalancerImpl::ExpectedRun(const Job& job) const {
+  const double mean = run_[Idx(job.cls)].Or(ClassOf(job.cls).latency_objective_s);
   return job.hint > 0 ? hinted_[Idx(job.cls)].At(job.hint, mean) : mean;
 }
-double Brain::PaceOf(const Worker& w) const {
+double LoadBalancerImpl::PaceOf(const Worker& w) const {
   const double kind = kind_pace_[Idx(w.kind)].Or(1 / std::max(0.1, w.capacity));
   // What was seen of one worker fades: a slow spell is forgiven and the worker tried again.
   const double n = w.pace_n * std::exp((w.pace_at - now_) / kPaceTrustS);
   return (w.pace * n + kind * kSpeedKeep) / (n + kSpeedKeep);
 }
-double Brain::AimOf(const Job& job) const {
+double LoadBalancerImpl::AimOf(const Job& job) const {
   const ClassSettings& c = ClassOf(job.cls);
-  return std::max(s_.tick_s, c.aim_s + c.stretch * ExpectedRun(job));
+  return std::max(s_.tick_s,
+                  c.latency_objective_s + c.latency_objective_stretch * ExpectedRun(job));
 }
 
 // May this job go to that worker at all?
-bool Brain::Allowed(const Job& job, int index, int anchor) const {
+bool LoadBalancerImpl::Allowed(const Job& job, int index, int anchor) const {
   const Worker& w = workers_[Idx(index)];
   if (!w.ready) return false;
-  if (w.probation && (w.out > 0 || ClassOf(job.cls).semantics == Semantics::kOnce)) return false;
+  if (w.probation && (w.out > 0 || ClassOf(job.cls).idempotency == Idempotency::kNotIdempotent))
+    return false;
   // Where jobs wait for room, one may come back to a worker that turned it away.
   if (job.Tried(index, room_keeper_ != nullptr)) return false;
-  if (anchor >= 0 && !SameGroup(ClassOf(job.cls).group, workers_[Idx(anchor)], w)) return false;
+  if (anchor >= 0 && !SameGroup(ClassOf(job.cls).deduplication_scope, workers_[Idx(anchor)], w))
+    return false;
   if (!Cold(w) || mate_.leaving) return !Cold(w);
   return direct_ ? ColdHeld(w) >= ColdCost(job) : index == job.cold_drawn && ColdRoom(w);
 }
 
 // Expected time to the job's end, and whether it would find no room.
-std::pair<double, bool> Brain::Outlook(const Job& job, const Worker& w) const {
+std::pair<double, bool> LoadBalancerImpl::Outlook(const Job& job, const Worker& w) const {
   const double run = ExpectedRun(job) * PaceOf(w);
   double wait = WaitOf(w);
   const bool silent = w.probed_at > w.heard_at && now_ - w.probed_at > kProbeWaitS / 2;
@@ -81,7 +84,7 @@
 }
 
 // Lower is better: expected time over the aim, plus prices; workers with room come first.
-double Brain::Score(const Job& job, const Worker& w, int home_rank) const {
+double LoadBalancerImpl::Score(const Job& job, const Worker& w, int home_rank) const {
   const auto [time, over] = Outlook(job, w);
   double score = time / AimOf(job) + (over ? kOver : 0.0);
   if (room_[GroupOf(w)] < kGroupBad) score += 2 * kOver;
@@ -92,13 +95,13 @@
 
 // A job must fetch what its key names where it is not kept, and each fetch pushes out a key that
 // another job fetches again: keys stay on few workers once a cold one is seen to run longer.
-double Brain::KeyPull() const {
+double LoadBalancerImpl::KeyPull() const {
   const double fetch = cold_.Or(1) / std::max(warm_.Or(1), 1e-9) - 1;
   return s_.price_origin + kKeyPull * std::clamp(5 * fetch - 0.5, 0.0, 1.0);
 }
 
 // A random worker, the abler the likelier: by told size where told, else by learned pace.
-int Brain::Draw(const std::vector<int>& from) {
+int LoadBalancerImpl::Draw(const std::vector<int>& from) {
   int w = -1;
   for (int i = 0; i < 4; ++i) {
     w = from[random_.Below(from.size())];
@@ -106,12 +109,12 @@
   }
   return w;
 }
-double Brain::Power(const Worker& w) const {
-  return s_.sizes_told ? w.capacity : std::max(1.0, SlotsOf(w)) / PaceOf(w);
+double LoadBalancerImpl::Power(const Worker& w) const {
+  return s_.capacity_hints_valid ? w.capacity : std::max(1.0, SlotsOf(w)) / PaceOf(w);
 }
 
 // How many workers to ask now, so that what they are likely to save is worth the price.
-int Brain::ProbesFor(const Job& job) {
+int LoadBalancerImpl::ProbesFor(const Job& job) {
   const double price = s_.price_probe;
   if (direct_) {
     const int probes = prompt_.Or(1.0) > 0.8 ? kProbes : kProbesStale;
@@ -122,7 +125,7 @@
   // Peers can't tell what is out at a worker: only the worker does. One is asked after the other
   // until one has room; the first only where many have none, or now and then to see how many.
   const double found = Found(0.5);
-  const double gain = kLateByWait * (1 - ClassOf(job.cls).late_worth) * found;
+  const double gain = kLateByWait * (1 - ClassOf(job.cls).late_weight) * found;
   const int asked = static_cast<int>(job.asked.size());
   const bool worth = price < (asked > 0 ? gain : gain * (1 - found));
   const bool look = asked == 0 && random_.Unit() * price < kProbePoints;
@@ -130,10 +133,11 @@
 }
 
 // Exception: where load is told only on probes, a job waits a moment for a few workers' word.
-bool Brain::AskAround(Job& job) {
+bool LoadBalancerImpl::AskAround(Job& job) {
   const std::vector<int>& all = Pool(ClassOf(job.cls).kind, -1);
   const std::vector<int>& near = Pool(ClassOf(job.cls).kind, s_.zone);
-  if (!s_.probing || s_.report_source != ReportSource::kOnProbe || all.empty()) return false;
+  if (!s_.probing || s_.load_report_source != LoadReportSource::kOnProbe || all.empty())
+    return false;
   if (job.expires_at < now_ + 10 * kProbeWaitS) return false;
   job.round = job.asked.size();
   const std::size_t most = job.round + Idx(ProbesFor(job));
@@ -153,7 +157,7 @@
   return true;
 }
 
-int Brain::Pick(const Job& job, int anchor) {
+int LoadBalancerImpl::Pick(const Job& job, int anchor) {
   const int kind = ClassOf(job.cls).kind;
   const std::vector<int>& all = Pool(kind, -1);
   const std::vector<int>& near = Pool(kind, s_.zone);
@@ -190,7 +194,7 @@
 }
 
 // The workers a key prefers, by rendezvous hashing: the same everywhere without agreement.
-const std::vector<int>& Brain::HomesOf(std::uint64_t key, int kind) {
+const std::vector<int>& LoadBalancerImpl::HomesOf(std::uint64_t key, int kind) {
   if (homes_version_ != pool_version_ || homes_.size() > 20000) homes_.clear();
   homes_version_ = pool_version_;
   auto [it, fresh] = homes_.try_emplace(key * 31 + static_cast<std::uint64_t>(kind + 1));
--- a/src/balancing/state.h
+++ b/src/balancing/state.h
@@ -11,9 +11,9 @@
 #include <utility>
 #include <vector>
 
-#include "millethollow/balancing/load_balancer.h"
-#include "balancing/usage_report.h"
 #include "balancing/support.h"
+#include "balancing/usage_report.h"
+#include "millethollow/balancing/load_balancer.h"
 
 namespace millethollow::balancing {
 
@@ -83,7 +83,7 @@
       back_at);
   }
 
-  void Follow(const Member& m, double now, int kinds, int zones) {
+  void Follow(const Endpoint& m, double now, int kinds, int zones) {
     seen_at = now;
     zone = std::clamp(m.zone, 0, zones - 1);
     kind = std::clamp(m.kind, 0, kinds - 1);
@@ -91,7 +91,7 @@
     capacity = m.capacity;
     told_slots = m.slots;
     told_memory = m.memory;
-    born = std::max(m.born_s, back_at);
+    born = std::max(m.started_at_s, back_at);
     listed = m.readiness == Readiness::kReady;
     ready = listed && !out_by_hand;
   }
@@ -99,22 +99,23 @@
   // What a report says it holds at once: where a slot is free nothing waits, so all it holds runs.
   double SlotsTold() const { return std::round(free + (free >= 1 && held > 0 ? held : 0)); }
 
-  void TakeReport(double now, const std::vector<Column>& columns, const double (&values)[4]) {
+  void TakeReport(double now, const std::vector<LoadMetric>& columns, const double (&values)[4]) {
     report_at = now;
     sent_since = 0;
     queued = -1;  // not told
     for (std::size_t i = 0; i < columns.size() && i < 4; ++i) {
-      if (columns[i] == Column::kFreeSlots) free = values[i];
-      if (columns[i] == Column::kHeld) held = values[i];
-      if (columns[i] == Column::kQueued) queued = values[i];
-      if (columns[i] == Column::kFreeMemory) memory = values[i];
+      if (columns[i] == LoadMetric::kFreeSlots) free = values[i];
+      if (columns[i] == LoadMetric::kInFlight) held = values[i];
+      if (columns[i] == LoadMetric::kQueued) queued = values[i];
+      if (columns[i] == LoadMetric::kFreeMemory) memory = values[i];
     }
   }
 };
 
 // Do these two drop each other's repeats?
-inline bool SameGroup(Group group, const Worker& a, const Worker& b) {
-  return group == Group::kAll || (a.zone == b.zone && (group == Group::kZone || a.cell == b.cell));
+inline bool SameGroup(DeduplicationScope group, const Worker& a, const Worker& b) {
+  return group == DeduplicationScope::kAll ||
+         (a.zone == b.zone && (group == DeduplicationScope::kZone || a.cell == b.cell));
 }
 
 struct Attempt {
@@ -138,10 +139,10 @@
   bool ended = false, dropped = false;
   bool on_hold = false;  // waits for room
   bool hold_watched = false, impossible = false;
-  int found = -1;      // where it is said to be
-  int most_tries = 1;  // as the settings were when it came
-  int fulls = 0;       // how often it was turned away
-  bool late = false;   // kept from starting until its aim was at stake
+  int found = -1;        // where it is said to be
+  int max_attempts = 1;  // as the settings were when it came
+  int fulls = 0;         // how often it was turned away
+  bool late = false;     // kept from starting until its aim was at stake
 
   template <typename Test>
   bool Any(Test test) const {
@@ -165,7 +166,7 @@
 
 // The print tells a job that comes back: the same in all that is known of it.
 template <typename Index>
-Job JobOf(const JobArrived& e, int tenants, const Index& workers) {
+Job JobOf(const RequestArrived& e, int tenants, const Index& workers) {
   Job job;
   job.id = e.id;
   job.cls = e.cls;
@@ -178,7 +179,7 @@
   job.print = Mix(Mix(job.key, std::bit_cast<std::uint64_t>(e.memory)),
                   Mix(std::bit_cast<std::uint64_t>(job.slots + 1e3 * job.hint),
                       static_cast<std::uint64_t>(job.tenant << 8 | job.cls)));
-  for (const TriedElsewhere& t : e.tried) {
+  for (const PreviousAttempt& t : e.tried) {
     const auto it = workers.find(t.worker);
     const int worker = it == workers.end() ? -1 : it->second;
     job.attempts.push_back({.worker = worker, .sent_at = t.sent_at, .open = false});
--- a/src/balancing/state_transfer.h
+++ b/src/balancing/state_transfer.h
@@ -14,32 +14,32 @@
 namespace millethollow::balancing {
 
 struct Carry {
-  template <typename Brain, typename Visitor>
-  static void Visit(Brain& b, Visitor& v) {
+  template <typename LoadBalancerImpl, typename Visitor>
+  static void Visit(LoadBalancerImpl& b, Visitor& v) {
     v(b.rate_, b.carried_, b.measured_, b.own_, b.mean_, b.memory_, b.all_run_, b.hinted_,
       b.prompt_, b.run_, b.buckets_, b.kind_pace_, b.kind_slots_, b.kind_most_, b.wait_, b.room_,
       b.mean_limit_, b.hedges_, b.copies_, b.drops_, b.workers_);
   }
 
-  template <typename Brain>
-  static std::string Out(Brain& brain) {
+  template <typename LoadBalancerImpl>
+  static std::string Out(LoadBalancerImpl& brain) {
     Saver saver;
     Visit(brain, saver);
     return std::move(saver.out);
   }
 
   // Takes all of it or, where it is damaged or from settings of another form, nothing.
-  template <typename Brain>
-  static bool In(std::string_view text, const std::vector<int>& classes, Brain* brain) {
-    Brain other(*brain);
+  template <typename LoadBalancerImpl>
+  static bool In(std::string_view text, const std::vector<int>& classes, LoadBalancerImpl* brain) {
+    LoadBalancerImpl other(*brain);
     Loader loader{text};
     Visit(other, loader);
     const auto tenants = static_cast<std::size_t>(brain->tenants_);
     const std::size_t theirs = other.run_.size();
     if (!loader.ok || !loader.in.empty() || other.buckets_.size() != theirs * tenants ||
-        other.hinted_.size() != theirs ||
-        other.own_.size() != brain->own_.size() || other.mean_.size() != brain->mean_.size() ||
-        other.wait_.size() != brain->wait_.size() || other.room_.size() != brain->room_.size() ||
+        other.hinted_.size() != theirs || other.own_.size() != brain->own_.size() ||
+        other.mean_.size() != brain->mean_.size() || other.wait_.size() != brain->wait_.size() ||
+        other.room_.size() != brain->room_.size() ||
         other.kind_pace_.size() != brain->kind_pace_.size() ||
         other.kind_slots_.size() != brain->kind_slots_.size() ||
         other.kind_most_.size() != brain->kind_most_.size()) {
--- a/src/balancing/support.cpp
+++ b/src/balancing/support.cpp
@@ -11,21 +11,23 @@
 
 }  // namespace
 
-bool CheckSettings(const Settings& s, std::string* why) {
+bool ValidateSettings(const Settings& s, std::string* why) {
   const auto bad = [why](const char* text) {
     *why = text;
     return false;
   };
   if (s.classes.empty()) return bad("no classes");
-  if (s.dispatchers < 1 || s.ordinal < 0) return bad("dispatchers or ordinal out of range");
-  if (s.most_tries < 1) return bad("no attempts allowed");
-  for (const double t :
-       {s.tick_s, s.max_retry_after_s, s.progress_s, s.ask_within_s, s.cold_s, s.drain_grace_s,
-        s.overload_for_s, s.answer_slack_s, s.fall_multiple, s.cold_share}) {
+  if (s.dispatcher_count < 1 || s.dispatcher_index < 0)
+    return bad("dispatchers or ordinal out of range");
+  if (s.max_attempts < 1) return bad("no attempts allowed");
+  for (const double t : {s.tick_s, s.max_retry_after_s, s.progress_interval_s,
+                         s.max_poll_interval_s, s.slow_start_s, s.drain_grace_s, s.overload_for_s,
+                         s.answer_slack_s, s.fall_multiple, s.slow_start_min_share}) {
     if (!(t >= 0) || !std::isfinite(t)) return bad("a negative or infinite time or figure");
   }
   for (const ClassSettings& c : s.classes) {
-    if (!(c.aim_s >= 0) || !(c.give_up_s > 0) || !(c.stretch >= 0) || !(c.window_s >= 0)) {
+    if (!(c.latency_objective_s >= 0) || !(c.client_timeout_s > 0) ||
+        !(c.latency_objective_stretch >= 0) || !(c.deduplication_window_s >= 0)) {
       return bad("a class with a negative time or no deadline");
     }
   }
--- a/src/balancing/usage_report.cpp
+++ b/src/balancing/usage_report.cpp
@@ -73,7 +73,7 @@
   PutRates(&out, report.rates, 0, report.rates.size());
   PutOut(&out, report, WorkersTold(report));
   for (const UsageReport::Usage& used : report.usage) {
-    if (out.size() + kUsageBytes > kMostPeerBytes) break;
+    if (out.size() + kUsageBytes > kMaxPeerMessageBytes) break;
     for (const int v : {used.bucket, used.allowed, used.denied}) {
       Put(&out, static_cast<std::size_t>(v), 2);
     }
@@ -87,7 +87,7 @@
   for (std::size_t first = 0; first < total;) {
     const std::size_t told = first == 0 ? WorkersTold(report) : 0;
     const std::size_t taken = kPartHead + kOutCountBytes + kOutBytes * told;
-    std::size_t end = std::min(total, first + (kMostPeerBytes - taken) / kRealBytes);
+    std::size_t end = std::min(total, first + (kMaxPeerMessageBytes - taken) / kRealBytes);
     if (end < total) end = layout.GroupStart(end);
     std::string part = Head(report, kPartOfRow, end - first);
     Put(&part, first, 2);
@@ -149,7 +149,7 @@
 std::vector<std::string> EncodeReport(const UsageReport& report, const RowLayout& layout) {
   const std::size_t whole = kWholeHead + kRealBytes * report.rates.size() + kOutCountBytes +
                             kOutBytes * WorkersTold(report);
-  if (whole <= kMostPeerBytes) return {EncodeWhole(report)};
+  if (whole <= kMaxPeerMessageBytes) return {EncodeWhole(report)};
   return EncodeParts(report, layout);
 }
 
--- a/src/balancing/usage_report.h
+++ b/src/balancing/usage_report.h
@@ -56,8 +56,8 @@
   bool BeginsRow() const { return first == 0; }
 };
 
-// The datagrams of a whole report (`first` is 0), kMostPeerBytes long at most each. The one that
-// begins the row comes first.
+// The datagrams of a whole report (`first` is 0), kMaxPeerMessageBytes long at most each. The one
+// that begins the row comes first.
 std::vector<std::string> EncodeReport(const UsageReport& report, const RowLayout& layout);
 
 // Reads one datagram. False for a damaged or foreign one, and one for a row of another size.
--- a/src/codec/membership.cpp
+++ b/src/codec/membership.cpp
@@ -326,7 +326,7 @@
       call.Raw(calls.second);
       fact.Nested(2, call.bytes());
     }
-    fact.Number(3, f.born_s);
+    fact.Number(3, f.started_at_s);
     fact.Number(4, f.down);
     w.Nested(5, fact.bytes());
   }
@@ -346,7 +346,7 @@
     Reader in(r.value());
     while (in.Next()) {
       if (in.field() == 1) f.worker = in.value();
-      if (in.field() == 3) f.born_s = in.Raw<double>();
+      if (in.field() == 3) f.started_at_s = in.Raw<double>();
       if (in.field() == 4) f.down = std::min<std::uint8_t>(in.Raw<std::uint8_t>(), 2);
       if (in.field() != 2 || f.calls.size() >= kMostCallers) continue;
       const auto life = in.Raw<std::uint64_t>();
--- a/src/config/reload.cpp
+++ b/src/config/reload.cpp
@@ -76,10 +76,13 @@
 }
 
 bool Same(const ClassSettings& a, const ClassSettings& b) {
-  return a.aim_s == b.aim_s && a.stretch == b.stretch && a.give_up_s == b.give_up_s &&
-         a.importance == b.importance && a.late_worth == b.late_worth &&
-         a.semantics == b.semantics && a.group == b.group && a.window_s == b.window_s &&
-         a.kind == b.kind && a.priority == b.priority && a.streamed == b.streamed;
+  return a.latency_objective_s == b.latency_objective_s &&
+         a.latency_objective_stretch == b.latency_objective_stretch &&
+         a.client_timeout_s == b.client_timeout_s && a.priority_weight == b.priority_weight &&
+         a.late_weight == b.late_weight && a.idempotency == b.idempotency &&
+         a.deduplication_scope == b.deduplication_scope &&
+         a.deduplication_window_s == b.deduplication_window_s && a.kind == b.kind &&
+         a.priority == b.priority && a.streamed == b.streamed;
 }
 
 }  // namespace
@@ -151,17 +154,17 @@
   const balancing::Settings before = now;
   now = fresh.settings;
   now.classes = before.classes;
-  now.ordinal = before.ordinal;
-  now.dispatchers = before.dispatchers;
+  now.dispatcher_index = before.dispatcher_index;
+  now.dispatcher_count = before.dispatcher_count;
   now.peers = before.peers;
   now.zone = before.zone;
   now.zones = before.zones;
   now.kinds = before.kinds;
-  now.discovery_ask = before.discovery_ask;
+  now.polls_discovery = before.polls_discovery;
   now.probing = before.probing;
-  now.report_source = before.report_source;
-  now.report_columns = before.report_columns;
-  now.tells_start = before.tells_start;
+  now.load_report_source = before.load_report_source;
+  now.load_report_metrics = before.load_report_metrics;
+  now.workers_notify_start = before.workers_notify_start;
   if (fresh.tenants != config->tenants) now.tenants = before.tenants;
   return true;
 }
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -7,11 +7,11 @@
 
 namespace millethollow {
 
-using balancing::Group;
-using balancing::ListKind;
-using balancing::Member;
+using balancing::DeduplicationScope;
+using balancing::Endpoint;
+using balancing::EndpointListKind;
+using balancing::Idempotency;
 using balancing::Readiness;
-using balancing::Semantics;
 
 namespace {
 constexpr std::size_t kMostEndedIds = 4096;  // names remembered after their request's end
@@ -31,12 +31,12 @@
       counters_(counters),
       demand_(settings.tenants.size()) {}
 
-void Planner::Start(const std::vector<Member>& known) {
-  Post([this] { Deliver(balancing::Started{}); });
-  ListKnown(ListKind::kRestored, known);
+void Planner::Start(const std::vector<Endpoint>& known) {
+  Post([this] { Deliver(balancing::DispatcherStarted{}); });
+  ListKnown(EndpointListKind::kRestored, known);
   for (const auto& [name, worker_state] : workers_) {  // by the process that went before
     if (worker_state.out_since < 0) continue;
-    Post([this, n = name] { Deliver(balancing::Maintenance{n, true}); });
+    Post([this, n = name] { Deliver(balancing::MaintenanceChanged{n, true}); });
   }
 }
 
@@ -58,13 +58,13 @@
     Entry* entry = Find(id);
     for (std::size_t i = 0; entry != nullptr && i < entry->attempts.size(); ++i) {
       if (!entry->attempts[i].open) continue;
-      End(id, entry, i, {.verdict = Verdict::kConnectionLost});
+      End(id, entry, i, {.status = AttemptStatus::kConnectionLost});
       entry = Find(id);
     }
   }
   for (auto& [name, worker_state] : workers_) {
     if (!worker_state.local || worker_state.forwarder != forwarder) continue;
-    Member gone = worker_state.member;
+    Endpoint gone = worker_state.member;
     gone.readiness = Readiness::kGone;
     LocalWorker(forwarder, gone);
   }
@@ -86,9 +86,9 @@
 void Planner::Deliver(const balancing::Event& event) {
   balancing::Actions actions;
   if (hooks_.parts) {
-    balancing::Parts parts = hooks_.parts();
+    balancing::FleetShare parts = hooks_.parts();
     parts.stopped = hooks_.now() - parts_at_ > balancing::AgreedPart::kStoppedS;
-    if (parts != parts_) balancer_.Agree(parts);
+    if (parts != parts_) balancer_.SetFleetShare(parts);
     parts_ = parts;
     parts_at_ = hooks_.now();
   }
@@ -131,9 +131,9 @@
   Entry& entry = ledger_[id];
   entry.wire_id = request.wire_id;
   entry.cls = request.cls;
-  entry.most_tries = settings_.most_tries;
+  entry.max_attempts = settings_.max_attempts;
   entry.promise = request.promised;
-  std::vector<balancing::TriedElsewhere> tried;
+  std::vector<balancing::PreviousAttempt> tried;
   if (!request.tried.empty() && !TakeUp(request, &entry, &tried)) {
     Answer(id, &entry, {});
     return Post([this, id] { Forget(id); });
@@ -144,28 +144,28 @@
   meta.body.clear();
   Post([this, meta = std::move(meta), tried = std::move(tried)] {
     const std::string name = std::to_string(meta.id);
-    Deliver(balancing::JobArrived{.id = name,
-                                 .expires_s = meta.expires_at,
-                                 .slots = meta.slots,
-                                 .memory = meta.memory,
-                                 .bytes = static_cast<double>(meta.body_bytes),
-                                 .tenant = meta.tenant,
-                                 .cls = meta.cls,
-                                 .retry = meta.retry,
-                                 .key = meta.affinity,
-                                 .size_hint_s = meta.size_hint_s,
-                                 .tried = tried});
+    Deliver(balancing::RequestArrived{.id = name,
+                                      .expires_s = meta.expires_at,
+                                      .slots = meta.slots,
+                                      .memory = meta.memory,
+                                      .bytes = static_cast<double>(meta.body_bytes),
+                                      .tenant = meta.tenant,
+                                      .cls = meta.cls,
+                                      .retry = meta.retry,
+                                      .key = meta.affinity,
+                                      .size_hint_s = meta.size_hint_s,
+                                      .tried = tried});
   });
 }
 
 bool Planner::Repeatable(int cls) const {
-  return settings_.classes[static_cast<std::size_t>(cls)].semantics == Semantics::kRepeatable;
+  return settings_.classes[static_cast<std::size_t>(cls)].idempotency == Idempotency::kIdempotent;
 }
 
 // What another process tried counts as if it had been tried here. False: where it may have run is
 // not known here, or too long ago, so that it may not go out again.
 bool Planner::TakeUp(const Request& request, Entry* entry,
-                     std::vector<balancing::TriedElsewhere>* tried) {
+                     std::vector<balancing::PreviousAttempt>* tried) {
   if (Repeatable(entry->cls)) return true;
   const balancing::ClassSettings& c = settings_.classes[static_cast<std::size_t>(entry->cls)];
   for (const TriedBefore& t : request.tried) {
@@ -188,7 +188,7 @@
   deadlines_->Drop(&entry->expiry);
   Post([this, id] {
     const std::string name = std::to_string(id);
-    Deliver(balancing::JobGone{name});
+    Deliver(balancing::RequestCancelled{name});
     Forget(id);
   });
 }
@@ -200,7 +200,7 @@
   entry->attempts[static_cast<std::size_t>(attempt)].began = true;
   Post([this, id, attempt] {
     const std::string name = std::to_string(id);
-    Deliver(balancing::AttemptNote{name, attempt, balancing::NoteKind::kStarted, 0});
+    Deliver(balancing::AttemptProgress{name, attempt, balancing::ProgressKind::kStarted, 0});
   });
 }
 
@@ -224,24 +224,25 @@
   Attempt& a = entry->attempts[attempt];
   if (!a.open) return;  // called off or timed out meanwhile
   a.open = false;
-  a.may_have_run = !NeverRan(outcome.verdict);
-  if (outcome.verdict == Verdict::kServed && !entry->answered) {
+  a.may_have_run = !NeverRan(outcome.status);
+  if (outcome.status == AttemptStatus::kSucceeded && !entry->answered) {
     Answer(id, entry, {.kind = FinalAnswer::Kind::kServed, .attempt = static_cast<int>(attempt)});
   }
   // A worker that cannot use the request itself is well: its answer is no reason to leave it
   // out, nor to ask the others. Taken for failures, such answers once had every worker left out.
-  const Verdict learned =
-      outcome.clients_fault && !NeverRan(outcome.verdict) ? Verdict::kCalledOff : outcome.verdict;
-  if (learned != outcome.verdict && !entry->answered) Answer(id, entry, {});
+  const AttemptStatus learned = outcome.clients_fault && !NeverRan(outcome.status)
+                                    ? AttemptStatus::kCancelled
+                                    : outcome.status;
+  if (learned != outcome.status && !entry->answered) Answer(id, entry, {});
   Post([this, id, attempt, outcome, learned] {
     const Entry* now = Find(id);
     const std::string name = std::to_string(id);
     balancing::AttemptEnded e{.id = name,
-                             .attempt = static_cast<int>(attempt),
-                             .verdict = learned,
-                             .latency_s = outcome.latency_s,
-                             .terminal = now == nullptr || now->answered,
-                             .has_report = outcome.has_report};
+                              .attempt = static_cast<int>(attempt),
+                              .status = learned,
+                              .latency_s = outcome.latency_s,
+                              .terminal = now == nullptr || now->answered,
+                              .has_report = outcome.has_report};
     std::copy(std::begin(outcome.report), std::end(outcome.report), std::begin(e.report));
     Deliver(e);
     Forget(id);
@@ -251,15 +252,15 @@
 void Planner::Probed(const std::string& worker, const Outcome& outcome) {
   Post([this, worker, outcome] {
     balancing::ProbeAnswered e{.worker = worker,
-                              .verdict = outcome.verdict,
-                              .latency_s = outcome.latency_s,
-                              .has_report = outcome.has_report};
+                               .status = outcome.status,
+                               .latency_s = outcome.latency_s,
+                               .has_report = outcome.has_report};
     std::copy(std::begin(outcome.report), std::end(outcome.report), std::begin(e.report));
     Deliver(e);
   });
 }
 
-void Planner::Note(const Member& member, bool local, std::uint64_t forwarder) {
+void Planner::Note(const Endpoint& member, bool local, std::uint64_t forwarder) {
   Worker& worker_state = workers_[member.worker];
   worker_state.member = member;
   worker_state.local = local;
@@ -271,20 +272,20 @@
   }
 }
 
-void Planner::LocalWorker(std::uint64_t forwarder, const Member& member) {
+void Planner::LocalWorker(std::uint64_t forwarder, const Endpoint& member) {
   Note(member, true, forwarder);
   Post([this, member] {
-    const std::vector<Member> changed{member};
-    Deliver(balancing::MembersKnown{ListKind::kUpdate, &changed});
+    const std::vector<Endpoint> changed{member};
+    Deliver(balancing::EndpointsUpdated{EndpointListKind::kIncremental, &changed});
   });
 }
 
-void Planner::ListKnown(ListKind kind, const std::vector<Member>& members) {
-  std::vector<Member> list = members;
-  if (kind == ListKind::kReplace || kind == ListKind::kRestored) {
+void Planner::ListKnown(EndpointListKind kind, const std::vector<Endpoint>& members) {
+  std::vector<Endpoint> list = members;
+  if (kind == EndpointListKind::kSnapshot || kind == EndpointListKind::kRestored) {
     // A full list replaces: who is missing is gone. Workers of our own are not on the list.
     std::unordered_set<std::string_view> listed;
-    for (const Member& m : members) listed.insert(m.worker);
+    for (const Endpoint& m : members) listed.insert(m.worker);
     for (auto& [name, worker_state] : workers_) {
       if (worker_state.local) {
         list.push_back(worker_state.member);
@@ -294,10 +295,11 @@
       }
     }
   }
-  for (const Member& m : members) Note(m, false, 0);
+  for (const Endpoint& m : members) Note(m, false, 0);
   Post([this, kind, list = std::move(list)] {
-    Deliver(balancing::MembersKnown{kind, kind == ListKind::kUnavailable ? nullptr : &list});
-    if (kind == ListKind::kReplace) ForgetWhatTheModuleForgot();
+    Deliver(balancing::EndpointsUpdated{kind,
+                                        kind == EndpointListKind::kUnavailable ? nullptr : &list});
+    if (kind == EndpointListKind::kSnapshot) ForgetWhatTheModuleForgot();
     ListCame();
   });
 }
@@ -314,7 +316,7 @@
     if (why == nullptr && PortOf(w.id) != nullptr) {
       Dispatch(w.id, w.attempt, w.worker, w.timeout_s);
     } else {
-      End(w.id, entry, w.attempt, {.verdict = Verdict::kNotSent});
+      End(w.id, entry, w.attempt, {.status = AttemptStatus::kNotSent});
     }
   }
 }
@@ -340,7 +342,7 @@
   if (out == (worker_state.out_since >= 0)) return true;
   worker_state.out_since = out ? hooks_.now() : -1;
   hooks_.log(worker + (out ? " is taken out by hand" : " is put back by hand"));
-  Post([this, worker, out] { Deliver(balancing::Maintenance{worker, out}); });
+  Post([this, worker, out] { Deliver(balancing::MaintenanceChanged{worker, out}); });
   return true;
 }
 
@@ -377,7 +379,7 @@
   for (const auto& [name, worker_state] : workers_) {
     if (worker_state.member.readiness == Readiness::kGone) continue;
     listed += 1;
-    avoided += balancer_.Avoids(name);
+    avoided += balancer_.Excludes(name);
   }
   return {listed, avoided};
 }
@@ -393,7 +395,7 @@
   const double now = hooks_.now();
   if (entry.answered) return "answered";
   const std::size_t others = std::min(itself, entry.attempts.size());
-  if (others >= static_cast<std::size_t>(entry.most_tries)) return "tries";
+  if (others >= static_cast<std::size_t>(entry.max_attempts)) return "tries";
   const auto it = workers_.find(worker);
   if (it == workers_.end()) return "unlisted";
   const Worker& worker_state = it->second;
@@ -408,7 +410,7 @@
   for (std::size_t i = 0; i < entry.attempts.size(); ++i) {
     const Attempt& a = entry.attempts[i];
     if (i == itself) continue;
-    if (a.open && !settings_.may_duplicate) return "duplicate";
+    if (a.open && !settings_.allow_hedging) return "duplicate";
     if (const char* why = WhyNotAgain(a, c, worker_state)) return why;
   }
   return nullptr;
@@ -417,18 +419,20 @@
 // An attempt may have run: may another go to this worker?
 const char* Planner::WhyNotAgain(const Attempt& before, const balancing::ClassSettings& c,
                                  const Worker& worker_state) const {
-  if (!before.may_have_run || c.semantics == Semantics::kRepeatable) return nullptr;
-  if (c.semantics == Semantics::kOnce) return "once";
-  if (hooks_.now() - before.sent_at > c.window_s) return "window";
+  if (!before.may_have_run || c.idempotency == Idempotency::kIdempotent) return nullptr;
+  if (c.idempotency == Idempotency::kNotIdempotent) return "once";
+  if (hooks_.now() - before.sent_at > c.deduplication_window_s) return "window";
   const auto first = workers_.find(before.worker);
   const bool zone =
       first != workers_.end() && first->second.member.zone == worker_state.member.zone;
   const bool cell = zone && first->second.member.cell == worker_state.member.cell;
-  if ((c.group == Group::kZone && !zone) || (c.group == Group::kCell && !cell)) return "group";
+  if ((c.deduplication_scope == DeduplicationScope::kZone && !zone) ||
+      (c.deduplication_scope == DeduplicationScope::kCell && !cell))
+    return "group";
   return nullptr;
 }
 
-void Planner::Do(const balancing::Send& a) {
+void Planner::Do(const balancing::SendAttempt& a) {
   RequestId id = 0;
   Entry* entry = Find(a.id, &id);
   if (entry == nullptr) return hooks_.log("send for an unknown request dropped");
@@ -440,7 +444,7 @@
   if (why != nullptr) {
     counters_->blocked += 1;
     hooks_.log(std::string("send blocked: ") + why);
-    return End(id, entry, attempt, {.verdict = Verdict::kNotSent});
+    return End(id, entry, attempt, {.status = AttemptStatus::kNotSent});
   }
   if (hooks_.list_overdue()) {
     entry->attempts[attempt].held = true;
@@ -463,7 +467,7 @@
                        }
                        counters_->blocked += 1;
                        hooks_.log(std::string("send blocked: ") + (late ? late : "no forwarder"));
-                       End(id, waits, attempt, {.verdict = Verdict::kNotSent});
+                       End(id, waits, attempt, {.status = AttemptStatus::kNotSent});
                      });
 }
 
@@ -475,19 +479,20 @@
       Entry* late = Find(id);
       if (late == nullptr || !late->attempts[attempt].open) return;
       if (ForwarderPort* p = PortOf(id)) p->Cancel(id, static_cast<int>(attempt));
-      End(id, late, attempt, {.verdict = Verdict::kNoAnswer});
+      End(id, late, attempt, {.status = AttemptStatus::kNoResponse});
     });
   }
   PortOf(id)->Send(id, static_cast<int>(attempt), worker);
 }
 
-void Planner::Do(const balancing::Refuse& a) {
+void Planner::Do(const balancing::RejectRequest& a) {
   RequestId id = 0;
   Entry* entry = Find(a.id, &id);
   if (entry == nullptr || entry->answered) return;
   const balancing::ClassSettings& c = settings_.classes[static_cast<std::size_t>(entry->cls)];
-  const bool repeatable = c.semantics == Semantics::kRepeatable ||
-                          (c.semantics == Semantics::kByKey && c.group == Group::kAll);
+  const bool repeatable = c.idempotency == Idempotency::kIdempotent ||
+                          (c.idempotency == Idempotency::kIdempotentWithKey &&
+                           c.deduplication_scope == DeduplicationScope::kAll);
   if (!repeatable && entry->MayHaveRun()) {  // a refusal says that nothing happened; this can't
     Answer(id, entry, {});
   } else {
@@ -498,7 +503,7 @@
   Post([this, id] { Forget(id); });
 }
 
-void Planner::Do(const balancing::Fail& a) {
+void Planner::Do(const balancing::FailRequest& a) {
   RequestId id = 0;
   Entry* entry = Find(a.id, &id);
   if (entry == nullptr || entry->answered) return;
@@ -514,7 +519,8 @@
   if (ForwarderPort* port = PortOf(id)) port->Cancel(id, a.attempt);
   const auto attempt = static_cast<std::size_t>(a.attempt);
   const bool waiting = SurelyWaiting(id, entry->attempts[attempt]);
-  End(id, entry, attempt, {.verdict = waiting ? Verdict::kNotSent : Verdict::kCalledOff});
+  End(id, entry, attempt,
+      {.status = waiting ? AttemptStatus::kNotSent : AttemptStatus::kCancelled});
 }
 
 void Planner::Do(const balancing::SetTimer& a) {
@@ -531,19 +537,19 @@
     if (owner != forwarders_.end()) return owner->second->Probe(a.worker);
     if (!it->second.local) return forwarders_.begin()->second->Probe(a.worker);
   }
-  Probed(a.worker, {.verdict = Verdict::kNoConnection});
+  Probed(a.worker, {.status = AttemptStatus::kConnectFailed});
 }
 
-void Planner::Do(const balancing::TellPeer& a) {
-  if (a.body.size() > balancing::kMostPeerBytes) {
+void Planner::Do(const balancing::SendPeerMessage& a) {
+  if (a.body.size() > balancing::kMaxPeerMessageBytes) {
     counters_->peers.too_long += 1;
     return;
   }
   counters_->peers_out += 1;
-  hooks_.tell_peer(a.whom, a.body);
+  hooks_.tell_peer(a.recipient, a.body);
 }
 void Planner::Do(const balancing::Subscribe& a) { hooks_.subscribe(a.enable); }
-void Planner::Do(const balancing::FetchList&) { hooks_.fetch_list(); }
+void Planner::Do(const balancing::FetchEndpoints&) { hooks_.fetch_list(); }
 void Planner::Do(const balancing::Log& a) { hooks_.log(a.line); }
 
 void Planner::Answer(RequestId id, Entry* entry, FinalAnswer answer) {
@@ -583,21 +589,21 @@
     if (!entry->attempts[i].open) continue;
     if (ForwarderPort* port = PortOf(id)) port->Cancel(id, static_cast<int>(i));
     const bool waiting = SurelyWaiting(id, entry->attempts[i]);
-    End(id, entry, i, {.verdict = waiting ? Verdict::kNotSent : Verdict::kNoAnswer});
+    End(id, entry, i, {.status = waiting ? AttemptStatus::kNotSent : AttemptStatus::kNoResponse});
     entry = Find(id);
     if (entry == nullptr) return;
   }
   if (entry->answered) return;
   // The module held it without an attempt (it still waited for probes): the ledger answers.
   const bool may_have_run = entry->MayHaveRun();
-  const double aim = settings_.classes[static_cast<std::size_t>(entry->cls)].aim_s;
+  const double aim = settings_.classes[static_cast<std::size_t>(entry->cls)].latency_objective_s;
   const double advice = settings_.retry_after ? std::min(settings_.max_retry_after_s, aim) : 0;
   Answer(id, entry,
          may_have_run ? FinalAnswer{}
                       : FinalAnswer{.kind = FinalAnswer::Kind::kRefused, .retry_after_s = advice});
   Post([this, id] {
     const std::string name = std::to_string(id);
-    Deliver(balancing::JobGone{name});
+    Deliver(balancing::RequestCancelled{name});
     Forget(id);
   });
 }
@@ -633,7 +639,8 @@
 
 void Planner::TakeOver(const std::vector<Known>& known, std::string_view learned,
                        const std::vector<int>& classes) {
-  if (!balancer_.Learn(learned, classes)) hooks_.log("what the other process learned is no use");
+  if (!balancer_.RestoreState(learned, classes))
+    hooks_.log("what the other process learned is no use");
   for (const Known& k : known) {
     Worker& worker_state = workers_[k.member.worker];
     worker_state.member = k.member;
@@ -655,23 +662,24 @@
 }
 
 void Planner::OtherProcess(bool present, bool leaving) {
-  Post([this, present, leaving] { Deliver(balancing::Mate{present, leaving}); });
+  Post([this, present, leaving] { Deliver(balancing::SiblingProcess{present, leaving}); });
 }
 
-void Planner::ToldDown(const Member& member) {
+void Planner::ToldDown(const Endpoint& member) {
   const auto it = workers_.find(member.worker);
-  if (it != workers_.end() && (it->second.local || it->second.member.born_s > member.born_s))
+  if (it != workers_.end() &&
+      (it->second.local || it->second.member.started_at_s > member.started_at_s))
     return;
-  if (member.readiness != Readiness::kReady) ListKnown(ListKind::kUpdate, {member});
+  if (member.readiness != Readiness::kReady) ListKnown(EndpointListKind::kIncremental, {member});
 }
 
-void Planner::HeardDown(const std::string& worker, double born_s, bool gone) {
+void Planner::HeardDown(const std::string& worker, double started_at_s, bool gone) {
   const auto it = workers_.find(worker);
   if (it == workers_.end()) return;
-  balancing::Member member = it->second.member;
+  balancing::Endpoint member = it->second.member;
   const Readiness told = gone ? Readiness::kGone : Readiness::kDraining;
   if (member.readiness >= told) return;
-  member.born_s = born_s;
+  member.started_at_s = started_at_s;
   member.readiness = told;
   ToldDown(member);
 }
--- a/src/core/planner.h
+++ b/src/core/planner.h
@@ -34,7 +34,7 @@
     std::function<bool()> list_overdue = [] { return false; };
     std::function<void(int, const std::string&)> tell_peer = [](int, const std::string&) {};
     std::function<void(const std::string&)> log = [](const std::string&) {};
-    std::function<balancing::Parts()> parts;  // where nodes agree on them; none: no cluster
+    std::function<balancing::FleetShare()> parts;  // where nodes agree on them; none: no cluster
     std::function<void(const std::string&)> took = [](const std::string&) {};  // a Request-Id
     // Before an attempt for a promise (its handle) goes out; `own`: the worker is one that
     // connected here by itself. It may once `then(true)` comes, at once or later; `repeatable`: it
@@ -44,11 +44,11 @@
         before_send = {};
   };
 
-  Planner(const balancing::Settings& settings, std::uint64_t seed, Deadlines* deadlines, Hooks hooks,
-          Counters* counters, const scheduling::Options& options = {});
+  Planner(const balancing::Settings& settings, std::uint64_t seed, Deadlines* deadlines,
+          Hooks hooks, Counters* counters, const scheduling::Options& options = {});
 
   // Tells the module that it lives and what it last knew. Call once, before anything else.
-  void Start(const std::vector<balancing::Member>& known);
+  void Start(const std::vector<balancing::Endpoint>& known);
   // A forwarder takes part from now on; its requests carry the number returned. In process, its
   // word of a start cannot be under way while we decide.
   std::uint64_t AddForwarder(ForwarderPort* port, bool in_process);
@@ -60,8 +60,8 @@
   void Began(RequestId id, int attempt);
   void Ended(RequestId id, int attempt, const Outcome& outcome);
   void Probed(const std::string& worker, const Outcome& outcome);
-  void LocalWorker(std::uint64_t forwarder, const balancing::Member& member);
-  void ListKnown(balancing::ListKind kind, const std::vector<balancing::Member>& members);
+  void LocalWorker(std::uint64_t forwarder, const balancing::Endpoint& member);
+  void ListKnown(balancing::EndpointListKind kind, const std::vector<balancing::Endpoint>& members);
   void PeerSaid(int sender, const std::string& body);
   // An operator takes a worker out of service, or puts it back. The state stands over whatever
   // lists say; one call back undoes any number out. False if no such worker was ever listed.
@@ -80,21 +80,21 @@
   // While a process is replaced, two planners are one. What is known of a worker goes from the
   // old one to the new: when a drain was told or it was taken out, each -1 if it was not.
   struct Known {
-    balancing::Member member;
+    balancing::Endpoint member;
     double drain_told_at = -1, out_since = -1;
   };
   std::vector<Known> Knowledge() const;
   // Before Start: what the other knew, and what its module had learned.
   void TakeOver(const std::vector<Known>& known, std::string_view learned,
                 const std::vector<int>& classes);
-  std::string Learned() const { return balancer_.Learned(); }
+  std::string Learned() const { return balancer_.SaveState(); }
   std::vector<std::string> Ids() const;      // all that may not come again
   void IdTaken(const std::string& wire_id);  // by the other
   void OtherProcess(bool present, bool leaving);
   // The other was told that a worker drains or is gone: so were we, unless we know a later start.
-  void ToldDown(const balancing::Member& member);
+  void ToldDown(const balancing::Endpoint& member);
   // The same from another node, which names the start that it speaks of.
-  void HeardDown(const std::string& worker, double born_s, bool gone);
+  void HeardDown(const std::string& worker, double started_at_s, bool gone);
   bool Knows(const std::string& worker) const { return workers_.contains(worker); }
 
   std::size_t open_requests() const { return ledger_.size(); }
@@ -120,7 +120,7 @@
     bool held = false;   // it waits for a promise to be written, or for the list
   };
   struct Entry {
-    int cls = 0, most_tries = 1;
+    int cls = 0, max_attempts = 1;
     std::string wire_id, promise;
     bool answered = false;
     std::vector<Attempt> attempts;
@@ -128,7 +128,7 @@
     bool MayHaveRun() const;
   };
   struct Worker {
-    balancing::Member member;
+    balancing::Endpoint member;
     double drain_told_at = -1;    // when it was first told to drain or be gone; -1: in service
     std::uint64_t forwarder = 0;  // owner, for one that connects by itself
     bool local = false;
@@ -137,16 +137,16 @@
 
   void Post(std::function<void()> event);
   void Deliver(const balancing::Event& event);
-  void Do(const balancing::Send& a);
-  void Do(const balancing::Refuse& a);
-  void Do(const balancing::Fail& a);
+  void Do(const balancing::SendAttempt& a);
+  void Do(const balancing::RejectRequest& a);
+  void Do(const balancing::FailRequest& a);
   void Do(const balancing::CancelAttempt& a);
   void Do(const balancing::SetTimer& a);
   void Do(const balancing::Probe& a);
-  void Do(const balancing::TellPeer& a);
+  void Do(const balancing::SendPeerMessage& a);
   void Do(const balancing::Subscribe& a);
-  void Do(const balancing::FetchList& a);
-  void Do(const balancing::Hold&) {}  // the desk keeps it
+  void Do(const balancing::FetchEndpoints& a);
+  void Do(const balancing::AwaitCapacity&) {}  // the desk keeps it
   void Do(const balancing::Log& a);
 
   Entry* Find(RequestId id);
@@ -157,7 +157,7 @@
                      std::size_t itself = static_cast<std::size_t>(-1)) const;
   const char* WhyNotAgain(const Attempt& before, const balancing::ClassSettings& cls,
                           const Worker& worker_state) const;
-  bool TakeUp(const Request& request, Entry* entry, std::vector<balancing::TriedElsewhere>* tried);
+  bool TakeUp(const Request& request, Entry* entry, std::vector<balancing::PreviousAttempt>* tried);
   bool Repeatable(int cls) const;
   void ListCame();
   void Dispatch(RequestId id, std::size_t attempt, const std::string& worker, double timeout_s);
@@ -166,7 +166,7 @@
   void Answer(RequestId id, Entry* entry, FinalAnswer answer);
   void Expire(RequestId id);
   void Forget(RequestId id);
-  void Note(const balancing::Member& member, bool local, std::uint64_t forwarder);
+  void Note(const balancing::Endpoint& member, bool local, std::uint64_t forwarder);
   void RememberId(std::string wire_id);
   void ForgetWhatTheModuleForgot();
 
@@ -191,7 +191,7 @@
   std::vector<Waiting> waiting_;  // sends, for the list
   std::deque<std::function<void()>> queue_;
   bool running_ = false;
-  balancing::Parts parts_;  // as last agreed on, where nodes do
+  balancing::FleetShare parts_;  // as last agreed on, where nodes do
   double parts_at_ = 0;
   DemandMeter demand_;
   std::size_t pending_ = 0;
@@ -210,7 +210,7 @@
     planner_->Ended(id, attempt, o);
   }
   void Probed(const std::string& worker, const Outcome& o) override { planner_->Probed(worker, o); }
-  void WorkerChanged(const balancing::Member& m) override { planner_->LocalWorker(me_, m); }
+  void WorkerChanged(const balancing::Endpoint& m) override { planner_->LocalWorker(me_, m); }
 
  private:
   Planner* planner_;
--- a/src/core/planner_link.h
+++ b/src/core/planner_link.h
@@ -18,7 +18,7 @@
   virtual void Ended(RequestId id, int attempt, const Outcome& outcome) = 0;
   virtual void Probed(const std::string& worker, const Outcome& outcome) = 0;
   // A worker that connects to the forwarder by itself (Gearman) came, drains or went.
-  virtual void WorkerChanged(const balancing::Member& member) = 0;
+  virtual void WorkerChanged(const balancing::Endpoint& member) = 0;
 };
 
 class ForwarderPort {
--- a/src/core/request.h
+++ b/src/core/request.h
@@ -11,7 +11,7 @@
 
 namespace millethollow {
 
-using balancing::Verdict;
+using balancing::AttemptStatus;
 
 // Unique over all forwarders of a planner: the forwarder's number stands in the top 16 bits.
 using RequestId = std::uint64_t;
@@ -40,7 +40,7 @@
 };
 
 struct Outcome {
-  Verdict verdict = Verdict::kServed;
+  AttemptStatus status = AttemptStatus::kSucceeded;
   double latency_s = 0;
   bool clients_fault = false;  // an error that is the request's own: any worker would say so
   bool has_report = false;
@@ -56,8 +56,9 @@
   std::vector<std::string> ran_at = {};  // of a promise: workers where it may have run
 };
 
-inline bool NeverRan(Verdict v) {
-  return v == Verdict::kTurnedAway || v == Verdict::kNoConnection || v == Verdict::kNotSent;
+inline bool NeverRan(AttemptStatus v) {
+  return v == AttemptStatus::kRejected || v == AttemptStatus::kConnectFailed ||
+         v == AttemptStatus::kNotSent;
 }
 
 // How the jobs of a class ended. Each end is counted once, where the ledger decides it.
--- a/src/membership/cluster.h
+++ b/src/membership/cluster.h
@@ -62,8 +62,8 @@
   }
   // A worker is taken out by hand or put back; as Facts::Say.
   std::uint64_t Say(double now, const std::string& worker, bool out, Actions* actions);
-  void Told(double now, const std::string& worker, double born_s, bool gone) {
-    facts_.Told(now, worker, born_s, gone);
+  void Told(double now, const std::string& worker, double started_at_s, bool gone) {
+    facts_.Told(now, worker, started_at_s, gone);
   }
   void Restore(double now, const Fact& fact) { facts_.Restore(now, fact); }
   double NextAt() const;
--- a/src/membership/facts.cpp
+++ b/src/membership/facts.cpp
@@ -102,14 +102,14 @@
   digest_ ^= before ^ DigestOf(facts_[worker].fact);
 }
 
-void Facts::Told(double now, const std::string& worker, double born_s, bool gone) {
+void Facts::Told(double now, const std::string& worker, double started_at_s, bool gone) {
   Kept* kept = Keep(now, worker);
   if (kept == nullptr) return;
   kept->spoken_at = now;
   const std::uint8_t down = gone ? 2 : 1;
-  if (std::pair(born_s, down) <= std::pair(kept->fact.born_s, kept->fact.down)) return;
+  if (std::pair(started_at_s, down) <= std::pair(kept->fact.started_at_s, kept->fact.down)) return;
   const std::uint64_t before = DigestOf(kept->fact);
-  kept->fact.born_s = born_s;
+  kept->fact.started_at_s = started_at_s;
   kept->fact.down = down;
   Changed(worker, before);
   StartTelling(worker, false);
@@ -126,9 +126,9 @@
     auto& mine = own.calls[life];
     mine = {std::max(mine.first, calls.first), std::max(mine.second, calls.second)};
   }
-  const bool down = std::pair(fact.born_s, fact.down) > std::pair(own.born_s, own.down);
+  const bool down = std::pair(fact.started_at_s, fact.down) > std::pair(own.started_at_s, own.down);
   if (down) {
-    own.born_s = fact.born_s;
+    own.started_at_s = fact.started_at_s;
     own.down = fact.down;
   }
   if (own == old) return;
--- a/src/membership/facts.h
+++ b/src/membership/facts.h
@@ -26,7 +26,7 @@
   std::map<Life, std::pair<std::uint32_t, std::uint32_t>> calls;
   // The latest drain that was told: the worker's start that it speaks of (Unix seconds), and what:
   // 0 nothing, 1 drains, 2 gone.
-  double born_s = 0;
+  double started_at_s = 0;
   std::uint8_t down = 0;
   bool Out() const;
   bool operator==(const Fact&) const = default;
@@ -65,7 +65,7 @@
   // `alive`: the other members that are there. Returns the number under which heard_of comes, and 0
   // where the store is full of workers that are out.
   std::uint64_t Say(double now, const std::string& worker, bool out, Actions* actions);
-  void Told(double now, const std::string& worker, double born_s, bool gone);
+  void Told(double now, const std::string& worker, double started_at_s, bool gone);
   // What this member's disk had: before any other event. Told to nobody; comparing finds it.
   void Restore(double now, const Fact& fact);
   void Hear(double now, NodeId from, const FactNews& news, Actions* actions);
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -312,7 +312,7 @@
   for (const std::string& worker : actions->facts.out) hooks_.maintain(worker, true);
   for (const std::string& worker : actions->facts.back) hooks_.maintain(worker, false);
   for (const membership::Fact& f : actions->facts.down) {
-    hooks_.down(f.worker, f.born_s, f.down == 2);
+    hooks_.down(f.worker, f.started_at_s, f.down == 2);
   }
   for (const std::uint64_t number : actions->facts.heard_of) {
     const auto waiting = waiting_.find(number);
@@ -381,8 +381,8 @@
   heard(false);
 }
 
-void Member::Told(const std::string& worker, double born_s, bool gone) {
-  cluster_->Told(Now(), worker, born_s, gone);
+void Member::Told(const std::string& worker, double started_at_s, bool gone) {
+  cluster_->Told(Now(), worker, started_at_s, gone);
   Arm();
 }
 
@@ -395,11 +395,12 @@
 
 bool Member::Leased() const { return cluster_ && cluster_->agreement().Leased(Now()); }
 double Member::LeaseLeft() const { return cluster_ ? cluster_->agreement().LeaseLeft(Now()) : 0; }
-balancing::Parts Member::Parts() const {
+balancing::FleetShare Member::Parts() const {
   const double now = Now();
   const membership::Agreement& a = cluster_->agreement();
   const int members = a.Leased(now) ? static_cast<int>(a.view().members.size()) : 0;
-  balancing::Parts parts{.part = cluster_->Part(now), .members = members, .epoch = a.view().epoch};
+  balancing::FleetShare parts{
+      .part = cluster_->Part(now), .members = members, .epoch = a.view().epoch};
   if (quota_) parts.tenant_rates = quota_->Rates();
   return parts;
 }
--- a/src/net/cluster/member.h
+++ b/src/net/cluster/member.h
@@ -13,8 +13,8 @@
 #include <vector>
 
 #include "config/cluster.h"
-#include "millethollow/balancing/load_balancer.h"
 #include "membership/cluster.h"
+#include "millethollow/balancing/load_balancer.h"
 #include "net/cluster/copy_keeper.h"
 #include "net/cluster/fact_keeper.h"
 #include "net/cluster/frame.h"
@@ -37,7 +37,7 @@
   // What others said, to be done here too.
   struct Hooks {
     std::function<void(const std::string& worker, bool out)> maintain;
-    std::function<void(const std::string& worker, double born_s, bool gone)> down;
+    std::function<void(const std::string& worker, double started_at_s, bool gone)> down;
     // By tenant, where quotas are leased: jobs per second that came in lately.
     std::function<std::vector<double>()> tenant_demand = {};
   };
@@ -59,7 +59,7 @@
   // An operator took a worker out at this node, or put it back: so it is at all.
   void Say(const std::string& worker, bool out, Heard heard);
   // Discovery told this node that a worker drains or is gone.
-  void Told(const std::string& worker, double born_s, bool gone);
+  void Told(const std::string& worker, double started_at_s, bool gone);
   bool Out(const std::string& worker) const { return cluster_->facts().Out(worker); }
   // Does it know what the others know, or that nobody is there?
   bool Synced() const { return cluster_->facts().synced(); }
@@ -69,8 +69,8 @@
 
   // With a clock read now, so that a stop that nobody noticed counts.
   bool Leased() const;
-  double LeaseLeft() const;       // seconds
-  balancing::Parts Parts() const;  // of what the whole cluster may do
+  double LeaseLeft() const;             // seconds
+  balancing::FleetShare Parts() const;  // of what the whole cluster may do
   const membership::Cluster& decisions() const { return *cluster_; }
   // Copies of what members hold for others; null: this one has no store.
   CopyKeeper* copies() const { return copies_.get(); }
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -9,7 +9,7 @@
 
 namespace millethollow {
 
-using balancing::ListKind;
+using balancing::EndpointListKind;
 using balancing::Readiness;
 using Json = nlohmann::json;
 
@@ -63,8 +63,8 @@
 
 }  // namespace
 
-std::vector<balancing::Member> ServerList::Members() const {
-  std::vector<balancing::Member> members;
+std::vector<balancing::Endpoint> ServerList::Members() const {
+  std::vector<balancing::Endpoint> members;
   for (const ListEntry& e : entries) members.push_back(e.member);
   return members;
 }
@@ -99,7 +99,7 @@
     entry.member.capacity = Number(s, "weight", 1.0);
     entry.member.slots = std::clamp(Number(s, "slots", 0), 0.0, 1e6);
     entry.member.memory = std::clamp(Number(s, "memory", 0), 0.0, 1e12);
-    entry.member.born_s = Number(s, "started_ms", 0) / 1000;  // the loop's clock is Unix time
+    entry.member.started_at_s = Number(s, "started_ms", 0) / 1000;  // the loop's clock is Unix time
     list->entries.push_back(std::move(entry));
   }
   return true;
@@ -211,7 +211,7 @@
     const double most = std::min(kCrowdWaitS, kMostWaitS * options_.nodes / kCrowd);
     return most * (1 - kCrowdWaitSpread * Unit());
   }
-  return std::min(kMostWaitS, std::max(1.0, options_.ask_within_s * 0.8));
+  return std::min(kMostWaitS, std::max(1.0, options_.max_poll_interval_s * 0.8));
 }
 
 double Discovery::Unit() {
@@ -313,7 +313,7 @@
     }
   }
   if (list.version > 0) version_ = std::max(version_, list.version);
-  hooks_.known(list.full ? ListKind::kReplace : ListKind::kUpdate, list);
+  hooks_.known(list.full ? EndpointListKind::kSnapshot : EndpointListKind::kIncremental, list);
 }
 
 // From here on the new address has the last word on who is in service. But a drain that only the
@@ -326,7 +326,7 @@
                 [](const ListEntry& e) { return e.member.readiness == Readiness::kReady; });
   if (list.entries.empty()) return;
   RememberDown(list);
-  hooks_.known(ListKind::kUpdate, list);
+  hooks_.known(EndpointListKind::kIncremental, list);
 }
 
 // The first list of a new address may be older than what the old one told: nobody is back in
@@ -336,7 +336,7 @@
   bool kept = false;
   for (ListEntry& e : list->entries) {
     const auto it = down_.find(e.member.worker);
-    if (it == down_.end() || e.member.born_s > it->second) continue;
+    if (it == down_.end() || e.member.started_at_s > it->second) continue;
     if (e.member.readiness != Readiness::kReady) continue;
     e.member.readiness = Readiness::kDraining;
     kept = true;
@@ -354,7 +354,7 @@
     if (e.member.readiness == Readiness::kReady) {
       down_.erase(e.member.worker);
     } else {
-      down_[e.member.worker] = e.member.born_s;
+      down_[e.member.worker] = e.member.started_at_s;
     }
   }
 }
@@ -389,9 +389,9 @@
     // The module asks again in its own time; should it not, we do, later each time, and always
     // within the time that the list may be left unasked.
     const double unit = Unit();
-    const double most = 0.4 * options_.ask_within_s;
-    double wait =
-        std::min(most, 0.5 * (1 << failures_)) * (0.75 + 0.5 * unit) + 0.1 * options_.ask_within_s;
+    const double most = 0.4 * options_.max_poll_interval_s;
+    double wait = std::min(most, 0.5 * (1 << failures_)) * (0.75 + 0.5 * unit) +
+                  0.1 * options_.max_poll_interval_s;
     if (loop_->Now() - moved_at_ < kMoveS) wait = kMoveRetryS * (0.75 + 0.5 * unit);
     loop_->deadlines().Drop(&retry_);
     retry_ = loop_->deadlines().At(loop_->Now() + wait, [this] {
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -9,14 +9,14 @@
 #include <string_view>
 #include <vector>
 
-#include "millethollow/balancing/load_balancer.h"
 #include "membership/call_pace.h"
+#include "millethollow/balancing/load_balancer.h"
 #include "net/loop.h"
 
 namespace millethollow {
 
 struct ListEntry {
-  balancing::Member member;
+  balancing::Endpoint member;
   std::string address;
   std::size_t most_out = 0;  // requests out at once that it may have of a forwarder; 0: any
 };
@@ -25,7 +25,7 @@
   long long version = 0;
   bool full = false;
   std::vector<ListEntry> entries;
-  std::vector<balancing::Member> Members() const;
+  std::vector<balancing::Endpoint> Members() const;
 };
 
 // Reads a list in discovery's form. False, with `why`, where the whole is unusable; single bad
@@ -39,14 +39,14 @@
  public:
   struct Options {
     std::string address;
-    double ask_within_s = 10;
+    double max_poll_interval_s = 10;
     std::vector<std::string> zones, kinds;
     std::uint64_t seed = 0;
     double drain_grace_s = 2;  // for which a worker that was told to end may be sent to
     int nodes = 1;  // that ask the same discovery: many ask less often, and not all at once
   };
   struct Hooks {
-    std::function<void(balancing::ListKind, const ServerList&)> known;
+    std::function<void(balancing::EndpointListKind, const ServerList&)> known;
     std::function<void()> unavailable;
   };
   Discovery(Loop* loop, Options options, Hooks hooks);
--- a/src/net/forwarder.cpp
+++ b/src/net/forwarder.cpp
@@ -78,7 +78,7 @@
   const auto it = held_.find(id);
   WorkerDriver* driver = DriverOf(worker);
   if (it == held_.end() || it->second.answered || driver == nullptr) {
-    if (link_ != nullptr) link_->Ended(id, attempt, {.verdict = Verdict::kNotSent});
+    if (link_ != nullptr) link_->Ended(id, attempt, {.status = AttemptStatus::kNotSent});
     return;
   }
   it->second.attempts[attempt] = driver;
@@ -99,7 +99,7 @@
 
 void Forwarder::Probe(const std::string& worker) {
   if (WorkerDriver* driver = DriverOf(worker)) return driver->Probe(worker);
-  ProbeEnded(worker, {.verdict = Verdict::kNoConnection});
+  ProbeEnded(worker, {.status = AttemptStatus::kConnectFailed});
 }
 
 void Forwarder::Answer(RequestId id, const FinalAnswer& answer) {
@@ -126,8 +126,8 @@
                              std::string result) {
   const auto it = held_.find(id);
   if (it == held_.end() || it->second.attempts.erase(attempt) == 0) return;
-  if (!NeverRan(outcome.verdict)) it->second.may_have_run = true;
-  if (outcome.verdict == Verdict::kServed && !it->second.answered) {
+  if (!NeverRan(outcome.status)) it->second.may_have_run = true;
+  if (outcome.status == AttemptStatus::kSucceeded && !it->second.answered) {
     it->second.results[attempt] = std::move(result);
   }
   if (link_ != nullptr) link_->Ended(id, attempt, outcome);
--- a/src/net/gearman/front.cpp
+++ b/src/net/gearman/front.cpp
@@ -7,7 +7,7 @@
 
 namespace millethollow::gearman {
 
-using balancing::Column;
+using balancing::LoadMetric;
 using balancing::Readiness;
 
 namespace {
@@ -90,7 +90,7 @@
   const bool known = workers_.contains(worker->name());
   if (!able && !known) return;
   workers_[worker->name()] = worker;
-  balancing::Member m;
+  balancing::Endpoint m;
   m.worker = worker->name();
   m.zone = config_.gearman_zone;
   m.kind = config_.gearman_kind;
@@ -99,7 +99,7 @@
   m.slots = 1;  // it grabs one job at a time
   m.cell = config_.gearman_cell >= 0 ? config_.gearman_cell : worker->cell();
   // Never cold: it grabs one job at a time, so no rate of ours can push it over.
-  m.born_s = 0;
+  m.started_at_s = 0;
   m.readiness = worker->closed()            ? Readiness::kGone
                 : !able || worker->drains() ? Readiness::kDraining
                                             : Readiness::kReady;
@@ -143,15 +143,15 @@
   const auto it = workers_.find(name);
   const Request& e = held.request;
   if (it == workers_.end() || it->second->closed()) {
-    return forwarder_->AttemptEnded(e.id, attempt, {.verdict = Verdict::kNoConnection});
+    return forwarder_->AttemptEnded(e.id, attempt, {.status = AttemptStatus::kConnectFailed});
   }
   Peer* worker = it->second;
   const std::string function = FunctionFor(held, *worker);
   if (function.empty()) {
-    return forwarder_->AttemptEnded(e.id, attempt, {.verdict = Verdict::kNotSent});
+    return forwarder_->AttemptEnded(e.id, attempt, {.status = AttemptStatus::kNotSent});
   }
   if (worker->tasks() >= kMostTasks || worker->drains()) {
-    return forwarder_->AttemptEnded(e.id, attempt, {.verdict = Verdict::kTurnedAway});
+    return forwarder_->AttemptEnded(e.id, attempt, {.status = AttemptStatus::kRejected});
   }
   const auto job = FindRequest(e.id);
   Task task;
@@ -176,7 +176,7 @@
 void Front::Withdraw(RequestId id, int attempt) {
   for (const auto& [name, worker] : workers_) {
     if (!worker->Withdraw(id, attempt)) continue;
-    return forwarder_->AttemptEnded(id, attempt, {.verdict = Verdict::kNotSent});
+    return forwarder_->AttemptEnded(id, attempt, {.status = AttemptStatus::kNotSent});
   }
 }
 
@@ -185,18 +185,19 @@
   Outcome outcome;
   const auto it = workers_.find(worker);
   if (it == workers_.end() || it->second->closed()) {
-    outcome.verdict = Verdict::kNoConnection;
+    outcome.status = AttemptStatus::kConnectFailed;
   } else {
-    const auto& columns = config_.settings.report_columns;
+    const auto& columns = config_.settings.load_report_metrics;
     const std::size_t running = it->second->assigned(), queued = it->second->queue().size();
     outcome.has_report = true;
     for (std::size_t i = 0; i < columns.size() && i < 4; ++i) {
-      outcome.report[i] = columns[i] == Column::kFreeSlots    ? running + queued > 0 ? 0 : 1
-                          : columns[i] == Column::kFreeMemory ? 1e6
-                          : columns[i] == Column::kBusy       ? running > 0
-                          : columns[i] == Column::kQueued     ? static_cast<double>(queued)
-                          : columns[i] == Column::kHeld ? static_cast<double>(running + queued)
-                                                        : 0;
+      outcome.report[i] = columns[i] == LoadMetric::kFreeSlots     ? running + queued > 0 ? 0 : 1
+                          : columns[i] == LoadMetric::kFreeMemory  ? 1e6
+                          : columns[i] == LoadMetric::kUtilization ? running > 0
+                          : columns[i] == LoadMetric::kQueued      ? static_cast<double>(queued)
+                          : columns[i] == LoadMetric::kInFlight
+                              ? static_cast<double>(running + queued)
+                              : 0;
     }
   }
   forwarder_->ProbeEnded(worker, outcome);
--- a/src/net/gearman/jobs.cpp
+++ b/src/net/gearman/jobs.cpp
@@ -21,8 +21,8 @@
 }  // namespace
 
 bool Front::Keyed(int cls) const {
-  return config_.settings.classes[static_cast<std::size_t>(cls)].semantics !=
-         balancing::Semantics::kRepeatable;
+  return config_.settings.classes[static_cast<std::size_t>(cls)].idempotency !=
+         balancing::Idempotency::kIdempotent;
 }
 
 std::shared_ptr<Job> Front::FindHandle(std::string_view handle) const {
@@ -117,7 +117,8 @@
   held.request.wire_id = job.handle;
   held.request.body = body;
   held.request.expires_at =
-      forwarder_->loop()->Now() + config_.settings.classes[static_cast<std::size_t>(cls)].give_up_s;
+      forwarder_->loop()->Now() +
+      config_.settings.classes[static_cast<std::size_t>(cls)].client_timeout_s;
   // An HTTP worker may get it too: its key must be a plain word there.
   char hashed[40];
   std::snprintf(hashed, sizeof hashed, "%016zx%016zx", std::hash<std::string>()(job.unique),
@@ -255,10 +256,11 @@
     for (const auto& [kind, part] : parts) Tell(*job, Response(kind, {job->handle, part}));
     Tell(*job, Response(Type::kWorkComplete, {job->handle, result}));
     const auto& c = config_.settings.classes[static_cast<std::size_t>(held.request.cls)];
-    if (Keyed(held.request.cls) && !job->unique.empty() && c.window_s > 0) {
+    if (Keyed(held.request.cls) && !job->unique.empty() && c.deduplication_window_s > 0) {
       MakeRoom();
-      finished_[{job->function, job->unique}] = {job->handle, result, std::move(parts),
-                                                 forwarder_->loop()->Now() + c.window_s};
+      finished_[{job->function, job->unique}] = {
+          job->handle, result, std::move(parts),
+          forwarder_->loop()->Now() + c.deduplication_window_s};
     }
   } else {
     std::string exception = job->exception.empty() ? "failed" : job->exception;
--- a/src/net/gearman/peer.h
+++ b/src/net/gearman/peer.h
@@ -102,7 +102,7 @@
       draining_ = true;
       front_->SetReady(this);
     }
-    ReturnQueue(Verdict::kTurnedAway);
+    ReturnQueue(AttemptStatus::kRejected);
   }
 
   void Finish(const char* reason) {
@@ -110,14 +110,14 @@
     const bool assign_unsent = assign_unsent_ && !Drained();
     loop_->deadlines().Drop(&limit_);
     Close(reason);
-    ReturnQueue(Verdict::kNoConnection);
+    ReturnQueue(AttemptStatus::kConnectFailed);
     // JOB_ASSIGN is the send. If its last byte went out, the job may have run.
     for (auto& [handle, task] : std::exchange(assigned_, {})) {
       Deadlines::Ticket limit = task.limit;
       loop_->deadlines().Drop(&limit);
       if (task.orphan) continue;
       const bool never = assign_unsent && handle == last_assigned_;
-      End(task, never ? Verdict::kNoConnection : Verdict::kConnectionLost);
+      End(task, never ? AttemptStatus::kConnectFailed : AttemptStatus::kConnectionLost);
     }
     abilities_.clear();
     front_->Drop(this);
@@ -289,7 +289,7 @@
     // yet.
     if (!task.promise.empty() && !front_->promises_->Acts(task.promise)) {
       Say(Response(Type::kNoJob, {}));
-      return End(task, Verdict::kNotSent);
+      return End(task, AttemptStatus::kNotSent);
     }
     const std::string handle = task.handle;
     assign_unsent_ = true;
@@ -301,7 +301,7 @@
     }
     if (closed()) {  // it could not take any more bytes: this one was never sent
       return front_->forwarder_->AttemptEnded(task.request, task.attempt,
-                                              {.verdict = Verdict::kNoConnection});
+                                              {.status = AttemptStatus::kConnectFailed});
     }
     const auto ability = abilities_.find(task.function);
     if (ability != abilities_.end() && ability->second > 0) {
@@ -311,7 +311,7 @@
         it->second.limit = Deadlines::kNone;
         if (it->second.orphan) return;
         it->second.orphan = true;  // the worker may still be at it
-        End(it->second, Verdict::kNoAnswer);
+        End(it->second, AttemptStatus::kNoResponse);
       });
     }
     const RequestId request = task.request;
@@ -345,7 +345,7 @@
       if (task.part_bytes > kMostParts) {
         task.orphan = true;
         task.parts.clear();
-        End(task, Verdict::kServerError);
+        End(task, AttemptStatus::kServerError);
       } else if (!task.orphan) {
         task.parts.emplace_back(type, data);
       }
@@ -359,7 +359,7 @@
     loop_->deadlines().Drop(&done.limit);
     assigned_.erase(it);
     if (done.orphan) return true;
-    if (type == Type::kWorkFail) return End(done, Verdict::kServerError), true;
+    if (type == Type::kWorkFail) return End(done, AttemptStatus::kServerError), true;
     std::string result;
     if (job) {
       front_->parts_[{done.request, done.attempt}] = std::move(done.parts);
@@ -372,7 +372,8 @@
     }
     front_->forwarder_->AttemptEnded(
         done.request, done.attempt,
-        {.verdict = Verdict::kServed, .latency_s = loop_->Now() - done.sent_at}, std::move(result));
+        {.status = AttemptStatus::kSucceeded, .latency_s = loop_->Now() - done.sent_at},
+        std::move(result));
     front_->parts_.erase({done.request, done.attempt});
     return true;
   }
@@ -382,12 +383,12 @@
     return true;
   }
 
-  void End(const Task& task, Verdict verdict) {
-    front_->forwarder_->AttemptEnded(
-        task.request, task.attempt, {.verdict = verdict, .latency_s = loop_->Now() - task.sent_at});
+  void End(const Task& task, AttemptStatus verdict) {
+    front_->forwarder_->AttemptEnded(task.request, task.attempt,
+                                     {.status = verdict, .latency_s = loop_->Now() - task.sent_at});
   }
 
-  void ReturnQueue(Verdict verdict) {
+  void ReturnQueue(AttemptStatus verdict) {
     for (const Task& task : std::exchange(queue_, {})) End(task, verdict);
   }
 
@@ -398,7 +399,7 @@
       unable.push_back(t);
       return true;
     });
-    for (const Task& task : unable) End(task, Verdict::kTurnedAway);
+    for (const Task& task : unable) End(task, AttemptStatus::kRejected);
   }
 
   Front* front_;
--- a/src/net/handover/succession.cpp
+++ b/src/net/handover/succession.cpp
@@ -10,7 +10,7 @@
 
 namespace millethollow::handover {
 
-using balancing::Member;
+using balancing::Endpoint;
 using balancing::Readiness;
 using link::Kind;
 using link::Reader;
@@ -200,7 +200,7 @@
       break;
     }
     case Kind::kMate:
-      parts_.planner->PeerSaid(parts_.planner->settings().ordinal, f.Rest());
+      parts_.planner->PeerSaid(parts_.planner->settings().dispatcher_index, f.Rest());
       break;
     case Kind::kUse:
       mate->clients = f.U64();
@@ -214,7 +214,7 @@
       break;
     }
     case Kind::kDown: {
-      const Member member = f.GetMember();
+      const Endpoint member = f.GetMember();
       if (f.Whole()) parts_.planner->ToldDown(member);
       break;
     }
--- a/src/net/http/worker_pool.cpp
+++ b/src/net/http/worker_pool.cpp
@@ -137,7 +137,7 @@
     Write("GET /_load HTTP/1.1\r\nHost: " + worker_ + "\r\n\r\n");
     probe_limit_ = loop_->deadlines().At(loop_->Now() + pool_->options_.probe_timeout_s, [this] {
       probe_limit_ = Deadlines::kNone;
-      Report({.verdict = Verdict::kNoAnswer});
+      Report({.status = AttemptStatus::kNoResponse});
       Finish("probe-timeout");
     });
   }
@@ -174,7 +174,7 @@
   bool Unwritten() const { return !pending_.empty() || !Drained(); }
   void Withdraw() {
     if (!busy_ || reported_ || !Unwritten()) return;
-    Report({.verdict = Verdict::kNotSent});
+    Report({.status = AttemptStatus::kNotSent});
     Finish("called-off");
   }
 
@@ -209,7 +209,7 @@
     if (!busy_) return Rest();
     if (pending_.empty()) return;
     if (!pool_->options_.may_act || !pool_->options_.may_act(promise_)) {
-      Report({.verdict = Verdict::kNotSent});
+      Report({.status = AttemptStatus::kNotSent});
       return Finish("not-ours");
     }
     WritePromised(std::exchange(pending_, {}));
@@ -239,7 +239,7 @@
       Digest();
       if (closed()) return;
       if (parser_.error() != 0) {
-        Report({.verdict = Verdict::kServerError});
+        Report({.status = AttemptStatus::kServerError});
         return Finish("nonsense");
       }
     }
@@ -266,10 +266,10 @@
     using What = JobLine::What;
     if (line.what == What::kStarted) return pool_->forwarder_->AttemptBegan(id_, attempt_);
     if (line.what == What::kRunning) return;
-    Outcome outcome{.verdict = line.what == What::kServed       ? Verdict::kServed
-                               : line.what == What::kTurnedAway ? Verdict::kTurnedAway
-                               : line.what == What::kLost       ? Verdict::kConnectionLost
-                                                                : Verdict::kServerError};
+    Outcome outcome{.status = line.what == What::kServed       ? AttemptStatus::kSucceeded
+                              : line.what == What::kTurnedAway ? AttemptStatus::kRejected
+                              : line.what == What::kLost       ? AttemptStatus::kConnectionLost
+                                                               : AttemptStatus::kServerError};
     // The load that comes with the end of an attempt: in the line, or in the answer's head. This
     // line ends the attempt before the answer does, so the head is read here too.
     if (const std::string* load = parser_.head().Get("Server-Load")) {
@@ -285,16 +285,16 @@
     if (!reported_) {
       Outcome outcome;
       if (id_ == 0) {
-        outcome.verdict = head.status == 200 ? Verdict::kServed : Verdict::kTurnedAway;
+        outcome.status = head.status == 200 ? AttemptStatus::kSucceeded : AttemptStatus::kRejected;
         if (head.status == 200) ReadReport(parser_.TakeBody(), pool_->options_.columns, &outcome);
       } else if (head.status == 200) {
         if (!line_.empty()) Line(std::exchange(line_, {}));  // a last line without its line end
         if (closed()) return;
-        outcome.verdict = Verdict::kConnectionLost;  // it ended before a last line
+        outcome.status = AttemptStatus::kConnectionLost;  // it ended before a last line
       } else {
         const std::string* mark = head.Get("Not-Started");
         const bool not_run = (head.status == 503 || head.status == 504) && mark && *mark == "1";
-        outcome.verdict = not_run ? Verdict::kTurnedAway : Verdict::kServerError;
+        outcome.status = not_run ? AttemptStatus::kRejected : AttemptStatus::kServerError;
         outcome.clients_fault = ClientsFault(head.status);
       }
       if (const std::string* load = head.Get("Server-Load")) {
@@ -347,7 +347,7 @@
     // Not by `connected_`: word of that may lag behind the bytes.
     const bool whole = !Unwritten();
     if (busy_) {
-      Report({.verdict = whole ? Verdict::kConnectionLost : Verdict::kNoConnection});
+      Report({.status = whole ? AttemptStatus::kConnectionLost : AttemptStatus::kConnectFailed});
     }
     Finish(connected_ ? reason : "no-connection");
   }
@@ -379,24 +379,25 @@
   for (WorkerConnection* idle : std::vector<WorkerConnection*>(pooled.idle)) idle->Finish("moved");
 }
 
-std::pair<WorkerConnection*, Verdict> WorkerPool::Get(const std::string& worker) {
+std::pair<WorkerConnection*, AttemptStatus> WorkerPool::Get(const std::string& worker) {
   const auto it = workers_.find(worker);
-  if (it == workers_.end() || !it->second.reachable) return {nullptr, Verdict::kNoConnection};
+  if (it == workers_.end() || !it->second.reachable)
+    return {nullptr, AttemptStatus::kConnectFailed};
   PooledWorker& pooled = it->second;
-  if (WorkerConnection* idle = TakeIdle(&pooled)) return {idle, Verdict::kServed};
+  if (WorkerConnection* idle = TakeIdle(&pooled)) return {idle, AttemptStatus::kSucceeded};
   DescriptorBudget& budget = forwarder_->loop()->budget();
   if (budget.WorkersFull() && !CloseOldestIdle()) {
-    return {nullptr, Verdict::kNotSent};
+    return {nullptr, AttemptStatus::kNotSent};
   }
   auto fresh = std::make_unique<WorkerConnection>(this, forwarder_->loop(), worker);
   WorkerConnection* raw = fresh.get();
   connections_.emplace(raw, std::move(fresh));
   budget.workers += 1;
-  if (raw->Open(pooled.address)) return {raw, Verdict::kServed};
+  if (raw->Open(pooled.address)) return {raw, AttemptStatus::kSucceeded};
   const bool ours = raw->closed();  // not even a socket was to be had
   raw->Finish("no-connection");
   if (ours) Drop(raw);
-  return {nullptr, ours ? Verdict::kNotSent : Verdict::kNoConnection};
+  return {nullptr, ours ? AttemptStatus::kNotSent : AttemptStatus::kConnectFailed};
 }
 
 WorkerConnection* WorkerPool::TakeIdle(PooledWorker* pooled) {
@@ -428,11 +429,11 @@
   const auto pooled = workers_.find(worker);
   if (pooled != workers_.end() && pooled->second.most_out > 0 &&
       pooled->second.out >= pooled->second.most_out) {
-    return forwarder_->AttemptEnded(held.request.id, attempt, {.verdict = Verdict::kTurnedAway});
+    return forwarder_->AttemptEnded(held.request.id, attempt, {.status = AttemptStatus::kRejected});
   }
   const auto [connection, why] = Get(worker);
   if (connection == nullptr) {
-    return forwarder_->AttemptEnded(held.request.id, attempt, {.verdict = why});
+    return forwarder_->AttemptEnded(held.request.id, attempt, {.status = why});
   }
   out_[{held.request.id, attempt}] = connection;
   pooled->second.out += 1;
@@ -441,7 +442,7 @@
 
 void WorkerPool::Probe(const std::string& worker) {
   const auto [connection, why] = Get(worker);
-  if (connection == nullptr) return forwarder_->ProbeEnded(worker, {.verdict = why});
+  if (connection == nullptr) return forwarder_->ProbeEnded(worker, {.status = why});
 
   connection->SendProbe();
 }
--- a/src/net/http/worker_pool.h
+++ b/src/net/http/worker_pool.h
@@ -58,7 +58,7 @@
   };
   // A connection, or why there is none. That we have no descriptor left says nothing of the next
   // worker.
-  std::pair<WorkerConnection*, Verdict> Get(const std::string& worker);
+  std::pair<WorkerConnection*, AttemptStatus> Get(const std::string& worker);
   WorkerConnection* TakeIdle(PooledWorker* pooled);
   void Release(WorkerConnection* connection);
   void Drop(WorkerConnection* connection);
--- a/src/net/link/frame.cpp
+++ b/src/net/link/frame.cpp
@@ -31,19 +31,19 @@
 }
 
 Writer& Writer::Put(const Outcome& o) {
-  U8(static_cast<std::uint8_t>(o.verdict)).Real(o.latency_s).U8(o.clients_fault).U8(o.has_report);
+  U8(static_cast<std::uint8_t>(o.status)).Real(o.latency_s).U8(o.clients_fault).U8(o.has_report);
   for (const double v : o.report) Real(v);
   return *this;
 }
 
-Writer& Writer::Put(const balancing::Member& m) {
+Writer& Writer::Put(const balancing::Endpoint& m) {
   return Text(m.worker)
       .U8(static_cast<std::uint8_t>(m.readiness))
       .I32(m.zone)
       .I32(m.kind)
       .I32(m.cell)
       .Real(m.capacity)
-      .Real(m.born_s);
+      .Real(m.started_at_s);
 }
 
 Writer& Writer::Raw(std::string_view v) {
@@ -94,8 +94,8 @@
 Outcome Reader::GetOutcome() {
   Outcome o;
   const std::uint8_t verdict = U8();
-  if (verdict > static_cast<std::uint8_t>(Verdict::kNotSent)) ok_ = false;
-  o.verdict = ok_ ? static_cast<Verdict>(verdict) : Verdict::kServerError;
+  if (verdict > static_cast<std::uint8_t>(AttemptStatus::kNotSent)) ok_ = false;
+  o.status = ok_ ? static_cast<AttemptStatus>(verdict) : AttemptStatus::kServerError;
   o.latency_s = Real();
   o.clients_fault = U8() != 0;
   o.has_report = U8() != 0;
@@ -103,8 +103,8 @@
   return o;
 }
 
-balancing::Member Reader::GetMember() {
-  balancing::Member m;
+balancing::Endpoint Reader::GetMember() {
+  balancing::Endpoint m;
   m.worker = Text();
   const std::uint8_t readiness = U8();
   if (readiness > static_cast<std::uint8_t>(balancing::Readiness::kGone)) ok_ = false;
@@ -113,7 +113,7 @@
   m.kind = I32();
   m.cell = I32();
   m.capacity = Real();
-  m.born_s = Real();
+  m.started_at_s = Real();
   return m;
 }
 
--- a/src/net/link/frame.h
+++ b/src/net/link/frame.h
@@ -57,7 +57,7 @@
   Writer& Real(double v);
   Writer& Text(std::string_view v);
   Writer& Put(const Outcome& o);
-  Writer& Put(const balancing::Member& m);
+  Writer& Put(const balancing::Endpoint& m);
   Writer& Raw(std::string_view v);  // the rest of the frame
   std::string Done();
 
@@ -77,7 +77,7 @@
   double Real();  // finite, or the frame is bad
   std::string Text();
   Outcome GetOutcome();
-  balancing::Member GetMember();
+  balancing::Endpoint GetMember();
   std::string Rest();
   bool ok() const { return ok_; }
   bool Whole() const { return ok_ && rest_.empty(); }  // all read, and nothing left over
--- a/src/net/link/link.cpp
+++ b/src/net/link/link.cpp
@@ -142,7 +142,7 @@
         return true;
       }
       case Kind::kWorker: {
-        balancing::Member member = f.GetMember();
+        balancing::Endpoint member = f.GetMember();
         member.slots = f.Real();
         if (!f.Whole()) return false;
         planner.LocalWorker(number_, member);
@@ -311,7 +311,7 @@
 void PlannerClient::Probed(const std::string& worker, const Outcome& outcome) {
   Write(Writer(Kind::kProbed).Text(worker).Put(outcome).Done());
 }
-void PlannerClient::WorkerChanged(const balancing::Member& member) {
+void PlannerClient::WorkerChanged(const balancing::Endpoint& member) {
   Write(Writer(Kind::kWorker).Put(member).Real(member.slots).Done());
 }
 
--- a/src/net/link/link.h
+++ b/src/net/link/link.h
@@ -58,7 +58,7 @@
   void Began(RequestId id, int attempt) override;
   void Ended(RequestId id, int attempt, const Outcome& outcome) override;
   void Probed(const std::string& worker, const Outcome& outcome) override;
-  void WorkerChanged(const balancing::Member& member) override;
+  void WorkerChanged(const balancing::Endpoint& member) override;
 
  private:
   friend class PlannerConnection;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -126,8 +126,8 @@
 bool Node::StartMember(std::string* why) {
   cluster::Member::Hooks hooks;
   hooks.maintain = [this](const std::string& worker, bool out) { Maintain(worker, out); };
-  hooks.down = [this](const std::string& worker, double born_s, bool gone) {
-    planner_->HeardDown(worker, born_s, gone);
+  hooks.down = [this](const std::string& worker, double started_at_s, bool gone) {
+    planner_->HeardDown(worker, started_at_s, gone);
   };
   hooks.tenant_demand = [this] { return planner_->TenantDemand(); };
   member_ = std::make_unique<cluster::Member>(&loop_, config_.cluster, TenantQuotas(),
@@ -168,8 +168,8 @@
   if (role_.kind == Role::Kind::kPlanner) config_.name += "-p" + std::to_string(role_.index);
   if (role_.kind == Role::Kind::kPlanner && config_.planners > 1) {
     // The planners of a deployment are peers of each other.
-    config_.settings.dispatchers = config_.planners;
-    config_.settings.ordinal = role_.index;
+    config_.settings.dispatcher_count = config_.planners;
+    config_.settings.dispatcher_index = role_.index;
     seed += static_cast<std::uint64_t>(role_.index) * 0x9e3779b97f4a7c15ULL;
     const auto me = static_cast<std::size_t>(role_.index);
     config_.settings.peers = config_.peers.size() == static_cast<std::size_t>(config_.planners);
@@ -178,7 +178,7 @@
   }
   // Whoever keeps the list speaks only when called: that it is pushed is said of the simulator's
   // wire.
-  if (!config_.discovery.empty()) config_.settings.discovery_ask = true;
+  if (!config_.discovery.empty()) config_.settings.polls_discovery = true;
   Planner::Hooks hooks;
   hooks.now = [this] { return loop_.Now(); };
   hooks.subscribe = [this](bool on) {
@@ -189,7 +189,7 @@
     if (discovery_) discovery_->Fetch();
   };
   hooks.tell_peer = [this](int whom, const std::string& body) {
-    if (whom == config_.settings.ordinal) {  // our own other process
+    if (whom == config_.settings.dispatcher_index) {  // our own other process
       if (succession_) succession_->TellMates(body);
     } else if (peers_)
       peers_->Tell(whom, body);
@@ -198,7 +198,7 @@
     if (succession_) succession_->TellId(id);
   };
   if (config_.cluster.on()) {
-    hooks.parts = [this] { return member_ ? member_->Parts() : balancing::Parts{}; };
+    hooks.parts = [this] { return member_ ? member_->Parts() : balancing::FleetShare{}; };
     hooks.before_send = [this](const std::string& promise, const std::string& worker, bool own,
                                bool repeatable, std::function<void(bool)> then) {
       if (!promised_) return then(false);
@@ -229,20 +229,20 @@
     discovery_ = std::make_unique<Discovery>(
         &loop_,
         Discovery::Options{.address = config_.discovery,
-                           .ask_within_s = config_.settings.ask_within_s,
+                           .max_poll_interval_s = config_.settings.max_poll_interval_s,
                            .zones = config_.zones,
                            .kinds = config_.kinds,
                            .seed = seed,
                            .drain_grace_s = config_.settings.drain_grace_s,
-                           .nodes = config_.settings.dispatchers},
-        Discovery::Hooks{
-            .known = [this](balancing::ListKind kind, const ServerList& l) { OnList(kind, l); },
-            .unavailable =
-                [this] {
-                  planner_->ListKnown(balancing::ListKind::kUnavailable, {});
-                  if (first_list_) first_list_->Failed();
-                  TakeOnceListed();
-                }});
+                           .nodes = config_.settings.dispatcher_count},
+        Discovery::Hooks{.known = [this](balancing::EndpointListKind kind,
+                                         const ServerList& l) { OnList(kind, l); },
+                         .unavailable =
+                             [this] {
+                               planner_->ListKnown(balancing::EndpointListKind::kUnavailable, {});
+                               if (first_list_) first_list_->Failed();
+                               TakeOnceListed();
+                             }});
   }
   ServerList known;
   if (config_.known != "{}" &&
@@ -337,8 +337,8 @@
   http::Names names{.classes = config_.classes, .tenants = config_.tenants, .keyed = {}};
   for (std::size_t c = 0; c < names.classes.size(); ++c) {
     if (!config_.live[c]) names.classes[c] = kNoName;
-    const auto semantics = config_.settings.classes[c].semantics;
-    names.keyed.push_back(semantics == balancing::Semantics::kByKey);
+    const auto idempotency = config_.settings.classes[c].idempotency;
+    names.keyed.push_back(idempotency == balancing::Idempotency::kIdempotentWithKey);
   }
   if (config_.settings.retry_after) {
     names.retry_after_s = std::min(kTurnedAwayS, config_.settings.max_retry_after_s);
@@ -414,7 +414,7 @@
     });
   }
   if (discovery_) discovery_->Move(config_.discovery);
-  if (fixed) OnList(balancing::ListKind::kReplace, known);
+  if (fixed) OnList(balancing::EndpointListKind::kSnapshot, known);
 }
 
 void Node::SetAddress(const std::string& worker, const std::string& address, std::size_t most_out) {
@@ -423,22 +423,22 @@
   if (server_) server_->SetAddress(worker, address, most_out);
 }
 
-void Node::OnList(balancing::ListKind kind, const ServerList& list) {
+void Node::OnList(balancing::EndpointListKind kind, const ServerList& list) {
   counters_.lists += 1;
   for (const ListEntry& e : list.entries) SetAddress(e.member.worker, e.address, e.most_out);
   for (const ListEntry& e : list.entries) {
     if (!member_ || !member_->Out(e.member.worker) || planner_->Knows(e.member.worker)) continue;
     // Taken out at another node before it was known here: it comes in without ever being free.
-    balancing::Member first = e.member;
+    balancing::Endpoint first = e.member;
     first.readiness = balancing::Readiness::kDraining;
-    planner_->ListKnown(balancing::ListKind::kUpdate, {first});
+    planner_->ListKnown(balancing::EndpointListKind::kIncremental, {first});
     Maintain(e.member.worker, true);
   }
   planner_->ListKnown(kind, list.Members());
   for (const ListEntry& e : list.entries) {
     const bool gone = e.member.readiness == balancing::Readiness::kGone;
     if (!member_ || e.member.readiness == balancing::Readiness::kReady) continue;
-    member_->Told(e.member.worker, e.member.born_s, gone);
+    member_->Told(e.member.worker, e.member.started_at_s, gone);
   }
   if (succession_) succession_->TellDown();
   if (first_list_) first_list_->Heard();
@@ -526,7 +526,7 @@
         << "app.members:" << members << "|g\n"
         << "app.members_unavailable:" << avoided << "|g\n";
   }
-  if (planner_) PrintPeers(counters_, planner_->desk().RefusedPeerMessages(), &out);
+  if (planner_) PrintPeers(counters_, planner_->desk().RejectedPeerMessages(), &out);
   if (planner_ && planner_->desk().on()) PrintScheduling(*planner_, &out);
   if (member_) out << member_->Figures();
   if (promised_) out << promised_->Figures();
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -62,7 +62,7 @@
   bool StartPlanner(std::uint64_t seed, std::string* why);
   bool StartForwarder(std::string* why);
   void SetAddress(const std::string& worker, const std::string& address, std::size_t most_out);
-  void OnList(balancing::ListKind kind, const ServerList& list);
+  void OnList(balancing::EndpointListKind kind, const ServerList& list);
   void CheckStopped();
   bool StartMember(std::string* why);
   void ServeOnceSynced(double until);
--- a/src/scheduling/desk.cpp
+++ b/src/scheduling/desk.cpp
@@ -14,12 +14,12 @@
 
 }  // namespace
 
-using balancing::Verdict;
+using balancing::AttemptStatus;
 
 Desk::Desk(const balancing::Settings& settings, std::uint64_t seed, const Options& options)
     : options_(options), settings_(settings), balancer_(settings, seed), scheduler_(options, seed) {
   if (!options_.on) return;
-  balancer_.KeepRoom(this);
+  balancer_.SetCapacityReservations(this);
   Configure(options);
 }
 
@@ -36,7 +36,7 @@
   }
   scheduler_.SetTenants(std::move(shares));
   for (std::size_t c = 0; c < settings_.classes.size(); ++c) {
-    scheduler_.estimates().Expect(static_cast<int>(c), settings_.classes[c].aim_s);
+    scheduler_.estimates().Expect(static_cast<int>(c), settings_.classes[c].latency_objective_s);
   }
 }
 
@@ -49,10 +49,10 @@
            std::find(options_.hold_classes.begin(), options_.hold_classes.end(), class_names_[c]) !=
                options_.hold_classes.end();
   }
-  const auto least =
-      std::min_element(settings_.classes.begin(), settings_.classes.end(),
-                       [](const auto& a, const auto& b) { return a.importance < b.importance; });
-  return settings_.classes[c].importance > least->importance;
+  const auto least = std::min_element(
+      settings_.classes.begin(), settings_.classes.end(),
+      [](const auto& a, const auto& b) { return a.priority_weight < b.priority_weight; });
+  return settings_.classes[c].priority_weight > least->priority_weight;
 }
 
 int Desk::WorkerOf(std::string_view name) const {
@@ -104,9 +104,9 @@
 void Desk::Reported(int worker, const double (&report)[4]) {
   if (worker < 0) return;
   const Worker& w = workers_[static_cast<std::size_t>(worker)];
-  const auto& columns = settings_.report_columns;
+  const auto& columns = settings_.load_report_metrics;
   for (std::size_t i = 0; i < columns.size() && i < 4; ++i) {
-    if (columns[i] != balancing::Column::kFreeSlots || !(report[i] >= 0)) continue;
+    if (columns[i] != balancing::LoadMetric::kFreeSlots || !(report[i] >= 0)) continue;
     const double taken = scheduler_.TakenSince(static_cast<std::size_t>(worker), now_ - kSurelyS) +
                          std::min(w.others, w.others_before);
     capacity_.Told(w.kind, report[i], taken, now_);
@@ -115,7 +115,7 @@
 
 // ---- what the module asks ----
 
-balancing::RoomKeeper::Place Desk::Somewhere(std::string_view job) {
+balancing::CapacityReservations::Place Desk::Somewhere(std::string_view job) {
   Sync();
   const auto it = jobs_.find(job);
   if (it == jobs_.end()) return {};
@@ -156,13 +156,13 @@
     if (!no_room_.empty()) {
       const std::string id = std::move(no_room_.front());
       no_room_.pop_front();
-      Ask(balancing::RoomFound{id, {}}, actions);
+      Ask(balancing::CapacityFound{id, {}}, actions);
       continue;
     }
     const auto start = scheduler_.Next(now_);
     if (!start) break;
     const std::string id = ids_.at(start->job);
-    Ask(balancing::RoomFound{id, workers_[start->worker].name}, actions);
+    Ask(balancing::CapacityFound{id, workers_[start->worker].name}, actions);
     // Whatever the module made of it, it is not asked the same thing twice in a turn.
     if (scheduler_.Waits(start->job)) scheduler_.Shun(start->worker);
     Sync();
@@ -174,9 +174,9 @@
 }
 
 void Desk::Note(const balancing::Event& event) {
-  if (const auto* e = std::get_if<balancing::JobArrived>(&event)) {
+  if (const auto* e = std::get_if<balancing::RequestArrived>(&event)) {
     Arrived(*e);
-  } else if (const auto* note = std::get_if<balancing::AttemptNote>(&event)) {
+  } else if (const auto* note = std::get_if<balancing::AttemptProgress>(&event)) {
     const auto it = jobs_.find(note->id);
     const auto a = static_cast<std::size_t>(note->attempt);
     if (it == jobs_.end() || note->attempt < 0 || a >= it->second.attempts.size()) return;
@@ -184,7 +184,7 @@
     if (attempt.began_at < 0) attempt.began_at = now_;
   } else if (const auto* end = std::get_if<balancing::AttemptEnded>(&event)) {
     Ended(*end);
-  } else if (const auto* gone = std::get_if<balancing::JobGone>(&event)) {
+  } else if (const auto* gone = std::get_if<balancing::RequestCancelled>(&event)) {
     const auto it = jobs_.find(gone->id);
     if (it != jobs_.end()) Finish(it);
   } else if (const auto* probe = std::get_if<balancing::ProbeAnswered>(&event)) {
@@ -195,7 +195,7 @@
   }
 }
 
-void Desk::Arrived(const balancing::JobArrived& e) {
+void Desk::Arrived(const balancing::RequestArrived& e) {
   if (e.cls < 0 || static_cast<std::size_t>(e.cls) >= settings_.classes.size()) return;
   const auto [it, fresh] = jobs_.try_emplace(std::string(e.id));
   if (!fresh) return;
@@ -211,9 +211,11 @@
   job.hint_s = e.size_hint_s;
   job.arrived_at = now_;
   const double run = scheduler_.estimates().Remaining(e.cls, -1, e.size_hint_s, 0, kShort);
-  job.start_by = std::min(now_ + c.aim_s + std::max(0.0, c.stretch - 1) * run, e.expires_s);
+  job.start_by =
+      std::min(now_ + c.latency_objective_s + std::max(0.0, c.latency_objective_stretch - 1) * run,
+               e.expires_s);
   job.may_hold = MayHold(e.cls);
-  for (const balancing::TriedElsewhere& t : e.tried) {  // attempts are counted from the first
+  for (const balancing::PreviousAttempt& t : e.tried) {  // attempts are counted from the first
     const int w = WorkerOf(t.worker);
     it->second.attempts.push_back(
         {.worker = w < 0 ? 0 : static_cast<std::size_t>(w), .sent_at = t.sent_at, .open = false});
@@ -231,10 +233,10 @@
   attempt.open = false;
   const double since = attempt.began_at >= 0 ? attempt.began_at : attempt.sent_at;
   scheduler_.Ended(known.job.handle, attempt.worker,
-                   e.verdict == Verdict::kServed ? now_ - since : -1);
+                   e.status == AttemptStatus::kSucceeded ? now_ - since : -1);
   if (e.has_report) Reported(static_cast<int>(attempt.worker), e.report);
-  if (e.verdict == Verdict::kTurnedAway) scheduler_.Full(attempt.worker, now_);
-  if (e.terminal || e.verdict == Verdict::kServed) return Finish(it);
+  if (e.status == AttemptStatus::kRejected) scheduler_.Full(attempt.worker, now_);
+  if (e.terminal || e.status == AttemptStatus::kSucceeded) return Finish(it);
   Drop(it);
 }
 
@@ -246,7 +248,7 @@
   for (std::size_t i = first; i < actions->size(); ++i) {
     balancing::Action& action = (*actions)[i];
     bool keep = true;
-    if (const auto* send = std::get_if<balancing::Send>(&action)) {
+    if (const auto* send = std::get_if<balancing::SendAttempt>(&action)) {
       Sync();
       const auto it = jobs_.find(send->id);
       const int w = WorkerOf(send->worker);
@@ -255,7 +257,7 @@
         it->second.attempts.push_back({.worker = number, .sent_at = now_});
         scheduler_.Started(it->second.job, number, now_);
       }
-    } else if (const auto* hold = std::get_if<balancing::Hold>(&action)) {
+    } else if (const auto* hold = std::get_if<balancing::AwaitCapacity>(&action)) {
       keep = false;
       const auto it = jobs_.find(hold->id);
       if (it != jobs_.end()) {
@@ -266,10 +268,10 @@
           scheduler_.Shun(static_cast<std::size_t>(w));  // something else is in the way there
         }
       }
-    } else if (const auto* refuse = std::get_if<balancing::Refuse>(&action)) {
+    } else if (const auto* refuse = std::get_if<balancing::RejectRequest>(&action)) {
       const auto it = jobs_.find(refuse->id);
       if (it != jobs_.end()) Finish(it);
-    } else if (const auto* fail = std::get_if<balancing::Fail>(&action)) {
+    } else if (const auto* fail = std::get_if<balancing::FailRequest>(&action)) {
       const auto it = jobs_.find(fail->id);
       if (it != jobs_.end()) Finish(it);
     }
--- a/src/scheduling/desk.h
+++ b/src/scheduling/desk.h
@@ -20,18 +20,18 @@
 
 namespace millethollow::scheduling {
 
-class Desk final : private balancing::RoomKeeper {
+class Desk final : private balancing::CapacityReservations {
  public:
   Desk(const balancing::Settings& settings, std::uint64_t seed, const Options& options);
 
   void Handle(double now_s, const balancing::Event& event, balancing::Actions* actions);
-  bool Avoids(std::string_view worker) const { return balancer_.Avoids(worker); }
+  bool Excludes(std::string_view worker) const { return balancer_.Excludes(worker); }
   std::vector<balancing::WorkerView> Workers() const { return balancer_.Workers(); }
-  std::string Learned() const { return balancer_.Learned(); }
-  std::uint64_t RefusedPeerMessages() const { return balancer_.RefusedPeerMessages(); }
-  void Agree(const balancing::Parts& parts) { balancer_.Agree(parts); }
-  bool Learn(std::string_view text, const std::vector<int>& classes) {
-    return balancer_.Learn(text, classes);
+  std::string SaveState() const { return balancer_.SaveState(); }
+  std::uint64_t RejectedPeerMessages() const { return balancer_.RejectedPeerMessages(); }
+  void SetFleetShare(const balancing::FleetShare& parts) { balancer_.SetFleetShare(parts); }
+  bool RestoreState(std::string_view text, const std::vector<int>& classes) {
+    return balancer_.RestoreState(text, classes);
   }
 
   bool on() const { return options_.on; }
@@ -65,7 +65,7 @@
   double Held(std::string_view worker) const override;
 
   void Note(const balancing::Event& event);
-  void Arrived(const balancing::JobArrived& e);
+  void Arrived(const balancing::RequestArrived& e);
   void Ended(const balancing::AttemptEnded& e);
   void Ask(const balancing::Event& event, balancing::Actions* actions);
   void Finish(Jobs::iterator it);
@@ -77,7 +77,7 @@
 
   Options options_;
   balancing::Settings settings_;
-  balancing::Balancer balancer_;
+  balancing::LoadBalancer balancer_;
   Scheduler scheduler_;
   double now_ = 0;
   std::uint64_t seen_version_ = 0, last_handle_ = 0;
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -33,17 +33,17 @@
   return false;
 }
 
-bool ParseVerdict(std::string_view text, Verdict* verdict) {
-  return FromName<Verdict>(text,
-                           {{"served", Verdict::kServed},
-                            {"server_error", Verdict::kServerError},
-                            {"turned_away", Verdict::kTurnedAway},
-                            {"no_answer", Verdict::kNoAnswer},
-                            {"no_connection", Verdict::kNoConnection},
-                            {"connection_lost", Verdict::kConnectionLost},
-                            {"called_off", Verdict::kCalledOff},
-                            {"not_sent", Verdict::kNotSent}},
-                           verdict);
+bool ParseVerdict(std::string_view text, AttemptStatus* verdict) {
+  return FromName<AttemptStatus>(text,
+                                 {{"served", AttemptStatus::kSucceeded},
+                                  {"server_error", AttemptStatus::kServerError},
+                                  {"turned_away", AttemptStatus::kRejected},
+                                  {"no_answer", AttemptStatus::kNoResponse},
+                                  {"no_connection", AttemptStatus::kConnectFailed},
+                                  {"connection_lost", AttemptStatus::kConnectionLost},
+                                  {"called_off", AttemptStatus::kCancelled},
+                                  {"not_sent", AttemptStatus::kNotSent}},
+                                 verdict);
 }
 
 std::vector<std::string_view> Commas(std::string_view text) {
@@ -203,8 +203,8 @@
 
 bool ParseSettings(const Pairs& pairs, Settings* s, std::string* why) {
   Params p(pairs, why);
-  p.Read("balancers", &s->dispatchers);
-  p.Read("ordinal", &s->ordinal);
+  p.Read("balancers", &s->dispatcher_count);
+  p.Read("ordinal", &s->dispatcher_index);
   p.Read("tick_s", &s->tick_s);
   p.Read("zone", &s->zone);
   s->zones = static_cast<int>(Commas(p.Text("zones")).size());
@@ -213,22 +213,25 @@
   for (std::size_t i = 0; i < s->classes.size(); ++i) {
     const std::string at = "classes." + std::to_string(i) + ".";
     ClassSettings& c = s->classes[i];
-    p.Read(at + "aim_s", &c.aim_s);
+    p.Read(at + "aim_s", &c.latency_objective_s);
     double stretch = 0;
     p.Read(at + "aim_stretch", &stretch);
-    c.stretch = std::max(stretch, p.Item("family_info.class_stretch", i, 0));
-    p.Read(at + "give_up_s", &c.give_up_s);
-    p.Read(at + "importance", &c.importance);
-    p.Read(at + "late_worth", &c.late_worth);
-    p.Read(at + "window_s", &c.window_s);
+    c.latency_objective_stretch = std::max(stretch, p.Item("family_info.class_stretch", i, 0));
+    p.Read(at + "give_up_s", &c.client_timeout_s);
+    p.Read(at + "importance", &c.priority_weight);
+    p.Read(at + "late_worth", &c.late_weight);
+    p.Read(at + "window_s", &c.deduplication_window_s);
     p.Read(at + "streamed", &c.streamed);
-    p.Read<Semantics>(at + "semantics",
-                      {{"repeatable", Semantics::kRepeatable},
-                       {"by_key", Semantics::kByKey},
-                       {"once", Semantics::kOnce}},
-                      &c.semantics);
-    p.Read<Group>(at + "group",
-                  {{"all", Group::kAll}, {"zone", Group::kZone}, {"cell", Group::kCell}}, &c.group);
+    p.Read<Idempotency>(at + "semantics",
+                        {{"repeatable", Idempotency::kIdempotent},
+                         {"by_key", Idempotency::kIdempotentWithKey},
+                         {"once", Idempotency::kNotIdempotent}},
+                        &c.idempotency);
+    p.Read<DeduplicationScope>(at + "group",
+                               {{"all", DeduplicationScope::kAll},
+                                {"zone", DeduplicationScope::kZone},
+                                {"cell", DeduplicationScope::kCell}},
+                               &c.deduplication_scope);
     c.kind = static_cast<int>(p.Item("family_info.class_kind", i, -1));
     c.priority = static_cast<int>(p.Item("family_info.class_priority", i, 0));
   }
@@ -238,63 +241,63 @@
     p.Read(at + "fraction", &s->tenants[i].share);
     p.Read(at + "quota_rps", &s->tenants[i].quota_rps);
   }
-  p.Read("clients.marks_retry", &s->marks_retry);
-  p.Read<bool>("discovery", {{"ask", true}, {"push", false}}, &s->discovery_ask);
+  p.Read("clients.marks_retry", &s->clients_mark_retries);
+  p.Read<bool>("discovery", {{"ask", true}, {"push", false}}, &s->polls_discovery);
   p.Read("limits.cancel", &s->cancel);
-  p.Read("limits.may_duplicate", &s->may_duplicate);
+  p.Read("limits.may_duplicate", &s->allow_hedging);
   p.Read("limits.peers", &s->peers);
   p.Read("limits.probing", &s->probing);
   p.Read("limits.retry_after", &s->retry_after);
-  p.Read("limits.most_tries", &s->most_tries);
+  p.Read("limits.most_tries", &s->max_attempts);
   p.Read("limits.max_retry_after_s", &s->max_retry_after_s);
-  p.Read<ReportSource>("report.source",
-                       {{"off", ReportSource::kOff},
-                        {"inline", ReportSource::kInline},
-                        {"on_probe", ReportSource::kOnProbe}},
-                       &s->report_source);
+  p.Read<LoadReportSource>("report.source",
+                           {{"off", LoadReportSource::kOff},
+                            {"inline", LoadReportSource::kInline},
+                            {"on_probe", LoadReportSource::kOnProbe}},
+                           &s->load_report_source);
   const std::string x0(p.Text("family_info.report_x0")), x1(p.Text("family_info.report_x1"));
   const auto extra = [](std::string_view meaning) {
-    return meaning == "free_slots"    ? Column::kFreeSlots
-           : meaning == "free_memory" ? Column::kFreeMemory
-                                      : Column::kOther;
+    return meaning == "free_slots"    ? LoadMetric::kFreeSlots
+           : meaning == "free_memory" ? LoadMetric::kFreeMemory
+                                      : LoadMetric::kOther;
   };
   for (const std::string_view name : Commas(p.Text("report.columns"))) {
-    Column column = Column::kOther;
-    FromName<Column>(name,
-                     {{"rif", Column::kHeld},
-                      {"q", Column::kQueued},
-                      {"busy", Column::kBusy},
-                      {"lat_ms", Column::kLatencyMs},
-                      {"rate", Column::kRate},
-                      {"fail_rate", Column::kFailRate},
-                      {"x0", extra(x0)},
-                      {"x1", extra(x1)}},
-                     &column);
-    s->report_columns.push_back(column);
-  }
-  p.Read("family_info.tells_start", &s->tells_start);
-  p.Read("family_info.progress_s", &s->progress_s);
-  s->sizes_told = !p.Text("weights").empty() && p.Text("weights") != "off";
+    LoadMetric column = LoadMetric::kOther;
+    FromName<LoadMetric>(name,
+                         {{"rif", LoadMetric::kInFlight},
+                          {"q", LoadMetric::kQueued},
+                          {"busy", LoadMetric::kUtilization},
+                          {"lat_ms", LoadMetric::kLatencyMs},
+                          {"rate", LoadMetric::kRequestRate},
+                          {"fail_rate", LoadMetric::kFailureRate},
+                          {"x0", extra(x0)},
+                          {"x1", extra(x1)}},
+                         &column);
+    s->load_report_metrics.push_back(column);
+  }
+  p.Read("family_info.tells_start", &s->workers_notify_start);
+  p.Read("family_info.progress_s", &s->progress_interval_s);
+  s->capacity_hints_valid = !p.Text("weights").empty() && p.Text("weights") != "off";
   p.Read("prices.cross_zone", &s->price_cross_zone);
   p.Read("prices.waste", &s->price_waste);
   p.Read("prices.origin", &s->price_origin);
   p.Read("prices.peer", &s->price_peer);
   p.Read("prices.probe", &s->price_probe);
-  p.Read("over_share_worth", &s->over_share_worth);
+  p.Read("over_share_worth", &s->over_quota_weight);
   p.Read("guarantees.answer_slack_s", &s->answer_slack_s);
-  p.Read("guarantees.ask_within_s", &s->ask_within_s);
-  p.Read("guarantees.cold_share", &s->cold_share);
-  p.Read("guarantees.cold_s", &s->cold_s);
+  p.Read("guarantees.ask_within_s", &s->max_poll_interval_s);
+  p.Read("guarantees.cold_share", &s->slow_start_min_share);
+  p.Read("guarantees.cold_s", &s->slow_start_s);
   p.Read("guarantees.drain_grace_s", &s->drain_grace_s);
   p.Read("guarantees.fall_multiple", &s->fall_multiple);
   p.Read("guarantees.overload_for_s", &s->overload_for_s);
-  return p.ok() && CheckSettings(*s, why);
+  return p.ok() && ValidateSettings(*s, why);
 }
 
 void Host::Complain(std::string_view line, std::string_view what) {
   constexpr std::size_t kShown = 200;
-  *errors_ << "simulator_adapter: line " << line_number_ << ": " << what << ": " << line.substr(0, kShown)
-           << (line.size() > kShown ? "..." : "") << "\n";
+  *errors_ << "simulator_adapter: line " << line_number_ << ": " << what << ": "
+           << line.substr(0, kShown) << (line.size() > kShown ? "..." : "") << "\n";
 }
 
 std::string_view Host::Get(std::string_view key) const {
@@ -394,13 +397,13 @@
 }
 
 void Host::HandleEntry(std::string_view line) {
-  Member m;
+  Endpoint m;
   std::string_view readiness, worker;
   std::int64_t zone = 0, kind = 0, cell = 0;
   if (!Need(line, "worker", &worker) || !Need(line, "readiness", &readiness) ||
       !OptionalInt(line, "hall", &zone) || !OptionalInt(line, "generation_hw", &kind) ||
       !OptionalInt(line, "unit_group", &cell) || !Optional(line, "capacity_hint", &m.capacity) ||
-      !Optional(line, "born_s", &m.born_s)) {
+      !Optional(line, "born_s", &m.started_at_s)) {
     return;
   }
   if (!FromName<Readiness>(readiness,
@@ -451,9 +454,9 @@
       reply_ += "DIE scheduler=" + std::to_string(instance) + " line=" + why + "\n";
       return;
     }
-    instances_[instance].balancer = 
+    instances_[instance].balancer =
         std::make_unique<millethollow::scheduling::Desk>(settings, seed, options_);
-    return Deliver(instance, Started{});
+    return Deliver(instance, DispatcherStarted{});
   }
   if (name == "KILLED") {
     instances_.erase(instance);
@@ -461,7 +464,7 @@
   }
   if (!instances_.contains(instance)) return Complain(line, "unknown or stopped instance");
   if (name == "INGRESS") {
-    JobArrived e;
+    RequestArrived e;
     std::int64_t tenant = 0, cls = 0;
     std::string_view expires;
     if (!Need(line, "msg_id", &e.id) || !Need(line, "expires_s", &expires) ||
@@ -485,13 +488,13 @@
         !ReadReport(line, &e.has_report, e.report)) {
       return;
     }
-    if (!ParseVerdict(verdict, &e.verdict)) return Complain(line, "unknown verdict");
+    if (!ParseVerdict(verdict, &e.status)) return Complain(line, "unknown verdict");
     e.attempt = static_cast<int>(attempt);
     e.terminal = Get("terminal") == "1";
     return Deliver(instance, e);
   }
   if (name == "UPDATE_OF") {
-    AttemptNote e;
+    AttemptProgress e;
     std::int64_t attempt = 0, kind = 0;
     if (!Need(line, "msg_id", &e.id) || !NeedId(line, "hop", &attempt) ||
         !NeedId(line, "kind", &kind) || !Optional(line, "amount", &e.amount)) {
@@ -499,18 +502,18 @@
     }
     if (kind != 1 && kind != 2) return;  // notes of other kinds are not for us
     e.attempt = static_cast<int>(attempt);
-    e.kind = kind == 1 ? NoteKind::kStarted : NoteKind::kProgress;
+    e.kind = kind == 1 ? ProgressKind::kStarted : ProgressKind::kProgress;
     return Deliver(instance, e);
   }
   if (name == "ACCEPTED") {
-    StreamBegan e;
+    StreamStarted e;
     std::int64_t attempt = 0;
     if (!Need(line, "msg_id", &e.id) || !NeedId(line, "hop", &attempt)) return;
     e.attempt = static_cast<int>(attempt);
     return Deliver(instance, e);
   }
   if (name == "ABORTED") {
-    JobGone e;
+    RequestCancelled e;
     if (!Need(line, "msg_id", &e.id)) return;
     return Deliver(instance, e);
   }
@@ -526,7 +529,7 @@
         !Optional(line, "latency_s", &e.latency_s) || !ReadReport(line, &e.has_report, e.report)) {
       return;
     }
-    if (!ParseVerdict(verdict, &e.verdict)) return Complain(line, "unknown verdict");
+    if (!ParseVerdict(verdict, &e.status)) return Complain(line, "unknown verdict");
     return Deliver(instance, e);
   }
   if (name == "NOTE_FROM") {
@@ -540,25 +543,25 @@
     return Deliver(instance, e);
   }
   if (name == "PEERS_KNOWN") {
-    MembersKnown e;
+    EndpointsUpdated e;
     std::string_view kind;
     if (!Need(line, "kind", &kind)) return;
-    if (!FromName<ListKind>(kind,
-                            {{"update", ListKind::kUpdate},
-                             {"replace", ListKind::kReplace},
-                             {"restored", ListKind::kRestored},
-                             {"unavailable", ListKind::kUnavailable}},
-                            &e.kind)) {
+    if (!FromName<EndpointListKind>(kind,
+                                    {{"update", EndpointListKind::kIncremental},
+                                     {"replace", EndpointListKind::kSnapshot},
+                                     {"restored", EndpointListKind::kRestored},
+                                     {"unavailable", EndpointListKind::kUnavailable}},
+                                    &e.kind)) {
       return Complain(line, "unknown kind of list");
     }
-    if (e.kind != ListKind::kUnavailable) {
+    if (e.kind != EndpointListKind::kUnavailable) {
       std::int64_t list = 0;
       if (!NeedId(line, "list", &list)) return;
       if (list < 0 || list >= static_cast<std::int64_t>(lists_.size()) ||
           !list_known_[static_cast<std::size_t>(list)]) {
         return Complain(line, "unknown list");
       }
-      e.members = &lists_[static_cast<std::size_t>(list)];
+      e.endpoints = &lists_[static_cast<std::size_t>(list)];
     }
     return Deliver(instance, e);
   }
@@ -582,16 +585,16 @@
   const auto field = [&](std::string_view name, std::string_view value) {
     reply_.append(" ").append(name).append("=").append(value);
   };
-  if (const auto* send = std::get_if<Send>(&action)) {
+  if (const auto* send = std::get_if<SendAttempt>(&action)) {
     begin("HAND_OFF");
     field("msg_id", send->id);
     field("worker", send->worker);
     if (send->timeout_s > 0) field("try_for_s", FormatSeconds(send->timeout_s));
-  } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+  } else if (const auto* refuse = std::get_if<RejectRequest>(&action)) {
     begin("REFUSE");
     field("msg_id", refuse->id);
     if (refuse->retry_after_s > 0) field("wait_s", FormatSeconds(refuse->retry_after_s));
-  } else if (const auto* fail = std::get_if<Fail>(&action)) {
+  } else if (const auto* fail = std::get_if<FailRequest>(&action)) {
     begin("GIVE_UP");
     field("msg_id", fail->id);
   } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
@@ -605,14 +608,14 @@
   } else if (const auto* probe = std::get_if<Probe>(&action)) {
     begin("POLL");
     field("worker", probe->worker);
-  } else if (const auto* tell = std::get_if<TellPeer>(&action)) {
+  } else if (const auto* tell = std::get_if<SendPeerMessage>(&action)) {
     begin("SIGNAL");
-    field("whom", std::to_string(tell->whom));
+    field("whom", std::to_string(tell->recipient));
     field("body", EncodeBase64(tell->body));
   } else if (const auto* subscribe = std::get_if<Subscribe>(&action)) {
     begin("FOLLOW");
     field("enable", subscribe->enable ? "1" : "0");
-  } else if (std::holds_alternative<FetchList>(action)) {
+  } else if (std::holds_alternative<FetchEndpoints>(action)) {
     begin("QUERY_ALL");
   } else if (const auto* log = std::get_if<Log>(&action)) {
     begin("DEBUG");
--- a/src/simulator_adapter/adapter.h
+++ b/src/simulator_adapter/adapter.h
@@ -71,7 +71,7 @@
   double now_ = 0;
   std::uint64_t line_number_ = 0;
   std::map<std::int64_t, Instance> instances_;
-  std::array<std::vector<Member>, 16> lists_;
+  std::array<std::vector<Endpoint>, 16> lists_;
   std::array<bool, 16> list_known_{};
   std::int64_t entries_left_ = 0;
   std::size_t filling_ = 0;
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -22,7 +22,8 @@
   bool Has(const std::string& line) {
     return Call("GET", "/stats").find("\n" + line + "\n") != std::string::npos;
   }
-  std::string Job(const std::string& id, const std::string& cls = "look", const std::string& more = "") {
+  std::string Job(const std::string& id, const std::string& cls = "look",
+                  const std::string& more = "") {
     return rig.Ask(Post(id, cls, more), "HTTP/1.1 ");
   }
   Rig rig;
@@ -33,7 +34,8 @@
   EXPECT_EQ(Status("GET", "/stats"), "HTTP/1.1 200");
   EXPECT_EQ(Status("PUT", "/workers/w1/maint"), "HTTP/1.1 200");
   EXPECT_EQ(Status("PUT", "/workers/w1/ready"), "HTTP/1.1 200");
-  for (const char* path : {"/", "/workers/w9/maint", "/workers//ready", "/workers/w1", "/nothing"}) {
+  for (const char* path :
+       {"/", "/workers/w9/maint", "/workers//ready", "/workers/w1", "/nothing"}) {
     EXPECT_EQ(Status("PUT", path), "HTTP/1.1 404") << path;
   }
   EXPECT_EQ(Status("POST", "/stats"), "HTTP/1.1 405");
@@ -52,7 +54,9 @@
   const double before = rig.host.Now();
   EXPECT_EQ(Status("GET", "/healthcheck"), "HTTP/1.1 200");
   EXPECT_LT(rig.host.Now() - before, 1.0);
-  const auto ended = [&] { return std::count_if(idle.begin(), idle.end(), [](const auto& r) { return r->ended; }); };
+  const auto ended = [&] {
+    return std::count_if(idle.begin(), idle.end(), [](const auto& r) { return r->ended; });
+  };
   EXPECT_TRUE(rig.Until([&] { return ended() == std::ssize(idle); }, 4));
 }
 
@@ -60,8 +64,9 @@
   EXPECT_TRUE(Has("app.downstream_requests.charge.rejected:0|c"));
   Job("a");
   Job("b");
-  rig.workers[0]->act = rig.workers[1]->act = rig.workers[2]->act =
-      [](const ToyWorker::Got& g) { ToyWorker::Lines(g, {ToyWorker::Line(g, "failed")}); };
+  rig.workers[0]->act = rig.workers[1]->act = rig.workers[2]->act = [](const ToyWorker::Got& g) {
+    ToyWorker::Lines(g, {ToyWorker::Line(g, "failed")});
+  };
   Job("c", "charge", "Idempotency-Key: k\r\n");
   EXPECT_TRUE(Has("app.downstream_requests.look.completed:2|c"));
   EXPECT_TRUE(Has("app.downstream_requests.charge.failed:1|c"));
@@ -75,7 +80,8 @@
 }
 
 TEST_F(Staff, AWorkerOutByHandGetsNothingUntilOneCallBack) {
-  for (const char* w : {"w0", "w1", "w1", "w0"}) Status("PUT", std::string("/workers/") + w + "/maint");
+  for (const char* w : {"w0", "w1", "w1", "w0"})
+    Status("PUT", std::string("/workers/") + w + "/maint");
   EXPECT_TRUE(Has("app.members_unavailable:2|g"));
   for (int i = 0; i < 6; ++i) Job("a" + std::to_string(i));
   EXPECT_EQ(rig.workers[2]->got.size(), 6u);
--- a/tests/cluster/days_test.cpp
+++ b/tests/cluster/days_test.cpp
@@ -1,8 +1,10 @@
-// Random days on several processes: faults from a seed, clients, promised jobs and workers all the while, everything
-// healed at the end. SEEDS plays so many days, and longer ones, from SEED on; a failure says its faults.
+// Random days on several processes: faults from a seed, clients, promised jobs and workers all the
+// while, everything healed at the end. SEEDS plays so many days, and longer ones, from SEED on; a
+// failure says its faults.
+#include "support/days.h"
+
 #include <gtest/gtest.h>
 
-#include "support/days.h"
 #include "support/history.h"
 #include "support/job_history.h"
 
@@ -14,7 +16,8 @@
   ProcessDay(std::uint64_t seed, double length_s)
       : members_(3 + seed % 3),
         faults_(seed * 7919 + 1),
-        rig_({.members = members_, .voters = 3, .seed = seed, .workers = kWorkers, .gearman = true}),
+        rig_(
+            {.members = members_, .voters = 3, .seed = seed, .workers = kWorkers, .gearman = true}),
         history_(&rig_, kWorkers),
         jobs_(&rig_, kWorkers) {
     for (std::size_t w = 0; w < kWorkers; ++w) {
@@ -45,7 +48,8 @@
     };
     if (!Serve(together, 60)) Wrong("they don't come together");
     asks_ = false;
-    if (!Serve([this] { return history_.AllTold() && jobs_.AllTold(); }, 15)) Wrong("a client was told nothing");
+    if (!Serve([this] { return history_.AllTold() && jobs_.AllTold(); }, 15))
+      Wrong("a client was told nothing");
     double look_at = 0;
     const auto done = [&] {
       if (rig_.now() < look_at) return false;
@@ -74,9 +78,7 @@
   static constexpr double kAskS = 0.04;
 
   void Wrong(const std::string& what) { wrong_ += "\n" + what; }
-  void Say(const std::string& what) {
-    script_ += std::to_string(rig_.now()) + " " + what + "\n";
-  }
+  void Say(const std::string& what) { script_ += std::to_string(rig_.now()) + " " + what + "\n"; }
   // Time passes, with clients.
   template <typename Done>
   bool Serve(Done done, double most_s) {
@@ -101,12 +103,15 @@
     return true;
   }
   std::size_t Any() { return faults_.Below(members_); }
-  std::size_t Other(std::size_t than) { return (than + 1 + faults_.Below(members_ - 1)) % members_; }
+  std::size_t Other(std::size_t than) {
+    return (than + 1 + faults_.Below(members_ - 1)) % members_;
+  }
   // A majority of voters must remember: one at most is without its folder.
   bool OthersRemember(std::size_t i) {
     for (std::size_t v = 0; v < 3; ++v) {
       const auto& told = rig_.polled(v).told;
-      if (v != i && (!rig_.Running(v) || !told.is_object() || told["vote"] != "voting")) return false;
+      if (v != i && (!rig_.Running(v) || !told.is_object() || told["vote"] != "voting"))
+        return false;
     }
     return true;
   }
@@ -122,15 +127,21 @@
     const std::size_t a = Any(), b = Other(a);
     const std::string one = Cluster::Name(a), pair = one + Cluster::Name(b);
     switch (faults_.Below(14)) {
-      case 0: Say("kill " + one); return rig_.Kill(a);
+      case 0:
+        Say("kill " + one);
+        return rig_.Kill(a);
       case 1:
         if (!OthersRemember(a) || !CopiesElsewhere()) return;
         taken_at_ = rig_.now();
         Say("kill, without its folder " + one);
         rig_.Kill(a);
         return rig_.TakeFolder(a);
-      case 2: Say("terminate " + one); return rig_.Terminate(a);
-      case 3: Say("stop " + one); return rig_.Stop(a);
+      case 2:
+        Say("terminate " + one);
+        return rig_.Terminate(a);
+      case 3:
+        Say("stop " + one);
+        return rig_.Stop(a);
       case 4: {
         std::vector<int> group;
         std::string told;
@@ -141,7 +152,10 @@
         Say("split " + told);
         return rig_.Split(group);
       }
-      case 5: Say("cut one way " + pair); rig_.link(a, b).cut = true; return;
+      case 5:
+        Say("cut one way " + pair);
+        rig_.link(a, b).cut = true;
+        return;
       case 6:
         Say("lose, double, reorder, garble");
         return rig_.EachLink([](LinkFaults* l) {
@@ -169,7 +183,9 @@
           rig_.Start(i);
         }
         return;
-      default: Say("heal"); rig_.Heal();
+      default:
+        Say("heal");
+        rig_.Heal();
     }
   }
 
--- a/tests/cluster/jobs_test.cpp
+++ b/tests/cluster/jobs_test.cpp
@@ -1,4 +1,5 @@
-// Promised jobs on several processes: whoever dies, with its disk or without, what was promised is done.
+// Promised jobs on several processes: whoever dies, with its disk or without, what was promised is
+// done.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -209,19 +210,25 @@
   rig->Kill(1);
   rig->PutBackFolder(1);
   rig->Start(1);
-  EXPECT_TRUE(rig->Until([&] { return rig->LogOf(1).find("copies-lied") != std::string::npos; }, 20));
+  EXPECT_TRUE(
+      rig->Until([&] { return rig->LogOf(1).find("copies-lied") != std::string::npos; }, 20));
   EXPECT_TRUE(rig->Until([&] { return rig->Whole() && Ready(3); }, 30)) << "filled anew";
   Submit(1, 10);
   AllDone();
   EXPECT_EQ(jobs->promised(), 50U);
 }
 
-// make copies-figures: what a promise costs at one, two and three copies, and how long a kill stalls.
+// make copies-figures: what a promise costs at one, two and three copies, and how long a kill
+// stalls.
 TEST_F(PromisedJobs, DISABLED_Figures) {
-  std::printf("| copies | open at once | promises a second | answer p50 / p99 |\n| --- | --- | --- | --- |\n");
+  std::printf(
+      "| copies | open at once | promises a second | answer p50 / p99 |\n| --- | --- | --- | --- "
+      "|\n");
   for (const int copies : {1, 2, 3}) {
     const std::string c = std::to_string(copies);
-    Begin({.members = 3, .voters = 3, .timings = "{}",
+    Begin({.members = 3,
+           .voters = 3,
+           .timings = "{}",
            .cluster = "{\"copies\":" + c + ",\"copies_least\":" + c +
                       ",\"jobs\":{\"most\":200000,\"bytes\":1000000000,\"tenant_share\":1}}"},
           static_cast<std::size_t>(copies));
@@ -250,8 +257,9 @@
       ASSERT_TRUE(rig->Until([&] { return took.size() == count; }, 60)) << took.size();
       const double s = rig->now() - from;
       std::sort(took.begin(), took.end());
-      std::printf("| %d | %zu | %.0f | %.2f / %.2f ms |\n", copies, open, static_cast<double>(count) / s,
-                  1000 * took[took.size() / 2], 1000 * took[took.size() * 99 / 100]);
+      std::printf("| %d | %zu | %.0f | %.2f / %.2f ms |\n", copies, open,
+                  static_cast<double>(count) / s, 1000 * took[took.size() / 2],
+                  1000 * took[took.size() * 99 / 100]);
     }
   }
   Begin({.members = 3, .voters = 3, .timings = "{}"});
@@ -270,7 +278,8 @@
     ASSERT_TRUE(rig->Until([&] { return rig->Whole() && Ready(3); }, 60));
   }
   std::sort(stalls.begin(), stalls.end());
-  std::printf("kill to the adopter's first send: %.2f, %.2f, %.2f s (lease 4 s)\n", stalls[0], stalls[1], stalls[2]);
+  std::printf("kill to the adopter's first send: %.2f, %.2f, %.2f s (lease 4 s)\n", stalls[0],
+              stalls[1], stalls[2]);
 }
 
 }  // namespace
