--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -1,5 +1,5 @@
-// Several processes of the program, with faults between them. CI plays the short forms; LONG=1 in the
-// environment (make cluster-test) plays whole minutes, and SEEDS more days.
+// Several processes of the program, with faults between them. CI plays the short forms; LONG=1 in
+// the environment (make cluster-test) plays whole minutes, and SEEDS more days.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -144,7 +144,9 @@
   Begin({.members = 4, .voters = 3, .seed = 19, .shim = true});
   rig->shim(2).fail_syncs = 1;
   rig->Kill(3);  // a view without it is to be written
-  EXPECT_TRUE(rig->Until([&] { return rig->polled(2).told.is_object() && rig->polled(2).told["vote"] == "stopped"; }, 15));
+  EXPECT_TRUE(rig->Until(
+      [&] { return rig->polled(2).told.is_object() && rig->polled(2).told["vote"] == "stopped"; },
+      15));
   EXPECT_GT(rig->shim(2).failed_syncs.load(), 0U);
   rig->shim(2).fail_syncs = 0;  // a disk that failed once is not believed again
   rig->Start(3);
@@ -153,7 +155,8 @@
   EXPECT_NE(rig->LogOf(2).find("cluster store-failed"), std::string::npos);
   rig->Kill(2);
   rig->Start(2);
-  EXPECT_TRUE(rig->Until([&] { return rig->Whole() && rig->polled(2).told["vote"] == "voting"; }, 25))
+  EXPECT_TRUE(
+      rig->Until([&] { return rig->Whole() && rig->polled(2).told["vote"] == "voting"; }, 25))
       << "started anew it votes with what its disk holds, or is readmitted";
 }
 
@@ -164,11 +167,16 @@
   EXPECT_TRUE(rig->Until([&] { return !rig->polled(0).told["members"][4]["in_view"]; }, 10));
   EXPECT_TRUE(rig->Leased(0) && rig->Leased(1) && rig->Leased(2));
   rig->Split({0, 1, 1, 1, 0});  // before the healing is through
-  EXPECT_TRUE(rig->Until([&] { return rig->Leased(1) && rig->Leased(2) && rig->Leased(3) && !rig->Leased(0); }, 25));
+  EXPECT_TRUE(rig->Until(
+      [&] { return rig->Leased(1) && rig->Leased(2) && rig->Leased(3) && !rig->Leased(0); }, 25));
   rig->Split({0, 0, 1, 1, 2});
-  EXPECT_TRUE(rig->Until([&] {
-    return !rig->Leased(0) && !rig->Leased(1) && !rig->Leased(2) && !rig->Leased(3) && !rig->Leased(4);
-  }, 10)) << "2|2|1: nobody has a majority";
+  EXPECT_TRUE(rig->Until(
+      [&] {
+        return !rig->Leased(0) && !rig->Leased(1) && !rig->Leased(2) && !rig->Leased(3) &&
+               !rig->Leased(4);
+      },
+      10))
+      << "2|2|1: nobody has a majority";
   rig->Heal();
   EXPECT_TRUE(rig->Until([&] { return rig->Whole(); }, 60));
 }
@@ -197,16 +205,21 @@
   }
   EXPECT_EQ(AllFailedCalls(), 0U) << "half a second";
   rig->Stop(3);
-  EXPECT_TRUE(rig->Until([&] { return rig->polled(0).told["members"][3]["in_view"] == false; }, 15));
+  EXPECT_TRUE(
+      rig->Until([&] { return rig->polled(0).told["members"][3]["in_view"] == false; }, 15));
   const std::uint64_t without = rig->Epoch(0);
   rig->Continue(3);
-  // From the first that it tells: its lease is over, though nobody has told it, until a later view has it again.
+  // From the first that it tells: its lease is over, though nobody has told it, until a later view
+  // has it again.
   std::uint64_t wrongly_leased = 0;
-  EXPECT_TRUE(rig->Until([&] {
-    if (rig->Leased(3) && rig->Epoch(3) <= without) wrongly_leased += 1;
-    return rig->Whole();
-  }, 25));
-  EXPECT_EQ(wrongly_leased, 0U) << "answers that claim a lease of a view that was followed by one without it";
+  EXPECT_TRUE(rig->Until(
+      [&] {
+        if (rig->Leased(3) && rig->Epoch(3) <= without) wrongly_leased += 1;
+        return rig->Whole();
+      },
+      25));
+  EXPECT_EQ(wrongly_leased, 0U)
+      << "answers that claim a lease of a view that was followed by one without it";
 }
 
 TEST_F(Nodes, AVoterWithAnEmptyFolderIsReadmittedBeforeItVotes) {
@@ -219,15 +232,15 @@
   rig->For(6);
   EXPECT_NE(rig->polled(1).told["vote"], "voting") << "one who remembers is no majority";
   rig->Start(2);
-  EXPECT_TRUE(rig->Until([&] { return rig->Whole() && rig->polled(1).told["vote"] == "voting"; }, 25));
+  EXPECT_TRUE(
+      rig->Until([&] { return rig->Whole() && rig->polled(1).told["vote"] == "voting"; }, 25));
 }
 
 TEST_F(Nodes, OfTwoProcessesUnderOneIdOneYields) {
   Begin({.members = 3, .voters = 3, .seed = 11});
   rig->StartTwin(2);
-  EXPECT_TRUE(rig->Until([&] {
-    return rig->TwinLog().find("cluster yield") != std::string::npos;
-  }, 15));
+  EXPECT_TRUE(
+      rig->Until([&] { return rig->TwinLog().find("cluster yield") != std::string::npos; }, 15));
   EXPECT_EQ(rig->LogOf(2).find("cluster yield"), std::string::npos) << "who was there first stays";
   EXPECT_TRUE(rig->Until([&] { return rig->Whole(); }, 10));
 }
@@ -253,7 +266,8 @@
     if (i % 50 == 0) rig->For(0.005);
   }
   for (const std::string& old : rig->Overheard()) rig->Inject(0, old);
-  rig->Inject(0, cluster::Encode({.cluster = 7, .from = 7, .life = 7, .number = 1}, membership::Probe{}));
+  rig->Inject(
+      0, cluster::Encode({.cluster = 7, .from = 7, .life = 7, .number = 1}, membership::Probe{}));
   rig->For(Span(3, 30));
   EXPECT_GT(rig->Figure(0, "app.cluster.refused.garbled"), 1000);
   EXPECT_GT(rig->Figure(0, "app.cluster.refused.replayed"), 0);
@@ -288,7 +302,8 @@
 
 TEST_F(Nodes, ACallByHandIsDoneOnceAnotherDiskHasItTooHoweverSlow) {
   Begin({.members = 3, .voters = 3, .seed = 20, .workers = 1, .shim = true});
-  for (const std::size_t i : {1UL, 2UL}) rig->shim(i).slow_syncs_ms = 400;  // it is told again meanwhile
+  for (const std::size_t i : {1UL, 2UL})
+    rig->shim(i).slow_syncs_ms = 400;  // it is told again meanwhile
   const double at = rig->now();
   EXPECT_NE(rig->Ask(0, "PUT /workers/w0/maint").find("done\n"), std::string::npos);
   EXPECT_GT(rig->now() - at, 0.4);
@@ -332,7 +347,8 @@
   for (const std::size_t i : {3UL, 2UL, 1UL, 0UL}) rig->Start(i);
   EXPECT_TRUE(rig->Until([&] { return rig->Whole(); }, 25));
   EXPECT_TRUE(unused()) << "all were killed";
-  EXPECT_NE(rig->LogOf(2).find("cluster store-damaged"), std::string::npos) << "and learned it from others";
+  EXPECT_NE(rig->LogOf(2).find("cluster store-damaged"), std::string::npos)
+      << "and learned it from others";
   rig->Split({0, 0, 1, 1});
   rig->For(3);
   EXPECT_NE(rig->Ask(3, "PUT /workers/w0/ready").find("200 OK"), std::string::npos);
@@ -343,9 +359,8 @@
   };
   EXPECT_TRUE(rig->Until([&] { return held_out(3, 0) && held_out(0, 1); }, 5)) << "cut";
   rig->Heal();
-  EXPECT_TRUE(rig->Until([&] {
-    return held_out(0, 1) && held_out(1, 1) && held_out(2, 1) && held_out(3, 1);
-  }, 20));
+  EXPECT_TRUE(rig->Until(
+      [&] { return held_out(0, 1) && held_out(1, 1) && held_out(2, 1) && held_out(3, 1); }, 20));
   EXPECT_TRUE(unused()) << "out on one side, back on the other: out";
   EXPECT_NE(rig->Ask(2, "PUT /workers/w0/ready").find("200 OK"), std::string::npos);
   EXPECT_TRUE(rig->Until([&] { return held_out(0, 0) && held_out(3, 0); }, 5));
--- a/tests/cluster/quota_test.cpp
+++ b/tests/cluster/quota_test.cpp
@@ -1,9 +1,11 @@
-// Quota leases on several processes: one tenant that is asked for above its quota, at workers that say once for
-// each request that they are full, so that the quota binds. What is let in, in sum, while places are cut off and the
-// tenant's allocator is killed or stopped, and after its demand moves from one place to another.
+// Quota leases on several processes: one tenant that is asked for above its quota, at workers that
+// say once for each request that they are full, so that the quota binds. What is let in, in sum,
+// while places are cut off and the tenant's allocator is killed or stopped, and after its demand
+// moves from one place to another.
 //
-// A quota binds only where a node finds the fleet full, and one that lets in next to nothing finds nothing. So a
-// second tenant, far within its quota and its floors, has some requests at each node all the time.
+// A quota binds only where a node finds the fleet full, and one that lets in next to nothing finds
+// nothing. So a second tenant, far within its quota and its floors, has some requests at each node
+// all the time.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,9 +20,10 @@
 namespace {
 
 constexpr std::size_t kMembers = 6, kPlaces = 3, kWorkers = 4;
-// Requests a second of the first tenant, in all: above what each node may let in, also while others are cut off.
+// Requests a second of the first tenant, in all: above what each node may let in, also while others
+// are cut off.
 constexpr double kQuota = 120, kAsked = 240;
-constexpr double kOtherAsked = 5;             // of the second, at each node
+constexpr double kOtherAsked = 5;  // of the second, at each node
 constexpr double kWindowS = 5, kMostOver = 1.05, kLeastUse = 0.95;
 constexpr double kSettleS = 10;  // until each node has found that the fleet is full
 constexpr double kCutS = 60;
@@ -38,7 +41,12 @@
 // Requests at a steady pace for each node, and when each was answered.
 class Load {
  public:
-  explicit Load(Cluster* rig) : rig_(rig), rates_(rig->size(), 0.0), due_(rig->size(), 0.0), other_due_(rig->size(), 0.0), last_(rig->now()) {}
+  explicit Load(Cluster* rig)
+      : rig_(rig),
+        rates_(rig->size(), 0.0),
+        due_(rig->size(), 0.0),
+        other_due_(rig->size(), 0.0),
+        last_(rig->now()) {}
 
   // Requests a second for each of these nodes, none for the others.
   void Ask(const std::vector<std::size_t>& nodes, double all) {
@@ -88,7 +96,8 @@
     }
     return -1;
   }
-  // What the tenant was let in and neither served nor refused, and what the other tenant was refused.
+  // What the tenant was let in and neither served nor refused, and what the other tenant was
+  // refused.
   std::size_t failed() const { return failed_; }
   std::size_t other_refused() const { return other_refused_; }
   std::size_t refused() const { return refused_; }
@@ -120,7 +129,8 @@
     open.other = other;
     open.node = node;
     open.raw = std::make_unique<Raw>(&rig_->loop(), rig_->http_address(node));
-    std::string request = Post("q" + id, "look", "Work-Hint: " + std::to_string(1000 + asked_) + "\r\n");
+    std::string request =
+        Post("q" + id, "look", "Work-Hint: " + std::to_string(1000 + asked_) + "\r\n");
     const std::string first = "Tenant: andes";
     if (other) request.replace(request.find(first), first.size(), "Tenant: pampa");
     open.raw->Write(request);
@@ -166,7 +176,8 @@
     ASSERT_TRUE(rig->Until([&] { return rig->Whole(); }, 20)) << Told();
     load = std::make_unique<Load>(rig.get());
   }
-  // Each request finds its first worker full, so that the fleet counts as full, and is served by the second.
+  // Each request finds its first worker full, so that the fleet counts as full, and is served by
+  // the second.
   void Serve(const ToyWorker::Got& got) {
     const std::string& id = *got.head.Get("Request-Id");
     const bool first = tried.insert(id).second;
@@ -202,9 +213,11 @@
   }
   void ExpectWithinQuota(double from, const char* what) {
     const double most = load->MostOver(from);
-    std::printf("%s: most over any %.0f s %.3f of the quota, use %.3f, refused %zu, failed %zu; other tenant refused %zu\n",
-                what, kWindowS, most, load->Use(from, rig->now()), load->refused(), load->failed(),
-                load->other_refused());
+    std::printf(
+        "%s: most over any %.0f s %.3f of the quota, use %.3f, refused %zu, failed %zu; other "
+        "tenant refused %zu\n",
+        what, kWindowS, most, load->Use(from, rig->now()), load->refused(), load->failed(),
+        load->other_refused());
     load->PrintUse(from);
     EXPECT_LE(most, kMostOver) << what;
     EXPECT_EQ(load->failed(), 0U) << what;
@@ -227,8 +240,11 @@
     load->Play(10);
     again[leased] = load->UsedAgainAfter(moved, 8);
     use[leased] = load->Use(moved + 5, moved + 10);
-    std::printf("%s: 0.95 again after %.2f s, use from the 5th to the 10th second %.3f, most over any 5 s %.3f\n",
-                leased ? "leased" : "not leased", again[leased], use[leased], load->MostOver(moved - kWindowS));
+    std::printf(
+        "%s: 0.95 again after %.2f s, use from the 5th to the 10th second %.3f, most over any 5 s "
+        "%.3f\n",
+        leased ? "leased" : "not leased", again[leased], use[leased],
+        load->MostOver(moved - kWindowS));
     load->PrintUse(moved - 3);
     for (std::size_t i = 0; leased && i < kMembers; ++i) {
       std::printf("  %s holds %ld of both tenants\n", Cluster::Name(i).c_str(),
@@ -253,12 +269,14 @@
   ExpectWithinQuota(from, "cut");
   EXPECT_TRUE(load->PlayUntil([&] { return rig->Whole() && AllocatorNow() != kMembers; }, 20));
   load->Play(5);
-  EXPECT_GE(load->Use(rig->now() - 4, rig->now()), kLeastUse) << "and all is used once it is healed";
+  EXPECT_GE(load->Use(rig->now() - 4, rig->now()), kLeastUse)
+      << "and all is used once it is healed";
 }
 
-// Each process in turn is told to end, is started again, and is in the view and served by an allocator before the next.
-// The nodes are each other's peers: one that has just started learns from them that the fleet is full. Without that
-// it lets in what it is asked for until it has found it out (docs/cluster.md).
+// Each process in turn is told to end, is started again, and is in the view and served by an
+// allocator before the next. The nodes are each other's peers: one that has just started learns
+// from them that the fleet is full. Without that it lets in what it is asked for until it has found
+// it out (docs/cluster.md).
 TEST_F(QuotaNodes, TheSumIsKeptInARollingRestart) {
   Begin(kQuotaOn, true);
   load->Ask(All(), kAsked);
@@ -270,7 +288,8 @@
     ASSERT_TRUE(load->PlayUntil([&] { return !rig->Running(i); }, 15)) << Cluster::Name(i);
     EXPECT_EQ(rig->ExitCode(i), 0) << Cluster::Name(i);
     rig->Start(i);
-    ASSERT_TRUE(load->PlayUntil([&] { return rig->Whole() && AllocatorNow() != kMembers; }, 25)) << Cluster::Name(i);
+    ASSERT_TRUE(load->PlayUntil([&] { return rig->Whole() && AllocatorNow() != kMembers; }, 25))
+        << Cluster::Name(i);
   }
   load->Play(kSettleS);
   ExpectWithinQuota(from, "rolling restart");
@@ -297,8 +316,10 @@
   EXPECT_LE(load->MostOver(before), kMostOver) << "never above the higher one";
   double from = rig->now();
   load->Play(kSettleS);
-  const double most = load->MostOver(from, kLowered), used = load->Use(from, rig->now()) * kQuota / kLowered;
-  std::printf("lowered to %.0f: most over any %.0f s %.3f, use %.3f of it\n", kLowered, kWindowS, most, used);
+  const double most = load->MostOver(from, kLowered),
+               used = load->Use(from, rig->now()) * kQuota / kLowered;
+  std::printf("lowered to %.0f: most over any %.0f s %.3f, use %.3f of it\n", kLowered, kWindowS,
+              most, used);
   EXPECT_LE(most, kMostOver);
   EXPECT_GE(used, kLeastUse);
   change(kQuota);
--- a/tests/cluster/restart_test.cpp
+++ b/tests/cluster/restart_test.cpp
@@ -1,6 +1,7 @@
-// Processes of one tier that are killed and started again, and a discovery that bears only so many calls.
-#include <gtest/gtest.h>
+// Processes of one tier that are killed and started again, and a discovery that bears only so many
+// calls.
 #include <fcntl.h>
+#include <gtest/gtest.h>
 #include <sys/prctl.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -16,8 +17,9 @@
 namespace millethollow::rig {
 namespace {
 
-// The one discovery of all, with an address for each process so that it knows who calls. It works through
-// calls one after the other, fails those that have waited too long, and has worked for them in vain.
+// The one discovery of all, with an address for each process so that it knows who calls. It works
+// through calls one after the other, fails those that have waited too long, and has worked for them
+// in vain.
 class Discovery {
  public:
   double down_until = 0, service_s = 0.1;
@@ -34,7 +36,8 @@
       lines_[p].port = FreePort();
       std::string why;
       EXPECT_TRUE(lines_[p].listener.Open(
-          loop, At(lines_[p].port), [this, p](evutil_socket_t fd) { Accept(p, fd); }, &why)) << why;
+          loop, At(lines_[p].port), [this, p](evutil_socket_t fd) { Accept(p, fd); }, &why))
+          << why;
     }
     Work();
   }
@@ -79,7 +82,8 @@
       ++calls;
       const std::size_t after = target.find("after=");
       queue_.push_back({p, c, after == std::string::npos ? 0 : std::stoi(target.substr(after + 6)),
-                        !target.ends_with("wait_ms=0") && after != std::string::npos, loop_->Now()});
+                        !target.ends_with("wait_ms=0") && after != std::string::npos,
+                        loop_->Now()});
     };
   }
   void Work() {
@@ -89,7 +93,8 @@
     for (Call& c : queue_) {
       if (c.client == nullptr || now - c.at <= kPatienceS) continue;
       ++failed;
-      if (!c.client->raw->ended) c.client->raw->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+      if (!c.client->raw->ended)
+        c.client->raw->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
       c.client = nullptr;
     }
     // While it is down it does nothing, and has nothing left to do for those that it failed then.
@@ -106,9 +111,12 @@
     t.last_answer_at = loop_->Now();
     if (t.first_list_at < 0) t.first_list_at = loop_->Now();
     if (version_ == 2 && t.drain_at < 0) t.drain_at = loop_->Now();
-    const std::string changed = version_ > call.after && version_ == 2 ? R"({"id":"w0","state":"terminating"})" : "";
-    const std::string body = "{\"version\":" + std::to_string(version_) + ",\"full\":false,\"servers\":[" + changed + "]}";
-    call.client->raw->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+    const std::string changed =
+        version_ > call.after && version_ == 2 ? R"({"id":"w0","state":"terminating"})" : "";
+    const std::string body = "{\"version\":" + std::to_string(version_) +
+                             ",\"full\":false,\"servers\":[" + changed + "]}";
+    call.client->raw->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
+                            "\r\n\r\n" + body);
   }
 
   Loop* loop_;
@@ -145,7 +153,9 @@
     std::vector<std::string> addresses;
     for (const auto& w : workers) addresses.push_back(w->address());
     std::string text = TestConfig(addresses, R"("discovery":")" + discovery + R"(",)" + more);
-    const auto put = [&](const std::string& from, const std::string& to) { text.replace(text.find(from), from.size(), to); };
+    const auto put = [&](const std::string& from, const std::string& to) {
+      text.replace(text.find(from), from.size(), to);
+    };
     put(R"("listen":"127.0.0.1:0")", R"("listen":")" + At(p.port) + "\"");
     put(R"("balancers":1)", R"("balancers":)" + std::to_string(balancers));
     put(R"("seed":"1f")", R"("seed":")" + n + "7\"");
@@ -194,7 +204,8 @@
     }
   }
   template <typename Done>
-  bool Until(Done done, double most_s, const std::function<void()>& each = [] {}) {
+  bool Until(
+      Done done, double most_s, const std::function<void()>& each = [] {}) {
     const double until = loop.Now() + most_s;
     while (!done() && loop.Now() < until) {
       loop.deadlines().At(loop.Now() + 0.005, [] {});
@@ -204,7 +215,8 @@
     return done();
   }
   bool AllReady() const {
-    return std::all_of(processes.begin(), processes.end(), [](const Process& p) { return p.ready_at >= 0; });
+    return std::all_of(processes.begin(), processes.end(),
+                       [](const Process& p) { return p.ready_at >= 0; });
   }
 
   Loop loop;
@@ -213,10 +225,11 @@
   std::vector<Process> processes;
 };
 
-// Seven in ten are killed at once while discovery is down, and a worker begins to drain soon after its
-// return, when it has as many callers as it bears. Nothing reaches that worker from a process for longer
-// than the grace after the process was told: by an answer, 6 s after the drain, at once where it has heard
-// no list yet or had its last answer less than 200 ms before. And nine in ten are ready within 10 s.
+// Seven in ten are killed at once while discovery is down, and a worker begins to drain soon after
+// its return, when it has as many callers as it bears. Nothing reaches that worker from a process
+// for longer than the grace after the process was told: by an answer, 6 s after the drain, at once
+// where it has heard no list yet or had its last answer less than 200 ms before. And nine in ten
+// are ready within 10 s.
 TEST_F(Tier, KilledWhileDiscoveryIsDownHoldsToWhatItIsToldAndIsReadyInTime) {
   constexpr std::size_t kProcesses = 20;
   Discovery discovery(&loop, kProcesses);
@@ -239,7 +252,8 @@
     if (p.ready_at < 0) return;
     if (!p.client || p.client->ended) p.client = std::make_unique<Raw>(&loop, At(p.port));
     const auto of = static_cast<std::size_t>(&p - processes.data());
-    p.client->Write(Post(std::to_string(of) + "-" + std::to_string(++sent), "look", "", "{}", 2000));
+    p.client->Write(
+        Post(std::to_string(of) + "-" + std::to_string(++sent), "look", "", "{}", 2000));
   };
   discovery.down_until = loop.Now() + 5;
   Until([] { return false; }, 3, load);
@@ -255,7 +269,8 @@
   Until([] { return false; }, 13, load);
 
   std::vector<double> took;
-  for (const Process& p : processes) took.push_back((p.ready_at < 0 ? 1e9 : p.ready_at) - p.started_at);
+  for (const Process& p : processes)
+    took.push_back((p.ready_at < 0 ? 1e9 : p.ready_at) - p.started_at);
   std::sort(took.begin(), took.end());
   EXPECT_LT(took[kProcesses * 9 / 10], 10.0);
   std::size_t before = 0;
@@ -265,8 +280,9 @@
     if (t.drain_at >= 0) told = std::min(told, t.drain_at);
     if (t.first_list_at < 0) told = std::max(discovery.drain_at, again);
     EXPECT_LT(at - discovery.drain_at, told - discovery.drain_at + 2.05)
-        << "process " << process << ", its first list " << t.first_list_at - discovery.drain_at << " and word of the drain "
-        << t.drain_at - discovery.drain_at << " after the drain, started " << processes[process].started_at - discovery.drain_at;
+        << "process " << process << ", its first list " << t.first_list_at - discovery.drain_at
+        << " and word of the drain " << t.drain_at - discovery.drain_at
+        << " after the drain, started " << processes[process].started_at - discovery.drain_at;
     before += at < discovery.drain_at;
   }
   EXPECT_GT(before, 20u);
@@ -275,23 +291,26 @@
   RecordProperty("failed", discovery.failed);
 }
 
-// Idle clients fill a process's descriptors while discovery is down. At its return it is called, workers
-// are reached, and a new client is served. The limit is the system's, too.
+// Idle clients fill a process's descriptors while discovery is down. At its return it is called,
+// workers are reached, and a new client is served. The limit is the system's, too.
 TEST_F(Tier, IdleClientsKeepItFromNeitherDiscoveryNorWorkers) {
   const int port = FreePort();
   Add(1, At(port), R"("limits":{"sockets":120},)");
   Start(&processes[0], 120);
-  ASSERT_TRUE(Until([&] { return AllReady(); }, 10, [&] { PollHealth(); })) << "though discovery is down";
+  ASSERT_TRUE(Until([&] { return AllReady(); }, 10, [&] { PollHealth(); }))
+      << "though discovery is down";
   std::vector<std::unique_ptr<Raw>> idle;
   std::size_t most = 0;
   const auto open = [&] {
     std::size_t n = 0;
     for ([[maybe_unused]] const auto& fd :
-         std::filesystem::directory_iterator("/proc/" + std::to_string(processes[0].pid) + "/fd")) ++n;
+         std::filesystem::directory_iterator("/proc/" + std::to_string(processes[0].pid) + "/fd"))
+      ++n;
     most = std::max(most, n);
   };
   for (int wave = 0; wave < 3; ++wave) {
-    for (int i = 0; i < 150; ++i) idle.push_back(std::make_unique<Raw>(&loop, At(processes[0].port)));
+    for (int i = 0; i < 150; ++i)
+      idle.push_back(std::make_unique<Raw>(&loop, At(processes[0].port)));
     Until([] { return false; }, 0.4, open);
   }
   int calls = 0;
@@ -309,8 +328,11 @@
           const bool waits = !c->in.ends_with("wait_ms=0 HTTP/1.1\r\nHost: discovery\r\n\r\n");
           c->in.clear();
           ++calls;
-          const std::string body = R"({"version":2,"full":false,"servers":[{"id":"w0","state":"terminating"}]})";
-          if (calls == 1 || !waits) c->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+          const std::string body =
+              R"({"version":2,"full":false,"servers":[{"id":"w0","state":"terminating"}]})";
+          if (calls == 1 || !waits)
+            c->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
+                     "\r\n\r\n" + body);
         };
       },
       &why))
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -1,14 +1,14 @@
-// The parts of a cluster around its decisions: frames, the votes' file, the section of the configuration.
+// The parts of a cluster around its decisions: frames, the votes' file, the section of the
+// configuration.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
-
 #include "codec/fields.h"
 #include "codec/membership.h"
 #include "config/cluster.h"
-#include "support/folder.h"
 #include "net/cluster/frame.h"
 #include "store/vote_file.h"
+#include "support/folder.h"
 
 namespace millethollow {
 namespace {
@@ -36,8 +36,13 @@
 }
 
 membership::Frame AProbe() {
-  return Probe{.kind = Probe::Kind::kAck, .seq = 4, .about = 2, .incarnation = 3, .digest = 99,
-               .news = {{5, 6, membership::Health::kSuspect, 1}, {2, 0, membership::Health::kLeft, 0}}};
+  return Probe{
+      .kind = Probe::Kind::kAck,
+      .seq = 4,
+      .about = 2,
+      .incarnation = 3,
+      .digest = 99,
+      .news = {{5, 6, membership::Health::kSuspect, 1}, {2, 0, membership::Health::kLeft, 0}}};
 }
 
 membership::Frame SomeFacts() {
@@ -49,7 +54,12 @@
 }
 
 copies::Frame SomeOperations() {
-  copies::Frame f{.kind = copies::Frame::Kind::kOps, .log = 0x101, .epoch = 4, .disk = 41, .seq = 6, .commit = 5};
+  copies::Frame f{.kind = copies::Frame::Kind::kOps,
+                  .log = 0x101,
+                  .epoch = 4,
+                  .disk = 41,
+                  .seq = 6,
+                  .commit = 5};
   f.seq_epoch = 3;
   f.number = 8;
   f.last = f.matched = true;
@@ -60,7 +70,8 @@
 std::string Again(const cluster::Body& frame) {
   cluster::Header header;
   cluster::Body read;
-  const std::string bytes = cluster::Encode({.cluster = 1, .from = 2, .life = 3, .number = 4}, frame);
+  const std::string bytes =
+      cluster::Encode({.cluster = 1, .from = 2, .life = 3, .number = 4}, frame);
   EXPECT_EQ(cluster::Decode(bytes, &header, &read), cluster::Fault::kNone);
   EXPECT_EQ(header.life, 3U);
   EXPECT_EQ(cluster::Encode(header, read), bytes) << "all of it came through";
@@ -69,7 +80,8 @@
 
 TEST(ClusterFrame, IsReadAsItWasWrittenAndNotWhereAByteIsOff) {
   std::uint64_t word = 1;
-  for (const cluster::Body& frame : {cluster::Body(AMessage()), cluster::Body(AProbe()), cluster::Body(SomeFacts()), cluster::Body(SomeOperations())}) {
+  for (const cluster::Body& frame : {cluster::Body(AMessage()), cluster::Body(AProbe()),
+                                     cluster::Body(SomeFacts()), cluster::Body(SomeOperations())}) {
     const std::string bytes = Again(frame);
     cluster::Header header;
     cluster::Body read;
@@ -119,8 +131,12 @@
     return Waits(7);
   }
   static membership::Votes Some() {
-    return {.promised = {3, 2}, .accepted_by = {2, 1}, .accepted = {.epoch = 4, .members = {}, .settled = 0},
-            .mind = {1, 9}, .minds = {}, .writes = 5};
+    return {.promised = {3, 2},
+            .accepted_by = {2, 1},
+            .accepted = {.epoch = 4, .members = {}, .settled = 0},
+            .mind = {1, 9},
+            .minds = {},
+            .writes = 5};
   }
   std::unique_ptr<store::VoteFile> file;
   membership::Votes votes;
@@ -133,7 +149,8 @@
   store::VoteFile second;
   membership::Votes unused;
   bool bad = false;
-  EXPECT_FALSE(second.Open(folder, 1, 2, [](std::uint64_t, bool) {}, &unused, &bad, &why));
+  EXPECT_FALSE(second.Open(
+      folder, 1, 2, [](std::uint64_t, bool) {}, &unused, &bad, &why));
   EXPECT_NE(why.find("in use"), std::string::npos) << why;
   file.reset();
   ASSERT_TRUE(Open()) << why;
@@ -180,16 +197,21 @@
     {"id":"b","address":"127.0.0.1:2","voter":true},{"id":"c","address":"127.0.0.1:3","voter":true}])";
   const std::pair<std::string, std::string> cases[] = {
       {R"({"name":"x","self":"a","store":"s","members":)" + three + "}", ""},
-      {R"({"name":"x y","self":"a","store":"s","members":)" + three + "}", "'name' must be one plain word"},
-      {R"({"name":"x","self":"d","store":"s","members":)" + three + "}", "'self' names no member: 'd'"},
+      {R"({"name":"x y","self":"a","store":"s","members":)" + three + "}",
+       "'name' must be one plain word"},
+      {R"({"name":"x","self":"d","store":"s","members":)" + three + "}",
+       "'self' names no member: 'd'"},
       {R"({"name":"x","self":"a","members":)" + three + "}", "'store' is missing"},
       {R"({"name":"x","self":"a","store":"s","members":[]})", "no members"},
       {R"({"name":"x","self":"a","store":"s","members":[{"id":"a","address":"h:1","voter":true},
-         {"id":"a","address":"h:2"}]})", "two members 'a'"},
+         {"id":"a","address":"h:2"}]})",
+       "two members 'a'"},
       {R"({"name":"x","self":"a","store":"s","members":[{"id":"a","address":"h:1","voter":true},
-         {"id":"b","address":"h:1"}]})", "two members at h:1"},
+         {"id":"b","address":"h:1"}]})",
+       "two members at h:1"},
       {R"({"name":"x","self":"a","store":"s","members":[{"id":"a","address":"h:1","voter":true},
-         {"id":"b","address":"h:2","voter":true}]})", "must be voters, not 2"},
+         {"id":"b","address":"h:2","voter":true}]})",
+       "must be voters, not 2"},
       {R"({"name":"x","self":"a","store":"s","membres":[]})", "unknown key 'cluster.membres'"},
       {R"({"name":"x","self":"a","store":"s","members":[{"id":"a","adress":"h:1"}]})",
        "unknown key 'cluster.members.0.adress'"},
--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -29,7 +29,8 @@
     world.Heal();
     world.StartAll();
     for (std::size_t i = 0; i < world.size(); ++i) copies.Slow(i, 0.002);
-    for (const double until = world.now() + 60; !whole && world.now() < until && world.broken().empty();) {
+    for (const double until = world.now() + 60;
+         !whole && world.now() < until && world.broken().empty();) {
       world.RunUntil(world.now() + 0.5);
       whole = copies.Whole(3);
     }
@@ -39,9 +40,12 @@
       case 0:
         if (copies.MayLose(i)) copies.Wipe(i);
         return;
-      case 1: return copies.Slow(i, faults.Below(2) == 0 ? 0.2 : 0.002);
-      case 2: return world.SetLoss(faults.Below(2) == 0 ? 0.2 : 0.02);
-      default: world.Fault(&faults, 8);
+      case 1:
+        return copies.Slow(i, faults.Below(2) == 0 ? 0.2 : 0.002);
+      case 2:
+        return world.SetLoss(faults.Below(2) == 0 ? 0.2 : 0.02);
+      default:
+        world.Fault(&faults, 8);
     }
   }
   Random faults;
@@ -55,16 +59,19 @@
   const std::uint64_t from = FromEnvironment("SEED", 1);
   for (std::uint64_t seed = from; seed <= std::max(from, FromEnvironment("SEEDS", 40)); ++seed) {
     CopyDay day(seed);
-    ASSERT_TRUE(day.world.broken().empty()) << "seed " << seed << " " << day.world.broken()[0] << day.copies.Told();
-    ASSERT_TRUE(day.whole) << "seed " << seed << " does not come together" << day.copies.Told() << day.world.Told();
+    ASSERT_TRUE(day.world.broken().empty())
+        << "seed " << seed << " " << day.world.broken()[0] << day.copies.Told();
+    ASSERT_TRUE(day.whole) << "seed " << seed << " does not come together" << day.copies.Told()
+                           << day.world.Told();
     answered += day.copies.answered;
     refused += day.copies.refused;
     adopted += day.copies.adopted;
-    for (std::size_t i = 0; i < day.world.size(); ++i) day.world.Kill(i);  // fillings are counted at their end
+    for (std::size_t i = 0; i < day.world.size(); ++i)
+      day.world.Kill(i);  // fillings are counted at their end
     fillings += day.copies.fillings;
   }
-  std::printf("%zu answered, %zu refused for want of copies, %zu takeovers, %zu fillings\n", answered, refused, adopted,
-              fillings);
+  std::printf("%zu answered, %zu refused for want of copies, %zu takeovers, %zu fillings\n",
+              answered, refused, adopted, fillings);
   EXPECT_GT(answered, 100U);
   EXPECT_GT(refused + adopted, 2U);
 }
@@ -73,13 +80,16 @@
   const CopyFaults planted[] = {
       {.answers_before_disk = true}, {.acts_without_lease = true}, {.loses_tail_of_filling = true}};
   for (const CopyFaults& fault : planted) {
-    EXPECT_NE(FirstSeed(200, [&](std::uint64_t seed) { return CopyDay(seed, fault).world.broken(); }), 0U);
+    EXPECT_NE(
+        FirstSeed(200, [&](std::uint64_t seed) { return CopyDay(seed, fault).world.broken(); }),
+        0U);
   }
 }
 
-// An owner and two holders; two operations are on their way, and at any moment the owner may be gone with its disk and
-// the second take over: every order of the first `depth` events (a frame comes, a write is done, the owner
-// goes), and after each of them the rest as it comes. Copies of the real decisions.
+// An owner and two holders; two operations are on their way, and at any moment the owner may be
+// gone with its disk and the second take over: every order of the first `depth` events (a frame
+// comes, a write is done, the owner goes), and after each of them the rest as it comes. Copies of
+// the real decisions.
 struct CopyOrders {
   static constexpr LogId kLog = 9;
   struct Flight {
@@ -101,7 +111,8 @@
 
   static View ViewOf(int gone) {
     View v{.epoch = 2U + static_cast<std::uint64_t>(gone), .members = {}, .settled = 0, .logs = {}};
-    for (NodeId id = gone ? 2 : 1; id <= 3; ++id) v.members.push_back({id, 10 + id, "p", 1, 100 + id});
+    for (NodeId id = gone ? 2 : 1; id <= 3; ++id)
+      v.members.push_back({id, 10 + id, "p", 1, 100 + id});
     const NodeId owner = gone ? 2 : 1;
     v.logs.push_back({kLog, owner, 10 + owner, gone ? 3U : 2U, 1, {{2, 102}, {3, 103}}});
     if (gone < 2) v.logs[0].holders.push_back({1, 101});
@@ -144,9 +155,12 @@
     for (int n = 0; n < 300; ++n) {
       std::size_t i = 0;
       while (i < 3 && s->writes[i].empty()) ++i;
-      if (i < 3) Store(s, i);
-      else if (!s->flight.empty()) Deliver(s, 0);
-      else return;
+      if (i < 3)
+        Store(s, i);
+      else if (!s->flight.empty())
+        Deliver(s, 0);
+      else
+        return;
     }
   }
   bool Sound(const State& s) const {
@@ -169,7 +183,8 @@
       s.nodes.emplace_back(o, std::vector<std::pair<std::string, std::string>>{});
     }
     for (int n = 0; n < 4; ++n) {
-      for (std::size_t i = 0; i < 3; ++i) On(&s, i, [&](Copies* c, Copies::Actions* a) { c->Tick(s.now, a); });
+      for (std::size_t i = 0; i < 3; ++i)
+        On(&s, i, [&](Copies* c, Copies::Actions* a) { c->Tick(s.now, a); });
       Settle(&s);
       s.now += 0.3;
     }
@@ -190,7 +205,8 @@
       s.gone = 2;
       for (int n = 0; n < 20; ++n) {
         s.now += 0.3;
-        for (std::size_t i = 1; i < 3; ++i) On(&s, i, [&](Copies* c, Copies::Actions* a) { c->Tick(s.now, a); });
+        for (std::size_t i = 1; i < 3; ++i)
+          On(&s, i, [&](Copies* c, Copies::Actions* a) { c->Tick(s.now, a); });
         Settle(&s);
       }
       orders += 1;
@@ -229,12 +245,12 @@
   planted.answers_before_disk = true;
   planted.Explore(planted.Begin(), 4);
   EXPECT_GT(planted.wrong, 0U) << "or it proves nothing";
-  std::printf("%lu orders, %lu operations answered; planted: %lu of %lu wrong\n", o.orders, o.answered, planted.wrong,
-              planted.orders);
+  std::printf("%lu orders, %lu operations answered; planted: %lu of %lu wrong\n", o.orders,
+              o.answered, planted.wrong, planted.orders);
 }
 
-// An hour-old copy of a folder is put back under a process that was down: it is noticed, and its disk is no
-// holder any more until it is filled anew.
+// An hour-old copy of a folder is put back under a process that was down: it is noticed, and its
+// disk is no holder any more until it is filled anew.
 TEST(Copies, AFolderThatWasPutBackIsNoticedAndFilledAnew) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CopyWorld w(seed, 3, {});
--- a/tests/copy_store_test.cpp
+++ b/tests/copy_store_test.cpp
@@ -1,14 +1,15 @@
-// The store of copies on real files: what was said to be on disk is there after any end of the process, and
-// what is not as it was written is noticed.
+// The store of copies on real files: what was said to be on disk is there after any end of the
+// process, and what is not as it was written is noticed.
+#include "store/copy_store.h"
+
 #include <gtest/gtest.h>
 #include <sqlite3.h>
 
 #include <filesystem>
 #include <map>
 
-#include "support/folder.h"
 #include "membership/types.h"
-#include "store/copy_store.h"
+#include "support/folder.h"
 
 namespace millethollow::store {
 namespace {
@@ -19,7 +20,8 @@
 
 struct CopyFolder : Folder {
   ~CopyFolder() override { store.reset(); }
-  bool Open(const std::string& at, std::uint64_t most = 16 << 20, CopyStore::Identity who = {1, 2, 77}) {
+  bool Open(const std::string& at, std::uint64_t most = 16 << 20,
+            CopyStore::Identity who = {1, 2, 77}) {
     store.reset();
     store = std::make_unique<CopyStore>();
     why.clear();
@@ -35,21 +37,24 @@
     damaged.clear();
     for (bool more = true; more;) {
       bool come = false;
-      store->Read(prefix, after, most, [&](CopyStore::Records records, bool last, std::vector<std::string> bad) {
-        const std::lock_guard lock(mutex);
-        for (auto& [key, value] : records) all[key] = value, after = key;
-        damaged.insert(damaged.end(), bad.begin(), bad.end());
-        if (!bad.empty() && bad.back() > after) after = bad.back();
-        more = !last;
-        come = true;
-        changed.notify_all();
-      });
+      store->Read(prefix, after, most,
+                  [&](CopyStore::Records records, bool last, std::vector<std::string> bad) {
+                    const std::lock_guard lock(mutex);
+                    for (auto& [key, value] : records) all[key] = value, after = key;
+                    damaged.insert(damaged.end(), bad.begin(), bad.end());
+                    if (!bad.empty() && bad.back() > after) after = bad.back();
+                    more = !last;
+                    come = true;
+                    changed.notify_all();
+                  });
       std::unique_lock lock(mutex);
       changed.wait(lock, [&] { return come; });
     }
     return all;
   }
-  static Write PutOf(const std::string& key, const std::string& value) { return {Write::What::kPut, key, value}; }
+  static Write PutOf(const std::string& key, const std::string& value) {
+    return {Write::What::kPut, key, value};
+  }
   void Sql(const char* text) const {
     sqlite3* db = nullptr;
     ASSERT_EQ(sqlite3_open((folder + "/copies.db").c_str(), &db), SQLITE_OK);
@@ -60,7 +65,8 @@
   std::vector<Write> Some(membership::Random* random, Model* model) {
     std::vector<Write> batch;
     for (std::size_t n = 1 + random->Below(6); n > 0; --n) {
-      const std::string key = copies::EntryKey(kLog, random->Below(2), "k" + std::to_string(random->Below(30)));
+      const std::string key =
+          copies::EntryKey(kLog, random->Below(2), "k" + std::to_string(random->Below(30)));
       const std::size_t what = random->Below(12);
       if (what == 0) {
         const std::string prefix = copies::EntryPrefix(kLog, random->Below(2));
@@ -70,7 +76,8 @@
         batch.push_back({Write::What::kErase, key, ""});
         model->erase(key);
       } else {
-        batch.push_back(PutOf(key, std::string(random->Below(300), static_cast<char>('a' + random->Below(26)))));
+        batch.push_back(PutOf(
+            key, std::string(random->Below(300), static_cast<char>('a' + random->Below(26)))));
         (*model)[key] = batch.back().value;
       }
     }
@@ -99,8 +106,10 @@
   std::vector<Write> batch;
   for (const copies::LogId log : {3U, 4U}) {
     batch.push_back(PutOf(copies::HeadKey(log), "h"));
-    for (copies::Seq seq = 1; seq <= 300; ++seq) batch.push_back(PutOf(copies::OpKey(log, seq), "o"));
-    for (int e = 0; e < 600; ++e) batch.push_back(PutOf(copies::EntryKey(log, 0, std::to_string(e)), "e"));
+    for (copies::Seq seq = 1; seq <= 300; ++seq)
+      batch.push_back(PutOf(copies::OpKey(log, seq), "o"));
+    for (int e = 0; e < 600; ++e)
+      batch.push_back(PutOf(copies::EntryKey(log, 0, std::to_string(e)), "e"));
   }
   ASSERT_TRUE(Put(batch));
   ASSERT_TRUE(Open(folder)) << why;
@@ -110,8 +119,8 @@
   for (const auto& [key, value] : records) EXPECT_NE(copies::Split(key)->what, 'e');
 }
 
-// Power is lost while the last commits are on their way: the log beside the file ends at any byte. What was
-// said to be there before that byte is there, whole batches only.
+// Power is lost while the last commits are on their way: the log beside the file ends at any byte.
+// What was said to be there before that byte is there, whole batches only.
 TEST_F(CopyFolder, CutAtAnyByteOfTheLastRecordsKeepsWholeBatches) {
   ASSERT_TRUE(Open(folder)) << why;
   membership::Random random(9);
@@ -125,10 +134,12 @@
   // As the disk has it now, with the process still there.
   const std::string saved = folder + "/saved";
   std::filesystem::create_directory(saved);
-  for (const char* file : {"/copies.db", "/copies.db-wal"}) std::filesystem::copy_file(folder + file, saved + file);
+  for (const char* file : {"/copies.db", "/copies.db-wal"})
+    std::filesystem::copy_file(folder + file, saved + file);
   store.reset();
   const std::uintmax_t whole = after.back().first;
-  for (std::uintmax_t size = after.front().first; size <= whole; size += size + 40 < whole && size % 4096 > 64 ? 37 : 1) {
+  for (std::uintmax_t size = after.front().first; size <= whole;
+       size += size + 40 < whole && size % 4096 > 64 ? 37 : 1) {
     const std::string at = folder + "/cut";
     std::filesystem::remove_all(at);
     std::filesystem::copy(saved, at);
@@ -148,7 +159,8 @@
   Model model;
   std::vector<Write> batch;
   for (int n = 0; n < 200; ++n) {
-    batch.push_back(PutOf(copies::EntryKey(kLog, 0, "k" + std::to_string(n)), std::string(100, static_cast<char>('a' + n % 26))));
+    batch.push_back(PutOf(copies::EntryKey(kLog, 0, "k" + std::to_string(n)),
+                          std::string(100, static_cast<char>('a' + n % 26))));
     model[batch.back().key] = batch.back().value;
   }
   ASSERT_TRUE(Put(batch));
@@ -168,8 +180,10 @@
       const Model found = All(copies::LogPrefix(kLog), 1000);
       for (const auto& [key, value] : found) {
         const auto it = model.find(key);
-        if (it != model.end()) EXPECT_EQ(it->second, value) << key;
-        else ADD_FAILURE() << "a record that nobody wrote";
+        if (it != model.end())
+          EXPECT_EQ(it->second, value) << key;
+        else
+          ADD_FAILURE() << "a record that nobody wrote";
       }
       noticed += !damaged.empty();
     }
@@ -185,7 +199,8 @@
   const auto refuses = [this](CopyStore::Identity who, const std::string& line) {
     CopyStore other;
     why.clear();
-    EXPECT_FALSE(other.Open(folder, who, 1 << 20, [](std::uint64_t, bool) {}, &why));
+    EXPECT_FALSE(other.Open(
+        folder, who, 1 << 20, [](std::uint64_t, bool) {}, &why));
     EXPECT_NE(why.find(line), std::string::npos) << why;
     EXPECT_EQ(why.find('\n'), std::string::npos);
   };
@@ -202,13 +217,17 @@
 TEST_F(CopyFolder, AFullStoreFailsOnceAndWritesNoMore) {
   ASSERT_TRUE(Open(folder, 512 * 1024)) << why;
   int n = 0;
-  while (n < 5000 && Put({PutOf(copies::EntryKey(kLog, 0, std::to_string(n)), std::string(300, 'v'))})) ++n;
+  while (n < 5000 &&
+         Put({PutOf(copies::EntryKey(kLog, 0, std::to_string(n)), std::string(300, 'v'))}))
+    ++n;
   EXPECT_GT(n, 500);
   EXPECT_LT(n, 1700);
   EXPECT_GT(store->used(), 0.9);
-  EXPECT_FALSE(Put({PutOf(copies::EntryKey(kLog, 0, "0"), "")})) << "after a failure the disk may hold either state";
+  EXPECT_FALSE(Put({PutOf(copies::EntryKey(kLog, 0, "0"), "")}))
+      << "after a failure the disk may hold either state";
   ASSERT_TRUE(Open(folder)) << why;
-  EXPECT_EQ(All(copies::LogPrefix(kLog), 5000).size(), static_cast<std::size_t>(n)) << "all that was said to be there, and no more";
+  EXPECT_EQ(All(copies::LogPrefix(kLog), 5000).size(), static_cast<std::size_t>(n))
+      << "all that was said to be there, and no more";
 }
 
 }  // namespace
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -27,7 +27,8 @@
   EXPECT_EQ(ran, "abdc");
 }
 
-// Callbacks that never stop coming once kept a turn from its end, and every deadline from its sweep.
+// Callbacks that never stop coming once kept a turn from its end, and every deadline from its
+// sweep.
 TEST(Loop, SweepsDeadlinesUnderSteadyLoad) {
   Loop loop;
   bufferevent* busy = bufferevent_socket_new(loop.base(), -1, BEV_OPT_DEFER_CALLBACKS);
@@ -50,7 +51,9 @@
     int attempt;
     std::string worker;
   };
-  void Send(RequestId id, int attempt, const std::string& worker) override { sent.push_back({id, attempt, worker}); }
+  void Send(RequestId id, int attempt, const std::string& worker) override {
+    sent.push_back({id, attempt, worker});
+  }
   void Cancel(RequestId, int) override { ++cancelled; }
   void Probe(const std::string&) override {}
   void Answer(RequestId, const FinalAnswer& a) override { answers.push_back(a); }
@@ -62,7 +65,8 @@
 struct World {
   World() {
     std::string why;
-    EXPECT_TRUE(ReadConfig(TestConfig({"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}), &config, &why));
+    EXPECT_TRUE(
+        ReadConfig(TestConfig({"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}), &config, &why));
     ServerList list;
     EXPECT_TRUE(ReadServerList(config.known, config.zones, config.kinds, &list, &why));
     Planner::Hooks hooks;
@@ -90,8 +94,8 @@
   std::unique_ptr<Planner> planner;
 };
 
-// Sends by a list that is overdue wait for the next word of it, and go to no server that it ends. Who
-// left meanwhile, or ran out of time, was never sent.
+// Sends by a list that is overdue wait for the next word of it, and go to no server that it ends.
+// Who left meanwhile, or ran out of time, was never sent.
 TEST(Planner, SendsWaitForAListThatIsOverdue) {
   World w;
   w.overdue = true;
@@ -103,15 +107,15 @@
   w.deadlines.Sweep(w.now);
   ASSERT_EQ(w.port.answers.size(), 1u);
   EXPECT_EQ(w.port.answers[0].kind, FinalAnswer::Kind::kRefused);
-  std::vector<balancing::Member> list;
+  std::vector<balancing::Endpoint> list;
   for (const char* name : {"w0", "w1", "w2"}) {
     list.push_back({.worker = name});
     if (list.size() < 3) list.back().readiness = balancing::Readiness::kDraining;
   }
-  w.planner->ListKnown(balancing::ListKind::kUpdate, list);
+  w.planner->ListKnown(balancing::EndpointListKind::kIncremental, list);
   EXPECT_EQ(w.port.sent.size(), 0u) << "still overdue";
   w.overdue = false;
-  w.planner->ListKnown(balancing::ListKind::kUnavailable, {});
+  w.planner->ListKnown(balancing::EndpointListKind::kUnavailable, {});
   ASSERT_EQ(w.port.sent.size(), 1u);
   EXPECT_EQ(w.port.sent[0].id, stays);
   EXPECT_EQ(w.port.sent[0].worker, "w2");
@@ -121,8 +125,8 @@
   World w;
   const RequestId id = w.Take(0);
   ASSERT_EQ(w.port.sent.size(), 1u);
-  w.planner->Ended(id, 0, {.verdict = Verdict::kServed});
-  w.planner->Ended(id, 0, {.verdict = Verdict::kServed});
+  w.planner->Ended(id, 0, {.status = AttemptStatus::kSucceeded});
+  w.planner->Ended(id, 0, {.status = AttemptStatus::kSucceeded});
   w.planner->ClientGone(id);
   w.now += 10;
   w.deadlines.Sweep(w.now);
@@ -149,7 +153,7 @@
   EXPECT_EQ(other.answers[0].kind, FinalAnswer::Kind::kRejected);
   EXPECT_TRUE(w.port.answers.empty());
   EXPECT_TRUE(other.sent.empty());
-  w.planner->Ended(w.port.sent[0].id, 0, {.verdict = Verdict::kServed});
+  w.planner->Ended(w.port.sent[0].id, 0, {.status = AttemptStatus::kSucceeded});
   w.planner->Taken(e);  // names are new for each: a worker would turn this one away
   EXPECT_EQ(other.answers.size(), 2u);
   EXPECT_TRUE(other.sent.empty());
@@ -171,7 +175,7 @@
 
 TEST(Planner, SendsNothingWhereAllAreToldToDrainOrMissingFromAFullList) {
   World w;
-  w.planner->ListKnown(balancing::ListKind::kReplace, {});
+  w.planner->ListKnown(balancing::EndpointListKind::kSnapshot, {});
   w.now += 3;
   w.Take(0);
   EXPECT_TRUE(w.port.sent.empty());
@@ -187,17 +191,17 @@
   const RequestId id = w.Take(0, 1e6);
   ASSERT_EQ(w.port.sent.size(), 1u);
   const std::string busy = w.port.sent[0].worker;
-  std::vector<balancing::Member> list;
+  std::vector<balancing::Endpoint> list;
   for (const Planner::Known& k : w.planner->Knowledge()) list.push_back(k.member);
   const std::string by_hand = list[0].worker == busy ? list[1].worker : list[0].worker;
   ASSERT_TRUE(w.planner->Maintain(by_hand, true));
   for (int i = 0; i < 2000; ++i) {  // one replaced every 10 s, for 20,000 s
     w.now += 10;
     list.erase(list.begin());
-    balancing::Member m;
+    balancing::Endpoint m;
     m.worker = "127.0.1." + std::to_string(i % 250) + ":" + std::to_string(1000 + i);
     list.push_back(m);
-    w.planner->ListKnown(balancing::ListKind::kReplace, list);
+    w.planner->ListKnown(balancing::EndpointListKind::kSnapshot, list);
   }
   const std::vector<Planner::Known> known = w.planner->Knowledge();
   EXPECT_LE(known.size(), 3u + 300 / 10 + 1 + 2);  // listed, gone within 300 s, busy, by hand
@@ -207,10 +211,10 @@
   };
   EXPECT_TRUE(has(busy));
   EXPECT_TRUE(has(by_hand));
-  w.planner->Ended(id, 0, {.verdict = Verdict::kServed});
+  w.planner->Ended(id, 0, {.status = AttemptStatus::kSucceeded});
   w.now += 10;
   list.push_back({.worker = "127.0.2.1:1000"});  // a new one takes the place that the module frees
-  w.planner->ListKnown(balancing::ListKind::kReplace, list);
+  w.planner->ListKnown(balancing::EndpointListKind::kSnapshot, list);
   const std::vector<Planner::Known> after = w.planner->Knowledge();
   EXPECT_FALSE(std::any_of(after.begin(), after.end(),
                            [&](const Planner::Known& k) { return k.member.worker == busy; }));
@@ -231,14 +235,14 @@
         w.port.answers.back().kind == FinalAnswer::Kind::kRejected) {
       return false;  // refused as a name already used
     }
-    w.planner->Ended(e.id, 0, {.verdict = Verdict::kServed});
+    w.planner->Ended(e.id, 0, {.status = AttemptStatus::kSucceeded});
     w.now += 0.01;
     return true;
   };
   for (int n = 0; n <= 4096; ++n) ASSERT_TRUE(take(n)) << n;
-  EXPECT_FALSE(take(1));    // among the last 4,096
+  EXPECT_FALSE(take(1));  // among the last 4,096
   EXPECT_FALSE(take(4096));
-  EXPECT_TRUE(take(0));     // the 4,097th from the end: forgotten
+  EXPECT_TRUE(take(0));  // the 4,097th from the end: forgotten
 }
 
 TEST(Planner, ALostForwardersRequestsAreClosed) {
@@ -257,19 +261,21 @@
   server.act = [&](const ToyWorker::Got& g) {
     asked.push_back(loop.Now());
     if (asked.size() == 3) return g.from->Close("test");
-    const std::string body = R"({"version":)" + std::to_string(4 + asked.size()) +
-                             R"(,"full":)" + (asked.size() == 1 ? "true" : "false") +
+    const std::string body = R"({"version":)" + std::to_string(4 + asked.size()) + R"(,"full":)" +
+                             (asked.size() == 1 ? "true" : "false") +
                              R"(,"servers":[{"id":"w","addr":"127.0.0.1:9"}]})";
     if (asked.size() < 4) {
       g.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
                     "\r\n\r\n" + body);
     }
   };
-  std::vector<balancing::ListKind> known;
+  std::vector<balancing::EndpointListKind> known;
   int unavailable = 0;
-  Discovery discovery(&loop, {.address = server.address(), .ask_within_s = 1, .zones = {}, .kinds = {}, .seed = 3},
-                      {.known = [&](balancing::ListKind k, const ServerList&) { known.push_back(k); },
-                       .unavailable = [&] { ++unavailable; }});
+  Discovery discovery(
+      &loop,
+      {.address = server.address(), .max_poll_interval_s = 1, .zones = {}, .kinds = {}, .seed = 3},
+      {.known = [&](balancing::EndpointListKind k, const ServerList&) { known.push_back(k); },
+       .unavailable = [&] { ++unavailable; }});
   discovery.SetVersion(2);
   discovery.Subscribe(true);
   ASSERT_TRUE(TurnUntil(loop, [&] { return asked.size() == 4; }));
@@ -279,7 +285,8 @@
   EXPECT_LT(asked[1] - asked[0], 0.2);
   EXPECT_LT(asked[2] - asked[1], 0.2);
   EXPECT_LT(asked[3] - asked[2], 1.0);
-  EXPECT_EQ(known, (std::vector{balancing::ListKind::kReplace, balancing::ListKind::kUpdate}));
+  EXPECT_EQ(known, (std::vector{balancing::EndpointListKind::kSnapshot,
+                                balancing::EndpointListKind::kIncremental}));
   EXPECT_EQ(unavailable, 1);
 }
 
@@ -289,12 +296,13 @@
   ToyWorker server{&loop};
   std::vector<double> asked;
   std::vector<std::string> targets;
-  std::vector<balancing::ListKind> known;
+  std::vector<balancing::EndpointListKind> known;
   int unavailable = 0;
   std::function<void(const ToyWorker::Got&, std::size_t nth)> act;
   std::unique_ptr<Discovery> discovery;
 
-  explicit Called(int nodes, double ask_within_s = 10, std::uint64_t seed = 3, double drain_grace_s = 2) {
+  explicit Called(int nodes, double max_poll_interval_s = 10, std::uint64_t seed = 3,
+                  double drain_grace_s = 2) {
     LogLevel() = Level::kError;
     server.act = [this](const ToyWorker::Got& g) {
       asked.push_back(loop.Now());
@@ -303,22 +311,33 @@
     };
     discovery = std::make_unique<Discovery>(
         &loop,
-        Discovery::Options{.address = server.address(), .ask_within_s = ask_within_s, .zones = {}, .kinds = {}, .seed = seed, .drain_grace_s = drain_grace_s, .nodes = nodes},
-        Discovery::Hooks{.known = [this](balancing::ListKind k, const ServerList&) { known.push_back(k); },
+        Discovery::Options{.address = server.address(),
+                           .max_poll_interval_s = max_poll_interval_s,
+                           .zones = {},
+                           .kinds = {},
+                           .seed = seed,
+                           .drain_grace_s = drain_grace_s,
+                           .nodes = nodes},
+        Discovery::Hooks{.known = [this](balancing::EndpointListKind k,
+                                         const ServerList&) { known.push_back(k); },
                          .unavailable =
                              [this] {
                                ++unavailable;
-                               loop.deadlines().At(loop.Now() + 0.1, [this] { discovery->Subscribe(true); });
+                               loop.deadlines().At(loop.Now() + 0.1,
+                                                   [this] { discovery->Subscribe(true); });
                              }});
     discovery->SetVersion(2);
   }
   static void Tell(const ToyWorker::Got& g, int version, bool full = false) {
     const std::string body = R"({"version":)" + std::to_string(version) + R"(,"full":)" +
-                             (full ? "true" : "false") + R"(,"servers":[{"id":"w","addr":"127.0.0.1:9"}]})";
-    g.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+                             (full ? "true" : "false") +
+                             R"(,"servers":[{"id":"w","addr":"127.0.0.1:9"}]})";
+    g.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+                  body);
   }
   bool Asked(std::size_t n, double most_s = 5) {
-    return TurnUntil(loop, [&] { return asked.size() >= n; }, most_s);
+    return TurnUntil(
+        loop, [&] { return asked.size() >= n; }, most_s);
   }
 };
 
@@ -341,13 +360,13 @@
   const std::string watch = "/catalog/members?after=2&wait_ms=";
   ASSERT_TRUE(d.targets[2].starts_with(watch)) << d.targets[2];
   const int wait_ms = std::stoi(d.targets[2].substr(watch.size()));
-  EXPECT_GE(wait_ms, 8000);  // not so short that watches alone keep discovery busy
+  EXPECT_GE(wait_ms, 8000);   // not so short that watches alone keep discovery busy
   EXPECT_LE(wait_ms, 12000);  // nor so long that silence goes unnoticed
   EXPECT_EQ(d.unavailable, 1);
 }
 
-// After news the watch goes on at once, in a crowd too: a later call would be a new watch, which many
-// nodes' discovery cannot bear for each change.
+// After news the watch goes on at once, in a crowd too: a later call would be a new watch, which
+// many nodes' discovery cannot bear for each change.
 TEST(Discovery, OfManyNodesEachLetsItsWatchGoOnAfterNews) {
   Called d(300);
   d.act = [&](const ToyWorker::Got& g, std::size_t nth) {
@@ -364,9 +383,9 @@
   EXPECT_FALSE(d.discovery->Overdue());
 }
 
-// What changes within 200 ms of an answer counts as told. Where discovery turns away what follows an
-// answer at once, a crowd's next call comes later, and until its answer is here nothing may go by a
-// list that is older than the drain grace.
+// What changes within 200 ms of an answer counts as told. Where discovery turns away what follows
+// an answer at once, a crowd's next call comes later, and until its answer is here nothing may go
+// by a list that is older than the drain grace.
 TEST(Discovery, OfManyNodesOneWhoseAnswerIsLateSaysThatItsListIsOverdue) {
   Called d(300);
   ToyWorker::Got last;
@@ -382,18 +401,21 @@
   EXPECT_LT(d.asked[3] - d.asked[2], 1.4);
   EXPECT_GT(d.asked[3] - d.asked[2], 0.2);
   EXPECT_FALSE(d.discovery->Overdue());
-  ASSERT_TRUE(TurnUntil(d.loop, [&] { return d.discovery->Overdue(); }, 3));
+  ASSERT_TRUE(TurnUntil(
+      d.loop, [&] { return d.discovery->Overdue(); }, 3));
   EXPECT_LT(d.loop.Now() - d.asked[2], 2.0);
   EXPECT_GT(d.loop.Now() - d.asked[2], 1.7);
   Called::Tell(last, 4);
   ASSERT_TRUE(TurnUntil(d.loop, [&] { return d.known.size() == 3; }));
   EXPECT_FALSE(d.discovery->Overdue());
   ASSERT_TRUE(d.Asked(5));  // nothing new: from here on a watch is out
-  EXPECT_FALSE(TurnUntil(d.loop, [&] { return d.discovery->Overdue(); }, 2.2));
+  EXPECT_FALSE(TurnUntil(
+      d.loop, [&] { return d.discovery->Overdue(); }, 2.2));
 }
 
-// The same where the drain grace is shorter than the wait until the next call: a worker that ended right after the
-// answer was sent to until that call's answer came. With this seed the wait is 1.59 s after two calls turned away.
+// The same where the drain grace is shorter than the wait until the next call: a worker that ended
+// right after the answer was sent to until that call's answer came. With this seed the wait is 1.59
+// s after two calls turned away.
 TEST(Discovery, OfManyNodesOneThatCallsLaterThanAShortDrainGraceSaysSoToo) {
   constexpr double kGraceS = 1.5;
   Called d(300, 10, 2197, kGraceS);
@@ -408,7 +430,8 @@
   ASSERT_TRUE(d.Asked(4, 12));
   ASSERT_TRUE(TurnUntil(d.loop, [&] { return d.known.size() == 2; }));
   EXPECT_FALSE(d.discovery->Overdue());
-  EXPECT_TRUE(TurnUntil(d.loop, [&] { return d.discovery->Overdue() || d.asked.size() == 5; }, 3));
+  EXPECT_TRUE(TurnUntil(
+      d.loop, [&] { return d.discovery->Overdue() || d.asked.size() == 5; }, 3));
   EXPECT_EQ(d.asked.size(), 4U) << "overdue before the next call";
   EXPECT_LT(d.loop.Now() - d.asked[3], kGraceS);
   ASSERT_TRUE(d.Asked(5));
@@ -459,7 +482,8 @@
   Called d(1);
   d.act = [](const ToyWorker::Got& g, std::size_t) { Called::Tell(g, 2); };
   d.discovery->Subscribe(true);
-  TurnUntil(d.loop, [] { return false; }, 0.5);
+  TurnUntil(
+      d.loop, [] { return false; }, 0.5);
   EXPECT_GE(d.asked.size(), 3u);
   EXPECT_LT(d.asked.size(), 9u);
 }
@@ -468,14 +492,18 @@
 TEST(Discovery, ReadsIndentedListsAndOutlivesBadOnes) {
   ServerList list;
   std::string why;
-  EXPECT_TRUE(ReadServerList("{\n  \"version\": 4,\n  \"full\": true,\n  \"servers\": [\n    {\n \"id\": \"s\"\n}\n  ]\n}\n",
-                               {}, {}, &list, &why));
+  EXPECT_TRUE(
+      ReadServerList("{\n  \"version\": 4,\n  \"full\": true,\n  \"servers\": [\n    {\n \"id\": "
+                     "\"s\"\n}\n  ]\n}\n",
+                     {}, {}, &list, &why));
   EXPECT_EQ(list.entries.size(), 1u);
-  for (const char* bad : {"{\"version\":4,\"servers\":[{\"id\":\"s\"", "", "[]", "{\"servers\":{}}"}) {
+  for (const char* bad :
+       {"{\"version\":4,\"servers\":[{\"id\":\"s\"", "", "[]", "{\"servers\":{}}"}) {
     EXPECT_FALSE(ReadServerList(bad, {}, {}, &list, &why)) << bad;
   }
-  EXPECT_TRUE(ReadServerList(R"({"version":1e300,"servers":[{"id":"s","cell":-1e300,"started_ms":1e308}]})",
-                               {}, {}, &list, &why));
+  EXPECT_TRUE(
+      ReadServerList(R"({"version":1e300,"servers":[{"id":"s","cell":-1e300,"started_ms":1e308}]})",
+                     {}, {}, &list, &why));
 }
 
 TEST(Config, SaysInOneLineWhatIsWrong) {
@@ -490,7 +518,8 @@
   };
   EXPECT_NE(why("[]", "", "").find("JSON"), std::string::npos);
   EXPECT_NE(why(good, R"("name":"t")", R"("name":7)").find("name"), std::string::npos);
-  EXPECT_NE(why(good, R"("most_tries":4)", R"("most_tries":0)").find("most_tries"), std::string::npos);
+  EXPECT_NE(why(good, R"("most_tries":4)", R"("most_tries":0)").find("most_tries"),
+            std::string::npos);
   EXPECT_NE(why(good, R"("by_key")", R"("by_luck")").find("semantics"), std::string::npos);
   EXPECT_NE(why(good, R"("name":"t")", R"("gearman":{"functions":{"f":{"class":"?"}}})").find("f"),
             std::string::npos);
@@ -501,11 +530,12 @@
   std::string why;
   ASSERT_TRUE(ReadServerList(R"({"version":43,"full":false,"servers":[{"id":"s","addr":"1.2.3.4:5",
       "zone":"b","kind":"m2","cell":3,"state":"terminating","started_ms":1500},{"nameless":1},
-      {"id":"t","state":"odd"}]})", {"a", "b"}, {"m1", "m2"}, &list, &why));
+      {"id":"t","state":"odd"}]})",
+                             {"a", "b"}, {"m1", "m2"}, &list, &why));
   ASSERT_EQ(list.entries.size(), 2u);
   EXPECT_EQ(list.entries[0].member.zone, 1);
   EXPECT_EQ(list.entries[0].member.kind, 1);
-  EXPECT_EQ(list.entries[0].member.born_s, 1.5);
+  EXPECT_EQ(list.entries[0].member.started_at_s, 1.5);
   EXPECT_EQ(list.entries[1].member.readiness, balancing::Readiness::kDraining);
   EXPECT_FALSE(ReadServerList("{}", {}, {}, &list, &why));
 }
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,5 +1,5 @@
-// Two events that cross, forced: one is in the system already, and the node has not had its turn yet, when
-// the other comes. What docs/audit-findings.md lists under 'Crossings' has its test here.
+// Two events that cross, forced: one is in the system already, and the node has not had its turn
+// yet, when the other comes. What docs/audit-findings.md lists under 'Crossings' has its test here.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -57,7 +57,7 @@
   const std::size_t before = rig.Got();
   rig.node->BeginStop();
   HostOnly(0.52);
-  SweepOnly();                       // our side has ended
+  SweepOnly();                        // our side has ended
   client->Write(Post("a1", "look"));  // and the client has not seen it
   HostOnly(0.02);
   ASSERT_TRUE(client->ended);
@@ -77,7 +77,8 @@
   EXPECT_TRUE(client->in.starts_with("HTTP/1.1 200")) << client->in;
 }
 
-// A request whose end comes late after SIGTERM might be cut off by SIGKILL: refused, and sent nowhere.
+// A request whose end comes late after SIGTERM might be cut off by SIGKILL: refused, and sent
+// nowhere.
 TEST_F(Crossing, ARequestThatIsWholeOnlyLateAfterTheStopIsRefused) {
   auto client = Resting();
   const std::size_t before = rig.Got();
@@ -112,7 +113,8 @@
   const std::string more = Post("a2", "look");
   int end = 0;
   rig.Until([&] {
-    if (rig.node->counters().served == 1 && in.size() < 40000) (void)send(client, more.data(), more.size(), MSG_NOSIGNAL);
+    if (rig.node->counters().served == 1 && in.size() < 40000)
+      (void)send(client, more.data(), more.size(), MSG_NOSIGNAL);
     end = take();
     return end != 0;
   });
@@ -135,7 +137,8 @@
   EXPECT_TRUE(rig.Until([&] { return rig.workers[0]->AllGone(); }, 0.2));
 }
 
-// A second 'never begun' for one request, late, must not be taken for the answer to the next, which runs.
+// A second 'never begun' for one request, late, must not be taken for the answer to the next, which
+// runs.
 TEST_F(Crossing, ASecondAnswerIsNotTakenForThatOfTheNextRequest) {
   const std::string away = "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
   ToyWorker::Got first{}, second{};
@@ -159,17 +162,17 @@
   ASSERT_TRUE(rig.Until([&] { return two->in.ends_with("ok"); }));
 }
 
-// The worker has closed a resting connection, and no turn has seen it yet: the request goes out on another,
-// and nothing bad is said of the worker.
+// The worker has closed a resting connection, and no turn has seen it yet: the request goes out on
+// another, and nothing bad is said of the worker.
 TEST(StaleConnection, CarriesNoRequest) {
   struct Link : PlannerLink {
     void Taken(const Request&) override {}
     void ClientGone(RequestId) override {}
     void Began(RequestId, int) override {}
-    void Ended(RequestId, int, const Outcome& o) override { ended.push_back(o.verdict); }
+    void Ended(RequestId, int, const Outcome& o) override { ended.push_back(o.status); }
     void Probed(const std::string&, const Outcome&) override {}
-    void WorkerChanged(const balancing::Member&) override {}
-    std::vector<Verdict> ended;
+    void WorkerChanged(const balancing::Endpoint&) override {}
+    std::vector<AttemptStatus> ended;
   };
   struct Client : ClientSide {
     void Answer(const Held&, const FinalAnswer&, const std::string&) override {}
@@ -208,11 +211,13 @@
       host.Turn();
     }
     ask();
-    EXPECT_EQ(link.ended, (std::vector{Verdict::kServed, Verdict::kServed})) << unasked;
+    EXPECT_EQ(link.ended, (std::vector{AttemptStatus::kSucceeded, AttemptStatus::kSucceeded}))
+        << unasked;
   }
 }
 
-// A worker whose system makes connections late: its queue of them is full until the test lets one in.
+// A worker whose system makes connections late: its queue of them is full until the test lets one
+// in.
 struct LateWorker {
   LateWorker() {
     fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
@@ -240,7 +245,8 @@
     }
     std::size_t bytes = 0;
     char some[4096];
-    for (const int a : accepted) bytes += static_cast<std::size_t>(std::max<ssize_t>(0, recv(a, some, sizeof some, MSG_PEEK)));
+    for (const int a : accepted)
+      bytes += static_cast<std::size_t>(std::max<ssize_t>(0, recv(a, some, sizeof some, MSG_PEEK)));
     return bytes;
   }
   sockaddr_in at{};
@@ -248,8 +254,9 @@
   std::vector<int> fillers, accepted;
 };
 
-// Clients that leave, one or many at once, while the connection to the worker is being made: it comes up
-// later, and nothing goes out on it, whether or not the settings let attempts be called off.
+// Clients that leave, one or many at once, while the connection to the worker is being made: it
+// comes up later, and nothing goes out on it, whether or not the settings let attempts be called
+// off.
 TEST(Leaving, NothingBeginsForClientsThatLeftWhileAConnectionWasMade) {
   for (const bool cancel : {true, false}) {
     for (const int clients : {1, 12}) {
@@ -257,7 +264,9 @@
       LateWorker worker;
       Loop host;
       std::string text = TestConfig({AddressText(worker.at)}), why;
-      const auto put = [&](const std::string& from, const std::string& to) { text.replace(text.find(from), from.size(), to); };
+      const auto put = [&](const std::string& from, const std::string& to) {
+        text.replace(text.find(from), from.size(), to);
+      };
       put(R"("connect_timeout_s":0.25)", R"("connect_timeout_s":5)");
       if (!cancel) put(R"("cancel":true)", R"("cancel":false)");
       Config config;
@@ -284,7 +293,8 @@
       for (auto& client : all) client->Close("test");
       ASSERT_TRUE(until([&] { return node.counters().gone == count; }, 0.1));
       EXPECT_EQ(worker.Bytes(), 0u);  // from now on connections come up
-      EXPECT_FALSE(until([&] { return worker.Bytes() > 0; }, 1.5)) << "cancel " << cancel << ", " << clients;
+      EXPECT_FALSE(until([&] { return worker.Bytes() > 0; }, 1.5))
+          << "cancel " << cancel << ", " << clients;
       EXPECT_EQ(node.counters().sent, count);
     }
   }
@@ -338,25 +348,45 @@
   };
   const Case cases[] = {
       {"never ends", [&](const auto& g) { g.from->Write(head + done(g)); }, "200"},
-      {"bytes after the answer", [&](const auto& g) { g.from->Write(head + done(g) + "0\r\n\r\nmore"); }, "200"},
-      {"answered twice", [&](const auto& g) { g.from->Write(head + done(g) + "0\r\n\r\n" + head + done(g) + "0\r\n\r\n"); }, "200"},
+      {"bytes after the answer",
+       [&](const auto& g) { g.from->Write(head + done(g) + "0\r\n\r\nmore"); }, "200"},
+      {"answered twice",
+       [&](const auto& g) {
+         g.from->Write(head + done(g) + "0\r\n\r\n" + head + done(g) + "0\r\n\r\n");
+       },
+       "200"},
       {"half a line and an end",
        [&](const auto& g) {
          g.from->Write(head + chunk(ToyWorker::Line(g, "done").substr(0, 20)));
          g.from->EndAfterWriting();
        },
        "503"},
-      {"a line of another request", [&](const auto& g) { g.from->Write(head + chunk("{\"id\":\"zz\",\"state\":\"done\",\"result\":\"no\"}\n")); }, "503"},
-      {"a line without end", [&](const auto& g) { g.from->Write(head + chunk(std::string(60000, 'x')) + chunk(std::string(60000, 'x')) + chunk(std::string(60000, 'x')) + chunk(std::string(60000, 'x')) + chunk(std::string(60000, 'x'))); }, "503"},
+      {"a line of another request",
+       [&](const auto& g) {
+         g.from->Write(head + chunk("{\"id\":\"zz\",\"state\":\"done\",\"result\":\"no\"}\n"));
+       },
+       "503"},
+      {"a line without end",
+       [&](const auto& g) {
+         g.from->Write(head + chunk(std::string(60000, 'x')) + chunk(std::string(60000, 'x')) +
+                       chunk(std::string(60000, 'x')) + chunk(std::string(60000, 'x')) +
+                       chunk(std::string(60000, 'x')));
+       },
+       "503"},
   };
   for (const Case& c : cases) {
     Rig rig(1);
-    rig.workers[0]->act = [&](const ToyWorker::Got& g) { rig.Got() == 1 ? c.act(g) : ToyWorker::Done(g, "ok"); };
+    rig.workers[0]->act = [&](const ToyWorker::Got& g) {
+      rig.Got() == 1 ? c.act(g) : ToyWorker::Done(g, "ok");
+    };
     const std::string in = rig.Ask(Post("a1", "look", "", "{}", 1000), "\r\n\r\n");
     EXPECT_TRUE(in.starts_with(std::string("HTTP/1.1 ") + c.status)) << c.name << ": " << in;
     const std::string next = rig.Ask(Post("a2", "look"), "\r\n\r\n");
-    EXPECT_TRUE(next.starts_with("HTTP/1.1 200") || next.starts_with("HTTP/1.1 503")) << c.name << ": " << next;
-    EXPECT_LE(rig.node->counters().served + rig.node->counters().refused + rig.node->counters().failed, 2u);
+    EXPECT_TRUE(next.starts_with("HTTP/1.1 200") || next.starts_with("HTTP/1.1 503"))
+        << c.name << ": " << next;
+    EXPECT_LE(
+        rig.node->counters().served + rig.node->counters().refused + rig.node->counters().failed,
+        2u);
   }
 }
 
@@ -367,7 +397,8 @@
   rig.workers[0]->act = [&](const ToyWorker::Got& g) {
     std::string line = ToyWorker::Line(g, "done");
     line.insert(line.size() - 1, R"(,"result":"ok")");
-    answer = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(line.size() + 1) + "\r\n\r\n" + line + "\n";
+    answer = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(line.size() + 1) + "\r\n\r\n" +
+             line + "\n";
     for (std::size_t i = 0; i < answer.size(); ++i) {
       rig.host.deadlines().At(rig.host.Now() + 0.002 * static_cast<double>(i),
                               [from = g.from, c = answer[i]] { from->Write(std::string(1, c)); });
--- a/tests/crowded_discovery_test.cpp
+++ b/tests/crowded_discovery_test.cpp
@@ -44,7 +44,8 @@
     return at == std::string::npos ? 0 : std::stoi(target.substr(at + name.size() + 1));
   }
   void Take(const ToyWorker::Got& got) {
-    const Call call{got.from, Number(got.head.target, "after"), Number(got.head.target, "wait_ms") > 0};
+    const Call call{got.from, Number(got.head.target, "after"),
+                    Number(got.head.target, "wait_ms") > 0};
     const auto last = answered_.find(call.from);
     if (last != answered_.end() && loop_->Now() - last->second <= kWatchGoesOnS) return Serve(call);
     if (queue_.size() >= most_waiting_) {
@@ -70,9 +71,10 @@
     if (call.from->closed()) return;
     const std::string servers =
         call.after < version_ ? R"({"id":"w","addr":"127.0.0.1:9","state":"in_service"})" : "";
-    const std::string body =
-        R"({"version":)" + std::to_string(version_) + R"(,"full":false,"servers":[)" + servers + "]}";
-    call.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+    const std::string body = R"({"version":)" + std::to_string(version_) +
+                             R"(,"full":false,"servers":[)" + servers + "]}";
+    call.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
+                     "\r\n\r\n" + body);
     answered_[call.from] = loop_->Now();
   }
 
@@ -93,13 +95,15 @@
       : discovery(&loop, service_s, most_waiting), heard(nodes) {
     LogLevel() = Level::kError;
     for (std::size_t node = 0; node < nodes; ++node) {
-      Discovery::Options options{.address = discovery.address(), .ask_within_s = 10, .zones = {}, .kinds = {}};
+      Discovery::Options options{
+          .address = discovery.address(), .max_poll_interval_s = 10, .zones = {}, .kinds = {}};
       options.seed = 7919 * (node + 1);
       options.nodes = static_cast<int>(nodes);
-      const auto known = [this, node](balancing::ListKind, const ServerList& list) {
+      const auto known = [this, node](balancing::EndpointListKind, const ServerList& list) {
         heard[node] = std::max(heard[node], list.version);
       };
-      clients.push_back(std::make_unique<Discovery>(&loop, options, Discovery::Hooks{.known = known, .unavailable = [] {}}));
+      clients.push_back(std::make_unique<Discovery>(
+          &loop, options, Discovery::Hooks{.known = known, .unavailable = [] {}}));
       clients.back()->SetVersion(1);
       clients.back()->Subscribe(true);
     }
@@ -115,26 +119,30 @@
 };
 
 // Thirty nodes, whose new watches keep discovery busy for 7 s, and a change every few seconds. Each
-// change once cost every node a new watch: discovery turned away most calls, and a node went on by a
-// list of 24 s before, sending to servers that had ended.
+// change once cost every node a new watch: discovery turned away most calls, and a node went on by
+// a list of 24 s before, sending to servers that had ended.
 TEST(CrowdedDiscovery, EachNodeHearsOfEachChangeInTime) {
   constexpr double kToldS = 6, kGraceS = 2;
   CrowdedTier tier(32, 0.23, 13);
   const double began = tier.loop.Now();
   double changed_at = 0;
   for (const double at : {2.5, 4.9, 8.6}) {
-    TurnUntil(tier.loop, [] { return false; }, began + at - tier.loop.Now());
+    TurnUntil(
+        tier.loop, [] { return false; }, began + at - tier.loop.Now());
     tier.discovery.Change();
     changed_at = tier.loop.Now();
   }
-  ASSERT_TRUE(TurnUntil(tier.loop, [&] { return tier.AllHeard(4); }, kToldS + kGraceS))
+  ASSERT_TRUE(TurnUntil(
+      tier.loop, [&] { return tier.AllHeard(4); }, kToldS + kGraceS))
       << std::count_if(tier.heard.begin(), tier.heard.end(), [](long long had) { return had < 4; })
       << " nodes have not heard of it";
   // All have a watch now. What changes next all hear at once, and nobody is turned away.
   const std::size_t turned_away = tier.discovery.turned_away();
   for (long long version = 5; version <= 7; ++version) {
     tier.discovery.Change();
-    ASSERT_TRUE(TurnUntil(tier.loop, [&] { return tier.AllHeard(version); }, 1.0)) << version;
+    ASSERT_TRUE(TurnUntil(
+        tier.loop, [&] { return tier.AllHeard(version); }, 1.0))
+        << version;
   }
   EXPECT_EQ(tier.discovery.turned_away(), turned_away);
   EXPECT_LT(tier.loop.Now() - changed_at, kToldS + kGraceS);
--- a/tests/cuts_test.cpp
+++ b/tests/cuts_test.cpp
@@ -1,6 +1,7 @@
-// Whole decision modules of a cluster whose members are cut off, stopped and killed, on one virtual clock
-// with the membership that gives them their parts: what they let in and what they send to a worker that
-// has just started, in sum, against what one node alone would be allowed. SEEDS plays more days.
+// Whole decision modules of a cluster whose members are cut off, stopped and killed, on one virtual
+// clock with the membership that gives them their parts: what they let in and what they send to a
+// worker that has just started, in sum, against what one node alone would be allowed. SEEDS plays
+// more days.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -31,10 +32,10 @@
 balancing::Settings Rules() {
   balancing::Settings s;
   s.classes.resize(1);
-  s.classes[0] = {.aim_s = 0.3, .give_up_s = 1};
+  s.classes[0] = {.latency_objective_s = 0.3, .client_timeout_s = 1};
   s.tenants.assign(kTenants, {.share = 0.5, .quota_rps = kQuota});
   KeepPlatformRules(&s);
-  s.most_tries = 2;
+  s.max_attempts = 2;
   return s;
 }
 
@@ -56,7 +57,8 @@
     const double load = seed % 2 == 0 ? 220 : 90;  // over what there is, or under
     std::vector<double> weight;
     double all = 0;
-    for (std::size_t i = 0; i < n; ++i) all += weight.emplace_back(0.1 + random.Unit() * random.Unit());
+    for (std::size_t i = 0; i < n; ++i)
+      all += weight.emplace_back(0.1 + random.Unit() * random.Unit());
     for (double t = 0.1; t < kDayS; t -= std::log(1 - random.Unit()) / load) {
       double draw = all * random.Unit();
       std::size_t node = 0;
@@ -82,14 +84,16 @@
         return w->up(from) && w->up(to) && w->Hears(from, to) && faults.Unit() > 0.05;
       };
       std::vector<double> ran_at(w->size(), 0);
-      if (parts) floor.before = [&floor, w, ran_at](std::size_t i) mutable {
-        // As the planner does it.
-        if (!w->Runs(i)) return;
-        const bool stopped = floor.now - ran_at[i] > balancing::AgreedPart::kStoppedS;
-        ran_at[i] = floor.now;
-        floor.desks[i]->Agree({w->Part(i), w->Leased(i) ? static_cast<int>(w->ViewOf(i).members.size()) : 0,
-                               w->ViewOf(i).epoch, stopped});
-      };
+      if (parts)
+        floor.before = [&floor, w, ran_at](std::size_t i) mutable {
+          // As the planner does it.
+          if (!w->Runs(i)) return;
+          const bool stopped = floor.now - ran_at[i] > balancing::AgreedPart::kStoppedS;
+          ran_at[i] = floor.now;
+          floor.desks[i]->SetFleetShare(
+              {w->Part(i), w->Leased(i) ? static_cast<int>(w->ViewOf(i).members.size()) : 0,
+               w->ViewOf(i).epoch, stopped});
+        };
       w->StartAll();
     }
     floor.Start();
@@ -115,21 +119,25 @@
       Cold& c = cold[static_cast<std::size_t>(to)];
       const balancing::Settings s = Rules();
       const double age = floor.now - c.since;
-      if (c.since < 0 || age >= s.cold_s) return;
+      if (c.since < 0 || age >= s.slow_start_s) return;
       c.got += 1;
       // docs/design/membership.md: half of what the guarantee gives it, and one to begin with.
-      const double part = 0.5 * s.fall_multiple * (s.cold_share + (1 - s.cold_share) * age / s.cold_s);
+      const double part =
+          0.5 * s.fall_multiple *
+          (s.slow_start_min_share + (1 - s.slow_start_min_share) * age / s.slow_start_s);
       const double used = c.got / (1 + part * busiest() * age);
       if (used <= told.worst_cold) return;
       told.worst_cold = used;
-      told.where = "w" + std::to_string(to) + " at " + std::to_string(floor.now - kStart) + " got " + std::to_string(c.got);
+      told.where = "w" + std::to_string(to) + " at " + std::to_string(floor.now - kStart) +
+                   " got " + std::to_string(c.got);
     };
     std::size_t next_arrival = 0, next_restart = 0;
     double fault_at = 4, count_from = 5;  // until all have found what there is
-    if (w) w->on_start = [&](std::size_t i) {
-      floor.Restart(i);
-      count_from = w->now() + kFreshS;
-    };
+    if (w)
+      w->on_start = [&](std::size_t i) {
+        floor.Restart(i);
+        count_from = w->now() + kFreshS;
+      };
     for (double t = 0; t < kDayS; t += 0.005) {
       if (w) w->RunUntil(t);
       if (w && t >= fault_at) {
@@ -140,7 +148,7 @@
       if (t >= count_from) told.counted_s += 0.005;
       if (next_restart < restarts.size() && restarts[next_restart].first <= t) {
         const int worker = restarts[next_restart++].second;
-        floor.members[static_cast<std::size_t>(worker)].born_s = floor.now;
+        floor.members[static_cast<std::size_t>(worker)].started_at_s = floor.now;
         cold[static_cast<std::size_t>(worker)] = {floor.now, 0};
         floor.List(worker, balancing::Readiness::kReady);
       }
@@ -186,8 +194,8 @@
   return sums;
 }
 
-// Rates are felt for by cuts and rises, which fall otherwise in each play of a day: two plays of one node alone
-// differ by 1.09 (docs/design/membership.md).
+// Rates are felt for by cuts and rises, which fall otherwise in each play of a day: two plays of
+// one node alone differ by 1.09 (docs/design/membership.md).
 constexpr double kTenantSlack = 1.15, kSlack = 1.05, kColdSlack = 1;
 bool Within(const Sums& s) {
   return s.most_tenant <= kTenantSlack && s.all <= kSlack && s.cold <= kColdSlack;
@@ -198,19 +206,22 @@
   Sums worst;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     const Sums s = Compare(seed, true);
-    EXPECT_TRUE(Within(s)) << "seed " << seed << ": a tenant's " << s.most_tenant << ", all " << s.all
-                           << ", a cold worker's " << s.cold << " " << s.where;
+    EXPECT_TRUE(Within(s)) << "seed " << seed << ": a tenant's " << s.most_tenant << ", all "
+                           << s.all << ", a cold worker's " << s.cold << " " << s.where;
     worst = {std::max(worst.most_tenant, s.most_tenant), std::max(worst.all, s.all),
              std::max(worst.cold, s.cold), ""};
   }
-  std::printf("%lu days: of one node's, a tenant's %.3f, all %.3f, a cold worker's %.3f at most\n", seeds,
-              worst.most_tenant, worst.all, worst.cold);
+  std::printf("%lu days: of one node's, a tenant's %.3f, all %.3f, a cold worker's %.3f at most\n",
+              seeds, worst.most_tenant, worst.all, worst.cold);
 }
 
 TEST(CutDays, FindDispatchersWithoutParts) {
-  EXPECT_NE(FirstSeed(100, [](std::uint64_t seed) {
-    return std::vector<std::string>(Within(Compare(seed, false)) ? 0 : 1, "more than one node's");
-  }), 0U);
+  EXPECT_NE(FirstSeed(100,
+                      [](std::uint64_t seed) {
+                        return std::vector<std::string>(Within(Compare(seed, false)) ? 0 : 1,
+                                                        "more than one node's");
+                      }),
+            0U);
 }
 
 }  // namespace
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -8,8 +8,8 @@
 #include <random>
 #include <vector>
 
-#include "support/floor.h"
 #include "membership/call_pace.h"
+#include "support/floor.h"
 
 namespace millethollow {
 namespace {
@@ -24,7 +24,8 @@
     constexpr double kPatienceS = 2.0, kStep = 0.002;
     std::mt19937_64 random(5);
     std::uniform_real_distribution<double> unit(0, 1);
-    std::vector<membership::CallPace> pace(static_cast<std::size_t>(nodes), membership::CallPace(nodes));
+    std::vector<membership::CallPace> pace(static_cast<std::size_t>(nodes),
+                                           membership::CallPace(nodes));
     std::vector<double> asks;  // when each does next; those that wait or are done: never
     for (const auto& p : pace) asks.push_back(p.AtStart(unit(random)));
     std::deque<std::pair<std::size_t, double>> queue;  // who, since when
@@ -71,8 +72,8 @@
   }
 }
 
-// Whatever a call met, a change counts as told 6 s after discovery had it and could be reached: of a
-// failed call, the wait after it and one call more, the sum must stay below that and the grace.
+// Whatever a call met, a change counts as told 6 s after discovery had it and could be reached: of
+// a failed call, the wait after it and one call more, the sum must stay below that and the grace.
 TEST(Fleet, ACallThatFailedIsFollowedByAnotherInTime) {
   constexpr double kToldS = 6, kGraceS = 2, kPatienceS = 2;
   for (const int nodes : {7, 30, 100, 300}) {
@@ -81,7 +82,8 @@
     pace.GoingOnRefused();
     // A change right after an answer, the next call fails, and the one after it is answered.
     const double answered = pace.AfterAnswer(1.0);
-    EXPECT_LT(answered + kPatienceS + pace.AfterFailure(1.0) + kPatienceS, kToldS + kGraceS) << nodes;
+    EXPECT_LT(answered + kPatienceS + pace.AfterFailure(1.0) + kPatienceS, kToldS + kGraceS)
+        << nodes;
     // Discovery is back right after a call began that fails: the next is answered.
     double waited = 0;
     while (waited < 8) {  // the outage
@@ -133,13 +135,15 @@
   static balancing::Settings Settings() {
     balancing::Settings s;
     s.classes.resize(1);
-    s.classes[0] = {.aim_s = kAimS, .stretch = kStretch, .give_up_s = 12};
+    s.classes[0] = {.latency_objective_s = kAimS,
+                    .latency_objective_stretch = kStretch,
+                    .client_timeout_s = 12};
     s.tenants = {{.share = 1, .quota_rps = 60}};
     KeepPlatformRules(&s);
     s.kinds = 2;
     s.probing = true;
-    s.report_source = balancing::ReportSource::kOnProbe;
-    s.report_columns = {balancing::Column::kFreeSlots, balancing::Column::kFreeMemory};
+    s.load_report_source = balancing::LoadReportSource::kOnProbe;
+    s.load_report_metrics = {balancing::LoadMetric::kFreeSlots, balancing::LoadMetric::kFreeMemory};
     s.price_probe = 0.01;
     s.price_peer = 0.0081;
     return s;
@@ -206,12 +210,12 @@
   std::map<int, double> born;
   tier.floor.At(106, [&] {
     for (int w = 0; w < Tier::kWorkers / 2; ++w) {
-      tier.floor.members[static_cast<std::size_t>(w)].born_s = born[w] = 106;
+      tier.floor.members[static_cast<std::size_t>(w)].started_at_s = born[w] = 106;
       tier.floor.List(w, balancing::Readiness::kReady);
     }
   });
   tier.Serve(120);
-  std::map<int, double> sent;  // while cold
+  std::map<int, double> sent;                 // while cold
   std::map<int, std::map<int, int>> seconds;  // jobs, of a second each on average
   for (const auto& [id, a] : tier.floor.asked) {
     if (a.at < 106 || a.at >= 106 + 8.6) continue;
@@ -238,8 +242,9 @@
   EXPECT_GT(c.in_time, 0.85 * c.asked);
 }
 
-// What the settings allow a cold worker is allowed to all processes together: beyond N calls in the time
-// that a fall takes, only 2 x root of N + 2 are chance, whatever of the peers' messages is lost.
+// What the settings allow a cold worker is allowed to all processes together: beyond N calls in the
+// time that a fall takes, only 2 x root of N + 2 are chance, whatever of the peers' messages is
+// lost.
 TEST(Fleet, AColdWorkersBudgetIsTheWholeFleets) {
   for (const std::size_t nodes : {4, 20, 30}) {
     for (const double lost : {0.0, 0.4}) {
@@ -252,36 +257,43 @@
         std::uniform_real_distribution<double> unit(0, 1);
         floor.reaches = [&](auto, auto) { return unit(random) >= lost; };
         std::vector<std::vector<double>> sends(kWorkers);
-        floor.on_send = [&](auto, int w) { sends[static_cast<std::size_t>(w)].push_back(floor.now); };
+        floor.on_send = [&](auto, int w) {
+          sends[static_cast<std::size_t>(w)].push_back(floor.now);
+        };
         floor.now = 100;
         floor.Start();
         constexpr double kBorn = 106;
         floor.At(kBorn, [&] {  // all hear of the starts at once
           for (int w = 0; w < kCold; ++w) {
-            floor.members[static_cast<std::size_t>(w)].born_s = kBorn;
+            floor.members[static_cast<std::size_t>(w)].started_at_s = kBorn;
             floor.List(w, balancing::Readiness::kReady);
           }
         });
         std::exponential_distribution<double> gap(40), run(1.0);
         std::uniform_int_distribution<std::size_t> node(0, nodes - 1);
-        while (floor.now < kBorn + settings.cold_s) {
+        while (floor.now < kBorn + settings.slow_start_s) {
           floor.Run(floor.now + gap(random));
           floor.Ask(node(random), 0, {1, 1}, run(random), 12);
         }
         const auto within = [&](int w, double from, double until) {
           const auto& all = sends[static_cast<std::size_t>(w)];
-          return std::lower_bound(all.begin(), all.end(), until) - std::lower_bound(all.begin(), all.end(), from);
+          return std::lower_bound(all.begin(), all.end(), until) -
+                 std::lower_bound(all.begin(), all.end(), from);
         };
         double cold = 0;
-        for (double end = kBorn + 0.5; end < kBorn + settings.cold_s; end += 0.5) {
+        for (double end = kBorn + 0.5; end < kBorn + settings.slow_start_s; end += 0.5) {
           const double from = std::max(kBorn, end - settings.overload_for_s);
           double warm = 0;
           for (int w = kCold; w < kWorkers; ++w) warm += static_cast<double>(within(w, from, end));
-          const double share = settings.cold_share + (1 - settings.cold_share) * (end - kBorn) / settings.cold_s;
+          const double share = settings.slow_start_min_share + (1 - settings.slow_start_min_share) *
+                                                                   (end - kBorn) /
+                                                                   settings.slow_start_s;
           const double n = settings.fall_multiple * share * warm / (kWorkers - kCold);
           for (int w = 0; w < kCold; ++w) {
             const auto got = static_cast<double>(within(w, from, end));
-            EXPECT_LE(got, n + 2 * std::sqrt(n) + 2) << nodes << " nodes, " << lost << " lost, seed " << seed << ", worker " << w << " at " << end;
+            EXPECT_LE(got, n + 2 * std::sqrt(n) + 2)
+                << nodes << " nodes, " << lost << " lost, seed " << seed << ", worker " << w
+                << " at " << end;
             cold += got;
           }
         }
@@ -319,12 +331,12 @@
 TEST(Fleet, ClassesThatComeByAReloadLeaveWhatIsLearnedAlone) {
   Tier tier;
   balancing::Settings more = Tier::Settings();
-  more.dispatchers = Tier::kNodes;
+  more.dispatcher_count = Tier::kNodes;
   more.peers = true;
   more.classes.resize(40, more.classes[0]);
   const std::vector<int> begun{1, 39};
   for (std::size_t n = 0; n < tier.floor.desks.size(); ++n) {
-    more.ordinal = static_cast<int>(n);
+    more.dispatcher_index = static_cast<int>(n);
     tier.floor.Tell(n, balancing::SettingsChanged{&more, &begun});
     for (int i = 0; i < 5; ++i) tier.floor.Ask(n, 39, {1, 1}, 0.2, 12);
   }
@@ -334,25 +346,27 @@
   EXPECT_GT(c.in_time, 0.9 * c.asked);
 }
 
-// What peers have learned comes with their reports: one that is cut, of another form, or from nobody
-// in the tier teaches nothing and is not answered.
+// What peers have learned comes with their reports: one that is cut, of another form, or from
+// nobody in the tier teaches nothing and is not answered.
 TEST(Fleet, DamagedAndForeignReportsAreIgnored) {
   balancing::Settings s = Tier::Settings();
-  s.dispatchers = 100;
+  s.dispatcher_count = 100;
   s.peers = true;
-  const auto told = [](balancing::Balancer& node, double now, const balancing::Event& event) {
+  const auto told = [](balancing::LoadBalancer& node, double now, const balancing::Event& event) {
     std::vector<std::string> bodies;
     balancing::Actions actions;
     node.Handle(now, event, &actions);
     for (const balancing::Action& a : actions) {
-      if (const auto* tell = std::get_if<balancing::TellPeer>(&a)) bodies.push_back(tell->body);
+      if (const auto* tell = std::get_if<balancing::SendPeerMessage>(&a))
+        bodies.push_back(tell->body);
     }
     return bodies;
   };
-  balancing::Balancer hears(s, 1);
-  s.ordinal = 1;
-  balancing::Balancer tells(s, 2);
-  for (balancing::Balancer* node : {&hears, &tells}) told(*node, 100, balancing::Started{});
+  balancing::LoadBalancer hears(s, 1);
+  s.dispatcher_index = 1;
+  balancing::LoadBalancer tells(s, 2);
+  for (balancing::LoadBalancer* node : {&hears, &tells})
+    told(*node, 100, balancing::DispatcherStarted{});
   told(hears, 105, balancing::TimerFired{1});
   const auto reports = told(tells, 105, balancing::TimerFired{1});
   ASSERT_FALSE(reports.empty());
@@ -365,7 +379,8 @@
   for (const auto& [client, body] : bad) {
     EXPECT_TRUE(told(hears, 106, balancing::PeerMessage{client, body}).empty()) << body.size();
   }
-  EXPECT_FALSE(told(hears, 106, balancing::PeerMessage{1, good}).empty());  // it asks, having none yet
+  EXPECT_FALSE(
+      told(hears, 106, balancing::PeerMessage{1, good}).empty());  // it asks, having none yet
 }
 
 // Workers that queue deeply never say 'full', and a shared slowness left the fleet able to do less
@@ -374,14 +389,15 @@
 // best worker is refused unsent, and what is served is in time.
 TEST(Fleet, DeepQueuesAreNotFilledWithWorkThatCanOnlyBeLate) {
   struct Case {
-    double rate, pace;  // jobs a second; the workers do 80 at pace 1
+    double rate, pace;     // jobs a second; the workers do 80 at pace 1
     double least_in_time;  // of the served
     double least_refused, most_refused;
   };
   for (const Case c : {Case{100, 2, 0.44, 0.4, 0.75}, Case{50, 1, 0.97, 0, 0.01}}) {
     balancing::Settings s;
     s.classes.resize(1);
-    s.classes[0] = {.aim_s = 0.4, .stretch = 2, .give_up_s = 6};
+    s.classes[0] = {
+        .latency_objective_s = 0.4, .latency_objective_stretch = 2, .client_timeout_s = 6};
     s.tenants = {{.share = 1, .quota_rps = 100}};
     KeepPlatformRules(&s);
     Floor floor(4, s, {});
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -26,7 +26,9 @@
     EXPECT_TRUE(rig.Until([&] { return client->in.find("\r\n\r\n") != std::string::npos; })) << id;
     return client->in.substr(0, 12);
   }
-  void Served(Raw* client, const std::string& id) { EXPECT_EQ(Ask(client, id), "HTTP/1.1 200") << id; }
+  void Served(Raw* client, const std::string& id) {
+    EXPECT_EQ(Ask(client, id), "HTTP/1.1 200") << id;
+  }
   std::uint64_t Taken(const std::unique_ptr<Node>& node) { return node->counters().taken; }
   Folder folder;
   Rig rig;
@@ -87,7 +89,8 @@
 }
 
 TEST_F(Replace, AnOldProcessThatSaysNothingOrIsGoneKeepsNoneFromItsStart) {
-  const std::string path = std::string(folder.path) + "/millethollow-t-" + rig.config.listen + ".sock";
+  const std::string path =
+      std::string(folder.path) + "/millethollow-t-" + rig.config.listen + ".sock";
   std::vector<std::unique_ptr<handover::Link>> taken;
   handover::Server silent(&rig.host, [&](auto link) { taken.push_back(std::move(link)); });
   ASSERT_TRUE(silent.Listen(path));
@@ -102,7 +105,8 @@
 TEST_F(Replace, TheOldProcessGoesOnWhereTheNewOneNeverServesOrDies) {
   auto client = rig.Client();
   Served(client.get(), "a");
-  const std::string path = std::string(folder.path) + "/millethollow-t-" + rig.config.listen + ".sock";
+  const std::string path =
+      std::string(folder.path) + "/millethollow-t-" + rig.config.listen + ".sock";
   auto never = handover::Link::To(&rig.host, path);
   ASSERT_NE(never, nullptr);
   never->Send(link::Writer(link::Kind::kHello).I32(1).Done());
@@ -121,7 +125,8 @@
 
 // Whatever comes over the link, the process that serves goes on serving.
 TEST_F(Replace, GarbageOverTheLinkHarmsNobody) {
-  const std::string path = std::string(folder.path) + "/millethollow-t-" + rig.config.listen + ".sock";
+  const std::string path =
+      std::string(folder.path) + "/millethollow-t-" + rig.config.listen + ".sock";
   std::mt19937 random(11);
   auto client = rig.Client();
   for (int round = 0; round < 40; ++round) {
@@ -130,7 +135,8 @@
     for (int i = 0; i < 8; ++i) {
       std::string bytes(4 + random() % 60, '\0');
       for (char& c : bytes) c = static_cast<char>(random());
-      if (bytes.size() > 4) bytes[4] = static_cast<char>(64 + random() % 16);  // a kind that is known
+      if (bytes.size() > 4)
+        bytes[4] = static_cast<char>(64 + random() % 16);  // a kind that is known
       if (bytes.size() > 4 && bytes[4] == static_cast<char>(link::Kind::kServing)) bytes[4] = 0;
       link->Send(bytes);
     }
--- a/tests/haproxy_test.cpp
+++ b/tests/haproxy_test.cpp
@@ -1,11 +1,12 @@
 // The importer: what it takes over, and that what it can't honour is named with its line.
+#include "config/haproxy.h"
+
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
 #include <random>
 
 #include "config/config.h"
-#include "config/haproxy.h"
 #include "net/discovery.h"
 
 namespace millethollow {
@@ -44,12 +45,12 @@
   ASSERT_TRUE(ReadConfig(import.config, &c, &why)) << why;
   EXPECT_EQ(c.listen, "0.0.0.0:8080");
   EXPECT_EQ(c.classes, (std::vector<std::string>{"roast", "ship"}));
-  EXPECT_EQ(c.settings.classes[0].give_up_s, 6);
-  EXPECT_EQ(c.settings.classes[1].give_up_s, 1.5);
+  EXPECT_EQ(c.settings.classes[0].client_timeout_s, 6);
+  EXPECT_EQ(c.settings.classes[1].client_timeout_s, 1.5);
   EXPECT_EQ(c.settings.classes[1].kind, 1);
-  EXPECT_EQ(c.settings.classes[0].semantics, balancing::Semantics::kOnce);
+  EXPECT_EQ(c.settings.classes[0].idempotency, balancing::Idempotency::kNotIdempotent);
   EXPECT_EQ(c.connect_timeout_s, 0.25);
-  EXPECT_EQ(c.settings.most_tries, 3);  // ship takes over the defaults above it
+  EXPECT_EQ(c.settings.max_attempts, 3);  // ship takes over the defaults above it
   EXPECT_EQ(c.sockets, 464u);
   ServerList list;
   ASSERT_TRUE(ReadServerList(c.known, c.zones, c.kinds, &list, &why));
@@ -60,11 +61,12 @@
   EXPECT_EQ(list.entries[2].member.readiness, balancing::Readiness::kDraining);
   std::string notes;
   for (const std::string& note : import.notes) notes += note + "\n";
-  for (const char* wanted : {"line 3: not honoured: global 'daemon'", "line 8: not honoured: timeout client",
-                             "line 11: not honoured: bind 127.0.0.1:8081", "line 12: not honoured: 'acl' old",
-                             "line 15: not honoured: balance leastconn", "line 17: not honoured: server option 'check'",
-                             "line 17: not honoured: server option 'inter'", "line 19: not honoured: server address",
-                             "line 21: not honoured: bind 127.0.0.1:8082"}) {
+  for (const char* wanted :
+       {"line 3: not honoured: global 'daemon'", "line 8: not honoured: timeout client",
+        "line 11: not honoured: bind 127.0.0.1:8081", "line 12: not honoured: 'acl' old",
+        "line 15: not honoured: balance leastconn", "line 17: not honoured: server option 'check'",
+        "line 17: not honoured: server option 'inter'", "line 19: not honoured: server address",
+        "line 21: not honoured: bind 127.0.0.1:8082"}) {
     EXPECT_NE(notes.find(wanted), std::string::npos) << wanted << "\n" << notes;
   }
 }
@@ -93,7 +95,8 @@
   EXPECT_EQ(HaproxySeconds("1500"), 1.5);
   EXPECT_EQ(HaproxySeconds("2m"), 120);
   EXPECT_EQ(HaproxySeconds("1d"), 86400);
-  for (const char* bad : {"", "s", "5x", "-1s", "inf", "nan"}) EXPECT_FALSE(HaproxySeconds(bad)) << bad;
+  for (const char* bad : {"", "s", "5x", "-1s", "inf", "nan"})
+    EXPECT_FALSE(HaproxySeconds(bad)) << bad;
 }
 
 TEST(Haproxy, OutlivesGarbage) {
--- a/tests/jobs_test.cpp
+++ b/tests/jobs_test.cpp
@@ -1,8 +1,9 @@
-// Days of promised jobs from seeds: the real decisions on the real logs, with workers that a seed makes late or
-// deaf. After each run and each end the promises are checked. SEEDS plays more days.
+// Days of promised jobs from seeds: the real decisions on the real logs, with workers that a seed
+// makes late or deaf. After each run and each end the promises are checked. SEEDS plays more days.
+#include "copies/jobs.h"
+
 #include <gtest/gtest.h>
 
-#include "copies/jobs.h"
 #include "support/copies_world.h"
 #include "support/days.h"
 
@@ -27,9 +28,16 @@
     copies_.ledger = {
         .start = [this](std::size_t i) { Start(i); },
         .kill = [this](std::size_t i) { nodes_[i].jobs.reset(); },
-        .begun = [this](std::size_t i, LogId log, const std::vector<Op>& e) { nodes_[i].jobs->Begun(world_.now(), log, e); },
-        .ended = [this](std::size_t i, LogId log) { if (nodes_[i].jobs) nodes_[i].jobs->Ended(log); },
-        .kept = [this](std::size_t i, LogId log, Seq seq) { if (nodes_[i].jobs) nodes_[i].jobs->Kept(world_.now(), log, seq); }};
+        .begun = [this](std::size_t i, LogId log,
+                        const std::vector<Op>& e) { nodes_[i].jobs->Begun(world_.now(), log, e); },
+        .ended =
+            [this](std::size_t i, LogId log) {
+              if (nodes_[i].jobs) nodes_[i].jobs->Ended(log);
+            },
+        .kept =
+            [this](std::size_t i, LogId log, Seq seq) {
+              if (nodes_[i].jobs) nodes_[i].jobs->Kept(world_.now(), log, seq);
+            }};
     world_.StartAll();
     world_.RunUntil(8);
     double fault_at = 8;
@@ -70,33 +78,39 @@
 
   void Break(const std::string& what) { world_.Broken(what); }
   std::size_t Open() const {
-    return static_cast<std::size_t>(std::count_if(truth_.begin(), truth_.end(), [this](const auto& t) {
-      if (!t.second.promised || t.second.ended) return false;
-      // Its end may be on the disks, and whoever wrote it gone before it could say so.
-      return !t.second.end_made || std::any_of(nodes_.begin(), nodes_.end(), [&](const Node& n) {
-        return n.jobs && n.jobs->Has(t.first);
-      });
-    }));
+    return static_cast<std::size_t>(
+        std::count_if(truth_.begin(), truth_.end(), [this](const auto& t) {
+          if (!t.second.promised || t.second.ended) return false;
+          // Its end may be on the disks, and whoever wrote it gone before it could say so.
+          return !t.second.end_made ||
+                 std::any_of(nodes_.begin(), nodes_.end(),
+                             [&](const Node& n) { return n.jobs && n.jobs->Has(t.first); });
+        }));
   }
   void Start(std::size_t i) {
     Jobs::Limits limits;
     limits.running = 8;
     nodes_[i].jobs = std::make_unique<Jobs>(
         limits, random_.Word() | 1,
-        Jobs::Hooks{.append = [this, i](LogId log, const std::string& key, const std::string& value, bool gone, Copies::Refusal* why) {
-                      if (gone && planted_.end_not_written) return copies_.Put(i, log, "none", "", true, why);
-                      const Seq seq = copies_.Put(i, log, key, value, gone, why);
-                      if (gone && seq != 0) truth_[key].end_made = true;
-                      if (planted_.told_before_kept && !gone && seq != 0) truth_[key].promised = true;
-                      return seq;
-                    },
-                    .acts = [this, i](LogId log) { return copies_.Acts(i, log); },
-                    .open = [this, i](LogId log) { copies_.Open(i, log); },
-                    .close = [this, i](LogId log) { copies_.Close(i, log); },
-                    .age = [this, i](LogId log, Seq seq) { return copies_.At(i)->AgeAtMost(world_.now(), log, seq); },
-                    .run = [this, i](const Jobs::Round& round) { Run(i, round); },
-                    .call_off = [this](const std::string&) { lost += 1; },
-                    .ended = [this](const JobRecord& job, Jobs::How how) { Ended(job, how); }});
+        Jobs::Hooks{
+            .append =
+                [this, i](LogId log, const std::string& key, const std::string& value, bool gone,
+                          Copies::Refusal* why) {
+                  if (gone && planted_.end_not_written)
+                    return copies_.Put(i, log, "none", "", true, why);
+                  const Seq seq = copies_.Put(i, log, key, value, gone, why);
+                  if (gone && seq != 0) truth_[key].end_made = true;
+                  if (planted_.told_before_kept && !gone && seq != 0) truth_[key].promised = true;
+                  return seq;
+                },
+            .acts = [this, i](LogId log) { return copies_.Acts(i, log); },
+            .open = [this, i](LogId log) { copies_.Open(i, log); },
+            .close = [this, i](LogId log) { copies_.Close(i, log); },
+            .age = [this, i](LogId log,
+                             Seq seq) { return copies_.At(i)->AgeAtMost(world_.now(), log, seq); },
+            .run = [this, i](const Jobs::Round& round) { Run(i, round); },
+            .call_off = [this](const std::string&) { lost += 1; },
+            .ended = [this](const JobRecord& job, Jobs::How how) { Ended(job, how); }});
     Beat(i);
   }
   void Beat(std::size_t i) {
@@ -114,12 +128,14 @@
     job.body = "b";
     Truth& truth = truth_[job.handle];
     truth.keyed = job.function == "charge";
-    nodes_[i].jobs->Accept(world_.now(), std::move(job), [this](const std::string& handle, Jobs::No no, double) {
-      truth_[handle].promised |= no == Jobs::No::kNone;
-      (no == Jobs::No::kNone ? promised : refused) += 1;
-    });
+    nodes_[i].jobs->Accept(world_.now(), std::move(job),
+                           [this](const std::string& handle, Jobs::No no, double) {
+                             truth_[handle].promised |= no == Jobs::No::kNone;
+                             (no == Jobs::No::kNone ? promised : refused) += 1;
+                           });
   }
-  // As the planner does: a keyed job that may have run goes to the same worker within its window, or fails.
+  // As the planner does: a keyed job that may have run goes to the same worker within its window,
+  // or fails.
   void Run(std::size_t i, const Jobs::Round& round) {
     const JobRecord& job = *round.job;
     std::string worker = "w" + std::to_string(random_.Below(4));
@@ -131,39 +147,49 @@
       adopted += 1;
       worker = job.tried[0].worker;
     }
-    Later(i, 0.01 * random_.Unit(), [this, i, handle = job.handle, worker, ran_at, age_s, from, keyed = job.function == "charge"] {
-      if (!nodes_[i].jobs || !nodes_[i].jobs->Has(handle)) return;
-      const auto go = [this, i, handle, worker, ran_at, age_s, from](bool may) {
-        if (age_s + world_.now() - from > kWindowS) return Done(i, handle, Jobs::How::kFailed);
-        if (!may || !nodes_[i].jobs->Acts(handle)) return Done(i, handle, Jobs::How::kRefused, ran_at);
-        Work(i, handle, worker);
-      };
-      if (!keyed || planted_.sent_before_written) return go(true);
-      nodes_[i].jobs->Try(world_.now(), handle, worker, false, go);
-    });
+    Later(i, 0.01 * random_.Unit(),
+          [this, i, handle = job.handle, worker, ran_at, age_s, from,
+           keyed = job.function == "charge"] {
+            if (!nodes_[i].jobs || !nodes_[i].jobs->Has(handle)) return;
+            const auto go = [this, i, handle, worker, ran_at, age_s, from](bool may) {
+              if (age_s + world_.now() - from > kWindowS)
+                return Done(i, handle, Jobs::How::kFailed);
+              if (!may || !nodes_[i].jobs->Acts(handle))
+                return Done(i, handle, Jobs::How::kRefused, ran_at);
+              Work(i, handle, worker);
+            };
+            if (!keyed || planted_.sent_before_written) return go(true);
+            nodes_[i].jobs->Try(world_.now(), handle, worker, false, go);
+          });
   }
   void Work(std::size_t i, const std::string& handle, const std::string& worker) {
     Truth& t = truth_[handle];
     if (t.ended) Break(handle + " runs after its end was written");
     if (t.runs++ > 0) {
       again += 1;
-      if (t.keyed && worker != t.worker) Break(handle + " ran at " + t.worker + " and at " + worker);
-      if (t.keyed && world_.now() > t.first_at + kWindowS) Break(handle + " ran again after its window");
+      if (t.keyed && worker != t.worker)
+        Break(handle + " ran at " + t.worker + " and at " + worker);
+      if (t.keyed && world_.now() > t.first_at + kWindowS)
+        Break(handle + " ran again after its window");
     } else {
       t.worker = worker;
       t.first_at = world_.now();
     }
     const auto luck = random_.Below(20);
-    const Jobs::How how = luck == 0 ? Jobs::How::kFailed : luck < 3 && !t.keyed ? Jobs::How::kRefused : Jobs::How::kServed;
+    const Jobs::How how = luck == 0              ? Jobs::How::kFailed
+                          : luck < 3 && !t.keyed ? Jobs::How::kRefused
+                                                 : Jobs::How::kServed;
     Later(i, 0.3 * random_.Unit(), [this, i, handle, how] { Done(i, handle, how); });
   }
-  void Done(std::size_t i, const std::string& handle, Jobs::How how, const std::vector<std::string>& ran_at = {}) {
+  void Done(std::size_t i, const std::string& handle, Jobs::How how,
+            const std::vector<std::string>& ran_at = {}) {
     if (nodes_[i].jobs) nodes_[i].jobs->Done(world_.now(), handle, how, 0.1, ran_at);
   }
   void Ended(const JobRecord& job, Jobs::How how) {
     Truth& t = truth_[job.handle];
     if (t.ended) Break(job.handle + " ended twice");
-    if (how == Jobs::How::kServed && t.runs == 0) Break(job.handle + " is called served, and no worker had it");
+    if (how == Jobs::How::kServed && t.runs == 0)
+      Break(job.handle + " is called served, and no worker had it");
     failed += how == Jobs::How::kFailed;
     t.ended = true;
   }
@@ -190,26 +216,37 @@
     promised += day.promised, adopted += day.adopted, refused += day.refused, again += day.again;
     failed += day.failed, lost += day.lost;
   }
-  std::printf("%zu promised, %zu refused, %zu of those that may have run adopted, %zu runs again, %zu failed, %zu called off\n",
-              promised, refused, adopted, again, failed, lost);
+  std::printf(
+      "%zu promised, %zu refused, %zu of those that may have run adopted, %zu runs again, %zu "
+      "failed, %zu called off\n",
+      promised, refused, adopted, again, failed, lost);
   EXPECT_GT(promised, 100U);
   EXPECT_GT(again + adopted + lost, 2U) << "no fault came in between";
 }
 
 TEST(JobDays, FindPlantedFaults) {
-  const JobFaults planted[] = {{.told_before_kept = true}, {.sent_before_written = true}, {.end_not_written = true}};
+  const JobFaults planted[] = {
+      {.told_before_kept = true}, {.sent_before_written = true}, {.end_not_written = true}};
   for (const JobFaults& fault : planted) {
     EXPECT_NE(FirstSeed(200, [&](std::uint64_t seed) { return JobDay(seed, fault).broken(); }), 0U);
   }
 }
 
-// One that takes none has nothing to wake up for; one whose log never comes asks for another, and not all the time.
+// One that takes none has nothing to wake up for; one whose log never comes asks for another, and
+// not all the time.
 TEST(Jobs, AskForALogOnlyWhereTheyTakeAnyAndNotAllTheTime) {
   for (const bool takes : {false, true}) {
     std::vector<LogId> opened;
     Jobs::Limits limits;
     limits.takes = takes;
-    Jobs jobs(limits, 7, {.append = {}, .acts = {}, .open = [&](LogId log) { opened.push_back(log); }, .close = {}, .age = {}, .run = {}, .call_off = {}});
+    Jobs jobs(limits, 7,
+              {.append = {},
+               .acts = {},
+               .open = [&](LogId log) { opened.push_back(log); },
+               .close = {},
+               .age = {},
+               .run = {},
+               .call_off = {}});
     jobs.Leased(100, true);
     for (double now = 100; now < 150; now += 0.1) {
       jobs.Tick(now);
--- a/tests/keys_test.cpp
+++ b/tests/keys_test.cpp
@@ -1,8 +1,9 @@
-// Days of keys from seeds: the same charges at several members at once, while processes, links and disks break. After
-// each run: it never ran elsewhere within its window. SEEDS plays more days.
+// Days of keys from seeds: the same charges at several members at once, while processes, links and
+// disks break. After each run: it never ran elsewhere within its window. SEEDS plays more days.
+#include "copies/keys.h"
+
 #include <gtest/gtest.h>
 
-#include "copies/keys.h"
 #include "support/copies_world.h"
 #include "support/days.h"
 
@@ -24,12 +25,20 @@
         copies_(seed, 3 + seed % 3, {}),
         world_(copies_.world),
         nodes_(copies_.world.size()) {
-    copies_.ledger = {
-        .start = [this](std::size_t i) { Start(i); },
-        .kill = [this](std::size_t i) { nodes_[i] = {}; },
-        .begun = [this](std::size_t i, LogId log, const std::vector<Op>& e) { nodes_[i].ledger->Begun(world_.now(), log, e); },
-        .ended = [this](std::size_t i, LogId log) { if (nodes_[i].ledger) nodes_[i].ledger->Ended(log); },
-        .kept = [this](std::size_t i, LogId log, Seq seq) { if (nodes_[i].ledger) nodes_[i].ledger->Kept(world_.now(), log, seq); }};
+    copies_.ledger = {.start = [this](std::size_t i) { Start(i); },
+                      .kill = [this](std::size_t i) { nodes_[i] = {}; },
+                      .begun =
+                          [this](std::size_t i, LogId log, const std::vector<Op>& e) {
+                            nodes_[i].ledger->Begun(world_.now(), log, e);
+                          },
+                      .ended =
+                          [this](std::size_t i, LogId log) {
+                            if (nodes_[i].ledger) nodes_[i].ledger->Ended(log);
+                          },
+                      .kept =
+                          [this](std::size_t i, LogId log, Seq seq) {
+                            if (nodes_[i].ledger) nodes_[i].ledger->Kept(world_.now(), log, seq);
+                          }};
     world_.StartAll();
     world_.RunUntil(8);
     double fault_at = 8;
@@ -60,7 +69,8 @@
       world_.RunUntil(world_.now() + 0.05);
     }
     world_.RunUntil(world_.now() + 3);
-    if (world_.broken().empty() && fresh_ + 3 < before + 30) world_.Broken("not all is well in the end");
+    if (world_.broken().empty() && fresh_ + 3 < before + 30)
+      world_.Broken("not all is well in the end");
   }
   const std::vector<std::string>& broken() const { return world_.broken(); }
   std::size_t asked = 0, went = 0, repeated = 0, refused = 0, runs = 0, again = 0, unsure = 0;
@@ -80,19 +90,25 @@
     const membership::Life life = world_.node(i).options.life;
     nodes_[i].ledger = std::make_unique<KeyLedger>(
         KeyLedger::Limits{},
-        KeyLedger::Hooks{.append = [this, i](LogId log, const std::string& key, const std::string& value, bool gone, Copies::Refusal* why) {
-                           return copies_.Put(i, log, key, value, gone, why);
-                         },
-                         .age = [this, i](LogId log, Seq seq) { return copies_.At(i)->AgeAtMost(world_.now(), log, seq); },
-                         .there = [this, i](const Claimer& c) {
-                           const auto* member = world_.ViewOf(i).Find(c.who);
-                           return member != nullptr && member->life == c.life;
-                         },
-                         .send = [this, i](NodeId to, const KeyWord& w) { Carry(i, to, w); }});
+        KeyLedger::Hooks{
+            .append =
+                [this, i](LogId log, const std::string& key, const std::string& value, bool gone,
+                          Copies::Refusal* why) {
+                  return copies_.Put(i, log, key, value, gone, why);
+                },
+            .age = [this, i](LogId log,
+                             Seq seq) { return copies_.At(i)->AgeAtMost(world_.now(), log, seq); },
+            .there =
+                [this, i](const Claimer& c) {
+                  const auto* member = world_.ViewOf(i).Find(c.who);
+                  return member != nullptr && member->life == c.life;
+                },
+            .send = [this, i](NodeId to, const KeyWord& w) { Carry(i, to, w); }});
     nodes_[i].claims = std::make_unique<KeyClaims>(
         i + 1, life,
         KeyClaims::Hooks{.owner = [this, i](LogId log) -> NodeId {
-                           const LogPlace* place = world_.Leased(i) ? world_.ViewOf(i).Log(log) : nullptr;
+                           const LogPlace* place =
+                               world_.Leased(i) ? world_.ViewOf(i).Log(log) : nullptr;
                            return place == nullptr || place->life == 0 ? 0 : place->owner;
                          },
                          .send = [this, i](NodeId to, const KeyWord& w) { Carry(i, to, w); }});
@@ -117,7 +133,8 @@
     const View& view = world_.ViewOf(i);
     for (LogId k = 1; k <= kKeyLogs; ++k) {
       const LogId log = k << 8 | static_cast<LogId>(LogKind::kKeys);
-      if (world_.Leased(i) && view.Log(log) == nullptr && OpenerOf(log, view) == i + 1) copies_.Open(i, log);
+      if (world_.Leased(i) && view.Log(log) == nullptr && OpenerOf(log, view) == i + 1)
+        copies_.Open(i, log);
     }
     nodes_[i].claims->Tick(world_.now());
     copies_.Acts(i, 0);  // the view is looked at first
@@ -126,9 +143,11 @@
   }
   // A charge, at one member or at several; often one that came before.
   void Ask() {
-    const std::string key = "k" + std::to_string(random_.Below(4) == 0 ? random_.Below(keys_ + 1) : keys_++);
+    const std::string key =
+        "k" + std::to_string(random_.Below(4) == 0 ? random_.Below(keys_ + 1) : keys_++);
     const std::size_t at = random_.Below(world_.size());
-    for (std::size_t n = 0; n < 1 + random_.Below(3); ++n) AskAt((at + n) % world_.size(), key, false);
+    for (std::size_t n = 0; n < 1 + random_.Below(3); ++n)
+      AskAt((at + n) % world_.size(), key, false);
   }
   void AskAt(std::size_t i, const std::string& key, bool fresh) {
     if (!world_.Runs(i) || !nodes_[i].claims) return;
@@ -140,16 +159,19 @@
         refused += 1;
       } else if (r.kind == Kind::kAnswered) {
         repeated += 1;
-        if (!truth_[key].answers.contains(r.result)) world_.Broken(key + " is answered with another's answer");
+        if (!truth_[key].answers.contains(r.result))
+          world_.Broken(key + " is answered with another's answer");
       } else {
         went += 1;
         // The number is known once the call has returned.
-        world_.At(world_.now(), i, [this, i, key, number, r, fresh] { Go(i, key, *number, r, fresh); });
+        world_.At(world_.now(), i,
+                  [this, i, key, number, r, fresh] { Go(i, key, *number, r, fresh); });
       }
     };
     *number = nodes_[i].claims->Claim(world_.now(), key, kWindowS, then);
   }
-  void Go(std::size_t i, const std::string& key, std::uint64_t number, const KeyClaims::Result& r, bool fresh) {
+  void Go(std::size_t i, const std::string& key, std::uint64_t number, const KeyClaims::Result& r,
+          bool fresh) {
     if (!nodes_[i].claims) return;
     std::string worker = "w" + std::to_string(random_.Below(4));
     std::vector<std::string> ran_at;
@@ -159,7 +181,8 @@
       age = std::max(age, r.ages_s[t]);
       worker = r.tried[0].worker;
     }
-    const auto go = [this, i, key, number, worker, ran_at, age, from = world_.now(), fresh](bool may) {
+    const auto go = [this, i, key, number, worker, ran_at, age, from = world_.now(),
+                     fresh](bool may) {
       if (!nodes_[i].claims) return;
       // Right before it goes out: is this process still in the view?
       if (!may || !world_.Leased(i) || age + world_.now() - from > kWindowS) {
@@ -170,13 +193,14 @@
       std::vector<std::string> now_ran = ran_at;
       now_ran.push_back(worker);
       const bool served = fresh || random_.Below(5) > 0;
-      world_.At(world_.now() + 0.3 * random_.Unit(), i, [this, i, key, number, served, now_ran, fresh] {
-        if (!nodes_[i].claims) return;
-        std::string result = key + "@" + std::to_string(++results_);
-        if (served) truth_[key].answers.insert(result);
-        fresh_ += fresh;
-        nodes_[i].claims->End(world_.now(), number, served, result, now_ran);
-      });
+      world_.At(world_.now() + 0.3 * random_.Unit(), i,
+                [this, i, key, number, served, now_ran, fresh] {
+                  if (!nodes_[i].claims) return;
+                  std::string result = key + "@" + std::to_string(++results_);
+                  if (served) truth_[key].answers.insert(result);
+                  fresh_ += fresh;
+                  nodes_[i].claims->End(world_.now(), number, served, result, now_ran);
+                });
     };
     if (planted_.sent_before_written) return go(true);
     nodes_[i].claims->Try(world_.now(), number, worker, false, go);
@@ -211,8 +235,10 @@
     asked += day.asked, went += day.went, repeated += day.repeated, refused += day.refused;
     runs += day.runs, again += day.again, unsure += day.unsure;
   }
-  std::printf("%zu asked, %zu went, %zu got the answer of one before, %zu refused, %zu runs, %zu of them again, %zu given up\n",
-              asked, went, repeated, refused, runs, again, unsure);
+  std::printf(
+      "%zu asked, %zu went, %zu got the answer of one before, %zu refused, %zu runs, %zu of them "
+      "again, %zu given up\n",
+      asked, went, repeated, refused, runs, again, unsure);
   EXPECT_GT(repeated, 20U);
   EXPECT_GT(again, 1U);
 }
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -1,6 +1,5 @@
 // The link between the two levels: its frames, and a planner and a forwarder joined by it.
 #include <gtest/gtest.h>
-
 #include <unistd.h>
 
 #include <random>
@@ -18,13 +17,17 @@
 
 TEST(LinkFrames, ComeBackWholeHoweverCut) {
   std::mt19937 random(20261201);
-  Outcome outcome{.verdict = Verdict::kTurnedAway, .latency_s = 0.5, .has_report = true};
+  Outcome outcome{.status = AttemptStatus::kRejected, .latency_s = 0.5, .has_report = true};
   outcome.report[3] = 7;
-  const balancing::Member member{.worker = "w", .readiness = balancing::Readiness::kDraining,
-                                .zone = 1, .kind = 2, .cell = -3, .capacity = 0.5, .born_s = 9};
-  const std::string stream =
-      Writer(Kind::kEnded).U64(1ull << 60).I32(-4).Put(outcome).Done() +
-      Writer(Kind::kWorker).Put(member).Text(std::string(300, 'x')).Done();
+  const balancing::Endpoint member{.worker = "w",
+                                   .readiness = balancing::Readiness::kDraining,
+                                   .zone = 1,
+                                   .kind = 2,
+                                   .cell = -3,
+                                   .capacity = 0.5,
+                                   .started_at_s = 9};
+  const std::string stream = Writer(Kind::kEnded).U64(1ull << 60).I32(-4).Put(outcome).Done() +
+                             Writer(Kind::kWorker).Put(member).Text(std::string(300, 'x')).Done();
   for (int round = 0; round < 200; ++round) {
     Cutter cutter;
     std::vector<std::string> frames;
@@ -41,7 +44,7 @@
     EXPECT_EQ(ended.I32(), -4);
     EXPECT_EQ(ended.GetOutcome().report[3], 7);
     EXPECT_TRUE(ended.Whole());
-    const balancing::Member m = worker.GetMember();
+    const balancing::Endpoint m = worker.GetMember();
     EXPECT_EQ(m.cell, -3);
     EXPECT_EQ(m.readiness, balancing::Readiness::kDraining);
     EXPECT_FALSE(worker.Whole());
@@ -77,7 +80,8 @@
     path = mkdtemp(folder);
     std::string why;
     EXPECT_TRUE(ReadConfig(TestConfig({worker.address()}, R"("levels":{"link":")" + path + "\"},"),
-                           &config, &why)) << why;
+                           &config, &why))
+        << why;
     StartPlanner();
     forwarder = std::make_unique<Node>(config, Role{Role::Kind::kForwarder, 0});
     EXPECT_TRUE(forwarder->Start(&why)) << why;
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -1,5 +1,5 @@
-// What a node may do by the list it has, on real sockets: a discovery that answers when the test says
-// so, workers that count what reaches them.
+// What a node may do by the list it has, on real sockets: a discovery that answers when the test
+// says so, workers that count what reaches them.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -18,8 +18,9 @@
       calls.push_back(g);
       on_call(g);
     };
-    std::string text = TestConfig({workers[0]->address(), workers[1]->address()},
-                                  R"("admin":"127.0.0.1:0","discovery":")" + discovery.address() + R"(",)");
+    std::string text =
+        TestConfig({workers[0]->address(), workers[1]->address()},
+                   R"("admin":"127.0.0.1:0","discovery":")" + discovery.address() + R"(",)");
     const std::string one = R"("balancers":1)";
     text.replace(text.find(one), one.size(), R"("balancers":)" + std::to_string(nodes));
     Config config;
@@ -50,12 +51,15 @@
     return Ask("GET /healthcheck HTTP/1.1\r\nConnection: close\r\n\r\n", node->admin_address());
   }
   std::string Entry(int w, const std::string& state) {
-    return R"({"id":"w)" + std::to_string(w) + R"(","addr":")" + workers[static_cast<std::size_t>(w)]->address() +
+    return R"({"id":"w)" + std::to_string(w) + R"(","addr":")" +
+           workers[static_cast<std::size_t>(w)]->address() +
            R"(","zone":"q","kind":"k","state":")" + state + R"(","started_ms":0})";
   }
   void Tell(const ToyWorker::Got& g, int version, const std::string& entries) {
-    const std::string body = R"({"version":)" + std::to_string(version) + R"(,"full":false,"servers":[)" + entries + "]}";
-    g.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+    const std::string body = R"({"version":)" + std::to_string(version) +
+                             R"(,"full":false,"servers":[)" + entries + "]}";
+    g.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+                  body);
   }
   std::size_t Got(std::size_t w) const { return workers[w]->got.size(); }
 
@@ -67,8 +71,9 @@
   std::unique_ptr<Node> node;
 };
 
-// What a new process last knew may name servers that ended long ago: it takes nothing before its first
-// list is here. Also where the settings say that lists are pushed, as these do: over HTTP it must call.
+// What a new process last knew may name servers that ended long ago: it takes nothing before its
+// first list is here. Also where the settings say that lists are pushed, as these do: over HTTP it
+// must call.
 TEST_F(Listed, ANewProcessSendsNothingBeforeItsFirstList) {
   for (const int nodes : {2, 30}) {
     if (node) node.reset();
@@ -82,14 +87,15 @@
     ASSERT_TRUE(Until([&] { return node->counters().lists == 1; }));
     EXPECT_EQ(Health(), "HTTP/1.1 200");
     EXPECT_EQ(Healthcheck(), "HTTP/1.1 200");
-    for (int i = 0; i < 8; ++i) EXPECT_EQ(Ask(Post("b" + std::to_string(i), "look")), "HTTP/1.1 200");
+    for (int i = 0; i < 8; ++i)
+      EXPECT_EQ(Ask(Post("b" + std::to_string(i), "look")), "HTTP/1.1 200");
     EXPECT_EQ(Got(0), 0u) << "it was to end before this process began";
     EXPECT_EQ(Got(1), 8u);
   }
 }
 
-// With discovery down there is no list to be had: a node of few is ready with its first failed call,
-// one of many within 10 s.
+// With discovery down there is no list to be had: a node of few is ready with its first failed
+// call, one of many within 10 s.
 TEST_F(Listed, AProcessIsReadyThoughDiscoveryIsDown) {
   for (const int nodes : {2, 30}) {
     if (node) node.reset();
@@ -105,8 +111,8 @@
   }
 }
 
-// A change that came right after an answer counts as told. Where many call, and the next answer is late,
-// sends wait for it: here it ends the server that nothing may reach any more.
+// A change that came right after an answer counts as told. Where many call, and the next answer is
+// late, sends wait for it: here it ends the server that nothing may reach any more.
 TEST_F(Listed, NothingGoesByAListThatIsOverdue) {
   Make(300);
   std::vector<ToyWorker::Got> held;
@@ -131,7 +137,8 @@
   EXPECT_FALSE(Until([&] { return Got(0) + Got(1) > before; }, 0.2));
   Tell(held[0], 4, Entry(0, "terminating"));
   ASSERT_TRUE(Until([&] {
-    return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return c->in.ends_with("ok"); });
+    return std::all_of(clients.begin(), clients.end(),
+                       [](const auto& c) { return c->in.ends_with("ok"); });
   }));
   EXPECT_EQ(Got(0), before0);
 }
--- a/tests/load_balancer_test.cpp
+++ b/tests/load_balancer_test.cpp
@@ -1,4 +1,6 @@
 // Drives the decision module by hand: no bench, no clock, no I/O.
+#include "millethollow/balancing/load_balancer.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,8 +13,7 @@
 #include <tuple>
 #include <vector>
 
-#include "millethollow/balancing/load_balancer.h"
-#include "balancing/state.h"    // the module's state and helpers, not the tests' own support.h
+#include "balancing/state.h"  // the module's state and helpers, not the tests' own support.h
 #include "balancing/support.h"
 
 namespace millethollow::balancing {
@@ -21,30 +22,30 @@
 Settings Plain() {
   Settings s;
   s.classes.resize(3);
-  s.classes[0].semantics = Semantics::kRepeatable;
-  s.classes[1].semantics = Semantics::kByKey;
-  s.classes[1].group = Group::kCell;
-  s.classes[1].window_s = 4;
-  s.classes[2].semantics = Semantics::kOnce;
+  s.classes[0].idempotency = Idempotency::kIdempotent;
+  s.classes[1].idempotency = Idempotency::kIdempotentWithKey;
+  s.classes[1].deduplication_scope = DeduplicationScope::kCell;
+  s.classes[1].deduplication_window_s = 4;
+  s.classes[2].idempotency = Idempotency::kNotIdempotent;
   for (ClassSettings& c : s.classes) {
-    c.aim_s = 0.2;
-    c.give_up_s = 5;
+    c.latency_objective_s = 0.2;
+    c.client_timeout_s = 5;
   }
   s.tick_s = 0.005;
-  s.most_tries = 4;
-  s.may_duplicate = true;
-  s.cold_share = 0.1;
-  s.cold_s = 20;
+  s.max_attempts = 4;
+  s.allow_hedging = true;
+  s.slow_start_min_share = 0.1;
+  s.slow_start_s = 20;
   s.drain_grace_s = 0.5;
   s.fall_multiple = 3;
   s.overload_for_s = 3;
   return s;
 }
 
-std::vector<Member> Fleet(int n) {
-  std::vector<Member> members;
+std::vector<Endpoint> Fleet(int n) {
+  std::vector<Endpoint> members;
   for (int i = 0; i < n; ++i) {
-    Member m;
+    Endpoint m;
     m.worker = "w" + std::to_string(i);
     m.cell = i / 2;
     members.push_back(m);
@@ -64,42 +65,45 @@
 // One dispatcher with a clock and its timers; keeps what it did.
 class Desk {
  public:
-  explicit Desk(const Settings& s, std::uint64_t seed = 7) : balancer_(s, seed) { Do(Started{}); }
+  explicit Desk(const Settings& s, std::uint64_t seed = 7) : balancer_(s, seed) {
+    Do(DispatcherStarted{});
+  }
 
   Actions Do(const Event& e) {
     Actions actions;
     balancer_.Handle(now, e, &actions);
     for (const SetTimer& t : Only<SetTimer>(actions)) timers_.emplace(now + t.after_s, t.mark);
-    for (const Send& send : Only<Send>(actions)) {
+    for (const SendAttempt& send : Only<SendAttempt>(actions)) {
       sends[send.id].push_back(send.worker);
       EXPECT_FALSE(ended.contains(send.id)) << "sent after its final answer";
     }
-    for (const Refuse& r : Only<Refuse>(actions)) End(r.id, "refused");
-    for (const Fail& f : Only<Fail>(actions)) End(f.id, "failed");
+    for (const RejectRequest& r : Only<RejectRequest>(actions)) End(r.id, "refused");
+    for (const FailRequest& f : Only<FailRequest>(actions)) End(f.id, "failed");
     return actions;
   }
-  Actions List(const std::vector<Member>& members, ListKind kind = ListKind::kReplace) {
-    return Do(MembersKnown{kind, &members});
+  Actions List(const std::vector<Endpoint>& members,
+               EndpointListKind kind = EndpointListKind::kSnapshot) {
+    return Do(EndpointsUpdated{kind, &members});
   }
   Actions Job(const std::string& id, int cls = 0, int tenant = 0, double life = 5) {
-    JobArrived e;
+    RequestArrived e;
     e.id = id;
     e.cls = cls;
     e.tenant = tenant;
     e.expires_s = now + life;
     return Do(e);
   }
-  Actions End(const std::string& id, int attempt, Verdict verdict, bool terminal = false) {
+  Actions End(const std::string& id, int attempt, AttemptStatus verdict, bool terminal = false) {
     AttemptEnded e;
     e.id = id;
     e.attempt = attempt;
-    e.verdict = verdict;
-    e.terminal = terminal || verdict == Verdict::kServed;
+    e.status = verdict;
+    e.terminal = terminal || verdict == AttemptStatus::kSucceeded;
     if (e.terminal) ended[id] = "served";
     return Do(e);
   }
   Actions Note(const std::string& id, int attempt) {
-    return Do(AttemptNote{id, attempt, NoteKind::kStarted, 0});
+    return Do(AttemptProgress{id, attempt, ProgressKind::kStarted, 0});
   }
   // Ends all attempts of a job, those sent meanwhile too, each as `verdict_of(worker)` says.
   template <typename VerdictOf>
@@ -132,21 +136,21 @@
   void End(const std::string& id, const std::string& how) {
     EXPECT_TRUE(ended.emplace(id, how).second) << id << " answered twice";
   }
-  Balancer balancer_;
+  LoadBalancer balancer_;
   std::multimap<double, std::uint64_t> timers_;
 };
 
 TEST(BrainTest, EveryVerdictEndsEachClassAsItsSemanticsAllow) {
   // One try only, so the first outcome decides the answer.
   Settings s = Plain();
-  s.most_tries = 1;
-  for (const auto& [verdict, ran] : {std::pair{Verdict::kServerError, true},
-                                     {Verdict::kTurnedAway, false},
-                                     {Verdict::kNoAnswer, true},
-                                     {Verdict::kNoConnection, false},
-                                     {Verdict::kConnectionLost, true},
-                                     {Verdict::kCalledOff, true},
-                                     {Verdict::kNotSent, false}}) {
+  s.max_attempts = 1;
+  for (const auto& [verdict, ran] : {std::pair{AttemptStatus::kServerError, true},
+                                     {AttemptStatus::kRejected, false},
+                                     {AttemptStatus::kNoResponse, true},
+                                     {AttemptStatus::kConnectFailed, false},
+                                     {AttemptStatus::kConnectionLost, true},
+                                     {AttemptStatus::kCancelled, true},
+                                     {AttemptStatus::kNotSent, false}}) {
     Desk desk(s);
     desk.List(Fleet(6));
     for (int cls = 0; cls < 3; ++cls) {
@@ -161,8 +165,8 @@
 }
 
 TEST(BrainTest, UnsafeWorkThatMayHaveRunIsNeverSentAgain) {
-  for (const Verdict v :
-       {Verdict::kServerError, Verdict::kNoAnswer, Verdict::kConnectionLost, Verdict::kCalledOff}) {
+  for (const AttemptStatus v : {AttemptStatus::kServerError, AttemptStatus::kNoResponse,
+                                AttemptStatus::kConnectionLost, AttemptStatus::kCancelled}) {
     Desk desk(Plain());
     desk.List(Fleet(6));
     desk.Job("a", 2);
@@ -177,8 +181,8 @@
   Desk desk(Plain());
   desk.List(Fleet(6));
   desk.Job("a", 2);
-  desk.End("a", 0, Verdict::kTurnedAway);
-  desk.End("a", 1, Verdict::kNoConnection);
+  desk.End("a", 0, AttemptStatus::kRejected);
+  desk.End("a", 1, AttemptStatus::kConnectFailed);
   ASSERT_EQ(desk.sends["a"].size(), 3u);
   EXPECT_EQ(std::set<std::string>(desk.sends["a"].begin(), desk.sends["a"].end()).size(), 3u);
 }
@@ -187,18 +191,18 @@
   Desk desk(Plain());
   desk.List(Fleet(8));
   desk.Job("a", 1);
-  desk.End("a", 0, Verdict::kConnectionLost);
+  desk.End("a", 0, AttemptStatus::kConnectionLost);
   ASSERT_EQ(desk.sends["a"].size(), 2u);
   const int first = desk.sends["a"][0][1] - '0', second = desk.sends["a"][1][1] - '0';
   EXPECT_EQ(first / 2, second / 2);
   // The cell has no third worker: nothing harmless is left.
-  desk.End("a", 1, Verdict::kConnectionLost);
+  desk.End("a", 1, AttemptStatus::kConnectionLost);
   EXPECT_EQ(desk.sends["a"].size(), 2u);
   EXPECT_EQ(desk.ended["a"], "failed");
 
   desk.Job("b", 1, 0, 30);
   desk.now += 4;  // the window is over: repeats are no longer dropped
-  desk.End("b", 0, Verdict::kServerError);
+  desk.End("b", 0, AttemptStatus::kServerError);
   EXPECT_EQ(desk.sends["b"].size(), 1u);
   EXPECT_EQ(desk.ended["b"], "failed");
 }
@@ -211,7 +215,7 @@
   for (int cls = 0; cls < 3; ++cls) {
     const std::string id = "j" + std::to_string(cls);
     for (std::size_t a = 0; a < desk.sends[id].size(); ++a) {
-      desk.End(id, static_cast<int>(a), Verdict::kNoAnswer);
+      desk.End(id, static_cast<int>(a), AttemptStatus::kNoResponse);
     }
     EXPECT_TRUE(desk.ended.contains(id));
   }
@@ -221,15 +225,15 @@
   Desk desk(Plain());
   desk.List(Fleet(9));
   desk.Job("a");
-  for (int i = 0; i < 6; ++i) desk.End("a", i, Verdict::kTurnedAway);
+  for (int i = 0; i < 6; ++i) desk.End("a", i, AttemptStatus::kRejected);
   EXPECT_EQ(desk.sends["a"].size(), 4u);
   EXPECT_EQ(desk.ended["a"], "refused");
 }
 
 TEST(BrainTest, WithoutLeaveForCopiesOneAttemptIsOutAtATime) {
   Settings s = Plain();
-  s.may_duplicate = false;
-  s.tells_start = true;
+  s.allow_hedging = false;
+  s.workers_notify_start = true;
   Desk desk(s);
   desk.List(Fleet(6));
   int out = 0;
@@ -238,7 +242,7 @@
     const Actions done = desk.Pass(0.1);
     for (const CancelAttempt& c : Only<CancelAttempt>(done)) {
       EXPECT_EQ(c.attempt, out);
-      desk.End("a", out++, Verdict::kCalledOff);
+      desk.End("a", out++, AttemptStatus::kCancelled);
     }
     EXPECT_LE(static_cast<int>(desk.sends["a"].size()), out + 1);
   }
@@ -249,23 +253,23 @@
   Desk desk(Plain());
   desk.List(Fleet(3));
   desk.Job("a");
-  desk.End("a", 0, Verdict::kServed);
-  EXPECT_TRUE(desk.End("a", 0, Verdict::kServed).empty());
-  EXPECT_TRUE(desk.Do(JobGone{"a"}).empty());
-  EXPECT_TRUE(desk.Do(JobGone{"never"}).empty());
+  desk.End("a", 0, AttemptStatus::kSucceeded);
+  EXPECT_TRUE(desk.End("a", 0, AttemptStatus::kSucceeded).empty());
+  EXPECT_TRUE(desk.Do(RequestCancelled{"a"}).empty());
+  EXPECT_TRUE(desk.Do(RequestCancelled{"never"}).empty());
   EXPECT_TRUE(desk.Do(TimerFired{999}).empty());
-  EXPECT_TRUE(desk.Do(StreamBegan{"never", 0}).empty());
-  EXPECT_TRUE(desk.Do(AttemptNote{"never", 3, NoteKind::kProgress, 0.5}).empty());
+  EXPECT_TRUE(desk.Do(StreamStarted{"never", 0}).empty());
+  EXPECT_TRUE(desk.Do(AttemptProgress{"never", 3, ProgressKind::kProgress, 0.5}).empty());
 }
 
 TEST(BrainTest, NothingIsSentToDrainingOrGoneWorkers) {
   Desk desk(Plain());
-  std::vector<Member> fleet = Fleet(4);
+  std::vector<Endpoint> fleet = Fleet(4);
   desk.List(fleet);
-  std::vector<Member> change = {fleet[0], fleet[1]};
+  std::vector<Endpoint> change = {fleet[0], fleet[1]};
   change[0].readiness = Readiness::kDraining;
   change[1].readiness = Readiness::kGone;
-  desk.List(change, ListKind::kUpdate);
+  desk.List(change, EndpointListKind::kIncremental);
   fleet.erase(fleet.begin(), fleet.begin() + 2);
   for (int i = 0; i < 100; ++i) desk.Job("j" + std::to_string(i));
   for (const auto& [id, workers] : desk.sends) {
@@ -282,8 +286,8 @@
   Desk desk(Plain());
   desk.Job("early");
   EXPECT_EQ(desk.ended["early"], "refused");
-  std::vector<Member> fleet = Fleet(2);
-  for (Member& m : fleet) m.readiness = Readiness::kDraining;
+  std::vector<Endpoint> fleet = Fleet(2);
+  for (Endpoint& m : fleet) m.readiness = Readiness::kDraining;
   desk.List(fleet);
   for (int cls = 0; cls < 3; ++cls) {
     const std::string id = "j" + std::to_string(cls);
@@ -306,96 +310,100 @@
       const std::string job = "j" + std::to_string(++id);
       desk.Job(job);
       count += !desk.sends[job].empty() && desk.sends[job][0] == "w0";
-      desk.EndAll(job, [](int) { return Verdict::kServed; });
+      desk.EndAll(job, [](int) { return AttemptStatus::kSucceeded; });
     }
     return count;
   };
   EXPECT_GT(sent_to_w0(30), 8);
-  desk.Do(Maintenance{"w0", true});
-  desk.Do(Maintenance{"w0", true});
+  desk.Do(MaintenanceChanged{"w0", true});
+  desk.Do(MaintenanceChanged{"w0", true});
   desk.List(Fleet(2));
   EXPECT_EQ(sent_to_w0(20), 0);
-  desk.Do(Maintenance{"w0", false});
-  std::vector<Member> list = Fleet(2);
-  list[0].born_s = desk.now - 5;
+  desk.Do(MaintenanceChanged{"w0", false});
+  std::vector<Endpoint> list = Fleet(2);
+  list[0].started_at_s = desk.now - 5;
   desk.List(list);
   EXPECT_LT(sent_to_w0(30), 4);  // a burst that a cold worker must be spared
-  desk.Pass(s.cold_s + 1);
+  desk.Pass(s.slow_start_s + 1);
   EXPECT_GT(sent_to_w0(30), 8);
 }
 
 // The process that replaces another goes on with what that one learned, or starts as new.
 TEST(BrainTest, WhatWasLearnedGoesOnInTheNextProcess) {
   const Settings s = Plain();
-  Balancer old(s, 1);
+  LoadBalancer old(s, 1);
   Actions actions;
   const auto members = Fleet(2);
   const auto Arrived = [](const std::string& id) {
-    JobArrived e;
+    RequestArrived e;
     e.id = id;
     e.expires_s = 6;
     return e;
   };
-  old.Handle(1, Started{}, &actions);
-  old.Handle(1, MembersKnown{ListKind::kReplace, &members}, &actions);
+  old.Handle(1, DispatcherStarted{}, &actions);
+  old.Handle(1, EndpointsUpdated{EndpointListKind::kSnapshot, &members}, &actions);
   for (int i = 0; i < 20; ++i) {  // every send to w0 finds nobody there
     const std::string id = "j" + std::to_string(i);
     actions.clear();
     old.Handle(1.0 + i * 0.01, Arrived(id), &actions);
-    for (const Send& send : Only<Send>(actions)) {
+    for (const SendAttempt& send : Only<SendAttempt>(actions)) {
       AttemptEnded end;
       end.id = id;
-      end.verdict = send.worker == "w0" ? Verdict::kNoConnection : Verdict::kServed;
+      end.status = send.worker == "w0" ? AttemptStatus::kConnectFailed : AttemptStatus::kSucceeded;
       Actions more;
       old.Handle(1.0 + i * 0.01, end, &more);
     }
   }
-  EXPECT_TRUE(old.Avoids("w0"));
-  const std::string text = old.Learned();
-  Balancer next(s, 2), damaged(s, 2);
-  ASSERT_TRUE(next.Learn(text, {0, 1, 2}));
-  next.Handle(2, MembersKnown{ListKind::kRestored, &members}, &actions);
-  EXPECT_TRUE(next.Avoids("w0"));
-  EXPECT_FALSE(next.Avoids("w1"));
+  EXPECT_TRUE(old.Excludes("w0"));
+  const std::string text = old.SaveState();
+  LoadBalancer next(s, 2), damaged(s, 2);
+  ASSERT_TRUE(next.RestoreState(text, {0, 1, 2}));
+  next.Handle(2, EndpointsUpdated{EndpointListKind::kRestored, &members}, &actions);
+  EXPECT_TRUE(next.Excludes("w0"));
+  EXPECT_FALSE(next.Excludes("w1"));
   for (std::size_t cut = 0; cut < text.size(); cut += 7) {
-    EXPECT_FALSE(damaged.Learn(std::string_view(text).substr(0, cut), {0, 1, 2}));
+    EXPECT_FALSE(damaged.RestoreState(std::string_view(text).substr(0, cut), {0, 1, 2}));
   }
-  EXPECT_TRUE(damaged.Avoids("w0"));  // nothing was taken, not even that there is such a worker
+  EXPECT_TRUE(damaged.Excludes("w0"));  // nothing was taken, not even that there is such a worker
   Settings other = s;
   other.tenants.resize(3);
-  EXPECT_FALSE(Balancer(other, 1).Learn(text, {0, 1, 2}));
+  EXPECT_FALSE(LoadBalancer(other, 1).RestoreState(text, {0, 1, 2}));
 }
 
-// Two processes that are one dispatcher: one must not fill, nor push over, what the other has sent to.
+// Two processes that are one dispatcher: one must not fill, nor push over, what the other has sent
+// to.
 TEST(BrainTest, CountsTheSlotsOfItsOtherProcessAndSparesColdWorkersWhenItLeaves) {
   Settings s = Plain();
-  s.dispatchers = 2;
+  s.dispatcher_count = 2;
   s.peers = true;
   Desk leaving(s), staying(s);
-  std::vector<Member> list = Fleet(2);
-  list[0].born_s = 99;
+  std::vector<Endpoint> list = Fleet(2);
+  list[0].started_at_s = 99;
   leaving.List(list);
   leaving.Pass(15);
-  const std::vector<TellPeer> said = Only<TellPeer>(leaving.Do(Mate{true, true}));
+  const std::vector<SendPeerMessage> said =
+      Only<SendPeerMessage>(leaving.Do(SiblingProcess{true, true}));
   ASSERT_EQ(said.size(), 1u);
-  EXPECT_EQ(said[0].whom, s.ordinal);  // to its mate, and to nobody else from now on
-  for (const TellPeer& t : Only<TellPeer>(leaving.Pass(2))) EXPECT_EQ(t.whom, s.ordinal);
+  EXPECT_EQ(said[0].recipient, s.dispatcher_index);  // to its mate, and to nobody else from now on
+  for (const SendPeerMessage& t : Only<SendPeerMessage>(leaving.Pass(2)))
+    EXPECT_EQ(t.recipient, s.dispatcher_index);
   for (int i = 0; i < 20; ++i) {
     const std::string id = "a" + std::to_string(i);
     leaving.Job(id);
     for (const std::string& worker : leaving.sends[id]) EXPECT_EQ(worker, "w1");
   }
   staying.List(Fleet(2));
-  staying.Do(Mate{true, false});
-  staying.Do(PeerMessage{s.ordinal, Only<TellPeer>(leaving.Pass(1)).back().body});
+  staying.Do(SiblingProcess{true, false});
+  staying.Do(PeerMessage{s.dispatcher_index, Only<SendPeerMessage>(leaving.Pass(1)).back().body});
   std::size_t told = 0;  // what it tells its peers holds the slots of both
-  for (const TellPeer& t : Only<TellPeer>(staying.Pass(0.5))) {
-    if (t.whom != s.ordinal) told = std::max(told, t.body.size());
+  for (const SendPeerMessage& t : Only<SendPeerMessage>(staying.Pass(0.5))) {
+    if (t.recipient != s.dispatcher_index) told = std::max(told, t.body.size());
   }
   Desk alone(s);
   alone.List(Fleet(2));
   std::size_t without = 0;
-  for (const TellPeer& t : Only<TellPeer>(alone.Pass(0.5))) without = std::max(without, t.body.size());
+  for (const SendPeerMessage& t : Only<SendPeerMessage>(alone.Pass(0.5)))
+    without = std::max(without, t.body.size());
   EXPECT_GT(told, without);
 }
 
@@ -405,16 +413,16 @@
   for (int i = 0; i < 60; ++i) {
     const std::string id = "j" + std::to_string(i);
     desk.Job(id);
-    for (int a = 0; a < 4; ++a) desk.End(id, a, Verdict::kNoConnection);
+    for (int a = 0; a < 4; ++a) desk.End(id, a, AttemptStatus::kConnectFailed);
     EXPECT_FALSE(desk.sends[id].empty());  // there is always somebody to try
   }
 }
 
 TEST(BrainTest, ColdWorkersGetASmallPartOfWhatOthersCarry) {
   Settings s = Plain();
-  s.dispatchers = 1;
+  s.dispatcher_count = 1;
   Desk desk(s);
-  std::vector<Member> fleet = Fleet(10);
+  std::vector<Endpoint> fleet = Fleet(10);
   desk.List(fleet);
   int n = 0;
   const auto run = [&](double span) {
@@ -424,13 +432,13 @@
       desk.Job(id);
       for (const std::string& w : desk.sends[id]) ++got[w];
       desk.Pass(0.02);
-      desk.End(id, 0, Verdict::kServed);
+      desk.End(id, 0, AttemptStatus::kSucceeded);
     }
     return got;
   };
   run(10);
-  fleet[0].born_s = desk.now;
-  desk.List({fleet[0]}, ListKind::kUpdate);
+  fleet[0].started_at_s = desk.now;
+  desk.List({fleet[0]}, EndpointListKind::kIncremental);
   const auto got = run(3);
   const int warm = (got.at("w1") + got.at("w2") + got.at("w3")) / 3;
   const int cold = got.contains("w0") ? got.at("w0") : 0;
@@ -439,15 +447,15 @@
 
 TEST(BrainTest, DiscoveryIsAskedAtStartAndAgainAfterEachFailure) {
   Settings s = Plain();
-  s.discovery_ask = true;
-  s.ask_within_s = 10;
-  Balancer balancer(s, 3);
+  s.polls_discovery = true;
+  s.max_poll_interval_s = 10;
+  LoadBalancer balancer(s, 3);
   Actions actions;
-  balancer.Handle(1, Started{}, &actions);
+  balancer.Handle(1, DispatcherStarted{}, &actions);
   EXPECT_EQ(Only<Subscribe>(actions).size(), 1u);
   Desk desk(s);
   for (int i = 0; i < 5; ++i) {
-    desk.Do(MembersKnown{ListKind::kUnavailable, nullptr});
+    desk.Do(EndpointsUpdated{EndpointListKind::kUnavailable, nullptr});
     EXPECT_EQ(Only<Subscribe>(desk.Pass(4)).size(), 1u);
   }
   desk.List(Fleet(2));
@@ -458,8 +466,8 @@
 TEST(BrainTest, WhereLoadIsToldOnlyOnProbesAJobWaitsBrieflyForAFew) {
   Settings s = Plain();
   s.probing = true;
-  s.report_source = ReportSource::kOnProbe;
-  s.report_columns = {Column::kFreeSlots, Column::kQueued, Column::kHeld};
+  s.load_report_source = LoadReportSource::kOnProbe;
+  s.load_report_metrics = {LoadMetric::kFreeSlots, LoadMetric::kQueued, LoadMetric::kInFlight};
   Desk desk(s);
   desk.List(Fleet(40));
   const auto probes = Only<Probe>(desk.Job("a"));
@@ -481,7 +489,7 @@
   for (const Probe& p : silent) EXPECT_NE(desk.sends["b"][0], p.worker);
   // One whose client leaves meanwhile is forgotten.
   desk.Job("c");
-  desk.Do(JobGone{"c"});
+  desk.Do(RequestCancelled{"c"});
   desk.Pass(0.3);
   EXPECT_TRUE(desk.sends["c"].empty());
   // Too late to ask around: the job is placed at once.
@@ -493,9 +501,9 @@
 TEST(BrainTest, DrawsLeaveAKindThatTurnsJobsAway) {
   Settings s = Plain();
   s.kinds = 2;
-  s.most_tries = 1;
+  s.max_attempts = 1;
   Desk desk(s);
-  std::vector<Member> fleet = Fleet(400);
+  std::vector<Endpoint> fleet = Fleet(400);
   for (std::size_t i = 0; i < fleet.size(); ++i) fleet[i].kind = static_cast<int>(i % 2);
   desk.List(fleet);
   int late_half = 0;
@@ -505,7 +513,7 @@
     desk.EndAll(id, [&](int worker) {
       const bool full = worker % 2 == 1;
       late_half += full && i >= 100;
-      return full ? Verdict::kTurnedAway : Verdict::kServed;
+      return full ? AttemptStatus::kRejected : AttemptStatus::kSucceeded;
     });
     desk.Pass(0.1);
   }
@@ -517,7 +525,7 @@
   Settings s = Plain();
   s.zones = 2;
   Desk desk(s);
-  std::vector<Member> fleet = Fleet(60);
+  std::vector<Endpoint> fleet = Fleet(60);
   for (std::size_t i = 0; i < fleet.size(); ++i) fleet[i].zone = static_cast<int>(i % 2);
   desk.List(fleet);
   int lost = 0;
@@ -526,7 +534,7 @@
     desk.Job(id);
     desk.EndAll(id, [&](int worker) {
       lost += worker % 2 == 1;
-      return worker % 2 == 1 ? Verdict::kNoConnection : Verdict::kServed;
+      return worker % 2 == 1 ? AttemptStatus::kConnectFailed : AttemptStatus::kSucceeded;
     });
     desk.Pass(0.02);
   }
@@ -536,7 +544,7 @@
 // Dakar's first overload: returning clients made sends three times demand and the cut cut nothing.
 TEST(BrainTest, FullWorkersCutTheRateAndTenantsWithinQuotaAreServedFirst) {
   Settings s = Plain();
-  s.most_tries = 2;
+  s.max_attempts = 2;
   s.tenants = {{.share = 0.5, .quota_rps = 20}, {.share = 0.5, .quota_rps = 20}};
   Desk desk(s);
   desk.List(Fleet(10));
@@ -549,7 +557,8 @@
       sent[tenant] += !desk.sends[id].empty();
     }
     // Every third job finds room nowhere.
-    desk.EndAll(id, [&](int) { return n % 3 == 0 ? Verdict::kTurnedAway : Verdict::kServed; });
+    desk.EndAll(
+        id, [&](int) { return n % 3 == 0 ? AttemptStatus::kRejected : AttemptStatus::kSucceeded; });
   };
   for (int i = 0; i < 1000; ++i) {  // 100 a second of tenant 0, 10 of tenant 1
     arrive(0, i > 500);
@@ -564,8 +573,8 @@
 // Customer 2's quiet day: one late start of one job cut the rate of a tier with little traffic.
 TEST(BrainTest, ALateJobOrTwoDoNotCutTheRate) {
   Settings s = Plain();
-  s.tells_start = true;
-  s.dispatchers = 45;
+  s.workers_notify_start = true;
+  s.dispatcher_count = 45;
   s.peers = true;
   Desk desk(s);
   desk.List(Fleet(35));
@@ -576,7 +585,7 @@
     if (i % 10 != 9) desk.Note(id, 0);
     desk.Pass(0.8);
     if (i % 10 == 9) desk.Note(id, 0);  // two of all wait for their start
-    desk.End(id, 0, Verdict::kServed);
+    desk.End(id, 0, AttemptStatus::kSucceeded);
   }
 }
 
@@ -584,37 +593,37 @@
 TEST(BrainTest, ARestartedDispatcherAsksAndIsAnsweredAtOnce) {
   Settings s = Plain();
   s.peers = true;
-  s.dispatchers = 2;
+  s.dispatcher_count = 2;
   Desk old_one(s);
   old_one.List(Fleet(4));
   old_one.Job("a");
   old_one.Pass(2);
-  s.ordinal = 1;
+  s.dispatcher_index = 1;
   Desk fresh(s);
   fresh.List(Fleet(4));
-  const auto told = Only<TellPeer>(fresh.Pass(1));
+  const auto told = Only<SendPeerMessage>(fresh.Pass(1));
   ASSERT_FALSE(told.empty());
-  EXPECT_EQ(told[0].whom, 0);
-  const auto answer = Only<TellPeer>(old_one.Do(PeerMessage{1, told[0].body}));
+  EXPECT_EQ(told[0].recipient, 0);
+  const auto answer = Only<SendPeerMessage>(old_one.Do(PeerMessage{1, told[0].body}));
   ASSERT_EQ(answer.size(), 1u);
-  EXPECT_EQ(answer[0].whom, 1);
+  EXPECT_EQ(answer[0].recipient, 1);
   fresh.Do(PeerMessage{0, answer[0].body});
   // Once heard, it no longer asks: its next report is not answered.
-  const auto later = Only<TellPeer>(fresh.Pass(1));
+  const auto later = Only<SendPeerMessage>(fresh.Pass(1));
   ASSERT_FALSE(later.empty());
   EXPECT_TRUE(old_one.Do(PeerMessage{1, later[0].body}).empty());
 }
 
 TEST(BrainTest, ASecondCopyOfWaitingWorkIsDroppedOnceOneRuns) {
   Settings s = Plain();
-  s.tells_start = true;
+  s.workers_notify_start = true;
   Desk desk(s);
   desk.List(Fleet(6));
   for (int i = 0; i < 30; ++i) {  // earn the right to a copy
     const std::string id = "j" + std::to_string(i);
     desk.Job(id);
     desk.Note(id, 0);
-    desk.End(id, 0, Verdict::kServed);
+    desk.End(id, 0, AttemptStatus::kSucceeded);
   }
   desk.Job("a");
   desk.Job("once", 2);
@@ -625,9 +634,9 @@
   const auto cancelled = Only<CancelAttempt>(desk.Note("a", 1));
   ASSERT_EQ(cancelled.size(), 1u);
   EXPECT_EQ(cancelled[0].attempt, 0);
-  desk.End("a", 0, Verdict::kCalledOff);
+  desk.End("a", 0, AttemptStatus::kCancelled);
   EXPECT_FALSE(desk.ended.contains("a"));
-  desk.End("a", 1, Verdict::kServed);
+  desk.End("a", 1, AttemptStatus::kSucceeded);
   EXPECT_EQ(desk.sends["a"].size(), 2u);
 }
 
@@ -635,10 +644,10 @@
 // unless the class forbids it; where load is told it is not: a cancel may end nothing, then a copy
 // is plain load.
 TEST(BrainTest, WhereLoadIsNeverToldWaitingWorkIsCopied) {
-  const auto copied = [](ReportSource source, int cls) {
+  const auto copied = [](LoadReportSource source, int cls) {
     Settings s = Plain();
-    s.may_duplicate = s.tells_start = true;
-    s.report_source = source;
+    s.allow_hedging = s.workers_notify_start = true;
+    s.load_report_source = source;
     Desk desk(s);
     desk.List(Fleet(40));
     int copies = 0;
@@ -647,26 +656,27 @@
       desk.Job(id, cls);
       desk.Pass(0.03);
       copies += static_cast<int>(desk.sends[id].size()) - 1;
-      for (const CancelAttempt& c : Only<CancelAttempt>(desk.End(id, 0, Verdict::kServed))) {
-        desk.End(id, c.attempt, Verdict::kCalledOff);
+      for (const CancelAttempt& c :
+           Only<CancelAttempt>(desk.End(id, 0, AttemptStatus::kSucceeded))) {
+        desk.End(id, c.attempt, AttemptStatus::kCancelled);
       }
     }
     return copies;
   };
-  EXPECT_GT(copied(ReportSource::kOff, 0), 150);
-  EXPECT_EQ(copied(ReportSource::kOff, 2), 0);
-  EXPECT_EQ(copied(ReportSource::kInline, 0), 0);
+  EXPECT_GT(copied(LoadReportSource::kOff, 0), 150);
+  EXPECT_EQ(copied(LoadReportSource::kOff, 2), 0);
+  EXPECT_EQ(copied(LoadReportSource::kInline, 0), 0);
 }
 
 // A fleet whose queues are longer than the aim makes everything late. Work that waits past hope is
 // called off while the fleet is full, but no more than starts: where a cancel ends nothing it must
 // not go on.
 TEST(BrainTest, WaitingWorkPastHopeIsCalledOffWhileTheFleetIsFull) {
-  const auto called_off = [](ReportSource source, bool some_start) {
+  const auto called_off = [](LoadReportSource source, bool some_start) {
     Settings s = Plain();
-    s.may_duplicate = false;
-    s.tells_start = true;
-    s.report_source = source;
+    s.allow_hedging = false;
+    s.workers_notify_start = true;
+    s.load_report_source = source;
     Desk desk(s);
     desk.List(Fleet(40));
     std::size_t calls = 0;
@@ -678,19 +688,19 @@
       if (starts) {
         desk.Note(id, 0);
         desk.Pass(0.001);
-        desk.End(id, 0, Verdict::kServed);
+        desk.End(id, 0, AttemptStatus::kSucceeded);
       }
       for (const CancelAttempt& c : Only<CancelAttempt>(desk.Pass(0.02))) {
         ++calls;
-        desk.End(c.id, c.attempt, Verdict::kCalledOff);
+        desk.End(c.id, c.attempt, AttemptStatus::kCancelled);
         EXPECT_EQ(desk.ended[c.id], "failed");  // it may have run: nothing else is true
       }
     }
     return calls;
   };
-  EXPECT_GT(called_off(ReportSource::kOff, true), 30u);
-  EXPECT_LE(called_off(ReportSource::kOff, false), 10u);  // what the first starts earned
-  EXPECT_EQ(called_off(ReportSource::kInline, true), 0u);
+  EXPECT_GT(called_off(LoadReportSource::kOff, true), 30u);
+  EXPECT_LE(called_off(LoadReportSource::kOff, false), 10u);  // what the first starts earned
+  EXPECT_EQ(called_off(LoadReportSource::kInline, true), 0u);
 }
 
 // In a tier of hundreds a bucket sees a job in ten seconds: a full bucket would outlast the
@@ -698,10 +708,10 @@
 // back is not drawn again.
 TEST(BrainTest, InALargeTierACutBindsBucketsThatSeeLittle) {
   Settings s = Plain();
-  s.dispatchers = 200;
+  s.dispatcher_count = 200;
   s.peers = true;
   s.tenants = {{.share = 1, .quota_rps = 20}};
-  s.most_tries = 2;
+  s.max_attempts = 2;
   Desk desk(s);
   desk.List(Fleet(10));
   int sent = 0, seen = 0, back = 0;
@@ -709,12 +719,13 @@
     const std::string id = "j" + std::to_string(i);
     desk.Job(id, i % 3);
     const bool full = i < 200 || i % 2 == 0;
-    desk.EndAll(id, [&](int) { return full ? Verdict::kTurnedAway : Verdict::kServed; });
+    desk.EndAll(id,
+                [&](int) { return full ? AttemptStatus::kRejected : AttemptStatus::kSucceeded; });
     if (i >= 200) {
       ++seen;
       sent += !desk.sends[id].empty();
       if (desk.sends[id].empty()) {
-        JobArrived again;
+        RequestArrived again;
         const std::string again_id = id + "again";
         again.id = again_id;
         again.cls = i % 3;
@@ -737,26 +748,26 @@
   const auto refused = [](double queued) {
     Settings s = Plain();
     s.probing = true;
-    s.report_source = ReportSource::kOnProbe;
-    s.report_columns = {Column::kFreeSlots, Column::kQueued};
+    s.load_report_source = LoadReportSource::kOnProbe;
+    s.load_report_metrics = {LoadMetric::kFreeSlots, LoadMetric::kQueued};
     s.tenants = {{.share = 1, .quota_rps = 5}};
     Desk desk(s);
     desk.List(Fleet(10));
     int lost = 0;
     for (int i = 0; i < 600; ++i) {
       const std::string id = "j" + std::to_string(i);
-      JobArrived e;
+      RequestArrived e;
       e.id = id;
       e.expires_s = desk.now + 5;
       Actions done = desk.Do(e);
       for (const Probe& p : Only<Probe>(done)) {
         desk.Do(ProbeAnswered{.worker = p.worker,
-                              .verdict = Verdict::kServed,
+                              .status = AttemptStatus::kSucceeded,
                               .has_report = true,
                               .report = {queued > 0 ? 0.0 : 2.0, queued}});
       }
       desk.Pass(0.05);
-      if (!desk.sends[id].empty()) desk.End(id, 0, Verdict::kServed);
+      if (!desk.sends[id].empty()) desk.End(id, 0, AttemptStatus::kSucceeded);
       lost += i > 200 && desk.sends[id].empty();
     }
     return lost;
@@ -770,10 +781,10 @@
 TEST(BrainTest, FewerAreAskedWhereAFreeSlotToldProvesTaken) {
   const auto asked = [](double start_after) {
     Settings s = Plain();
-    s.probing = s.tells_start = true;
-    s.may_duplicate = false;
-    s.report_source = ReportSource::kOnProbe;
-    s.report_columns = {Column::kHeld, Column::kFreeSlots};
+    s.probing = s.workers_notify_start = true;
+    s.allow_hedging = false;
+    s.load_report_source = LoadReportSource::kOnProbe;
+    s.load_report_metrics = {LoadMetric::kInFlight, LoadMetric::kFreeSlots};
     Desk desk(s);
     desk.List(Fleet(30));
     std::size_t last = 0;
@@ -782,14 +793,16 @@
       const auto probes = Only<Probe>(desk.Job(id));
       last = probes.size();
       for (const Probe& p : probes) {
-        desk.Do(ProbeAnswered{
-            .worker = p.worker, .verdict = Verdict::kServed, .has_report = true, .report = {0, 2}});
+        desk.Do(ProbeAnswered{.worker = p.worker,
+                              .status = AttemptStatus::kSucceeded,
+                              .has_report = true,
+                              .report = {0, 2}});
       }
       EXPECT_EQ(desk.sends[id].size(), 1u);
       desk.Pass(start_after);
       desk.Note(id, 0);
       desk.Pass(0.1);
-      desk.End(id, 0, Verdict::kServed);
+      desk.End(id, 0, AttemptStatus::kSucceeded);
     }
     return last;
   };
@@ -806,15 +819,15 @@
     const std::string id = "j" + std::to_string(i++);
     desk.Job(id);
     if (desk.sends[id][0] == "w0") break;
-    desk.End(id, 0, Verdict::kServed);
+    desk.End(id, 0, AttemptStatus::kSucceeded);
   }
   const std::string lost = desk.sends.begin()->first;
-  desk.End(lost, 0, Verdict::kNoConnection);
+  desk.End(lost, 0, AttemptStatus::kConnectFailed);
   for (int k = 0; k < 20; ++k) {
     const std::string id = "e" + std::to_string(k);
     desk.Job(id);
     EXPECT_EQ(desk.sends[id][0], "w1");  // ejected
-    desk.End(id, 0, Verdict::kServed);
+    desk.End(id, 0, AttemptStatus::kSucceeded);
   }
   desk.Pass(5);
   int trials = 0;
@@ -833,13 +846,13 @@
 TEST(BrainTest, AReportIsIgnoredWherePeersAreOff) {
   Settings s = Plain();
   s.peers = true;
-  s.dispatchers = 3;
+  s.dispatcher_count = 3;
   Desk talker(s);
   talker.List(Fleet(4));
-  const auto told = Only<TellPeer>(talker.Pass(1));
+  const auto told = Only<SendPeerMessage>(talker.Pass(1));
   ASSERT_FALSE(told.empty());
   s.peers = false;
-  s.ordinal = 1;
+  s.dispatcher_index = 1;
   Desk deaf(s);
   EXPECT_TRUE(deaf.Do(PeerMessage{0, told[0].body}).empty());
 }
@@ -849,7 +862,7 @@
   // dispatcher.
   Settings s = Plain();
   s.probing = true;
-  s.report_source = ReportSource::kOnProbe;
+  s.load_report_source = LoadReportSource::kOnProbe;
   s.classes[2].kind = 3;
   Desk desk(s);
   desk.List(Fleet(4));
@@ -864,7 +877,7 @@
   for (int i = 0; i < 30; ++i) {
     const std::string id = "j" + std::to_string(i);
     other.Job(id, 0, i % 3);
-    for (int a = 0; a < 4; ++a) other.End(id, a, Verdict::kTurnedAway);
+    for (int a = 0; a < 4; ++a) other.End(id, a, AttemptStatus::kRejected);
     other.Pass(0.1);
   }
   EXPECT_FALSE(other.sends["j0"].empty());
@@ -874,7 +887,7 @@
   const auto run = [] {
     Settings s = Plain();
     s.peers = true;
-    s.dispatchers = 5;
+    s.dispatcher_count = 5;
     Desk desk(s, 11);
     desk.List(Fleet(12));
     std::string log;
@@ -883,7 +896,7 @@
       desk.Job(id, i % 3);
       desk.Pass(0.01);
       for (const std::string& w : desk.sends[id]) log += w + " ";
-      desk.End(id, 0, i % 7 == 0 ? Verdict::kTurnedAway : Verdict::kServed);
+      desk.End(id, 0, i % 7 == 0 ? AttemptStatus::kRejected : AttemptStatus::kSucceeded);
     }
     return log;
   };
@@ -895,11 +908,11 @@
 TEST(BrainTest, SlotsThatPeersHaveOutCountLikeOwn) {
   Settings s = Plain();
   s.peers = s.probing = true;
-  s.dispatchers = 2;
-  s.report_source = ReportSource::kOnProbe;
-  s.report_columns = {Column::kFreeSlots};
+  s.dispatcher_count = 2;
+  s.load_report_source = LoadReportSource::kOnProbe;
+  s.load_report_metrics = {LoadMetric::kFreeSlots};
   Desk me(s);
-  s.ordinal = 1;
+  s.dispatcher_index = 1;
   Desk peer(s, 8);
   for (Desk* desk : {&me, &peer}) {
     desk->List(Fleet(3));
@@ -916,7 +929,7 @@
     }
   }
   std::string told;
-  for (const TellPeer& t : Only<TellPeer>(peer.Pass(0.4))) told = t.body;
+  for (const SendPeerMessage& t : Only<SendPeerMessage>(peer.Pass(0.4))) told = t.body;
   me.Do(PeerMessage{1, told});
   std::set<std::string> used;
   for (const char* id : {"a", "b", "c"}) {
@@ -931,8 +944,8 @@
 // A worker that takes a job and says nothing is asked whether it lives; its silence is believed.
 TEST(BrainTest, AWorkerThatAnswersNoProbeIsLeftAndItsJobSentElsewhere) {
   Settings s = Plain();
-  s.probing = s.tells_start = true;
-  s.report_source = ReportSource::kOnProbe;
+  s.probing = s.workers_notify_start = true;
+  s.load_report_source = LoadReportSource::kOnProbe;
   s.price_probe = 1;  // no probes for placement
   Desk desk(s);
   desk.List(Fleet(3));
@@ -942,7 +955,7 @@
   const auto asked = Only<Probe>(desk.Pass(0.8));
   ASSERT_EQ(asked.size(), 1u);
   EXPECT_EQ(asked[0].worker, silent);
-  desk.Do(ProbeAnswered{.worker = silent, .verdict = Verdict::kNoAnswer});
+  desk.Do(ProbeAnswered{.worker = silent, .status = AttemptStatus::kNoResponse});
   desk.Pass(0.6);
   ASSERT_EQ(desk.sends["a"].size(), 2u);
   EXPECT_NE(desk.sends["a"][1], silent);
@@ -961,7 +974,8 @@
     const std::string id = "a" + std::to_string(i);
     desk.Job(id);
     for (std::size_t a = 0; a < desk.sends[id].size() && !desk.ended.contains(id); ++a) {
-      desk.End(id, static_cast<int>(a), i == 20 && a == 0 ? Verdict::kConnectionLost : Verdict::kServed);
+      desk.End(id, static_cast<int>(a),
+               i == 20 && a == 0 ? AttemptStatus::kConnectionLost : AttemptStatus::kSucceeded);
     }
     if (i == 20) {
       EXPECT_EQ(desk.sends[id].size(), 2u);
@@ -970,7 +984,7 @@
         const std::string next = "b" + std::to_string(j);
         desk.Job(next);
         used.insert(desk.sends[next].at(0));
-        desk.End(next, 0, Verdict::kServed);
+        desk.End(next, 0, AttemptStatus::kSucceeded);
       }
       EXPECT_EQ(used.size(), 2u);
     }
@@ -981,13 +995,17 @@
 TEST(BrainTest, OneWrongReportFillsNoWorker) {
   Settings s = Plain();
   s.probing = true;
-  s.report_source = ReportSource::kOnProbe;
-  s.report_columns = {Column::kFreeSlots};
+  s.load_report_source = LoadReportSource::kOnProbe;
+  s.load_report_metrics = {LoadMetric::kFreeSlots};
   s.price_probe = 1;
   Desk desk(s);
   desk.List(Fleet(4));
-  for (const auto& [worker, free] : {std::pair{"w0", 2.0}, {"w1", 900.0}, {"w1", 900.0}, {"w2", 2.0},
-                                     {"w1", -5.0}, {"w3", 2.0}}) {
+  for (const auto& [worker, free] : {std::pair{"w0", 2.0},
+                                     {"w1", 900.0},
+                                     {"w1", 900.0},
+                                     {"w2", 2.0},
+                                     {"w1", -5.0},
+                                     {"w3", 2.0}}) {
     desk.Do(ProbeAnswered{.worker = worker, .has_report = true, .report = {free}});
   }
   desk.Pass(2);
@@ -1012,9 +1030,12 @@
     for (double t = 0; t < span; t += gap) {
       const std::string id = "j" + std::to_string(n++);
       desk.Job(id);
-      if (desk.sends[id].empty()) ++refused;
-      else if (full) desk.EndAll(id, [](int) { return Verdict::kTurnedAway; });
-      else desk.End(id, 0, Verdict::kServed);
+      if (desk.sends[id].empty())
+        ++refused;
+      else if (full)
+        desk.EndAll(id, [](int) { return AttemptStatus::kRejected; });
+      else
+        desk.End(id, 0, AttemptStatus::kSucceeded);
       desk.Pass(gap);
     }
   };
@@ -1029,7 +1050,7 @@
 TEST(BrainTest, ClassesOfATenantGiveUpTheSameShare) {
   Settings s = Plain();
   s.tenants = {{.share = 1, .quota_rps = 20}};
-  s.classes[1].importance = 8;
+  s.classes[1].priority_weight = 8;
   Desk desk(s);
   desk.List(Fleet(2));
   int refused[2] = {0, 0};
@@ -1038,8 +1059,10 @@
     const int cls = i % 2;
     desk.Job(id, cls);
     if (!desk.sends[id].empty()) {  // every second finds no room anywhere
-      if (i % 4 < 2) desk.EndAll(id, [](int) { return Verdict::kTurnedAway; });
-      else desk.End(id, 0, Verdict::kServed);
+      if (i % 4 < 2)
+        desk.EndAll(id, [](int) { return AttemptStatus::kRejected; });
+      else
+        desk.End(id, 0, AttemptStatus::kSucceeded);
     } else if (i > 400) {
       refused[cls] += 1;
     }
@@ -1053,7 +1076,7 @@
   for (const int tier : {3, 680}) {
     Settings s = Plain();
     s.peers = true;
-    s.dispatchers = tier;
+    s.dispatcher_count = tier;
     s.tenants.resize(8);
     for (TenantSettings& t : s.tenants) t.share = 0.125;
     Desk desk(s);
@@ -1061,10 +1084,10 @@
     std::size_t told = 0;
     for (int i = 0; i < 100; ++i) {
       desk.Job("j" + std::to_string(i), i % 3, i % 8);
-      for (const TellPeer& t : Only<TellPeer>(desk.Pass(0.1))) {
+      for (const SendPeerMessage& t : Only<SendPeerMessage>(desk.Pass(0.1))) {
         EXPECT_LE(t.body.size(), 256u);
-        EXPECT_NE(t.whom, s.ordinal);
-        EXPECT_LT(t.whom, tier);
+        EXPECT_NE(t.recipient, s.dispatcher_index);
+        EXPECT_LT(t.recipient, tier);
         ++told;
       }
     }
@@ -1088,7 +1111,7 @@
   };
   for (const Case& c : {Case{{1.0}, true}, Case{{0.1, 0.2, 0.3}, false}}) {
     Desk desk(Plain());
-    std::vector<Member> members = Fleet(1);
+    std::vector<Endpoint> members = Fleet(1);
     desk.List(members);
     const auto has = [&](const std::string& name) {
       const std::vector<WorkerView> views = desk.Workers();
@@ -1096,17 +1119,17 @@
     };
     const auto end_all = [&] {
       for (std::size_t i = 0; i < c.slots.size(); ++i) {
-        desk.End("f" + std::to_string(i), 0, Verdict::kServed);
+        desk.End("f" + std::to_string(i), 0, AttemptStatus::kSucceeded);
       }
     };
     for (std::size_t i = 0; i < c.slots.size(); ++i) {
-      JobArrived job;
+      RequestArrived job;
       const std::string id = "f" + std::to_string(i);
       job.id = id;
       job.slots = c.slots[i];
       job.expires_s = desk.now + 1e6;
       desk.now += 0.01;
-      ASSERT_EQ(Only<Send>(desk.Do(job)).size(), 1u) << id;
+      ASSERT_EQ(Only<SendAttempt>(desk.Do(job)).size(), 1u) << id;
     }
     if (!c.out_meanwhile) end_all();
     for (int i = 0; i < 2000; ++i) {  // one replaced every 10 s, for 20,000 s
@@ -1117,7 +1140,7 @@
     }
     EXPECT_LE(desk.Workers().size(), 1u + 300 / 10 + 1 + 1);  // listed, gone within 300 s, busy
     EXPECT_EQ(has("w0"), c.out_meanwhile);
-    for (const Member& m : members) EXPECT_TRUE(has(m.worker));
+    for (const Endpoint& m : members) EXPECT_TRUE(has(m.worker));
     if (c.out_meanwhile) end_all();
     desk.now += 400;
     members.push_back({.worker = "after"});
@@ -1169,12 +1192,12 @@
   };
   for (const Case c : {Case{0.15, 0.75, 1.0}, Case{0.0, 0.0, 0.35}}) {
     Settings s = Plain();
-    s.tells_start = true;
+    s.workers_notify_start = true;
     Desk desk(s);
-    std::vector<Member> fleet = Fleet(6);
-    for (Member& m : fleet) m.slots = 3;
+    std::vector<Endpoint> fleet = Fleet(6);
+    for (Endpoint& m : fleet) m.slots = 3;
     desk.List(fleet);
-    std::vector<std::deque<std::string>> kept(6);       // the last two keys of each worker
+    std::vector<std::deque<std::string>> kept(6);             // the last two keys of each worker
     std::multimap<double, std::pair<std::string, int>> ends;  // when, job and attempt
     std::mt19937_64 random(5);
     int hits = 0, counted = 0;
@@ -1183,10 +1206,10 @@
       while (!ends.empty() && ends.begin()->first <= desk.now) {
         const auto [id, attempt] = ends.begin()->second;
         ends.erase(ends.begin());
-        if (!desk.ended.contains(id)) desk.End(id, attempt, Verdict::kServed);
+        if (!desk.ended.contains(id)) desk.End(id, attempt, AttemptStatus::kSucceeded);
       }
       const std::string id = "j" + std::to_string(i);
-      JobArrived e{.id = id, .expires_s = desk.now + 5, .cls = 0, .size_hint_s = 0.1};
+      RequestArrived e{.id = id, .expires_s = desk.now + 5, .cls = 0, .size_hint_s = 0.1};
       const std::string key = "k" + std::to_string(random() % 12);
       e.key = key;
       desk.Do(e);
@@ -1214,11 +1237,11 @@
 TEST(BrainTest, InALargeTierOthersAtAWorkerAreTakenToDoAsThisOne) {
   for (const auto& [dispatchers, least, most] : {std::tuple{30, 20.0, 30.0}, {4, 0.0, 0.0}}) {
     Settings s = Plain();
-    s.dispatchers = dispatchers;
+    s.dispatcher_count = dispatchers;
     s.peers = true;
     Desk desk(s);
-    std::vector<Member> fleet = Fleet(2);
-    for (Member& m : fleet) m.slots = 3;
+    std::vector<Endpoint> fleet = Fleet(2);
+    for (Endpoint& m : fleet) m.slots = 3;
     desk.List(fleet);
     desk.Job("a", 0, 0, 30);
     desk.Note("a", 0);  // it runs, and goes on running
--- a/tests/make_room_test.cpp
+++ b/tests/make_room_test.cpp
@@ -13,7 +13,8 @@
 
 // Counts calls that look at a socket's input without taking it.
 extern "C" ssize_t recv(int fd, void* buffer, size_t size, int flags) {
-  static const auto next = reinterpret_cast<ssize_t (*)(int, void*, size_t, int)>(dlsym(RTLD_NEXT, "recv"));
+  static const auto next =
+      reinterpret_cast<ssize_t (*)(int, void*, size_t, int)>(dlsym(RTLD_NEXT, "recv"));
   if ((flags & MSG_PEEK) != 0) ++looks;
   return next(fd, buffer, size, flags);
 }
@@ -22,7 +23,8 @@
 namespace {
 
 // Hundreds of idle connections and a flood of new ones: each new one closes another. A call to the
-// system for each idle one, for each that came, kept nodes so busy that they heard of drains 5 s late.
+// system for each idle one, for each that came, kept nodes so busy that they heard of drains 5 s
+// late.
 TEST(MakeRoom, LooksAtTheConnectionToBeClosedOnly) {
   Rig rig(1, R"("limits":{"sockets":264},)");  // room for 100 clients
   const auto rests = rig.Client();
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -4,17 +4,17 @@
 #include <cstdlib>
 
 #include "balancing/agreed_share.h"
+#include "net/cluster/frame.h"
 #include "support/days.h"
 #include "support/membership_world.h"
-#include "net/cluster/frame.h"
 
 namespace millethollow::membership {
 namespace {
 
 std::uint64_t Seeds(std::uint64_t usual) { return FromEnvironment("SEEDS", usual); }
 
-// A day of faults from a seed: kills, emptied folders, stops, cuts of every form, losses, slow disks.
-// At its end all is healed, and the members must come together again.
+// A day of faults from a seed: kills, emptied folders, stops, cuts of every form, losses, slow
+// disks. At its end all is healed, and the members must come together again.
 struct Day {
   explicit Day(std::uint64_t seed, Planted planted = {}, double length_s = 60)
       : faults(seed * 7919 + 1),
@@ -53,21 +53,32 @@
       case 12:
         return world.Say(Any(), "w" + std::to_string(faults.Below(30)), faults.Below(3) > 0);
       case 0:
-      case 1: return world.Kill(Any());
-      case 2: return EmptyFolder(Any());
+      case 1:
+        return world.Kill(Any());
+      case 2:
+        return EmptyFolder(Any());
       case 3:
-      case 4: return world.StartAll();
-      case 5: return world.Pause(Any(), 8 * faults.Unit());
+      case 4:
+        return world.StartAll();
+      case 5:
+        return world.Pause(Any(), 8 * faults.Unit());
       case 6: {
         std::vector<int> group;
-        for (std::size_t i = 0; i < world.size(); ++i) group.push_back(static_cast<int>(faults.Below(3)));
+        for (std::size_t i = 0; i < world.size(); ++i)
+          group.push_back(static_cast<int>(faults.Below(3)));
         return world.Split(group);
       }
-      case 7: return world.Cut(Any(), Any(), true);
-      case 8: return world.CutBoth(Any(), Any(), true);
-      case 9: return world.SetLoss(faults.Below(2) == 0 ? 0.2 : 0);
-      case 10: world.node(Any()).write_s = faults.Below(2) == 0 ? 0.3 : 0.001; return;
-      default: world.Heal();
+      case 7:
+        return world.Cut(Any(), Any(), true);
+      case 8:
+        return world.CutBoth(Any(), Any(), true);
+      case 9:
+        return world.SetLoss(faults.Below(2) == 0 ? 0.2 : 0);
+      case 10:
+        world.node(Any()).write_s = faults.Below(2) == 0 ? 0.3 : 0.001;
+        return;
+      default:
+        world.Heal();
     }
   }
   Random faults;
@@ -79,7 +90,8 @@
 TEST(AgreementDays, KeepEveryPromiseAndComeTogetherAgain) {
   for (std::uint64_t seed = FromEnvironment("SEED", 1); seed <= Seeds(150); ++seed) {
     Day day(seed);
-    ASSERT_TRUE(day.world.broken().empty()) << "seed " << seed << " " << day.world.broken()[0] << day.world.Told();
+    ASSERT_TRUE(day.world.broken().empty())
+        << "seed " << seed << " " << day.world.broken()[0] << day.world.Told();
     ASSERT_TRUE(day.whole) << "seed " << seed << " does not come together" << day.world.Told();
   }
   // Days that found a fault once (docs/design/membership.md).
@@ -102,9 +114,10 @@
   RecordProperty("lease_by_wall_clock", static_cast<int>(lease));
 }
 
-// Three voters, two of whom stand at once over a view that only the first had accepted before all were
-// started again: every order of the first `depth` events (a message comes, a write is done), and after
-// each of them the rest as it comes. Copies of the real decisions, so nothing is played twice.
+// Three voters, two of whom stand at once over a view that only the first had accepted before all
+// were started again: every order of the first `depth` events (a message comes, a write is done),
+// and after each of them the rest as it comes. Copies of the real decisions, so nothing is played
+// twice.
 struct Orders {
   struct Flight {
     NodeId to = 0, from = 0;
@@ -171,7 +184,12 @@
     s.writes.resize(3);
     const View old{.epoch = 1, .members = {{1, 1, "p", 1}, {2, 2, "p", 1}}, .settled = 0};
     for (NodeId id = 1; id <= 3; ++id) {
-      Votes votes{.promised = {1, 1}, .accepted_by = {}, .accepted = {}, .mind = {1, id}, .minds = {}, .writes = 2};
+      Votes votes{.promised = {1, 1},
+                  .accepted_by = {},
+                  .accepted = {},
+                  .mind = {1, id},
+                  .minds = {},
+                  .writes = 2};
       for (NodeId other = 1; other <= 3; ++other) {
         if (other != id) votes.minds.emplace_back(other, Mind{1, other});
       }
@@ -179,8 +197,11 @@
         votes.accepted_by = {1, 1};
         votes.accepted = old;
       }
-      s.nodes.emplace_back(Agreement::Options{.self = id, .life = 10 + id, .voters = {1, 2, 3},
-                                              .members = {{1, "p"}, {2, "p"}, {3, "p"}}, .timings = {}},
+      s.nodes.emplace_back(Agreement::Options{.self = id,
+                                              .life = 10 + id,
+                                              .voters = {1, 2, 3},
+                                              .members = {{1, "p"}, {2, "p"}, {3, "p"}},
+                                              .timings = {}},
                            votes, id, s.now);
     }
     for (std::size_t i = 0; i < 3; ++i) Tick(&s, i);
@@ -197,7 +218,8 @@
     for (const std::size_t i : {0UL, 1UL}) {
       while (!s.writes[i].empty()) Store(&s, i);
     }
-    std::erase_if(s.flight, [](const Flight& f) { return f.message.kind != Message::Kind::kPrepare; });
+    std::erase_if(s.flight,
+                  [](const Flight& f) { return f.message.kind != Message::Kind::kPrepare; });
     return s;
   }
   void Explore(const State& from, int depth) {
@@ -232,7 +254,8 @@
   std::printf("%lu orders, up to %zu messages to choose from\n", o.orders, o.most_choices);
 }
 
-// Members that never stop, on links that lose datagrams: whoever is called failed is called so falsely.
+// Members that never stop, on links that lose datagrams: whoever is called failed is called so
+// falsely.
 std::uint64_t FalseFailures(std::uint64_t seed, std::size_t members, double loss, double span_s,
                             Planted planted = {}) {
   World w(seed, {.members = members, .voters = 3, .loss = loss, .planted = planted});
@@ -248,10 +271,14 @@
 }
 
 TEST(DetectorDays, FindARefutationThatIsIgnored) {
-  EXPECT_NE(FirstSeed(100, [](std::uint64_t seed) {
-    const bool found = FalseFailures(seed, 5, 0.2, 60, {.refutation_ignored = true}) > 0;
-    return std::vector<std::string>(found ? 1 : 0, "a member is called failed falsely");
-  }), 0U);
+  EXPECT_NE(FirstSeed(100,
+                      [](std::uint64_t seed) {
+                        const bool found =
+                            FalseFailures(seed, 5, 0.2, 60, {.refutation_ignored = true}) > 0;
+                        return std::vector<std::string>(found ? 1 : 0,
+                                                        "a member is called failed falsely");
+                      }),
+            0U);
 }
 
 TEST(DetectorDays, BrokenLinksAndShortStopsFailNobody) {
@@ -274,7 +301,7 @@
 std::size_t OnTheWire(const Frame& frame) { return 28 + cluster::Encode({}, frame).size(); }
 
 struct Spread {
-  std::vector<double> first, all;  // from the kill to 'failed' at one, and at all others
+  std::vector<double> first, all;   // from the kill to 'failed' at one, and at all others
   double datagrams = 0, bytes = 0;  // of the detector, a member and second, before the kill
 };
 
@@ -302,16 +329,19 @@
       bytes += w.node(i).bytes;
     }
     const double member_seconds = static_cast<double>(members) * (w.now() - 5);
-    spread.datagrams += static_cast<double>(datagrams) / member_seconds / static_cast<double>(seeds);
+    spread.datagrams +=
+        static_cast<double>(datagrams) / member_seconds / static_cast<double>(seeds);
     spread.bytes += static_cast<double>(bytes) / member_seconds / static_cast<double>(seeds);
     at = w.now();
     w.Kill(members - 1);
-    const bool all = w.RunUntil([&] {
-      for (std::size_t i = 0; i + 1 < members; ++i) {
-        if (w.HealthAt(i, members - 1) != Health::kFailed) return false;
-      }
-      return true;
-    }, 20);
+    const bool all = w.RunUntil(
+        [&] {
+          for (std::size_t i = 0; i + 1 < members; ++i) {
+            if (w.HealthAt(i, members - 1) != Health::kFailed) return false;
+          }
+          return true;
+        },
+        20);
     spread.all.push_back(all ? w.now() - at : 20);
   }
   std::sort(spread.first.begin(), spread.first.end());
@@ -320,7 +350,9 @@
 }
 
 double At(const std::vector<double>& sorted, double share) {
-  return sorted.empty() ? -1 : sorted[static_cast<std::size_t>(share * static_cast<double>(sorted.size() - 1))];
+  return sorted.empty()
+             ? -1
+             : sorted[static_cast<std::size_t>(share * static_cast<double>(sorted.size() - 1))];
 }
 
 TEST(DetectorDays, AKilledMemberIsFailedAtAllWithinThreeSeconds) {
@@ -332,10 +364,11 @@
 TEST(DetectorFigures, DISABLED_Print) {
   for (const std::size_t n : {5UL, 10UL, 100UL, 1000UL}) {
     const Spread s = Killed(n, 0, n >= 1000 ? 10 : 100);
-    std::printf("%4zu members: kill to failed at one p50 %.2f p99 %.2f s, at all p50 %.2f p99 %.2f s; "
-                "%.1f datagrams, %.0f bytes a member and second\n",
-                n, At(s.first, 0.5), At(s.first, 0.99), At(s.all, 0.5), At(s.all, 0.99), s.datagrams,
-                s.bytes);
+    std::printf(
+        "%4zu members: kill to failed at one p50 %.2f p99 %.2f s, at all p50 %.2f p99 %.2f s; "
+        "%.1f datagrams, %.0f bytes a member and second\n",
+        n, At(s.first, 0.5), At(s.first, 0.99), At(s.all, 0.5), At(s.all, 0.99), s.datagrams,
+        s.bytes);
     std::fflush(stdout);
   }
   for (const std::size_t n : {10UL, 100UL, 1000UL}) {
@@ -361,8 +394,10 @@
     }
     std::sort(heal.begin(), heal.end());
     std::sort(news.begin(), news.end());
-    std::printf("%4zu members: word of a worker out to all p50 %.2f p99 %.2f s; from heal to one view p50 %.2f p99 %.2f s\n",
-                n, At(news, 0.5), At(news, 0.99), At(heal, 0.5), At(heal, 0.99));
+    std::printf(
+        "%4zu members: word of a worker out to all p50 %.2f p99 %.2f s; from heal to one view p50 "
+        "%.2f p99 %.2f s\n",
+        n, At(news, 0.5), At(news, 0.99), At(heal, 0.5), At(heal, 0.99));
     std::fflush(stdout);
   }
   for (const double loss : {0.0, 0.05, 0.2}) {
@@ -373,8 +408,9 @@
   }
 }
 
-// The real parts of real members, and the real reckoning of shares from what dispatchers report to each
-// other over the same cut links: whatever is cut, killed or stopped, the shares never make more than one.
+// The real parts of real members, and the real reckoning of shares from what dispatchers report to
+// each other over the same cut links: whatever is cut, killed or stopped, the shares never make
+// more than one.
 TEST(PartDays, SharesByDemandNeverComeToMoreThanTheWhole) {
   constexpr double kReportS = 0.25, kStaleS = 6 * kReportS;
   std::size_t by_demand = 0;
@@ -408,9 +444,15 @@
     for (int step = 0; step < 240; ++step) {
       for (std::size_t i = 0; i < n; ++i) {
         w.RunUntil(w.now() + kReportS / static_cast<double>(n));
-        if (!w.up(i)) all[i] = {{}, all[i].demand, 0, std::vector<double>(n, -1e9),
-                                std::vector<double>(n, 0), std::vector<bool>(n, false),
-                                std::vector<std::uint8_t>(n, 0), 0};
+        if (!w.up(i))
+          all[i] = {{},
+                    all[i].demand,
+                    0,
+                    std::vector<double>(n, -1e9),
+                    std::vector<double>(n, 0),
+                    std::vector<bool>(n, false),
+                    std::vector<std::uint8_t>(n, 0),
+                    0};
         if (!w.Runs(i)) continue;
         Dispatcher& d = all[i];
         agree(i, &d);
@@ -431,7 +473,8 @@
           others_hear = others_hear && d.hears_all[p];
           sum += d.told[p];
         }
-        const auto fleet = d.agreed.Fleet(w.now(), 8 * kReportS, {d.demand}, {sum}, heard, others_hear);
+        const auto fleet =
+            d.agreed.Fleet(w.now(), 8 * kReportS, {d.demand}, {sum}, heard, others_hear);
         d.share = d.demand / fleet[0];
         by_demand += std::abs(d.share - w.Part(i)) > 0.01;
       }
@@ -439,7 +482,9 @@
       std::string told;
       for (std::size_t i = 0; i < n; ++i) {
         if (!w.Runs(i)) continue;
-        told += "\n" + std::to_string(i + 1) + " share " + std::to_string(all[i].share) + " of demand " + std::to_string(all[i].demand) + " hears all " + std::to_string(all[i].agreed.hears_all());
+        told += "\n" + std::to_string(i + 1) + " share " + std::to_string(all[i].share) +
+                " of demand " + std::to_string(all[i].demand) + " hears all " +
+                std::to_string(all[i].agreed.hears_all());
         // A lease that ends between two reports ends the share with it, as Balancer::Agree has it.
         agree(i, &all[i]);
         all[i].share *= all[i].agreed.Fall(0);
@@ -453,7 +498,8 @@
   EXPECT_GT(by_demand, 1000U) << "or nothing was shown of that";
 }
 
-// Who takes a worker out or puts it back, at which of four nodes, cut in two or not; and is it out then?
+// Who takes a worker out or puts it back, at which of four nodes, cut in two or not; and is it out
+// then?
 TEST(Facts, OutWinsUntilItIsCalledBackLater) {
   struct Call {
     std::size_t at;
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -18,7 +18,8 @@
 
 TEST(HttpFront, ServesWhatTheWorkerMadeAndPassesItOnUnchanged) {
   Rig rig;
-  const std::string in = rig.Ask(Post("a1", "charge", "Idempotency-Key: k9\r\n", "{\"n\":1}"), "ok");
+  const std::string in =
+      rig.Ask(Post("a1", "charge", "Idempotency-Key: k9\r\n", "{\"n\":1}"), "ok");
   EXPECT_TRUE(in.starts_with("HTTP/1.1 200 OK\r\n")) << in;
   EXPECT_TRUE(in.ends_with("\r\n\r\nok")) << in;
   ASSERT_EQ(rig.Got(), 1u);
@@ -92,10 +93,12 @@
   for (int i = 0; i < 400; ++i) many += Post("a" + std::to_string(i), "look", "", "{}", 60000);
   client->Write(many);
   std::uint64_t before = 0;
-  rig.Until([&] {
-    rig.Until([] { return false; }, 0.2);
-    return std::exchange(before, rig.node->counters().taken) == rig.node->counters().taken;
-  }, 30);
+  rig.Until(
+      [&] {
+        rig.Until([] { return false; }, 0.2);
+        return std::exchange(before, rig.node->counters().taken) == rig.node->counters().taken;
+      },
+      30);
   EXPECT_GT(before, 0u);
   EXPECT_LT(before, 400u);
 }
@@ -109,7 +112,8 @@
   half->Write("POST /api HTTP/1.1\r\nRequest-Id: a2\r\n");
   part->Write(std::string("\0RE", 3));
   worker->Say(Type::kCanDo, {"charge"});
-  ASSERT_TRUE(rig.Until([&] { return silent->ended && half->ended && mute->ended && part->ended; }, 3));
+  ASSERT_TRUE(
+      rig.Until([&] { return silent->ended && half->ended && mute->ended && part->ended; }, 3));
   EXPECT_TRUE(half->in.starts_with("HTTP/1.1 408")) << half->in;
   EXPECT_FALSE(rests->ended || worker->ended);
   rests->in.clear();
@@ -157,7 +161,8 @@
 TEST(HttpFront, CutsOffABodyThatIsFarTooLarge) {
   Rig rig(1);
   auto client = rig.Client();
-  client->Write("POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + std::string(8000000, 'x'));
+  client->Write("POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" +
+                std::string(8000000, 'x'));
   ASSERT_TRUE(rig.Until([&] { return client->ended; }, 2));
   EXPECT_GT(client->Unsent(), 0u);
 }
@@ -170,7 +175,8 @@
   ASSERT_TRUE(rig.Until([&] { return rig.Got() == 1; }));
   client->Close("test");
   EXPECT_TRUE(rig.Until([&] {
-    return std::all_of(rig.workers.begin(), rig.workers.end(), [](const auto& w) { return w->AllGone(); });
+    return std::all_of(rig.workers.begin(), rig.workers.end(),
+                       [](const auto& w) { return w->AllGone(); });
   }));
   EXPECT_EQ(rig.node->counters().gone, 1u);
 }
@@ -187,8 +193,8 @@
 
 // The load report of Karachi's workers comes in the object that ends an attempt. It was never read
 // there: the module learned nothing of free slots on real sockets, all day.
-// A stall between a connection and word of it: the deadline of the connection is over, yet the whole
-// charge is at the worker. Taken for never sent, it was sent to another group as well.
+// A stall between a connection and word of it: the deadline of the connection is over, yet the
+// whole charge is at the worker. Taken for never sent, it was sent to another group as well.
 TEST(Worker, AChargeThatIsOutWhenItsConnectionTimesOutMayHaveRun) {
   for (int round = 0; round < 5; ++round) {
     Rig rig(3);
@@ -215,23 +221,23 @@
     void Began(RequestId, int) override {}
     void Ended(RequestId, int, const Outcome& outcome) override { ended.push_back(outcome); }
     void Probed(const std::string&, const Outcome&) override {}
-    void WorkerChanged(const balancing::Member&) override {}
+    void WorkerChanged(const balancing::Endpoint&) override {}
   };
   struct Client : ClientSide {
     void Answer(const Held&, const FinalAnswer&, const std::string&) override {}
   };
   struct Case {
     std::string state, load, head;  // the last line's state and load, the answer's Server-Load
-    Verdict verdict;
+    AttemptStatus status;
     bool has_report;
     double x0, rif;
   };
   const Case kCases[] = {
-      {"done", R"({"x0":2,"x1":0.5,"rif":3})", "", Verdict::kServed, true, 2, 3},
-      {"returned", R"({"x0":0,"rif":9})", "", Verdict::kTurnedAway, true, 0, 9},
-      {"done", "", "x0=4,rif=1", Verdict::kServed, true, 4, 1},
-      {"done", "", "", Verdict::kServed, false, 0, 0},
-      {"failed", R"({"x0":"many"})", "", Verdict::kServerError, false, 0, 0}};
+      {"done", R"({"x0":2,"x1":0.5,"rif":3})", "", AttemptStatus::kSucceeded, true, 2, 3},
+      {"returned", R"({"x0":0,"rif":9})", "", AttemptStatus::kRejected, true, 0, 9},
+      {"done", "", "x0=4,rif=1", AttemptStatus::kSucceeded, true, 4, 1},
+      {"done", "", "", AttemptStatus::kSucceeded, false, 0, 0},
+      {"failed", R"({"x0":"many"})", "", AttemptStatus::kServerError, false, 0, 0}};
   for (const Case& c : kCases) {
     LogLevel() = Level::kError;
     Loop loop;
@@ -262,7 +268,7 @@
     forwarder.Send(id, 0, "w");
     ASSERT_TRUE(TurnUntil(loop, [&] { return !planner.ended.empty(); })) << c.state;
     const Outcome& o = planner.ended[0];
-    EXPECT_EQ(o.verdict, c.verdict) << c.state << c.load << c.head;
+    EXPECT_EQ(o.status, c.status) << c.state << c.load << c.head;
     EXPECT_EQ(o.has_report, c.has_report) << c.state << c.load << c.head;
     EXPECT_EQ(o.report[0], c.x0) << c.state << c.load << c.head;
     EXPECT_EQ(o.report[2], c.rif) << c.state << c.load << c.head;
@@ -338,7 +344,8 @@
     clients.back()->Write(Post("a" + std::to_string(i), "look", "", "{}", 300));
   }
   ASSERT_TRUE(rig.Until([&] {
-    return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return !c->in.empty(); });
+    return std::all_of(clients.begin(), clients.end(),
+                       [](const auto& c) { return !c->in.empty(); });
   }));
   EXPECT_EQ(rig.Got(), 1u);
   rig.node->loop().budget().workers_most = 9;
@@ -532,13 +539,21 @@
     rig.workers[i]->act = [&, i](const ToyWorker::Got& g) {
       const std::string id = *g.head.Get("Request-Id");
       // A look-up over Gearman has a key as well, and may be made again anywhere.
-      const std::string* key = *g.head.Get("Request-Class") == "charge" ? g.head.Get("Idempotency-Key") : nullptr;
+      const std::string* key =
+          *g.head.Get("Request-Class") == "charge" ? g.head.Get("Idempotency-Key") : nullptr;
       ++tries[id];
       switch (random() % 5) {
-        case 0: return g.from->Write("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
-        case 1: if (key) sent[*key].push_back(i / 2); return ToyWorker::Lines(g, {ToyWorker::Line(g, "failed")});
-        case 2: if (key) sent[*key].push_back(i / 2); return g.from->Close("test");
-        default: if (key) sent[*key].push_back(i / 2); return ToyWorker::Done(g, id);
+        case 0:
+          return g.from->Write("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
+        case 1:
+          if (key) sent[*key].push_back(i / 2);
+          return ToyWorker::Lines(g, {ToyWorker::Line(g, "failed")});
+        case 2:
+          if (key) sent[*key].push_back(i / 2);
+          return g.from->Close("test");
+        default:
+          if (key) sent[*key].push_back(i / 2);
+          return ToyWorker::Done(g, id);
       }
     };
   }
@@ -554,7 +569,8 @@
   for (std::size_t i = 0; i < kEach; ++i) {
     const std::string id = "h" + std::to_string(i);
     clients.push_back(rig.Client());
-    clients.back()->Write(i % 2 ? Post(id, "look") : Post(id, "charge", "Idempotency-Key: " + id + "\r\n"));
+    clients.back()->Write(i % 2 ? Post(id, "look")
+                                : Post(id, "charge", "Idempotency-Key: " + id + "\r\n"));
     submitter->Say(Type::kSubmitJob, {i % 2 ? "look" : "charge", id, "b"});
     rig.Until([] { return false; }, 0.004);
   }
@@ -562,9 +578,8 @@
     return submitter->Of(Type::kWorkComplete).size() + submitter->Of(Type::kWorkFail).size();
   };
   const auto answered = [](const auto& c) { return c->in.find("\r\n\r\n") != std::string::npos; };
-  EXPECT_TRUE(rig.Until([&] {
-    return ends() == kEach && std::all_of(clients.begin(), clients.end(), answered);
-  }));
+  EXPECT_TRUE(rig.Until(
+      [&] { return ends() == kEach && std::all_of(clients.begin(), clients.end(), answered); }));
   rig.Until([] { return false; }, 0.05);  // time for a second answer, if there were one
   EXPECT_EQ(submitter->Of(Type::kJobCreated).size(), kEach);
   EXPECT_EQ(ends(), kEach);
