--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -1,4 +1,6 @@
 // The parsers against every valid message cut at random places, and against random garbage.
+#include "net/http/parser.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -6,9 +8,8 @@
 #include <string>
 
 #include "net/gearman/packet.h"
-#include "net/http/worker_pool.h"
-#include "net/http/parser.h"
 #include "net/http/client_front.h"
+#include "net/http/worker_pool.h"
 
 namespace millethollow {
 namespace {
@@ -26,10 +27,14 @@
 const Whole kWhole[] = {
     {kAsk, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n", ""},
     {kAsk, "POST /api HTTP/1.1\r\ncontent-length: 5\r\nA: \t b \r\n\r\nhello", "hello"},
-    {kAsk, "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;e=1\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\n", "abcde"},
+    {kAsk,
+     "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;e=1\r\nabc\r\n2\r\nde\r\n0\r\nT: "
+     "1\r\n\r\n",
+     "abcde"},
     {kTell, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "ok"},
     {kTell, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503\r\nContent-Length: 0\r\n\r\n", ""},
-    {kTell, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\n0123456789\r\n0\r\n\r\n", "0123456789"},
+    {kTell, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\n0123456789\r\n0\r\n\r\n",
+     "0123456789"},
 };
 
 TEST(HttpParser, ReadsEveryMessageCutAtRandom) {
@@ -61,10 +66,15 @@
 // The platform's Work-Hint is in microseconds; it was read as seconds, a million times too long.
 TEST(HttpParser, AWorkHintIsReadInMicrosecondsAndAnUnreadableOneIsLeftOut) {
   const http::Names names{.classes = {"job"}, .tenants = {}, .keyed = {false}};
-  const std::pair<std::string_view, double> kHints[] = {
-      {"250000", 0.25}, {"1500.5", 0.0015005}, {"0", 0},   {"-3", 0},
-      {"nan", 0},       {"inf", 0},            {"12abc", 0}, {"", 0},
-      {"99999999999999", 0}};
+  const std::pair<std::string_view, double> kHints[] = {{"250000", 0.25},
+                                                        {"1500.5", 0.0015005},
+                                                        {"0", 0},
+                                                        {"-3", 0},
+                                                        {"nan", 0},
+                                                        {"inf", 0},
+                                                        {"12abc", 0},
+                                                        {"", 0},
+                                                        {"99999999999999", 0}};
   for (const auto& [text, seconds] : kHints) {
     http::Head head{.method = "POST", .target = "/api"};
     head.headers = {{"Request-Id", "r1"},
@@ -112,7 +122,8 @@
     for (int hits = 1 + static_cast<int>(random() % 6); hits > 0; --hits) {
       text[random() % text.size()] = static_cast<char>(random());
     }
-    if (round % 3 == 0) std::generate(text.begin(), text.end(), [&] { return static_cast<char>(random()); });
+    if (round % 3 == 0)
+      std::generate(text.begin(), text.end(), [&] { return static_cast<char>(random()); });
     http::Parser parser(whole.side, {.head = 64, .body = 16});
     for (std::size_t at = 0; at < text.size() && parser.error() == 0 && !parser.done();) {
       const std::size_t n = parser.Feed(std::string_view(text).substr(at, 1 + random() % 7));
@@ -185,7 +196,8 @@
   gearman::Parser wrong(1000), large(10), line(10);
   wrong.Feed("\0REX"sv);
   EXPECT_STREQ(wrong.error(), "bad_magic");
-  large.Feed(gearman::Packet(gearman::Message::Form::kRequest, gearman::Type::kEchoReq, {"01234567890"}));
+  large.Feed(
+      gearman::Packet(gearman::Message::Form::kRequest, gearman::Type::kEchoReq, {"01234567890"}));
   EXPECT_STREQ(large.error(), "packet_too_large");
   line.Feed(std::string(5000, 'x'));
   EXPECT_STREQ(line.error(), "line_too_long");
@@ -195,7 +207,8 @@
   std::mt19937 random(kSeed);
   for (int round = 0; round < 3000; ++round) {
     std::string text = gearman::Packet(gearman::Message::Form::kRequest, gearman::Type::kSubmitJob,
-                                       {"f", "u", "data"}) + "workers\n";
+                                       {"f", "u", "data"}) +
+                       "workers\n";
     for (int hits = static_cast<int>(random() % 8); hits > 0; --hits) {
       text[random() % text.size()] = static_cast<char>(random());
     }
@@ -204,7 +217,8 @@
       const std::size_t n = parser.Feed(std::string_view(text).substr(at, 1 + random() % 7));
       ASSERT_TRUE(n > 0 || parser.error() != nullptr);
       at += n;
-      if (const auto m = parser.Take()) gearman::Arguments(m->data, 1 + random() % 4, round % 2 == 0);
+      if (const auto m = parser.Take())
+        gearman::Arguments(m->data, 1 + random() % 4, round % 2 == 0);
     }
   }
 }
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -1,4 +1,5 @@
-// The socket between planners: what goes out, what comes in, and that all that is dropped is counted.
+// The socket between planners: what goes out, what comes in, and that all that is dropped is
+// counted.
 #include "net/peers.h"
 
 #include <arpa/inet.h>
@@ -35,8 +36,9 @@
   }
   void SendTo(const std::string& address, const std::string& body) const {
     const sockaddr_in to = *ParseAddress(address);
-    EXPECT_EQ(sendto(fd_, body.data(), body.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof to),
-              std::ssize(body));
+    EXPECT_EQ(
+        sendto(fd_, body.data(), body.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof to),
+        std::ssize(body));
   }
 
  private:
@@ -46,7 +48,8 @@
 struct PeersTest : testing::Test {
   PeersTest()
       : peers(
-            &loop, [this](int sender, const std::string& body) { heard.emplace_back(sender, body); },
+            &loop,
+            [this](int sender, const std::string& body) { heard.emplace_back(sender, body); },
             &counters) {}
   void Open(const std::vector<std::string>& addresses) {
     std::string why;
@@ -118,7 +121,8 @@
   const auto has = [&](const std::string& line) {
     return ("\n" + node.Figures()).find("\napp.peers." + line + "\n") != std::string::npos;
   };
-  for (const char* cause : {"too_long", "no_address", "not_sent", "unreadable", "strangers", "refused"}) {
+  for (const char* cause :
+       {"too_long", "no_address", "not_sent", "unreadable", "strangers", "refused"}) {
     EXPECT_TRUE(has("dropped." + std::string(cause) + ":0|c")) << cause;
   }
   stranger.SendTo(listen, "from a stranger");
--- a/tests/quota_quiet_test.cpp
+++ b/tests/quota_quiet_test.cpp
@@ -74,8 +74,9 @@
   std::printf("slowest: 0.95 of use %.2f s after the move\n", slowest_s);
 }
 
-// Where demand moves, what is left of it fades as the measured mean does, a little with each look: all the while some of
-// it is on its way from those who have no use for it. The others must not be kept from what is free already.
+// Where demand moves, what is left of it fades as the measured mean does, a little with each look:
+// all the while some of it is on its way from those who have no use for it. The others must not be
+// kept from what is free already.
 TEST(QuotaQuiet, DemandThatFadesElsewhereLeavesAllToThoseWhoAsk) {
   constexpr double kFadeSeconds = 2, kLookSeconds = 0.1, kWithinSeconds = 5, kUntilSeconds = 12;
   constexpr double kAskedOfQuota = 2, kLeastUse = 0.97;
--- a/tests/quota_refusals_test.cpp
+++ b/tests/quota_refusals_test.cpp
@@ -10,9 +10,9 @@
 #include <numeric>
 #include <optional>
 
-#include "support/days.h"
 #include "quota/allocator.h"
 #include "quota/holder.h"
+#include "support/days.h"
 
 namespace millethollow::quota {
 namespace {
--- a/tests/quota_scenarios_test.cpp
+++ b/tests/quota_scenarios_test.cpp
@@ -102,9 +102,9 @@
   EXPECT_EQ(world.broken(), std::vector<std::string>{});
 }
 
-// A dispatcher has applied what it was offered, and nobody hears that any more. The quota is lowered,
-// so that less is offered in its place, and is raised again at once: until its lease is over the
-// larger offer counts, not the newest.
+// A dispatcher has applied what it was offered, and nobody hears that any more. The quota is
+// lowered, so that less is offered in its place, and is raised again at once: until its lease is
+// over the larger offer counts, not the newest.
 TEST(QuotaScenario, AnOfferInPlaceOfALargerOneLeavesTheLargerReserved) {
   constexpr double kLookSeconds = 0.005, kLowered = 0.5, kLoweredForSeconds = 0.15;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
--- a/tests/quota_wiring_test.cpp
+++ b/tests/quota_wiring_test.cpp
@@ -1,5 +1,5 @@
-// Quota leases on their way through the process: frames, the section of the configuration, and the rates that
-// the decision module is given.
+// Quota leases on their way through the process: frames, the section of the configuration, and the
+// rates that the decision module is given.
 #include <gtest/gtest.h>
 
 #include <bit>
@@ -12,8 +12,8 @@
 #include "codec/quota.h"
 #include "config/cluster.h"
 #include "core/demand.h"
-#include "support/floor.h"
 #include "net/cluster/frame.h"
+#include "support/floor.h"
 
 namespace millethollow {
 namespace {
@@ -34,7 +34,8 @@
                .answers = 21,
                .want_full = true,
                .span_s = 3,
-               .assignments = {{.tenant = 5, .rate = 11.5, .grant = 4}, {.tenant = 6, .rate = 0, .grant = 5}},
+               .assignments = {{.tenant = 5, .rate = 11.5, .grant = 4},
+                               {.tenant = 6, .rate = 0, .grant = 5}},
                .life = 91};
 }
 
@@ -42,7 +43,8 @@
 std::string Bytes(const quota::Message& message) { return codec::Encode(message); }
 
 TEST(QuotaCodec, IsReadAsItWasWritten) {
-  for (const quota::Message& message : {AReport(), AGrant(), quota::Message(Report{}), quota::Message(Grant{})}) {
+  for (const quota::Message& message :
+       {AReport(), AGrant(), quota::Message(Report{}), quota::Message(Grant{})}) {
     const auto read = codec::DecodeQuota(codec::Encode(message));
     ASSERT_TRUE(read.has_value());
     EXPECT_EQ(*read, message);
@@ -84,8 +86,8 @@
   }
 }
 
-// A cut in the midst of a field is none; one between two fields is a shorter message, which the frame's hash
-// and length keep out.
+// A cut in the midst of a field is none; one between two fields is a shorter message, which the
+// frame's hash and length keep out.
 TEST(QuotaCodec, CutAtAnyByteItIsNoneOrShorter) {
   for (const quota::Message& message : {AReport(), AGrant()}) {
     const std::string whole = codec::Encode(message);
@@ -123,7 +125,8 @@
   for (const quota::Message& message : {AReport(), AGrant()}) {
     cluster::Header header;
     cluster::Body read;
-    const std::string bytes = cluster::Encode({.cluster = 1, .from = 2, .life = 3, .number = 4}, message);
+    const std::string bytes =
+        cluster::Encode({.cluster = 1, .from = 2, .life = 3, .number = 4}, message);
     ASSERT_EQ(cluster::Decode(bytes, &header, &read), cluster::Fault::kNone);
     EXPECT_EQ(std::get<quota::Message>(read), message);
     for (std::size_t n = 0; n < bytes.size(); ++n) {
@@ -153,7 +156,8 @@
 
 ClusterOptions ReadSection(const std::string& more, std::string* why) {
   ClusterOptions options;
-  const std::string text = R"({"cluster":{"name":"x","self":"a","store":"s",)" + more + kMembers + "}}";
+  const std::string text =
+      R"({"cluster":{"name":"x","self":"a","store":"s",)" + more + kMembers + "}}";
   EXPECT_EQ(ReadCluster(text, &options, why), why->empty()) << text;
   return options;
 }
@@ -168,10 +172,11 @@
   EXPECT_GT(usual.timings.act_s, 4.0 * 1.01) << "the lease of membership, by the slower clock";
   EXPECT_LE(LongestOldLease(usual.timings) + usual.timings.renew_s, kQuotaInForceS);
   const QuotaOptions own = ReadSection(
-      R"("timings":{"lease_s":3,"drift":0.02},
+                               R"("timings":{"lease_s":3,"drift":0.02},
          "quota":{"allocators":["d","b"],"span_s":2,"renew_s":0.5,"report_gap_s":0.05,"floor_part":0.1,
                   "hysteresis":0.2},)",
-      &why).quota;
+                               &why)
+                               .quota;
   EXPECT_EQ(why, "");
   EXPECT_EQ(own.allocators, (std::vector<std::string>{"d", "b"}));
   EXPECT_EQ(own.timings.span_s, 2);
@@ -198,10 +203,14 @@
       {R"("quota":{"span_s":0},)", "'cluster.quota.span_s' is not a number from"},
       {R"("quota":{"renew_s":0},)", "'cluster.quota.renew_s' is not a number from"},
       {R"("quota":{"report_gap_s":0},)", "'cluster.quota.report_gap_s' is not a number from"},
-      {R"("quota":{"floor_part":0.6},)", "'cluster.quota.floor_part' is not a number from 0 to 0.5"},
-      {R"("quota":{"floor_part":-0.1},)", "'cluster.quota.floor_part' is not a number from 0 to 0.5"},
-      {R"("quota":{"hysteresis":0.6},)", "'cluster.quota.hysteresis' is not a number from 0 to 0.5"},
-      {R"("quota":{"renew_s":1.1},)", "'quota.span_s' must be at least three times 'quota.renew_s'"},
+      {R"("quota":{"floor_part":0.6},)",
+       "'cluster.quota.floor_part' is not a number from 0 to 0.5"},
+      {R"("quota":{"floor_part":-0.1},)",
+       "'cluster.quota.floor_part' is not a number from 0 to 0.5"},
+      {R"("quota":{"hysteresis":0.6},)",
+       "'cluster.quota.hysteresis' is not a number from 0 to 0.5"},
+      {R"("quota":{"renew_s":1.1},)",
+       "'quota.span_s' must be at least three times 'quota.renew_s'"},
       {R"("quota":{"report_gap_s":0.9},)", "'quota.report_gap_s' must not be over 'quota.renew_s'"},
       {R"("quota":{"span_s":5},)", "too long for a quota in force in 9 s"},
       {R"("timings":{"lease_s":6},"quota":{},)", "too long for a quota in force in 9 s"},
@@ -209,7 +218,8 @@
   for (const auto& [section, wanted] : cases) {
     std::string why = "?";
     ClusterOptions options;
-    const std::string text = R"({"cluster":{"name":"x","self":"a","store":"s",)" + section + kMembers + "}}";
+    const std::string text =
+        R"({"cluster":{"name":"x","self":"a","store":"s",)" + section + kMembers + "}}";
     EXPECT_FALSE(ReadCluster(text, &options, &why)) << text;
     EXPECT_NE(why.find(wanted), std::string::npos) << why << " for " << section;
     EXPECT_EQ(why.find('\n'), std::string::npos);
@@ -221,7 +231,7 @@
   const std::vector<double> own{30, 30, 5, 1, 0};  // two tenants, then sends and the like
   const std::vector<balancing::TenantSettings> tenants{{0.5, 100}, {0.5, 100}};
   balancing::AgreedPart plain, given;
-  balancing::Parts parts{.part = 0.25, .members = 4, .epoch = 1};
+  balancing::FleetShare parts{.part = 0.25, .members = 4, .epoch = 1};
   plain.Set(parts);
   parts.tenant_rates = {20, -1};
   given.Set(parts);
@@ -234,7 +244,8 @@
   parts.tenant_rates = {30, -1};
   given.Set(parts);
   given.ApplyTenantRates(own, tenants, &after);
-  EXPECT_DOUBLE_EQ(after[0], 100) << "all of it is let in, and it counts as today's part has it, up to the quota";
+  EXPECT_DOUBLE_EQ(after[0], 100)
+      << "all of it is let in, and it counts as today's part has it, up to the quota";
   for (const double rate : {5.0, 60.0, 0.0}) {
     const double last = parts.tenant_rates[0];
     parts.tenant_rates[0] = rate;
@@ -257,15 +268,19 @@
   EXPECT_EQ(fleet, before);
 }
 
-// Two dispatchers that are asked for the same of two tenants, at workers that have just room for the quotas.
+// Two dispatchers that are asked for the same of two tenants, at workers that have just room for
+// the quotas.
 struct TwoDesks {
-  static constexpr double kQuota = 60, kAsked = 45;  // of each tenant: in all, and at each dispatcher
+  static constexpr double kQuota = 60,
+                          kAsked = 45;  // of each tenant: in all, and at each dispatcher
   static constexpr int kWorkers = 6;
 
-  explicit TwoDesks(std::vector<std::vector<double>> rates) : floor(2, Rules(), {}), tenant_rates(std::move(rates)) {
+  explicit TwoDesks(std::vector<std::vector<double>> rates)
+      : floor(2, Rules(), {}), tenant_rates(std::move(rates)) {
     for (int w = 0; w < kWorkers; ++w) floor.AddWorker({2, 100}, 0);
     floor.before = [this](std::size_t i) {
-      floor.desks[i]->Agree({.part = 0.5, .members = 2, .epoch = 1, .tenant_rates = tenant_rates[i]});
+      floor.desks[i]->SetFleetShare(
+          {.part = 0.5, .members = 2, .epoch = 1, .tenant_rates = tenant_rates[i]});
     };
     floor.now = 100;
     floor.Start();
@@ -273,7 +288,7 @@
   static balancing::Settings Rules() {
     balancing::Settings s;
     s.classes.resize(1);
-    s.classes[0] = {.aim_s = 0.3, .give_up_s = 1};
+    s.classes[0] = {.latency_objective_s = 0.3, .client_timeout_s = 1};
     s.tenants.assign(2, {.share = 0.5, .quota_rps = kQuota});
     KeepPlatformRules(&s);
     return s;
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -1,4 +1,6 @@
 // SIGHUP: the file is read again, discovery moves, and whatever is under way goes on.
+#include "config/reload.h"
+
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -6,7 +8,6 @@
 #include <csignal>
 #include <fstream>
 
-#include "config/reload.h"
 #include "net/discovery.h"
 #include "node/supervisor.h"
 #include "support/rig.h"
@@ -14,7 +15,7 @@
 namespace millethollow {
 namespace {
 
-using balancing::ListKind;
+using balancing::EndpointListKind;
 using balancing::Readiness;
 
 std::string Entry(const std::string& id, const std::string& state, int started_ms = 0) {
@@ -44,20 +45,21 @@
         &loop,
         Discovery::Options{
             .address = before.address(), .zones = {"q"}, .kinds = {"k"}, .seed = 3, .nodes = nodes},
-        Discovery::Hooks{
-            .known = [this](ListKind kind, const ServerList& l) { known.emplace_back(kind, l); },
-            .unavailable = [] {}});
+        Discovery::Hooks{.known = [this](EndpointListKind kind,
+                                         const ServerList& l) { known.emplace_back(kind, l); },
+                         .unavailable = [] {}});
   }
   Loop loop;
   ToyWorker before{&loop}, after{&loop};
-  std::vector<std::pair<ListKind, ServerList>> known;
+  std::vector<std::pair<EndpointListKind, ServerList>> known;
   std::unique_ptr<Discovery> discovery;
 };
 
 // The versions of another address may mean something else: the whole list first, then from there.
 TEST_F(Moved, AsksForTheWholeListAndWatchesFromItsVersion) {
   after.act = [](const ToyWorker::Got& g) {
-    if (g.head.target.find("after") == std::string::npos) Tell(g, 3, true, Entry("w1", "in_service"));
+    if (g.head.target.find("after") == std::string::npos)
+      Tell(g, 3, true, Entry("w1", "in_service"));
   };
   discovery->Move(after.address());
   ASSERT_TRUE(TurnUntil(loop, [&] { return after.got.size() == 2; }));
@@ -65,7 +67,7 @@
   EXPECT_TRUE(after.got[1].head.target.starts_with("/catalog/members?after=3&"));
   // A watch that falls silent must not keep us from hearing of a drain for long.
   EXPECT_TRUE(after.got[1].head.target.ends_with("&wait_ms=3000")) << after.got[1].head.target;
-  EXPECT_EQ(known.back().first, ListKind::kReplace);
+  EXPECT_EQ(known.back().first, EndpointListKind::kSnapshot);
 }
 
 // A drain that only the old address told counts, whether it came before the new list or after it.
@@ -80,22 +82,23 @@
   EXPECT_EQ(known[1].second.entries[1].member.readiness, Readiness::kReady);
   Tell(before.got[1], 42, false, Entry("w1", "terminating") + "," + Entry("w2", "in_service"));
   ASSERT_TRUE(TurnUntil(loop, [&] { return known.size() == 3; }));
-  EXPECT_EQ(known[2].first, ListKind::kUpdate);
+  EXPECT_EQ(known[2].first, EndpointListKind::kIncremental);
   ASSERT_EQ(known[2].second.entries.size(), 1u);
   EXPECT_EQ(known[2].second.entries[0].member.worker, "w1");
 }
 
 TEST_F(Moved, BelievesANewStart) {
   after.act = [](const ToyWorker::Got& g) {
-    if (g.head.target.find("after") == std::string::npos) Tell(g, 3, true, Entry("w0", "in_service", 5000));
+    if (g.head.target.find("after") == std::string::npos)
+      Tell(g, 3, true, Entry("w0", "in_service", 5000));
   };
   discovery->Move(after.address());
   ASSERT_TRUE(TurnUntil(loop, [&] { return known.size() == 2; }));
   EXPECT_EQ(known[1].second.entries[0].member.readiness, Readiness::kReady);
 }
 
-// What it has to tell counts as told soon after the move: the usual waits would outlast that, and so
-// would the time over which a large tier spreads its first calls.
+// What it has to tell counts as told soon after the move: the usual waits would outlast that, and
+// so would the time over which a large tier spreads its first calls.
 TEST_F(Moved, TriesANewAddressThatFailsAgainAtOnce) {
   for (const int nodes : {1, 100}) {
     Make(nodes);
@@ -106,7 +109,9 @@
       Tell(g, 3, true, Entry("w1", "in_service"));
     };
     discovery->Move(after.address());
-    EXPECT_TRUE(TurnUntil(loop, [&] { return known.size() > told; }, 1.5)) << nodes;
+    EXPECT_TRUE(TurnUntil(
+        loop, [&] { return known.size() > told; }, 1.5))
+        << nodes;
   }
 }
 
@@ -147,14 +152,16 @@
     write(broken);
     raise(SIGHUP);
     const std::size_t reloads = node.counters().reloads + node.counters().reload_errors;
-    ASSERT_TRUE(until([&] { return node.counters().reloads + node.counters().reload_errors > reloads; }));
+    ASSERT_TRUE(
+        until([&] { return node.counters().reloads + node.counters().reload_errors > reloads; }));
   }
   EXPECT_TRUE(until([&] { return node.counters().lists > lists; }));  // the watch goes on
   EXPECT_LE(one.got.size(), 1u);  // called at the start, and never since
   unlink(path.c_str());
 }
 
-const std::string kLook = R"({"name":"look","aim_s":0.25,"give_up_s":6,"importance":1,"semantics":"repeatable"})";
+const std::string kLook =
+    R"({"name":"look","aim_s":0.25,"give_up_s":6,"importance":1,"semantics":"repeatable"})";
 
 std::string Changed(std::string text, const std::string& from, const std::string& to) {
   const std::size_t at = text.find(from);
@@ -178,13 +185,15 @@
   EXPECT_TRUE(fine(Changed(good, R"(,"log_level":"error")", "")));
   EXPECT_FALSE(fine(""));
   for (std::size_t cut = 0; cut < good.size(); cut += 37) EXPECT_FALSE(fine(good.substr(0, cut)));
-  for (const char* key : {R"("name":"t",)", R"("seed":"1f",)", R"("aim_s":0.25,)", R"("give_up_s":25,)",
-                          R"("most_tries":4,)", R"("group":"cell",)", R"("tick_s":0.005,)"}) {
+  for (const char* key :
+       {R"("name":"t",)", R"("seed":"1f",)", R"("aim_s":0.25,)", R"("give_up_s":25,)",
+        R"("most_tries":4,)", R"("group":"cell",)", R"("tick_s":0.005,)"}) {
     EXPECT_FALSE(fine(Changed(good, key, ""))) << key;
   }
   for (const char* number : {"0", "-1", "\"6\"", "\"soon\"", "null", "true", "[]"}) {
     EXPECT_FALSE(fine(Changed(good, R"("give_up_s":6)", std::string(R"("give_up_s":)") + number)));
-    EXPECT_FALSE(fine(Changed(good, R"("most_tries":4)", std::string(R"("most_tries":)") + number)));
+    EXPECT_FALSE(
+        fine(Changed(good, R"("most_tries":4)", std::string(R"("most_tries":)") + number)));
   }
 }
 
--- a/tests/room_test.cpp
+++ b/tests/room_test.cpp
@@ -19,14 +19,17 @@
 balancing::Settings Platform() {
   balancing::Settings s;
   s.classes.resize(2);
-  s.classes[kLook] = {.aim_s = 0.25, .stretch = 1.75, .give_up_s = 6, .importance = 1};
-  s.classes[kCharge] = {.aim_s = 2,
-                        .stretch = 1.75,
-                        .give_up_s = 25,
-                        .importance = 8,
-                        .semantics = balancing::Semantics::kByKey,
-                        .group = balancing::Group::kCell,
-                        .window_s = 40};
+  s.classes[kLook] = {.latency_objective_s = 0.25,
+                      .latency_objective_stretch = 1.75,
+                      .client_timeout_s = 6,
+                      .priority_weight = 1};
+  s.classes[kCharge] = {.latency_objective_s = 2,
+                        .latency_objective_stretch = 1.75,
+                        .client_timeout_s = 25,
+                        .priority_weight = 8,
+                        .idempotency = balancing::Idempotency::kIdempotentWithKey,
+                        .deduplication_scope = balancing::DeduplicationScope::kCell,
+                        .deduplication_window_s = 40};
   s.tenants = {{.share = 0.6, .quota_rps = 1000}, {.share = 0.4, .quota_rps = 1000}};
   KeepPlatformRules(&s);
   s.retry_after = true;
@@ -158,18 +161,19 @@
 TEST(Room, AReservationLeavesAWorkerThatIsLostAndItsJobIsNotLater) {
   using balancing::Readiness;
   for (const Loss& loss : {
-           Loss{"drains", [](Busy& b, int w) { b.floor.List(w, Readiness::kDraining); }},
-           Loss{"is gone", [](Busy& b, int w) { b.floor.List(w, Readiness::kGone); }},
+           Loss{"drains", [](Busy&b, int w) { b.floor.List(w, Readiness::kDraining); }},
+           Loss{"is gone", [](Busy&b, int w) { b.floor.List(w, Readiness::kGone); }},
            Loss{"is taken out by hand",
-                [](Busy& b, int w) {
-                  b.floor.Tell(0, balancing::Maintenance{Floor::Name(w), true});
+                [](Busy&b, int w) {
+                  b.floor.Tell(0, balancing::MaintenanceChanged{Floor::Name(w), true});
                 }},
            Loss{"dies and is ejected",
-                [](Busy& b, int w) {
+                [](Busy&b, int w) {
                   for (const std::string& id : b.running) {
                     if (b.floor.asked.at(id).sent_to.front() != w) continue;
-                    b.floor.Tell(0, balancing::AttemptEnded{
-                                        .id = id, .verdict = balancing::Verdict::kNoConnection});
+                    b.floor.Tell(0,
+                                 balancing::AttemptEnded{
+                                     .id = id, .status = balancing::AttemptStatus::kConnectFailed});
                   }
                 }},
        }) {
@@ -249,7 +253,7 @@
       });
     }
     floor.Run(12);
-    floor.members[2].born_s = floor.now;
+    floor.members[2].started_at_s = floor.now;
     floor.List(2, balancing::Readiness::kReady);
     const double born = floor.now;
     std::map<std::string, std::size_t> before;
@@ -285,8 +289,10 @@
   const std::string charge = b.floor.Ask(0, kCharge, {1, 1}, 1, 25);
   EXPECT_EQ(b.Holding(), 0);
   balancing::Settings settings = Platform();
-  settings.dispatchers = 1;
-  settings.classes.push_back({.aim_s = 1, .give_up_s = 5, .importance = 20});  // worth more still
+  settings.dispatcher_count = 1;
+  settings.classes.push_back({.latency_objective_s = 1,
+                              .client_timeout_s = 5,
+                              .priority_weight = 20});  // worth more still
   const std::vector<int> begun{2};
   balancing::Actions actions;
   b.floor.desks[0]->Handle(b.floor.now, balancing::SettingsChanged{&settings, &begun}, &actions);
@@ -317,8 +323,7 @@
       double run = 0, memory = 0;
       if (std::sscanf(g.body.c_str(), "%lf %lf", &run, &memory) != 2) return;
       if (!model.Submit({id, {1, memory}, run, 0})) {
-        g.from->Write(
-            "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
+        g.from->Write("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
         return;
       }
       asked.emplace(id, g);
@@ -424,7 +429,9 @@
   std::string Figure(const std::string& name) const {
     const std::string all = node->Figures();
     const auto at = all.find(name + ":");
-    return at == std::string::npos ? "" : all.substr(at + name.size() + 1, all.find('|', at) - at - name.size() - 1);
+    return at == std::string::npos
+               ? ""
+               : all.substr(at + name.size() + 1, all.find('|', at) - at - name.size() - 1);
   }
   Loop host;
   std::string text;
@@ -460,7 +467,8 @@
     }));
     for (const auto& c : rig.calls) {
       asked[on][c->cls] += 1;
-      in_time[on][c->cls] += c->status() == 200 && c->took < (c->cls == kLook ? 0.35 : 1.0) + c->run;
+      in_time[on][c->cls] +=
+          c->status() == 200 && c->took < (c->cls == kLook ? 0.35 : 1.0) + c->run;
     }
     EXPECT_EQ(rig.node->counters().blocked, 0u);
   }
@@ -535,11 +543,13 @@
   for (int i = 0; i < 200; ++i) {
     client->Say(gearman::Type::kSubmitJob, {"f", "u" + std::to_string(i), "x"});
   }
-  rig.Until([&] {
-    return client->Of(gearman::Type::kWorkComplete).size() +
-               client->Of(gearman::Type::kWorkFail).size() ==
-           200;
-  }, 20);
+  rig.Until(
+      [&] {
+        return client->Of(gearman::Type::kWorkComplete).size() +
+                   client->Of(gearman::Type::kWorkFail).size() ==
+               200;
+      },
+      20);
   EXPECT_EQ(client->Of(gearman::Type::kWorkComplete).size(), 200u);
   EXPECT_EQ(client->Of(gearman::Type::kWorkFail).size(), 0u);
 }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -19,7 +19,7 @@
 constexpr int kSteps = 7;
 
 struct Rules {
-  Balancer balancer;
+  LoadBalancer balancer;
   std::multimap<double, std::uint64_t> timers;
   double now = 10;
   // By job: sends in order, whether an attempt may have run, the final answer if any.
@@ -39,7 +39,7 @@
     balancer.Handle(now, e, &actions);
     for (const Action& a : actions) {
       if (const auto* t = std::get_if<SetTimer>(&a)) timers.emplace(now + t->after_s, t->mark);
-      if (const auto* s = std::get_if<Send>(&a)) {
+      if (const auto* s = std::get_if<SendAttempt>(&a)) {
         if (answered.contains(s->id)) Break(what + ": sent after its final answer");
         if (drained.contains(s->worker)) Break(what + ": sent to a draining worker");
         if (s->id == "once" && !ran[s->id].empty()) Break(what + ": once sent again");
@@ -55,8 +55,8 @@
           Break(what + ": refused what may have run");
         }
       };
-      if (const auto* r = std::get_if<Refuse>(&a)) final_answer(r->id, true);
-      if (const auto* f = std::get_if<Fail>(&a)) final_answer(f->id, false);
+      if (const auto* r = std::get_if<RejectRequest>(&a)) final_answer(r->id, true);
+      if (const auto* f = std::get_if<FailRequest>(&a)) final_answer(f->id, false);
       if (const auto* c = std::get_if<CancelAttempt>(&a)) {
         if (!open[c->id].contains(c->attempt)) Break(what + ": called off what is not open");
       }
@@ -64,22 +64,22 @@
   }
   void Arrive(const std::string& id, int cls) {
     arrived.insert(id);
-    JobArrived e;
+    RequestArrived e;
     e.id = id;
     e.cls = cls;
     e.expires_s = now + 0.5;
     Do(e, id + " arrives");
   }
-  void End(const std::string& id, Verdict verdict) {
+  void End(const std::string& id, AttemptStatus verdict) {
     if (open[id].empty()) return;
     const int attempt = *open[id].rbegin();
     open[id].erase(attempt);
     AttemptEnded e;
     e.id = id;
     e.attempt = attempt;
-    e.verdict = verdict;
-    e.terminal = verdict == Verdict::kServed;
-    if (verdict == Verdict::kTurnedAway || verdict == Verdict::kNoConnection)
+    e.status = verdict;
+    e.terminal = verdict == AttemptStatus::kSucceeded;
+    if (verdict == AttemptStatus::kRejected || verdict == AttemptStatus::kConnectFailed)
       ran[id].erase(attempt);
     // Served late, after the module had answered: the module must not answer again.
     if (e.terminal) answered.insert(id);
@@ -100,12 +100,12 @@
 Settings Pair() {
   Settings s;
   s.classes.resize(2);
-  s.classes[0].semantics = Semantics::kOnce;
-  s.classes[1].semantics = Semantics::kRepeatable;
-  for (ClassSettings& c : s.classes) c.aim_s = 0.1, c.give_up_s = 0.5;
+  s.classes[0].idempotency = Idempotency::kNotIdempotent;
+  s.classes[1].idempotency = Idempotency::kIdempotent;
+  for (ClassSettings& c : s.classes) c.latency_objective_s = 0.1, c.client_timeout_s = 0.5;
   s.tick_s = 0.005;
-  s.most_tries = 2;
-  s.may_duplicate = s.retry_after = true;
+  s.max_attempts = 2;
+  s.allow_hedging = s.retry_after = true;
   s.max_retry_after_s = 1;
   s.drain_grace_s = 0.2;
   return s;
@@ -113,20 +113,21 @@
 
 // Each order of the seven steps, for each way that an attempt may end.
 TEST(Rules, HoldAfterEveryEventInEveryOrder) {
-  const std::array<Verdict, 4> verdicts{Verdict::kServed, Verdict::kTurnedAway,
-                                        Verdict::kConnectionLost, Verdict::kServerError};
+  const std::array<AttemptStatus, 4> verdicts{AttemptStatus::kSucceeded, AttemptStatus::kRejected,
+                                              AttemptStatus::kConnectionLost,
+                                              AttemptStatus::kServerError};
   std::array<int, kSteps> order{};
   std::size_t played = 0;
-  for (const Verdict verdict : verdicts) {
+  for (const AttemptStatus verdict : verdicts) {
     std::iota(order.begin(), order.end(), 0);
     do {
       Rules r(Pair());
-      r.Do(Started{}, "start");
-      std::vector<Member> fleet(2);
+      r.Do(DispatcherStarted{}, "start");
+      std::vector<Endpoint> fleet(2);
       fleet[0].worker = "w0";
       fleet[1].worker = "w1";
       fleet[1].cell = 1;
-      r.Do(MembersKnown{ListKind::kReplace, &fleet}, "list");
+      r.Do(EndpointsUpdated{EndpointListKind::kSnapshot, &fleet}, "list");
       for (const int step : order) {
         switch (step) {
           case kOnceArrives:
@@ -144,19 +145,20 @@
           case kDrain:
             fleet[0].readiness = Readiness::kDraining;
             r.drained.insert("w0");
-            r.Do(MembersKnown{ListKind::kReplace, &fleet}, "w0 drains");
+            r.Do(EndpointsUpdated{EndpointListKind::kSnapshot, &fleet}, "w0 drains");
             break;
           case kTime:  // past every job's time: the caller ends what is still out, as the ledger
                        // does
             r.Pass(1.0);
             for (const std::string& id : r.arrived) {
-              while (!r.answered.contains(id) && !r.open[id].empty()) r.End(id, Verdict::kNoAnswer);
+              while (!r.answered.contains(id) && !r.open[id].empty())
+                r.End(id, AttemptStatus::kNoResponse);
             }
             break;
           case kOnceGone:
             if (r.arrived.contains("once") && !r.gone.contains("once")) {
               r.gone.insert("once");
-              r.Do(JobGone{"once"}, "once's client leaves");
+              r.Do(RequestCancelled{"once"}, "once's client leaves");
             }
             break;
         }
--- a/tests/scale_rig_test.cpp
+++ b/tests/scale_rig_test.cpp
@@ -201,16 +201,18 @@
   }
 }
 
-// A dispatcher's part may not grow with what others there are, nor in proportion to the tenants; and each shift of
-// demand is granted. All on the virtual clock.
+// A dispatcher's part may not grow with what others there are, nor in proportion to the tenants;
+// and each shift of demand is granted. All on the virtual clock.
 TEST(ScaleQuota, ADispatcherIsNearFlatAndShiftsAreGranted) {
   struct Case {
     AxisResult (*run)(const AxisOptions&);
     const char* size;
-    double most_times;  // the bytes of a dispatcher at eight times the size, against those at the least
+    double most_times;  // the bytes of a dispatcher at eight times the size, against those at the
+                        // least
   };
   constexpr double kMostShiftS = 1;
-  for (const Case& c : {Case{RunQuotaDispatchers, "dispatchers", 1.5}, Case{RunQuotaTenants, "tenants", 4}}) {
+  for (const Case& c :
+       {Case{RunQuotaDispatchers, "dispatchers", 1.5}, Case{RunQuotaTenants, "tenants", 4}}) {
     const AxisResult result = c.run(Short());
     ExpectWhole(result, 4);
     const Point& least = result.points.front();
@@ -218,11 +220,13 @@
     ASSERT_EQ(Value(most, c.size), 8 * Value(least, c.size));
     for (const char* figure : {"dispatcher_bytes_steady", "dispatcher_bytes_moving"}) {
       EXPECT_GT(Value(least, figure), 0) << c.size;
-      EXPECT_LE(Value(most, figure), c.most_times * Value(least, figure)) << c.size << " " << figure;
+      EXPECT_LE(Value(most, figure), c.most_times * Value(least, figure))
+          << c.size << " " << figure;
     }
     for (const Point& point : result.points) {
       EXPECT_EQ(Value(point, "shifts_granted"), 1) << c.size << " " << Value(point, c.size);
-      EXPECT_LT(Value(point, "shift_to_grant_p99"), kMostShiftS) << c.size << " " << Value(point, c.size);
+      EXPECT_LT(Value(point, "shift_to_grant_p99"), kMostShiftS)
+          << c.size << " " << Value(point, c.size);
     }
   }
 }
@@ -235,7 +239,8 @@
   const Point& least = result.points.front();
   const Point& most = result.points.back();
   const double links = Value(most, "allocators") / Value(least, "allocators");
-  const double times = Value(most, "dispatcher_bytes_steady") / Value(least, "dispatcher_bytes_steady");
+  const double times =
+      Value(most, "dispatcher_bytes_steady") / Value(least, "dispatcher_bytes_steady");
   EXPECT_NEAR(times / links, 1, kOff);
   EXPECT_LT(Value(most, "allocator_bytes_moving"), 0.7 * Value(least, "allocator_bytes_moving"));
 }
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -1,4 +1,6 @@
 // The scheduler alone, and behind the desk with the decision module: no sockets, no clock.
+#include "config/scheduling.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -6,7 +8,6 @@
 #include <random>
 #include <set>
 
-#include "config/scheduling.h"
 #include "scheduling/capacity.h"
 #include "scheduling/desk.h"
 #include "scheduling/scheduler.h"
@@ -378,8 +379,8 @@
   options.zone_patience_s = 0.1;
   Bench b(options);
   b.Workers(1, 10, 10);  // jobs of a second: it frees one slot in that time
-  b.scheduler.SetWorker(
-      1, {.kind = 0, .usable = true, .far = true, .capacity = {4, 4}, .told = true});
+  b.scheduler.SetWorker(1,
+                        {.kind = 0, .usable = true, .far = true, .capacity = {4, 4}, .told = true});
   std::vector<Job> jobs;
   for (int i = 0; i < 10; ++i) {
     jobs.push_back(b.Make(kSmall, {1, 1}));
@@ -477,7 +478,8 @@
       if (!usable[w] || b.scheduler.Held(w) > 0) continue;
       for (const Handle job : waiting) {
         ASSERT_FALSE(b.jobs.at(job).need.Within(capacity[w] - used[w]))
-            << "seed " << seed << " step " << step << " job " << job << " waits before an open worker";
+            << "seed " << seed << " step " << step << " job " << job
+            << " waits before an open worker";
       }
     }
     ASSERT_EQ(b.scheduler.figures().waiting, waiting.size());
@@ -510,7 +512,8 @@
            Section{R"({"scheduling":{}})", ""},
            Section{R"({"scheduling":{"waiting":{"jobs":10,"bytes":0,"tenant_share":1},
                      "hold":{"classes":["charge"],"of_worker":0.5,"of_fleet":0,"seconds":1},
-                     "zone_patience_s":0,"memory_per_slot":0}})", ""},
+                     "zone_patience_s":0,"memory_per_slot":0}})",
+                   ""},
            Section{R"([])", "configuration: not a JSON object"},
            Section{R"({"scheduling":3})", "configuration: 'scheduling' is not an object"},
            Section{R"({"scheduling":{"hold":{"clases":[]}}})",
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -1,9 +1,9 @@
-#include "simulator_adapter/adapter.h"
-
 #include <gtest/gtest.h>
 
 #include <sstream>
 
+#include "simulator_adapter/adapter.h"
+
 namespace millethollow::simulator_adapter {
 namespace {
 
@@ -48,7 +48,7 @@
   std::string why;
   ASSERT_TRUE(ParseSettings(pairs, &s, &why)) << why;
   EXPECT_EQ(s.classes.size(), 1u);
-  EXPECT_EQ(s.most_tries, 3);
+  EXPECT_EQ(s.max_attempts, 3);
   EXPECT_TRUE(s.tenants.empty());
 }
 
--- a/tests/support/cluster_rig.cpp
+++ b/tests/support/cluster_rig.cpp
@@ -31,8 +31,10 @@
   for (int r = 0; range < 0 && r < kRanges; ++r) {
     const std::string path = "/tmp/millethollow-rig-ports-" + std::to_string(r);
     const int lock = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);  // until we end
-    if (lock >= 0 && flock(lock, LOCK_EX | LOCK_NB) == 0) range = r;
-    else if (lock >= 0) close(lock);
+    if (lock >= 0 && flock(lock, LOCK_EX | LOCK_NB) == 0)
+      range = r;
+    else if (lock >= 0)
+      close(lock);
   }
   for (int tries = 0; range >= 0 && tries < kEach; ++tries) {
     const int port = kFirst + range * kEach + next;
@@ -62,7 +64,12 @@
   LinkFaults faults;
 
   Link(Cluster* rig, std::size_t from, std::size_t to, int to_port)
-      : from(from), to(to), rig_(rig), loop_(&rig->loop_), port_(FreePort()), target_(*ParseAddress(At(to_port))) {
+      : from(from),
+        to(to),
+        rig_(rig),
+        loop_(&rig->loop_),
+        port_(FreePort()),
+        target_(*ParseAddress(At(to_port))) {
     const sockaddr_in at = *ParseAddress(At(port_));
     fd_ = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     EXPECT_EQ(bind(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at), 0) << port_;
@@ -148,7 +155,8 @@
     }
     if (faults.cut || p->near->in.empty()) return;
     std::size_t most = p->near->in.size();
-    if (faults.bytes_per_s > 0) most = std::min<std::size_t>(most, static_cast<std::size_t>(faults.bytes_per_s / 50) + 1);
+    if (faults.bytes_per_s > 0)
+      most = std::min<std::size_t>(most, static_cast<std::size_t>(faults.bytes_per_s / 50) + 1);
     p->far->Write(p->near->in.substr(0, most));
     p->near->in.erase(0, most);
     if (!p->near->in.empty()) loop_->deadlines().At(loop_->Now() + 0.02, [this, p] { Pump(p); });
@@ -174,7 +182,8 @@
     EXPECT_EQ(bind(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at), 0) << port_;
     readable_.reset(event_new(
         rig->loop_.base(), fd_, EV_READ | EV_PERSIST,
-        [](evutil_socket_t, short, void* self) { static_cast<PeerRelay*>(self)->Receive(); }, this));
+        [](evutil_socket_t, short, void* self) { static_cast<PeerRelay*>(self)->Receive(); },
+        this));
     event_add(readable_.get(), nullptr);
   }
   ~PeerRelay() {
@@ -194,7 +203,8 @@
     sockaddr_in source{};
     socklen_t size = sizeof source;
     ssize_t length = 0;
-    while ((length = recvfrom(fd_, bytes, sizeof bytes, 0, reinterpret_cast<sockaddr*>(&source), &size)) >= 0) {
+    while ((length = recvfrom(fd_, bytes, sizeof bytes, 0, reinterpret_cast<sockaddr*>(&source),
+                              &size)) >= 0) {
       const bool by_one = ntohs(source.sin_port) == rig_->nodes_[one_].peer;
       const std::size_t from = by_one ? one_ : other_, to = by_one ? other_ : one_;
       const LinkFaults& faults = rig_->link(from, to);
@@ -215,7 +225,8 @@
   LogLevel() = Level::kError;
   char name[] = "/tmp/millethollow-rig-XXXXXX";
   folder_ = mkdtemp(name);
-  for (std::size_t w = 0; w < options.workers; ++w) workers_.push_back(std::make_unique<ToyWorker>(&loop_));
+  for (std::size_t w = 0; w < options.workers; ++w)
+    workers_.push_back(std::make_unique<ToyWorker>(&loop_));
   nodes_.resize(options.members);
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     nodes_[i].folder = folder_ + "/" + Name(i);
@@ -228,7 +239,8 @@
     if (!options.shim) continue;
     const int fd = open((nodes_[i].folder + "/shim").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
     EXPECT_EQ(ftruncate(fd, sizeof(Shim)), 0);
-    nodes_[i].shim = static_cast<Shim*>(mmap(nullptr, sizeof(Shim), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0));
+    nodes_[i].shim =
+        static_cast<Shim*>(mmap(nullptr, sizeof(Shim), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0));
     close(fd);
   }
   for (std::size_t a = 0; a < nodes_.size(); ++a) {
@@ -256,9 +268,9 @@
 }
 
 LinkFaults& Cluster::link(std::size_t from, std::size_t to) {
-  return (*std::find_if(links_.begin(), links_.end(), [&](const auto& l) {
-           return l->from == from && l->to == to;
-         }))->faults;
+  return (*std::find_if(links_.begin(), links_.end(),
+                        [&](const auto& l) { return l->from == from && l->to == to; }))
+      ->faults;
 }
 
 void Cluster::EachLink(const std::function<void(LinkFaults*)>& what) {
@@ -327,8 +339,10 @@
                        {"members", std::move(members)}};
   config["cluster"].update(nlohmann::json::parse(options_.cluster));
   if (options_.gearman) {
-    const nlohmann::json look{{"class", "look"}, {"tenant", "andes"}}, charge{{"class", "charge"}, {"tenant", "andes"}};
-    config["gearman"] = {{"listen", At(node.gearman)}, {"functions", {{"look", look}, {"charge", charge}}}};
+    const nlohmann::json look{{"class", "look"}, {"tenant", "andes"}},
+        charge{{"class", "charge"}, {"tenant", "andes"}};
+    config["gearman"] = {{"listen", At(node.gearman)},
+                         {"functions", {{"look", look}, {"charge", charge}}}};
   }
   std::ofstream(path) << config.dump(1);
 }
@@ -497,10 +511,12 @@
   }
 }
 
-// Each answer is checked as it comes: an epoch has one content, and none falls while a process lives.
+// Each answer is checked as it comes: an epoch has one content, and none falls while a process
+// lives.
 void Cluster::Take(std::size_t i, const std::string& answer) {
   Node& n = nodes_[i];
-  const auto told = nlohmann::json::parse(answer.substr(answer.find("\r\n\r\n") + 4), nullptr, false);
+  const auto told =
+      nlohmann::json::parse(answer.substr(answer.find("\r\n\r\n") + 4), nullptr, false);
   if (!told.is_object()) {
     n.polled.told = nullptr;
     return;
@@ -570,7 +586,8 @@
 long Cluster::Figure(std::size_t i, const std::string& name) {
   const std::string answer = Ask(i, "GET /stats");
   const std::size_t at = answer.find(name + ":");
-  return at == std::string::npos ? -1 : std::strtol(answer.c_str() + at + name.size() + 1, nullptr, 10);
+  return at == std::string::npos ? -1
+                                 : std::strtol(answer.c_str() + at + name.size() + 1, nullptr, 10);
 }
 
 }  // namespace millethollow::rig
--- a/tests/support/cluster_rig.h
+++ b/tests/support/cluster_rig.h
@@ -1,7 +1,8 @@
-// Several processes of the program on loopback, with a relay of ours on every link between each pair:
-// what goes over a link can be dropped, delayed, doubled, reordered, garbled, cut short, throttled,
-// reset or cut one way, and processes can be stopped, continued, killed and robbed of their folders.
-// Faults come from a seed. What the nodes tell is polled, kept, and checked as it comes.
+// Several processes of the program on loopback, with a relay of ours on every link between each
+// pair: what goes over a link can be dropped, delayed, doubled, reordered, garbled, cut short,
+// throttled, reset or cut one way, and processes can be stopped, continued, killed and robbed of
+// their folders. Faults come from a seed. What the nodes tell is polled, kept, and checked as it
+// comes.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_CLUSTER_RIG_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_CLUSTER_RIG_H_
 
@@ -14,19 +15,18 @@
 #include <string>
 #include <vector>
 
-#include "support/support.h"
 #include "membership/types.h"
 #include "support/network_shim.h"
+#include "support/support.h"
 
 namespace millethollow::rig {
 
-// A port that is free for TCP and UDP both, from a range that this process has to itself: tests run side
-// by side, and a node that is down must find its ports free when it comes back. Below the range from
-// which the system gives ports.
+// A port that is free for TCP and UDP both, from a range that this process has to itself: tests run
+// side by side, and a node that is down must find its ports free when it comes back. Below the
+// range from which the system gives ports.
 int FreePort();
 std::string At(int port);
 
-
 // One way, from a to b.
 struct LinkFaults {
   bool cut = false;
@@ -47,12 +47,13 @@
     // Half of the defaults, so that CI takes half as long.
     std::string timings = R"({"beat_s": 0.12, "election_s": 0.6, "lease_s": 2, "renew_s": 0.25,
                               "view_gap_s": 0.5, "return_s": 0.5})";
-    std::size_t workers = 0;     // stand-ins that the rig looks after, two to a cell
-    bool shim = false;           // processes under the shim: their wall clock and disk can be broken
-    std::string more = {};       // further top-level keys, each with a comma after it
-    bool gearman = false;        // each node has that front, with the functions look and charge
-    bool peers = false;          // usage reports between all; of a link's faults cuts and losses hold for them
-    std::string cluster = "{}";  // further keys of the section
+    std::size_t workers = 0;  // stand-ins that the rig looks after, two to a cell
+    bool shim = false;        // processes under the shim: their wall clock and disk can be broken
+    std::string more = {};    // further top-level keys, each with a comma after it
+    bool gearman = false;     // each node has that front, with the functions look and charge
+    bool peers =
+        false;  // usage reports between all; of a link's faults cuts and losses hold for them
+    std::string cluster = "{}";   // further keys of the section
     std::string settings = "{}";  // merged into the section `settings`
   };
   struct Polled {
@@ -122,7 +123,8 @@
   const std::vector<std::string>& broken() const { return broken_; }
   // A figure of /stats, by its name; -1 where it can't be had.
   long Figure(std::size_t i, const std::string& name);
-  std::string Ask(std::size_t i, const std::string& call);  // at the admin address; the whole answer
+  std::string Ask(std::size_t i,
+                  const std::string& call);  // at the admin address; the whole answer
   std::string http_address(std::size_t i) const;
   std::string gearman_address(std::size_t i) const;
   Loop& loop() { return loop_; }
--- a/tests/support/copies_world.h
+++ b/tests/support/copies_world.h
@@ -1,5 +1,5 @@
-// Copies of promises on a virtual clock: real members agree on views and logs, real logs are kept on disks
-// that a seed wipes, puts back and slows. After every step each promise is checked.
+// Copies of promises on a virtual clock: real members agree on views and logs, real logs are kept
+// on disks that a seed wipes, puts back and slows. After every step each promise is checked.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_COPIES_WORLD_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_COPIES_WORLD_H_
 
@@ -26,7 +26,9 @@
 
 struct CopyFaults {  // planted: a check that does not find them proves nothing
   bool answers_before_disk = false, acts_without_lease = false, loses_tail_of_filling = false;
-  bool planted() const { return answers_before_disk || acts_without_lease || loses_tail_of_filling; }
+  bool planted() const {
+    return answers_before_disk || acts_without_lease || loses_tail_of_filling;
+  }
 };
 
 class CopyWorld {
@@ -34,7 +36,10 @@
   CopyWorld(std::uint64_t seed, std::size_t members, CopyFaults planted)
       : faults_(planted),
         random_(seed * 77 + 5),
-        world(seed, {.members = members, .voters = 3, .loss = seed % 3 == 0 ? 0.05 : 0.02, .doubled = 0.03}),
+        world(seed, {.members = members,
+                     .voters = 3,
+                     .loss = seed % 3 == 0 ? 0.05 : 0.02,
+                     .doubled = 0.03}),
         nodes_(members) {
     for (Node& n : nodes_) n.disk_id = random_.Word() | 1;
     world.on_start = [this](std::size_t i) { Run(i); };
@@ -58,7 +63,8 @@
     put_back = true;
   }
   void Slow(std::size_t i, double s) { nodes_[i].write_s = s; }
-  // One disk less than `copies_least` of a log's at a time: of any view that somebody knows or has accepted.
+  // One disk less than `copies_least` of a log's at a time: of any view that somebody knows or has
+  // accepted.
   bool MayLose(std::size_t i) {
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
       std::vector<const View*> views{&world.node(n).disk.accepted};
@@ -83,7 +89,8 @@
     for (const auto& [log, unused] : model_) {
       if (!Acts(i, log)) continue;
       Copies::Refusal why{};
-      const std::string key = "k" + std::to_string(random_.Below(40)), value = "v" + std::to_string(++values_);
+      const std::string key = "k" + std::to_string(random_.Below(40)),
+                        value = "v" + std::to_string(++values_);
       const bool gone = random_.Below(3) == 0;
       Put(i, log, key, gone ? "" : value, gone, &why);
       refused += why == Copies::Refusal::kTooFewCopies;
@@ -94,7 +101,8 @@
     Do(i, [&](Copies* c, double, Copies::Actions*) { acts = c->Acts(log); });
     return acts;
   }
-  Seq Put(std::size_t i, LogId log, const std::string& key, const std::string& value, bool gone, Copies::Refusal* why) {
+  Seq Put(std::size_t i, LogId log, const std::string& key, const std::string& value, bool gone,
+          Copies::Refusal* why) {
     Op op{.key = key, .value = value, .gone = gone};
     Do(i, [&](Copies* c, double now, Copies::Actions* a) {
       op.seq = c->Append(now, log, key, value, gone, why, a);
@@ -116,26 +124,28 @@
   bool Whole(std::size_t copies) {
     if (!world.Whole()) return false;
     const View& view = world.ViewOf(0);
-    return !view.logs.empty() && std::all_of(view.logs.begin(), view.logs.end(), [&](const LogPlace& log) {
-      return log.life != 0 && log.holders.size() >= std::min(copies, world.size()) &&
-             nodes_[log.owner - 1].copies->Acts(log.log);
-    });
-  }
-  void OpenLog(std::size_t i) {
-    Open(i, random_.Word() | 1);
+    return !view.logs.empty() &&
+           std::all_of(view.logs.begin(), view.logs.end(), [&](const LogPlace& log) {
+             return log.life != 0 && log.holders.size() >= std::min(copies, world.size()) &&
+                    nodes_[log.owner - 1].copies->Acts(log.log);
+           });
   }
+  void OpenLog(std::size_t i) { Open(i, random_.Word() | 1); }
   std::string Told() {
     std::string all;
     const View* latest = Latest();
     for (const LogPlace& log : latest ? latest->logs : std::vector<LogPlace>{}) {
-      all += "\nlog " + std::to_string(log.log % 1000) + " owner " + std::to_string(log.owner) + " life " +
-             std::to_string(log.life != 0) + " since " + std::to_string(log.since) + " version " + std::to_string(log.version) + " holders";
+      all += "\nlog " + std::to_string(log.log % 1000) + " owner " + std::to_string(log.owner) +
+             " life " + std::to_string(log.life != 0) + " since " + std::to_string(log.since) +
+             " version " + std::to_string(log.version) + " holders";
       for (const auto& h : log.holders) {
         const Node& n = nodes_[h.id - 1];
-        all += " " + std::to_string(h.id) + (n.disk_id == h.disk ? "" : "(lost)") + (n.copies ? "" : "(down)");
+        all += " " + std::to_string(h.id) + (n.disk_id == h.disk ? "" : "(lost)") +
+               (n.copies ? "" : "(down)");
         if (n.copies && n.copies->Acts(log.log)) all += "(acts)";
       }
-      if (log.owner != 0 && nodes_[log.owner - 1].copies) all += "\n  " + nodes_[log.owner - 1].copies->Told(log.log);
+      if (log.owner != 0 && nodes_[log.owner - 1].copies)
+        all += "\n  " + nodes_[log.owner - 1].copies->Told(log.log);
     }
     return all;
   }
@@ -151,8 +161,9 @@
   const CopyFaults faults_;
   Random random_;
   World world;
-  std::size_t answered = 0, refused = 0, adopted = 0, fillings = 0, given_up = 0;  // given up: disks that lied
-  bool put_back = false;  // some disk was
+  std::size_t answered = 0, refused = 0, adopted = 0, fillings = 0,
+              given_up = 0;  // given up: disks that lied
+  bool put_back = false;     // some disk was
 
  private:
   struct Node {
@@ -185,7 +196,8 @@
   void Do(std::size_t i, What what) {
     if (!nodes_[i].copies) return;
     Copies::Actions look, then;
-    nodes_[i].copies->Look(world.now(), world.ViewOf(i), world.Leased(i) || faults_.acts_without_lease, &look);
+    nodes_[i].copies->Look(world.now(), world.ViewOf(i),
+                           world.Leased(i) || faults_.acts_without_lease, &look);
     CarryOut(i, &look);
     if (!nodes_[i].copies) return;
     what(nodes_[i].copies.get(), world.now(), &then);
@@ -195,14 +207,16 @@
   void Beat(std::size_t i) {
     Do(i, [](Copies* c, double now, Copies::Actions* a) { c->Tick(now, a); });
     if (!nodes_[i].copies) return;
-    world.node(i).cluster->Want(world.LocalNow(i), nodes_[i].copies->disk(), nodes_[i].copies->Wants());
+    world.node(i).cluster->Want(world.LocalNow(i), nodes_[i].copies->disk(),
+                                nodes_[i].copies->Wants());
     world.At(world.now() + 0.01, i, [this, i] { Beat(i); });
   }
   const View* Latest() {
     const View* latest = nullptr;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (!world.up(i)) continue;
-      for (const View* v : {&world.ViewOf(i), &world.node(i).cluster->agreement().leader().decided()}) {
+      for (const View* v :
+           {&world.ViewOf(i), &world.node(i).cluster->agreement().leader().decided()}) {
         if (latest == nullptr || v->epoch > latest->epoch) latest = v;
       }
     }
@@ -224,7 +238,8 @@
       if (faults_.answers_before_disk) world.At(n.written_at + 0.2, i, put);
       world.At(n.written_at, i, [this, i, put, ticket = a->ticket] {
         if (!faults_.answers_before_disk) put();
-        Do(i, [ticket](Copies* c, double at, Copies::Actions* more) { c->Stored(at, ticket, more); });
+        Do(i,
+           [ticket](Copies* c, double at, Copies::Actions* more) { c->Stored(at, ticket, more); });
       });
     }
     for (const Copies::Read& r : a->read) {
@@ -235,22 +250,28 @@
         const auto more = [&] { return it != disk.end() && it->first.starts_with(r.prefix); };
         for (; more() && entries.size() < 4; ++it) entries.push_back(*DecodeOp(it->second));
         const bool last = !more() || faults_.loses_tail_of_filling;
-        Do(i, [&](Copies* c, double at, Copies::Actions* then) { c->Chunk(at, r.log, r.fill, entries, last, then); });
+        Do(i, [&](Copies* c, double at, Copies::Actions* then) {
+          c->Chunk(at, r.log, r.fill, entries, last, then);
+        });
       });
     }
     for (const auto& [to, frame] : a->send) {
       world.Carry(i, to - 1, [this, i, at = to - 1, frame = frame] {
-        Do(at, [&](Copies* c, double then, Copies::Actions* more) { c->Hear(then, i + 1, frame, more); });
+        Do(at, [&](Copies* c, double then, Copies::Actions* more) {
+          c->Hear(then, i + 1, frame, more);
+        });
       });
     }
     for (const LogId log : a->ended) ledger.ended(i, log);
     for (const LogId log : a->begun) {
-      world.At(std::max(now, n.written_at) + 1e-6, i, [this, i, log, upto = Answered(log)] { Begun(i, log, upto); });
+      world.At(std::max(now, n.written_at) + 1e-6, i,
+               [this, i, log, upto = Answered(log)] { Begun(i, log, upto); });
     }
     for (const auto& [log, seq] : a->kept) Kept(i, log, seq);
     for (const auto& [log, seq] : a->kept) ledger.kept(i, log, seq);
     if (!a->lied) return;  // else a new disk, and a new process on it
-    if (!put_back && !faults_.planted()) return Break(i, "gives its disk up, which was never put back");
+    if (!put_back && !faults_.planted())
+      return Break(i, "gives its disk up, which was never put back");
     given_up += 1;
     world.At(now, i, [this, i] {
       Wipe(i);
@@ -276,7 +297,9 @@
         // One that was lost since had it, or its owner would not have answered.
         disks += h != nullptr && (h->disk != nodes_[d].disk_id || OnDisk(d, log, s, op->epoch));
       }
-      if (disks < 2 && !faults_.planted()) Break(i, "answers operation " + std::to_string(s) + " on " + std::to_string(disks) + " disks");
+      if (disks < 2 && !faults_.planted())
+        Break(i,
+              "answers operation " + std::to_string(s) + " on " + std::to_string(disks) + " disks");
     }
   }
   // As the owner has it: on its disk, of those that were made under this number.
@@ -292,7 +315,8 @@
     const auto op = nodes_[d].disk.find(OpKey(log, seq));
     return op != nodes_[d].disk.end() && DecodeOp(op->second)->epoch == epoch;
   }
-  // It may act: the entries on its disk, and the operations that follow them, must hold all that was answered.
+  // It may act: the entries on its disk, and the operations that follow them, must hold all that
+  // was answered.
   Seq Answered(LogId log) { return model_[log].empty() ? 0 : model_[log].rbegin()->first; }
   void Begun(std::size_t i, LogId log, Seq upto) {
     if (!nodes_[i].copies) return;
@@ -308,21 +332,26 @@
       if (seq <= upto) last[op.key] = op;
     }
     if (applied < upto) {
-      return Break(i, "acts on operations up to " + std::to_string(applied) + ", answered were " + std::to_string(upto));
+      return Break(i, "acts on operations up to " + std::to_string(applied) + ", answered were " +
+                          std::to_string(upto));
     }
     const std::string prefix = nodes_[i].copies->Prefix(log);
     for (const auto& [key, op] : last) {
       const auto it = disk.find(prefix + key);
       const Seq has = it == disk.end() ? 0 : DecodeOp(it->second)->seq;
       bool taken_out = false;
-      for (const auto& [id, made] : made_[log]) taken_out |= made.key == key && made.gone && id.first >= op.seq && id.first <= applied;
+      for (const auto& [id, made] : made_[log])
+        taken_out |= made.key == key && made.gone && id.first >= op.seq && id.first <= applied;
       if (has < op.seq && !taken_out) {
-        return Break(i, "lacks entry " + key + " of operation " + std::to_string(op.seq) + ", has " + std::to_string(has) + " applied " + std::to_string(applied));
+        return Break(i, "lacks entry " + key + " of operation " + std::to_string(op.seq) +
+                            ", has " + std::to_string(has) + " applied " + std::to_string(applied));
       }
-      if (has == op.seq && DecodeOp(it->second)->epoch != op.epoch) return Break(i, "has another operation " + std::to_string(op.seq));
+      if (has == op.seq && DecodeOp(it->second)->epoch != op.epoch)
+        return Break(i, "has another operation " + std::to_string(op.seq));
     }
     std::vector<Op> entries;
-    for (auto it = disk.lower_bound(prefix); it != disk.end() && it->first.starts_with(prefix); ++it) {
+    for (auto it = disk.lower_bound(prefix); it != disk.end() && it->first.starts_with(prefix);
+         ++it) {
       entries.push_back(*DecodeOp(it->second));
     }
     ledger.begun(i, log, entries);
@@ -340,7 +369,9 @@
       if (act > 1) Break(who, "is not the only one to act on a log");
     }
   }
-  void Break(std::size_t i, const std::string& what) { world.Broken(std::to_string(i + 1) + " " + what); }
+  void Break(std::size_t i, const std::string& what) {
+    world.Broken(std::to_string(i + 1) + " " + what);
+  }
 
   std::vector<Node> nodes_;
   std::uint64_t values_ = 0;
--- a/tests/support/floor.h
+++ b/tests/support/floor.h
@@ -1,4 +1,5 @@
-// Nodes' desks and model workers on a virtual clock: whole days in milliseconds, the same each time.
+// Nodes' desks and model workers on a virtual clock: whole days in milliseconds, the same each
+// time.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_FLOOR_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_FLOOR_H_
 
@@ -18,11 +19,11 @@
 // What the platform's days have in common.
 inline void KeepPlatformRules(balancing::Settings* s) {
   s->tick_s = 0.005;
-  s->most_tries = 4;
-  s->may_duplicate = s->tells_start = true;
+  s->max_attempts = 4;
+  s->allow_hedging = s->workers_notify_start = true;
   s->drain_grace_s = 2;
-  s->cold_share = 0.33;
-  s->cold_s = 8.6;
+  s->slow_start_min_share = 0.33;
+  s->slow_start_s = 8.6;
   s->fall_multiple = 3;
   s->overload_for_s = 3;
 }
@@ -39,11 +40,13 @@
   };
 
   Floor(int nodes, balancing::Settings settings, const scheduling::Options& options)
-      : settings_(std::move(settings)), options_(options), lives_(static_cast<std::size_t>(nodes), 0) {
-    settings_.dispatchers = nodes;
+      : settings_(std::move(settings)),
+        options_(options),
+        lives_(static_cast<std::size_t>(nodes), 0) {
+    settings_.dispatcher_count = nodes;
     settings_.peers = nodes > 1;
     for (int n = 0; n < nodes; ++n) {
-      settings_.ordinal = n;
+      settings_.dispatcher_index = n;
       desks.push_back(std::make_unique<scheduling::Desk>(
           settings_, 11 + static_cast<std::uint64_t>(n), options));
     }
@@ -54,7 +57,7 @@
     const int w = static_cast<int>(workers.size());
     workers.emplace_back(capacity, queue);
     paces_.push_back(pace);
-    balancing::Member m;
+    balancing::Endpoint m;
     m.worker = Name(w);
     m.kind = kind;
     m.cell = w / 2;
@@ -64,17 +67,18 @@
   }
   void Start() {
     for (std::size_t n = 0; n < desks.size(); ++n) {
-      Tell(n, balancing::Started{});
-      Tell(n, balancing::MembersKnown{balancing::ListKind::kReplace, &members});
+      Tell(n, balancing::DispatcherStarted{});
+      Tell(n, balancing::EndpointsUpdated{balancing::EndpointListKind::kSnapshot, &members});
     }
   }
   // A process of the node that knows nothing of the one before.
   void Restart(std::size_t node) {
-    settings_.ordinal = static_cast<int>(node);
+    settings_.dispatcher_index = static_cast<int>(node);
     lives_[node] += 1;
-    desks[node] = std::make_unique<scheduling::Desk>(settings_, 1000 * lives_[node] + node, options_);
-    Tell(node, balancing::Started{});
-    Tell(node, balancing::MembersKnown{balancing::ListKind::kReplace, &members});
+    desks[node] =
+        std::make_unique<scheduling::Desk>(settings_, 1000 * lives_[node] + node, options_);
+    Tell(node, balancing::DispatcherStarted{});
+    Tell(node, balancing::EndpointsUpdated{balancing::EndpointListKind::kSnapshot, &members});
   }
   void Tell(std::size_t node, const balancing::Event& event) {
     before(node);
@@ -85,10 +89,10 @@
   void List(int w, balancing::Readiness readiness) {
     const auto i = static_cast<std::size_t>(w);
     members[i].readiness = readiness;
-    const std::vector<balancing::Member> change{members[i]};
+    const std::vector<balancing::Endpoint> change{members[i]};
     for (std::size_t n = 0; n < desks.size(); ++n) {
       const auto tell = [this, n, change] {
-        Tell(n, balancing::MembersKnown{balancing::ListKind::kUpdate, &change});
+        Tell(n, balancing::EndpointsUpdated{balancing::EndpointListKind::kIncremental, &change});
       };
       stopped_until(n) > now ? AtNode(n, stopped_until(n), tell) : tell();
     }
@@ -99,19 +103,19 @@
     asked[id] = {.cls = cls, .tenant = tenant, .need = need, .run_s = run_s, .at = now};
     owner_[id] = node;
     AtNode(node, now + wait_s, [this, id, node] { Gone(node, id); });
-    Tell(node, balancing::JobArrived{.id = id,
-                                    .expires_s = now + wait_s,
-                                    .slots = need.slots,
-                                    .memory = need.memory,
-                                    .tenant = tenant,
-                                    .cls = cls});
+    Tell(node, balancing::RequestArrived{.id = id,
+                                         .expires_s = now + wait_s,
+                                         .slots = need.slots,
+                                         .memory = need.memory,
+                                         .tenant = tenant,
+                                         .cls = cls});
     return id;
   }
   void Gone(std::size_t node, const std::string& id) {  // the client gives up
     Asked& a = asked.at(id);
     if (a.answered) return;
     a.answered = true;
-    Tell(node, balancing::JobGone{id});
+    Tell(node, balancing::RequestCancelled{id});
   }
   void At(double when, std::function<void()> what) {
     queue_.emplace(std::pair{when, ++order_}, std::move(what));
@@ -139,7 +143,7 @@
   double now = 0;
   std::vector<std::unique_ptr<scheduling::Desk>> desks;
   std::vector<WorkerModel> workers;
-  std::vector<balancing::Member> members;
+  std::vector<balancing::Endpoint> members;
   std::map<std::string, Asked> asked;
   std::vector<std::string> faults;  // rules that were broken
   std::size_t turned_away = 0, probes = 0;
@@ -153,7 +157,7 @@
   static constexpr double kWire = 0.0005, kPeerWire = 0.01;  // one way, seconds
 
   void Do(std::size_t node, const balancing::Action& action) {
-    if (const auto* send = std::get_if<balancing::Send>(&action)) {
+    if (const auto* send = std::get_if<balancing::SendAttempt>(&action)) {
       Asked& a = asked.at(send->id);
       if (a.answered) faults.push_back(send->id + " sent after its answer");
       const int attempt = static_cast<int>(a.sent_to.size());
@@ -166,11 +170,11 @@
       At(now + kWire, [=, this, id = cancel->id, attempt = cancel->attempt] {
         workers[static_cast<std::size_t>(w)].Remove(id);
         Turn(w);
-        End(node, id, attempt, balancing::Verdict::kCalledOff);
+        End(node, id, attempt, balancing::AttemptStatus::kCancelled);
       });
-    } else if (const auto* refuse = std::get_if<balancing::Refuse>(&action)) {
+    } else if (const auto* refuse = std::get_if<balancing::RejectRequest>(&action)) {
       Answer(refuse->id, &Asked::refused);
-    } else if (const auto* fail = std::get_if<balancing::Fail>(&action)) {
+    } else if (const auto* fail = std::get_if<balancing::FailRequest>(&action)) {
       Answer(fail->id, &Asked::failed);
     } else if (const auto* timer = std::get_if<balancing::SetTimer>(&action)) {
       AtNode(node, now + timer->after_s,
@@ -179,12 +183,12 @@
       ++probes;
       AtNode(node, now + 2 * kWire, [=, this, name = probe->worker] {
         const scheduling::Need free = workers[static_cast<std::size_t>(Number(name))].Free();
-        Tell(node, balancing::ProbeAnswered{.worker = name,
-                                           .has_report = true,
-                                           .report = {free.slots, free.memory, 0, 0}});
+        Tell(node,
+             balancing::ProbeAnswered{
+                 .worker = name, .has_report = true, .report = {free.slots, free.memory, 0, 0}});
       });
-    } else if (const auto* tell = std::get_if<balancing::TellPeer>(&action)) {
-      const auto whom = static_cast<std::size_t>(tell->whom);
+    } else if (const auto* tell = std::get_if<balancing::SendPeerMessage>(&action)) {
+      const auto whom = static_cast<std::size_t>(tell->recipient);
       if (!reaches(node, whom)) return;
       AtNode(whom, now + kPeerWire, [=, this, body = tell->body] {
         Tell(whom, balancing::PeerMessage{static_cast<int>(node), body});
@@ -201,10 +205,11 @@
   void Submit(std::size_t node, const std::string& id, int attempt, int w) {
     const Asked& a = asked.at(id);
     const std::string at = id + "/" + std::to_string(attempt);
-    if (!workers[static_cast<std::size_t>(w)].Submit({id, a.need, a.run_s * paces_[static_cast<std::size_t>(w)], 0})) {
+    if (!workers[static_cast<std::size_t>(w)].Submit(
+            {id, a.need, a.run_s * paces_[static_cast<std::size_t>(w)], 0})) {
       ++turned_away;
       AtNode(node, now + kWire,
-             [=, this] { End(node, id, attempt, balancing::Verdict::kTurnedAway); });
+             [=, this] { End(node, id, attempt, balancing::AttemptStatus::kRejected); });
       return;
     }
     attempts_[{id, w}] = attempt;
@@ -214,25 +219,26 @@
     for (const WorkerModel::Job& job : workers[static_cast<std::size_t>(w)].Begin(now)) {
       const std::size_t node = owner_.at(job.id);
       const int attempt = attempts_.at({job.id, w});
-      AtNode(node, now + kWire, [=, this, id = job.id] { Tell(node, balancing::AttemptNote{id, attempt}); });
+      AtNode(node, now + kWire, [=, this, id = job.id] {
+        Tell(node, balancing::AttemptProgress{id, attempt});
+      });
       At(job.ends_at, [=, this] {
         for (const WorkerModel::Job& done : workers[static_cast<std::size_t>(w)].End(now)) {
           const std::size_t its = owner_.at(done.id);
           const int hop = attempts_.at({done.id, w});
           AtNode(its, now + kWire, [=, this, id = done.id] {
             if (!asked.at(id).answered) Answer(id, &Asked::served);
-            End(its, id, hop, balancing::Verdict::kServed);
+            End(its, id, hop, balancing::AttemptStatus::kSucceeded);
           });
         }
         Turn(w);
       });
     }
   }
-  void End(std::size_t node, const std::string& id, int attempt, balancing::Verdict verdict) {
-    Tell(node, balancing::AttemptEnded{.id = id,
-                                      .attempt = attempt,
-                                      .verdict = verdict,
-                                      .terminal = asked.at(id).answered});
+  void End(std::size_t node, const std::string& id, int attempt, balancing::AttemptStatus verdict) {
+    Tell(node,
+         balancing::AttemptEnded{
+             .id = id, .attempt = attempt, .status = verdict, .terminal = asked.at(id).answered});
   }
 
   balancing::Settings settings_;
--- a/tests/support/history.h
+++ b/tests/support/history.h
@@ -1,5 +1,5 @@
-// What clients were told and what workers did, over the whole of a day of faults: kept, and checked at its
-// end against what the program promises.
+// What clients were told and what workers did, over the whole of a day of faults: kept, and checked
+// at its end against what the program promises.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_HISTORY_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_HISTORY_H_
 
@@ -27,7 +27,8 @@
     r.charge = rig_->random().Below(2) == 0;
     r.disturbed = rig_->Disturbed(node);
     r.raw = std::make_unique<Raw>(&rig_->loop(), rig_->http_address(node));
-    r.raw->Write(Post(r.id, r.charge ? "charge" : "look", r.charge ? "Idempotency-Key: " + r.id + "\r\n" : ""));
+    r.raw->Write(Post(r.id, r.charge ? "charge" : "look",
+                      r.charge ? "Idempotency-Key: " + r.id + "\r\n" : ""));
   }
   // Takes in what was answered, so that no more connections are kept than are open.
   void Gather() {
@@ -58,10 +59,14 @@
       const std::string status = r.told.substr(0, 12);
       const auto ran = cells.find(r.id);
       const std::string which = r.id + " at " + Cluster::Name(r.node) + ": ";
-      if (r.undisturbed && status != "HTTP/1.1 200") wrong.push_back(which + "told '" + status + "'");
-      if (status == "HTTP/1.1 200" && ran == cells.end()) wrong.push_back(which + "told done, and no worker had it");
-      if (r.charge && ran != cells.end() && ran->second.size() > 1) wrong.push_back(which + "a charge ran in two cells");
-      if (r.charge && ran != cells.end() && status == "HTTP/1.1 503") wrong.push_back(which + "refused what may have run");
+      if (r.undisturbed && status != "HTTP/1.1 200")
+        wrong.push_back(which + "told '" + status + "'");
+      if (status == "HTTP/1.1 200" && ran == cells.end())
+        wrong.push_back(which + "told done, and no worker had it");
+      if (r.charge && ran != cells.end() && ran->second.size() > 1)
+        wrong.push_back(which + "a charge ran in two cells");
+      if (r.charge && ran != cells.end() && status == "HTTP/1.1 503")
+        wrong.push_back(which + "refused what may have run");
     }
     return wrong;
   }
--- a/tests/support/job_history.h
+++ b/tests/support/job_history.h
@@ -1,4 +1,5 @@
-// Promised jobs over a time of faults: what clients were told and what workers did, kept, and checked at the end.
+// Promised jobs over a time of faults: what clients were told and what workers did, kept, and
+// checked at the end.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_JOB_HISTORY_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_JOB_HISTORY_H_
 
@@ -30,12 +31,15 @@
     a.peer->Say(gearman::Type::kSubmitJobBg, {charge ? "charge" : "look", "", a.body});
     return true;
   }
-  bool SubmitAny() { return Submit(rig_->random().Below(rig_->size()), rig_->random().Below(2) == 0); }
+  bool SubmitAny() {
+    return Submit(rig_->random().Below(rig_->size()), rig_->random().Below(2) == 0);
+  }
   // Takes in what was answered.
   void Gather() {
     for (Asked& a : asked_) {
       if (!a.peer) continue;
-      const auto created = a.peer->Of(gearman::Type::kJobCreated), refused = a.peer->Of(gearman::Type::kError);
+      const auto created = a.peer->Of(gearman::Type::kJobCreated),
+                 refused = a.peer->Of(gearman::Type::kError);
       const bool over = a.peer->ended || rig_->now() - a.at > kAnswerS;
       if (created.empty() && refused.empty() && !over) continue;
       if (!created.empty()) a.handle = created[0];
@@ -45,12 +49,13 @@
     }
   }
   bool AllTold() const {
-    return std::none_of(asked_.begin(), asked_.end(), [](const Asked& a) { return a.peer != nullptr; });
+    return std::none_of(asked_.begin(), asked_.end(),
+                        [](const Asked& a) { return a.peer != nullptr; });
   }
   std::size_t asked() const { return asked_.size(); }
   std::size_t promised() const {
-    return static_cast<std::size_t>(
-        std::count_if(asked_.begin(), asked_.end(), [](const Asked& a) { return !a.handle.empty(); }));
+    return static_cast<std::size_t>(std::count_if(
+        asked_.begin(), asked_.end(), [](const Asked& a) { return !a.handle.empty(); }));
   }
   const std::string& refusal(std::size_t n) const { return asked_[n].refusal; }
   const std::string& handle(std::size_t n) const { return asked_[n].handle; }
@@ -78,11 +83,16 @@
     for (const Asked& a : asked_) {
       const auto ran = cells.find(a.body);
       const std::string which = a.body + " (" + a.handle + ") at " + Cluster::Name(a.node) + ": ";
-      const bool failed = logs.find("job=" + a.handle + " function=" + (a.charge ? "charge" : "look") + " tenant=andes ended=failed") != std::string::npos;
+      const bool failed =
+          logs.find("job=" + a.handle + " function=" + (a.charge ? "charge" : "look") +
+                    " tenant=andes ended=failed") != std::string::npos;
       const bool done = served.contains(a.body);
-      if (!a.handle.empty() && !done && !failed) wrong.push_back(which + "promised, and no worker was done with it");
-      if (!a.handle.empty() && !a.charge && failed) wrong.push_back(which + "one that may be made again failed");
-      if (a.charge && ran != cells.end() && ran->second.size() > 1) wrong.push_back(which + "a charge ran in two cells");
+      if (!a.handle.empty() && !done && !failed)
+        wrong.push_back(which + "promised, and no worker was done with it");
+      if (!a.handle.empty() && !a.charge && failed)
+        wrong.push_back(which + "one that may be made again failed");
+      if (a.charge && ran != cells.end() && ran->second.size() > 1)
+        wrong.push_back(which + "a charge ran in two cells");
     }
     return wrong;
   }
--- a/tests/support/membership_world.h
+++ b/tests/support/membership_world.h
@@ -1,5 +1,5 @@
-// Members of a cluster on a virtual clock: the real decisions, a network, disks and clocks that a seed
-// breaks. After every step each promise is checked; a seed always plays the same.
+// Members of a cluster on a virtual clock: the real decisions, a network, disks and clocks that a
+// seed breaks. After every step each promise is checked; a seed always plays the same.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_MEMBERSHIP_WORLD_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_MEMBERSHIP_WORLD_H_
 
@@ -115,19 +115,23 @@
   void Heal() {
     for (auto& row : cut_) row.assign(row.size(), false);
   }
-  // One that those who play days have in common: a kill, a stop, a cut of some form, or all well again.
+  // One that those who play days have in common: a kill, a stop, a cut of some form, or all well
+  // again.
   void Fault(Random* faults, double longest_stop_s) {
     const std::size_t i = faults->Below(size()), other = faults->Below(size());
     std::vector<int> group(size());
     for (int& g : group) g = static_cast<int>(faults->Below(2));
     switch (faults->Below(6)) {
-      case 0: return Kill(i);
+      case 0:
+        return Kill(i);
       case 1:
         // One stop at a time: what waits for its end keeps its order.
         if (Runs(i)) Pause(i, longest_stop_s * faults->Unit());
         return;
-      case 2: return Cut(i, other, true);
-      case 3: return Split(group);
+      case 2:
+        return Cut(i, other, true);
+      case 3:
+        return Split(group);
       default:
         Heal();
         StartAll();
@@ -181,10 +185,12 @@
       all += "; leased " + std::to_string(Leased(i)) + " leads " +
              std::to_string(a.leader().leading()) + " vote " +
              std::to_string(static_cast<int>(a.voter().state())) + " mind " +
-             std::to_string(a.votes().mind.number) + " lost " + std::to_string(a.voter().lost_disk()) +
-             " writes " + std::to_string(a.votes().writes) + "/" + std::to_string(nodes_[i].disk.writes) + " health";
+             std::to_string(a.votes().mind.number) + " lost " +
+             std::to_string(a.voter().lost_disk()) + " writes " + std::to_string(a.votes().writes) +
+             "/" + std::to_string(nodes_[i].disk.writes) + " health";
       for (const auto& m : nodes_[i].cluster->detector().members()) {
-        all += " " + std::to_string(static_cast<int>(m.health)) + "/" + std::to_string(m.incarnation);
+        all +=
+            " " + std::to_string(static_cast<int>(m.health)) + "/" + std::to_string(m.incarnation);
       }
     }
     return all;
@@ -200,13 +206,15 @@
     return 0;
   }
 
-  // For what else runs in the members' processes. Done by the process that is there now, once it is not stopped.
+  // For what else runs in the members' processes. Done by the process that is there now, once it is
+  // not stopped.
   void At(double at, std::size_t node, std::function<void()> what) {
     Put(at, node, [this, node, tasks = nodes_[node].tasks, what = std::move(what)] {
       if (tasks == nodes_[node].tasks) what();
     });
   }
-  // Over the link, as datagrams go: late, lost, doubled. Done by whatever process of the member is there.
+  // Over the link, as datagrams go: late, lost, doubled. Done by whatever process of the member is
+  // there.
   void Carry(std::size_t from, std::size_t to, const std::function<void()>& what) {
     if (cut_[from][to]) return;
     const int copies = random_.Unit() < o_.doubled ? 2 : 1;
@@ -244,10 +252,12 @@
   }
   void Arm(std::size_t i) {
     Node& n = nodes_[i];
-    const double at = (n.cluster->NextAt() - n.offset) / n.rate + 1e-9;  // not just before, by rounding
+    const double at =
+        (n.cluster->NextAt() - n.offset) / n.rate + 1e-9;  // not just before, by rounding
     if (!std::isfinite(at)) return;
     Put(std::max(at, now_), i, [this, i, mark = ++n.timer] {
-      if (mark == nodes_[i].timer) Do(i, [](Cluster* c, double now, Cluster::Actions* a) { c->Tick(now, a); });
+      if (mark == nodes_[i].timer)
+        Do(i, [](Cluster* c, double now, Cluster::Actions* a) { c->Tick(now, a); });
     });
   }
   template <typename What>
@@ -278,10 +288,12 @@
     }
     if (actions->write) {
       n.written_at = std::max(n.written_at, now_) + n.write_s * (0.5 + random_.Unit());
-      At(n.written_at, i, [this, i, ticket = actions->ticket, votes = n.cluster->agreement().votes()] {
-        if (!o_.planted.vote_not_kept || random_.Unit() < 0.5) nodes_[i].disk = votes;
-        Do(i, [ticket](Cluster* c, double now, Cluster::Actions* a) { c->Stored(now, ticket, a); });
-      });
+      At(n.written_at, i,
+         [this, i, ticket = actions->ticket, votes = n.cluster->agreement().votes()] {
+           if (!o_.planted.vote_not_kept || random_.Unit() < 0.5) nodes_[i].disk = votes;
+           Do(i,
+              [ticket](Cluster* c, double now, Cluster::Actions* a) { c->Stored(now, ticket, a); });
+         });
     }
     for (auto& [to, frame] : actions->send) Send(i, to, std::move(frame));
   }
@@ -298,13 +310,14 @@
         });
       }
     }
-    Carry(from, to - 1, [this, at = to - 1, self = n.options.self, life = n.options.life,
-                               shared = std::make_shared<const Frame>(std::move(frame))] {
-      Do(at, [&](Cluster* c, double now, Cluster::Actions* a) {
-        c->Hear(now, self, life, *shared, a);
-        if (a->answer) a->send.emplace_back(self, std::move(*a->answer));
-      });
-    });
+    Carry(from, to - 1,
+          [this, at = to - 1, self = n.options.self, life = n.options.life,
+           shared = std::make_shared<const Frame>(std::move(frame))] {
+            Do(at, [&](Cluster* c, double now, Cluster::Actions* a) {
+              c->Hear(now, self, life, *shared, a);
+              if (a->answer) a->send.emplace_back(self, std::move(*a->answer));
+            });
+          });
   }
 
   void Check(std::size_t i) {
@@ -314,7 +327,8 @@
     if (view != n.last) {
       if (view.epoch < n.last.epoch && n.tasks == last_tasks_[i]) Broken("an epoch fell");
       const auto [it, fresh] = contents_.emplace(view.epoch, view);
-      if (!fresh && it->second != view) Broken("two contents of epoch " + std::to_string(view.epoch));
+      if (!fresh && it->second != view)
+        Broken("two contents of epoch " + std::to_string(view.epoch));
       n.last = view;
       last_tasks_[i] = n.tasks;
     }
@@ -332,8 +346,8 @@
         const Node& third = nodes_[c];
         if (!third.cluster || !third.cluster->agreement().Leased(Local(third))) continue;
         at = third.cluster->agreement().view().Find(other.options.self);
-        const bool later = third.cluster->agreement().view().epoch >
-                           other.cluster->agreement().view().epoch;
+        const bool later =
+            third.cluster->agreement().view().epoch > other.cluster->agreement().view().epoch;
         if (later && (at == nullptr || at->life != other.options.life)) {
           Broken("member " + std::to_string(b + 1) + " acts on a lease after member " +
                  std::to_string(c + 1) + " has a view without it");
--- a/tests/support/network_shim.cpp
+++ b/tests/support/network_shim.cpp
@@ -1,5 +1,5 @@
-// Loaded before the system's library: a wall clock that can be set and a disk that can fail, as a page of
-// the rig's says. Everything else passes through; nothing is allocated.
+// Loaded before the system's library: a wall clock that can be set and a disk that can fail, as a
+// page of the rig's says. Everything else passes through; nothing is allocated.
 #include "support/network_shim.h"
 
 #include <fcntl.h>
@@ -17,9 +17,11 @@
 millethollow::rig::Shim* Page() {
   static millethollow::rig::Shim* page = [] {
     const char* path = getenv("MILLETHOLLOW_SHIM_PAGE");
-    const int fd = path == nullptr ? -1 : static_cast<int>(syscall(SYS_openat, AT_FDCWD, path, O_RDWR));
+    const int fd =
+        path == nullptr ? -1 : static_cast<int>(syscall(SYS_openat, AT_FDCWD, path, O_RDWR));
     void* at = fd < 0 ? MAP_FAILED
-                      : mmap(nullptr, sizeof(millethollow::rig::Shim), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+                      : mmap(nullptr, sizeof(millethollow::rig::Shim), PROT_READ | PROT_WRITE,
+                             MAP_SHARED, fd, 0);
     if (fd >= 0) syscall(SYS_close, fd);
     return at == MAP_FAILED ? nullptr : static_cast<millethollow::rig::Shim*>(at);
   }();
@@ -35,7 +37,8 @@
 }
 
 int Sync(long call, int fd) {
-  if (auto* page = Page(); page != nullptr && page->slow_syncs_ms > 0) usleep(1000 * page->slow_syncs_ms);
+  if (auto* page = Page(); page != nullptr && page->slow_syncs_ms > 0)
+    usleep(1000 * page->slow_syncs_ms);
   return Fails() ? -1 : static_cast<int>(syscall(call, fd));
 }
 
--- a/tests/support/report_tier.h
+++ b/tests/support/report_tier.h
@@ -21,7 +21,7 @@
 class ReportTier {
  public:
   struct Shape {
-    int dispatchers = 3, tenants = 6, classes = 1;
+    int dispatcher_count = 3, tenants = 6, classes = 1;
     double loss = 0;          // share of the datagrams that get lost
     bool half_full = false;   // every second attempt finds its worker full
     double told_quota = 0.1;  // of each tenant, jobs a second
@@ -32,7 +32,7 @@
 
   explicit ReportTier(const Shape& shape) : shape_(shape), random_(5) {
     for (int w = 0; w < kWorkers; ++w) {
-      Member member;
+      Endpoint member;
       member.worker = "w" + std::to_string(w);
       member.cell = w / 2;
       members_.push_back(member);
@@ -42,13 +42,14 @@
   void SetQuota(int tenant, double jobs_per_second) { quotas_[tenant] = jobs_per_second; }
   void Start() {
     Settings settings = SettingsOf();
-    for (int d = 0; d < shape_.dispatchers; ++d) {
-      settings.ordinal = d;
-      dispatchers_.push_back(std::make_unique<Balancer>(settings, 11 + static_cast<unsigned>(d)));
+    for (int d = 0; d < shape_.dispatcher_count; ++d) {
+      settings.dispatcher_index = d;
+      dispatchers_.push_back(
+          std::make_unique<LoadBalancer>(settings, 11 + static_cast<unsigned>(d)));
     }
-    for (int d = 0; d < shape_.dispatchers; ++d) {
-      Handle(d, Started{});
-      Handle(d, MembersKnown{ListKind::kReplace, &members_});
+    for (int d = 0; d < shape_.dispatcher_count; ++d) {
+      Handle(d, DispatcherStarted{});
+      Handle(d, EndpointsUpdated{EndpointListKind::kSnapshot, &members_});
     }
   }
   // From now on jobs of this tenant come to this dispatcher evenly, of each class in turn.
@@ -67,7 +68,7 @@
     now_ = until;
   }
   double now() const { return now_; }
-  const Balancer& dispatcher(int d) const { return *dispatchers_[static_cast<std::size_t>(d)]; }
+  const LoadBalancer& dispatcher(int d) const { return *dispatchers_[static_cast<std::size_t>(d)]; }
   Admission admission(int dispatcher, int tenant) const {
     const auto it = admissions_.find({dispatcher, tenant});
     return it == admissions_.end() ? Admission{} : it->second;
@@ -75,8 +76,10 @@
   void ForgetAdmissions() { admissions_.clear(); }
 
   // Called for each datagram that is sent, and for each that arrives.
-  std::function<void(int from, int to, const std::string& body)> on_tell = [](int, int, const auto&) {};
-  std::function<void(int from, int to, const std::string& body)> on_hear = [](int, int, const auto&) {};
+  std::function<void(int from, int to, const std::string& body)> on_tell = [](int, int,
+                                                                              const auto&) {};
+  std::function<void(int from, int to, const std::string& body)> on_hear = [](int, int,
+                                                                              const auto&) {};
 
  private:
   static constexpr int kWorkers = 12;
@@ -86,21 +89,22 @@
     Settings settings;
     settings.classes.resize(static_cast<std::size_t>(shape_.classes));
     for (ClassSettings& cls : settings.classes) {
-      cls.aim_s = 0.2;
-      cls.give_up_s = kTimeoutS;
+      cls.latency_objective_s = 0.2;
+      cls.client_timeout_s = kTimeoutS;
     }
     const auto tenants = static_cast<std::size_t>(shape_.tenants);
-    settings.tenants.assign(tenants, {.share = 1.0 / shape_.tenants, .quota_rps = shape_.told_quota});
+    settings.tenants.assign(tenants,
+                            {.share = 1.0 / shape_.tenants, .quota_rps = shape_.told_quota});
     for (const auto& [tenant, quota] : quotas_) {
       settings.tenants[static_cast<std::size_t>(tenant)].quota_rps = quota;
     }
     settings.tick_s = 0.005;
-    settings.most_tries = 4;
-    settings.may_duplicate = true;
+    settings.max_attempts = 4;
+    settings.allow_hedging = true;
     settings.drain_grace_s = 0.5;
     settings.fall_multiple = 3;
     settings.overload_for_s = 3;
-    settings.dispatchers = shape_.dispatchers;
+    settings.dispatcher_count = shape_.dispatcher_count;
     settings.peers = true;
     return settings;
   }
@@ -112,7 +116,7 @@
     Admission& admission = admissions_[{dispatcher, tenant}];
     admission.asked += 1;
     refused_ = false;
-    JobArrived job;
+    RequestArrived job;
     job.id = id;
     job.expires_s = now_ + kTimeoutS;
     job.tenant = tenant;
@@ -120,7 +124,8 @@
     job.memory = 1e-6 * static_cast<double>(jobs_);  // else it is taken for one refused before
     Handle(dispatcher, job);
     admission.admitted += !refused_;
-    At(now_ + gap, [=, this, next = (cls + 1) % shape_.classes] { Arrive(dispatcher, tenant, gap, next); });
+    At(now_ + gap,
+       [=, this, next = (cls + 1) % shape_.classes] { Arrive(dispatcher, tenant, gap, next); });
   }
   void Handle(int dispatcher, const Event& event) {
     Actions actions;
@@ -129,26 +134,29 @@
   }
   void Do(int dispatcher, const Action& action) {
     if (const auto* timer = std::get_if<SetTimer>(&action)) {
-      At(now_ + timer->after_s, [=, this, mark = timer->mark] { Handle(dispatcher, TimerFired{mark}); });
-    } else if (const auto* send = std::get_if<Send>(&action)) {
+      At(now_ + timer->after_s,
+         [=, this, mark = timer->mark] { Handle(dispatcher, TimerFired{mark}); });
+    } else if (const auto* send = std::get_if<SendAttempt>(&action)) {
       const int attempt = attempts_[send->id]++;
       const bool full = shape_.half_full && ++sends_ % 2 == 0;
       At(now_ + kRunS, [=, this, id = send->id] {
-        Handle(dispatcher, AttemptEnded{.id = id,
-                                        .attempt = attempt,
-                                        .verdict = full ? Verdict::kTurnedAway : Verdict::kServed,
-                                        .terminal = !full});
+        Handle(dispatcher,
+               AttemptEnded{.id = id,
+                            .attempt = attempt,
+                            .status = full ? AttemptStatus::kRejected : AttemptStatus::kSucceeded,
+                            .terminal = !full});
       });
-    } else if (std::holds_alternative<Refuse>(action)) {
+    } else if (std::holds_alternative<RejectRequest>(action)) {
       refused_ = true;
-    } else if (const auto* tell = std::get_if<TellPeer>(&action)) {
-      Tell(dispatcher, tell->whom, tell->body);
+    } else if (const auto* tell = std::get_if<SendPeerMessage>(&action)) {
+      Tell(dispatcher, tell->recipient, tell->body);
     }
   }
   void Tell(int from, int to, const std::string& body) {
     on_tell(from, to, body);
     // As the wire does: a longer body can't be sent.
-    if (body.size() > 256 || std::uniform_real_distribution<double>(0, 1)(random_) < shape_.loss) return;
+    if (body.size() > 256 || std::uniform_real_distribution<double>(0, 1)(random_) < shape_.loss)
+      return;
     At(now_ + kWireS, [=, this] {
       on_hear(from, to, body);
       Handle(to, PeerMessage{from, body});
@@ -157,9 +165,9 @@
 
   Shape shape_;
   std::mt19937_64 random_;
-  std::vector<Member> members_;
+  std::vector<Endpoint> members_;
   std::map<int, double> quotas_;
-  std::vector<std::unique_ptr<Balancer>> dispatchers_;
+  std::vector<std::unique_ptr<LoadBalancer>> dispatchers_;
   double now_ = 100;
   std::uint64_t order_ = 0, jobs_ = 0, sends_ = 0;
   bool refused_ = false;
--- a/tests/support/support.cpp
+++ b/tests/support/support.cpp
@@ -10,7 +10,8 @@
             std::to_string(i / 2) + R"(,"state":"in_service","started_ms":0})";
   }
   return R"({"name":"t","listen":"127.0.0.1:0","seed":"1f","log_level":"error",
-    "known":{"version":1,"full":true,"servers":[)" + list + R"(]},)" + extra + R"(
+    "known":{"version":1,"full":true,"servers":[)" +
+         list + R"(]},)" + extra + R"(
     "settings":{"balancers":1,"ordinal":0,"tick_s":0.005,"zone":0,"zones":["q","s"],
       "kinds":["k"],"discovery":"push","family":"jobs",
       "classes":[
--- a/tests/usage_report_parts_test.cpp
+++ b/tests/usage_report_parts_test.cpp
@@ -1,5 +1,5 @@
-// Usage reports between dispatchers, by the module's public interface: what goes out and what quotas
-// follow from it.
+// Usage reports between dispatchers, by the module's public interface: what goes out and what
+// quotas follow from it.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -24,8 +24,9 @@
 
 struct Recording {
   std::size_t messages = 0, bytes = 0;
-  std::uint64_t hash = 14695981039346656037ULL;  // FNV-1a of senders, receivers and bodies, in order
-  std::string twentieth;                         // one body, in hex
+  std::uint64_t hash =
+      14695981039346656037ULL;  // FNV-1a of senders, receivers and bodies, in order
+  std::string twentieth;        // one body, in hex
   void Add(int from, int to, const std::string& body) {
     messages += 1;
     bytes += body.size();
@@ -37,7 +38,8 @@
 };
 
 Recording Record(int dispatchers, int classes) {
-  ReportTier tier({.dispatchers = dispatchers, .tenants = 6, .classes = classes, .half_full = true});
+  ReportTier tier(
+      {.dispatcher_count = dispatchers, .tenants = 6, .classes = classes, .half_full = true});
   Recording recording;
   tier.on_tell = [&](int from, int to, const std::string& body) { recording.Add(from, to, body); };
   tier.Start();
@@ -59,21 +61,27 @@
   };
   const Case cases[] = {
       {3, 1, 192, 14376, 15270347815275836683ULL,
-       "4402000900000000c28976403c5a883f574bcb3f547d9a40e9130141e393bc40b365c841a59b17410000000001d2"
+       "4402000900000000c28976403c5a883f574bcb3f547d9a40e9130141e393bc40b365c841a59b17410000000001d"
+       "2"
        "5d01000001000000010001000000020001000000030001000000040001000000050002000000"},
       {3, 2, 192, 15702, 4861677452564880522ULL,
-       "4402000900000000b7fd894055a2903f4c26ae40cd0ca9405995b9406335cd406924e741b9371941000000000137"
-       "0e010200010000000400010000000500010000000600010000000700010000000800010000000900010000000b00"
+       "4402000900000000b7fd894055a2903f4c26ae40cd0ca9405995b9406335cd406924e741b937194100000000013"
+       "7"
+       "0e010200010000000400010000000500010000000600010000000700010000000800010000000900010000000b0"
+       "0"
        "01000000"},
       {30, 1, 998, 105242, 2385295514189822222ULL,
-       "44020010000000000000000000000000000000000000000054ce6f4054ce6f4054ceef4000000000000000000000"
+       "44020010000000000000000000000000000000000000000054ce6f4054ce6f4054ceef400000000000000000000"
+       "0"
        "0000000000000ad7233d00000040cdcc8c3f000000400000000000040001000000050001000000"},
       {30, 2, 1049, 140409, 11891404846300217160ULL,
-       "440200120000000092c8024092c802407292824072920241bbf6c34072920241e1e6f4411e522341000000000000"
+       "440200120000000092c8024092c802407292824072920241bbf6c34072920241e1e6f4411e52234100000000000"
+       "0"
        "000000000000cdcccc3d0000a0400ad7a33c0000803f666686400000c0400000000000"},
   };
   for (const Case& c : cases) {
-    SCOPED_TRACE(std::to_string(c.dispatchers) + " dispatchers, " + std::to_string(c.classes) + " classes");
+    SCOPED_TRACE(std::to_string(c.dispatchers) + " dispatchers, " + std::to_string(c.classes) +
+                 " classes");
     const Recording got = Record(c.dispatchers, c.classes);
     EXPECT_EQ(got.messages, c.messages);
     EXPECT_EQ(got.bytes, c.bytes);
@@ -88,7 +96,7 @@
       for (const int classes : {1, 2}) {
         SCOPED_TRACE(std::to_string(dispatchers) + " dispatchers, " + std::to_string(tenants) +
                      " tenants, " + std::to_string(classes) + " classes");
-        ReportTier tier({.dispatchers = dispatchers, .tenants = tenants, .classes = classes});
+        ReportTier tier({.dispatcher_count = dispatchers, .tenants = tenants, .classes = classes});
         std::size_t told = 0, longest = 0;
         tier.on_tell = [&](int, int, const std::string& body) {
           told += 1;
@@ -104,15 +112,20 @@
   }
 }
 
-// One tenant's demand comes to one dispatcher of three alone, within its told quota, while the fleet
-// is full. A dispatcher that hears nobody takes the others for its like and admits a third of it.
+// One tenant's demand comes to one dispatcher of three alone, within its told quota, while the
+// fleet is full. A dispatcher that hears nobody takes the others for its like and admits a third of
+// it.
 TEST(ReportParts, ATenantSeenByOneDispatcherOfThreeGetsItsQuotaThere) {
   for (const double loss : {0.0, 0.2}) {
     for (const int tenants : {6, 50, 60, 130, 260}) {
       for (const int classes : {1, 2}) {
         SCOPED_TRACE(std::to_string(tenants) + " tenants, " + std::to_string(classes) +
                      " classes, loss " + std::to_string(loss));
-        ReportTier tier({.dispatchers = 3, .tenants = tenants, .classes = classes, .loss = loss, .half_full = true});
+        ReportTier tier({.dispatcher_count = 3,
+                         .tenants = tenants,
+                         .classes = classes,
+                         .loss = loss,
+                         .half_full = true});
         const int mine = tenants - 2;
         tier.SetQuota(mine, 36);
         tier.Start();
--- a/tests/usage_report_test.cpp
+++ b/tests/usage_report_test.cpp
@@ -33,7 +33,8 @@
   report.fresh = report.hears_all = true;
   report.rate = 77;
   report.view = 41;
-  for (std::size_t i = 0; i < layout.size(); ++i) report.rates.push_back(1.0 + static_cast<double>(i));
+  for (std::size_t i = 0; i < layout.size(); ++i)
+    report.rates.push_back(1.0 + static_cast<double>(i));
   for (std::size_t w = 0; w < workers_out; ++w) {
     report.out.emplace_back(static_cast<std::uint16_t>(1000 + w), static_cast<int>(w + 1));
   }
@@ -55,7 +56,7 @@
         std::vector<double> row;
         const std::vector<std::string> datagrams = EncodeReport(sent, layout);
         for (const std::string& datagram : datagrams) {
-          EXPECT_LE(datagram.size(), kMostPeerBytes);
+          EXPECT_LE(datagram.size(), kMaxPeerMessageBytes);
           UsageReport heard;
           ASSERT_TRUE(DecodeReport(datagram, layout, &heard));
           EXPECT_EQ(heard.first, row.size());
@@ -113,7 +114,8 @@
       {"a whole row's version", 1, byte(1, -1)},
       {"one rate more than there is", 1, byte(kCountAt, 1)},
       {"one rate less than there is", 1, byte(kCountAt, -1)},
-      {"no rate", 1, [](std::string* body) { *body = body->substr(0, kRatesAt) + '\0', (*body)[kCountAt] = 0; }},
+      {"no rate", 1,
+       [](std::string* body) { *body = body->substr(0, kRatesAt) + '\0', (*body)[kCountAt] = 0; }},
       {"total one too many", 1, byte(kTotalAt, 1)},
       {"total one too few", 1, byte(kTotalAt, -1)},
       {"total 256 too many", 1, byte(kTotalAt + 1, 1)},
@@ -129,7 +131,8 @@
       {"negative fleet rate", 1, real(kRateAt, -2)},
       {"more at its end", 1, [](std::string* body) { *body += "abcdef"; }},
       {"workers in a later part", 1, [](std::string* body) { body->back() = 1, *body += "abc"; }},
-      {"more workers than are told of", 0, [](std::string* body) {
+      {"more workers than are told of", 0,
+       [](std::string* body) {
          *body = body->substr(0, kRatesAt + 4);
          (*body)[kCountAt] = 1;
          *body += static_cast<char>(41) + std::string(41 * 3, 'x');
@@ -141,11 +144,11 @@
   Settings settings;
   settings.classes.resize(2);
   settings.tenants.resize(130);
-  settings.dispatchers = 30;
+  settings.dispatcher_count = 30;
   settings.peers = true;
-  Balancer balancer(settings, 1);
+  LoadBalancer balancer(settings, 1);
   Actions actions;
-  balancer.Handle(100, Started{}, &actions);
+  balancer.Handle(100, DispatcherStarted{}, &actions);
   const auto refuses = [&](const std::string& body) {
     UsageReport report;
     report.rate = 5;
@@ -153,13 +156,13 @@
     EXPECT_FALSE(DecodeReport(body, layout, &report));
     EXPECT_EQ(report.rate, 5);
     EXPECT_EQ(report.rates, (std::vector<double>{1, 2, 3}));
-    const std::string before = balancer.Learned();
-    const std::uint64_t refused = balancer.RefusedPeerMessages();
+    const std::string before = balancer.SaveState();
+    const std::uint64_t refused = balancer.RejectedPeerMessages();
     actions.clear();
     balancer.Handle(101, PeerMessage{1, body}, &actions);
     EXPECT_TRUE(actions.empty());
-    EXPECT_EQ(balancer.Learned(), before);
-    EXPECT_EQ(balancer.RefusedPeerMessages(), refused + 1);
+    EXPECT_EQ(balancer.SaveState(), before);
+    EXPECT_EQ(balancer.RejectedPeerMessages(), refused + 1);
   };
   for (const Case& c : cases) {
     SCOPED_TRACE(c.name);
@@ -173,9 +176,9 @@
       refuses(part.substr(0, length));
     }
   }
-  const std::string before = balancer.Learned();
+  const std::string before = balancer.SaveState();
   balancer.Handle(101, PeerMessage{1, parts[1]}, &actions);
-  EXPECT_NE(balancer.Learned(), before);  // a good one does change something
+  EXPECT_NE(balancer.SaveState(), before);  // a good one does change something
 }
 
 TEST(PeerReport, RandomDamageIsRefusedOrReadWithinBounds) {
@@ -186,7 +189,8 @@
     const std::vector<std::string> parts = EncodeReport(ReportFor(layout, 12), layout);
     for (int round = 0; round < 20'000; ++round) {
       std::string body = parts[below(parts.size())];
-      for (std::size_t n = below(4); n > 0; --n) body[below(body.size())] = static_cast<char>(random());
+      for (std::size_t n = below(4); n > 0; --n)
+        body[below(body.size())] = static_cast<char>(random());
       if (below(2) == 0) body.resize(below(body.size() + 1));
       if (below(4) == 0) body += parts[below(parts.size())].substr(0, below(40));
       UsageReport heard;
@@ -267,9 +271,9 @@
 // What one balancer tells after it has heard `bodies` from peer 1.
 std::vector<double> RowToldAfter(const Settings& settings, const RowLayout& layout,
                                  const std::vector<std::string>& bodies) {
-  Balancer balancer(settings, 1);
+  LoadBalancer balancer(settings, 1);
   Actions actions;
-  balancer.Handle(100, Started{}, &actions);
+  balancer.Handle(100, DispatcherStarted{}, &actions);
   balancer.Handle(101, TimerFired{1}, &actions);  // its first report
   for (const std::string& body : bodies) balancer.Handle(101.1, PeerMessage{1, body}, &actions);
   actions.clear();
@@ -277,9 +281,9 @@
   std::vector<double> row;
   int whom = -1;
   for (const Action& action : actions) {
-    const auto* tell = std::get_if<TellPeer>(&action);
-    if (tell == nullptr || (whom >= 0 && tell->whom != whom)) continue;
-    whom = tell->whom;
+    const auto* tell = std::get_if<SendPeerMessage>(&action);
+    if (tell == nullptr || (whom >= 0 && tell->recipient != whom)) continue;
+    whom = tell->recipient;
     UsageReport part;
     EXPECT_TRUE(DecodeReport(tell->body, layout, &part));
     if (part.first == row.size()) row.insert(row.end(), part.rates.begin(), part.rates.end());
@@ -291,7 +295,7 @@
   Settings settings;
   settings.classes.resize(2);
   settings.tenants.assign(130, {.share = 1});
-  settings.dispatchers = 30;
+  settings.dispatcher_count = 30;
   settings.peers = true;
   const RowLayout layout = Large(130, 2, 1);
   const std::vector<std::string> parts = EncodeReport(ReportFor(layout, 0), layout);
@@ -313,11 +317,11 @@
   Settings settings;
   settings.classes.resize(1);
   settings.tenants.assign(130, {.share = 1});
-  settings.dispatchers = 3;
+  settings.dispatcher_count = 3;
   settings.peers = true;
-  Balancer balancer(settings, 1);
+  LoadBalancer balancer(settings, 1);
   Actions actions;
-  balancer.Handle(100, Started{}, &actions);
+  balancer.Handle(100, DispatcherStarted{}, &actions);
   balancer.Handle(101, TimerFired{1}, &actions);
   const RowLayout layout = Direct(130);
   const std::vector<std::string> parts = EncodeReport(ReportFor(layout, 0), layout);
@@ -325,9 +329,9 @@
   for (const std::string& part : parts) balancer.Handle(101.1, PeerMessage{1, part}, &actions);
   ASSERT_EQ(actions.size(), parts.size());
   for (const Action& action : actions) {
-    const auto* tell = std::get_if<TellPeer>(&action);
+    const auto* tell = std::get_if<SendPeerMessage>(&action);
     ASSERT_NE(tell, nullptr);
-    EXPECT_EQ(tell->whom, 1);
+    EXPECT_EQ(tell->recipient, 1);
   }
 }
 
@@ -337,18 +341,18 @@
   Settings settings;
   settings.classes.resize(1);
   settings.tenants.assign(130, {.share = 1});
-  settings.dispatchers = 3;
+  settings.dispatcher_count = 3;
   settings.peers = true;
   const RowLayout layout = Direct(130);
-  const Parts agreed{.part = 1.0 / 3, .members = 3, .epoch = 40};
+  const FleetShare agreed{.part = 1.0 / 3, .members = 3, .epoch = 40};
   UsageReport report = ReportFor(layout, 0);
   report.view = 41;  // as AgreedPart numbers epoch 40
   const std::vector<std::string> parts = EncodeReport(report, layout);
   for (const std::size_t parts_heard : {parts.size() - 1, parts.size()}) {
-    Balancer balancer(settings, 1);
+    LoadBalancer balancer(settings, 1);
     Actions actions;
-    balancer.Agree(agreed);
-    balancer.Handle(100, Started{}, &actions);
+    balancer.SetFleetShare(agreed);
+    balancer.Handle(100, DispatcherStarted{}, &actions);
     for (const int peer : {1, 2}) {
       for (std::size_t part = 0; part < parts.size(); ++part) {
         if (peer == 2 && part >= parts_heard) continue;
@@ -360,7 +364,7 @@
     balancer.Handle(100.5, TimerFired{1}, &actions);  // tells what the last report reckoned
     std::size_t told = 0;
     for (const Action& action : actions) {
-      const auto* tell = std::get_if<TellPeer>(&action);
+      const auto* tell = std::get_if<SendPeerMessage>(&action);
       if (tell == nullptr) continue;
       UsageReport own;
       ASSERT_TRUE(DecodeReport(tell->body, layout, &own));
@@ -376,9 +380,9 @@
   settings.classes.resize(1);
   settings.tenants.assign(60'000, {.share = 1});
   std::string why;
-  EXPECT_TRUE(CheckSettings(settings, &why)) << why;
+  EXPECT_TRUE(ValidateSettings(settings, &why)) << why;
   settings.tenants.push_back({.share = 1});
-  EXPECT_FALSE(CheckSettings(settings, &why));
+  EXPECT_FALSE(ValidateSettings(settings, &why));
   EXPECT_EQ(why, "too many tenants");
 }
 
@@ -386,9 +390,9 @@
   int tenants, classes;
   double loss;
 };
-const Crowd kCrowds[] = {{6, 1, 0},   {6, 2, 0},   {50, 1, 0},   {50, 2, 0},    {60, 1, 0},
-                         {60, 2, 0},  {130, 1, 0}, {130, 2, 0},  {260, 1, 0},   {260, 2, 0},
-                         {6, 1, 0.2}, {6, 2, 0.2}, {50, 1, 0.2}, {50, 2, 0.2},  {60, 1, 0.2},
+const Crowd kCrowds[] = {{6, 1, 0},    {6, 2, 0},     {50, 1, 0},    {50, 2, 0},    {60, 1, 0},
+                         {60, 2, 0},   {130, 1, 0},   {130, 2, 0},   {260, 1, 0},   {260, 2, 0},
+                         {6, 1, 0.2},  {6, 2, 0.2},   {50, 1, 0.2},  {50, 2, 0.2},  {60, 1, 0.2},
                          {60, 2, 0.2}, {130, 1, 0.2}, {130, 2, 0.2}, {260, 1, 0.2}, {260, 2, 0.2}};
 
 // Every dispatcher knows the row of every other, with its demand of each tenant.
@@ -399,7 +403,7 @@
     SCOPED_TRACE(std::to_string(crowd.tenants) + " tenants, " + std::to_string(crowd.classes) +
                  " classes, loss " + std::to_string(crowd.loss));
     const RowLayout layout = Direct(static_cast<std::size_t>(crowd.tenants));
-    ReportTier tier({.dispatchers = kDispatchers,
+    ReportTier tier({.dispatcher_count = kDispatchers,
                      .tenants = crowd.tenants,
                      .classes = crowd.classes,
                      .loss = crowd.loss,
@@ -418,7 +422,7 @@
     const double reports = crowd.loss > 0 ? 10 : 2;
     tier.RunUntil(101 + reports * kReportInterval);
     for (int to = 0; to < kDispatchers; ++to) {
-      EXPECT_EQ(tier.dispatcher(to).RefusedPeerMessages(), 0u);
+      EXPECT_EQ(tier.dispatcher(to).RejectedPeerMessages(), 0u);
       for (int from = 0; from < kDispatchers; ++from) {
         if (from == to) continue;
         const Peer& peer = heard[{to, from}];
@@ -440,7 +444,7 @@
                  " classes, loss " + std::to_string(crowd.loss));
     const RowLayout layout =
         Large(static_cast<std::size_t>(crowd.tenants), static_cast<std::size_t>(crowd.classes), 1);
-    ReportTier tier({.dispatchers = kDispatchers,
+    ReportTier tier({.dispatcher_count = kDispatchers,
                      .tenants = crowd.tenants,
                      .classes = crowd.classes,
                      .loss = crowd.loss,
@@ -456,7 +460,7 @@
     tier.RunUntil(112);  // some 24 reports of each
     std::vector<double> mean(static_cast<std::size_t>(crowd.tenants), 0);
     for (int d = 0; d < kDispatchers; ++d) {
-      EXPECT_EQ(tier.dispatcher(d).RefusedPeerMessages(), 0u);
+      EXPECT_EQ(tier.dispatcher(d).RejectedPeerMessages(), 0u);
       ASSERT_EQ(told[d].values.size(), layout.size());
       for (std::size_t t = 0; t < mean.size(); ++t) {
         EXPECT_GT(told[d].values[t], 0) << t << " at " << d;
@@ -476,7 +480,10 @@
   constexpr double kSeconds = 20, kMostBytesASecond = 48'000;
   for (const int dispatchers : {3, 24, 100}) {
     for (const int classes : {1, 2}) {
-      ReportTier tier({.dispatchers = dispatchers, .tenants = kTenants, .classes = classes, .half_full = true});
+      ReportTier tier({.dispatcher_count = dispatchers,
+                       .tenants = kTenants,
+                       .classes = classes,
+                       .half_full = true});
       std::size_t messages = 0, bytes = 0;
       tier.on_tell = [&](int, int, const std::string& body) {
         messages += 1;
@@ -490,9 +497,10 @@
       messages = bytes = 0;
       tier.RunUntil(110 + kSeconds);
       const double share = 1 / (kSeconds * dispatchers);
-      std::printf("dispatchers=%d tenants=%d classes=%d: %.0f bytes, %.1f datagrams a second each\n",
-                  dispatchers, kTenants, classes, static_cast<double>(bytes) * share,
-                  static_cast<double>(messages) * share);
+      std::printf(
+          "dispatchers=%d tenants=%d classes=%d: %.0f bytes, %.1f datagrams a second each\n",
+          dispatchers, kTenants, classes, static_cast<double>(bytes) * share,
+          static_cast<double>(messages) * share);
       EXPECT_LT(static_cast<double>(bytes) * share, kMostBytesASecond);
     }
   }
