--- a/src/codec/quota.cpp
+++ b/src/codec/quota.cpp
@@ -9,8 +9,8 @@
 
 using quota::Assignment;
 using quota::Grant;
-using quota::Report;
-using quota::Usage;
+using quota::TenantUsage;
+using quota::UsageReport;
 
 enum Kind : std::uint8_t { kReport = 1, kGrant = 2 };
 enum ReportField : std::uint8_t {
@@ -29,64 +29,64 @@
 };
 
 // Entries are plain values in a row; a later build may append more to each.
-std::string EncodeEntry(const Usage& usage) {
+std::string EncodeEntry(const TenantUsage& usage) {
   Writer w;
   w.Raw(usage.tenant);
-  w.Raw(usage.demand);
-  w.Raw(usage.held);
-  w.Raw(usage.left_s);
-  w.Raw(usage.grant);
+  w.Raw(usage.demand_rps);
+  w.Raw(usage.lease_rps);
+  w.Raw(usage.lease_remaining_s);
+  w.Raw(usage.grant_number);
   return w.Take();
 }
 
-void DecodeEntry(Reader* r, Usage* usage) {
+void DecodeEntry(Reader* r, TenantUsage* usage) {
   usage->tenant = r->Raw<std::uint64_t>();
-  usage->demand = r->Raw<double>();
-  usage->held = r->Raw<double>();
-  usage->left_s = r->Raw<double>();
-  usage->grant = r->Raw<std::uint64_t>();
+  usage->demand_rps = r->Raw<double>();
+  usage->lease_rps = r->Raw<double>();
+  usage->lease_remaining_s = r->Raw<double>();
+  usage->grant_number = r->Raw<std::uint64_t>();
 }
 
 std::string EncodeEntry(const Assignment& assignment) {
   Writer w;
   w.Raw(assignment.tenant);
-  w.Raw(assignment.rate);
-  w.Raw(assignment.grant);
+  w.Raw(assignment.rate_rps);
+  w.Raw(assignment.grant_number);
   return w.Take();
 }
 
 void DecodeEntry(Reader* r, Assignment* assignment) {
   assignment->tenant = r->Raw<std::uint64_t>();
-  assignment->rate = r->Raw<double>();
-  assignment->grant = r->Raw<std::uint64_t>();
+  assignment->rate_rps = r->Raw<double>();
+  assignment->grant_number = r->Raw<std::uint64_t>();
 }
 
 template <typename Entry>
 void AppendEntry(Reader* r, std::vector<Entry>* entries) {
-  if (entries->size() >= quota::kMostEntries) return r->Fail();
+  if (entries->size() >= quota::kMaxEntries) return r->Fail();
   DecodeEntry(r, &entries->emplace_back());
 }
 
-void EncodeFields(const Report& report, Writer* w) {
+void EncodeFields(const UsageReport& report, Writer* w) {
   w->Raw(std::uint8_t{kReport});
   w->Number(kReportEpoch, report.epoch);
   w->Number(kReportSequence, report.sequence);
   w->Number(kReportFull, static_cast<std::uint8_t>(report.full));
-  for (const Usage& usage : report.usages) w->Nested(kReportUsage, EncodeEntry(usage));
+  for (const TenantUsage& usage : report.usages) w->Nested(kReportUsage, EncodeEntry(usage));
 }
 
 void EncodeFields(const Grant& grant, Writer* w) {
   w->Raw(std::uint8_t{kGrant});
   w->Number(kGrantEpoch, grant.epoch);
-  w->Number(kGrantAnswers, grant.answers);
-  w->Number(kGrantWantFull, static_cast<std::uint8_t>(grant.want_full));
-  w->Number(kGrantSpan, grant.span_s);
+  w->Number(kGrantAnswers, grant.acked_sequence);
+  w->Number(kGrantWantFull, static_cast<std::uint8_t>(grant.request_full_report));
+  w->Number(kGrantSpan, grant.lease_duration_s);
   w->Number(kGrantLife, grant.life);
   for (const Assignment& a : grant.assignments) w->Nested(kGrantAssignment, EncodeEntry(a));
 }
 
 std::optional<quota::Message> DecodeReport(std::string_view fields) {
-  Report report;
+  UsageReport report;
   Reader r(fields);
   while (r.Next()) {
     switch (r.field()) {
@@ -119,13 +119,13 @@
         grant.epoch = r.Raw<std::uint64_t>();
         break;
       case kGrantAnswers:
-        grant.answers = r.Raw<std::uint64_t>();
+        grant.acked_sequence = r.Raw<std::uint64_t>();
         break;
       case kGrantWantFull:
-        grant.want_full = r.Raw<std::uint8_t>() != 0;
+        grant.request_full_report = r.Raw<std::uint8_t>() != 0;
         break;
       case kGrantSpan:
-        grant.span_s = r.Raw<double>();
+        grant.lease_duration_s = r.Raw<double>();
         break;
       case kGrantAssignment:
         AppendEntry(&r, &grant.assignments);
--- a/src/codec/quota.h
+++ b/src/codec/quota.h
@@ -11,7 +11,7 @@
 namespace millethollow::codec {
 
 std::string Encode(const quota::Message& message);
-// None where the bytes are not whole, or name more than quota::kMostEntries entries. Whether the
+// None where the bytes are not whole, or name more than quota::kMaxEntries entries. Whether the
 // numbers make sense is for quota::Holder and quota::Allocator to say.
 std::optional<quota::Message> DecodeQuota(std::string_view bytes);
 
--- a/src/config/cluster.cpp
+++ b/src/config/cluster.cpp
@@ -42,14 +42,14 @@
 bool CheckQuota(const ClusterOptions& o, std::string* why) {
   if (!o.quota.on) return true;
   if (!CheckAllocators(o, why)) return false;
-  const quota::Timings& t = o.quota.timings;
-  if (t.renew_s * kLeastRenewals > t.span_s) {
+  const quota::LeaseTimings& t = o.quota.timings;
+  if (t.renew_interval_s * kLeastRenewals > t.lease_duration_s) {
     return Refuse("'quota.span_s' must be at least three times 'quota.renew_s'", why);
   }
-  if (t.report_gap_s > t.renew_s) {
+  if (t.min_report_interval_s > t.renew_interval_s) {
     return Refuse("'quota.report_gap_s' must not be over 'quota.renew_s'", why);
   }
-  if (LongestOldLease(t) + t.renew_s > kQuotaInForceS) {
+  if (LongestOldLease(t) + t.renew_interval_s > kQuotaInForceS) {
     return Refuse("'timings.lease_s' and 'quota.span_s' are too long for a quota in force in 9 s",
                   why);
   }
@@ -60,9 +60,9 @@
 // replaced allocator may grant until its membership lease is over by its own clock.
 void CompleteQuota(ClusterOptions* o) {
   if (!o->quota.on) return;
-  quota::Timings& t = o->quota.timings;
-  t.drift = o->agreement.drift;
-  t.act_s = o->agreement.lease_s * (1 + 2 * t.drift) + kGrantOnItsWayS;
+  quota::LeaseTimings& t = o->quota.timings;
+  t.max_clock_drift = o->agreement.drift;
+  t.superseded_grant_s = o->agreement.lease_s * (1 + 2 * t.max_clock_drift) + kGrantOnItsWayS;
   if (!o->quota.allocators.empty()) return;
   for (const ClusterMember& m : o->members) {
     if (m.voter) o->quota.allocators.push_back(m.id);
@@ -113,10 +113,10 @@
   return [quota, why](const Json& value, const std::string& path) {
     const KeyReaders readers{
         {"allocators", NamesKey(&quota->allocators, kMostMembers, why)},
-        {"span_s", NumberKey(&quota->timings.span_s, 0.3, 60, why)},
-        {"renew_s", NumberKey(&quota->timings.renew_s, 0.05, 20, why)},
-        {"report_gap_s", NumberKey(&quota->timings.report_gap_s, 0.01, 5, why)},
-        {"floor_part", NumberKey(&quota->timings.floor_part, 0, 0.5, why)},
+        {"span_s", NumberKey(&quota->timings.lease_duration_s, 0.3, 60, why)},
+        {"renew_s", NumberKey(&quota->timings.renew_interval_s, 0.05, 20, why)},
+        {"report_gap_s", NumberKey(&quota->timings.min_report_interval_s, 0.01, 5, why)},
+        {"floor_part", NumberKey(&quota->timings.floor_fraction, 0, 0.5, why)},
         {"hysteresis", NumberKey(&quota->timings.hysteresis, 0, 0.5, why)},
     };
     quota->on = true;
@@ -132,8 +132,8 @@
   return it == members.end() ? nullptr : &*it;
 }
 
-double LongestOldLease(const quota::Timings& timings) {
-  return timings.act_s + timings.span_s * (1 + 3 * timings.drift);
+double LongestOldLease(const quota::LeaseTimings& timings) {
+  return timings.superseded_grant_s + timings.lease_duration_s * (1 + 3 * timings.max_clock_drift);
 }
 
 bool ReadCluster(std::string_view text, ClusterOptions* options, std::string* why) {
--- a/src/config/cluster.h
+++ b/src/config/cluster.h
@@ -23,7 +23,8 @@
 struct QuotaOptions {
   bool on = false;
   std::vector<std::string> allocators;  // ids of members; the voters where the file names none
-  quota::Timings timings;               // `drift` and `act_s` follow from those of the agreement
+  quota::LeaseTimings
+      timings;  // `drift` and `superseded_grant_s` follow from those of the agreement
 };
 
 struct ClusterOptions {
@@ -50,7 +51,7 @@
 // Within this a change of a quota is in force at every member, also where its allocator was lost.
 constexpr double kQuotaInForceS = 9.0;
 // The longest time from when an allocator is replaced until all leases that it gave are over.
-double LongestOldLease(const quota::Timings& timings);
+double LongestOldLease(const quota::LeaseTimings& timings);
 
 // Reads the section from a file's text; where there is none, `options` stays as it is. False, with
 // one clear line, for a key that is not known, a value out of its range, or members that don't fit.
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -155,7 +155,7 @@
   c->columns = NamesOf(Child(settings, "report"), "columns");
   std::vector<std::pair<std::string, std::string>> flat;
   Flatten("", settings, &flat);
-  millethollow::simulator_adapter::Pairs pairs(flat.begin(), flat.end());
+  millethollow::simulator_adapter::Fields pairs(flat.begin(), flat.end());
   if (!millethollow::simulator_adapter::ParseSettings(pairs, &c->settings, why)) {
     *why = "configuration: settings: " + *why;
     return false;
--- a/src/net/cluster/quota_keeper.cpp
+++ b/src/net/cluster/quota_keeper.cpp
@@ -18,22 +18,22 @@
 constexpr double kLeastWaitS = 0.001;  // between two ticks
 constexpr std::size_t kMostNamed = 5;  // tenants in one line of the log
 
-const char* NameOfRefusal(quota::Refusal refusal) {
+const char* NameOfRefusal(quota::RejectReason refusal) {
   switch (refusal) {
-    case quota::Refusal::kOldEpoch:
+    case quota::RejectReason::kStaleEpoch:
       return "old_epoch";
-    case quota::Refusal::kDoubled:
+    case quota::RejectReason::kDuplicate:
       return "doubled";
-    case quota::Refusal::kUnknownTenant:
+    case quota::RejectReason::kUnknownTenant:
       return "unknown_tenant";
-    case quota::Refusal::kBadNumber:
+    case quota::RejectReason::kInvalidNumber:
       return "bad_number";
-    case quota::Refusal::kTooLarge:
+    case quota::RejectReason::kTooLarge:
       return "too_large";
-    case quota::Refusal::kNotAllocator:
+    case quota::RejectReason::kNotAllocator:
       return "not_allocator";
-    case quota::Refusal::kNone:
-    case quota::Refusal::kCount:
+    case quota::RejectReason::kNone:
+    case quota::RejectReason::kCount:
       break;
   }
   return "none";
@@ -75,8 +75,8 @@
 }
 
 bool QuotaKeeper::Check(const std::vector<NamedQuota>& tenants, std::string* why) {
-  if (tenants.size() > quota::kMostTenants) {
-    *why = "cluster: quota: more than " + std::to_string(quota::kMostTenants) + " tenants";
+  if (tenants.size() > quota::kMaxTenants) {
+    *why = "cluster: quota: more than " + std::to_string(quota::kMaxTenants) + " tenants";
     return false;
   }
   std::map<quota::TenantId, std::string> names;
@@ -150,9 +150,9 @@
 void QuotaKeeper::Hear(NodeId from, membership::Life life, const quota::Message& message) {
   const double now = hooks_.now();
   if (const auto* grant = std::get_if<quota::Grant>(&message)) {
-    holder_.Hear(now, from, *grant);
+    holder_.OnGrant(now, from, *grant);
   } else if (allocator_) {
-    allocator_->Hear(now, from, life, std::get<quota::Report>(message));
+    allocator_->OnUsageReport(now, from, life, std::get<quota::UsageReport>(message));
   }
   Act();
 }
@@ -192,9 +192,9 @@
     if (to != options_.self) {
       hooks_.send(to, message);
     } else if (const auto* grant = std::get_if<quota::Grant>(&message)) {
-      holder_.Hear(now, to, *grant);
+      holder_.OnGrant(now, to, *grant);
     } else if (allocator_) {
-      allocator_->Hear(now, to, options_.life, std::get<quota::Report>(message));
+      allocator_->OnUsageReport(now, to, options_.life, std::get<quota::UsageReport>(message));
     }
   }
   Arm();
@@ -202,8 +202,8 @@
 
 void QuotaKeeper::Arm() {
   loop_->deadlines().Drop(&tick_);
-  double at = holder_.NextAt();
-  if (allocator_) at = std::min(at, allocator_->NextAt());
+  double at = holder_.NextTickAt();
+  if (allocator_) at = std::min(at, allocator_->NextTickAt());
   if (!std::isfinite(at)) return;
   tick_ = loop_->deadlines().At(loop_->Now() + std::max(kLeastWaitS, at - hooks_.now()), [this] {
     tick_ = Deadlines::kNone;
@@ -215,7 +215,7 @@
   const double now = hooks_.now();
   std::vector<double> rates(options_.tenants.size(), -1.0);
   for (std::size_t t = 0; t < rates.size(); ++t) {
-    if (options_.tenants[t].quota > 0) rates[t] = holder_.Rate(now, t);
+    if (options_.tenants[t].quota > 0) rates[t] = holder_.AdmissibleRate(now, t);
   }
   return rates;
 }
@@ -228,7 +228,7 @@
     const quota::TenantId id = codec::Hash(tenant.name);
     if (!allocator_->Allocates(id)) continue;
     allocation.tenants.push_back(tenant.name);
-    if (allocator_->TakingOver(now, id)) allocation.taking_over.push_back(tenant.name);
+    if (allocator_->IsTakingOver(now, id)) allocation.taking_over.push_back(tenant.name);
   }
   return allocation;
 }
@@ -241,11 +241,11 @@
   std::uint64_t leases = 0;
   double rates = 0;
   for (std::size_t t = 0; t < options_.tenants.size(); ++t) {
-    const double lease = holder_.Lease(now, t);
+    const double lease = holder_.LeaseRate(now, t);
     leases += lease > 0 ? 1 : 0;
-    rates += holder_.Rate(now, t);
+    rates += holder_.AdmissibleRate(now, t);
   }
-  const quota::HolderCounters& held = holder_.counters();
+  const quota::LeaseHolderCounters& held = holder_.counters();
   const quota::AllocatorCounters given =
       allocator_ ? allocator_->counters() : quota::AllocatorCounters{};
   print("tenants_allocated", allocator_ ? allocator_->tenants_allocated() : 0, 'g');
@@ -259,9 +259,9 @@
   print("grants_sent", given.grants);
   print("takeovers", given.takeovers);
   print("lapses", given.lapses);
-  for (std::size_t r = 1; r < held.refused.size(); ++r) {
-    print(std::string("refused.") + NameOfRefusal(static_cast<quota::Refusal>(r)),
-          held.refused[r] + given.refused[r]);
+  for (std::size_t r = 1; r < held.rejected.size(); ++r) {
+    print(std::string("refused.") + NameOfRefusal(static_cast<quota::RejectReason>(r)),
+          held.rejected[r] + given.rejected[r]);
   }
 }
 
--- a/src/net/cluster/quota_keeper.h
+++ b/src/net/cluster/quota_keeper.h
@@ -15,7 +15,7 @@
 #include "membership/types.h"
 #include "net/loop.h"
 #include "quota/allocator.h"
-#include "quota/holder.h"
+#include "quota/lease_holder.h"
 
 namespace millethollow::cluster {
 
@@ -41,7 +41,7 @@
     std::vector<membership::NodeId> members;     // all of the cluster, this one among them
     std::vector<membership::NodeId> allocators;  // some of these
     std::vector<NamedQuota> tenants;
-    quota::Timings timings;
+    quota::LeaseTimings timings;
   };
   // What an operator looks at.
   struct Allocation {
@@ -83,7 +83,7 @@
   Options options_;
   Hooks hooks_;
   std::set<membership::NodeId> allocators_;
-  quota::Holder holder_;
+  quota::LeaseHolder holder_;
   std::optional<quota::Allocator> allocator_;
   std::uint64_t epoch_ = 0;      // of the view that was given to both
   std::vector<bool> allocated_;  // by tenant, as last logged
--- a/src/quota/allocator.cpp
+++ b/src/quota/allocator.cpp
@@ -5,20 +5,21 @@
 namespace millethollow::quota {
 namespace {
 
-double ValidRate(double rate) { return IsRate(rate) ? rate : 0; }
+double ValidRate(double rate) { return IsValidRate(rate) ? rate : 0; }
 
-bool HasBadNumber(const Usage& usage) {
-  return !IsRate(usage.demand) || !IsRate(usage.held) || !IsSpan(usage.left_s);
+bool HasBadNumber(const TenantUsage& usage) {
+  return !IsValidRate(usage.demand_rps) || !IsValidRate(usage.lease_rps) ||
+         !IsValidDuration(usage.lease_remaining_s);
 }
 
 }  // namespace
 
 Allocator::Allocator(NodeId self, std::vector<NodeId> dispatchers, std::vector<TenantQuota> tenants,
-                     const Timings& timings, double now)
+                     const LeaseTimings& timings, double now)
     : timings_(timings), self_(self), ticked_at_(now) {
   for (const NodeId dispatcher : dispatchers) dispatchers_.try_emplace(dispatcher);
-  if (tenants.size() > kMostTenants) tenants.resize(kMostTenants);
-  for (const TenantQuota& given : tenants) quotas_[given.tenant] = ValidRate(given.quota);
+  if (tenants.size() > kMaxTenants) tenants.resize(kMaxTenants);
+  for (const TenantQuota& given : tenants) quotas_[given.tenant] = ValidRate(given.quota_rps);
 }
 
 // ---- which tenants are allocated here ----
@@ -35,8 +36,8 @@
   }
   to_send_.clear();
   for (const auto& [tenant, quota] : quotas_) {
-    const AllocatorMember* allocator = view_.Of(tenant);
-    const AllocatorMember* allocator_before = before.Of(tenant);
+    const AllocatorMember* allocator = view_.AllocatorOf(tenant);
+    const AllocatorMember* allocator_before = before.AllocatorOf(tenant);
     if (allocator == nullptr || allocator->id != self_) {
       Drop(tenant);
     } else if (!next || allocator_before == nullptr || *allocator != *allocator_before) {
@@ -48,10 +49,11 @@
 void Allocator::TakeOver(double now, TenantId tenant) {
   Drop(tenant);
   TenantLeases& taken = tenants_[tenant];
-  taken.leasable = timings_.Leasable(quotas_.at(tenant));
+  taken.leasable = timings_.LeasableRate(quotas_.at(tenant));
   taken.taken_epoch = view_.epoch;
   taken.taking_over = true;
-  taken.takeover_ends_at = now + timings_.Widened(timings_.act_s + timings_.span_s);
+  taken.takeover_ends_at =
+      now + timings_.MaxLocalDuration(timings_.superseded_grant_s + timings_.lease_duration_s);
   taken.unreported = dispatchers_.size();
   taking_over_.insert(tenant);
   ++counters_.takeovers;
@@ -87,11 +89,11 @@
   for (const TenantQuota& given : tenants) {
     const auto quota = quotas_.find(given.tenant);
     if (quota == quotas_.end()) continue;
-    quota->second = ValidRate(given.quota);
+    quota->second = ValidRate(given.quota_rps);
     const auto found = tenants_.find(given.tenant);
     if (found == tenants_.end()) continue;
-    LowerOffers(given.tenant, found->second, timings_.Leasable(quota->second));
-    found->second.leasable = timings_.Leasable(quota->second);
+    LowerOffers(given.tenant, found->second, timings_.LeasableRate(quota->second));
+    found->second.leasable = timings_.LeasableRate(quota->second);
     changed_.insert(given.tenant);
   }
 }
@@ -106,14 +108,15 @@
 
 // ---- reports ----
 
-Refusal Allocator::Hear(double now, NodeId from, Life life, const Report& report) {
+RejectReason Allocator::OnUsageReport(double now, NodeId from, Life life,
+                                      const UsageReport& report) {
   EndLeases(now);
   EndTakeovers(now);
   const auto found = dispatchers_.find(from);
-  const Refusal refusal =
-      found == dispatchers_.end() ? Refusal::kNotAllocator : Check(found->second, life, report);
-  if (refusal != Refusal::kNone) {
-    ++counters_.refused[static_cast<std::size_t>(refusal)];
+  const RejectReason refusal = found == dispatchers_.end() ? RejectReason::kNotAllocator
+                                                           : Check(found->second, life, report);
+  if (refusal != RejectReason::kNone) {
+    ++counters_.rejected[static_cast<std::size_t>(refusal)];
     return refusal;
   }
   ++counters_.reports;
@@ -122,34 +125,36 @@
   const std::uint64_t full_epoch_before = dispatcher.full_epoch;
   const bool whole = dispatcher.TakeReport(report);
   dispatcher.heard_at = now;
-  dispatcher.silent_at = now + timings_.Widened(timings_.span_s);
+  dispatcher.silent_at = now + timings_.MaxLocalDuration(timings_.lease_duration_s);
   dispatcher.silent = false;
-  for (const Usage& usage : report.usages) TakeUsage(from, dispatcher, usage, full_epoch_before);
+  for (const TenantUsage& usage : report.usages)
+    TakeUsage(from, dispatcher, usage, full_epoch_before);
   if (whole) EndFullReport(from, dispatcher, full_epoch_before);
   CheckReachable(from, dispatcher);
   ScheduleEnd(from, dispatcher);
   dispatcher.to_answer = true;
   to_send_.insert(from);
-  return Refusal::kNone;
+  return RejectReason::kNone;
 }
 
-Refusal Allocator::Check(const Dispatcher& dispatcher, Life life, const Report& report) const {
-  if (report.usages.size() > kMostEntries) return Refusal::kTooLarge;
-  if (report.epoch < view_.epoch) return Refusal::kOldEpoch;
-  if (report.epoch > view_.epoch || view_.epoch == 0) return Refusal::kNotAllocator;
-  const Refusal refusal = CheckUsages(report);
-  if (refusal != Refusal::kNone) return refusal;
-  return dispatcher.IsNews(life, report.sequence) ? Refusal::kNone : Refusal::kDoubled;
+RejectReason Allocator::Check(const Dispatcher& dispatcher, Life life,
+                              const UsageReport& report) const {
+  if (report.usages.size() > kMaxEntries) return RejectReason::kTooLarge;
+  if (report.epoch < view_.epoch) return RejectReason::kStaleEpoch;
+  if (report.epoch > view_.epoch || view_.epoch == 0) return RejectReason::kNotAllocator;
+  const RejectReason refusal = CheckUsages(report);
+  if (refusal != RejectReason::kNone) return refusal;
+  return dispatcher.IsNews(life, report.sequence) ? RejectReason::kNone : RejectReason::kDuplicate;
 }
 
-Refusal Allocator::CheckUsages(const Report& report) const {
-  if (report.sequence == 0) return Refusal::kBadNumber;
-  for (const Usage& usage : report.usages) {
-    if (HasBadNumber(usage)) return Refusal::kBadNumber;
-    if (!quotas_.contains(usage.tenant)) return Refusal::kUnknownTenant;
-    if (!tenants_.contains(usage.tenant)) return Refusal::kNotAllocator;
+RejectReason Allocator::CheckUsages(const UsageReport& report) const {
+  if (report.sequence == 0) return RejectReason::kInvalidNumber;
+  for (const TenantUsage& usage : report.usages) {
+    if (HasBadNumber(usage)) return RejectReason::kInvalidNumber;
+    if (!quotas_.contains(usage.tenant)) return RejectReason::kUnknownTenant;
+    if (!tenants_.contains(usage.tenant)) return RejectReason::kNotAllocator;
   }
-  return Refusal::kNone;
+  return RejectReason::kNone;
 }
 
 void Allocator::StartLife(NodeId id, Dispatcher& dispatcher, Life life) {
@@ -161,17 +166,17 @@
   }
 }
 
-void Allocator::TakeUsage(NodeId from, Dispatcher& dispatcher, const Usage& usage,
+void Allocator::TakeUsage(NodeId from, Dispatcher& dispatcher, const TenantUsage& usage,
                           std::uint64_t full_epoch_before) {
   TenantLeases& tenant = tenants_.at(usage.tenant);
   const bool trusted = tenant.taking_over && full_epoch_before < tenant.taken_epoch;
-  Share& share = tenant.shares[from];
+  DispatcherShare& share = tenant.shares[from];
   dispatcher.tenants.insert(usage.tenant);
   share.unreachable = dispatcher.unreachable;
   share.Confirm(usage, trusted);
-  if (trusted && usage.held > 0) {
-    const double left_s = std::min(usage.left_s, timings_.span_s);
-    ExtendLeases(dispatcher, dispatcher.heard_at + timings_.Widened(left_s));
+  if (trusted && usage.lease_rps > 0) {
+    const double lease_remaining_s = std::min(usage.lease_remaining_s, timings_.lease_duration_s);
+    ExtendLeases(dispatcher, dispatcher.heard_at + timings_.MaxLocalDuration(lease_remaining_s));
   }
   changed_.insert(usage.tenant);
   if (share.offered() || dispatcher.offers.erase(usage.tenant) == 0) return;
@@ -197,7 +202,7 @@
 void Allocator::CheckReachable(NodeId id, Dispatcher& dispatcher) {
   if (dispatcher.offers.empty() || !dispatcher.current || dispatcher.unreachable) return;
   const double unheard_s = dispatcher.heard_at - dispatcher.offers_since;
-  if (unheard_s > timings_.span_s) SetUnreachable(id, dispatcher, true);
+  if (unheard_s > timings_.lease_duration_s) SetUnreachable(id, dispatcher, true);
 }
 
 void Allocator::SetUnreachable(NodeId id, Dispatcher& dispatcher, bool unreachable) {
@@ -251,10 +256,10 @@
   const bool falls_silent = !dispatcher.silent && dispatcher.silent_at <= now;
   for (const TenantId tenant : dispatcher.tenants) {
     TenantLeases& leases = tenants_.at(tenant);
-    Share& share = leases.shares.at(id);
+    DispatcherShare& share = leases.shares.at(id);
     if (leases_end) share.Lapse();
     if (former_end) share.former = 0;
-    if (falls_silent) share.demand = 0;
+    if (falls_silent) share.demand_rps = 0;
     changed_.insert(tenant);
   }
   if (former_end) dispatcher.former_end_at = 0;
@@ -282,12 +287,12 @@
   SendGrants(actions);
 }
 
-// Each tenant at most once in report_gap_s.
+// Each tenant at most once in min_report_interval_s.
 void Allocator::DivideChanged(double now) {
   const std::set<TenantId> candidates = changed_;
   for (const TenantId id : candidates) {
     TenantLeases& tenant = tenants_.at(id);
-    if (now < tenant.divided_at + timings_.report_gap_s) continue;
+    if (now < tenant.divided_at + timings_.min_report_interval_s) continue;
     changed_.erase(id);
     Divide(now, id, tenant);
   }
@@ -305,7 +310,7 @@
   }
   const auto open = [&](NodeId dispatcher) { return CanOffer(id, dispatcher); };
   for (const RateChange& change : tenant.Divide(timings_.hysteresis, open)) {
-    Offer(id, change.dispatcher, tenant.shares.at(change.dispatcher), change.rate);
+    Offer(id, change.dispatcher, tenant.shares.at(change.dispatcher), change.rate_rps);
   }
   if (!tenant.taking_over) ProbeUnreachable(id, tenant);
 }
@@ -314,7 +319,7 @@
 // again.
 void Allocator::ProbeUnreachable(TenantId id, TenantLeases& tenant) {
   for (auto& [dispatcher, share] : tenant.shares) {
-    if (!share.unreachable || share.demand <= 0 || share.offered()) continue;
+    if (!share.unreachable || share.demand_rps <= 0 || share.offered()) continue;
     if (CanOffer(id, dispatcher)) Offer(id, dispatcher, share, 0);
   }
 }
@@ -327,7 +332,7 @@
   return false;
 }
 
-void Allocator::Offer(TenantId id, NodeId to, Share& share, double rate) {
+void Allocator::Offer(TenantId id, NodeId to, DispatcherShare& share, double rate) {
   Dispatcher& dispatcher = dispatchers_.at(to);
   if (dispatcher.offers.empty()) dispatcher.offers_since = dispatcher.heard_at;
   share.Offer(rate, ++last_grant_);
@@ -345,18 +350,18 @@
 void Allocator::SendGrant(NodeId id, Dispatcher& dispatcher, Actions* actions) {
   Grant grant;
   grant.epoch = view_.epoch;
-  grant.answers = dispatcher.sequence;
+  grant.acked_sequence = dispatcher.sequence;
   grant.life = dispatcher.life;
-  grant.want_full = !dispatcher.current && !dispatcher.in_full_report;
+  grant.request_full_report = !dispatcher.current && !dispatcher.in_full_report;
   if (dispatcher.current) {
     for (const TenantId tenant : dispatcher.offers) {
-      const Share& share = tenants_.at(tenant).shares.at(id);
+      const DispatcherShare& share = tenants_.at(tenant).shares.at(id);
       grant.assignments.push_back({tenant, share.offer, share.offer_grant});
     }
   }
   if (!dispatcher.to_answer && grant.assignments.empty()) return;
   if (dispatcher.current && !dispatcher.unreachable) {
-    grant.span_s = timings_.span_s;
+    grant.lease_duration_s = timings_.lease_duration_s;
     ExtendLeases(dispatcher, dispatcher.silent_at);
     ScheduleEnd(id, dispatcher);
   }
@@ -365,17 +370,17 @@
   actions->send.emplace_back(id, std::move(grant));
 }
 
-double Allocator::NextAt() const {
+double Allocator::NextTickAt() const {
   double next = ends_.empty() ? Dispatcher::kNever : ends_.begin()->first;
   for (const TenantId id : taking_over_) next = std::min(next, tenants_.at(id).takeover_ends_at);
   if (!to_send_.empty() || !changed_.empty()) {
     // One that may not act is looked at now and then: it may again.
-    const double soon = ticked_at_ + timings_.report_gap_s;
+    const double soon = ticked_at_ + timings_.min_report_interval_s;
     if (!acts_) return std::min(next, soon);
   }
   if (!to_send_.empty()) return ticked_at_;
   for (const TenantId id : changed_) {
-    next = std::min(next, tenants_.at(id).divided_at + timings_.report_gap_s);
+    next = std::min(next, tenants_.at(id).divided_at + timings_.min_report_interval_s);
   }
   return next;
 }
@@ -384,13 +389,13 @@
 
 bool Allocator::Allocates(TenantId tenant) const { return tenants_.contains(tenant); }
 
-bool Allocator::TakingOver(double now, TenantId tenant) const {
+bool Allocator::IsTakingOver(double now, TenantId tenant) const {
   const auto found = tenants_.find(tenant);
   return found != tenants_.end() && found->second.taking_over &&
          now < found->second.takeover_ends_at;
 }
 
-double Allocator::Reserved(double now, TenantId tenant) const {
+double Allocator::ReservedRate(double now, TenantId tenant) const {
   const auto found = tenants_.find(tenant);
   if (found == tenants_.end()) return 0;
   double in_force = 0;
@@ -399,7 +404,7 @@
     if (now < dispatcher.leases_end_at) in_force += share.Current();
     if (now < dispatcher.former_end_at) in_force += share.former;
   }
-  return TakingOver(now, tenant) ? std::max(in_force, found->second.leasable) : in_force;
+  return IsTakingOver(now, tenant) ? std::max(in_force, found->second.leasable) : in_force;
 }
 
 std::size_t Allocator::tenants_allocated() const { return tenants_.size(); }
--- a/src/quota/allocator.h
+++ b/src/quota/allocator.h
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-#include "quota/dispatcher.h"
-#include "quota/leases.h"
-#include "quota/placement.h"
+#include "quota/dispatcher_state.h"
+#include "quota/tenant_leases.h"
+#include "quota/tenant_placement.h"
 #include "quota/types.h"
 
 namespace millethollow::quota {
@@ -23,7 +23,7 @@
 // Events at an allocator since it started; `refused` by cause.
 struct AllocatorCounters {
   std::uint64_t reports = 0, grants = 0, takeovers = 0, lapses = 0;
-  std::array<std::uint64_t, static_cast<std::size_t>(Refusal::kCount)> refused{};
+  std::array<std::uint64_t, static_cast<std::size_t>(RejectReason::kCount)> rejected{};
 };
 
 // The tenants that one member allocates.
@@ -32,7 +32,7 @@
   // `dispatchers`: every member of the cluster, in the view or not, that may hold leases; this one
   // among them. `now`: this process has just started, and knows nothing of leases given before.
   Allocator(NodeId self, std::vector<NodeId> dispatchers, std::vector<TenantQuota> tenants,
-            const Timings& timings, double now);
+            const LeaseTimings& timings, double now);
 
   // The agreed view has changed. Tenants that are new here are taken over: their whole quota counts
   // as leased until every dispatcher has reported in this epoch or later, or until whatever another
@@ -42,27 +42,27 @@
   void SetQuotas(double now, const std::vector<TenantQuota>& tenants);
   // A report of the process `life` of dispatcher `from` came. Nothing changes unless kNone is
   // returned; each refusal is counted.
-  Refusal Hear(double now, NodeId from, Life life, const Report& report);
+  RejectReason OnUsageReport(double now, NodeId from, Life life, const UsageReport& report);
   // Appends the grants that are due. `may_act`: this process, named with its life in the view,
   // holds its place there now; where it does not, nothing is granted.
   void Tick(double now, bool may_act, Actions* actions);
   // When Tick is due next; infinity: never.
-  double NextAt() const;
+  double NextTickAt() const;
 
   bool Allocates(TenantId tenant) const;
   // What may be in use of a tenant beside the floors, 0 for one that is not allocated here.
-  double Reserved(double now, TenantId tenant) const;
+  double ReservedRate(double now, TenantId tenant) const;
   // While a takeover is not over.
-  bool TakingOver(double now, TenantId tenant) const;
+  bool IsTakingOver(double now, TenantId tenant) const;
   std::size_t tenants_allocated() const;
   const AllocatorCounters& counters() const { return counters_; }
 
  private:
   using Due = std::set<std::pair<double, NodeId>>;
 
-  Refusal Check(const Dispatcher& dispatcher, Life life, const Report& report) const;
-  Refusal CheckUsages(const Report& report) const;
-  void TakeUsage(NodeId from, Dispatcher& dispatcher, const Usage& usage,
+  RejectReason Check(const Dispatcher& dispatcher, Life life, const UsageReport& report) const;
+  RejectReason CheckUsages(const UsageReport& report) const;
+  void TakeUsage(NodeId from, Dispatcher& dispatcher, const TenantUsage& usage,
                  std::uint64_t full_epoch_before);
   static void ExtendLeases(Dispatcher& dispatcher, double until);
   void ReleaseWaiting(Dispatcher& dispatcher);
@@ -86,11 +86,11 @@
   void Divide(double now, TenantId id, TenantLeases& tenant);
   void ProbeUnreachable(TenantId id, TenantLeases& tenant);
   bool CanOffer(TenantId tenant, NodeId id);
-  void Offer(TenantId id, NodeId to, Share& share, double rate);
+  void Offer(TenantId id, NodeId to, DispatcherShare& share, double rate);
   void SendGrants(Actions* actions);
   void SendGrant(NodeId id, Dispatcher& dispatcher, Actions* actions);
 
-  Timings timings_;
+  LeaseTimings timings_;
   AllocatorView view_;
   NodeId self_;
   std::map<TenantId, double> quotas_;
--- a/src/quota/dispatcher.cpp
+++ b/src/quota/dispatcher_state.cpp
@@ -1,4 +1,4 @@
-#include "quota/dispatcher.h"
+#include "quota/dispatcher_state.h"
 
 #include <algorithm>
 
@@ -28,7 +28,7 @@
   offers.clear();
 }
 
-bool Dispatcher::TakeReport(const Report& report) {
+bool Dispatcher::TakeReport(const UsageReport& report) {
   const bool gap = report.sequence != sequence + 1;
   sequence = report.sequence;
   if (report.full) {
@@ -39,8 +39,8 @@
     current = false;
   }
   if (!in_full_report) return false;
-  for (const Usage& usage : report.usages) named.insert(usage.tenant);
-  if (report.usages.size() == kMostEntries) return false;
+  for (const TenantUsage& usage : report.usages) named.insert(usage.tenant);
+  if (report.usages.size() == kMaxEntries) return false;
   in_full_report = false;
   full_epoch = std::max(full_epoch, report.epoch);
   current = true;
--- a/src/quota/dispatcher.h
+++ b/src/quota/dispatcher_state.h
@@ -1,8 +1,8 @@
 // What an allocator knows of one dispatcher's reports: which is the newest, whether all that the
 // dispatcher holds is known, and until when its leases may be in force. Decides only: no I/O, no
 // clock.
-#ifndef MILLETHOLLOW_QUOTA_DISPATCHER_H_
-#define MILLETHOLLOW_QUOTA_DISPATCHER_H_
+#ifndef MILLETHOLLOW_QUOTA_DISPATCHER_STATE_H_
+#define MILLETHOLLOW_QUOTA_DISPATCHER_STATE_H_
 
 #include <cstdint>
 #include <deque>
@@ -35,7 +35,7 @@
   double checked_at = kNever;  // when the next of these moments is looked at
   std::set<TenantId> tenants;  // with a share
 
-  std::set<TenantId> offers;   // granted but not told yet, at most kMostEntries
+  std::set<TenantId> offers;   // granted but not told yet, at most kMaxEntries
   std::set<TenantId> waiting;  // tenants to be offered once there is room among the offers
   double offers_since = 0;     // when the first of them was made, or the last one was told
   bool unreachable = false;    // it reports, but tells no offer: grants don't reach it
@@ -45,10 +45,10 @@
   // A new life begins; the former one's reports are refused from now on.
   void StartLife(Life started);
   // A report came. Whether it ends a full one that has come whole.
-  bool TakeReport(const Report& report);
+  bool TakeReport(const UsageReport& report);
   // All offers go into one grant, so that each grant carries all that is open.
   bool HasRoomForOffer() const {
-    return unreachable ? offers.empty() : offers.size() < kMostEntries;
+    return unreachable ? offers.empty() : offers.size() < kMaxEntries;
   }
   // The next moment at which leases may be over or it is silent; kNever: there is none.
   double NextEnd() const;
@@ -56,4 +56,4 @@
 
 }  // namespace millethollow::quota
 
-#endif  // MILLETHOLLOW_QUOTA_DISPATCHER_H_
+#endif  // MILLETHOLLOW_QUOTA_DISPATCHER_STATE_H_
--- a/src/quota/split.cpp
+++ b/src/quota/rate_division.cpp
@@ -1,4 +1,4 @@
-#include "quota/split.h"
+#include "quota/rate_division.h"
 
 #include <algorithm>
 #include <cmath>
@@ -35,29 +35,32 @@
 
 }  // namespace
 
-std::vector<double> ProportionalRates(double available, const std::vector<Claim>& claims) {
+std::vector<double> ProportionalRates(double available,
+                                      const std::vector<DispatcherDemand>& claims) {
   double total = 0;
-  for (const Claim& claim : claims) total += claim.demand;
+  for (const DispatcherDemand& claim : claims) total += claim.demand_rps;
   std::vector<double> rates(claims.size(), 0.0);
   if (total <= 0 || available <= 0) return rates;
   for (std::size_t i = 0; i < claims.size(); ++i) {
-    rates[i] = available * (claims[i].demand / total);
+    rates[i] = available * (claims[i].demand_rps / total);
   }
   return rates;
 }
 
-std::vector<double> SteadyRates(double available, const std::vector<Claim>& claims,
-                                double hysteresis) {
+std::vector<double> RatesWithHysteresis(double available,
+                                        const std::vector<DispatcherDemand>& claims,
+                                        double hysteresis) {
   const std::vector<double> targets = ProportionalRates(available, claims);
   std::vector<double> rates(claims.size());
   for (std::size_t i = 0; i < claims.size(); ++i) {
-    const bool change = MustChange(claims[i].rate, targets[i], hysteresis);
-    rates[i] = change ? targets[i] : claims[i].rate;
+    const bool change = MustChange(claims[i].rate_rps, targets[i], hysteresis);
+    rates[i] = change ? targets[i] : claims[i].rate_rps;
   }
   double left = available - Sum(rates);
   const bool surplus = left < 0;
   for (const std::size_t i : Candidates(rates, targets, surplus)) {
-    if (surplus ? left >= -kRounding * available : left <= kNegligible * available) break;
+    if (surplus ? left >= -kRoundingTolerance * available : left <= kNegligibleFraction * available)
+      break;
     left += rates[i] - targets[i];
     rates[i] = targets[i];
   }
--- a/src/quota/leases.cpp
+++ b/src/quota/tenant_leases.cpp
@@ -1,8 +1,8 @@
-#include "quota/leases.h"
+#include "quota/tenant_leases.h"
 
 #include <algorithm>
 
-#include "quota/split.h"
+#include "quota/rate_division.h"
 
 namespace millethollow::quota {
 namespace {
@@ -15,30 +15,30 @@
 
 }  // namespace
 
-void Share::Confirm(const Usage& usage, bool trusted) {
-  demand = usage.demand;
-  inherited = usage.held > 0 && usage.grant == 0;
-  confirmed = trusted ? usage.held : std::min(usage.held, Current());
-  if (usage.grant < offer_grant) return;
+void DispatcherShare::Confirm(const TenantUsage& usage, bool trusted) {
+  demand_rps = usage.demand_rps;
+  inherited = usage.lease_rps > 0 && usage.grant_number == 0;
+  confirmed = trusted ? usage.lease_rps : std::min(usage.lease_rps, Current());
+  if (usage.grant_number < offer_grant) return;
   offer = 0;
   offer_grant = 0;
   most_offered = 0;
 }
 
-void Share::Offer(double rate, std::uint64_t grant) {
+void DispatcherShare::Offer(double rate, std::uint64_t grant) {
   offer = rate;
   offer_grant = grant;
   most_offered = std::max(most_offered, rate);
 }
 
 // An offer on its way may still be taken.
-void Share::ConfirmNothing() {
-  demand = 0;
+void DispatcherShare::ConfirmNothing() {
+  demand_rps = 0;
   confirmed = 0;
   inherited = false;
 }
 
-void Share::Lapse() {
+void DispatcherShare::Lapse() {
   confirmed = 0;
   inherited = false;
   offer = 0;
@@ -46,9 +46,9 @@
   most_offered = 0;
 }
 
-void Share::StartLife() {
+void DispatcherShare::StartLife() {
   const double in_force = InForce();
-  *this = Share{};
+  *this = DispatcherShare{};
   former = in_force;
 }
 
@@ -60,15 +60,16 @@
 
 // What former lives may use can't be divided.
 std::vector<TenantLeases::Wish> TenantLeases::Wishes(double hysteresis) const {
-  std::vector<Claim> claims;
+  std::vector<DispatcherDemand> claims;
   std::vector<Wish> wishes;
   double available = leasable;
   for (const auto& [dispatcher, share] : shares) {
     available -= share.former;
-    claims.push_back({share.unreachable ? 0 : share.demand, share.Intended()});
+    claims.push_back({share.unreachable ? 0 : share.demand_rps, share.Intended()});
     wishes.push_back({dispatcher, share.Intended(), 0});
   }
-  const std::vector<double> rates = SteadyRates(std::max(0.0, available), claims, hysteresis);
+  const std::vector<double> rates =
+      RatesWithHysteresis(std::max(0.0, available), claims, hysteresis);
   for (std::size_t i = 0; i < wishes.size(); ++i) wishes[i].to = rates[i];
   return wishes;
 }
@@ -78,7 +79,7 @@
   if (taking_over) return {};
   std::vector<Wish> possible;
   for (const Wish& wish : Wishes(hysteresis)) {
-    const Share& share = shares.at(wish.dispatcher);
+    const DispatcherShare& share = shares.at(wish.dispatcher);
     const bool needed = wish.from != wish.to || share.inherited;
     if (needed && !share.offered() && open(wish.dispatcher)) possible.push_back(wish);
   }
--- a/src/quota/leases.h
+++ b/src/quota/tenant_leases.h
@@ -1,7 +1,7 @@
 // What an allocator has granted of one tenant, and may still be in force. Decides only: no I/O, no
 // clock.
-#ifndef MILLETHOLLOW_QUOTA_LEASES_H_
-#define MILLETHOLLOW_QUOTA_LEASES_H_
+#ifndef MILLETHOLLOW_QUOTA_TENANT_LEASES_H_
+#define MILLETHOLLOW_QUOTA_TENANT_LEASES_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -15,8 +15,8 @@
 namespace millethollow::quota {
 
 // One dispatcher's part of a tenant.
-struct Share {
-  double demand = 0;
+struct DispatcherShare {
+  double demand_rps = 0;
   double confirmed = 0;           // the rate that it has told
   double offer = 0;               // another rate, granted but not told yet
   std::uint64_t offer_grant = 0;  // the number of that grant, 0: there is none
@@ -31,11 +31,11 @@
   // The most that its present life may use.
   double Current() const { return std::max(confirmed, most_offered); }
   double InForce() const { return Current() + former; }
-  bool Empty() const { return demand <= 0 && !offered() && confirmed <= 0 && former <= 0; }
+  bool Empty() const { return demand_rps <= 0 && !offered() && confirmed <= 0 && former <= 0; }
 
   // The dispatcher tells what it holds. `trusted`: nothing is known of it here yet, so that its
   // word counts; else it can't hold more than it was granted.
-  void Confirm(const Usage& usage, bool trusted);
+  void Confirm(const TenantUsage& usage, bool trusted);
   // Grants another rate, also in place of one that is not told yet.
   void Offer(double rate, std::uint64_t grant);
   // The dispatcher has told all that it holds, and this is not among it.
@@ -49,13 +49,13 @@
 // A rate to be granted to a dispatcher.
 struct RateChange {
   NodeId dispatcher = 0;
-  double rate = 0;
+  double rate_rps = 0;
 };
 
 // All of one tenant at its allocator.
 struct TenantLeases {
   double leasable = 0;  // of the quota
-  std::map<NodeId, Share> shares;
+  std::map<NodeId, DispatcherShare> shares;
   std::uint64_t taken_epoch = 0;  // of the view that brought the tenant here
   bool taking_over = false;       // not all of what others granted is known
   double takeover_ends_at = 0;    // whatever they granted is over
@@ -79,4 +79,4 @@
 
 }  // namespace millethollow::quota
 
-#endif  // MILLETHOLLOW_QUOTA_LEASES_H_
+#endif  // MILLETHOLLOW_QUOTA_TENANT_LEASES_H_
--- a/src/quota/placement.h
+++ b/src/quota/tenant_placement.h
@@ -1,7 +1,7 @@
 // Which member allocates which tenant: rendezvous hashing (Thaler, Ravishankar 1996) over the
 // allocators of the agreed view, so that a change of one member moves only that member's tenants.
-#ifndef MILLETHOLLOW_QUOTA_PLACEMENT_H_
-#define MILLETHOLLOW_QUOTA_PLACEMENT_H_
+#ifndef MILLETHOLLOW_QUOTA_TENANT_PLACEMENT_H_
+#define MILLETHOLLOW_QUOTA_TENANT_PLACEMENT_H_
 
 #include <cstdint>
 #include <vector>
@@ -24,7 +24,7 @@
   bool operator==(const AllocatorView&) const = default;
 
   // The allocator of a tenant; null where the view has none.
-  const AllocatorMember* Of(TenantId tenant) const {
+  const AllocatorMember* AllocatorOf(TenantId tenant) const {
     const AllocatorMember* best = nullptr;
     std::uint64_t best_weight = 0;
     for (const AllocatorMember& member : allocators) {
@@ -39,4 +39,4 @@
 
 }  // namespace millethollow::quota
 
-#endif  // MILLETHOLLOW_QUOTA_PLACEMENT_H_
+#endif  // MILLETHOLLOW_QUOTA_TENANT_PLACEMENT_H_
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -59,7 +59,7 @@
 // The settings of one START, looked up by path.
 class Params {
  public:
-  Params(const Pairs& pairs, std::string* why) : why_(why) {
+  Params(const Fields& pairs, std::string* why) : why_(why) {
     for (const auto& [key, value] : pairs) values_[key] = value;
   }
   bool ok() const { return ok_; }
@@ -116,7 +116,7 @@
 
 }  // namespace
 
-bool Split(std::string_view line, std::string_view* name, Pairs* pairs) {
+bool Split(std::string_view line, std::string_view* name, Fields* pairs) {
   pairs->clear();
   const std::size_t space = std::min(line.find(' '), line.size());
   *name = line.substr(0, space);
@@ -201,7 +201,7 @@
   return std::string(text);
 }
 
-bool ParseSettings(const Pairs& pairs, Settings* s, std::string* why) {
+bool ParseSettings(const Fields& pairs, Settings* s, std::string* why) {
   Params p(pairs, why);
   p.Read("balancers", &s->dispatcher_count);
   p.Read("ordinal", &s->dispatcher_index);
--- a/src/simulator_adapter/adapter.h
+++ b/src/simulator_adapter/adapter.h
@@ -19,11 +19,11 @@
 namespace millethollow::simulator_adapter {
 using namespace balancing;  // NOLINT
 
-using Pairs = std::vector<std::pair<std::string_view, std::string_view>>;
+using Fields = std::vector<std::pair<std::string_view, std::string_view>>;
 
 // Splits `line` at single spaces into its name and name=value pairs. A part without '=' makes it
 // malformed.
-bool Split(std::string_view line, std::string_view* name, Pairs* pairs);
+bool Split(std::string_view line, std::string_view* name, Fields* pairs);
 
 bool ParseNumber(std::string_view text, double* value);  // finite numbers only
 bool ParseInteger(std::string_view text, std::int64_t* value);
@@ -34,7 +34,7 @@
 
 // Reads settings from START's pairs; unknown ones are ignored. False, with `why`, if a value is
 // bad.
-bool ParseSettings(const Pairs& pairs, Settings* settings, std::string* why);
+bool ParseSettings(const Fields& pairs, Settings* settings, std::string* why);
 
 // Hosts any number of instances behind the wire. Each instance is a Balancer of its own.
 class Host {
@@ -75,7 +75,7 @@
   std::array<bool, 16> list_known_{};
   std::int64_t entries_left_ = 0;
   std::size_t filling_ = 0;
-  Pairs pairs_;
+  Fields pairs_;
   Actions actions_;
   std::string reply_;
 };
--- a/tests/quota_days_test.cpp
+++ b/tests/quota_days_test.cpp
@@ -31,7 +31,7 @@
   WorldOptions options;
   options.dispatchers = 3 + seed % 4;
   options.allocators = 2;
-  options.tenants = 3 * kMostEntries;
+  options.tenants = 3 * kMaxEntries;
   return options;
 }
 
--- a/tests/quota_quiet_test.cpp
+++ b/tests/quota_quiet_test.cpp
@@ -190,15 +190,15 @@
 
 TEST(QuotaQuiet, ADispatchersMessagesDoNotGrowWithDispatchers) {
   constexpr double kAllocators = 5, kMoreThanNeeded = 1.3;
-  const Timings timings;
+  const LeaseTimings timings;
   for (const bool moving : {false, true}) {
     const Rates few = MeasureMinute(15, moving), many = MeasureMinute(120, moving);
     std::printf("%s: reports of a dispatcher %.2f and %.2f a second, turns %.1f and %.1f\n",
                 moving ? "moving" : "steady", few.reports, many.reports, few.ticks, many.ticks);
     EXPECT_LE(many.reports, 1.15 * few.reports);
-    EXPECT_LE(many.reports, kAllocators / timings.report_gap_s);
+    EXPECT_LE(many.reports, kAllocators / timings.min_report_interval_s);
     if (!moving) {
-      EXPECT_LE(many.reports, kMoreThanNeeded * kAllocators / timings.renew_s);
+      EXPECT_LE(many.reports, kMoreThanNeeded * kAllocators / timings.renew_interval_s);
     }
     // An allocator answers each report, and tells changes in between: no more for each dispatcher
     // in a large cluster than in a small one.
@@ -243,7 +243,7 @@
       world.ProposeView([](std::size_t i) { return i > 0; }, [](std::size_t) { return true; },
                         kViewSeconds);
       world.RunUntil(world.now() + kViewSeconds);
-      const Timings& timings = world.options().timings;
+      const LeaseTimings& timings = world.options().timings;
       const double most_s = FullUseAgainSeconds(timings);
       slowest_s = std::max(slowest_s, SecondsUntilFullUse(&world, most_s));
       EXPECT_EQ(FirstUnused(world), "") << "seed " << seed;
@@ -261,12 +261,13 @@
   world.ProposeWholeView(0.2);
   for (std::size_t tenant = 0; tenant < world.tenants(); ++tenant) DemandIn(&world, tenant, 0, 2);
   world.RunUntil(world.now() + 1);
-  const Timings& timings = world.options().timings;
+  const LeaseTimings& timings = world.options().timings;
   // Until then what the silent one may hold is reserved: only floors are in use.
   for (std::size_t tenant = 0; tenant < world.tenants(); ++tenant) {
-    EXPECT_LE(UseOf(world, tenant).admitted, timings.floor_part * world.quota(tenant) + 1e-6);
+    EXPECT_LE(UseOf(world, tenant).admitted, timings.floor_fraction * world.quota(tenant) + 1e-6);
   }
-  world.RunUntil(world.now() + timings.act_s + timings.span_s + 2 * timings.renew_s);
+  world.RunUntil(world.now() + timings.superseded_grant_s + timings.lease_duration_s +
+                 2 * timings.renew_interval_s);
   EXPECT_EQ(FirstUnused(world), "");
   EXPECT_EQ(world.broken(), std::vector<std::string>{});
 }
--- a/tests/quota_refusals_test.cpp
+++ b/tests/quota_refusals_test.cpp
@@ -11,7 +11,7 @@
 #include <optional>
 
 #include "quota/allocator.h"
-#include "quota/holder.h"
+#include "quota/lease_holder.h"
 #include "support/days.h"
 
 namespace millethollow::quota {
@@ -25,7 +25,7 @@
 constexpr TenantId kUnknown = 424242;
 constexpr double kNaN = std::numeric_limits<double>::quiet_NaN();
 constexpr double kInfinity = std::numeric_limits<double>::infinity();
-constexpr double kBadNumbers[] = {kNaN, -1, kInfinity, -kInfinity, 2 * kMostRate};
+constexpr double kBadNumbers[] = {kNaN, -1, kInfinity, -kInfinity, 2 * kMaxRateRps};
 
 const std::vector<NodeId>& Dispatchers() {
   static const std::vector<NodeId> all = {kDispatcher, 2, 3, kSelf};
@@ -43,7 +43,7 @@
   Tenants() {
     const AllocatorView view = ViewOf(kEpoch);
     for (TenantId tenant = 1; here.size() < 3 || elsewhere == 0; ++tenant) {
-      if (view.Of(tenant)->id != kSelf)
+      if (view.AllocatorOf(tenant)->id != kSelf)
         elsewhere = tenant;
       else if (here.size() < 3)
         here.push_back(tenant);
@@ -62,7 +62,8 @@
  public:
   Pair() : allocator_(kSelf, Dispatchers(), tenants_.Quotas(), timings_, now_) {
     for (const NodeId id : Dispatchers()) {
-      holders_.emplace(id, Holder(LifeOf(id), Dispatchers().size(), tenants_.Quotas(), timings_));
+      holders_.emplace(id,
+                       LeaseHolder(LifeOf(id), Dispatchers().size(), tenants_.Quotas(), timings_));
     }
     allocator_.SetView(now_, ViewOf(kEpoch));
     for (auto& [id, holder] : holders_) holder.SetView(now_, ViewOf(kEpoch));
@@ -73,7 +74,7 @@
   }
   static Life LifeOf(NodeId id) { return 100 + id; }
 
-  Holder& holder() { return holders_.at(kDispatcher); }
+  LeaseHolder& holder() { return holders_.at(kDispatcher); }
   Allocator& allocator() { return allocator_; }
   double now() const { return now_; }
   TenantId tenant(std::size_t i) const { return tenants_.here[i]; }
@@ -88,35 +89,39 @@
   }
   // What can be seen from outside without a change.
   std::vector<double> Seen() {
-    std::vector<double> seen = {holder().NextAt(), allocator_.NextAt(),
+    std::vector<double> seen = {holder().NextTickAt(), allocator_.NextTickAt(),
                                 static_cast<double>(holder().epoch()),
                                 static_cast<double>(allocator_.tenants_allocated())};
     for (const double later : {0.0, 0.5, 1.0, 2.0, 3.0, 4.0, 8.0}) {
       for (std::size_t i = 0; i < tenants_.Quotas().size(); ++i) {
-        seen.push_back(holder().Rate(now_ + later, i));
-        seen.push_back(holder().Lease(now_ + later, i));
+        seen.push_back(holder().AdmissibleRate(now_ + later, i));
+        seen.push_back(holder().LeaseRate(now_ + later, i));
         const TenantId tenant = tenants_.Quotas()[i].tenant;
-        seen.push_back(allocator_.Reserved(now_ + later, tenant));
-        seen.push_back(allocator_.TakingOver(now_ + later, tenant));
+        seen.push_back(allocator_.ReservedRate(now_ + later, tenant));
+        seen.push_back(allocator_.IsTakingOver(now_ + later, tenant));
       }
     }
     return seen;
   }
   // What the dispatcher and the allocator may say next, well formed.
-  Report NextReport() const {
-    Report report{
+  UsageReport NextReport() const {
+    UsageReport report{
         .epoch = kEpoch, .sequence = last_report_.sequence + 1, .full = false, .usages = {}};
-    report.usages.push_back(
-        {.tenant = tenant(0), .demand = 60, .held = 0, .left_s = 0, .grant = 0});
+    report.usages.push_back({.tenant = tenant(0),
+                             .demand_rps = 60,
+                             .lease_rps = 0,
+                             .lease_remaining_s = 0,
+                             .grant_number = 0});
     return report;
   }
   Grant NextGrant() const {
-    return {.epoch = kEpoch,
-            .answers = last_report_.sequence,
-            .want_full = false,
-            .span_s = timings_.span_s,
-            .assignments = {{.tenant = tenant(0), .rate = 33, .grant = last_number_ + 1}},
-            .life = LifeOf(kDispatcher)};
+    return {
+        .epoch = kEpoch,
+        .acked_sequence = last_report_.sequence,
+        .request_full_report = false,
+        .lease_duration_s = timings_.lease_duration_s,
+        .assignments = {{.tenant = tenant(0), .rate_rps = 33, .grant_number = last_number_ + 1}},
+        .life = LifeOf(kDispatcher)};
   }
   const Grant& last_grant() const { return last_grant_; }
 
@@ -128,10 +133,10 @@
       holder.Tick(now_, &actions);
       for (const auto& [to, message] : actions.send) {
         said->push_back(message);
-        const Report& report = std::get<Report>(message);
+        const UsageReport& report = std::get<UsageReport>(message);
         if (to != kSelf) continue;
         if (id == kDispatcher) last_report_ = report;
-        EXPECT_EQ(allocator_.Hear(now_, id, LifeOf(id), report), Refusal::kNone);
+        EXPECT_EQ(allocator_.OnUsageReport(now_, id, LifeOf(id), report), RejectReason::kNone);
       }
     }
     actions.send.clear();
@@ -139,113 +144,122 @@
     for (const auto& [to, message] : actions.send) {
       said->push_back(message);
       const Grant& grant = std::get<Grant>(message);
-      for (const Assignment& a : grant.assignments) last_number_ = std::max(last_number_, a.grant);
+      for (const Assignment& a : grant.assignments)
+        last_number_ = std::max(last_number_, a.grant_number);
       if (to == kDispatcher) last_grant_ = grant;
-      EXPECT_EQ(holders_.at(to).Hear(now_, kSelf, grant), Refusal::kNone);
+      EXPECT_EQ(holders_.at(to).OnGrant(now_, kSelf, grant), RejectReason::kNone);
     }
   }
 
   Tenants tenants_;
-  Timings timings_;
+  LeaseTimings timings_;
   double now_ = 1000;
   Allocator allocator_;
-  std::map<NodeId, Holder> holders_;
-  Report last_report_;
+  std::map<NodeId, LeaseHolder> holders_;
+  UsageReport last_report_;
   Grant last_grant_;
   std::uint64_t last_number_ = 0;
 };
 
-using Refused = std::array<std::uint64_t, static_cast<std::size_t>(Refusal::kCount)>;
+using Refused = std::array<std::uint64_t, static_cast<std::size_t>(RejectReason::kCount)>;
 
 // Exactly one more, of that cause.
-void ExpectCounted(const Refused& before, const Refused& after, Refusal cause) {
+void ExpectCounted(const Refused& before, const Refused& after, RejectReason cause) {
   for (std::size_t i = 0; i < after.size(); ++i) {
     const std::uint64_t more = i == static_cast<std::size_t>(cause) ? 1 : 0;
     EXPECT_EQ(after[i], before[i] + more) << "cause " << i;
   }
 }
 
-std::string Told(Refusal refusal) { return "refusal " + std::to_string(static_cast<int>(refusal)); }
+std::string Told(RejectReason refusal) {
+  return "refusal " + std::to_string(static_cast<int>(refusal));
+}
 
 struct BadReport {
   std::string name;
-  std::optional<Refusal> cause;  // none: any
-  std::function<void(const Pair&, Report*)> spoil;
+  std::optional<RejectReason> cause;  // none: any
+  std::function<void(const Pair&, UsageReport*)> spoil;
   NodeId from = kDispatcher;
 };
 struct BadGrant {
   std::string name;
-  std::optional<Refusal> cause;
+  std::optional<RejectReason> cause;
   std::function<void(const Pair&, Grant*)> spoil;
   NodeId from = kSelf;
 };
 
 std::vector<BadReport> BadReports() {
   std::vector<BadReport> all = {
-      {"earlier epoch", Refusal::kOldEpoch, [](const Pair&, Report* r) { r->epoch -= 1; }},
-      {"no epoch", Refusal::kOldEpoch, [](const Pair&, Report* r) { r->epoch = 0; }},
-      {"same sequence", Refusal::kDoubled, [](const Pair&, Report* r) { r->sequence -= 1; }},
-      {"first sequence", Refusal::kDoubled, [](const Pair&, Report* r) { r->sequence = 1; }},
-      {"unknown tenant", Refusal::kUnknownTenant,
-       [](const Pair&, Report* r) { r->usages.push_back({.tenant = kUnknown, .demand = 1}); }},
-      {"tenant of another allocator", Refusal::kNotAllocator,
-       [](const Pair& p, Report* r) {
-         r->usages.push_back({.tenant = p.elsewhere(), .demand = 1});
+      {"earlier epoch", RejectReason::kStaleEpoch,
+       [](const Pair&, UsageReport* r) { r->epoch -= 1; }},
+      {"no epoch", RejectReason::kStaleEpoch, [](const Pair&, UsageReport* r) { r->epoch = 0; }},
+      {"same sequence", RejectReason::kDuplicate,
+       [](const Pair&, UsageReport* r) { r->sequence -= 1; }},
+      {"first sequence", RejectReason::kDuplicate,
+       [](const Pair&, UsageReport* r) { r->sequence = 1; }},
+      {"unknown tenant", RejectReason::kUnknownTenant,
+       [](const Pair&, UsageReport* r) {
+         r->usages.push_back({.tenant = kUnknown, .demand_rps = 1});
+       }},
+      {"tenant of another allocator", RejectReason::kNotAllocator,
+       [](const Pair& p, UsageReport* r) {
+         r->usages.push_back({.tenant = p.elsewhere(), .demand_rps = 1});
        }},
-      {"too many entries", Refusal::kTooLarge,
-       [](const Pair&, Report* r) { r->usages.resize(kMostEntries + 1, r->usages[0]); }},
-      {"by a stranger", std::nullopt, [](const Pair&, Report*) {}, kStranger},
+      {"too many entries", RejectReason::kTooLarge,
+       [](const Pair&, UsageReport* r) { r->usages.resize(kMaxEntries + 1, r->usages[0]); }},
+      {"by a stranger", std::nullopt, [](const Pair&, UsageReport*) {}, kStranger},
   };
   for (const double bad : kBadNumbers) {
     const std::string text = std::to_string(bad);
-    all.push_back({"demand " + text, Refusal::kBadNumber,
-                   [bad](const Pair&, Report* r) { r->usages[0].demand = bad; }});
-    all.push_back({"held " + text, Refusal::kBadNumber,
-                   [bad](const Pair&, Report* r) { r->usages[0].held = bad; }});
-    all.push_back({"left " + text, Refusal::kBadNumber,
-                   [bad](const Pair&, Report* r) { r->usages[0].left_s = bad; }});
-    all.push_back(
-        {"last entry's demand " + text, Refusal::kBadNumber, [bad](const Pair& p, Report* r) {
-           r->usages.push_back({.tenant = p.tenant(1), .demand = bad});
-         }});
+    all.push_back({"demand " + text, RejectReason::kInvalidNumber,
+                   [bad](const Pair&, UsageReport* r) { r->usages[0].demand_rps = bad; }});
+    all.push_back({"held " + text, RejectReason::kInvalidNumber,
+                   [bad](const Pair&, UsageReport* r) { r->usages[0].lease_rps = bad; }});
+    all.push_back({"left " + text, RejectReason::kInvalidNumber,
+                   [bad](const Pair&, UsageReport* r) { r->usages[0].lease_remaining_s = bad; }});
+    all.push_back({"last entry's demand " + text, RejectReason::kInvalidNumber,
+                   [bad](const Pair& p, UsageReport* r) {
+                     r->usages.push_back({.tenant = p.tenant(1), .demand_rps = bad});
+                   }});
   }
   return all;
 }
 
 std::vector<BadGrant> BadGrants() {
   std::vector<BadGrant> all = {
-      {"earlier epoch", Refusal::kOldEpoch, [](const Pair&, Grant* g) { g->epoch -= 1; }},
-      {"no epoch", Refusal::kOldEpoch, [](const Pair&, Grant* g) { g->epoch = 0; }},
-      {"the same again", Refusal::kDoubled, [](const Pair& p, Grant* g) { *g = p.last_grant(); }},
-      {"answers an earlier report", Refusal::kDoubled,
-       [](const Pair&, Grant* g) { g->answers -= 1; }},
+      {"earlier epoch", RejectReason::kStaleEpoch, [](const Pair&, Grant* g) { g->epoch -= 1; }},
+      {"no epoch", RejectReason::kStaleEpoch, [](const Pair&, Grant* g) { g->epoch = 0; }},
+      {"the same again", RejectReason::kDuplicate,
+       [](const Pair& p, Grant* g) { *g = p.last_grant(); }},
+      {"answers an earlier report", RejectReason::kDuplicate,
+       [](const Pair&, Grant* g) { g->acked_sequence -= 1; }},
       {"answers a report that was never sent", std::nullopt,
-       [](const Pair&, Grant* g) { g->answers += 100; }},
-      {"to a former life", Refusal::kDoubled, [](const Pair&, Grant* g) { g->life += 1; }},
-      {"unknown tenant", Refusal::kUnknownTenant,
+       [](const Pair&, Grant* g) { g->acked_sequence += 100; }},
+      {"to a former life", RejectReason::kDuplicate, [](const Pair&, Grant* g) { g->life += 1; }},
+      {"unknown tenant", RejectReason::kUnknownTenant,
        [](const Pair&, Grant* g) {
          g->assignments.push_back({kUnknown, 1, 1000});
        }},
-      {"tenant of another allocator", Refusal::kNotAllocator,
+      {"tenant of another allocator", RejectReason::kNotAllocator,
        [](const Pair& p, Grant* g) {
          g->assignments.push_back({p.elsewhere(), 1, 1000});
        }},
-      {"too many entries", Refusal::kTooLarge,
-       [](const Pair&, Grant* g) { g->assignments.resize(kMostEntries + 1, g->assignments[0]); }},
-      {"by the other allocator", Refusal::kNotAllocator, [](const Pair&, Grant*) {},
+      {"too many entries", RejectReason::kTooLarge,
+       [](const Pair&, Grant* g) { g->assignments.resize(kMaxEntries + 1, g->assignments[0]); }},
+      {"by the other allocator", RejectReason::kNotAllocator, [](const Pair&, Grant*) {},
        kOtherAllocator},
-      {"by a stranger", Refusal::kNotAllocator, [](const Pair&, Grant*) {}, kStranger},
+      {"by a stranger", RejectReason::kNotAllocator, [](const Pair&, Grant*) {}, kStranger},
   };
   for (const double bad : kBadNumbers) {
     const std::string text = std::to_string(bad);
-    all.push_back({"rate " + text, Refusal::kBadNumber,
-                   [bad](const Pair&, Grant* g) { g->assignments[0].rate = bad; }});
+    all.push_back({"rate " + text, RejectReason::kInvalidNumber,
+                   [bad](const Pair&, Grant* g) { g->assignments[0].rate_rps = bad; }});
     all.push_back(
-        {"last entry's rate " + text, Refusal::kBadNumber, [bad](const Pair& p, Grant* g) {
+        {"last entry's rate " + text, RejectReason::kInvalidNumber, [bad](const Pair& p, Grant* g) {
            g->assignments.push_back({p.tenant(1), bad, 1000});
          }});
-    all.push_back(
-        {"span " + text, Refusal::kBadNumber, [bad](const Pair&, Grant* g) { g->span_s = bad; }});
+    all.push_back({"span " + text, RejectReason::kInvalidNumber,
+                   [bad](const Pair&, Grant* g) { g->lease_duration_s = bad; }});
   }
   return all;
 }
@@ -258,31 +272,31 @@
 
 TEST(QuotaRefusals, ThePairHoldsLeasesAtAll) {
   Pair pair;
-  EXPECT_FALSE(pair.allocator().TakingOver(pair.now(), pair.tenant(0)));
-  EXPECT_GE(pair.holder().Lease(pair.now(), 0), 29);
-  EXPECT_GT(pair.holder().Lease(pair.now(), 1), 40);
+  EXPECT_FALSE(pair.allocator().IsTakingOver(pair.now(), pair.tenant(0)));
+  EXPECT_GE(pair.holder().LeaseRate(pair.now(), 0), 29);
+  EXPECT_GT(pair.holder().LeaseRate(pair.now(), 1), 40);
   // The messages that are spoilt below are good ones.
-  EXPECT_EQ(
-      pair.allocator().Hear(pair.now(), kDispatcher, Pair::LifeOf(kDispatcher), pair.NextReport()),
-      Refusal::kNone);
-  EXPECT_EQ(pair.holder().Hear(pair.now(), kSelf, pair.NextGrant()), Refusal::kNone);
-  EXPECT_EQ(pair.holder().Lease(pair.now(), 0), 33);
+  EXPECT_EQ(pair.allocator().OnUsageReport(pair.now(), kDispatcher, Pair::LifeOf(kDispatcher),
+                                           pair.NextReport()),
+            RejectReason::kNone);
+  EXPECT_EQ(pair.holder().OnGrant(pair.now(), kSelf, pair.NextGrant()), RejectReason::kNone);
+  EXPECT_EQ(pair.holder().LeaseRate(pair.now(), 0), 33);
 }
 
 TEST(QuotaRefusals, BadReportsChangeNothingAndAreCounted) {
   for (const BadReport& bad : BadReports()) {
     SCOPED_TRACE(bad.name);
     Pair one, other;
-    Report report = one.NextReport();
+    UsageReport report = one.NextReport();
     bad.spoil(one, &report);
-    const Refused before = one.allocator().counters().refused;
-    const Refusal refusal =
-        one.allocator().Hear(one.now(), bad.from, Pair::LifeOf(bad.from), report);
-    EXPECT_NE(refusal, Refusal::kNone);
+    const Refused before = one.allocator().counters().rejected;
+    const RejectReason refusal =
+        one.allocator().OnUsageReport(one.now(), bad.from, Pair::LifeOf(bad.from), report);
+    EXPECT_NE(refusal, RejectReason::kNone);
     if (bad.cause) {
       EXPECT_EQ(refusal, *bad.cause) << Told(refusal);
     }
-    ExpectCounted(before, one.allocator().counters().refused, refusal);
+    ExpectCounted(before, one.allocator().counters().rejected, refusal);
     ExpectSameFromNowOn(&one, &other);
   }
 }
@@ -293,13 +307,13 @@
     Pair one, other;
     Grant grant = one.NextGrant();
     bad.spoil(one, &grant);
-    const Refused before = one.holder().counters().refused;
-    const Refusal refusal = one.holder().Hear(one.now(), bad.from, grant);
-    EXPECT_NE(refusal, Refusal::kNone);
+    const Refused before = one.holder().counters().rejected;
+    const RejectReason refusal = one.holder().OnGrant(one.now(), bad.from, grant);
+    EXPECT_NE(refusal, RejectReason::kNone);
     if (bad.cause) {
       EXPECT_EQ(refusal, *bad.cause) << Told(refusal);
     }
-    ExpectCounted(before, one.holder().counters().refused, refusal);
+    ExpectCounted(before, one.holder().counters().rejected, refusal);
     ExpectSameFromNowOn(&one, &other);
   }
 }
@@ -308,20 +322,20 @@
 TEST(QuotaRefusals, WhoKnowsALaterEpochRefusesTheEarlierOne) {
   Pair pair;
   pair.holder().SetView(pair.now(), ViewOf(kEpoch + 1));
-  const Refused before = pair.holder().counters().refused;
-  EXPECT_EQ(pair.holder().Hear(pair.now(), kSelf, pair.NextGrant()), Refusal::kOldEpoch);
-  ExpectCounted(before, pair.holder().counters().refused, Refusal::kOldEpoch);
+  const Refused before = pair.holder().counters().rejected;
+  EXPECT_EQ(pair.holder().OnGrant(pair.now(), kSelf, pair.NextGrant()), RejectReason::kStaleEpoch);
+  ExpectCounted(before, pair.holder().counters().rejected, RejectReason::kStaleEpoch);
   pair.allocator().SetView(pair.now(), ViewOf(kEpoch + 2));
-  EXPECT_EQ(
-      pair.allocator().Hear(pair.now(), kDispatcher, Pair::LifeOf(kDispatcher), pair.NextReport()),
-      Refusal::kOldEpoch);
+  EXPECT_EQ(pair.allocator().OnUsageReport(pair.now(), kDispatcher, Pair::LifeOf(kDispatcher),
+                                           pair.NextReport()),
+            RejectReason::kStaleEpoch);
 }
 
 class Fuzz {
  public:
   explicit Fuzz(std::uint64_t seed) : random_(seed) {}
   double Number() {
-    constexpr double kSome[] = {0,    1e-300, 1,   33,    1e8,  kMostRate,
+    constexpr double kSome[] = {0,    1e-300, 1,   33,    1e8,  kMaxRateRps,
                                 -0.5, -1e9,   2e9, 1e300, kNaN, kInfinity};
     return kSome[random_.Below(std::size(kSome))];
   }
@@ -339,32 +353,32 @@
     constexpr NodeId kSome[] = {kDispatcher, 2, kSelf, kOtherAllocator, kStranger};
     return kSome[random_.Below(std::size(kSome))];
   }
-  std::size_t Entries() { return Rarely() ? kMostEntries + random_.Below(3) : random_.Below(4); }
+  std::size_t Entries() { return Rarely() ? kMaxEntries + random_.Below(3) : random_.Below(4); }
 
-  void Spoil(const Pair& pair, Report* report) {
+  void Spoil(const Pair& pair, UsageReport* report) {
     if (Rarely()) report->epoch = std::min(Word(), kEpoch);
     if (Rarely()) report->sequence = Word();
     if (Rarely()) report->full = true;
     if (Rarely()) report->usages.resize(Entries());
-    for (Usage& usage : report->usages) {
+    for (TenantUsage& usage : report->usages) {
       if (Rarely()) usage.tenant = Tenant(pair);
-      if (Rarely()) usage.demand = Number();
-      if (Rarely()) usage.held = Number();
-      if (Rarely()) usage.left_s = Number();
-      if (Rarely()) usage.grant = Word();
+      if (Rarely()) usage.demand_rps = Number();
+      if (Rarely()) usage.lease_rps = Number();
+      if (Rarely()) usage.lease_remaining_s = Number();
+      if (Rarely()) usage.grant_number = Word();
     }
   }
   void Spoil(const Pair& pair, Grant* grant) {
     if (Rarely()) grant->epoch = std::min(Word(), kEpoch);
-    if (Rarely()) grant->answers = Word();
+    if (Rarely()) grant->acked_sequence = Word();
     if (Rarely()) grant->life = Word();
-    if (Rarely()) grant->want_full = true;
-    if (Rarely()) grant->span_s = Number();
+    if (Rarely()) grant->request_full_report = true;
+    if (Rarely()) grant->lease_duration_s = Number();
     if (Rarely()) grant->assignments.resize(Entries());
     for (Assignment& assignment : grant->assignments) {
       if (Rarely()) assignment.tenant = Tenant(pair);
-      if (Rarely()) assignment.rate = Number();
-      if (Rarely()) assignment.grant = Word();
+      if (Rarely()) assignment.rate_rps = Number();
+      if (Rarely()) assignment.grant_number = Word();
     }
   }
 
@@ -387,30 +401,31 @@
     Pair one, other;
     for (int n = 0; n < kMessagesEach; ++n) {
       const NodeId from = fuzz.From();
-      Report report = one.NextReport();
+      UsageReport report = one.NextReport();
       fuzz.Spoil(one, &report);
-      Refused before = one.allocator().counters().refused;
-      Refusal refusal = one.allocator().Hear(one.now(), from, Pair::LifeOf(from), report);
-      if (refusal == Refusal::kNone) {
-        other.allocator().Hear(other.now(), from, Pair::LifeOf(from), report);
+      Refused before = one.allocator().counters().rejected;
+      RejectReason refusal =
+          one.allocator().OnUsageReport(one.now(), from, Pair::LifeOf(from), report);
+      if (refusal == RejectReason::kNone) {
+        other.allocator().OnUsageReport(other.now(), from, Pair::LifeOf(from), report);
         taken += 1;
       } else {
-        ExpectCounted(before, one.allocator().counters().refused, refusal);
+        ExpectCounted(before, one.allocator().counters().rejected, refusal);
       }
       Grant grant = one.NextGrant();
       fuzz.Spoil(one, &grant);
-      before = one.holder().counters().refused;
-      refusal = one.holder().Hear(one.now(), from, grant);
-      if (refusal == Refusal::kNone) {
-        other.holder().Hear(other.now(), from, grant);
+      before = one.holder().counters().rejected;
+      refusal = one.holder().OnGrant(one.now(), from, grant);
+      if (refusal == RejectReason::kNone) {
+        other.holder().OnGrant(other.now(), from, grant);
         taken += 1;
       } else {
-        ExpectCounted(before, one.holder().counters().refused, refusal);
+        ExpectCounted(before, one.holder().counters().rejected, refusal);
       }
       ASSERT_EQ(one.Seen(), other.Seen());
     }
-    refused += RefusedInAll(one.allocator().counters().refused) +
-               RefusedInAll(one.holder().counters().refused);
+    refused += RefusedInAll(one.allocator().counters().rejected) +
+               RefusedInAll(one.holder().counters().rejected);
   }
   std::printf("%lu refused, %lu taken\n", refused, taken);
   EXPECT_GT(refused, taken);
--- a/tests/quota_scenarios_test.cpp
+++ b/tests/quota_scenarios_test.cpp
@@ -54,11 +54,11 @@
     for (std::size_t i = 0; i < world.size(); ++i) DemandAt(&world, i, kMuchDemand);
     world.RunUntil(world.now() + kWarmUpSeconds);
     ASSERT_GT(LeasedAt(world, last), 0);
-    const double act_s = world.options().timings.act_s;
+    const double superseded_grant_s = world.options().timings.superseded_grant_s;
     world.ProposeViewKnownAfter(
         [](std::size_t) { return true; }, [](std::size_t i) { return i > 0; },
-        [&](std::size_t i) { return i == last || i == 1 || i == 2 ? 0 : act_s; });
-    world.RunUntil(world.now() + 2 * act_s);
+        [&](std::size_t i) { return i == last || i == 1 || i == 2 ? 0 : superseded_grant_s; });
+    world.RunUntil(world.now() + 2 * superseded_grant_s);
     EXPECT_EQ(world.broken(), std::vector<std::string>{}) << Told(seed);
   }
 }
@@ -128,7 +128,7 @@
     world.SetQuotas(lowered, 0);
     world.RunUntil(world.now() + kLoweredForSeconds);
     world.SetQuotas(quotas, 0);
-    world.RunUntil(world.now() + world.options().timings.span_s / 2);
+    world.RunUntil(world.now() + world.options().timings.lease_duration_s / 2);
     EXPECT_GT(LeasedAt(world, last), 0) << "or nothing had to be kept for it, " << Told(seed);
     world.RunUntil(world.now() + kWarmUpSeconds);
     EXPECT_EQ(world.broken(), std::vector<std::string>{}) << Told(seed);
@@ -163,8 +163,8 @@
     Begin(&world);
     for (std::size_t i = 0; i < world.size(); ++i) DemandAt(&world, i, kMuchDemand);
     world.RunUntil(world.now() + kWarmUpSeconds);
-    world.Stop(last, 3.3 * world.options().timings.span_s);
-    world.RunUntil(world.now() + 1.5 * world.options().timings.span_s);
+    world.Stop(last, 3.3 * world.options().timings.lease_duration_s);
+    world.RunUntil(world.now() + 1.5 * world.options().timings.lease_duration_s);
     EXPECT_EQ(LeasedAt(world, last), 0) << Told(seed);
     for (std::size_t tenant = 0; tenant < world.tenants(); ++tenant) {
       EXPECT_GE(world.RateOf(0, tenant), 0.15 * world.quota(tenant)) << Told(seed);
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -9,8 +9,8 @@
 #include <string>
 
 #include "quota/allocator.h"
-#include "quota/holder.h"
-#include "quota/split.h"
+#include "quota/lease_holder.h"
+#include "quota/rate_division.h"
 
 namespace millethollow::quota {
 namespace {
@@ -28,13 +28,13 @@
 }
 
 // Floors of 4 in sum of a quota of 100, so that the figures below are round.
-constexpr Timings kTimings{.floor_part = 0.04};
+constexpr LeaseTimings kTimings{.floor_fraction = 0.04};
 
 // One allocator (node 1) and holders at nodes 1 to n, messages carried at once unless cut.
 class Cluster {
  public:
   explicit Cluster(std::size_t dispatchers, std::vector<TenantQuota> tenants = {{kTenant, kQuota}},
-                   const Timings& timings = kTimings)
+                   const LeaseTimings& timings = kTimings)
       : tenants_(std::move(tenants)), timings_(timings) {
     for (NodeId id = 1; id <= dispatchers; ++id) ids_.push_back(id);
     for (const NodeId id : ids_) StartHolder(id, 100 + id);
@@ -43,7 +43,7 @@
 
   void StartHolder(NodeId id, Life life) {
     lives_[id] = life;
-    holders_[id] = std::make_unique<Holder>(life, ids_.size(), tenants_, timings_);
+    holders_[id] = std::make_unique<LeaseHolder>(life, ids_.size(), tenants_, timings_);
   }
   void StartAllocator(NodeId id) {
     allocators_[id] = std::make_unique<Allocator>(id, ids_, tenants_, timings_, now);
@@ -61,7 +61,8 @@
     for (auto& [id, holder] : holders_) {
       Actions actions;
       holder->Tick(now, &actions);
-      for (const auto& [to, message] : actions.send) CarryReport(id, to, std::get<Report>(message));
+      for (const auto& [to, message] : actions.send)
+        CarryReport(id, to, std::get<UsageReport>(message));
     }
     for (auto& [id, allocator] : allocators_) {
       Actions actions;
@@ -72,10 +73,10 @@
 
   double InUse(std::size_t tenant = 0) const {
     double sum = 0;
-    for (const auto& [id, holder] : holders_) sum += holder->Rate(now, tenant);
+    for (const auto& [id, holder] : holders_) sum += holder->AdmissibleRate(now, tenant);
     return sum;
   }
-  Holder& holder(NodeId id) { return *holders_.at(id); }
+  LeaseHolder& holder(NodeId id) { return *holders_.at(id); }
   Allocator& allocator(NodeId id = kAllocator) { return *allocators_.at(id); }
   Life life(NodeId id) const { return lives_.at(id); }
 
@@ -86,22 +87,22 @@
   std::uint64_t carried = 0;
 
  private:
-  void CarryReport(NodeId from, NodeId to, const Report& report) {
+  void CarryReport(NodeId from, NodeId to, const UsageReport& report) {
     ++carried;
     const auto found = allocators_.find(to);
     if (cut[from] || found == allocators_.end()) return;
-    found->second->Hear(now, from, lives_.at(from), report);
+    found->second->OnUsageReport(now, from, lives_.at(from), report);
   }
   void CarryGrant(NodeId from, NodeId to, const Grant& grant) {
     ++carried;
-    if (!cut[to] && !lose_grants[to]) holders_.at(to)->Hear(now, from, grant);
+    if (!cut[to] && !lose_grants[to]) holders_.at(to)->OnGrant(now, from, grant);
   }
 
   std::vector<TenantQuota> tenants_;
-  Timings timings_;
+  LeaseTimings timings_;
   std::vector<NodeId> ids_;
   std::map<NodeId, Life> lives_;
-  std::map<NodeId, std::unique_ptr<Holder>> holders_;
+  std::map<NodeId, std::unique_ptr<LeaseHolder>> holders_;
   std::map<NodeId, std::unique_ptr<Allocator>> allocators_;
 };
 
@@ -116,24 +117,24 @@
 }
 
 TEST(QuotaSplit, KeepsRatesWithinHysteresis) {
-  const std::vector<double> rates = SteadyRates(100, {{52, 50}, {48, 50}}, 0.1);
+  const std::vector<double> rates = RatesWithHysteresis(100, {{52, 50}, {48, 50}}, 0.1);
   EXPECT_DOUBLE_EQ(rates[0], 50);
   EXPECT_DOUBLE_EQ(rates[1], 50);
 }
 
 TEST(QuotaSplit, TakesFromOthersOnlyWhatOneNeeds) {
-  std::vector<Claim> claims(20, {5, 5});
-  claims[0].demand = 10;
-  const std::vector<double> rates = SteadyRates(100, claims, 0.1);
+  std::vector<DispatcherDemand> claims(20, {5, 5});
+  claims[0].demand_rps = 10;
+  const std::vector<double> rates = RatesWithHysteresis(100, claims, 0.1);
   EXPECT_NEAR(rates[0], 100 * 10.0 / 105, 1e-9);
   EXPECT_LE(Sum(rates), 100 + 1e-6);
   EXPECT_GE(Sum(rates), 100 - 0.3) << "no more is taken than is needed";
 }
 
 TEST(QuotaSplit, WhatOneLeavesGoesToTheOthersThoughEachRaiseIsSmall) {
-  std::vector<Claim> claims(21, {5, 100.0 / 21});
-  claims[0].demand = 0;
-  const std::vector<double> rates = SteadyRates(100, claims, 0.1);
+  std::vector<DispatcherDemand> claims(21, {5, 100.0 / 21});
+  claims[0].demand_rps = 0;
+  const std::vector<double> rates = RatesWithHysteresis(100, claims, 0.1);
   EXPECT_EQ(rates[0], 0);
   EXPECT_GE(Sum(rates), 99.9 - 1e-9);
 }
@@ -143,29 +144,29 @@
 TEST(QuotaLease, IsGrantedByDemandRenewedAndOverWithoutRenewal) {
   Cluster cluster(2);
   cluster.SetView(1);
-  EXPECT_DOUBLE_EQ(cluster.holder(1).Rate(cluster.now, 0), 2) << "the floor alone";
+  EXPECT_DOUBLE_EQ(cluster.holder(1).AdmissibleRate(cluster.now, 0), 2) << "the floor alone";
   cluster.holder(1).SetDemand(cluster.now, 0, 30);
   cluster.holder(2).SetDemand(cluster.now, 0, 10);
   cluster.Run(1);
-  EXPECT_NEAR(cluster.holder(1).Lease(cluster.now, 0), 72, 0.2);
-  EXPECT_NEAR(cluster.holder(2).Lease(cluster.now, 0), 24, 0.2);
+  EXPECT_NEAR(cluster.holder(1).LeaseRate(cluster.now, 0), 72, 0.2);
+  EXPECT_NEAR(cluster.holder(2).LeaseRate(cluster.now, 0), 24, 0.2);
   EXPECT_LE(cluster.InUse(), kQuota + 1e-9);
   cluster.Run(10);
-  EXPECT_NEAR(cluster.holder(1).Lease(cluster.now, 0), 72, 0.2) << "renewed";
+  EXPECT_NEAR(cluster.holder(1).LeaseRate(cluster.now, 0), 72, 0.2) << "renewed";
 
   cluster.cut[1] = true;
   cluster.Run(2);
-  EXPECT_NEAR(cluster.holder(1).Lease(cluster.now, 0), 72, 0.2) << "until the lease is over";
+  EXPECT_NEAR(cluster.holder(1).LeaseRate(cluster.now, 0), 72, 0.2) << "until the lease is over";
   cluster.Run(1.1);
-  EXPECT_EQ(cluster.holder(1).Lease(cluster.now, 0), 0);
-  EXPECT_DOUBLE_EQ(cluster.holder(1).Rate(cluster.now, 0), 2);
+  EXPECT_EQ(cluster.holder(1).LeaseRate(cluster.now, 0), 0);
+  EXPECT_DOUBLE_EQ(cluster.holder(1).AdmissibleRate(cluster.now, 0), 2);
   EXPECT_EQ(cluster.holder(1).counters().expiries, 1u);
   cluster.Run(0.5);
-  EXPECT_NEAR(cluster.holder(2).Lease(cluster.now, 0), 96, 0.2) << "the other one has it now";
+  EXPECT_NEAR(cluster.holder(2).LeaseRate(cluster.now, 0), 96, 0.2) << "the other one has it now";
 
   cluster.cut[1] = false;
   cluster.Run(2);
-  EXPECT_NEAR(cluster.holder(1).Lease(cluster.now, 0), 72, 0.5);
+  EXPECT_NEAR(cluster.holder(1).LeaseRate(cluster.now, 0), 72, 0.5);
 }
 
 TEST(QuotaLease, WhatASilentHolderMayUseStaysReserved) {
@@ -179,9 +180,9 @@
   for (int i = 0; i < 300; ++i) {
     cluster.Run(0.02);
     ASSERT_LE(cluster.InUse(), kQuota + 1e-9) << cluster.now;
-    ASSERT_GE(cluster.allocator().Reserved(cluster.now, kTenant) + 4 + 1e-9, cluster.InUse());
+    ASSERT_GE(cluster.allocator().ReservedRate(cluster.now, kTenant) + 4 + 1e-9, cluster.InUse());
   }
-  EXPECT_GT(cluster.holder(2).Lease(cluster.now, 0), 0);
+  EXPECT_GT(cluster.holder(2).LeaseRate(cluster.now, 0), 0);
 }
 
 TEST(QuotaLease, ALostRaiseIsOfferedAgain) {
@@ -191,10 +192,10 @@
   cluster.holder(1).SetDemand(cluster.now, 0, 10);
   cluster.lose_grants[1] = true;
   cluster.Run(0.5);
-  EXPECT_EQ(cluster.holder(1).Lease(cluster.now, 0), 0);
+  EXPECT_EQ(cluster.holder(1).LeaseRate(cluster.now, 0), 0);
   cluster.lose_grants[1] = false;
   cluster.Run(1);
-  EXPECT_NEAR(cluster.holder(1).Lease(cluster.now, 0), 96, 0.2);
+  EXPECT_NEAR(cluster.holder(1).LeaseRate(cluster.now, 0), 96, 0.2);
 }
 
 TEST(QuotaLease, SteadyDemandChangesNothing) {
@@ -202,14 +203,14 @@
   cluster.SetView(1);
   for (NodeId id = 1; id <= 5; ++id) cluster.holder(id).SetDemand(cluster.now, 0, 10);
   cluster.Run(2);
-  const double before = cluster.holder(3).Lease(cluster.now, 0);
+  const double before = cluster.holder(3).LeaseRate(cluster.now, 0);
   const std::uint64_t carried = cluster.carried;
   for (int i = 0; i < 100; ++i) {
     for (NodeId id = 1; id <= 5; ++id) {
       cluster.holder(id).SetDemand(cluster.now, 0, 10 + 0.3 * ((i + static_cast<int>(id)) % 3 - 1));
     }
     cluster.Run(0.1);
-    ASSERT_EQ(cluster.holder(3).Lease(cluster.now, 0), before);
+    ASSERT_EQ(cluster.holder(3).LeaseRate(cluster.now, 0), before);
   }
   EXPECT_LE(cluster.carried - carried, 10 / 0.8 * 5 * 2 + 20) << "renewals and their answers";
 }
@@ -221,22 +222,22 @@
   cluster.Run(1);
   for (NodeId id = 1; id <= 2; ++id) cluster.holder(id).SetQuotas(cluster.now, {{kTenant, 50}});
   cluster.allocator().SetQuotas(cluster.now, {{kTenant, 50}});
-  EXPECT_LE(cluster.holder(1).Rate(cluster.now, 0), 50) << "never more than the quota";
+  EXPECT_LE(cluster.holder(1).AdmissibleRate(cluster.now, 0), 50) << "never more than the quota";
   cluster.Run(0.5);
-  EXPECT_NEAR(cluster.holder(1).Lease(cluster.now, 0), 48, 0.1);
+  EXPECT_NEAR(cluster.holder(1).LeaseRate(cluster.now, 0), 48, 0.1);
 }
 
 TEST(QuotaLease, MoreTenantsThanAFrameHolds) {
   std::vector<TenantQuota> tenants;
-  for (TenantId id = 1; id <= 2 * kMostEntries; ++id) tenants.push_back({id, kQuota});
+  for (TenantId id = 1; id <= 2 * kMaxEntries; ++id) tenants.push_back({id, kQuota});
   Cluster cluster(2, tenants);
   cluster.SetView(1);
   for (std::size_t i = 0; i < tenants.size(); ++i) cluster.holder(1).SetDemand(cluster.now, i, 5);
   cluster.Run(1);
   for (std::size_t i = 0; i < tenants.size(); ++i) {
-    ASSERT_NEAR(cluster.holder(1).Lease(cluster.now, i), 96, 0.2) << i;
+    ASSERT_NEAR(cluster.holder(1).LeaseRate(cluster.now, i), 96, 0.2) << i;
   }
-  EXPECT_FALSE(cluster.allocator().TakingOver(cluster.now, 1));
+  EXPECT_FALSE(cluster.allocator().IsTakingOver(cluster.now, 1));
 }
 
 TEST(QuotaLease, ADispatcherThatGrantsDoNotReachKeepsNothing) {
@@ -246,17 +247,17 @@
   cluster.lose_grants[1] = true;
   cluster.holder(1).SetDemand(cluster.now, 0, 50);
   cluster.Run(0.5);
-  EXPECT_NEAR(cluster.allocator().Reserved(cluster.now, kTenant), 96, 0.1) << "an open offer";
+  EXPECT_NEAR(cluster.allocator().ReservedRate(cluster.now, kTenant), 96, 0.1) << "an open offer";
   cluster.holder(2).SetDemand(cluster.now, 0, 50);
-  cluster.Run(2 * Timings{}.span_s + 1);
-  EXPECT_NEAR(cluster.holder(2).Lease(cluster.now, 0), 96, 0.1)
+  cluster.Run(2 * LeaseTimings{}.lease_duration_s + 1);
+  EXPECT_NEAR(cluster.holder(2).LeaseRate(cluster.now, 0), 96, 0.1)
       << "reports without end change it not";
   cluster.Run(10);
-  EXPECT_NEAR(cluster.holder(2).Lease(cluster.now, 0), 96, 0.1);
+  EXPECT_NEAR(cluster.holder(2).LeaseRate(cluster.now, 0), 96, 0.1);
   cluster.lose_grants[1] = false;
   cluster.Run(2);
-  EXPECT_NEAR(cluster.holder(1).Lease(cluster.now, 0), 48, 0.1) << "it is found again";
-  EXPECT_NEAR(cluster.holder(2).Lease(cluster.now, 0), 48, 0.1);
+  EXPECT_NEAR(cluster.holder(1).LeaseRate(cluster.now, 0), 48, 0.1) << "it is found again";
+  EXPECT_NEAR(cluster.holder(2).LeaseRate(cluster.now, 0), 48, 0.1);
 }
 
 TEST(QuotaLease, ALoweredQuotaLowersAnOpenOffer) {
@@ -268,28 +269,28 @@
   cluster.Run(0.5);
   cluster.allocator().SetQuotas(cluster.now, {{kTenant, 10}});
   cluster.Run(0.5);
-  EXPECT_NEAR(cluster.allocator().Reserved(cluster.now, kTenant), 96, 0.1)
+  EXPECT_NEAR(cluster.allocator().ReservedRate(cluster.now, kTenant), 96, 0.1)
       << "the larger offer may still arrive";
   cluster.lose_grants[1] = false;
   cluster.Run(1);
-  EXPECT_NEAR(cluster.holder(1).Lease(cluster.now, 0), 9.6, 0.01);
-  EXPECT_NEAR(cluster.allocator().Reserved(cluster.now, kTenant), 9.6, 0.01);
+  EXPECT_NEAR(cluster.holder(1).LeaseRate(cluster.now, 0), 9.6, 0.01);
+  EXPECT_NEAR(cluster.allocator().ReservedRate(cluster.now, kTenant), 9.6, 0.01);
 }
 
 TEST(QuotaLease, AFullReportOfSeveralFramesIsGrantedFromAtItsEnd) {
-  constexpr std::size_t kTenants = kMostEntries + 10;
+  constexpr std::size_t kTenants = kMaxEntries + 10;
   std::vector<TenantQuota> tenants;
   for (TenantId id = 1; id <= kTenants; ++id) tenants.push_back({id, kQuota});
   Cluster cluster(1, tenants);
   cluster.SetView(1);
   for (std::size_t i = 0; i < kTenants; ++i) cluster.holder(1).SetDemand(cluster.now, i, 5);
   cluster.Run(0.09);
-  EXPECT_TRUE(cluster.allocator().TakingOver(cluster.now, 1))
+  EXPECT_TRUE(cluster.allocator().IsTakingOver(cluster.now, 1))
       << "the rest comes a report gap later";
   EXPECT_EQ(cluster.holder(1).counters().reports, 1u);
   cluster.Run(1);
   for (std::size_t i = 0; i < kTenants; ++i) {
-    ASSERT_NEAR(cluster.holder(1).Lease(cluster.now, i), 96, 0.2) << i;
+    ASSERT_NEAR(cluster.holder(1).LeaseRate(cluster.now, i), 96, 0.2) << i;
   }
 }
 
@@ -302,10 +303,10 @@
   cluster.SetView(2);
   cluster.holder(1).SetDemand(cluster.now, 0, 10);
   cluster.Run(1);
-  EXPECT_EQ(cluster.holder(1).Lease(cluster.now, 0), 0);
-  EXPECT_NEAR(cluster.allocator().Reserved(cluster.now, kTenant), 96, 0.1);
+  EXPECT_EQ(cluster.holder(1).LeaseRate(cluster.now, 0), 0);
+  EXPECT_NEAR(cluster.allocator().ReservedRate(cluster.now, kTenant), 96, 0.1);
   cluster.Run(2.5);
-  EXPECT_NEAR(cluster.holder(1).Lease(cluster.now, 0), 96, 0.1);
+  EXPECT_NEAR(cluster.holder(1).LeaseRate(cluster.now, 0), 96, 0.1);
 }
 
 // ---- takeover ----
@@ -328,13 +329,13 @@
 
 TEST_F(QuotaTakeover, EndsOnceEveryDispatcherHasReported) {
   LoseAllocator();
-  EXPECT_TRUE(cluster.allocator(2).TakingOver(cluster.now, kTenant));
-  EXPECT_DOUBLE_EQ(cluster.allocator(2).Reserved(cluster.now, kTenant), 96);
+  EXPECT_TRUE(cluster.allocator(2).IsTakingOver(cluster.now, kTenant));
+  EXPECT_DOUBLE_EQ(cluster.allocator(2).ReservedRate(cluster.now, kTenant), 96);
   cluster.Run(0.3);
-  EXPECT_FALSE(cluster.allocator(2).TakingOver(cluster.now, kTenant));
+  EXPECT_FALSE(cluster.allocator(2).IsTakingOver(cluster.now, kTenant));
   cluster.holder(1).SetDemand(cluster.now, 0, 100);
   cluster.Run(1);
-  EXPECT_NEAR(cluster.holder(1).Lease(cluster.now, 0), 80, 0.2);
+  EXPECT_NEAR(cluster.holder(1).LeaseRate(cluster.now, 0), 80, 0.2);
   EXPECT_LE(cluster.InUse(), kQuota + 1e-9);
 }
 
@@ -342,45 +343,48 @@
   cluster.cut[3] = true;
   LoseAllocator();
   cluster.holder(1).SetDemand(cluster.now, 0, 1000);
-  const Timings timings;
+  const LeaseTimings timings;
   const double lost_at = cluster.now;
-  const double over = lost_at + timings.Widened(timings.act_s + timings.span_s);
+  const double over =
+      lost_at + timings.MaxLocalDuration(timings.superseded_grant_s + timings.lease_duration_s);
   while (cluster.now < over - 0.05) {
     cluster.Run(0.02);
-    ASSERT_TRUE(cluster.allocator(2).TakingOver(cluster.now, kTenant));
+    ASSERT_TRUE(cluster.allocator(2).IsTakingOver(cluster.now, kTenant));
     ASSERT_LE(cluster.InUse(), kQuota + 1e-9);
-    const double lease = cluster.holder(1).Lease(cluster.now, 0);
-    const bool carried = cluster.now < lost_at + timings.span_s - timings.renew_s;
+    const double lease = cluster.holder(1).LeaseRate(cluster.now, 0);
+    const bool carried =
+        cluster.now < lost_at + timings.lease_duration_s - timings.renew_interval_s;
     if (carried) {
       ASSERT_NEAR(lease, 32, 0.1);
     }
-    if (cluster.now >= lost_at + timings.span_s) {
+    if (cluster.now >= lost_at + timings.lease_duration_s) {
       ASSERT_EQ(lease, 0) << "a lease of an allocator that may still act is not prolonged";
     }
   }
   cluster.Run(1);
-  EXPECT_FALSE(cluster.allocator(2).TakingOver(cluster.now, kTenant));
-  EXPECT_NEAR(cluster.holder(1).Lease(cluster.now, 0), 96 * 1000.0 / 1010, 0.5);
+  EXPECT_FALSE(cluster.allocator(2).IsTakingOver(cluster.now, kTenant));
+  EXPECT_NEAR(cluster.holder(1).LeaseRate(cluster.now, 0), 96 * 1000.0 / 1010, 0.5);
 }
 
 TEST_F(QuotaTakeover, BeginsAnewWhereAViewWasMissed) {
   cluster.SetView(ViewOf(3, {{1, 101}}));
-  EXPECT_TRUE(cluster.allocator(1).TakingOver(cluster.now, kTenant));
+  EXPECT_TRUE(cluster.allocator(1).IsTakingOver(cluster.now, kTenant));
   cluster.Run(0.3);
-  EXPECT_FALSE(cluster.allocator(1).TakingOver(cluster.now, kTenant));
+  EXPECT_FALSE(cluster.allocator(1).IsTakingOver(cluster.now, kTenant));
   cluster.SetView(ViewOf(4, {{1, 101}}));
-  EXPECT_FALSE(cluster.allocator(1).TakingOver(cluster.now, kTenant)) << "kept";
+  EXPECT_FALSE(cluster.allocator(1).IsTakingOver(cluster.now, kTenant)) << "kept";
   cluster.SetView(ViewOf(5, {{1, 999}}));
-  EXPECT_TRUE(cluster.allocator(1).TakingOver(cluster.now, kTenant)) << "another process of it";
+  EXPECT_TRUE(cluster.allocator(1).IsTakingOver(cluster.now, kTenant)) << "another process of it";
 }
 
 TEST_F(QuotaTakeover, TheOldAllocatorIsNotHeardAnyMore) {
-  const double lease = cluster.holder(2).Lease(cluster.now, 0);
+  const double lease = cluster.holder(2).LeaseRate(cluster.now, 0);
   cluster.holder(2).SetView(cluster.now, ViewOf(2, {{2, 102}}));
-  Grant late{.epoch = 1, .answers = 2, .span_s = 3, .assignments = {{kTenant, 90, 1000}}};
+  Grant late{
+      .epoch = 1, .acked_sequence = 2, .lease_duration_s = 3, .assignments = {{kTenant, 90, 1000}}};
   late.life = cluster.life(2);
-  EXPECT_EQ(cluster.holder(2).Hear(cluster.now, 1, late), Refusal::kOldEpoch);
-  EXPECT_EQ(cluster.holder(2).Lease(cluster.now, 0), lease);
+  EXPECT_EQ(cluster.holder(2).OnGrant(cluster.now, 1, late), RejectReason::kStaleEpoch);
+  EXPECT_EQ(cluster.holder(2).LeaseRate(cluster.now, 0), lease);
 }
 
 TEST(QuotaAllocator, GrantsOnlyWhileItMayAct) {
@@ -390,10 +394,10 @@
   cluster.holder(1).SetDemand(cluster.now, 0, 10);
   cluster.Run(2);
   EXPECT_EQ(cluster.allocator().counters().grants, 0u);
-  EXPECT_GT(cluster.allocator().NextAt(), cluster.now - 0.1);
+  EXPECT_GT(cluster.allocator().NextTickAt(), cluster.now - 0.1);
   cluster.may_act[1] = true;
   cluster.Run(0.5);
-  EXPECT_NEAR(cluster.holder(1).Lease(cluster.now, 0), 96, 0.1);
+  EXPECT_NEAR(cluster.holder(1).LeaseRate(cluster.now, 0), 96, 0.1);
 }
 
 // ---- refusals ----
@@ -408,118 +412,120 @@
     good_report.sequence = 1000;
     good_report.usages = {{kTenant, 10, 0, 0, 0}};
     good_grant.epoch = 5;
-    good_grant.answers = 2;
-    good_grant.span_s = 3;
+    good_grant.acked_sequence = 2;
+    good_grant.lease_duration_s = 3;
     good_grant.life = cluster.life(1);
     good_grant.assignments = {{kTenant, 50, 1000}};
   }
-  void ExpectRefused(const Report& report, Refusal cause, NodeId from = 1) {
+  void ExpectRefused(const UsageReport& report, RejectReason cause, NodeId from = 1) {
     const auto counted = [&] {
-      return cluster.allocator().counters().refused[static_cast<std::size_t>(cause)];
+      return cluster.allocator().counters().rejected[static_cast<std::size_t>(cause)];
     };
     const std::uint64_t before = counted();
-    const double reserved = cluster.allocator().Reserved(cluster.now, kTenant);
-    EXPECT_EQ(cluster.allocator().Hear(cluster.now, from, cluster.life(1), report), cause);
+    const double reserved = cluster.allocator().ReservedRate(cluster.now, kTenant);
+    EXPECT_EQ(cluster.allocator().OnUsageReport(cluster.now, from, cluster.life(1), report), cause);
     EXPECT_EQ(counted(), before + 1);
-    EXPECT_EQ(cluster.allocator().Reserved(cluster.now, kTenant), reserved);
+    EXPECT_EQ(cluster.allocator().ReservedRate(cluster.now, kTenant), reserved);
   }
-  void ExpectRefused(const Grant& grant, Refusal cause, NodeId from = kAllocator) {
+  void ExpectRefused(const Grant& grant, RejectReason cause, NodeId from = kAllocator) {
     const auto counted = [&] {
-      return cluster.holder(1).counters().refused[static_cast<std::size_t>(cause)];
+      return cluster.holder(1).counters().rejected[static_cast<std::size_t>(cause)];
     };
     const std::uint64_t before = counted();
-    const double lease = cluster.holder(1).Lease(cluster.now, 0);
-    EXPECT_EQ(cluster.holder(1).Hear(cluster.now, from, grant), cause);
+    const double lease = cluster.holder(1).LeaseRate(cluster.now, 0);
+    EXPECT_EQ(cluster.holder(1).OnGrant(cluster.now, from, grant), cause);
     EXPECT_EQ(counted(), before + 1);
-    EXPECT_EQ(cluster.holder(1).Lease(cluster.now, 0), lease);
+    EXPECT_EQ(cluster.holder(1).LeaseRate(cluster.now, 0), lease);
   }
   Cluster cluster{2};
-  Report good_report;
+  UsageReport good_report;
   Grant good_grant;
 };
 
 TEST_F(QuotaRefusal, OfReports) {
-  Report report = good_report;
+  UsageReport report = good_report;
   report.epoch = 4;
-  ExpectRefused(report, Refusal::kOldEpoch);
+  ExpectRefused(report, RejectReason::kStaleEpoch);
   report.epoch = 6;
-  ExpectRefused(report, Refusal::kNotAllocator);
+  ExpectRefused(report, RejectReason::kNotAllocator);
   report = good_report;
   report.sequence = 1;
-  ExpectRefused(report, Refusal::kDoubled);
-  ExpectRefused(good_report, Refusal::kNotAllocator, 99);
+  ExpectRefused(report, RejectReason::kDuplicate);
+  ExpectRefused(good_report, RejectReason::kNotAllocator, 99);
   report = good_report;
   report.usages.push_back({78, 1, 0, 0, 0});
-  ExpectRefused(report, Refusal::kUnknownTenant);
+  ExpectRefused(report, RejectReason::kUnknownTenant);
   report = good_report;
-  report.usages.assign(kMostEntries + 1, {kTenant, 1, 0, 0, 0});
-  ExpectRefused(report, Refusal::kTooLarge);
+  report.usages.assign(kMaxEntries + 1, {kTenant, 1, 0, 0, 0});
+  ExpectRefused(report, RejectReason::kTooLarge);
   for (const double bad : {-1.0, std::nan(""), std::numeric_limits<double>::infinity(), 2e9}) {
     report = good_report;
-    report.usages[0].demand = bad;
-    ExpectRefused(report, Refusal::kBadNumber);
+    report.usages[0].demand_rps = bad;
+    ExpectRefused(report, RejectReason::kInvalidNumber);
     report = good_report;
-    report.usages[0].held = bad;
-    ExpectRefused(report, Refusal::kBadNumber);
+    report.usages[0].lease_rps = bad;
+    ExpectRefused(report, RejectReason::kInvalidNumber);
     report = good_report;
-    report.usages[0].left_s = bad;
-    ExpectRefused(report, Refusal::kBadNumber);
+    report.usages[0].lease_remaining_s = bad;
+    ExpectRefused(report, RejectReason::kInvalidNumber);
   }
-  EXPECT_EQ(cluster.allocator().Hear(cluster.now, 1, cluster.life(1), good_report), Refusal::kNone);
+  EXPECT_EQ(cluster.allocator().OnUsageReport(cluster.now, 1, cluster.life(1), good_report),
+            RejectReason::kNone);
 }
 
 TEST_F(QuotaRefusal, OfReportsOfAFormerLife) {
-  Report first = good_report;
+  UsageReport first = good_report;
   first.sequence = 1;
-  EXPECT_EQ(cluster.allocator().Hear(cluster.now, 1, 555, first), Refusal::kNone);
-  ExpectRefused(good_report, Refusal::kDoubled);
+  EXPECT_EQ(cluster.allocator().OnUsageReport(cluster.now, 1, 555, first), RejectReason::kNone);
+  ExpectRefused(good_report, RejectReason::kDuplicate);
 }
 
 TEST_F(QuotaRefusal, OfGrants) {
   Grant grant = good_grant;
   grant.epoch = 4;
-  ExpectRefused(grant, Refusal::kOldEpoch);
+  ExpectRefused(grant, RejectReason::kStaleEpoch);
   grant.epoch = 6;
-  ExpectRefused(grant, Refusal::kNotAllocator);
-  ExpectRefused(good_grant, Refusal::kNotAllocator, 2);
+  ExpectRefused(grant, RejectReason::kNotAllocator);
+  ExpectRefused(good_grant, RejectReason::kNotAllocator, 2);
   grant = good_grant;
   grant.life = 555;
-  ExpectRefused(grant, Refusal::kDoubled);
+  ExpectRefused(grant, RejectReason::kDuplicate);
   grant = good_grant;
-  grant.answers = 1;
-  ExpectRefused(grant, Refusal::kDoubled);
-  grant.answers = 1000;
-  ExpectRefused(grant, Refusal::kBadNumber);
+  grant.acked_sequence = 1;
+  ExpectRefused(grant, RejectReason::kDuplicate);
+  grant.acked_sequence = 1000;
+  ExpectRefused(grant, RejectReason::kInvalidNumber);
   grant = good_grant;
   grant.assignments.push_back({78, 1, 1001});
-  ExpectRefused(grant, Refusal::kUnknownTenant);
+  ExpectRefused(grant, RejectReason::kUnknownTenant);
   grant = good_grant;
-  grant.assignments.assign(kMostEntries + 1, {kTenant, 1, 1000});
-  ExpectRefused(grant, Refusal::kTooLarge);
+  grant.assignments.assign(kMaxEntries + 1, {kTenant, 1, 1000});
+  ExpectRefused(grant, RejectReason::kTooLarge);
   for (const double bad : {-1.0, std::nan(""), std::numeric_limits<double>::infinity(), 2e9}) {
     grant = good_grant;
-    grant.assignments[0].rate = bad;
-    ExpectRefused(grant, Refusal::kBadNumber);
+    grant.assignments[0].rate_rps = bad;
+    ExpectRefused(grant, RejectReason::kInvalidNumber);
     grant = good_grant;
-    grant.span_s = bad;
-    ExpectRefused(grant, Refusal::kBadNumber);
+    grant.lease_duration_s = bad;
+    ExpectRefused(grant, RejectReason::kInvalidNumber);
   }
 }
 
 TEST_F(QuotaRefusal, OfADoubledGrant) {
-  Holder& holder = cluster.holder(2);
+  LeaseHolder& holder = cluster.holder(2);
   holder.SetDemand(cluster.now, 0, 10);
   Actions reports;
   holder.Tick(cluster.now, &reports);
   ASSERT_EQ(reports.send.size(), 1u);
   Grant grant = good_grant;
   grant.life = cluster.life(2);
-  grant.answers = std::get<Report>(reports.send[0].second).sequence;
-  EXPECT_EQ(holder.Hear(cluster.now, kAllocator, grant), Refusal::kNone);
-  EXPECT_EQ(holder.Hear(cluster.now, kAllocator, grant), Refusal::kDoubled);
+  grant.acked_sequence = std::get<UsageReport>(reports.send[0].second).sequence;
+  EXPECT_EQ(holder.OnGrant(cluster.now, kAllocator, grant), RejectReason::kNone);
+  EXPECT_EQ(holder.OnGrant(cluster.now, kAllocator, grant), RejectReason::kDuplicate);
   grant.assignments[0] = {kTenant, 20, 999};
-  EXPECT_EQ(holder.Hear(cluster.now, kAllocator, grant), Refusal::kDoubled) << "an earlier rate";
-  EXPECT_EQ(holder.Lease(cluster.now, 0), 50);
+  EXPECT_EQ(holder.OnGrant(cluster.now, kAllocator, grant), RejectReason::kDuplicate)
+      << "an earlier rate";
+  EXPECT_EQ(holder.LeaseRate(cluster.now, 0), 50);
 }
 
 // ---- placement ----
@@ -529,14 +535,14 @@
   const AllocatorView less = ViewOf(2, {{11, 1}, {33, 1}, {44, 1}});
   std::map<NodeId, int> tenants;
   for (TenantId tenant = 1; tenant <= 4000; ++tenant) {
-    const NodeId before = whole.Of(membership::Mix(tenant))->id;
+    const NodeId before = whole.AllocatorOf(membership::Mix(tenant))->id;
     ++tenants[before];
     if (before != 22) {
-      ASSERT_EQ(less.Of(membership::Mix(tenant))->id, before);
+      ASSERT_EQ(less.AllocatorOf(membership::Mix(tenant))->id, before);
     }
   }
   for (const auto& [id, count] : tenants) EXPECT_NEAR(count, 1000, 120) << id;
-  EXPECT_EQ(ViewOf(1, {}).Of(1), nullptr);
+  EXPECT_EQ(ViewOf(1, {}).AllocatorOf(1), nullptr);
 }
 
 }  // namespace
--- a/tests/quota_wiring_test.cpp
+++ b/tests/quota_wiring_test.cpp
@@ -19,23 +19,31 @@
 namespace {
 
 using quota::Grant;
-using quota::Report;
+using quota::UsageReport;
 
 quota::Message AReport() {
-  return Report{.epoch = 7,
-                .sequence = 21,
-                .full = true,
-                .usages = {{.tenant = 5, .demand = 12.5, .held = 10, .left_s = 1.25, .grant = 3},
-                           {.tenant = 6, .demand = 0, .held = 0, .left_s = 0, .grant = 0}}};
+  return UsageReport{.epoch = 7,
+                     .sequence = 21,
+                     .full = true,
+                     .usages = {{.tenant = 5,
+                                 .demand_rps = 12.5,
+                                 .lease_rps = 10,
+                                 .lease_remaining_s = 1.25,
+                                 .grant_number = 3},
+                                {.tenant = 6,
+                                 .demand_rps = 0,
+                                 .lease_rps = 0,
+                                 .lease_remaining_s = 0,
+                                 .grant_number = 0}}};
 }
 
 quota::Message AGrant() {
   return Grant{.epoch = 7,
-               .answers = 21,
-               .want_full = true,
-               .span_s = 3,
-               .assignments = {{.tenant = 5, .rate = 11.5, .grant = 4},
-                               {.tenant = 6, .rate = 0, .grant = 5}},
+               .acked_sequence = 21,
+               .request_full_report = true,
+               .lease_duration_s = 3,
+               .assignments = {{.tenant = 5, .rate_rps = 11.5, .grant_number = 4},
+                               {.tenant = 6, .rate_rps = 0, .grant_number = 5}},
                .life = 91};
 }
 
@@ -44,7 +52,7 @@
 
 TEST(QuotaCodec, IsReadAsItWasWritten) {
   for (const quota::Message& message :
-       {AReport(), AGrant(), quota::Message(Report{}), quota::Message(Grant{})}) {
+       {AReport(), AGrant(), quota::Message(UsageReport{}), quota::Message(Grant{})}) {
     const auto read = codec::DecodeQuota(codec::Encode(message));
     ASSERT_TRUE(read.has_value());
     EXPECT_EQ(*read, message);
@@ -54,7 +62,7 @@
 TEST(QuotaCodec, NumbersThatMakeNoSenseComeThroughForTheMechanismToRefuse) {
   for (const double odd : {std::numeric_limits<double>::quiet_NaN(), -1.0, 1e300, HUGE_VAL}) {
     quota::Message report = AReport();
-    std::get<Report>(report).usages[0].demand = odd;
+    std::get<UsageReport>(report).usages[0].demand_rps = odd;
     const auto read = codec::DecodeQuota(codec::Encode(report));
     ASSERT_TRUE(read.has_value());
     EXPECT_EQ(Bytes(*read), Bytes(report)) << odd;
@@ -62,9 +70,9 @@
 }
 
 TEST(QuotaCodec, AsManyEntriesAsAllowedAndNotOneMore) {
-  Report report;
+  UsageReport report;
   Grant grant;
-  for (std::size_t i = 0; i < quota::kMostEntries; ++i) {
+  for (std::size_t i = 0; i < quota::kMaxEntries; ++i) {
     report.usages.push_back({.tenant = i + 1});
     grant.assignments.push_back({.tenant = i + 1});
   }
@@ -112,10 +120,10 @@
     }
     const auto read = codec::DecodeQuota(noise);
     if (!read) continue;
-    if (const auto* report = std::get_if<Report>(&*read)) {
-      EXPECT_LE(report->usages.size(), quota::kMostEntries);
+    if (const auto* report = std::get_if<UsageReport>(&*read)) {
+      EXPECT_LE(report->usages.size(), quota::kMaxEntries);
     } else {
-      EXPECT_LE(std::get<Grant>(*read).assignments.size(), quota::kMostEntries);
+      EXPECT_LE(std::get<Grant>(*read).assignments.size(), quota::kMaxEntries);
     }
   }
 }
@@ -169,8 +177,9 @@
   EXPECT_EQ(why, "");
   EXPECT_TRUE(usual.on);
   EXPECT_EQ(usual.allocators, (std::vector<std::string>{"a", "b", "c"}));
-  EXPECT_GT(usual.timings.act_s, 4.0 * 1.01) << "the lease of membership, by the slower clock";
-  EXPECT_LE(LongestOldLease(usual.timings) + usual.timings.renew_s, kQuotaInForceS);
+  EXPECT_GT(usual.timings.superseded_grant_s, 4.0 * 1.01)
+      << "the lease of membership, by the slower clock";
+  EXPECT_LE(LongestOldLease(usual.timings) + usual.timings.renew_interval_s, kQuotaInForceS);
   const QuotaOptions own = ReadSection(
                                R"("timings":{"lease_s":3,"drift":0.02},
          "quota":{"allocators":["d","b"],"span_s":2,"renew_s":0.5,"report_gap_s":0.05,"floor_part":0.1,
@@ -179,13 +188,13 @@
                                .quota;
   EXPECT_EQ(why, "");
   EXPECT_EQ(own.allocators, (std::vector<std::string>{"d", "b"}));
-  EXPECT_EQ(own.timings.span_s, 2);
-  EXPECT_EQ(own.timings.renew_s, 0.5);
-  EXPECT_EQ(own.timings.report_gap_s, 0.05);
-  EXPECT_EQ(own.timings.floor_part, 0.1);
+  EXPECT_EQ(own.timings.lease_duration_s, 2);
+  EXPECT_EQ(own.timings.renew_interval_s, 0.5);
+  EXPECT_EQ(own.timings.min_report_interval_s, 0.05);
+  EXPECT_EQ(own.timings.floor_fraction, 0.1);
   EXPECT_EQ(own.timings.hysteresis, 0.2);
-  EXPECT_EQ(own.timings.drift, 0.02);
-  EXPECT_GT(own.timings.act_s, 3 * 1.02);
+  EXPECT_EQ(own.timings.max_clock_drift, 0.02);
+  EXPECT_GT(own.timings.superseded_grant_s, 3 * 1.02);
 }
 
 TEST(QuotaSection, EachMistakeIsOneClearLine) {
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -42,7 +42,7 @@
 
 TEST(WireTest, SettingsAreReadAndUnknownOnesIgnored) {
   std::string_view name;
-  Pairs pairs;
+  Fields pairs;
   ASSERT_TRUE(Split(kStart, &name, &pairs));
   Settings s;
   std::string why;
@@ -57,7 +57,7 @@
        {"START a=1 classes.count=0", "START classes.count=1 classes.0.aim_s=-1",
         "START classes.count=x", "START classes.count=1 classes.0.semantics=sometimes"}) {
     std::string_view name;
-    Pairs pairs;
+    Fields pairs;
     ASSERT_TRUE(Split(bad, &name, &pairs));
     Settings s;
     std::string why;
--- a/tests/support/quota_checker.h
+++ b/tests/support/quota_checker.h
@@ -19,8 +19,9 @@
   // What a process would admit of a tenant now, by its own clock; 0 for one that is not there.
   using RateOf = std::function<double(std::size_t process, std::size_t tenant)>;
 
-  QuotaChecker(std::size_t processes, std::vector<double> quotas, double floor_part, RateOf rate_of)
-      : floor_part_(floor_part),
+  QuotaChecker(std::size_t processes, std::vector<double> quotas, double floor_fraction,
+               RateOf rate_of)
+      : floor_fraction_(floor_fraction),
         rate_of_(std::move(rate_of)),
         version_at_(processes, kNone),
         seen_(processes, std::vector<double>(quotas.size(), 0)),
@@ -64,7 +65,7 @@
 
   double Floor(std::size_t process, std::size_t tenant) const {
     const double quota = versions_[version_at_[process]].quotas[tenant];
-    return floor_part_ * quota / static_cast<double>(seen_.size());
+    return floor_fraction_ * quota / static_cast<double>(seen_.size());
   }
   const std::vector<std::string>& broken() const { return broken_; }
   std::uint64_t sums_checked() const { return sums_checked_; }
@@ -117,7 +118,7 @@
                       what);
   }
 
-  double floor_part_;
+  double floor_fraction_;
   RateOf rate_of_;
   std::vector<Version> versions_;
   std::vector<std::size_t> version_at_;    // by process
--- a/tests/support/quota_demand.h
+++ b/tests/support/quota_demand.h
@@ -60,7 +60,7 @@
 };
 
 inline Use UseOf(const QuotaWorld& world, std::size_t tenant) {
-  const double floors = world.options().timings.floor_part * world.quota(tenant);
+  const double floors = world.options().timings.floor_fraction * world.quota(tenant);
   const double floor = floors / static_cast<double>(world.size());
   Use use;
   double demand = 0, usable_floors = 0;
@@ -86,10 +86,12 @@
 }
 
 // The longest until all of a quota is in use after the last fault, from when everyone is well and
-// knows the view: an allocator before may have granted for act_s, its leases last their span, and a
-// dispatcher learns what is free with a renewal.
-inline double FullUseAgainSeconds(const Timings& timings) {
-  return (timings.act_s + timings.span_s) * (1 + 4 * timings.drift) + 2 * timings.renew_s;
+// knows the view: an allocator before may have granted for superseded_grant_s, its leases last
+// their span, and a dispatcher learns what is free with a renewal.
+inline double FullUseAgainSeconds(const LeaseTimings& timings) {
+  return (timings.superseded_grant_s + timings.lease_duration_s) *
+             (1 + 4 * timings.max_clock_drift) +
+         2 * timings.renew_interval_s;
 }
 
 // Messages that were refused by the processes that are there.
@@ -98,10 +100,10 @@
   for (std::size_t i = 0; i < world.size(); ++i) {
     const QuotaWorld::Process& process = world.process(i);
     if (process.holder) {
-      for (const std::uint64_t count : process.holder->counters().refused) refused += count;
+      for (const std::uint64_t count : process.holder->counters().rejected) refused += count;
     }
     if (process.allocator) {
-      for (const std::uint64_t count : process.allocator->counters().refused) refused += count;
+      for (const std::uint64_t count : process.allocator->counters().rejected) refused += count;
     }
   }
   return refused;
--- a/tests/support/quota_faults.h
+++ b/tests/support/quota_faults.h
@@ -23,20 +23,20 @@
 };
 
 // The timings of allocators that have such a fault.
-inline Timings TimingsWith(const PlantedFaults& planted, Timings timings) {
+inline LeaseTimings TimingsWith(const PlantedFaults& planted, LeaseTimings timings) {
   constexpr double kLongOver = -100;
-  if (planted.half_span_reserved) timings.span_s /= 2;
-  if (planted.drift_left_out) timings.drift = 0;
-  if (planted.earlier_grants_forgotten) timings.act_s = 0;
-  if (planted.takeover_forgets_leases) timings.act_s = kLongOver;
+  if (planted.half_span_reserved) timings.lease_duration_s /= 2;
+  if (planted.drift_left_out) timings.max_clock_drift = 0;
+  if (planted.earlier_grants_forgotten) timings.superseded_grant_s = 0;
+  if (planted.takeover_forgets_leases) timings.superseded_grant_s = kLongOver;
   return timings;
 }
 
 // Alters messages on their way as the planted faults would.
 class Tampering {
  public:
-  Tampering(const PlantedFaults& planted, const Timings& timings)
-      : planted_(planted), span_s_(timings.span_s) {}
+  Tampering(const PlantedFaults& planted, const LeaseTimings& timings)
+      : planted_(planted), span_s_(timings.lease_duration_s) {}
 
   // A grant is sent by `allocator` to `dispatcher`.
   void OnSend(NodeId allocator, NodeId dispatcher, const Grant& grant) {
@@ -46,18 +46,18 @@
     }
   }
   // A report arrives at `allocator`.
-  void OnArrival(NodeId dispatcher, NodeId allocator, Report* report) {
+  void OnArrival(NodeId dispatcher, NodeId allocator, UsageReport* report) {
     if (planted_.release_counted_early) ConfirmOffers(dispatcher, allocator, report);
     if (planted_.sequence_ignored) MakeNewest(dispatcher, allocator, report);
   }
   // A grant arrives at `dispatcher`.
   void OnArrival(NodeId allocator, NodeId dispatcher, Grant* grant) {
-    if (planted_.half_span_reserved) grant->span_s = span_s_;
+    if (planted_.half_span_reserved) grant->lease_duration_s = span_s_;
     if (!planted_.sequence_ignored) return;
     const auto link = links_.find({dispatcher, allocator});
     if (link == links_.end()) return;
-    const auto real = link->second.real_of.find(grant->answers);
-    if (real != link->second.real_of.end()) grant->answers = real->second;
+    const auto real = link->second.real_of.find(grant->acked_sequence);
+    if (real != link->second.real_of.end()) grant->acked_sequence = real->second;
   }
 
  private:
@@ -67,15 +67,15 @@
     std::map<std::uint64_t, std::uint64_t> real_of;  // the newest real number at each made one
   };
 
-  void ConfirmOffers(NodeId dispatcher, NodeId allocator, Report* report) {
-    for (Usage& usage : report->usages) {
+  void ConfirmOffers(NodeId dispatcher, NodeId allocator, UsageReport* report) {
+    for (TenantUsage& usage : report->usages) {
       const auto offer = offers_.find({allocator, dispatcher, usage.tenant});
-      if (offer == offers_.end() || offer->second.grant <= usage.grant) continue;
-      usage.grant = offer->second.grant;
-      usage.held = offer->second.rate;
+      if (offer == offers_.end() || offer->second.grant_number <= usage.grant_number) continue;
+      usage.grant_number = offer->second.grant_number;
+      usage.lease_rps = offer->second.rate_rps;
     }
   }
-  void MakeNewest(NodeId dispatcher, NodeId allocator, Report* report) {
+  void MakeNewest(NodeId dispatcher, NodeId allocator, UsageReport* report) {
     Link& link = links_[{dispatcher, allocator}];
     link.newest_real = std::max(link.newest_real, report->sequence);
     link.last += 1;
--- a/tests/support/quota_world.h
+++ b/tests/support/quota_world.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "quota/allocator.h"
-#include "quota/holder.h"
+#include "quota/lease_holder.h"
 #include "support/quota_checker.h"
 #include "support/quota_faults.h"
 
@@ -40,7 +40,7 @@
   bool measure = false;  // processor time
   // Bytes of a message on the wire; absent: bytes are not counted.
   std::function<std::size_t(const Message&)> size_of = {};
-  Timings timings = {};
+  LeaseTimings timings = {};
   PlantedFaults planted = {};
 };
 
@@ -56,9 +56,9 @@
     std::size_t region = 0;
     double offset = 0, pace = 1;  // of its clock, which goes on while it is stopped
     Life life = 0;
-    std::optional<Holder> holder;  // none: the process is not there
+    std::optional<LeaseHolder> holder;  // none: the process is not there
     std::unique_ptr<Allocator> allocator;
-    std::optional<Holder> earlier;  // planted: one that goes on in the view before
+    std::optional<LeaseHolder> earlier;  // planted: one that goes on in the view before
     double stopped_until = -1;
     std::size_t settings = 0;  // version of the quotas
     std::uint64_t epoch = 0;   // of the view that it knows
@@ -74,7 +74,7 @@
         processes_(options.dispatchers),
         tampering_(options.planted, options.timings),
         cut_(options.dispatchers, std::vector<bool>(options.dispatchers, false)),
-        checker_(options.dispatchers, FirstQuotas(), options.timings.floor_part,
+        checker_(options.dispatchers, FirstQuotas(), options.timings.floor_fraction,
                  [this](std::size_t i, std::size_t tenant) { return RateOf(i, tenant); }) {
     for (std::size_t i = 0; i < size(); ++i) Prepare(i);
     views_.push_back({{}, std::vector<Life>(size(), 0), 0});
@@ -101,9 +101,9 @@
     const Process& process = processes_[i];
     if (!process.holder) return 0;
     const double local = Local(process);
-    const double rate = process.holder->Rate(local, tenant);
+    const double rate = process.holder->AdmissibleRate(local, tenant);
     if (!process.earlier) return rate;
-    return std::max(rate, process.earlier->Rate(local, tenant));
+    return std::max(rate, process.earlier->AdmissibleRate(local, tenant));
   }
 
   // Processes.
@@ -191,7 +191,7 @@
     ProposeView(everyone, everyone, slowest_s);
   }
   // A process may act as an allocator while it is in the view that it knows, and that view is the
-  // newest or the next one has been known anywhere for no more than act_s.
+  // newest or the next one has been known anywhere for no more than superseded_grant_s.
   bool MayAct(std::size_t i) const {
     const Process& process = processes_[i];
     const AllocatorView& view = views_[process.epoch].view;
@@ -200,7 +200,7 @@
       return false;
     }
     if (process.epoch + 1 == views_.size()) return true;
-    return now_ <= views_[process.epoch + 1].proposed_at + options_.timings.act_s;
+    return now_ <= views_[process.epoch + 1].proposed_at + options_.timings.superseded_grant_s;
   }
 
   // Settings, which processes learn within `slowest_s`.
@@ -309,9 +309,9 @@
 
   void Arm(std::size_t i, double earliest) {
     Process& process = processes_[i];
-    double local = process.holder->NextAt();
-    if (process.earlier) local = std::min(local, process.earlier->NextAt());
-    if (process.allocator) local = std::min(local, process.allocator->NextAt());
+    double local = process.holder->NextTickAt();
+    if (process.earlier) local = std::min(local, process.earlier->NextTickAt());
+    if (process.allocator) local = std::min(local, process.allocator->NextTickAt());
     const double at = (local - process.offset) / process.pace + 1e-9;  // not just before
     if (!std::isfinite(at)) {
       process.timer += 1;
@@ -401,12 +401,12 @@
   }
   void Arrive(std::size_t i, NodeId from, Life life, const Message& message) {
     Process& process = processes_[i];
-    if (const auto* report = std::get_if<Report>(&message)) {
+    if (const auto* report = std::get_if<UsageReport>(&message)) {
       if (!process.allocator) return;
-      Report tampered = *report;
+      UsageReport tampered = *report;
       tampering_.OnArrival(from, process.id, &tampered);
       Measured(&process.allocator_ns,
-               [&] { process.allocator->Hear(Local(process), from, life, tampered); });
+               [&] { process.allocator->OnUsageReport(Local(process), from, life, tampered); });
     } else {
       Grant tampered = std::get<Grant>(message);
       tampering_.OnArrival(from, process.id, &tampered);
@@ -417,10 +417,10 @@
   void HearGrant(std::size_t i, NodeId from, const Grant& grant) {
     Process& process = processes_[i];
     if (process.earlier && grant.epoch < process.holder->epoch()) {
-      process.earlier->Hear(Local(process), from, grant);
+      process.earlier->OnGrant(Local(process), from, grant);
       return;
     }
-    Measured(&process.holder_ns, [&] { process.holder->Hear(Local(process), from, grant); });
+    Measured(&process.holder_ns, [&] { process.holder->OnGrant(Local(process), from, grant); });
     on_grant(i);
   }
 
