--- /dev/null
+++ b/tests/support/compatibility_samples.h
@@ -0,0 +1,490 @@
+// One message of each kind with every field that its kind carries: written once by the program at
+// 3865b00, and made again by the tests to be compared with that.
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_COMPATIBILITY_SAMPLES_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_COMPATIBILITY_SAMPLES_H_
+
+#include <map>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "balancing/usage_report.h"
+#include "copies/jobs.h"
+#include "copies/keys.h"
+#include "copies/records.h"
+#include "core/request.h"
+#include "membership/cluster.h"
+#include "millethollow/balancing/load_balancer.h"
+#include "net/cluster/frame.h"
+#include "net/link/frame.h"
+#include "quota/types.h"
+
+namespace millethollow::compatibility {
+
+using membership::Message;
+
+inline cluster::Header SampleHeader() {
+  return {.cluster = 0x1122334455667788,
+          .from = 0x0102030405060708,
+          .life = 0xa1b2c3d4e5f60718,
+          .number = 77};
+}
+
+inline membership::View SampleView() {
+  membership::View view;
+  view.epoch = 9;
+  view.settled = 8;
+  view.members = {{.id = 3, .life = 31, .place = "rack-1", .since = 2, .disk = 0xd15c},
+                  {.id = 5, .life = 51, .place = "", .since = 7, .disk = 0}};
+  view.logs = {{.log = 0xabc01,
+                .owner = 3,
+                .life = 31,
+                .since = 8,
+                .version = 4,
+                .holders = {{.id = 3, .disk = 0xd15c}, {.id = 5, .disk = 0xd15d}}},
+               {.log = 0xabd02, .owner = 0, .life = 0, .since = 0, .version = 1, .holders = {}}};
+  return view;
+}
+
+// What every message of a voter carries.
+inline Message FromVoter(Message::Kind kind) {
+  Message m;
+  m.kind = kind;
+  m.mind = {.number = 2, .nonce = 0xfeed};
+  m.minds = {{3, {.number = 2, .nonce = 0xfeed}}, {5, {.number = 1, .nonce = 0xbeef}}};
+  m.count = 12;
+  m.knows = membership::kKnowsLogs;
+  return m;
+}
+
+inline std::map<std::string, Message> SampleMessages() {
+  using Kind = Message::Kind;
+  std::map<std::string, Message> all;
+  Message m = FromVoter(Kind::kWho);
+  m.number = 0xfeed;
+  all["membership-who"] = m;
+  m = FromVoter(Kind::kKnown);
+  m.number = 0xfeed;
+  m.yes = true;
+  all["membership-known"] = m;
+  m = FromVoter(Kind::kClaim);
+  all["membership-claim"] = m;
+  m = FromVoter(Kind::kClaimed);
+  m.ballot = {.round = 4, .who = 5};
+  m.accepted_by = {.round = 3, .who = 3};
+  m.view = SampleView();
+  all["membership-claimed"] = m;
+  m = FromVoter(Kind::kMiss);
+  m.number = 21;
+  all["membership-miss"] = m;
+  m = FromVoter(Kind::kMissed);
+  m.number = 21;
+  m.yes = true;
+  all["membership-missed"] = m;
+  m = FromVoter(Kind::kPrepare);
+  m.ballot = {.round = 6, .who = 3};
+  all["membership-prepare"] = m;
+  m = FromVoter(Kind::kPromise);
+  m.ballot = {.round = 6, .who = 3};
+  m.accepted_by = {.round = 5, .who = 5};
+  m.view = SampleView();
+  all["membership-promise"] = m;
+  m = FromVoter(Kind::kPropose);
+  m.ballot = {.round = 6, .who = 3};
+  m.view = SampleView();
+  m.quorum = {{3, {.number = 2, .nonce = 0xfeed}}, {5, {.number = 1, .nonce = 0xbeef}}};
+  all["membership-propose"] = m;
+  m = FromVoter(Kind::kAccepted);
+  m.ballot = {.round = 6, .who = 3};
+  m.number = 9;
+  all["membership-accepted"] = m;
+  m = FromVoter(Kind::kRefused);
+  m.ballot = {.round = 7, .who = 5};
+  all["membership-refused"] = m;
+  m = FromVoter(Kind::kBeat);
+  m.ballot = {.round = 6, .who = 3};
+  m.number = 4711;
+  m.quorum = {{3, {.number = 2, .nonce = 0xfeed}}};
+  all["membership-beat"] = m;
+  m = FromVoter(Kind::kBeaten);
+  m.ballot = {.round = 6, .who = 3};
+  m.number = 4711;
+  all["membership-beaten"] = m;
+  m = {};
+  m.kind = Kind::kDecided;
+  m.view = SampleView();
+  m.origin = 5;
+  all["membership-decided"] = m;
+  m = {};
+  m.kind = Kind::kRenew;
+  m.number = 9;
+  m.asked_at = 123.0625;
+  m.life = 31;
+  m.disk = 0xd15c;
+  m.logs = SampleView().logs;
+  m.origin = 5;
+  all["membership-renew"] = m;
+  m = {};
+  m.kind = Kind::kGrant;
+  m.number = 9;
+  m.asked_at = 123.0625;
+  m.span = 3.75;
+  m.life = 31;
+  m.origin = 5;
+  all["membership-grant"] = m;
+  m = {};
+  m.kind = Kind::kElsewhere;
+  m.ballot = {.round = 6, .who = 3};
+  all["membership-elsewhere"] = m;
+  m = {};
+  m.kind = Kind::kTaken;
+  m.life = 32;
+  m.yes = true;
+  m.origin = 5;
+  all["membership-taken"] = m;
+  m = {};
+  m.kind = Kind::kRelease;
+  m.life = 31;
+  m.origin = 5;
+  all["membership-release"] = m;
+  return all;
+}
+
+inline std::map<std::string, membership::Probe> SampleProbes() {
+  using Kind = membership::Probe::Kind;
+  using membership::Health;
+  std::map<std::string, membership::Probe> all;
+  all["detector-ping"] = {
+      .kind = Kind::kPing,
+      .seq = 300,
+      .about = 0,
+      .incarnation = 2,
+      .digest = 0xd1,
+      .news = {{.who = 3, .incarnation = 1, .health = Health::kAlive, .by = 0}}};
+  all["detector-ack"] = {
+      .kind = Kind::kAck, .seq = 300, .about = 5, .incarnation = 2, .digest = 0xd2, .news = {}};
+  all["detector-ping-for"] = {
+      .kind = Kind::kPingFor,
+      .seq = 301,
+      .about = 5,
+      .incarnation = 0,
+      .digest = 0xd3,
+      .news = {{.who = 5, .incarnation = 4, .health = Health::kSuspect, .by = 3},
+               {.who = 7, .incarnation = 4, .health = Health::kFailed, .by = 0}}};
+  all["detector-nack"] = {
+      .kind = Kind::kNack, .seq = 301, .about = 5, .incarnation = 1, .digest = 0xd4, .news = {}};
+  all["detector-news"] = {.kind = Kind::kNews,
+                          .seq = 0,
+                          .about = 0,
+                          .incarnation = 1,
+                          .digest = 0xd5,
+                          .news = {{.who = 9, .incarnation = 8, .health = Health::kLeft, .by = 0}}};
+  return all;
+}
+
+inline std::map<std::string, membership::FactNews> SampleFacts() {
+  std::map<std::string, membership::FactNews> all;
+  membership::FactNews news;
+  news.digest = 0xfac7;
+  news.number = 12;
+  news.answers = 11;
+  news.ask = true;
+  membership::Fact fact;
+  fact.worker = "toy-1";
+  fact.calls = {{31, {3, 2}}, {51, {1, 0}}};
+  news.facts.push_back(fact);
+  fact = {};
+  fact.worker = "toy-2";
+  fact.started_at_s = 1700000000.5;
+  fact.down = 2;
+  news.facts.push_back(fact);
+  all["facts"] = news;
+  return all;
+}
+
+inline std::map<std::string, copies::Frame> SampleCopies() {
+  using copies::Frame;
+  using Kind = Frame::Kind;
+  std::map<std::string, Frame> all;
+  Frame f{.kind = Kind::kWhere, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  f.number = 5;
+  all["copies-where"] = f;
+  f = {.kind = Kind::kAt, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  f.seq = 40, f.commit = 38, f.end = 41;
+  f.seq_epoch = 8, f.end_epoch = 7;
+  f.number = 5;
+  f.life = 31;
+  f.fill = 2, f.chunk = 3;
+  f.matched = true;
+  all["copies-at"] = f;
+  f = {.kind = Kind::kOps, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  f.seq = 40, f.commit = 38, f.seq_epoch = 8;
+  f.ops = {{.seq = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .gone = false},
+           {.seq = 42, .epoch = 8, .key = "H:a:2", .value = "", .gone = true}};
+  all["copies-ops"] = f;
+  f = {.kind = Kind::kFill, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  f.seq = 40, f.commit = 40, f.seq_epoch = 8;
+  f.fill = 2, f.chunk = 3;
+  f.last = true;
+  f.ops = {{.seq = 7, .epoch = 6, .key = "H:a:1", .value = "entry", .gone = false}};
+  all["copies-fill"] = f;
+  f = {.kind = Kind::kLied, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  all["copies-lied"] = f;
+  return all;
+}
+
+inline std::map<std::string, quota::Message> SampleQuota() {
+  std::map<std::string, quota::Message> all;
+  all["quota-report"] = quota::Report{
+      .epoch = 9,
+      .sequence = 17,
+      .full = true,
+      .usages = {{.tenant = 0xaaaa, .demand = 12.5, .held = 10, .left_s = 1.25, .grant = 3},
+                 {.tenant = 0xbbbb, .demand = 0, .held = 0, .left_s = 0, .grant = 0}}};
+  all["quota-grant"] = quota::Grant{.epoch = 9,
+                                    .answers = 17,
+                                    .want_full = true,
+                                    .span_s = 3,
+                                    .assignments = {{.tenant = 0xaaaa, .rate = 11.75, .grant = 4}},
+                                    .life = 31};
+  return all;
+}
+
+// What lies in the store.
+inline copies::Head SampleHead() {
+  return {.applied = 38, .applied_epoch = 7, .epoch = 8, .filling = 2};
+}
+inline copies::Op SampleOp() {
+  return {.seq = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .gone = true};
+}
+inline copies::JobRecord SampleJob() {
+  return {.handle = "H:a:1",
+          .function = "charge",
+          .unique = "u-1",
+          .cls = "cobro",
+          .tenant = "andes",
+          .body = std::string("b\0y", 3),
+          .priority = 2,
+          .tried = {{.worker = "toy-1", .own = true, .seq = 41},
+                    {.worker = "toy-2", .own = false, .seq = 0}}};
+}
+inline copies::KeyRecord SampleKey() {
+  return {.claimer = {.who = 3, .life = 31, .number = 6},
+          .tried = {{.worker = "toy-1", .own = false, .seq = 44}},
+          .window_s = 40,
+          .answered = true,
+          .result = "200 done"};
+}
+inline membership::Votes SampleVotes() {
+  membership::Votes votes;
+  votes.promised = {.round = 6, .who = 3};
+  votes.accepted_by = {.round = 5, .who = 5};
+  votes.accepted = SampleView();
+  votes.mind = {.number = 2, .nonce = 0xfeed};
+  votes.minds = {{5, {.number = 1, .nonce = 0xbeef}}};
+  votes.writes = 12;
+  return votes;
+}
+
+// The peers' datagrams: of a small tier, and of a large one in parts.
+inline balancing::RowLayout SmallTier() { return {.tenants = 3}; }
+inline balancing::RowLayout LargeTier() {
+  return {.tenants = 60, .large_tier = true, .classes = 3, .kinds = 2};
+}
+inline balancing::UsageReport SampleUsage(const balancing::RowLayout& layout) {
+  balancing::UsageReport report;
+  report.fresh = report.hears_all = true;
+  report.rate = 77.5;
+  report.view = 41;
+  for (std::size_t i = 0; i < layout.size(); ++i)
+    report.rates.push_back(0.5 + static_cast<double>(i));
+  report.out = {{0x1234, 3}, {0xfedc, 17}};
+  report.usage = {{.bucket = 1, .allowed = 4, .denied = 2},
+                  {.bucket = 2, .allowed = 0, .denied = 9}};
+  return report;
+}
+
+// The link between forwarders and planners, and between two processes of one node.
+inline Outcome SampleOutcome() {
+  return {.status = AttemptStatus::kServerError,
+          .latency_s = 0.125,
+          .clients_fault = true,
+          .has_report = true,
+          .report = {1, 2.5, 3, 4}};
+}
+inline balancing::Endpoint SampleMember() {
+  balancing::Endpoint m;
+  m.worker = "toy-1";
+  m.readiness = balancing::Readiness::kDraining;
+  m.zone = 1, m.kind = 2, m.cell = -3;
+  m.capacity = 1.5;
+  m.started_at_s = 1700000000.5;
+  return m;
+}
+inline std::map<std::string, std::string> SampleLinkFrames() {
+  using link::Kind;
+  using link::Writer;
+  std::map<std::string, std::string> all;
+  all["link-taken"] = Writer(Kind::kTaken)
+                          .U64(5ULL << 48 | 7)
+                          .Text("look")
+                          .I32(2)
+                          .Text("id-7")
+                          .Text("about")
+                          .Real(4.5)
+                          .Real(2)
+                          .Real(0.25)
+                          .Real(0.0625)
+                          .U8(1)
+                          .U64(1000)
+                          .Done();
+  all["link-client-gone"] = Writer(Kind::kClientGone).U64(5ULL << 48 | 7).Done();
+  all["link-began"] = Writer(Kind::kBegan).U64(5ULL << 48 | 7).I32(1).Done();
+  all["link-ended"] = Writer(Kind::kEnded).U64(5ULL << 48 | 7).I32(1).Put(SampleOutcome()).Done();
+  all["link-probed"] = Writer(Kind::kProbed).Text("toy-1").Put(SampleOutcome()).Done();
+  all["link-worker"] = Writer(Kind::kWorker).Put(SampleMember()).Real(8).Done();
+  all["link-welcome"] = Writer(Kind::kWelcome).U64(5).Done();
+  all["link-address"] = Writer(Kind::kAddress).Text("toy-1").Text("127.0.0.1:9101").U64(12).Done();
+  all["link-send"] = Writer(Kind::kSend).U64(5ULL << 48 | 7).I32(1).Text("toy-1").Done();
+  all["link-cancel"] = Writer(Kind::kCancel).U64(5ULL << 48 | 7).I32(1).Done();
+  all["link-probe"] = Writer(Kind::kProbe).Text("toy-1").Done();
+  all["link-answer"] = Writer(Kind::kAnswer)
+                           .U64(5ULL << 48 | 7)
+                           .U8(static_cast<std::uint8_t>(FinalAnswer::Kind::kRefused))
+                           .I32(-1)
+                           .Real(0.75)
+                           .Done();
+  all["handover-hello"] = Writer(Kind::kHello).I32(1).Done();
+  all["handover-socket"] = Writer(Kind::kSocket).U8(2).Done();
+  all["handover-class"] = Writer(Kind::kClass).Text("look").Done();
+  all["handover-known"] = Writer(Kind::kKnown)
+                              .Put(SampleMember())
+                              .Real(12.5)
+                              .Real(-1)
+                              .Text("127.0.0.1:9101")
+                              .U64(12)
+                              .Done();
+  all["handover-ids"] =
+      Writer(Kind::kIds).Raw(Writer(Kind::kId).Text("id-7").Done().substr(5)).Done();
+  all["handover-learned"] = Writer(Kind::kLearned).Raw("bytes").Done();
+  all["handover-told"] = Writer(Kind::kTold).U64(44).Done();
+  all["handover-serving"] = Writer(Kind::kServing).Done();
+  all["handover-client"] = Writer(Kind::kClient).U8(1).Raw("GET / HT").Done();
+  all["handover-idle-worker"] = Writer(Kind::kIdleWorker).Text("toy-1").Real(3.5).Done();
+  all["handover-mate"] = Writer(Kind::kMate).Raw("datagram").Done();
+  all["handover-use"] = Writer(Kind::kUse).U64(10).U64(20).Done();
+  all["handover-ban"] = Writer(Kind::kBan).Text("toy-1").U8(1).Done();
+  all["handover-down"] = Writer(Kind::kDown).Put(SampleMember()).Done();
+  all["handover-id"] = Writer(Kind::kId).Text("id-7").Done();
+  return all;
+}
+
+// A dispatcher that has seen work, a slow and a failing worker, a peer, maintenance and rejections.
+inline balancing::Settings PlayedSettings() {
+  balancing::Settings s;
+  s.dispatcher_count = 2;
+  s.tick_s = 0.005;
+  s.classes.resize(2);
+  s.classes[0].client_timeout_s = 5;
+  s.classes[0].latency_objective_s = 0.2;
+  s.classes[1].idempotency = balancing::Idempotency::kIdempotentWithKey;
+  s.classes[1].deduplication_scope = balancing::DeduplicationScope::kCell;
+  s.classes[1].deduplication_window_s = 4;
+  s.classes[1].client_timeout_s = 8;
+  s.classes[1].kind = 1;
+  s.tenants.resize(3);
+  for (std::size_t t = 0; t < 3; ++t)
+    s.tenants[t] = {.share = 0.5 - 0.15 * static_cast<double>(t), .quota_rps = 6};
+  s.zones = 2;
+  s.kinds = 2;
+  s.allow_hedging = s.peers = s.probing = s.retry_after = true;
+  s.max_attempts = 4;
+  s.max_retry_after_s = 2;
+  s.load_report_source = balancing::LoadReportSource::kInline;
+  s.load_report_metrics = {balancing::LoadMetric::kInFlight, balancing::LoadMetric::kQueued,
+                           balancing::LoadMetric::kFreeSlots};
+  s.slow_start_min_share = 0.2;
+  s.slow_start_s = 10;
+  s.drain_grace_s = 0.5;
+  s.fall_multiple = 3;
+  s.overload_for_s = 3;
+  return s;
+}
+
+inline void Play(balancing::LoadBalancer* balancer) {
+  using namespace balancing;  // NOLINT
+  Actions actions;
+  std::vector<std::pair<double, std::uint64_t>> timers;
+  std::vector<Endpoint> members;
+  for (int w = 0; w < 6; ++w) {
+    Endpoint m;
+    m.worker = "w" + std::to_string(w);
+    m.zone = w % 2, m.kind = w % 2, m.cell = w / 2;
+    m.capacity = 1 + 0.5 * (w % 3);
+    m.started_at_s = w == 5 ? 1.5 : 0;
+    m.slots = 4;
+    members.push_back(m);
+  }
+  const UsageReport peer = SampleUsage(SmallTier());
+  const std::string datagram = EncodeReport(peer, SmallTier()).front();
+  std::vector<std::pair<std::string, std::string>> sent;  // request, worker; in order
+  std::map<std::string, int> attempts;
+  double now = 1;
+  const auto handle = [&](const Event& event) {
+    actions.clear();
+    balancer->Handle(now, event, &actions);
+    for (const Action& action : actions) {
+      if (const auto* send = std::get_if<SendAttempt>(&action))
+        sent.emplace_back(send->id, send->worker);
+      if (const auto* timer = std::get_if<SetTimer>(&action))
+        timers.emplace_back(now + timer->after_s, timer->mark);
+    }
+  };
+  handle(DispatcherStarted{});
+  handle(EndpointsUpdated{.kind = EndpointListKind::kSnapshot, .endpoints = &members});
+  for (int step = 0; step < 400; ++step) {
+    now = 1 + 0.02 * step;
+    for (std::size_t t = 0; t < timers.size();) {
+      if (timers[t].first > now) {
+        ++t;
+        continue;
+      }
+      const std::uint64_t mark = timers[t].second;
+      timers.erase(timers.begin() + static_cast<std::ptrdiff_t>(t));
+      handle(TimerFired{mark});
+      t = 0;
+    }
+    const std::string id = "r" + std::to_string(step);
+    const std::string key = step % 3 == 0 ? "k" + std::to_string(step % 12) : "";
+    RequestArrived job{.id = id,
+                       .expires_s = now + 5,
+                       .slots = 1,
+                       .tenant = step % 3,
+                       .cls = step % 3 == 0 ? 1 : 0,
+                       .key = key,
+                       .size_hint_s = 0.05};
+    handle(job);
+    if (step % 25 == 3) handle(PeerMessage{.sender = 1, .body = datagram});
+    if (step == 120) handle(MaintenanceChanged{.worker = "w3", .out = true});
+    if (step == 200) handle(MaintenanceChanged{.worker = "w3", .out = false});
+    // What was sent three steps ago or earlier ends, in order.
+    for (int n = 0; n < 2 && sent.size() > 3; ++n) {
+      const auto [request, worker] = sent.front();
+      sent.erase(sent.begin());
+      const int attempt = attempts[request]++;
+      AttemptEnded end{.id = request,
+                       .attempt = attempt,
+                       .status = AttemptStatus::kSucceeded,
+                       .latency_s = worker == "w4" ? 0.3 : 0.05};
+      if (worker == "w2" && step % 2 == 0) end.status = AttemptStatus::kServerError;
+      if (worker == "w1" && step % 5 == 0) end.status = AttemptStatus::kRejected;
+      end.has_report = true;
+      end.report[0] = step % 4, end.report[1] = step % 2, end.report[2] = 4 - step % 4;
+      handle(end);
+    }
+  }
+}
+
+}  // namespace millethollow::compatibility
+
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_COMPATIBILITY_SAMPLES_H_
