--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -235,18 +235,26 @@
 
 inline std::map<std::string, quota::Message> SampleQuota() {
   std::map<std::string, quota::Message> all;
-  all["quota-report"] = quota::Report{
-      .epoch = 9,
-      .sequence = 17,
-      .full = true,
-      .usages = {{.tenant = 0xaaaa, .demand = 12.5, .held = 10, .left_s = 1.25, .grant = 3},
-                 {.tenant = 0xbbbb, .demand = 0, .held = 0, .left_s = 0, .grant = 0}}};
-  all["quota-grant"] = quota::Grant{.epoch = 9,
-                                    .answers = 17,
-                                    .want_full = true,
-                                    .span_s = 3,
-                                    .assignments = {{.tenant = 0xaaaa, .rate = 11.75, .grant = 4}},
-                                    .life = 31};
+  all["quota-report"] = quota::UsageReport{.epoch = 9,
+                                           .sequence = 17,
+                                           .full = true,
+                                           .usages = {{.tenant = 0xaaaa,
+                                                       .demand_rps = 12.5,
+                                                       .lease_rps = 10,
+                                                       .lease_remaining_s = 1.25,
+                                                       .grant_number = 3},
+                                                      {.tenant = 0xbbbb,
+                                                       .demand_rps = 0,
+                                                       .lease_rps = 0,
+                                                       .lease_remaining_s = 0,
+                                                       .grant_number = 0}}};
+  all["quota-grant"] =
+      quota::Grant{.epoch = 9,
+                   .acked_sequence = 17,
+                   .request_full_report = true,
+                   .lease_duration_s = 3,
+                   .assignments = {{.tenant = 0xaaaa, .rate_rps = 11.75, .grant_number = 4}},
+                   .life = 31};
   return all;
 }
 
@@ -308,7 +316,7 @@
 inline Outcome SampleOutcome() {
   return {.status = AttemptStatus::kServerError,
           .latency_s = 0.125,
-          .clients_fault = true,
+          .client_error = true,
           .has_report = true,
           .report = {1, 2.5, 3, 4}};
 }
@@ -350,7 +358,7 @@
   all["link-probe"] = Writer(Kind::kProbe).Text("toy-1").Done();
   all["link-answer"] = Writer(Kind::kAnswer)
                            .U64(5ULL << 48 | 7)
-                           .U8(static_cast<std::uint8_t>(FinalAnswer::Kind::kRefused))
+                           .U8(static_cast<std::uint8_t>(FinalAnswer::Kind::kRejected))
                            .I32(-1)
                            .Real(0.75)
                            .Done();
--- a/tests/support/compatibility_settings.h
+++ b/tests/support/compatibility_settings.h
@@ -123,14 +123,14 @@
 
 inline void AddScheduling(const scheduling::Options& o, ValueLines* lines) {
   lines->Add("scheduling.enabled", o.on);
-  lines->Add("scheduling.waiting.jobs", o.most_jobs);
-  lines->Add("scheduling.waiting.bytes", o.most_bytes);
-  lines->Add("scheduling.waiting.tenant_share", o.tenant_share);
-  lines->AddAll("scheduling.hold.classes", o.hold_classes);
-  lines->Add("scheduling.hold.of_worker", o.hold_of_worker);
-  lines->Add("scheduling.hold.of_fleet", o.hold_of_fleet);
-  lines->Add("scheduling.hold.seconds", o.hold_s);
-  lines->Add("scheduling.zone_patience_s", o.zone_patience_s);
+  lines->Add("scheduling.waiting.jobs", o.max_queued_jobs);
+  lines->Add("scheduling.waiting.bytes", o.max_queued_bytes);
+  lines->Add("scheduling.waiting.tenant_share", o.max_tenant_share);
+  lines->AddAll("scheduling.hold.classes", o.reserving_classes);
+  lines->Add("scheduling.hold.of_worker", o.max_reserved_worker_share);
+  lines->Add("scheduling.hold.of_fleet", o.max_reserved_fleet_share);
+  lines->Add("scheduling.hold.seconds", o.reservation_timeout_s);
+  lines->Add("scheduling.zone_patience_s", o.local_zone_wait_s);
   lines->Add("scheduling.memory_per_slot", o.memory_per_slot);
 }
 
@@ -159,12 +159,12 @@
   lines->Add("cluster.jobs.again_most_s", o.jobs.again_most_s);
   lines->Add("cluster.quota.on", o.quota.on);
   lines->AddAll("cluster.quota.allocators", o.quota.allocators);
-  lines->Add("cluster.quota.span_s", o.quota.timings.span_s);
-  lines->Add("cluster.quota.renew_s", o.quota.timings.renew_s);
-  lines->Add("cluster.quota.report_gap_s", o.quota.timings.report_gap_s);
-  lines->Add("cluster.quota.floor_part", o.quota.timings.floor_part);
+  lines->Add("cluster.quota.span_s", o.quota.timings.lease_duration_s);
+  lines->Add("cluster.quota.renew_s", o.quota.timings.renew_interval_s);
+  lines->Add("cluster.quota.report_gap_s", o.quota.timings.min_report_interval_s);
+  lines->Add("cluster.quota.floor_part", o.quota.timings.floor_fraction);
   lines->Add("cluster.quota.hysteresis", o.quota.timings.hysteresis);
-  lines->Add("cluster.quota.act_s", o.quota.timings.act_s);
+  lines->Add("cluster.quota.act_s", o.quota.timings.superseded_grant_s);
   lines->Add("cluster.timings.probe_s", o.detector.probe_s);
   lines->Add("cluster.timings.timeout_s", o.detector.timeout_s);
   lines->Add("cluster.timings.gossip_s", o.detector.gossip_s);
