--- a/bench/scale/axis_tenants.cpp
+++ b/bench/scale/axis_tenants.cpp
@@ -120,7 +120,7 @@
     }
     return Differs(before, ListenerDemandPart());
   }
-  double ListenerDemandPart() const { return listener_.DemandPart(); }
+  double ListenerDemandPart() const { return listener_.DemandShare(); }
 
  private:
   static balancing::Settings ListenerSettings(balancing::Settings settings) {
--- a/bench/scale/axis_workers.cpp
+++ b/bench/scale/axis_workers.cpp
@@ -112,7 +112,7 @@
       const auto* tell = std::get_if<balancing::SendPeerMessage>(&action);
       if (tell != nullptr && tell->recipient == 0) report.to_first_peer.push_back(tell->body);
       const auto* timer = std::get_if<balancing::SetTimer>(&action);
-      if (timer != nullptr && timer->mark == kReportTimer) report.next_after_s = timer->after_s;
+      if (timer != nullptr && timer->timer_id == kReportTimer) report.next_after_s = timer->after_s;
     }
     return report;
   }
--- a/bench/scale/fixtures.cpp
+++ b/bench/scale/fixtures.cpp
@@ -39,7 +39,7 @@
   s.drain_grace_s = 2;
   s.slow_start_min_share = 0.33;
   s.slow_start_s = 8.6;
-  s.fall_multiple = 3;
+  s.slow_start_load_multiple = 3;
   s.overload_for_s = 3;
   return s;
 }
--- a/bench/scale/hollow_tier.cpp
+++ b/bench/scale/hollow_tier.cpp
@@ -186,7 +186,7 @@
 }
 
 void HollowTier::Do(int dispatcher, const balancing::SetTimer& timer) {
-  At(now_ + timer.after_s, [this, dispatcher, mark = timer.mark] {
+  At(now_ + timer.after_s, [this, dispatcher, mark = timer.timer_id] {
     Handle(dispatcher, balancing::TimerFired{mark}, mark == kReportTimer);
   });
 }
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -69,7 +69,7 @@
   s.slow_start_min_share = 0.33;
   s.slow_start_s = 8;
   s.drain_grace_s = 1;
-  s.fall_multiple = 3;
+  s.slow_start_load_multiple = 3;
   s.overload_for_s = 3;
   s.dispatcher_count = kDispatchers;
   s.dispatcher_index = dispatcher_index;
@@ -95,7 +95,7 @@
   }
   void Carry(int d, const Action& a) {
     if (const auto* t = std::get_if<millethollow::balancing::SetTimer>(&a)) {
-      const std::uint64_t mark = t->mark;
+      const std::uint64_t mark = t->timer_id;
       due.emplace(now + t->after_s,
                   [this, d, mark] { Do(d, millethollow::balancing::TimerFired{mark}); });
     } else if (const auto* s = std::get_if<millethollow::balancing::SendAttempt>(&a)) {
--- a/include/millethollow/balancing/load_balancer.h
+++ b/include/millethollow/balancing/load_balancer.h
@@ -1,7 +1,8 @@
 // The interface of the decision module (src/balancing/): settings, events, actions.
 //
-// A Balancer decides for one dispatcher. It does no I/O, reads no clock, starts no thread and keeps
-// nothing outside itself: hand it events in order of arrival and carry out the actions it returns.
+// A LoadBalancer decides for one dispatcher. It does no I/O, reads no clock, starts no thread and
+// keeps no state outside itself: the caller hands it events in order of arrival and carries out the
+// actions that it returns.
 #ifndef MILLETHOLLOW_BALANCING_LOAD_BALANCER_H_
 #define MILLETHOLLOW_BALANCING_LOAD_BALANCER_H_
 
@@ -12,6 +13,8 @@
 #include <variant>
 #include <vector>
 
+#include "millethollow/error.h"
+
 namespace millethollow::balancing {
 
 // All times and spans are seconds on the caller's clock, which never runs backwards.
@@ -90,12 +93,12 @@
   double slow_start_min_share = 1;  // a starting worker has this part of its capacity or more
   double slow_start_s = 0;          // and is warm after this
   double drain_grace_s = 0;
-  double fall_multiple = 1;
+  double slow_start_load_multiple = 1;
   double overload_for_s = 1;
 };
 
-// Says in `why` what is wrong with settings no dispatcher can work by; true if they are sound.
-bool ValidateSettings(const Settings& settings, std::string* why);
+// Checks settings for values that no dispatcher can work with. Fails with kInvalidArgument.
+Status ValidateSettings(const Settings& settings);
 
 enum class Readiness : std::uint8_t { kReady, kDraining, kGone };
 
@@ -105,7 +108,7 @@
   int zone = 0;
   int kind = 0;
   int cell = 0;
-  double capacity = 1;
+  double capacity_hint = 1;      // relative to other workers
   double started_at_s = 0;       // latest start; 0: long ago
   double slots = 0, memory = 0;  // what it holds at once; 0: not told
 };
@@ -133,20 +136,20 @@
 // comes back as one that has just started.
 struct MaintenanceChanged {
   std::string_view worker;
-  bool out = false;
+  bool out_of_service = false;
 };
 // While a process is replaced, two run as this one dispatcher. Each hears of the other's slots out
 // by PeerMessage from its own ordinal, and answers by SendPeerMessage to it. The one that leaves
 // takes nothing new, speaks to no other peer and spares cold workers.
 struct SiblingProcess {
-  bool present = false, leaving = false;
+  bool present = false, draining = false;
 };
 // Other settings from now on, with the same tenants, zones, kinds and columns. Classes keep their
-// indices and more may follow; those in `begun` mean another class than before. Open jobs keep the
-// number of attempts that they came with.
+// indices and more may follow; those in `redefined_classes` mean another class than before. Open
+// jobs keep the number of attempts that they came with.
 struct SettingsChanged {
   const Settings* settings = nullptr;
-  const std::vector<int>* begun = nullptr;
+  const std::vector<int>* redefined_classes = nullptr;
 };
 // An attempt that another dispatcher made for a job before it came here, and that may have run.
 struct PreviousAttempt {
@@ -165,7 +168,7 @@
   bool retry = false;  // marked as a client's repeat
   std::string_view key;
   double size_hint_s = 0;  // expected work at standard speed; 0: not told
-  std::vector<PreviousAttempt> tried = {};
+  std::vector<PreviousAttempt> previous_attempts = {};
 };
 struct StreamStarted {
   std::string_view id;
@@ -191,7 +194,7 @@
   std::string_view id;
 };
 struct TimerFired {
-  std::uint64_t mark = 0;
+  std::uint64_t timer_id = 0;
 };
 struct ProbeAnswered {
   std::string_view worker;
@@ -233,7 +236,7 @@
   int attempt = 0;
 };
 struct SetTimer {
-  std::uint64_t mark = 0;
+  std::uint64_t timer_id = 0;
   double after_s = 0;
 };
 struct Probe {
@@ -260,44 +263,50 @@
                             SendPeerMessage, Subscribe, FetchEndpoints, AwaitCapacity, Log>;
 using Actions = std::vector<Action>;
 
-// Who keeps account of the room at workers. What it holds for one job is not free for another.
+// Keeps account of the capacity of workers where jobs are scheduled (src/scheduling): capacity that
+// is reserved for one job is not available to another. Implemented by the caller, which owns it.
 class CapacityReservations {
  public:
   virtual ~CapacityReservations() = default;
-  struct Place {
-    bool never = false;       // no worker could ever hold it
-    std::string_view worker;  // one that has room for it now; empty: none
+  struct Candidate {
+    bool impossible = false;  // no worker could ever hold the job
+    std::string_view worker;  // has capacity for it now; empty: none has
   };
-  virtual Place Somewhere(std::string_view job) = 0;
-  virtual bool Takes(std::string_view job, std::string_view worker) = 0;
-  virtual bool Holds(int cls) const = 0;                   // jobs of that class may hold room
-  virtual double Held(std::string_view worker) const = 0;  // slots, for jobs that wait
+  // A worker at which the job may start now.
+  virtual Candidate FindWorker(std::string_view job) = 0;
+  // The job may start at this worker now.
+  virtual bool HasCapacityFor(std::string_view job, std::string_view worker) = 0;
+  // Jobs of this class may reserve capacity while they wait.
+  virtual bool MayReserve(int cls) const = 0;
+  // Slots of the worker that are reserved for waiting jobs.
+  virtual double ReservedSlots(std::string_view worker) const = 0;
 };
 
-// What the module believes of a worker.
+// What the module knows about a worker.
 struct WorkerView {
   std::string_view worker;
   int kind = 0;
-  bool usable = false, cold = false;
-  bool far = false;              // in another zone, where that has a price
-  double slots = 0, memory = 0;  // as the list told; 0: not told
-  double others = 0;             // slots that other dispatchers have out there, by their last word
-  double free = -1;              // by a report that is still good; -1: there is none
-  double ours = 0;               // own slots out when it was made
+  bool usable = false;                             // ready and not ejected
+  bool warming_up = false;                         // in its slow start
+  bool in_other_zone = false;                      // where a zone crossing has a price
+  double capacity_slots = 0, capacity_memory = 0;  // as the endpoint list says; 0: not known
+  double peer_slots_in_flight = 0;  // of other dispatchers, by their last load report
+  double reported_free_slots = -1;  // by a report that is still fresh; -1: there is none
+  double own_slots_at_report = 0;   // own slots in flight when that report was made
 };
 
 class LoadBalancerImpl;
 
-// What a dispatcher may do of the whole where the tier agrees on parts.
+// The share of the fleet's capacity that a dispatcher may use, where the tier agrees on shares.
 struct FleetShare {
-  double part = 0;          // 0 to 1; over all dispatchers never more than 1 in sum
-  int members = 0;          // how many have such a part by agreement; 0: this one is cut off
-  std::uint64_t epoch = 0;  // of the agreement
-  bool stopped = false;     // no event came for a second, as where the process was stopped
-  // By tenant: jobs per second of its quota that are this dispatcher's, where quotas are given out
-  // tenant by tenant; over all dispatchers never more than the quota in sum. Below 0, or left out:
-  // as `part` says.
-  std::vector<double> tenant_rates = {};
+  double share = 0;         // 0 to 1; the sum over all dispatchers never exceeds 1
+  int member_count = 0;     // members of the agreed view; 0: this dispatcher is cut off from it
+  std::uint64_t epoch = 0;  // of the agreed view
+  bool stopped = false;     // no event was handled for a second, as after a stop of the process
+  // By tenant: the jobs per second of its quota that this dispatcher may admit, where quotas are
+  // allocated by tenant; the sum over all dispatchers never exceeds the quota. Negative or missing:
+  // `share` applies.
+  std::vector<double> tenant_rates_rps = {};
   bool operator==(const FleetShare&) const = default;
 };
 
@@ -310,24 +319,28 @@
   LoadBalancer(LoadBalancer&&) noexcept;
   LoadBalancer& operator=(LoadBalancer&&) noexcept;
 
-  // Appends to `actions` what to do about `event`, which happened at `now_s`.
+  // Handles `event`, which happened at `now_s`, and appends to `actions` what is to be done.
   void Handle(double now_s, const Event& event, Actions* actions);
-  // Is this a worker that gets nothing new now: drained, out by hand, or left out by choice?
+  // The worker gets no new jobs now: unknown, draining, out of service, or ejected.
   bool Excludes(std::string_view worker) const;
-  // Jobs start only where `room` lets them, and else wait. To be set before the first event.
-  void SetCapacityReservations(CapacityReservations* room);
-  // Anew after each event that gave another version. A worker keeps its place while it is known;
-  // one gone from the lists for long, with nothing of ours there, may give its place to a new one.
+  // Jobs start only where `reservations` has capacity for them, and wait otherwise. Not owned; to
+  // be set before the first event.
+  void SetCapacityReservations(CapacityReservations* reservations);
+  // Changes with each event that changed what Workers() returns. A worker keeps its index while it
+  // is known; one that was long gone from the list, with nothing in flight there, may give its
+  // index to a new one.
   std::uint64_t version() const;
   std::vector<WorkerView> Workers() const;
-  double DemandPart() const;  // this dispatcher's part of all demand, 0 to 1
-  // Messages of peers that were taken for damaged, foreign or unwanted.
+  // This dispatcher's share of all demand, 0 to 1.
+  double DemandShare() const;
+  // Messages of peers that were ignored as damaged, foreign or unwanted.
   std::uint64_t RejectedPeerMessages() const;
-  // Where the tier agrees on parts: from now on. Never called, demand alone decides.
-  void SetFleetShare(const FleetShare& parts);
-  // What has been learned, for the process that replaces this one, which takes it before its first
-  // event. `classes` says for each of its classes which of the other's it is, -1: none. False, and
-  // nothing taken, where the text is not from settings of the same form.
+  // Takes effect at once. Where it is never called, shares follow demand.
+  void SetFleetShare(const FleetShare& share);
+  // The learned state, for the process that replaces this one in a hot restart, which restores it
+  // before its first event. `classes` maps each of the new process's classes to the index that it
+  // had in the old one, -1: none. Returns false and changes nothing where the text is damaged or
+  // was saved under settings of another form.
   std::string SaveState() const;
   bool RestoreState(std::string_view text, const std::vector<int>& classes);
 
--- a/src/balancing/admission.cpp
+++ b/src/balancing/admission.cpp
@@ -100,7 +100,7 @@
   carried_ = Carried(std::max(carried_ * std::exp(-span / kCarriedS), sent / std::max(1, ready_)));
   measured_ = true;
   if (mate_.present) TellMate();
-  if (s_.peers && s_.dispatcher_count > 1 && !mate_.leaving) {
+  if (s_.peers && s_.dispatcher_count > 1 && !mate_.draining) {
     std::vector<int> told;
     for (int i = 0; i < (direct_ ? s_.dispatcher_count : kFanout); ++i) {
       const int whom = direct_ ? i : random_.OtherThan(s_.dispatcher_index, s_.dispatcher_count);
--- a/src/balancing/agreed_share.h
+++ b/src/balancing/agreed_share.h
@@ -13,7 +13,7 @@
 
 namespace millethollow::balancing {
 
-class AgreedPart {
+class AgreedShare {
  public:
   bool on() const { return part_ >= 0; }
   double part() const { return part_; }
@@ -24,26 +24,26 @@
   // what it does not know of.
   static constexpr double kStoppedS = 1.0;
   void Set(const FleetShare& parts) {
-    const bool by_demand = by_demand_ && parts.members > 0 && !parts.stopped;
+    const bool by_demand = by_demand_ && parts.member_count > 0 && !parts.stopped;
     falls_ = shares_;
     for (std::size_t i = 0; i < shares_.size(); ++i) {
       // By demand: newcomers of the view have their part from now on, whoever stays makes room for
       // it.
-      double share = std::min(shares_[i], parts.part);
-      if (by_demand) share = shares_[i] * std::min(1.0, parts.part / reckoned_);
+      double share = std::min(shares_[i], parts.share);
+      if (by_demand) share = shares_[i] * std::min(1.0, parts.share / reckoned_);
       falls_[i] = shares_[i] > 0 ? share / shares_[i] : 1;
       shares_[i] = share;
     }
-    reckoned_ = std::min(reckoned_, parts.part);
-    part_ = parts.part;
-    members_ = parts.members;
+    reckoned_ = std::min(reckoned_, parts.share);
+    part_ = parts.share;
+    members_ = parts.member_count;
     // Six bits in a report tell one view from those shortly before and after it.
-    view_ = parts.members == 0 ? 0 : static_cast<std::uint8_t>(1 + parts.epoch % 63);
+    view_ = parts.member_count == 0 ? 0 : static_cast<std::uint8_t>(1 + parts.epoch % 63);
     if (parts.stopped) {
       by_demand_ = false;
       changed_ = true;
     }
-    TakeTenantRates(parts.tenant_rates);
+    TakeTenantRates(parts.tenant_rates_rps);
   }
   // By how much a rate that was reckoned before the last Set is to fall: 0 to 1. A tenant's rate
   // that was given may also rise, by more than 1: whoever gives them keeps their sum.
--- a/src/balancing/attempts.cpp
+++ b/src/balancing/attempts.cpp
@@ -32,9 +32,9 @@
   // A keyed job that may have run has few places left: it queues there. All others wait for room.
   const bool waits = room_keeper_ && anchor < 0 && !job.AnyOpen() && !Pool(c.kind, -1).empty();
   if (waits && job.found < 0) {
-    const CapacityReservations::Place place = room_keeper_->Somewhere(job.id);
-    job.impossible = place.never;
-    if (place.never) return false;
+    const CapacityReservations::Candidate place = room_keeper_->FindWorker(job.id);
+    job.impossible = place.impossible;
+    if (place.impossible) return false;
     if (place.worker.empty()) return PutOnHold(job);
     job.found = index_.find(place.worker)->second;
   }
--- a/src/balancing/bookkeeping.cpp
+++ b/src/balancing/bookkeeping.cpp
@@ -44,7 +44,7 @@
 void LoadBalancerImpl::On(const SettingsChanged& e) {
   s_ = *e.settings;
   Fit();
-  for (const int c : *e.begun) {
+  for (const int c : *e.redefined_classes) {
     run_[Idx(c)] = {};
     hinted_[Idx(c)] = {};
     for (int i = 0; c < lore_classes_ && i < 2; ++i)
@@ -179,7 +179,7 @@
   report.view = agreed_.view();
   for (const Worker& w : workers_) {
     if (!direct_ && !to_mate) break;  // one of many can't say how much is out there
-    const double held = room_keeper_ ? room_keeper_->Held(w.name) : 0.0;
+    const double held = room_keeper_ ? room_keeper_->ReservedSlots(w.name) : 0.0;
     const double slots = w.out + held + (to_mate ? 0.0 : w.mate);
     if (slots > 0) report.out.emplace_back(Tag(w), static_cast<int>(std::lround(slots)));
   }
@@ -188,7 +188,7 @@
 
 // All datagrams of a report go out at once. One in turn with each report would cost less, but each
 // rate would then be as old as there are datagrams, times the interval; what is reckoned from them
-// (kStaleReports, the hold of AgreedPart, the weights of a large tier's means) takes them for no
+// (kStaleReports, the hold of AgreedShare, the weights of a large tier's means) takes them for no
 // older than one. `counts` is empty where the counts have gone out already.
 void LoadBalancerImpl::TellPeers(const std::vector<int>& whom, bool fresh,
                                  std::vector<UsageReport::Usage> counts) {
@@ -265,18 +265,18 @@
     views.push_back({.worker = w.name,
                      .kind = w.kind,
                      .usable = w.ready && !w.ejected,
-                     .cold = Cold(w),
-                     .far = s_.price_cross_zone > 0 && w.zone != s_.zone,
-                     .slots = w.told_slots,
-                     .memory = w.told_memory,
-                     .others = w.others,
-                     .free = now_ - w.report_at < kReportTrustS ? w.free : -1,
-                     .ours = std::max(0.0, w.out - w.sent_since)});
+                     .warming_up = Cold(w),
+                     .in_other_zone = s_.price_cross_zone > 0 && w.zone != s_.zone,
+                     .capacity_slots = w.told_slots,
+                     .capacity_memory = w.told_memory,
+                     .peer_slots_in_flight = w.others,
+                     .reported_free_slots = now_ - w.report_at < kReportTrustS ? w.free : -1,
+                     .own_slots_at_report = std::max(0.0, w.out - w.sent_since)});
   }
   return views;
 }
 
-double LoadBalancerImpl::DemandPart() const {
+double LoadBalancerImpl::DemandShare() const {
   const auto sum = [this](const std::vector<double>& rates) {
     return std::accumulate(rates.begin(), rates.begin() + tenants_, 0.0);
   };
--- a/src/balancing/endpoint_discovery.cpp
+++ b/src/balancing/endpoint_discovery.cpp
@@ -27,7 +27,7 @@
 }
 
 void LoadBalancerImpl::On(const TimerFired& e) {
-  if (e.mark == kReportMark) {
+  if (e.timer_id == kReportMark) {
     LetBack();
     if (!direct_) Weigh();
     SumOthers();
@@ -42,7 +42,7 @@
     const double even = price / std::max(own_[Idx(tenants_)], 1e-3);
     const double span = std::clamp(even, interval_, 4 * interval_);
     actions_->push_back(SetTimer{kReportMark, span * (0.75 + 0.5 * random_.Unit())});
-  } else if (e.mark == kWatchMark) {
+  } else if (e.timer_id == kWatchMark) {
     while (!watch_.empty() && watch_.top().at <= now_) {
       const Watch watch = watch_.top();
       watch_.pop();
@@ -51,7 +51,7 @@
     watching_ = !watch_.empty();
     const double next = watching_ ? std::clamp(watch_.top().at - now_, 0.005, kWatchS) : 0;
     if (watching_) actions_->push_back(SetTimer{kWatchMark, next});
-  } else if (e.mark == kAskMark) {
+  } else if (e.timer_id == kAskMark) {
     if (!subscribed_ && now_ > ask_at_ - s_.tick_s) Ask();  // else set anew meanwhile
   }
 }
@@ -96,12 +96,12 @@
   const auto it = index_.find(e.worker);
   if (it == index_.end()) return;
   Worker& w = workers_[Idx(it->second)];
-  if (!e.out && w.out_by_hand) {
+  if (!e.out_of_service && w.out_by_hand) {
     w.born = w.back_at = now_;
     StartAfresh(w);
   }
-  w.out_by_hand = e.out;
-  w.ready = w.listed && !e.out;
+  w.out_by_hand = e.out_of_service;
+  w.ready = w.listed && !e.out_of_service;
   RemakePools();
 }
 
--- a/src/balancing/fleet_rate.cpp
+++ b/src/balancing/fleet_rate.cpp
@@ -83,7 +83,7 @@
     // held for a class, holding it is of no use if its jobs are refused at the door. The tenant's
     // other work then gives up more, by as much work and no more than kSpare of it.
     double all = 0, held = 0;
-    const auto holds = [this](int c) { return room_keeper_ && room_keeper_->Holds(c); };
+    const auto holds = [this](int c) { return room_keeper_ && room_keeper_->MayReserve(c); };
     for (int c = 0; c < classes_; ++c) {
       const double work =
           buckets_[Idx(c * tenants_ + t)].demand * run_[Idx(c)].Or(ClassOf(c).latency_objective_s);
--- a/src/balancing/load_balancer.cpp
+++ b/src/balancing/load_balancer.cpp
@@ -27,6 +27,6 @@
 std::vector<WorkerView> LoadBalancer::Workers() const { return impl_->Views(); }
 void LoadBalancer::SetFleetShare(const FleetShare& parts) { impl_->SetFleetShare(parts); }
 std::uint64_t LoadBalancer::RejectedPeerMessages() const { return impl_->refused_messages(); }
-double LoadBalancer::DemandPart() const { return impl_->DemandPart(); }
+double LoadBalancer::DemandShare() const { return impl_->DemandShare(); }
 
 }  // namespace millethollow::balancing
--- a/src/balancing/load_balancer_impl.h
+++ b/src/balancing/load_balancer_impl.h
@@ -38,7 +38,7 @@
   std::uint64_t version() const { return version_; }
   std::uint64_t refused_messages() const { return refused_messages_; }
   std::vector<WorkerView> Views() const;
-  double DemandPart() const;
+  double DemandShare() const;
   void SetFleetShare(const FleetShare& parts);
 
  private:
@@ -170,7 +170,7 @@
   PeerTable peers_;
   std::uint64_t refused_messages_ = 0;
   SiblingProcess mate_;
-  AgreedPart agreed_;
+  AgreedShare agreed_;
   double all_sends_ = 0;  // of those heard, as of the last report
   // Fleet rate.
   double rate_ = kInf, next_cut_ = 0;
--- a/src/balancing/outlier_detection.cpp
+++ b/src/balancing/outlier_detection.cpp
@@ -24,7 +24,8 @@
 double LoadBalancerImpl::ColdPart(const Worker& w) const {
   const double age = std::clamp((now_ - w.born) / std::max(s_.slow_start_s, 1e-9), 0.0, 1.0);
   const double part = !direct_ && s_.probing ? kColdPartAsked : kColdPart;
-  return part * s_.fall_multiple * (s_.slow_start_min_share + (1 - s_.slow_start_min_share) * age);
+  return part * s_.slow_start_load_multiple *
+         (s_.slow_start_min_share + (1 - s_.slow_start_min_share) * age);
 }
 bool LoadBalancerImpl::ColdRoom(const Worker& w) const {
   return now_ - w.report_at > kReportTrustS || w.free - w.sent_since > SlotsOf(w) / 4;
--- a/src/balancing/placement.cpp
+++ b/src/balancing/placement.cpp
@@ -50,7 +50,7 @@
   if (job.Tried(index, room_keeper_ != nullptr)) return false;
   if (anchor >= 0 && !SameGroup(ClassOf(job.cls).deduplication_scope, workers_[Idx(anchor)], w))
     return false;
-  if (!Cold(w) || mate_.leaving) return !Cold(w);
+  if (!Cold(w) || mate_.draining) return !Cold(w);
   return direct_ ? ColdHeld(w) >= ColdCost(job) : index == job.cold_drawn && ColdRoom(w);
 }
 
@@ -165,7 +165,8 @@
   double best_score = kInf;
   const auto look = [&](int w, int rank) {
     if (!Allowed(job, w, anchor)) return;
-    if (room_keeper_ && anchor < 0 && !room_keeper_->Takes(job.id, workers_[Idx(w)].name)) return;
+    if (room_keeper_ && anchor < 0 && !room_keeper_->HasCapacityFor(job.id, workers_[Idx(w)].name))
+      return;
     ++looked;
     const double score = Score(job, workers_[Idx(w)], rank);
     if (score < best_score) std::tie(best, best_score) = std::pair(w, score);
--- a/src/balancing/state.h
+++ b/src/balancing/state.h
@@ -88,7 +88,7 @@
     zone = std::clamp(m.zone, 0, zones - 1);
     kind = std::clamp(m.kind, 0, kinds - 1);
     cell = m.cell;
-    capacity = m.capacity;
+    capacity = m.capacity_hint;
     told_slots = m.slots;
     told_memory = m.memory;
     born = std::max(m.started_at_s, back_at);
@@ -179,7 +179,7 @@
   job.print = Mix(Mix(job.key, std::bit_cast<std::uint64_t>(e.memory)),
                   Mix(std::bit_cast<std::uint64_t>(job.slots + 1e3 * job.hint),
                       static_cast<std::uint64_t>(job.tenant << 8 | job.cls)));
-  for (const PreviousAttempt& t : e.tried) {
+  for (const PreviousAttempt& t : e.previous_attempts) {
     const auto it = workers.find(t.worker);
     const int worker = it == workers.end() ? -1 : it->second;
     job.attempts.push_back({.worker = worker, .sent_at = t.sent_at, .open = false});
--- a/src/balancing/usage_report.h
+++ b/src/balancing/usage_report.h
@@ -47,8 +47,8 @@
   // out at are left out. Only in the part that begins the row.
   std::vector<std::pair<std::uint16_t, int>> out;
   std::vector<Usage> usage;  // as many as fit beside a whole row; none in parts
-  // Where the tier agrees on shares (AgreedPart): the sender hears all members, and six bits of the
-  // view that it has its share in; 0: it is cut off.
+  // Where the tier agrees on shares (AgreedShare): the sender hears all members, and six bits of
+  // the view that it has its share in; 0: it is cut off.
   bool hears_all = false;
   std::uint8_t view = 0;
   std::size_t first = 0;
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -87,7 +87,7 @@
   balancing::Actions actions;
   if (hooks_.parts) {
     balancing::FleetShare parts = hooks_.parts();
-    parts.stopped = hooks_.now() - parts_at_ > balancing::AgreedPart::kStoppedS;
+    parts.stopped = hooks_.now() - parts_at_ > balancing::AgreedShare::kStoppedS;
     if (parts != parts_) balancer_.SetFleetShare(parts);
     parts_ = parts;
     parts_at_ = hooks_.now();
@@ -154,7 +154,7 @@
                                       .retry = meta.retry,
                                       .key = meta.affinity,
                                       .size_hint_s = meta.size_hint_s,
-                                      .tried = tried});
+                                      .previous_attempts = tried});
   });
 }
 
@@ -525,7 +525,7 @@
 }
 
 void Planner::Do(const balancing::SetTimer& a) {
-  deadlines_->At(hooks_.now() + a.after_s, [this, mark = a.mark] {
+  deadlines_->At(hooks_.now() + a.after_s, [this, mark = a.timer_id] {
     Post([this, mark] { Deliver(balancing::TimerFired{mark}); });
   });
 }
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -400,8 +400,8 @@
   const membership::Agreement& a = cluster_->agreement();
   const int members = a.Leased(now) ? static_cast<int>(a.view().members.size()) : 0;
   balancing::FleetShare parts{
-      .part = cluster_->Part(now), .members = members, .epoch = a.view().epoch};
-  if (quota_) parts.tenant_rates = quota_->Rates();
+      .share = cluster_->Part(now), .member_count = members, .epoch = a.view().epoch};
+  if (quota_) parts.tenant_rates_rps = quota_->Rates();
   return parts;
 }
 
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -96,7 +96,7 @@
     entry.member.zone = IndexOf(zones, s, "zone");
     entry.member.kind = IndexOf(kinds, s, "kind");
     entry.member.cell = static_cast<int>(std::clamp(Number(s, "cell", 0), -1e9, 1e9));
-    entry.member.capacity = Number(s, "weight", 1.0);
+    entry.member.capacity_hint = Number(s, "weight", 1.0);
     entry.member.slots = std::clamp(Number(s, "slots", 0), 0.0, 1e6);
     entry.member.memory = std::clamp(Number(s, "memory", 0), 0.0, 1e12);
     entry.member.started_at_s = Number(s, "started_ms", 0) / 1000;  // the loop's clock is Unix time
--- a/src/net/link/frame.cpp
+++ b/src/net/link/frame.cpp
@@ -42,7 +42,7 @@
       .I32(m.zone)
       .I32(m.kind)
       .I32(m.cell)
-      .Real(m.capacity)
+      .Real(m.capacity_hint)
       .Real(m.started_at_s);
 }
 
@@ -112,7 +112,7 @@
   m.zone = I32();
   m.kind = I32();
   m.cell = I32();
-  m.capacity = Real();
+  m.capacity_hint = Real();
   m.started_at_s = Real();
   return m;
 }
--- a/src/scheduling/scheduling_balancer.cpp
+++ b/src/scheduling/scheduling_balancer.cpp
@@ -83,24 +83,26 @@
       worker.others_before = worker.others;
       worker.others_at = now_;
     }
-    worker.others = v.others;
-    const double slots = v.slots > 0 ? v.slots : capacity_.Of(v.kind);
-    double memory = v.memory;
+    worker.others = v.peer_slots_in_flight;
+    const double slots = v.capacity_slots > 0 ? v.capacity_slots : capacity_.Of(v.kind);
+    double memory = v.capacity_memory;
     if (memory <= 0) {
       memory = options_.memory_per_slot > 0 ? slots * options_.memory_per_slot : kNoMemory;
     }
     // A report that has just come says more than what peers told some time ago.
     const double others =
-        v.free >= 0 && slots > 0 ? std::max(0.0, slots - std::round(v.free) - v.ours) : v.others;
+        v.reported_free_slots >= 0 && slots > 0
+            ? std::max(0.0, slots - std::round(v.reported_free_slots) - v.own_slots_at_report)
+            : v.peer_slots_in_flight;
     scheduler_.SetWorker(w, {.kind = v.kind,
                              .usable = v.usable,
-                             .cold = v.cold,
-                             .far = v.far,
+                             .cold = v.warming_up,
+                             .far = v.in_other_zone,
                              .capacity = {slots, memory},
-                             .told = v.slots > 0,
+                             .told = v.capacity_slots > 0,
                              .others = others});
   }
-  scheduler_.SetPart(balancer_.DemandPart());
+  scheduler_.SetPart(balancer_.DemandShare());
 }
 
 // What is free and what surely is taken, by us and by others, is all that the worker has.
@@ -119,17 +121,17 @@
 
 // ---- what the module asks ----
 
-balancing::CapacityReservations::Place SchedulingBalancer::Somewhere(std::string_view job) {
+balancing::CapacityReservations::Candidate SchedulingBalancer::FindWorker(std::string_view job) {
   Sync();
   const auto it = jobs_.find(job);
   if (it == jobs_.end()) return {};
-  if (scheduler_.FitsNoWorker(it->second.job)) return {.never = true, .worker = {}};
+  if (scheduler_.FitsNoWorker(it->second.job)) return {.impossible = true, .worker = {}};
   const int worker = scheduler_.FindWorker(it->second.job, now_);
   if (worker < 0) return {};
-  return {.never = false, .worker = workers_[static_cast<std::size_t>(worker)].name};
+  return {.impossible = false, .worker = workers_[static_cast<std::size_t>(worker)].name};
 }
 
-bool SchedulingBalancer::Takes(std::string_view job, std::string_view worker) {
+bool SchedulingBalancer::HasCapacityFor(std::string_view job, std::string_view worker) {
   Sync();
   const auto it = jobs_.find(job);
   const int w = WorkerOf(worker);
@@ -137,7 +139,7 @@
   return scheduler_.MayStart(it->second.job, static_cast<std::size_t>(w), now_);
 }
 
-double SchedulingBalancer::Held(std::string_view worker) const {
+double SchedulingBalancer::ReservedSlots(std::string_view worker) const {
   const int w = WorkerOf(worker);
   return w < 0 ? 0 : scheduler_.ReservedSlots(static_cast<std::size_t>(w));
 }
@@ -149,7 +151,7 @@
   now_ = std::max(now_, now_s);
   if (!options_.on) return balancer_.Handle(now_s, event, actions);
   const auto* timer = std::get_if<balancing::TimerFired>(&event);
-  if (timer != nullptr && timer->mark == kTickMark) {
+  if (timer != nullptr && timer->timer_id == kTickMark) {
     ticking_ = false;
     scheduler_.Tick(now_);
   } else {
@@ -220,7 +222,8 @@
       std::min(now_ + c.latency_objective_s + std::max(0.0, c.latency_objective_stretch - 1) * run,
                e.expires_s);
   job.may_reserve = MayHold(e.cls);
-  for (const balancing::PreviousAttempt& t : e.tried) {  // attempts are counted from the first
+  for (const balancing::PreviousAttempt& t :
+       e.previous_attempts) {  // attempts are counted from the first
     const int w = WorkerOf(t.worker);
     it->second.attempts.push_back(
         {.worker = w < 0 ? 0 : static_cast<std::size_t>(w), .sent_at = t.sent_at, .open = false});
--- a/src/scheduling/scheduling_balancer.h
+++ b/src/scheduling/scheduling_balancer.h
@@ -60,12 +60,12 @@
   };
   using Jobs = std::unordered_map<std::string, Known, TextHash, std::equal_to<>>;
 
-  Place Somewhere(std::string_view job) override;
-  bool Takes(std::string_view job, std::string_view worker) override;
-  bool Holds(int cls) const override {
+  Candidate FindWorker(std::string_view job) override;
+  bool HasCapacityFor(std::string_view job, std::string_view worker) override;
+  bool MayReserve(int cls) const override {
     return options_.max_reserved_fleet_share > 0 && MayHold(cls);
   }
-  double Held(std::string_view worker) const override;
+  double ReservedSlots(std::string_view worker) const override;
 
   void Note(const balancing::Event& event);
   void Arrived(const balancing::RequestArrived& e);
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -289,9 +289,12 @@
   p.Read("guarantees.cold_share", &s->slow_start_min_share);
   p.Read("guarantees.cold_s", &s->slow_start_s);
   p.Read("guarantees.drain_grace_s", &s->drain_grace_s);
-  p.Read("guarantees.fall_multiple", &s->fall_multiple);
+  p.Read("guarantees.fall_multiple", &s->slow_start_load_multiple);
   p.Read("guarantees.overload_for_s", &s->overload_for_s);
-  return p.ok() && ValidateSettings(*s, why);
+  if (!p.ok()) return false;
+  const Status valid = ValidateSettings(*s);
+  if (!valid) *why = valid.error().message;
+  return valid.has_value();
 }
 
 void Host::Complain(std::string_view line, std::string_view what) {
@@ -402,7 +405,8 @@
   std::int64_t zone = 0, kind = 0, cell = 0;
   if (!Need(line, "worker", &worker) || !Need(line, "readiness", &readiness) ||
       !OptionalInt(line, "hall", &zone) || !OptionalInt(line, "generation_hw", &kind) ||
-      !OptionalInt(line, "unit_group", &cell) || !Optional(line, "capacity_hint", &m.capacity) ||
+      !OptionalInt(line, "unit_group", &cell) ||
+      !Optional(line, "capacity_hint", &m.capacity_hint) ||
       !Optional(line, "born_s", &m.started_at_s)) {
     return;
   }
@@ -519,7 +523,7 @@
   }
   if (name == "WAKE") {
     TimerFired e;
-    if (!ParseToken(Get("mark"), &e.mark)) return Complain(line, "missing or bad 'mark'");
+    if (!ParseToken(Get("mark"), &e.timer_id)) return Complain(line, "missing or bad 'mark'");
     return Deliver(instance, e);
   }
   if (name == "STATUS_BACK") {
@@ -603,7 +607,7 @@
     field("hop", std::to_string(cancel->attempt));
   } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
     begin("SET_TIMER");
-    field("mark", std::to_string(timer->mark));
+    field("mark", std::to_string(timer->timer_id));
     field("sleep_for_s", FormatSeconds(timer->after_s));
   } else if (const auto* probe = std::get_if<Probe>(&action)) {
     begin("POLL");
--- a/tests/cuts_test.cpp
+++ b/tests/cuts_test.cpp
@@ -88,7 +88,7 @@
         floor.before = [&floor, w, ran_at](std::size_t i) mutable {
           // As the planner does it.
           if (!w->Runs(i)) return;
-          const bool stopped = floor.now - ran_at[i] > balancing::AgreedPart::kStoppedS;
+          const bool stopped = floor.now - ran_at[i] > balancing::AgreedShare::kStoppedS;
           ran_at[i] = floor.now;
           floor.desks[i]->SetFleetShare(
               {w->Part(i), w->Leased(i) ? static_cast<int>(w->ViewOf(i).members.size()) : 0,
@@ -123,7 +123,7 @@
       c.got += 1;
       // docs/design/membership.md: half of what the guarantee gives it, and one to begin with.
       const double part =
-          0.5 * s.fall_multiple *
+          0.5 * s.slow_start_load_multiple *
           (s.slow_start_min_share + (1 - s.slow_start_min_share) * age / s.slow_start_s);
       const double used = c.got / (1 + part * busiest() * age);
       if (used <= told.worst_cold) return;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -288,7 +288,7 @@
           const double share = settings.slow_start_min_share + (1 - settings.slow_start_min_share) *
                                                                    (end - kBorn) /
                                                                    settings.slow_start_s;
-          const double n = settings.fall_multiple * share * warm / (kWorkers - kCold);
+          const double n = settings.slow_start_load_multiple * share * warm / (kWorkers - kCold);
           for (int w = 0; w < kCold; ++w) {
             const auto got = static_cast<double>(within(w, from, end));
             EXPECT_LE(got, n + 2 * std::sqrt(n) + 2)
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -24,7 +24,7 @@
                                    .zone = 1,
                                    .kind = 2,
                                    .cell = -3,
-                                   .capacity = 0.5,
+                                   .capacity_hint = 0.5,
                                    .started_at_s = 9};
   const std::string stream = Writer(Kind::kEnded).U64(1ull << 60).I32(-4).Put(outcome).Done() +
                              Writer(Kind::kWorker).Put(member).Text(std::string(300, 'x')).Done();
--- a/tests/load_balancer_test.cpp
+++ b/tests/load_balancer_test.cpp
@@ -37,7 +37,7 @@
   s.slow_start_min_share = 0.1;
   s.slow_start_s = 20;
   s.drain_grace_s = 0.5;
-  s.fall_multiple = 3;
+  s.slow_start_load_multiple = 3;
   s.overload_for_s = 3;
   return s;
 }
@@ -72,7 +72,7 @@
   Actions Do(const Event& e) {
     Actions actions;
     balancer_.Handle(now, e, &actions);
-    for (const SetTimer& t : Only<SetTimer>(actions)) timers_.emplace(now + t.after_s, t.mark);
+    for (const SetTimer& t : Only<SetTimer>(actions)) timers_.emplace(now + t.after_s, t.timer_id);
     for (const SendAttempt& send : Only<SendAttempt>(actions)) {
       sends[send.id].push_back(send.worker);
       EXPECT_FALSE(ended.contains(send.id)) << "sent after its final answer";
@@ -1249,8 +1249,8 @@
     const std::string& at = desk.sends["a"][0];
     for (const WorkerView& v : desk.Workers()) {
       const bool there = v.worker == at;
-      EXPECT_GE(v.others, there ? least : 0.0) << dispatchers << " " << v.worker;
-      EXPECT_LE(v.others, there ? most : 0.0) << dispatchers << " " << v.worker;
+      EXPECT_GE(v.peer_slots_in_flight, there ? least : 0.0) << dispatchers << " " << v.worker;
+      EXPECT_LE(v.peer_slots_in_flight, there ? most : 0.0) << dispatchers << " " << v.worker;
     }
   }
 }
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -419,7 +419,7 @@
     World w(seed, {.members = n, .voters = 3, .loss = seed % 2 == 0 ? 0.1 : 0});
     Random faults(seed * 31 + 7);
     struct Dispatcher {
-      balancing::AgreedPart agreed;
+      balancing::AgreedShare agreed;
       double demand = 0, share = 0;
       std::vector<double> heard_at, told;
       std::vector<bool> hears_all;
@@ -427,7 +427,7 @@
       double ran_at = 0;
     };
     const auto agree = [&w](std::size_t i, Dispatcher* d) {
-      const bool stopped = w.now() - d->ran_at > balancing::AgreedPart::kStoppedS;
+      const bool stopped = w.now() - d->ran_at > balancing::AgreedShare::kStoppedS;
       d->ran_at = w.now();
       const int members = w.Leased(i) ? static_cast<int>(w.ViewOf(i).members.size()) : 0;
       d->agreed.Set({w.Part(i), members, w.ViewOf(i).epoch, stopped});
--- a/tests/quota_wiring_test.cpp
+++ b/tests/quota_wiring_test.cpp
@@ -239,10 +239,10 @@
 TEST(TenantRates, BindAtOnceBothWaysAndLeaveOthersAsTheyWere) {
   const std::vector<double> own{30, 30, 5, 1, 0};  // two tenants, then sends and the like
   const std::vector<balancing::TenantSettings> tenants{{0.5, 100}, {0.5, 100}};
-  balancing::AgreedPart plain, given;
-  balancing::FleetShare parts{.part = 0.25, .members = 4, .epoch = 1};
+  balancing::AgreedShare plain, given;
+  balancing::FleetShare parts{.share = 0.25, .member_count = 4, .epoch = 1};
   plain.Set(parts);
-  parts.tenant_rates = {20, -1};
+  parts.tenant_rates_rps = {20, -1};
   given.Set(parts);
   const std::vector<double> before = plain.Fleet(0, 1, own, own, 0, false);
   std::vector<double> after = given.Fleet(0, 1, own, own, 0, false);
@@ -250,14 +250,14 @@
   given.ApplyTenantRates(own, tenants, &after);
   EXPECT_DOUBLE_EQ(after[0], 150) << "of 30 the quota of 100 is to let in 20";
   for (std::size_t i = 1; i < own.size(); ++i) EXPECT_EQ(before[i], after[i]) << i;
-  parts.tenant_rates = {30, -1};
+  parts.tenant_rates_rps = {30, -1};
   given.Set(parts);
   given.ApplyTenantRates(own, tenants, &after);
   EXPECT_DOUBLE_EQ(after[0], 100)
       << "all of it is let in, and it counts as today's part has it, up to the quota";
   for (const double rate : {5.0, 60.0, 0.0}) {
-    const double last = parts.tenant_rates[0];
-    parts.tenant_rates[0] = rate;
+    const double last = parts.tenant_rates_rps[0];
+    parts.tenant_rates_rps[0] = rate;
     given.Set(parts);
     EXPECT_DOUBLE_EQ(given.Fall(0), rate / last);
     EXPECT_EQ(given.Fall(1), 1);
@@ -269,8 +269,8 @@
 
 TEST(TenantRates, NoneGivenChangeNothing) {
   const std::vector<double> own{30, 10, 5, 1, 0};
-  balancing::AgreedPart part;
-  part.Set({.part = 0.25, .members = 4, .epoch = 1});
+  balancing::AgreedShare part;
+  part.Set({.share = 0.25, .member_count = 4, .epoch = 1});
   std::vector<double> fleet = part.Fleet(0, 1, own, own, 0, false);
   const std::vector<double> before = fleet;
   part.ApplyTenantRates(own, {{0.5, 100}, {0.5, 100}}, &fleet);
@@ -289,7 +289,7 @@
     for (int w = 0; w < kWorkers; ++w) floor.AddWorker({2, 100}, 0);
     floor.before = [this](std::size_t i) {
       floor.desks[i]->SetFleetShare(
-          {.part = 0.5, .members = 2, .epoch = 1, .tenant_rates = tenant_rates[i]});
+          {.share = 0.5, .member_count = 2, .epoch = 1, .tenant_rates_rps = tenant_rates[i]});
     };
     floor.now = 100;
     floor.Start();
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -38,7 +38,7 @@
     Actions actions;
     balancer.Handle(now, e, &actions);
     for (const Action& a : actions) {
-      if (const auto* t = std::get_if<SetTimer>(&a)) timers.emplace(now + t->after_s, t->mark);
+      if (const auto* t = std::get_if<SetTimer>(&a)) timers.emplace(now + t->after_s, t->timer_id);
       if (const auto* s = std::get_if<SendAttempt>(&a)) {
         if (answered.contains(s->id)) Break(what + ": sent after its final answer");
         if (drained.contains(s->worker)) Break(what + ": sent to a draining worker");
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -325,7 +325,7 @@
   m.worker = "toy-1";
   m.readiness = balancing::Readiness::kDraining;
   m.zone = 1, m.kind = 2, m.cell = -3;
-  m.capacity = 1.5;
+  m.capacity_hint = 1.5;
   m.started_at_s = 1700000000.5;
   return m;
 }
@@ -414,7 +414,7 @@
   s.slow_start_min_share = 0.2;
   s.slow_start_s = 10;
   s.drain_grace_s = 0.5;
-  s.fall_multiple = 3;
+  s.slow_start_load_multiple = 3;
   s.overload_for_s = 3;
   return s;
 }
@@ -428,7 +428,7 @@
     Endpoint m;
     m.worker = "w" + std::to_string(w);
     m.zone = w % 2, m.kind = w % 2, m.cell = w / 2;
-    m.capacity = 1 + 0.5 * (w % 3);
+    m.capacity_hint = 1 + 0.5 * (w % 3);
     m.started_at_s = w == 5 ? 1.5 : 0;
     m.slots = 4;
     members.push_back(m);
@@ -473,8 +473,8 @@
                        .size_hint_s = 0.05};
     handle(job);
     if (step % 25 == 3) handle(PeerMessage{.sender = 1, .body = datagram});
-    if (step == 120) handle(MaintenanceChanged{.worker = "w3", .out = true});
-    if (step == 200) handle(MaintenanceChanged{.worker = "w3", .out = false});
+    if (step == 120) handle(MaintenanceChanged{.worker = "w3", .out_of_service = true});
+    if (step == 200) handle(MaintenanceChanged{.worker = "w3", .out_of_service = false});
     // What was sent three steps ago or earlier ends, in order.
     for (int n = 0; n < 2 && sent.size() > 3; ++n) {
       const auto [request, worker] = sent.front();
--- a/tests/support/compatibility_settings.h
+++ b/tests/support/compatibility_settings.h
@@ -84,7 +84,7 @@
   lines->Add("cold_share", s.slow_start_min_share);
   lines->Add("cold_s", s.slow_start_s);
   lines->Add("drain_grace_s", s.drain_grace_s);
-  lines->Add("fall_multiple", s.fall_multiple);
+  lines->Add("fall_multiple", s.slow_start_load_multiple);
   lines->Add("overload_for_s", s.overload_for_s);
 }
 
--- a/tests/support/floor.h
+++ b/tests/support/floor.h
@@ -24,7 +24,7 @@
   s->drain_grace_s = 2;
   s->slow_start_min_share = 0.33;
   s->slow_start_s = 8.6;
-  s->fall_multiple = 3;
+  s->slow_start_load_multiple = 3;
   s->overload_for_s = 3;
 }
 
@@ -178,7 +178,7 @@
       Answer(fail->id, &Asked::failed);
     } else if (const auto* timer = std::get_if<balancing::SetTimer>(&action)) {
       AtNode(node, now + timer->after_s,
-             [=, this, mark = timer->mark] { Tell(node, balancing::TimerFired{mark}); });
+             [=, this, mark = timer->timer_id] { Tell(node, balancing::TimerFired{mark}); });
     } else if (const auto* probe = std::get_if<balancing::Probe>(&action)) {
       ++probes;
       AtNode(node, now + 2 * kWire, [=, this, name = probe->worker] {
--- a/tests/support/report_tier.h
+++ b/tests/support/report_tier.h
@@ -102,7 +102,7 @@
     settings.max_attempts = 4;
     settings.allow_hedging = true;
     settings.drain_grace_s = 0.5;
-    settings.fall_multiple = 3;
+    settings.slow_start_load_multiple = 3;
     settings.overload_for_s = 3;
     settings.dispatcher_count = shape_.dispatcher_count;
     settings.peers = true;
@@ -135,7 +135,7 @@
   void Do(int dispatcher, const Action& action) {
     if (const auto* timer = std::get_if<SetTimer>(&action)) {
       At(now_ + timer->after_s,
-         [=, this, mark = timer->mark] { Handle(dispatcher, TimerFired{mark}); });
+         [=, this, mark = timer->timer_id] { Handle(dispatcher, TimerFired{mark}); });
     } else if (const auto* send = std::get_if<SendAttempt>(&action)) {
       const int attempt = attempts_[send->id]++;
       const bool full = shape_.half_full && ++sends_ % 2 == 0;
--- a/tests/usage_report_test.cpp
+++ b/tests/usage_report_test.cpp
@@ -344,9 +344,9 @@
   settings.dispatcher_count = 3;
   settings.peers = true;
   const RowLayout layout = Direct(130);
-  const FleetShare agreed{.part = 1.0 / 3, .members = 3, .epoch = 40};
+  const FleetShare agreed{.share = 1.0 / 3, .member_count = 3, .epoch = 40};
   UsageReport report = ReportFor(layout, 0);
-  report.view = 41;  // as AgreedPart numbers epoch 40
+  report.view = 41;  // as AgreedShare numbers epoch 40
   const std::vector<std::string> parts = EncodeReport(report, layout);
   for (const std::size_t parts_heard : {parts.size() - 1, parts.size()}) {
     LoadBalancer balancer(settings, 1);
@@ -379,11 +379,12 @@
   Settings settings;
   settings.classes.resize(1);
   settings.tenants.assign(60'000, {.share = 1});
-  std::string why;
-  EXPECT_TRUE(ValidateSettings(settings, &why)) << why;
+  const Status valid = ValidateSettings(settings);
+  EXPECT_TRUE(valid.has_value()) << valid.error().message;
   settings.tenants.push_back({.share = 1});
-  EXPECT_FALSE(ValidateSettings(settings, &why));
-  EXPECT_EQ(why, "too many tenants");
+  const Status invalid = ValidateSettings(settings);
+  EXPECT_FALSE(invalid.has_value());
+  EXPECT_EQ(invalid.error().message, "too many tenants");
 }
 
 struct Crowd {
