--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -445,7 +445,7 @@
       if (const auto* send = std::get_if<SendAttempt>(&action))
         sent.emplace_back(send->id, send->worker);
       if (const auto* timer = std::get_if<SetTimer>(&action))
-        timers.emplace_back(now + timer->after_s, timer->mark);
+        timers.emplace_back(now + timer->after_s, timer->timer_id);
     }
   };
   handle(DispatcherStarted{});
