--- a/src/codec/copies.cpp
+++ b/src/codec/copies.cpp
@@ -23,7 +23,7 @@
   w.Number(7, f.seq_epoch);
   w.Number(8, f.end_epoch);
   w.Number(9, f.number);
-  w.Number(10, f.life);
+  w.Number(10, f.process_incarnation);
   w.Number(11, f.fill);
   w.Number(12, f.chunk);
   w.Number(13, static_cast<std::uint8_t>(f.last));
@@ -46,9 +46,19 @@
   }
   copies::Frame f;
   f.kind = static_cast<copies::Frame::Kind>(bytes[0]);
-  std::uint64_t* const words[] = {nullptr,   &f.log,  &f.epoch,     &f.disk,      &f.seq,
-                                  &f.commit, &f.end,  &f.seq_epoch, &f.end_epoch, &f.number,
-                                  &f.life,   &f.fill, &f.chunk};
+  std::uint64_t* const words[] = {nullptr,
+                                  &f.log,
+                                  &f.epoch,
+                                  &f.disk,
+                                  &f.seq,
+                                  &f.commit,
+                                  &f.end,
+                                  &f.seq_epoch,
+                                  &f.end_epoch,
+                                  &f.number,
+                                  &f.process_incarnation,
+                                  &f.fill,
+                                  &f.chunk};
   Reader r(bytes.substr(1));
   while (r.Next()) {
     if (r.field() >= 1 && r.field() <= 12) *words[r.field()] = r.Raw<std::uint64_t>();
--- a/src/codec/membership.h
+++ b/src/codec/membership.h
@@ -6,24 +6,24 @@
 #include <string>
 #include <string_view>
 
-#include "membership/cluster.h"
+#include "membership/membership_node.h"
 
 namespace millethollow::codec {
 
 // What bounds the memory that a frame can make us hold.
-constexpr std::size_t kMostMembers = 4096, kMostVoters = 16, kMostPlace = 64, kMostName = 256,
-                      kMostCallers = 64;
+constexpr std::size_t kMaxMembers = 4096, kMaxVoters = 16, kMaxFailureDomain = 64, kMaxName = 256,
+                      kMaxCallers = 64;
 
 std::uint64_t Hash(std::string_view text);  // XXH3, 64 bits; never 0
 
-std::string Encode(const membership::Votes& votes);
-std::optional<membership::Votes> DecodeVotes(std::string_view bytes);
-std::string Encode(const membership::Probe& probe);
-std::optional<membership::Probe> DecodeProbe(std::string_view bytes);
-std::string Encode(const membership::FactNews& news);
-std::optional<membership::FactNews> DecodeFacts(std::string_view bytes);
-std::string Encode(const membership::Message& message);
-std::optional<membership::Message> DecodeMessage(std::string_view bytes);
+std::string Encode(const membership::PersistentVoterState& votes);
+std::optional<membership::PersistentVoterState> DecodeVoterState(std::string_view bytes);
+std::string Encode(const membership::SwimMessage& probe);
+std::optional<membership::SwimMessage> DecodeSwimMessage(std::string_view bytes);
+std::string Encode(const membership::MaintenanceGossip& news);
+std::optional<membership::MaintenanceGossip> DecodeMaintenanceGossip(std::string_view bytes);
+std::string Encode(const membership::AgreementMessage& message);
+std::optional<membership::AgreementMessage> DecodeAgreementMessage(std::string_view bytes);
 
 }  // namespace millethollow::codec
 
--- a/src/codec/quota.cpp
+++ b/src/codec/quota.cpp
@@ -81,7 +81,7 @@
   w->Number(kGrantAnswers, grant.acked_sequence);
   w->Number(kGrantWantFull, static_cast<std::uint8_t>(grant.request_full_report));
   w->Number(kGrantSpan, grant.lease_duration_s);
-  w->Number(kGrantLife, grant.life);
+  w->Number(kGrantLife, grant.process_incarnation);
   for (const Assignment& a : grant.assignments) w->Nested(kGrantAssignment, EncodeEntry(a));
 }
 
@@ -131,7 +131,7 @@
         AppendEntry(&r, &grant.assignments);
         break;
       case kGrantLife:
-        grant.life = r.Raw<std::uint64_t>();
+        grant.process_incarnation = r.Raw<std::uint64_t>();
         break;
       default:
         break;
--- a/src/config/cluster.cpp
+++ b/src/config/cluster.cpp
@@ -61,7 +61,7 @@
 void CompleteQuota(ClusterOptions* o) {
   if (!o->quota.on) return;
   quota::LeaseTimings& t = o->quota.timings;
-  t.max_clock_drift = o->agreement.drift;
+  t.max_clock_drift = o->agreement.clock_drift;
   t.superseded_grant_s = o->agreement.lease_s * (1 + 2 * t.max_clock_drift) + kGrantOnItsWayS;
   if (!o->quota.allocators.empty()) return;
   for (const ClusterMember& m : o->members) {
@@ -77,7 +77,7 @@
   std::size_t voters = 0;
   for (const ClusterMember& m : o.members) {
     if (!Word(m.id)) return wrong("a member's 'id' must be one plain word");
-    if (!m.place.empty() && !Word(m.place))
+    if (!m.failure_domain.empty() && !Word(m.failure_domain))
       return wrong("the place of '" + m.id + "' must be one plain word");
     if (!ids.insert(m.id).second) return wrong("two members '" + m.id + "'");
     if (m.address.empty()) return wrong("member '" + m.id + "' has no address");
@@ -99,13 +99,15 @@
   }
   // A lease must outlive a change of the leader, and be asked for several times in its span.
   const auto& a = o.agreement;
-  if (a.beat_s * 2 > a.election_s) return wrong("'election_s' must be at least twice 'beat_s'");
+  if (a.heartbeat_s * 2 > a.election_s)
+    return wrong("'election_s' must be at least twice 'beat_s'");
   if (a.lease_s < 3 * a.election_s)
     return wrong("'lease_s' must be at least three times 'election_s'");
   if (a.renew_s * 4 > a.lease_s) return wrong("'lease_s' must be at least four times 'renew_s'");
   const auto& d = o.detector;
-  if (d.timeout_s >= d.probe_s) return wrong("'timeout_s' must be under 'probe_s'");
-  if (d.suspect_s > d.suspect_most_s) return wrong("'suspect_s' must not be over 'suspect_most_s'");
+  if (d.probe_timeout_s >= d.probe_interval_s) return wrong("'timeout_s' must be under 'probe_s'");
+  if (d.suspicion_min_s > d.suspicion_max_s)
+    return wrong("'suspect_s' must not be over 'suspect_most_s'");
   return CheckQuota(o, why);
 }
 
@@ -155,7 +157,7 @@
       if (!ReadKeys(item, at,
                     {{"id", TextKey(&m.id, why)},
                      {"address", TextKey(&m.address, why)},
-                     {"place", TextKey(&m.place, why)},
+                     {"place", TextKey(&m.failure_domain, why)},
                      {"voter", FlagKey(&m.voter, why)}},
                     why)) {
         return false;
@@ -165,21 +167,21 @@
     return true;
   };
   const KeyReaders timings{
-      {"probe_s", number(&o.detector.probe_s, 0.02, 60)},
-      {"timeout_s", number(&o.detector.timeout_s, 0.005, 30)},
-      {"gossip_s", number(&o.detector.gossip_s, 0.01, 30)},
-      {"suspect_s", number(&o.detector.suspect_s, 0.05, 300)},
-      {"suspect_most_s", number(&o.detector.suspect_most_s, 0.05, 600)},
-      {"failed_probe_s", number(&o.detector.failed_probe_s, 0.05, 600)},
-      {"beat_s", number(&o.agreement.beat_s, 0.02, 60)},
+      {"probe_s", number(&o.detector.probe_interval_s, 0.02, 60)},
+      {"timeout_s", number(&o.detector.probe_timeout_s, 0.005, 30)},
+      {"gossip_s", number(&o.detector.gossip_interval_s, 0.01, 30)},
+      {"suspect_s", number(&o.detector.suspicion_min_s, 0.05, 300)},
+      {"suspect_most_s", number(&o.detector.suspicion_max_s, 0.05, 600)},
+      {"failed_probe_s", number(&o.detector.failed_probe_interval_s, 0.05, 600)},
+      {"beat_s", number(&o.agreement.heartbeat_s, 0.02, 60)},
       {"election_s", number(&o.agreement.election_s, 0.05, 120)},
       {"lease_s", number(&o.agreement.lease_s, 0.2, 600)},
       {"renew_s", number(&o.agreement.renew_s, 0.02, 120)},
-      {"view_gap_s", number(&o.agreement.view_gap_s, 0.05, 600)},
-      {"drift", number(&o.agreement.drift, 0, 0.2)},
-      {"return_s", number(&o.agreement.return_s, 0, 600)},
-      {"return_most_s", number(&o.agreement.return_most_s, 0, 3600)},
-      {"forgive_s", number(&o.agreement.forgive_s, 0, 86400)},
+      {"view_gap_s", number(&o.agreement.min_view_interval_s, 0.05, 600)},
+      {"drift", number(&o.agreement.clock_drift, 0, 0.2)},
+      {"return_s", number(&o.agreement.rejoin_backoff_s, 0, 600)},
+      {"return_most_s", number(&o.agreement.rejoin_backoff_max_s, 0, 3600)},
+      {"forgive_s", number(&o.agreement.rejoin_backoff_reset_s, 0, 86400)},
   };
   auto store_bytes = static_cast<double>(o.store_bytes);
   auto copies = static_cast<double>(o.copies), least = 0.0;
@@ -199,7 +201,7 @@
       {"listen", TextKey(&o.listen, why)},
       {"store", TextKey(&o.store, why)},
       {"members", members},
-      {"cut_off_part", number(&o.cut_off_part, 0, 1)},
+      {"cut_off_part", number(&o.isolated_share, 0, 1)},
       {"store_bytes", number(&store_bytes, 1 << 20, 1e12)},
       {"copies", number(&copies, 1, 8)},
       {"copies_least", number(&least, 1, 8)},
--- a/src/config/cluster.h
+++ b/src/config/cluster.h
@@ -8,14 +8,14 @@
 #include <vector>
 
 #include "copies/jobs.h"
-#include "membership/agreement.h"
-#include "membership/detector.h"
+#include "membership/failure_detector.h"
+#include "membership/view_agreement.h"
 #include "quota/types.h"
 
 namespace millethollow {
 
 struct ClusterMember {
-  std::string id, address, place;
+  std::string id, address, failure_domain;
   bool voter = false;
 };
 
@@ -33,9 +33,9 @@
   std::string listen;  // where this member binds; its address in the list where the file is silent
   std::vector<ClusterMember> members;
   std::string store;  // a folder of its own; a voter must have one
-  membership::DetectorTimings detector;
-  membership::AgreementTimings agreement;
-  double cut_off_part = 0.5;
+  membership::FailureDetectorTimings detector;
+  membership::ViewAgreementTimings agreement;
+  double isolated_share = 0.5;
   std::uint64_t store_bytes = 256ULL << 20;  // of what it keeps for others
   // Members that have each promise on disk, and the least that may. copies_least 0: two where there
   // are as many members.
--- a/src/copies/copies.cpp
+++ b/src/copies/copies.cpp
@@ -51,10 +51,11 @@
   if (view.epoch == view_.epoch && looked_) return;
   looked_ = true;
   view_ = view;
-  for (const LogPlace& place : view_.logs) {
+  for (const LogAssignment& place : view_.logs) {
     opened_.erase(place.log);
-    const bool ours = place.owner == o_.self && place.life == o_.life &&
-                      place.Find(o_.self) != nullptr && place.Find(o_.self)->disk == o_.disk;
+    const bool ours = place.owner == o_.self &&
+                      place.process_incarnation == o_.process_incarnation &&
+                      place.Find(o_.self) != nullptr && place.Find(o_.self)->store_id == o_.disk;
     auto it = logs_.find(place.log);
     if (ours && it == logs_.end()) {
       it = logs_.emplace(place.log, Log{}).first;  // a new one
@@ -66,11 +67,11 @@
       Disown(place.log, &log, actions);
       continue;
     }
-    if (!log.own || log.since != place.since) Own(now, place.log, &log, place, actions);
+    if (!log.own || log.since != place.owner_epoch) Own(now, place.log, &log, place, actions);
     if (place.version == log.version) log.wanted.clear();
     log.asked.clear();
     log.passing = log.pass_to != 0;
-    for (const LogHolder& h : log.wanted) log.asked.insert(h.id);
+    for (const LogReplica& h : log.wanted) log.asked.insert(h.id);
     SetPeers(now, &log, place);
     Commit(now, place.log, &log, actions);
   }
@@ -100,7 +101,7 @@
             (peer.met ? "" : ",not-met") + (peer.fill != 0 ? ",filling" : "") +
             ",acked=" + std::to_string(peer.acked) + ",next=" + std::to_string(peer.next);
   }
-  for (const LogHolder& h : log.wanted) told += " wants=" + std::to_string(h.id);
+  for (const LogReplica& h : log.wanted) told += " wants=" + std::to_string(h.id);
   if (log.pass_to != 0) told += " pass_to=" + std::to_string(log.pass_to);
   return told;
 }
@@ -115,7 +116,7 @@
   return leased_ && !failed_ && it != logs_.end() && it->second.own && it->second.begun;
 }
 
-std::size_t Copies::InReach(double now, const Log& log, const LogPlace& place) const {
+std::size_t Copies::InReach(double now, const Log& log, const LogAssignment& place) const {
   std::size_t there = 1;
   for (const auto& [who, peer] : log.peers) {
     there += peer.holder && place.Find(who) != nullptr && now - peer.heard_at <= o_.late_s;
@@ -127,7 +128,7 @@
                    Refusal* why, Actions* actions) {
   const auto it = logs_.find(id);
   *why = Refusal::kNone;
-  const LogPlace* place = view_.Log(id);
+  const LogAssignment* place = view_.Log(id);
   if (failed_) {
     *why = Refusal::kStoreFailed;
   } else if (!Acts(id) || place == nullptr || it->second.closing) {
@@ -178,14 +179,14 @@
   tick_at_ = now + kTickS;
   if (failed_) return;
   for (auto& [id, log] : logs_) {
-    const LogPlace* place = view_.Log(id);
+    const LogAssignment* place = view_.Log(id);
     if (!log.own || place == nullptr || !leased_) continue;
     std::size_t copies = 1;
     for (const auto& [who, peer] : log.peers) copies += now - peer.heard_at <= o_.late_s;
     if (copies < o_.copies) {
       if (const NodeId who = Candidate(now, id, log)) {
         Peer& peer = log.peers[who];
-        peer.disk = view_.Find(who)->disk;
+        peer.disk = view_.Find(who)->store_id;
         peer.heard_at = now;
       }
     }
--- a/src/copies/copies.h
+++ b/src/copies/copies.h
@@ -18,15 +18,15 @@
 
 namespace millethollow::copies {
 
-using membership::Life;
-using membership::LogHolder;
-using membership::LogPlace;
+using membership::LogAssignment;
+using membership::LogReplica;
 using membership::NodeId;
+using membership::ProcessIncarnation;
 using membership::View;
 
 struct Options {
   NodeId self = 0;
-  Life life = 0;
+  ProcessIncarnation process_incarnation = 0;
   std::uint64_t disk = 0;  // the number of this member's store
   std::size_t copies = 3, copies_least = 2;
   double late_s = 1.0;                  // a holder silent for so long is to be put out
@@ -84,7 +84,7 @@
   double NextAt() const { return tick_at_; }
 
   // What the leader is to be asked for.
-  std::vector<LogPlace> Wants() const;
+  std::vector<LogAssignment> Wants() const;
   // Where the entries of a log that it acts on lie in the store.
   std::string Prefix(LogId log) const;
   // May this member act on the log now? To be asked after Look.
@@ -106,7 +106,7 @@
  private:
   struct Peer {
     std::uint64_t disk = 0, asked = 0;  // asked: the number of the latest kWhere
-    Life life = 0;
+    ProcessIncarnation process_incarnation = 0;
     bool holder = false;                 // in the view
     bool met = false;                    // it has told how far it is
     std::pair<std::uint64_t, Seq> end;   // its last operation as it first told: epoch and number
@@ -148,11 +148,11 @@
     Seq base = 0, commit = 0;
     double owned_at = 0;
     std::map<NodeId, Peer> peers;
-    std::uint64_t version = 0;      // of what is wanted
-    std::vector<LogHolder> wanted;  // holders; empty: as the view has it
-    NodeId pass_to = 0;             // it is to be the owner
-    bool passing = false;           // that was asked for under this view, and may come to be
-    std::set<NodeId> asked;         // under this view; they are waited for until the next
+    std::uint64_t version = 0;       // of what is wanted
+    std::vector<LogReplica> wanted;  // holders; empty: as the view has it
+    NodeId pass_to = 0;              // it is to be the owner
+    bool passing = false;            // that was asked for under this view, and may come to be
+    std::set<NodeId> asked;          // under this view; they are waited for until the next
     Seq End() const { return ops.empty() ? head.applied : ops.back().seq; }
     const Op* At(Seq seq) const;
     std::uint64_t EpochAt(Seq seq) const;
@@ -171,9 +171,9 @@
   void Apply(LogId id, Log* log, Seq commit);
   void Cut(LogId id, Log* log, Seq from);
   void Flush(Actions* actions);
-  void Own(double now, LogId id, Log* log, const LogPlace& place, Actions* actions);
+  void Own(double now, LogId id, Log* log, const LogAssignment& place, Actions* actions);
   void Disown(LogId id, Log* log, Actions* actions);
-  void SetPeers(double now, Log* log, const LogPlace& place);
+  void SetPeers(double now, Log* log, const LogAssignment& place);
   void SendWhere(LogId id, const Log& log, NodeId to, Peer* peer, Actions* actions);
   void SendOps(double now, LogId id, Log* log, NodeId to, Peer* peer, Actions* actions);
   void HearOps(NodeId from, const Frame& f, Log* log, Actions* actions);
@@ -183,8 +183,8 @@
   void Tell(NodeId to, LogId id, const Log& log, bool matched, Actions* actions) const;
   void Commit(double now, LogId id, Log* log, Actions* actions);
   void GiveUpDisk(Actions* actions);
-  std::size_t InReach(double now, const Log& log, const LogPlace& place) const;
-  void Want(double now, Log* log, const LogPlace& place);
+  std::size_t InReach(double now, const Log& log, const LogAssignment& place) const;
+  void Want(double now, Log* log, const LogAssignment& place);
   NodeId Candidate(double now, LogId id, const Log& log) const;
 
   Options o_;
--- a/src/copies/holders.cpp
+++ b/src/copies/holders.cpp
@@ -7,13 +7,13 @@
 
 namespace millethollow::copies {
 
-void Copies::Own(double now, LogId id, Log* log, const LogPlace& place, Actions* actions) {
+void Copies::Own(double now, LogId id, Log* log, const LogAssignment& place, Actions* actions) {
   Disown(id, log, actions);
   log->own = true;
-  log->since = place.since;
+  log->since = place.owner_epoch;
   log->pass_to = 0;
   log->passing = false;
-  log->head.epoch = std::max(log->head.epoch, place.since);
+  log->head.epoch = std::max(log->head.epoch, place.owner_epoch);
   log->base = log->End();
   log->commit = log->head.applied;
   log->owned_at = now;
@@ -29,20 +29,20 @@
   log->asked.clear();
 }
 
-void Copies::SetPeers(double now, Log* log, const LogPlace& place) {
+void Copies::SetPeers(double now, Log* log, const LogAssignment& place) {
   for (auto it = log->peers.begin(); it != log->peers.end();) {
     const auto* member = view_.Find(it->first);
-    const bool goes =
-        place.Find(it->first) == nullptr && (member == nullptr || member->disk != it->second.disk);
+    const bool goes = place.Find(it->first) == nullptr &&
+                      (member == nullptr || member->store_id != it->second.disk);
     it = goes ? log->peers.erase(it) : std::next(it);
   }
   for (auto& [who, peer] : log->peers) peer.holder = false;
-  for (const LogHolder& h : place.holders) {
+  for (const LogReplica& h : place.replicas) {
     if (h.id == o_.self) continue;
     Peer& peer = log->peers[h.id];
-    if (peer.disk != h.disk) {
+    if (peer.disk != h.store_id) {
       peer = Peer{};
-      peer.disk = h.disk;
+      peer.disk = h.store_id;
       peer.heard_at = now;
     }
     peer.holder = true;
@@ -54,7 +54,7 @@
   std::set<std::string> places;
   const auto place_of = [this](NodeId who) {
     const auto* member = view_.Find(who);
-    return member == nullptr ? std::string() : member->place;
+    return member == nullptr ? std::string() : member->failure_domain;
   };
   places.insert(place_of(o_.self));
   for (const auto& [who, peer] : log.peers) {
@@ -63,8 +63,8 @@
   NodeId best = 0;
   std::pair<bool, std::uint64_t> most;
   for (const auto& member : view_.members) {
-    if (member.id == o_.self || member.disk == 0 || log.peers.contains(member.id)) continue;
-    const std::pair weight(!places.contains(member.place),
+    if (member.id == o_.self || member.store_id == 0 || log.peers.contains(member.id)) continue;
+    const std::pair weight(!places.contains(member.failure_domain),
                            membership::Mix(id ^ membership::Mix(member.id)));
     if (best == 0 || weight > most) best = member.id, most = weight;
   }
@@ -72,7 +72,7 @@
 }
 
 // Which holders the log should have, where the view has others.
-void Copies::Want(double now, Log* log, const LogPlace& place) {
+void Copies::Want(double now, Log* log, const LogAssignment& place) {
   if (log->closing) return;
   // Gone since with what it had, cut off, or put out before it was heard: ours is the most there
   // is.
@@ -80,15 +80,15 @@
     const auto* member = view_.Find(log->pass_to);
     const auto peer = log->peers.find(log->pass_to);
     if (member == nullptr || peer == log->peers.end() || place.Find(log->pass_to) == nullptr ||
-        member->disk != peer->second.disk || now - peer->second.heard_at > o_.late_s) {
+        member->store_id != peer->second.disk || now - peer->second.heard_at > o_.late_s) {
       log->pass_to = 0;
     }
   }
-  std::vector<LogHolder> holders, silent;
-  for (const LogHolder& h : place.holders) {
+  std::vector<LogReplica> holders, silent;
+  for (const LogReplica& h : place.replicas) {
     const auto* member = view_.Find(h.id);
     const auto peer = log->peers.find(h.id);
-    const bool other_disk = member != nullptr && member->disk != h.disk;
+    const bool other_disk = member != nullptr && member->store_id != h.store_id;
     const bool late = h.id != o_.self && peer != log->peers.end() &&
                       now - std::max(peer->second.heard_at, log->owned_at) > o_.late_s;
     if (other_disk && log->pass_to == 0) continue;  // what it had is lost
@@ -99,25 +99,25 @@
     const auto* member = view_.Find(who);
     // From the asking on it is waited for; until then it must have all that may have been answered.
     if (peer.holder || !peer.met || peer.acked < must || log->pass_to != 0 || member == nullptr ||
-        member->disk != peer.disk)
+        member->store_id != peer.disk)
       continue;
     if (now - peer.heard_at <= o_.late_s && holders.size() < o_.copies)
       holders.push_back({who, peer.disk});
   }
   // Not fewer than must be: who is silent may come back with all of it.
-  for (const LogHolder& h : silent) {
+  for (const LogReplica& h : silent) {
     if (holders.size() < o_.copies_least) holders.push_back(h);
   }
-  const auto by_id = [](const LogHolder& a, const LogHolder& b) { return a.id < b.id; };
+  const auto by_id = [](const LogReplica& a, const LogReplica& b) { return a.id < b.id; };
   std::sort(holders.begin(), holders.end(), by_id);
-  std::vector<LogHolder> now_held = place.holders;
+  std::vector<LogReplica> now_held = place.replicas;
   std::sort(now_held.begin(), now_held.end(), by_id);
-  const std::vector<LogHolder>& asked_for = log->wanted.empty() ? now_held : log->wanted;
+  const std::vector<LogReplica>& asked_for = log->wanted.empty() ? now_held : log->wanted;
   if (holders == asked_for && (log->pass_to == 0 || !log->wanted.empty())) return;
   log->version += 1;
   log->passing |= log->pass_to != 0;
   log->wanted = holders;
-  for (const LogHolder& h : holders) log->asked.insert(h.id);
+  for (const LogReplica& h : holders) log->asked.insert(h.id);
 }
 
 void Copies::Close(LogId id) {
@@ -127,33 +127,33 @@
   it->second.version += 1;
 }
 
-std::vector<LogPlace> Copies::Wants() const {
-  std::vector<LogPlace> wants;
+std::vector<LogAssignment> Copies::Wants() const {
+  std::vector<LogAssignment> wants;
   for (const auto& [id, log] : logs_) {
     if (log.own && log.closing) {
       wants.push_back({.log = id,
                        .owner = o_.self,
-                       .life = o_.life,
-                       .since = log.since,
+                       .process_incarnation = o_.process_incarnation,
+                       .owner_epoch = log.since,
                        .version = log.version,
-                       .holders = {}});
+                       .replicas = {}});
       continue;
     }
     if (!log.own || log.wanted.empty()) continue;
     wants.push_back({.log = id,
                      .owner = log.pass_to == 0 ? o_.self : log.pass_to,
-                     .life = o_.life,
-                     .since = log.since,
+                     .process_incarnation = o_.process_incarnation,
+                     .owner_epoch = log.since,
                      .version = log.version,
-                     .holders = log.wanted});
+                     .replicas = log.wanted});
   }
   for (const LogId id : opened_) {
     wants.push_back({.log = id,
                      .owner = o_.self,
-                     .life = o_.life,
-                     .since = 0,
+                     .process_incarnation = o_.process_incarnation,
+                     .owner_epoch = 0,
                      .version = 1,
-                     .holders = {{o_.self, o_.disk}}});
+                     .replicas = {{o_.self, o_.disk}}});
   }
   return wants;
 }
--- a/src/copies/keys.cpp
+++ b/src/copies/keys.cpp
@@ -19,7 +19,7 @@
 std::string EncodeClaimer(const Claimer& c) {
   codec::Writer w;
   w.Raw(c.who);
-  w.Raw(c.life);
+  w.Raw(c.process_incarnation);
   w.Raw(c.number);
   return w.Take();
 }
@@ -42,7 +42,7 @@
   while (r.Next()) {
     if (r.field() == 1) {
       record.claimer.who = r.Raw<std::uint64_t>();
-      record.claimer.life = r.Raw<std::uint64_t>();
+      record.claimer.process_incarnation = r.Raw<std::uint64_t>();
       record.claimer.number = r.Raw<std::uint64_t>();
     }
     if (r.field() == 2) {
@@ -68,7 +68,7 @@
   std::uint64_t most = 0;
   for (const auto& member : view.members) {
     const std::uint64_t weight = membership::Mix(log ^ membership::Mix(member.id));
-    if (member.disk != 0 && (best == 0 || weight > most)) best = member.id, most = weight;
+    if (member.store_id != 0 && (best == 0 || weight > most)) best = member.id, most = weight;
   }
   return best;
 }
@@ -361,7 +361,7 @@
   open.word.kind = KeyWord::Kind::kClaim;
   open.word.log = log;
   open.word.key = key;
-  open.word.claimer = {self_, life_, number};
+  open.word.claimer = {self_, process_incarnation_, number};
   open.word.window_s = window_s;
   open.since = now;
   Say(now, &open);
@@ -411,7 +411,7 @@
 }
 
 void KeyClaims::Hear(double now, const KeyWord& w) {
-  if (w.claimer.who != self_ || w.claimer.life != life_) return;
+  if (w.claimer.who != self_ || w.claimer.process_incarnation != process_incarnation_) return;
   const auto it = claims_.find(w.claimer.number);
   if (it == claims_.end() || it->second.word.key != w.key) return;
   Open& open = it->second;
--- a/src/copies/keys.h
+++ b/src/copies/keys.h
@@ -25,7 +25,7 @@
 // One that a client asked with a key: the member, its process, and which of its claims.
 struct Claimer {
   NodeId who = 0;  // 0: nobody
-  Life life = 0;
+  ProcessIncarnation process_incarnation = 0;
   std::uint64_t number = 0;
   auto operator<=>(const Claimer&) const = default;
 };
@@ -148,8 +148,8 @@
     std::function<NodeId(LogId)> owner;  // as the view has it, with a lease held now; 0: none
     std::function<void(NodeId, const KeyWord&)> send;
   };
-  KeyClaims(NodeId self, Life life, Hooks hooks)
-      : self_(self), life_(life), hooks_(std::move(hooks)) {}
+  KeyClaims(NodeId self, ProcessIncarnation process_incarnation, Hooks hooks)
+      : self_(self), process_incarnation_(process_incarnation), hooks_(std::move(hooks)) {}
 
   // `then` once, maybe at once, unless End comes first. Its number; 0: refused.
   std::uint64_t Claim(double now, const std::string& key, double window_s, Then then);
@@ -179,7 +179,7 @@
   static double SayAt(const Open& open);
 
   NodeId self_;
-  Life life_;
+  ProcessIncarnation process_incarnation_;
   Hooks hooks_;
   std::map<std::uint64_t, Open> claims_;
   std::uint64_t numbers_ = 0;
--- a/src/copies/records.h
+++ b/src/copies/records.h
@@ -55,8 +55,8 @@
   std::uint64_t disk = 0;   // of the holder: whose it is, or for whom
   Seq seq = 0, commit = 0, end = 0;
   std::uint64_t seq_epoch = 0, end_epoch = 0;
-  std::uint64_t number = 0;           // of a kWhere, and of the kAt that answers it
-  membership::Life life = 0;          // of the process that says kAt
+  std::uint64_t number = 0;  // of a kWhere, and of the kAt that answers it
+  membership::ProcessIncarnation process_incarnation = 0;  // of the process that says kAt
   std::uint64_t fill = 0, chunk = 0;  // which filling, and which part; kAt: how many parts it has
   bool last = false, matched = false;
   std::vector<Op> ops = {};
--- a/src/copies/replication.cpp
+++ b/src/copies/replication.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "copies/copies.h"
-#include "membership/logs.h"
+#include "membership/log_assignment.h"
 
 namespace millethollow::copies {
 namespace {
@@ -16,7 +16,7 @@
 
 // What all holders have, and whoever was asked for as one, and this disk too.
 void Copies::Commit(double now, LogId id, Log* log, Actions* actions) {
-  const LogPlace* place = view_.Log(id);
+  const LogAssignment* place = view_.Log(id);
   if (!log->own || place == nullptr || failed_ || !leased_) return;
   Seq commit = log->stored;
   for (const auto& [who, peer] : log->peers) {
@@ -26,7 +26,7 @@
   for (const NodeId who : log->asked) {
     if (who != o_.self && !log->peers.contains(who)) commit = 0;
   }
-  if (commit > log->commit && place->holders.size() >= o_.copies_least) {
+  if (commit > log->commit && place->replicas.size() >= o_.copies_least) {
     counters_.promises += commit - std::max(log->commit, std::min(log->base, commit));
     log->commit = commit;
     actions->kept.emplace_back(id, commit);
@@ -47,7 +47,7 @@
   f.commit = log.head.applied;
   f.end = log.End();
   f.end_epoch = log.EpochAt(f.end);
-  f.life = o_.life;
+  f.process_incarnation = o_.process_incarnation;
   f.fill = log.fill;
   f.chunk = log.chunk_stored;
   actions->send.emplace_back(to, std::move(f));
@@ -163,9 +163,9 @@
   if (!f.ops.empty()) {
     // A holder that is waited for hears of an operation before it counts. One that was stopped may
     // find frames that waited as long; one that is not waited for hears of it when it may.
-    const LogPlace* place = view_.Log(f.log);
-    const LogHolder* self = place == nullptr ? nullptr : place->Find(o_.self);
-    if (self == nullptr || self->disk != o_.disk || f.commit > log->End()) {
+    const LogAssignment* place = view_.Log(f.log);
+    const LogReplica* self = place == nullptr ? nullptr : place->Find(o_.self);
+    if (self == nullptr || self->store_id != o_.disk || f.commit > log->End()) {
       log->late = std::max(log->late, f.ops.back().seq);
     } else {
       log->Mark(before_ - kOnItsWayS);
@@ -192,12 +192,12 @@
   if (f.kind == Frame::Kind::kAt) return HearAt(now, from, f, actions);
   if (f.disk != o_.disk) return;
   // One that was its owner and does not know that it is no more; or one whose view is to come.
-  const LogPlace* place = view_.Log(f.log);
-  if (place != nullptr && place->since > f.epoch) return;
+  const LogAssignment* place = view_.Log(f.log);
+  if (place != nullptr && place->owner_epoch > f.epoch) return;
   auto it = logs_.find(f.log);
   if (it == logs_.end()) {
     if (f.epoch < view_.epoch && place == nullptr) return;  // at its end
-    if (logs_.size() >= membership::kMostLogs) return;
+    if (logs_.size() >= membership::kMaxLogs) return;
     it = logs_.emplace(f.log, Log{}).first;
   }
   Log& log = it->second;
@@ -233,13 +233,13 @@
   Peer& peer = p->second;
   peer.heard_at = now;
   // Another process on that disk: what is on it is to be asked for anew.
-  if (peer.met && f.life != peer.life) {
+  if (peer.met && f.process_incarnation != peer.process_incarnation) {
     peer.Forget();
   }
   if (!peer.met) {
     if (f.number == 0 || f.number != peer.asked) return;
     peer.met = true;
-    peer.life = f.life;
+    peer.process_incarnation = f.process_incarnation;
     peer.next = peer.first = f.seq + 1;
     peer.end = {f.end_epoch, f.end};
     // It has less than it said that it had on disk.
--- a/src/membership/detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -1,4 +1,4 @@
-#include "membership/detector.h"
+#include "membership/failure_detector.h"
 
 #include <algorithm>
 #include <bit>
@@ -17,15 +17,16 @@
 constexpr int kTellFactor = 3;  // news goes out so many times the logarithm of the members
 
 // A suspicion counts as alive here: it passes, and is told often enough.
-std::uint64_t DigestOf(const Detector::Member& m) {
+std::uint64_t DigestOf(const FailureDetector::Member& m) {
   const Health health = m.health == Health::kSuspect ? Health::kAlive : m.health;
   return Mix(Mix(m.id) + (std::uint64_t{m.incarnation} << 2) + static_cast<std::uint64_t>(health));
 }
 
 }  // namespace
 
-Detector::Detector(NodeId self, const std::vector<NodeId>& members, const DetectorTimings& timings,
-                   std::uint64_t seed, double now)
+FailureDetector::FailureDetector(NodeId self, const std::vector<NodeId>& members,
+                                 const FailureDetectorTimings& timings, std::uint64_t seed,
+                                 double now)
     : self_(self), t_(timings), random_(seed) {
   for (const NodeId id : members) {
     index_.emplace(id, members_.size());
@@ -35,27 +36,27 @@
   }
   next_in_order_ = order_.size();
   // Members that all started at once must not probe in step.
-  probe_at_ = now + t_.probe_s * random_.Unit();
-  gossip_at_ = now + t_.gossip_s * random_.Unit();
-  ask_failed_at_ = now + t_.failed_probe_s * random_.Unit();
+  probe_at_ = now + t_.probe_interval_s * random_.Unit();
+  gossip_at_ = now + t_.gossip_interval_s * random_.Unit();
+  ask_failed_at_ = now + t_.failed_probe_interval_s * random_.Unit();
   due_at_ = NextAt();
 }
 
-Detector::Member* Detector::At(NodeId id) {
+FailureDetector::Member* FailureDetector::At(NodeId id) {
   const auto it = index_.find(id);
   return it == index_.end() ? nullptr : &members_[it->second];
 }
 
-const Detector::Member* Detector::Find(NodeId id) const {
+const FailureDetector::Member* FailureDetector::Find(NodeId id) const {
   const auto it = index_.find(id);
   return it == index_.end() ? nullptr : &members_[it->second];
 }
 
-int Detector::Tells() const {
+int FailureDetector::Tells() const {
   return kTellFactor * static_cast<int>(std::bit_width(members_.size()));
 }
 
-double Detector::NextAt() const {
+double FailureDetector::NextAt() const {
   double at = leaving_ ? kNever : std::min(probe_at_, ask_failed_at_);
   if (!fresh_.empty()) at = std::min(at, gossip_at_);
   for (const Asked& a : asked_) at = std::min(at, a.next_at);
@@ -66,10 +67,10 @@
   return at;
 }
 
-void Detector::NoticeStop(double now) {
+void FailureDetector::NoticeStop(double now) {
   const double lost = now - due_at_;
   if (lost < kStopS || due_at_ == kNever) return;
-  counters_.stops_noticed += 1;
+  counters_.pauses_detected += 1;
   Slower(1);
   for (Asked& a : asked_) a.next_at += lost;
   for (Relayed& r : relayed_) r.nack_at += lost;
@@ -78,7 +79,7 @@
   gossip_at_ = std::max(gossip_at_, now);
 }
 
-void Detector::Set(Member* m, std::uint32_t incarnation, Health health, Actions* actions) {
+void FailureDetector::Set(Member* m, std::uint32_t incarnation, Health health, Actions* actions) {
   digest_ ^= DigestOf(*m);
   if (m->health == Health::kSuspect) suspects_ -= 1;
   if (health == Health::kSuspect) suspects_ += 1;
@@ -94,19 +95,19 @@
   actions->changes.push_back({m->id, health, incarnation});
 }
 
-double Detector::SuspicionEnds(const Member& m) const {
+double FailureDetector::SuspicionEnds(const Member& m) const {
   // Lifeguard: the more members say so by themselves, the sooner; alone, its longest. With fewer
   // than three members there is nobody to confirm it.
   const double most = std::min<double>(3, static_cast<double>(members_.size()) - 2);
   const double confirmed = static_cast<double>(m.confirmed_by.size()) - 1;
-  if (most <= 0) return m.suspect_since + t_.suspect_s;
+  if (most <= 0) return m.suspect_since + t_.suspicion_min_s;
   const double down =
-      (t_.suspect_most_s - t_.suspect_s) * std::log(confirmed + 1) / std::log(most + 1);
-  return m.suspect_since + std::max(t_.suspect_s, t_.suspect_most_s - down);
+      (t_.suspicion_max_s - t_.suspicion_min_s) * std::log(confirmed + 1) / std::log(most + 1);
+  return m.suspect_since + std::max(t_.suspicion_min_s, t_.suspicion_max_s - down);
 }
 
-void Detector::Suspect(double now, Member* m, std::uint32_t incarnation, NodeId by,
-                       Actions* actions) {
+void FailureDetector::Suspect(double now, Member* m, std::uint32_t incarnation, NodeId by,
+                              Actions* actions) {
   if (m->health == Health::kSuspect && m->incarnation == incarnation) {
     // A further one who says so by itself: worth telling on, up to as many as shorten it.
     const bool known =
@@ -125,7 +126,7 @@
   m->confirmed_by = {by};
 }
 
-void Detector::Refute(double now, std::uint32_t incarnation, Actions* actions) {
+void FailureDetector::Refute(double now, std::uint32_t incarnation, Actions* actions) {
   Member* self = At(self_);
   if (leaving_) {
     if (incarnation >= self->incarnation) Set(self, incarnation + 1, Health::kLeft, actions);
@@ -133,14 +134,14 @@
   }
   Set(self, incarnation + 1, Health::kAlive, actions);
   SendNews(static_cast<std::size_t>(t_.fanout), actions);  // at once: a deadline runs against us
-  gossip_at_ = now + t_.gossip_s;
+  gossip_at_ = now + t_.gossip_interval_s;
 }
 
-void Detector::Learn(double now, const News& n, Actions* actions) {
-  Member* m = At(n.who);
+void FailureDetector::Learn(double now, const GossipUpdate& n, Actions* actions) {
+  Member* m = At(n.member);
   // A stranger, or a number that leaves none above it.
   if (m == nullptr || n.incarnation >= kMostIncarnation) return;
-  if (n.who == self_) {
+  if (n.member == self_) {
     const bool against = n.health != Health::kAlive && n.incarnation >= m->incarnation;
     // Or word of a life before this one: what was said of that must not count against this.
     const bool before = n.health == Health::kAlive && n.incarnation > m->incarnation;
@@ -152,26 +153,26 @@
     return;
   }
   const bool same = n.incarnation == m->incarnation && n.health == m->health;
-  if (n.health == Health::kSuspect && same) Suspect(now, m, n.incarnation, n.by, actions);
+  if (n.health == Health::kSuspect && same) Suspect(now, m, n.incarnation, n.suspected_by, actions);
   if (std::pair(n.incarnation, n.health) <= std::pair(m->incarnation, m->health)) return;
   if (n.health == Health::kSuspect) {
-    Suspect(now, m, n.incarnation, n.by, actions);
+    Suspect(now, m, n.incarnation, n.suspected_by, actions);
   } else {
     if (n.health == Health::kFailed) counters_.failures += 1;
     Set(m, n.incarnation, n.health, actions);
   }
 }
 
-Probe Detector::Make(Probe::Kind kind, std::uint32_t seq, const Member* to,
-                     std::uint64_t their_digest) {
-  Probe p{.kind = kind,
-          .seq = seq,
-          .about = 0,
-          .incarnation = At(self_)->incarnation,
-          .digest = digest_,
-          .news = {}};
+SwimMessage FailureDetector::Make(SwimMessage::Kind kind, std::uint32_t seq, const Member* to,
+                                  std::uint64_t their_digest) {
+  SwimMessage p{.kind = kind,
+                .seq = seq,
+                .about = 0,
+                .incarnation = At(self_)->incarnation,
+                .digest = digest_,
+                .updates = {}};
   const auto tell = [&](const Member& m) {
-    p.news.push_back({m.id, m.incarnation, m.health, m.by});
+    p.updates.push_back({m.id, m.incarnation, m.health, m.by});
   };
   // First what it must hear itself, so that it can refute it.
   if (to != nullptr && to->health != Health::kAlive) tell(*to);
@@ -181,7 +182,7 @@
     return left != right ? left > right : a < b;
   });
   for (const std::size_t i : fresh_) {
-    if (p.news.size() >= Probe::kMostNews) break;
+    if (p.updates.size() >= SwimMessage::kMaxUpdates) break;
     if (&members_[i] == to && to->health != Health::kAlive) continue;
     tell(members_[i]);
     members_[i].tells_left -= 1;
@@ -190,7 +191,7 @@
   // Tables that differ: some of ours, in turn. Whoever knows better answers in the same way.
   if (their_digest != 0 && their_digest != digest_) {
     for (std::size_t n = 0; n < std::min(kTableNews, members_.size()); ++n) {
-      if (p.news.size() >= Probe::kMostNews) break;
+      if (p.updates.size() >= SwimMessage::kMaxUpdates) break;
       next_told_ = (next_told_ + 1) % members_.size();
       tell(members_[next_told_]);
     }
@@ -198,7 +199,7 @@
   return p;
 }
 
-void Detector::SendNews(std::size_t how_many, Actions* actions) {
+void FailureDetector::SendNews(std::size_t how_many, Actions* actions) {
   std::vector<std::size_t> to;
   for (const std::size_t i : order_) {
     if (members_[i].health <= Health::kSuspect) to.push_back(i);
@@ -206,14 +207,14 @@
   for (std::size_t n = 0; n < how_many && !to.empty(); ++n) {
     const std::size_t pick = random_.Below(to.size());
     const Member& m = members_[to[pick]];
-    Send(m.id, Make(Probe::Kind::kNews, 0, &m, 0), actions);
+    Send(m.id, Make(SwimMessage::Kind::kGossip, 0, &m, 0), actions);
     to[pick] = to.back();
     to.pop_back();
   }
 }
 
 // The next one after us by id that is alive. One suspected leaves the turn to the one behind it.
-std::size_t Detector::Successor() const {
+std::size_t FailureDetector::Successor() const {
   const std::size_t self = index_.at(self_);
   for (std::size_t n = 1; n < members_.size(); ++n) {
     const std::size_t i = (self + n) % members_.size();
@@ -222,16 +223,16 @@
   return self;
 }
 
-void Detector::Ping(double now, std::size_t target, Actions* actions) {
+void FailureDetector::Ping(double now, std::size_t target, Actions* actions) {
   counters_.probes += 1;
   asked_.push_back(
-      {.seq = ++seq_, .target = target, .next_at = now + t_.timeout_s * (1 + slowness_)});
-  Send(members_[target].id, Make(Probe::Kind::kPing, seq_, &members_[target], 0), actions);
+      {.seq = ++seq_, .target = target, .next_at = now + t_.probe_timeout_s * (1 + slowness_)});
+  Send(members_[target].id, Make(SwimMessage::Kind::kPing, seq_, &members_[target], 0), actions);
 }
 
 // In turn the one that is next by chance, and our successor: by chance alone one in a hundred is
 // not probed by anyone for more than a second.
-void Detector::StartProbe(double now, Actions* actions) {
+void FailureDetector::StartProbe(double now, Actions* actions) {
   const std::size_t successor = Successor();
   successors_turn_ = !successors_turn_;
   if (successors_turn_ && members_[successor].id != self_ && asked_.size() < kMostAsked) {
@@ -252,24 +253,26 @@
 }
 
 // One member that is failed or left, in turn: a cut may be healed.
-void Detector::AskFailed(double now, Actions* actions) {
+void FailureDetector::AskFailed(double now, Actions* actions) {
   for (std::size_t tried = 0; tried < members_.size(); ++tried) {
     next_failed_ = (next_failed_ + 1) % members_.size();
     const Member& m = members_[next_failed_];
     if (m.health < Health::kFailed || m.id == self_ || asked_.size() >= kMostAsked) continue;
-    asked_.push_back(
-        {.seq = ++seq_, .target = next_failed_, .next_at = now + t_.probe_s, .only_asks = true});
-    return Send(m.id, Make(Probe::Kind::kPing, seq_, &m, 0), actions);
+    asked_.push_back({.seq = ++seq_,
+                      .target = next_failed_,
+                      .next_at = now + t_.probe_interval_s,
+                      .only_asks = true});
+    return Send(m.id, Make(SwimMessage::Kind::kPing, seq_, &m, 0), actions);
   }
 }
 
 // The next step of a ping without an answer; next_at of -1: it is done with.
-void Detector::Step(double now, Asked* a, Actions* actions) {
+void FailureDetector::Step(double now, Asked* a, Actions* actions) {
   Member& m = members_[a->target];
   if (!a->asked_others && !a->only_asks && m.health <= Health::kSuspect) {
     a->asked_others = true;
-    a->next_at = now + (t_.probe_s - t_.timeout_s) * (1 + slowness_);
-    Send(m.id, Make(Probe::Kind::kPing, a->seq, &m, 0), actions);  // it may have been lost
+    a->next_at = now + (t_.probe_interval_s - t_.probe_timeout_s) * (1 + slowness_);
+    Send(m.id, Make(SwimMessage::Kind::kPing, a->seq, &m, 0), actions);  // it may have been lost
     std::vector<std::size_t> relays;
     for (const std::size_t i : order_) {
       if (i != a->target && members_[i].health == Health::kAlive) relays.push_back(i);
@@ -277,7 +280,7 @@
     for (int n = 0; n < t_.relays && !relays.empty(); ++n) {
       const std::size_t pick = random_.Below(relays.size());
       const Member& relay = members_[relays[pick]];
-      Probe p = Make(Probe::Kind::kPingFor, a->seq, &relay, 0);
+      SwimMessage p = Make(SwimMessage::Kind::kPingRequest, a->seq, &relay, 0);
       p.about = m.id;
       Send(relay.id, std::move(p), actions);
       a->nacks_due += 1;
@@ -294,7 +297,7 @@
   Suspect(now, &m, m.incarnation, self_, actions);
 }
 
-void Detector::Answered(std::uint32_t seq, NodeId about, bool yes, Actions* actions) {
+void FailureDetector::Answered(std::uint32_t seq, NodeId about, bool yes, Actions* actions) {
   for (Asked& a : asked_) {
     if (a.seq != seq || members_[a.target].id != about) continue;
     if (!yes) {
@@ -308,7 +311,7 @@
   }
   for (Relayed& r : relayed_) {
     if (r.seq != seq || r.target != about || !yes) continue;
-    Probe p = Make(Probe::Kind::kAck, r.their_seq, At(r.whom), 0);
+    SwimMessage p = Make(SwimMessage::Kind::kAck, r.their_seq, At(r.whom), 0);
     p.about = about;
     Send(r.whom, std::move(p), actions);
     r = relayed_.back();
@@ -317,48 +320,48 @@
   }
 }
 
-void Detector::Hear(double now, NodeId from, const Probe& p, Actions* actions) {
+void FailureDetector::OnMessage(double now, NodeId from, const SwimMessage& p, Actions* actions) {
   NoticeStop(now);
   Member* sender = At(from);
   if (sender == nullptr || from == self_) return;
   sender->seen_at = now;
   Learn(now, {from, p.incarnation, Health::kAlive, 0}, actions);
-  const std::size_t most = std::min(p.news.size(), Probe::kMostNews);
-  for (std::size_t i = 0; i < most; ++i) Learn(now, p.news[i], actions);
+  const std::size_t most = std::min(p.updates.size(), SwimMessage::kMaxUpdates);
+  for (std::size_t i = 0; i < most; ++i) Learn(now, p.updates[i], actions);
   switch (p.kind) {
-    case Probe::Kind::kPing: {
-      Probe ack = Make(Probe::Kind::kAck, p.seq, sender, p.digest);
+    case SwimMessage::Kind::kPing: {
+      SwimMessage ack = Make(SwimMessage::Kind::kAck, p.seq, sender, p.digest);
       ack.about = self_;
       Send(from, std::move(ack), actions);
       break;
     }
-    case Probe::Kind::kPingFor: {
+    case SwimMessage::Kind::kPingRequest: {
       const Member* target = At(p.about);
       if (target == nullptr || p.about == self_ || relayed_.size() >= kMostRelayed) break;
       relayed_.push_back({.seq = ++seq_,
                           .their_seq = p.seq,
                           .whom = from,
                           .target = p.about,
-                          .nack_at = now + t_.timeout_s});
-      Send(p.about, Make(Probe::Kind::kPing, seq_, target, 0), actions);
+                          .nack_at = now + t_.probe_timeout_s});
+      Send(p.about, Make(SwimMessage::Kind::kPing, seq_, target, 0), actions);
       break;
     }
-    case Probe::Kind::kAck:
-    case Probe::Kind::kNack:
-      Answered(p.seq, p.about, p.kind == Probe::Kind::kAck, actions);
+    case SwimMessage::Kind::kAck:
+    case SwimMessage::Kind::kNack:
+      Answered(p.seq, p.about, p.kind == SwimMessage::Kind::kAck, actions);
       break;
-    case Probe::Kind::kNews:
+    case SwimMessage::Kind::kGossip:
       break;
   }
   // Its table says otherwise, or it does not know what is said of it: let it hear ours.
   const bool unaware = sender->health != Health::kAlive;
-  if (p.kind != Probe::Kind::kPing &&
-      (unaware || (p.kind == Probe::Kind::kAck && p.digest != digest_)))
-    Send(from, Make(Probe::Kind::kNews, 0, sender, p.digest), actions);
+  if (p.kind != SwimMessage::Kind::kPing &&
+      (unaware || (p.kind == SwimMessage::Kind::kAck && p.digest != digest_)))
+    Send(from, Make(SwimMessage::Kind::kGossip, 0, sender, p.digest), actions);
   due_at_ = NextAt();
 }
 
-void Detector::Tick(double now, Actions* actions) {
+void FailureDetector::Tick(double now, Actions* actions) {
   NoticeStop(now);
   for (std::size_t i = 0; i < asked_.size();) {
     if (asked_[i].next_at <= now) Step(now, &asked_[i], actions);
@@ -374,7 +377,7 @@
       ++i;
       continue;
     }
-    Probe p = Make(Probe::Kind::kNack, relayed_[i].their_seq, At(relayed_[i].whom), 0);
+    SwimMessage p = Make(SwimMessage::Kind::kNack, relayed_[i].their_seq, At(relayed_[i].whom), 0);
     p.about = relayed_[i].target;
     Send(relayed_[i].whom, std::move(p), actions);
     relayed_[i] = relayed_.back();
@@ -388,26 +391,26 @@
   }
   if (!leaving_ && probe_at_ <= now) {
     StartProbe(now, actions);
-    probe_at_ = now + t_.probe_s * (1 + slowness_);
+    probe_at_ = now + t_.probe_interval_s * (1 + slowness_);
   }
   if (!leaving_ && ask_failed_at_ <= now) {
     AskFailed(now, actions);
-    ask_failed_at_ = now + t_.failed_probe_s;
+    ask_failed_at_ = now + t_.failed_probe_interval_s;
   }
   if (gossip_at_ <= now) {
     if (!fresh_.empty()) SendNews(static_cast<std::size_t>(t_.fanout), actions);
-    gossip_at_ = now + t_.gossip_s;
+    gossip_at_ = now + t_.gossip_interval_s;
   }
   due_at_ = NextAt();
 }
 
-void Detector::Leave(double now, Actions* actions) {
+void FailureDetector::Leave(double now, Actions* actions) {
   if (leaving_) return;
   leaving_ = true;
   asked_.clear();
   Set(At(self_), At(self_)->incarnation, Health::kLeft, actions);
   SendNews(4 * static_cast<std::size_t>(t_.fanout), actions);
-  gossip_at_ = now + t_.gossip_s;
+  gossip_at_ = now + t_.gossip_interval_s;
   due_at_ = NextAt();
 }
 
--- a/src/membership/detector.h
+++ b/src/membership/failure_detector.h
@@ -3,8 +3,8 @@
 //
 // Decides only: datagrams and time in, datagrams and changes out. State is bounded by the number of
 // members. All times are seconds on a clock that never runs back and counts pauses of the process.
-#ifndef MILLETHOLLOW_MEMBERSHIP_DETECTOR_H_
-#define MILLETHOLLOW_MEMBERSHIP_DETECTOR_H_
+#ifndef MILLETHOLLOW_MEMBERSHIP_FAILURE_DETECTOR_H_
+#define MILLETHOLLOW_MEMBERSHIP_FAILURE_DETECTOR_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -16,43 +16,44 @@
 
 namespace millethollow::membership {
 
-struct DetectorTimings {
-  double probe_s = 0.25;        // one member is probed each period
-  double timeout_s = 0.1;       // without an answer for this long others are asked to probe it
-  double gossip_s = 0.1;        // while there is fresh news it goes to `fanout` members this often
-  double suspect_s = 1.2;       // a suspicion that others confirm ends in 'failed' after this,
-  double suspect_most_s = 1.7;  // and one that nobody confirms after this
-  double failed_probe_s = 1.0;  // a failed member is asked this often whether it is back
+struct FailureDetectorTimings {
+  double probe_interval_s = 0.25;  // one member is probed each period
+  double probe_timeout_s = 0.1;    // without an answer for this long others are asked to probe it
+  double gossip_interval_s =
+      0.1;                       // while there is fresh news it goes to `fanout` members this often
+  double suspicion_min_s = 1.2;  // a suspicion that others confirm ends in 'failed' after this,
+  double suspicion_max_s = 1.7;  // and one that nobody confirms after this
+  double failed_probe_interval_s = 1.0;  // a failed member is asked this often whether it is back
   int relays = 3;
   int fanout = 2;
 };
 
 // A datagram of the detector. It may be lost, doubled, late and out of order.
-struct Probe {
-  enum class Kind : std::uint8_t { kPing, kAck, kPingFor, kNack, kNews };
-  static constexpr std::size_t kMostNews = 32;
-  Kind kind = Kind::kNews;
-  std::uint32_t seq = 0;          // of the ping that it belongs to
-  NodeId about = 0;               // kPingFor: whom to probe; kAck, kNack by a relay: who was probed
+struct SwimMessage {
+  enum class Kind : std::uint8_t { kPing, kAck, kPingRequest, kNack, kGossip };
+  static constexpr std::size_t kMaxUpdates = 32;
+  Kind kind = Kind::kGossip;
+  std::uint32_t seq = 0;  // of the ping that it belongs to
+  NodeId about = 0;       // kPingRequest: whom to probe; kAck, kNack by a relay: who was probed
   std::uint32_t incarnation = 0;  // of the sender
   std::uint64_t digest = 0;       // of the sender's table
-  std::vector<News> news;
+  std::vector<GossipUpdate> updates;
 };
 
-struct DetectorCounters {
+struct FailureDetectorCounters {
   std::uint64_t probes = 0, failed_probes = 0, suspicions = 0, refutations = 0, failures = 0;
-  std::uint64_t stops_noticed = 0;
+  std::uint64_t pauses_detected = 0;
 };
 
-class Detector {
+class FailureDetector {
  public:
   struct Out {
     NodeId to = 0;
-    Probe probe;
+    SwimMessage probe;
   };
   struct Actions {
     std::vector<Out> send;
-    std::vector<Change> changes;
+    std::vector<HealthChange> changes;
   };
   struct Member {
     NodeId id = 0;
@@ -67,10 +68,10 @@
   };
 
   // `members` holds `self`. All are taken for alive at first.
-  Detector(NodeId self, const std::vector<NodeId>& members, const DetectorTimings& timings,
-           std::uint64_t seed, double now);
+  FailureDetector(NodeId self, const std::vector<NodeId>& members,
+                  const FailureDetectorTimings& timings, std::uint64_t seed, double now);
 
-  void Hear(double now, NodeId from, const Probe& probe, Actions* actions);
+  void OnMessage(double now, NodeId from, const SwimMessage& probe, Actions* actions);
   void Tick(double now, Actions* actions);
   // Tells some that this member goes. Nothing is probed any more; what asks is still answered.
   void Leave(double now, Actions* actions);
@@ -78,8 +79,8 @@
 
   const std::vector<Member>& members() const { return members_; }
   const Member* Find(NodeId id) const;
-  const DetectorCounters& counters() const { return counters_; }
-  int own_slowness() const { return slowness_; }  // 0 to 8
+  const FailureDetectorCounters& counters() const { return counters_; }
+  int local_health_multiplier() const { return slowness_; }  // 0 to 8
 
  private:
   struct Asked {  // a ping that waits for its answer
@@ -99,7 +100,7 @@
   // A process that was stopped has heard nothing: what it waited for gets the time that it lost.
   void NoticeStop(double now);
   Member* At(NodeId id);
-  void Learn(double now, const News& news, Actions* actions);
+  void Learn(double now, const GossipUpdate& news, Actions* actions);
   void Refute(double now, std::uint32_t incarnation, Actions* actions);
   void Set(Member* member, std::uint32_t incarnation, Health health, Actions* actions);
   void Suspect(double now, Member* member, std::uint32_t incarnation, NodeId by, Actions* actions);
@@ -110,8 +111,9 @@
   void AskFailed(double now, Actions* actions);
   void Step(double now, Asked* asked, Actions* actions);
   void Answered(std::uint32_t seq, NodeId about, bool yes, Actions* actions);
-  Probe Make(Probe::Kind kind, std::uint32_t seq, const Member* to, std::uint64_t their_digest);
-  void Send(NodeId to, Probe probe, Actions* actions) {
+  SwimMessage Make(SwimMessage::Kind kind, std::uint32_t seq, const Member* to,
+                   std::uint64_t their_digest);
+  void Send(NodeId to, SwimMessage probe, Actions* actions) {
     actions->send.push_back({to, std::move(probe)});
   }
   void SendNews(std::size_t how_many, Actions* actions);
@@ -119,7 +121,7 @@
   void Slower(int by) { slowness_ = std::min(8, std::max(0, slowness_ + by)); }
 
   NodeId self_;
-  DetectorTimings t_;
+  FailureDetectorTimings t_;
   Random random_;
   std::vector<Member> members_;
   std::unordered_map<NodeId, std::size_t> index_;
@@ -134,9 +136,9 @@
   int slowness_ = 0;
   double probe_at_, gossip_at_, ask_failed_at_, due_at_;
   bool leaving_ = false, successors_turn_ = false;
-  DetectorCounters counters_;
+  FailureDetectorCounters counters_;
 };
 
 }  // namespace millethollow::membership
 
-#endif  // MILLETHOLLOW_MEMBERSHIP_DETECTOR_H_
+#endif  // MILLETHOLLOW_MEMBERSHIP_FAILURE_DETECTOR_H_
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -9,12 +9,12 @@
 
 namespace millethollow::membership {
 
-using Minds = std::vector<std::pair<NodeId, Mind>>;  // by rising id
+using StorageIdentities = std::vector<std::pair<NodeId, StorageIdentity>>;  // by rising id
 
 // Logs are opened once all voters know them: one that does not would propose views without them.
 constexpr std::uint8_t kKnowsLogs = 1;
 
-struct Message {
+struct AgreementMessage {
   enum class Kind : std::uint8_t {
     // A voter that starts: what do you know of my mind? Then: note that it is this from now on.
     kWho,      // number: nonce; count: own writes
@@ -43,24 +43,24 @@
   Kind kind = Kind::kRenew;
   Ballot ballot, accepted_by;
   View view;
-  Mind mind;     // of a voter that speaks; number 0: it has none yet
-  Minds minds;   // all that a voter knows, its own among them
-  Minds quorum;  // those whose promise made the leader
+  StorageIdentity storage_identity;      // of a voter that speaks; number 0: it has none yet
+  StorageIdentities storage_identities;  // all that a voter knows, its own among them
+  StorageIdentities quorum;              // those whose promise made the leader
   std::uint64_t number = 0, count = 0;
-  Life life = 0;
+  ProcessIncarnation process_incarnation = 0;
   NodeId origin = 0;    // whose renewal it is, or who is answered, by way of a voter in between
   double asked_at = 0;  // on the clock of the member that asked; seconds
   double span = 0;      // of a lease, from asked_at; seconds
   bool yes = false;
-  std::uint64_t disk = 0;      // kRenew: of the copies' store
-  std::vector<LogPlace> logs;  // kRenew: what it wants of its logs
+  std::uint64_t store_id = 0;       // kRenew: of the copies' store
+  std::vector<LogAssignment> logs;  // kRenew: what it wants of its logs
   // What the build of a voter that speaks knows beside the first one's: 1 and more, logs in views.
   std::uint8_t knows = 0;
 };
 
-struct Sent {
+struct OutgoingMessage {
   NodeId to = 0;
-  Message message;
+  AgreementMessage message;
 };
 
 }  // namespace millethollow::membership
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -15,14 +15,14 @@
 // A hash of the id that the file gives a member: the same at every node. 0 is nobody.
 using NodeId = std::uint64_t;
 // One run of a process. 0 is none.
-using Life = std::uint64_t;
+using ProcessIncarnation = std::uint64_t;
 
 // The generator is seeded by whoever makes it: equal seeds and events give equal decisions, on
 // every platform (the standard library's distributions differ).
 class Random {
  public:
   explicit Random(std::uint64_t seed) : engine_(seed) {}
-  std::uint64_t Word() { return engine_(); }
+  std::uint64_t NextUint64() { return engine_(); }
   std::size_t Below(std::size_t n) {
     return boost::random::uniform_int_distribution<std::size_t>(0, n - 1)(engine_);
   }
@@ -36,15 +36,15 @@
 enum class Health : std::uint8_t { kAlive, kSuspect, kFailed, kLeft };
 
 // A word about a member. The higher incarnation counts, and within one the worse health.
-struct News {
-  NodeId who = 0;
+struct GossipUpdate {
+  NodeId member = 0;
   std::uint32_t incarnation = 0;
   Health health = Health::kAlive;
-  NodeId by = 0;  // who suspects it
+  NodeId suspected_by = 0;
 };
 
-struct Change {
-  NodeId who = 0;
+struct HealthChange {
+  NodeId member = 0;
   Health health = Health::kAlive;
   std::uint32_t incarnation = 0;
 };
@@ -52,15 +52,15 @@
 // A round of one voter who wants to lead. The higher wins.
 struct Ballot {
   std::uint64_t round = 0;
-  NodeId who = 0;
+  NodeId proposer = 0;
   auto operator<=>(const Ballot&) const = default;
 };
 
 // What a voter remembers on its disk, as opposed to one that lost it: the higher is the later.
-struct Mind {
+struct StorageIdentity {
   std::uint32_t number = 0;
   std::uint64_t nonce = 0;
-  auto operator<=>(const Mind&) const = default;
+  auto operator<=>(const StorageIdentity&) const = default;
 };
 
 inline std::uint64_t Mix(std::uint64_t x) {
@@ -73,30 +73,31 @@
 
 struct ViewMember {
   NodeId id = 0;
-  Life life = 0;
-  std::string place;
-  std::uint64_t since = 0;  // the epoch in which this life came in
-  std::uint64_t disk = 0;   // the number of its store of copies; 0: it has none
+  ProcessIncarnation process_incarnation = 0;
+  std::string failure_domain;
+  std::uint64_t joined_epoch = 0;  // the epoch in which this process came in
+  std::uint64_t store_id = 0;      // the number of its store of copies; 0: it has none
   bool operator==(const ViewMember&) const = default;
 };
 
 // A log of promises (src/copies): who may act on it, and who has all of it that was answered.
-struct LogHolder {
+struct LogReplica {
   NodeId id = 0;
-  std::uint64_t disk = 0;
-  bool operator==(const LogHolder&) const = default;
+  std::uint64_t store_id = 0;
+  bool operator==(const LogReplica&) const = default;
 };
-struct LogPlace {
+struct LogAssignment {
   std::uint64_t log = 0;
   NodeId owner = 0;  // 0: none of its holders is there
-  Life life = 0;
-  std::uint64_t since = 0;         // the epoch in which that life became its owner; asked for
-                                   // with 0: the log is to be opened
-  std::uint64_t version = 0;       // of what the owner asked for
-  std::vector<LogHolder> holders;  // the owner among them. Asked for without any: the log is to end
-  bool operator==(const LogPlace&) const = default;
-  const LogHolder* Find(NodeId id) const {
-    for (const LogHolder& h : holders) {
+  ProcessIncarnation process_incarnation = 0;
+  std::uint64_t owner_epoch = 0;  // the epoch in which that life became its owner; asked for
+                                  // with 0: the log is to be opened
+  std::uint64_t version = 0;      // of what the owner asked for
+  std::vector<LogReplica>
+      replicas;  // the owner among them. Asked for without any: the log is to end
+  bool operator==(const LogAssignment&) const = default;
+  const LogReplica* Find(NodeId id) const {
+    for (const LogReplica& h : replicas) {
       if (h.id == id) return &h;
     }
     return nullptr;
@@ -108,8 +109,8 @@
   std::uint64_t epoch = 0;
   std::vector<ViewMember> members;
   // When it was proposed nobody acted on a view before this epoch any more.
-  std::uint64_t settled = 0;
-  std::vector<LogPlace> logs;
+  std::uint64_t settled_epoch = 0;
+  std::vector<LogAssignment> logs;
   bool operator==(const View&) const = default;
   const ViewMember* Find(NodeId id) const {
     for (const ViewMember& m : members) {
@@ -117,8 +118,8 @@
     }
     return nullptr;
   }
-  const LogPlace* Log(std::uint64_t log) const {
-    for (const LogPlace& l : logs) {
+  const LogAssignment* Log(std::uint64_t log) const {
+    for (const LogAssignment& l : logs) {
       if (l.log == log) return &l;
     }
     return nullptr;
--- a/src/membership/voter.h
+++ b/src/membership/voter.h
@@ -15,11 +15,11 @@
 namespace millethollow::membership {
 
 // What a voter keeps on disk. An empty folder gives the default.
-struct Votes {
+struct PersistentVoterState {
   Ballot promised, accepted_by;
   View accepted;
-  Mind mind;
-  Minds minds;
+  StorageIdentity storage_identity;
+  StorageIdentities storage_identities;
   std::uint64_t writes = 0;  // how often it was written
 };
 
@@ -32,54 +32,55 @@
     kStopped,  // its disk failed: no more votes in this life
   };
   // Of one voter alone a majority is itself, whatever it has lost: then nobody could tell.
-  Voter(NodeId self, std::vector<NodeId> voters, std::uint64_t nonce, Votes votes);
+  Voter(NodeId self, std::vector<NodeId> voters, std::uint64_t nonce, PersistentVoterState votes);
 
   // Answers what concerns the vote; true if `m` was such a message.
-  bool Hear(NodeId from, const Message& m, std::vector<Sent>* send);
+  bool OnMessage(NodeId from, const AgreementMessage& m, std::vector<OutgoingMessage>* send);
   // Goes on with what it asks until it may vote. To be called every now and then.
-  void Ask(std::vector<Sent>* send);
-  void StoreFailed() { state_ = State::kStopped; }
+  void Ask(std::vector<OutgoingMessage>* send);
+  void OnStoreFailed() { state_ = State::kStopped; }
   // True once after a change of votes(): it must be on disk before what was sent since goes out.
   bool TakeDirty() { return std::exchange(dirty_, false); }
 
   State state() const { return state_; }
   bool voting() const { return state_ == State::kVoting; }
-  const Votes& votes() const { return votes_; }
+  const PersistentVoterState& voter_state() const { return votes_; }
   const std::vector<NodeId>& voters() const { return voters_; }
   std::size_t Majority() const { return voters_.size() / 2 + 1; }
   bool Is(NodeId id) const;  // a voter
   // The mind that this voter knows for another; number 0 where it knows none.
-  Mind Known(NodeId id) const;
+  StorageIdentity Known(NodeId id) const;
   // Are these all the latest minds that it knows?
-  bool Current(const Minds& quorum) const;
+  bool Current(const StorageIdentities& quorum) const;
   // A message of a voter, with all that it knows of minds.
-  Message Say(Message::Kind kind) const;
+  AgreementMessage Say(AgreementMessage::Kind kind) const;
   // Takes in what another knows. False: its words come from a mind that it has since lost.
-  bool Merge(NodeId from, const Message& m);
+  bool Merge(NodeId from, const AgreementMessage& m);
   bool lost_disk() const { return lost_disk_; }
 
  private:
   void Touch();
-  void Note(NodeId id, Mind mind);
-  void Promise(NodeId from, const Message& m, std::vector<Sent>* send);
-  void Accept(NodeId from, const Message& m, std::vector<Sent>* send);
-  void HearKnown(NodeId from, const Message& m);
-  void HearClaimed(NodeId from, const Message& m);
-  void Refuse(NodeId to, std::vector<Sent>* send) const;
+  void Note(NodeId id, StorageIdentity storage_identity);
+  void Promise(NodeId from, const AgreementMessage& m, std::vector<OutgoingMessage>* send);
+  void Accept(NodeId from, const AgreementMessage& m, std::vector<OutgoingMessage>* send);
+  void HearKnown(NodeId from, const AgreementMessage& m);
+  void HearClaimed(NodeId from, const AgreementMessage& m);
+  void Refuse(NodeId to, std::vector<OutgoingMessage>* send) const;
   bool Fresh() const { return votes_.promised == Ballot{} && votes_.accepted.epoch == 0; }
 
   NodeId self_;
   std::vector<NodeId> voters_;
   std::uint64_t nonce_;
-  Votes votes_;
+  PersistentVoterState votes_;
   State state_ = State::kAsking;
   bool dirty_ = false, lost_disk_ = false;
-  std::map<NodeId, std::pair<Mind, std::uint64_t>> writes_seen_;  // of each one's latest mind
-  std::map<NodeId, Mind> claims_;                                 // noted, and on the way to disk
+  std::map<NodeId, std::pair<StorageIdentity, std::uint64_t>>
+      writes_seen_;                           // of each one's latest mind
+  std::map<NodeId, StorageIdentity> claims_;  // noted, and on the way to disk
   // While asking and claiming.
   std::set<NodeId> fresh_, remember_, claimed_;
-  Mind claim_, best_known_;
-  Votes gathered_;
+  StorageIdentity claim_, best_known_;
+  PersistentVoterState gathered_;
 };
 
 }  // namespace millethollow::membership
--- a/src/net/cluster/copy_keeper.h
+++ b/src/net/cluster/copy_keeper.h
@@ -24,7 +24,7 @@
     std::function<const membership::View&()> view;
     std::function<bool()> leased;  // by a clock read now
     std::function<void(membership::NodeId to, const copies::Frame&)> send;
-    std::function<void(std::uint64_t disk, std::vector<membership::LogPlace>)> want;
+    std::function<void(std::uint64_t disk, std::vector<membership::LogAssignment>)> want;
     std::function<std::uint64_t()> draw;  // a number for a new store
     std::function<void()> renewed;        // the store is a new one: what is not in logs is lost
   };
--- a/src/net/cluster/fact_keeper.h
+++ b/src/net/cluster/fact_keeper.h
@@ -4,7 +4,7 @@
 
 #include <vector>
 
-#include "membership/facts.h"
+#include "membership/maintenance_registry.h"
 #include "net/cluster/kept_store.h"
 
 namespace millethollow::cluster {
@@ -12,11 +12,11 @@
 class FactKeeper {
  public:
   explicit FactKeeper(KeptStore* store) : store_(store) {}
-  // Damaged records are left out: others have them. No more than Facts::kMostWorkers, those that
+  // Damaged records are left out: others have them. No more than Facts::kMaxWorkers, those that
   // are out first.
-  std::vector<membership::Fact> Load();
+  std::vector<membership::MaintenanceRecord> Load();
   // `then` once these and all that were given before are on the disk; none may be given.
-  void Keep(const std::vector<membership::Fact>& changed, KeptStore::Then then);
+  void Keep(const std::vector<membership::MaintenanceRecord>& changed, KeptStore::Then then);
 
  private:
   KeptStore* store_;
--- a/src/net/cluster/frame.cpp
+++ b/src/net/cluster/frame.cpp
@@ -51,7 +51,7 @@
   w.Raw(static_cast<std::uint32_t>(fields.size()));
   w.Raw(header.cluster);
   w.Raw(header.from);
-  w.Raw(header.life);
+  w.Raw(header.process_incarnation);
   w.Raw(header.number);
   w.Bytes(fields);
   w.Raw(codec::Hash(w.bytes()));
@@ -72,7 +72,7 @@
   if (static_cast<std::uint8_t>(bytes[2]) != kVersion) return Fault::kOtherVersion;
   header->cluster = Word(bytes, 8, 8);
   header->from = Word(bytes, 16, 8);
-  header->life = Word(bytes, 24, 8);
+  header->process_incarnation = Word(bytes, 24, 8);
   header->number = Word(bytes, 32, 8);
   const std::string_view fields = covered.substr(kHeaderBytes);
   const auto member = [&](auto read) {
@@ -82,11 +82,11 @@
   };
   switch (bytes[3]) {
     case kProbe:
-      return member(codec::DecodeProbe(fields));
+      return member(codec::DecodeSwimMessage(fields));
     case kMessage:
-      return member(codec::DecodeMessage(fields));
+      return member(codec::DecodeAgreementMessage(fields));
     case kFacts:
-      return member(codec::DecodeFacts(fields));
+      return member(codec::DecodeMaintenanceGossip(fields));
     case kCopies:
       return Put(codec::DecodeCopies(fields), body);
     case kQuota:
--- a/src/net/cluster/frame.h
+++ b/src/net/cluster/frame.h
@@ -11,7 +11,7 @@
 #include <variant>
 
 #include "copies/records.h"
-#include "membership/cluster.h"
+#include "membership/membership_node.h"
 #include "quota/types.h"
 
 namespace millethollow::cluster {
@@ -24,7 +24,7 @@
 struct Header {
   std::uint64_t cluster = 0;  // hash of its name
   membership::NodeId from = 0;
-  membership::Life life = 0;
+  membership::ProcessIncarnation process_incarnation = 0;
   std::uint64_t number = 0;  // rises with each frame that the sender makes for this receiver
 };
 
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -38,9 +38,9 @@
 
 }  // namespace
 
-bool Member::Window::Fresh(membership::Life of, std::uint64_t number) {
-  if (of != life) {
-    life = of;
+bool Member::Window::Fresh(membership::ProcessIncarnation of, std::uint64_t number) {
+  if (of != process_incarnation) {
+    process_incarnation = of;
     highest = number;
     seen.reset();
     seen.set(0);
@@ -96,22 +96,22 @@
 
 bool Member::Start(std::string* why) {
   membership::Random random(seed_);
-  membership::Cluster::Options o;
+  membership::MembershipNode::Options o;
   o.self = self_;
-  o.life = life_ = random.Word() | 1;
+  o.process_incarnation = process_incarnation_ = random.NextUint64() | 1;
   o.detector = options_.detector;
   o.agreement = options_.agreement;
-  o.cut_off_part = options_.cut_off_part;
+  o.isolated_share = options_.isolated_share;
   for (const ClusterMember& m : options_.members) {
     const NodeId id = codec::Hash(m.id);
-    o.members.push_back({id, m.place, m.voter});
+    o.members.push_back({id, m.failure_domain, m.voter});
     if (!names_.emplace(id, m.id).second) {
       return *why = "cluster: '" + m.id + "' and '" + NameOf(id) + "' have one hash", false;
     }
     if (const auto address = ParseAddress(m.address)) transport_.SetPeer(id, *address);
   }
   if (options_.quota.on && !QuotaKeeper::Check(tenants_, why)) return false;
-  membership::Votes votes;
+  membership::PersistentVoterState votes;
   if (!options_.store.empty()) {
     if (!mail_.Open(loop_, why)) return false;
     votes_ = std::make_unique<store::VoteFile>();
@@ -124,22 +124,23 @@
       Events().error("cluster votes-damaged store={} kept=votes.damaged", options_.store);
     }
   }
-  std::vector<membership::Fact> facts;
+  std::vector<membership::MaintenanceRecord> facts;
   if (!options_.store.empty()) {
     store_ = std::make_unique<KeptStore>();
     const KeptStore::Options kept{options_.store, hash_, self_, options_.store_bytes};
-    if (!store_->Open(loop_, kept, random.Word() | 1, why)) return false;
+    if (!store_->Open(loop_, kept, random.NextUint64() | 1, why)) return false;
     keeper_ = std::make_unique<FactKeeper>(store_.get());
     facts = keeper_->Load();
   }
   if (!transport_.Open(options_.listen, why)) return false;
-  cluster_ = std::make_unique<membership::Cluster>(o, std::move(votes), random.Word(), Now());
-  for (const membership::Fact& f : facts) {
+  cluster_ =
+      std::make_unique<membership::MembershipNode>(o, std::move(votes), random.NextUint64(), Now());
+  for (const membership::MaintenanceRecord& f : facts) {
     cluster_->Restore(Now(), f);
-    if (f.Out()) hooks_.maintain(f.worker, true);
+    if (f.InMaintenance()) hooks_.maintain(f.worker, true);
   }
   Events().info("cluster start name={} self={} life={:x} members={}", options_.name, options_.self,
-                life_, options_.members.size());
+                process_incarnation_, options_.members.size());
   if (store_) StartCopies();
   if (options_.quota.on) StartQuota();
   Arm();
@@ -149,7 +150,7 @@
 void Member::StartCopies() {
   copies::Options o;
   o.self = self_;
-  o.life = life_;
+  o.process_incarnation = process_incarnation_;
   o.copies = options_.copies;
   o.copies_least = options_.copies_least;
   copies_ = std::make_unique<CopyKeeper>(
@@ -160,18 +161,18 @@
           .leased = [this] { return Leased(); },
           .send = [this](NodeId to, const copies::Frame& frame) { Send(to, frame); },
           .want =
-              [this](std::uint64_t disk, std::vector<membership::LogPlace> logs) {
-                cluster_->Want(Now(), disk, std::move(logs));
+              [this](std::uint64_t disk, std::vector<membership::LogAssignment> logs) {
+                cluster_->RequestLogs(Now(), disk, std::move(logs));
                 Arm();
               },
-          .draw = [this] { return membership::Random(seed_ ^ ++draws_).Word() | 1; },
-          .renewed = [this] { keeper_->Keep(cluster_->facts().Known(), [](bool) {}); }});
+          .draw = [this] { return membership::Random(seed_ ^ ++draws_).NextUint64() | 1; },
+          .renewed = [this] { keeper_->Keep(cluster_->maintenance().Records(), [](bool) {}); }});
   copies_->Start();
 }
 
 void Member::StartQuota() {
   QuotaKeeper::Options o{.self = self_,
-                         .life = life_,
+                         .process_incarnation = process_incarnation_,
                          .members = {},
                          .allocators = {},
                          .tenants = tenants_,
@@ -195,7 +196,7 @@
 
 void Member::Send(NodeId to, const Body& body) {
   const bool ordered = std::holds_alternative<copies::Frame>(body);
-  transport_.Send(to, Encode({hash_, self_, life_, ++numbers_[to]}, body), ordered);
+  transport_.Send(to, Encode({hash_, self_, process_incarnation_, ++numbers_[to]}, body), ordered);
 }
 
 void Member::Arm() {
@@ -209,7 +210,7 @@
 }
 
 void Member::Tick() {
-  membership::Cluster::Actions actions;
+  membership::MembershipNode::Actions actions;
   cluster_->Tick(Now(), &actions);
   CarryOut(&actions);
 }
@@ -240,27 +241,28 @@
     return;
   }
   Window& window = windows_[header.from];
-  if (window.life != header.life) transport_.Renew(header.from);
-  if (!window.Fresh(header.life, header.number)) {
+  if (window.process_incarnation != header.process_incarnation) transport_.Renew(header.from);
+  if (!window.Fresh(header.process_incarnation, header.number)) {
     refusals_.replayed += 1;
     return;
   }
   if (const auto* frame = std::get_if<copies::Frame>(&body)) {
-    if (copies_ && cluster_->Hears(Now(), header.from, header.life)) {
+    if (copies_ && cluster_->Accepts(Now(), header.from, header.process_incarnation)) {
       copies_->Hear(header.from, *frame);
     }
     return;
   }
   if (const auto* message = std::get_if<quota::Message>(&body)) {
-    if (quota_ && cluster_->Hears(Now(), header.from, header.life)) {
-      quota_->Hear(header.from, header.life, *message);
+    if (quota_ && cluster_->Accepts(Now(), header.from, header.process_incarnation)) {
+      quota_->Hear(header.from, header.process_incarnation, *message);
     }
     return;
   }
-  membership::Cluster::Actions actions;
-  cluster_->Hear(Now(), header.from, header.life, std::get<membership::Frame>(body), &actions);
+  membership::MembershipNode::Actions actions;
+  cluster_->OnFrame(Now(), header.from, header.process_incarnation,
+                    std::get<membership::Frame>(body), &actions);
   if (actions.answer && source != nullptr) {
-    transport_.SendTo(*source, Encode({hash_, self_, life_, ++numbers_[header.from]},
+    transport_.SendTo(*source, Encode({hash_, self_, process_incarnation_, ++numbers_[header.from]},
                                       std::move(*actions.answer)));
   }
   CarryOut(&actions);
@@ -270,51 +272,51 @@
   if (!ok) {
     Events().error("cluster store-failed store={} this process does not vote any more",
                    options_.store);
-    return cluster_->StoreFailed();
+    return cluster_->OnStoreFailed();
   }
-  membership::Cluster::Actions actions;
-  cluster_->Stored(Now(), ticket, &actions);
+  membership::MembershipNode::Actions actions;
+  cluster_->OnStored(Now(), ticket, &actions);
   CarryOut(&actions);
 }
 
 // What others said by hand: they are told that it has come once it is on this disk too, also where
 // they say it again while it is written.
-void Member::Keep(membership::Cluster::Actions* actions) {
+void Member::Keep(membership::MembershipNode::Actions* actions) {
   if (!keeper_) return;
   std::vector<std::pair<NodeId, membership::Frame>> held;
   std::erase_if(actions->send, [&](auto& sent) {
-    const auto* news = std::get_if<membership::FactNews>(&sent.second);
-    if (news == nullptr || news->answers == 0) return false;
+    const auto* news = std::get_if<membership::MaintenanceGossip>(&sent.second);
+    if (news == nullptr || news->acked_sequence == 0) return false;
     held.push_back(std::move(sent));
     return true;
   });
-  if (held.empty() && actions->facts.changed.empty()) return;
-  keeper_->Keep(actions->facts.changed, [this, held = std::move(held)](bool kept) {
+  if (held.empty() && actions->maintenance.changed.empty()) return;
+  keeper_->Keep(actions->maintenance.changed, [this, held = std::move(held)](bool kept) {
     for (const auto& [to, frame] : held) {
       if (kept) Send(to, frame);
     }
   });
 }
 
-void Member::CarryOut(membership::Cluster::Actions* actions) {
+void Member::CarryOut(membership::MembershipNode::Actions* actions) {
   Keep(actions);
-  if (actions->write && votes_) votes_->Write(cluster_->agreement().votes(), actions->ticket);
+  if (actions->write && votes_) votes_->Write(cluster_->agreement().voter_state(), actions->ticket);
   for (const auto& [to, frame] : actions->send) {
     Send(to, frame);
   }
   const membership::View& view = cluster_->agreement().view();
-  for (const membership::Change& c : actions->changes) {
+  for (const membership::HealthChange& c : actions->changes) {
     const auto level = c.health == Health::kFailed ? spdlog::level::warn : spdlog::level::info;
-    if (c.health >= Health::kFailed) transport_.Renew(c.who);
-    Events().log(level, "cluster member={} health={} incarnation={} epoch={}", NameOf(c.who),
+    if (c.health >= Health::kFailed) transport_.Renew(c.member);
+    Events().log(level, "cluster member={} health={} incarnation={} epoch={}", NameOf(c.member),
                  NameOfHealth(c.health), c.incarnation, view.epoch);
   }
-  for (const std::string& worker : actions->facts.out) hooks_.maintain(worker, true);
-  for (const std::string& worker : actions->facts.back) hooks_.maintain(worker, false);
-  for (const membership::Fact& f : actions->facts.down) {
-    hooks_.down(f.worker, f.started_at_s, f.down == 2);
+  for (const std::string& worker : actions->maintenance.taken_out) hooks_.maintain(worker, true);
+  for (const std::string& worker : actions->maintenance.put_back) hooks_.maintain(worker, false);
+  for (const membership::MaintenanceRecord& f : actions->maintenance.drains) {
+    hooks_.down(f.worker, f.started_at_s, f.drain_state == membership::DrainState::kGone);
   }
-  for (const std::uint64_t number : actions->facts.heard_of) {
+  for (const std::uint64_t number : actions->maintenance.replicated) {
     const auto waiting = waiting_.find(number);
     if (waiting == waiting_.end()) continue;
     waiting->second.elsewhere = true;
@@ -325,7 +327,7 @@
     for (const auto& m : view.members) members += (members.empty() ? "" : ",") + NameOf(m.id);
     Events().info("cluster view epoch={} members={}", view.epoch, members);
   }
-  if (actions->yield) {
+  if (actions->superseded) {
     Events().error("cluster yield self={} another process is this member: this one takes no part",
                    options_.self);
   }
@@ -340,8 +342,8 @@
 }
 
 void Member::Say(const std::string& worker, bool out, Heard heard) {
-  membership::Cluster::Actions actions;
-  const std::uint64_t number = cluster_->Say(Now(), worker, out, &actions);
+  membership::MembershipNode::Actions actions;
+  const std::uint64_t number = cluster_->SetMaintenance(Now(), worker, out, &actions);
   const bool anybody = !actions.send.empty();
   Events().info("cluster worker={} out={} said-here", worker, out);
   if (number != 0 && anybody) {
@@ -353,7 +355,7 @@
       GiveUp(number);
     });
     if (keeper_) {
-      keeper_->Keep(std::exchange(actions.facts.changed, {}), [this, number](bool kept) {
+      keeper_->Keep(std::exchange(actions.maintenance.changed, {}), [this, number](bool kept) {
         const auto it = waiting_.find(number);
         if (it == waiting_.end()) return;
         it->second.kept = kept;
@@ -382,25 +384,27 @@
 }
 
 void Member::Told(const std::string& worker, double started_at_s, bool gone) {
-  cluster_->Told(Now(), worker, started_at_s, gone);
+  cluster_->OnDrainNotice(Now(), worker, started_at_s, gone);
   Arm();
 }
 
 void Member::Leave() {
   if (!cluster_) return;
-  membership::Cluster::Actions actions;
+  membership::MembershipNode::Actions actions;
   cluster_->Leave(Now(), &actions);
   CarryOut(&actions);
 }
 
-bool Member::Leased() const { return cluster_ && cluster_->agreement().Leased(Now()); }
-double Member::LeaseLeft() const { return cluster_ ? cluster_->agreement().LeaseLeft(Now()) : 0; }
+bool Member::Leased() const { return cluster_ && cluster_->agreement().HoldsLease(Now()); }
+double Member::LeaseLeft() const {
+  return cluster_ ? cluster_->agreement().LeaseRemaining(Now()) : 0;
+}
 balancing::FleetShare Member::Parts() const {
   const double now = Now();
-  const membership::Agreement& a = cluster_->agreement();
-  const int members = a.Leased(now) ? static_cast<int>(a.view().members.size()) : 0;
+  const membership::ViewAgreement& a = cluster_->agreement();
+  const int members = a.HoldsLease(now) ? static_cast<int>(a.view().members.size()) : 0;
   balancing::FleetShare parts{
-      .share = cluster_->Part(now), .member_count = members, .epoch = a.view().epoch};
+      .share = cluster_->FleetShare(now), .member_count = members, .epoch = a.view().epoch};
   if (quota_) parts.tenant_rates_rps = quota_->Rates();
   return parts;
 }
@@ -415,19 +419,20 @@
   const TransportCounters& t = transport_.counters();
   count("epoch", cluster_->agreement().view().epoch, 'g');
   count("leased", Leased() ? 1 : 0, 'g');
-  count("slowness", static_cast<std::uint64_t>(cluster_->detector().own_slowness()), 'g');
+  count("slowness", static_cast<std::uint64_t>(cluster_->detector().local_health_multiplier()),
+        'g');
   count("probes", d.probes);
   count("probes_failed", d.failed_probes);
   count("suspicions", d.suspicions);
   count("refutations", d.refutations);
   count("failures", d.failures);
-  count("stops_noticed", d.stops_noticed);
+  count("stops_noticed", d.pauses_detected);
   count("views", a.views);
   count("elections", a.elections);
   count("leases", a.leases);
-  count("lapses", a.lapses);
+  count("lapses", a.leases_expired);
   count("conflicts", a.conflicts);
-  count("workers_out", cluster_->facts().AllOut().size(), 'g');
+  count("workers_out", cluster_->maintenance().WorkersInMaintenance().size(), 'g');
   count("frames_in", t.frames_in);
   count("frames_out", t.frames_out);
   count("bytes_in", t.bytes_in);
@@ -472,14 +477,14 @@
 std::string Member::Json() const {
   using nlohmann::json;
   const double now = Now();
-  const membership::Agreement& a = cluster_->agreement();
+  const membership::ViewAgreement& a = cluster_->agreement();
   json members = json::array();
   json logs = json::array();
-  for (const membership::LogPlace& log : a.view().logs) {
+  for (const membership::LogAssignment& log : a.view().logs) {
     json holders = json::array();
-    for (const membership::LogHolder& h : log.holders) holders.push_back(NameOf(h.id));
+    for (const membership::LogReplica& h : log.replicas) holders.push_back(NameOf(h.id));
     logs.push_back({{"log", (std::ostringstream() << std::hex << log.log).str()},
-                    {"owner", log.life == 0 ? "-" : NameOf(log.owner)},
+                    {"owner", log.process_incarnation == 0 ? "-" : NameOf(log.owner)},
                     {"holders", std::move(holders)}});
   }
   for (const ClusterMember& m : options_.members) {
@@ -488,7 +493,7 @@
     const bool self = id == self_;
     json one{{"id", m.id},
              {"address", m.address},
-             {"place", m.place},
+             {"place", m.failure_domain},
              {"voter", m.voter},
              {"state", NameOfHealth(known->health)},
              {"incarnation", known->incarnation},
@@ -496,7 +501,7 @@
     if (const auto* in_view = a.view().Find(id)) {
       one["copies"] = std::count_if(a.view().logs.begin(), a.view().logs.end(),
                                     [id](const auto& log) { return log.Find(id) != nullptr; });
-      one["life"] = (std::ostringstream() << std::hex << in_view->life).str();
+      one["life"] = (std::ostringstream() << std::hex << in_view->process_incarnation).str();
     }
     one["seen_ms"] = self                 ? json(0)
                      : known->seen_at < 0 ? json(nullptr)
@@ -506,12 +511,12 @@
   json whole{{"cluster", options_.name},
              {"self", options_.self},
              {"epoch", a.view().epoch},
-             {"majority", a.Leased(now)},
-             {"lease_ms", Millis(a.LeaseLeft(now))},
-             {"part", cluster_->Part(now)},
-             {"leader", NameOf(a.leader_known())},
-             {"yielded", a.yielded()},
-             {"workers_out", cluster_->facts().AllOut()},
+             {"majority", a.HoldsLease(now)},
+             {"lease_ms", Millis(a.LeaseRemaining(now))},
+             {"part", cluster_->FleetShare(now)},
+             {"leader", NameOf(a.known_leader())},
+             {"yielded", a.superseded()},
+             {"workers_out", cluster_->maintenance().WorkersInMaintenance()},
              {"members", std::move(members)},
              {"logs", std::move(logs)}};
   if (quota_) {
--- a/src/net/cluster/member.h
+++ b/src/net/cluster/member.h
@@ -1,5 +1,6 @@
-// This process as a member of a cluster: carries between the decisions of membership::Cluster and
-// the sockets, the clock and the disk, and tells what there is to know.
+// This process as a member of a cluster: carries between the decisions of
+// membership::MembershipNode and the sockets, the clock and the disk, and tells what there is to
+// know.
 #ifndef MILLETHOLLOW_NET_CLUSTER_MEMBER_H_
 #define MILLETHOLLOW_NET_CLUSTER_MEMBER_H_
 
@@ -13,7 +14,7 @@
 #include <vector>
 
 #include "config/cluster.h"
-#include "membership/cluster.h"
+#include "membership/membership_node.h"
 #include "millethollow/balancing/load_balancer.h"
 #include "net/cluster/copy_keeper.h"
 #include "net/cluster/fact_keeper.h"
@@ -60,9 +61,11 @@
   void Say(const std::string& worker, bool out, Heard heard);
   // Discovery told this node that a worker drains or is gone.
   void Told(const std::string& worker, double started_at_s, bool gone);
-  bool Out(const std::string& worker) const { return cluster_->facts().Out(worker); }
+  bool Out(const std::string& worker) const {
+    return cluster_->maintenance().InMaintenance(worker);
+  }
   // Does it know what the others know, or that nobody is there?
-  bool Synced() const { return cluster_->facts().synced(); }
+  bool Synced() const { return cluster_->maintenance().synced(); }
 
   // Other quotas of the same tenants.
   void SetQuotas(const std::vector<double>& quotas);
@@ -71,7 +74,7 @@
   bool Leased() const;
   double LeaseLeft() const;             // seconds
   balancing::FleetShare Parts() const;  // of what the whole cluster may do
-  const membership::Cluster& decisions() const { return *cluster_; }
+  const membership::MembershipNode& decisions() const { return *cluster_; }
   // Copies of what members hold for others; null: this one has no store.
   CopyKeeper* copies() const { return copies_.get(); }
   static double Now();          // of the machine, counts its pauses
@@ -82,10 +85,10 @@
   // Which numbers of a sender's frames have come: a frame that comes twice is counted and dropped.
   struct Window {
     static constexpr std::size_t kBits = 1024;
-    membership::Life life = 0;
+    membership::ProcessIncarnation process_incarnation = 0;
     std::uint64_t highest = 0;
     std::bitset<kBits> seen;
-    bool Fresh(membership::Life of, std::uint64_t number);
+    bool Fresh(membership::ProcessIncarnation of, std::uint64_t number);
   };
 
   struct Waiting {
@@ -100,8 +103,8 @@
   void Receive(std::string_view bytes, const sockaddr_in* source);
   void Answer(std::uint64_t number);
   void GiveUp(std::uint64_t number);
-  void Keep(membership::Cluster::Actions* actions);
-  void CarryOut(membership::Cluster::Actions* actions);
+  void Keep(membership::MembershipNode::Actions* actions);
+  void CarryOut(membership::MembershipNode::Actions* actions);
   void Arm();
   void Tick();
   void Written(std::uint64_t ticket, bool ok);
@@ -113,10 +116,10 @@
   Hooks hooks_;
   std::uint64_t seed_, hash_, draws_ = 0;
   membership::NodeId self_;
-  membership::Life life_ = 0;
+  membership::ProcessIncarnation process_incarnation_ = 0;
   std::map<membership::NodeId, std::string> names_;
   Transport transport_;
-  std::unique_ptr<membership::Cluster> cluster_;
+  std::unique_ptr<membership::MembershipNode> cluster_;
   std::map<membership::NodeId, Window> windows_;
   std::map<membership::NodeId, std::uint64_t> numbers_;
   Refusals refusals_;
--- a/src/net/cluster/quota_keeper.cpp
+++ b/src/net/cluster/quota_keeper.cpp
@@ -53,7 +53,7 @@
                                   const std::set<NodeId>& allocators) {
   quota::AllocatorView some{.epoch = view.epoch, .allocators = {}};
   for (const membership::ViewMember& m : view.members) {
-    if (allocators.contains(m.id)) some.allocators.push_back({m.id, m.life});
+    if (allocators.contains(m.id)) some.allocators.push_back({m.id, m.process_incarnation});
   }
   return some;
 }
@@ -65,7 +65,8 @@
       options_(std::move(options)),
       hooks_(std::move(hooks)),
       allocators_(options_.allocators.begin(), options_.allocators.end()),
-      holder_(options_.life, options_.members.size(), TenantQuotas(), options_.timings),
+      holder_(options_.process_incarnation, options_.members.size(), TenantQuotas(),
+              options_.timings),
       allocated_(options_.tenants.size(), false),
       demand_(options_.tenants.size(), 0.0) {}
 
@@ -109,7 +110,7 @@
 
 bool QuotaKeeper::InView(const membership::View& view) const {
   const membership::ViewMember* self = view.Find(options_.self);
-  return self != nullptr && self->life == options_.life;
+  return self != nullptr && self->process_incarnation == options_.process_incarnation;
 }
 
 // An older process of this member may have the place in the view that is known here.
@@ -147,12 +148,14 @@
       epoch, allocator_->tenants_allocated(), gained.size(), lost.size(), Some(gained), Some(lost));
 }
 
-void QuotaKeeper::Hear(NodeId from, membership::Life life, const quota::Message& message) {
+void QuotaKeeper::Hear(NodeId from, membership::ProcessIncarnation process_incarnation,
+                       const quota::Message& message) {
   const double now = hooks_.now();
   if (const auto* grant = std::get_if<quota::Grant>(&message)) {
     holder_.OnGrant(now, from, *grant);
   } else if (allocator_) {
-    allocator_->OnUsageReport(now, from, life, std::get<quota::UsageReport>(message));
+    allocator_->OnUsageReport(now, from, process_incarnation,
+                              std::get<quota::UsageReport>(message));
   }
   Act();
 }
@@ -194,7 +197,8 @@
     } else if (const auto* grant = std::get_if<quota::Grant>(&message)) {
       holder_.OnGrant(now, to, *grant);
     } else if (allocator_) {
-      allocator_->OnUsageReport(now, to, options_.life, std::get<quota::UsageReport>(message));
+      allocator_->OnUsageReport(now, to, options_.process_incarnation,
+                                std::get<quota::UsageReport>(message));
     }
   }
   Arm();
--- a/src/net/cluster/quota_keeper.h
+++ b/src/net/cluster/quota_keeper.h
@@ -37,7 +37,7 @@
   };
   struct Options {
     membership::NodeId self = 0;
-    membership::Life life = 0;
+    membership::ProcessIncarnation process_incarnation = 0;
     std::vector<membership::NodeId> members;     // all of the cluster, this one among them
     std::vector<membership::NodeId> allocators;  // some of these
     std::vector<NamedQuota> tenants;
@@ -59,7 +59,8 @@
   void Start();
   // The view may have changed.
   void Look();
-  void Hear(membership::NodeId from, membership::Life life, const quota::Message& message);
+  void Hear(membership::NodeId from, membership::ProcessIncarnation process_incarnation,
+            const quota::Message& message);
   // Other quotas of the same tenants, by their order at the start.
   void SetQuotas(const std::vector<double>& quotas);
 
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -238,7 +238,7 @@
   if (watching_) return;  // the watch is still out: what it has to tell will come
   watching_ = true;
   loop_->deadlines().Drop(&retry_);
-  if (Crowd() && loop_->Now() - moved_at_ >= kMoveS) return CallIn(pace_.AtStart(Unit()));
+  if (Crowd() && loop_->Now() - moved_at_ >= kMoveS) return CallIn(pace_.InitialDelay(Unit()));
   // The first call does not wait: it says what was missed, and that discovery is there.
   Ask(false, 0);
 }
@@ -300,7 +300,7 @@
     const bool soon = loop_->Now() - call->asked_at() < kNoNewsS;
     if (list.version > 0) version_ = list.version;
     overdue_from_ = kNever;
-    const double spread_s = Crowd() ? pace_.AfterAnswer(Unit()) : 0;
+    const double spread_s = Crowd() ? pace_.DelayAfterAnswer(Unit()) : 0;
     if (news && spread_s > 0) {
       // What changed right after the answer counts as told, since the watch might have gone on.
       const double most = kOverdueShare * options_.drain_grace_s;
@@ -365,7 +365,7 @@
   if (call == old_.get()) return Drop(call);
   overdue_from_ = kNever;
   Lost(call, "silent");
-  CallIn(pace_.AfterSilence(Unit()));
+  CallIn(pace_.DelayAfterSilence(Unit()));
   hooks_.unavailable();
 }
 
@@ -381,8 +381,8 @@
   const bool refused = call->goes_on() && loop_->Now() - call->asked_at() < kCallS;
   Lost(call, reason);
   if (!whole && Crowd() && loop_->Now() - moved_at_ >= kMoveS) {
-    if (refused) pace_.GoingOnRefused();
-    CallIn(pace_.AfterFailure(Unit()));  // whatever the module asks meanwhile, no sooner
+    if (refused) pace_.OnImmediatePollRejected();
+    CallIn(pace_.DelayAfterFailure(Unit()));  // whatever the module asks meanwhile, no sooner
   } else if (!whole) {
     watching_ = false;
     failures_ = std::min(failures_ + 1, 5);
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -9,9 +9,9 @@
 #include <string_view>
 #include <vector>
 
-#include "membership/call_pace.h"
 #include "millethollow/balancing/load_balancer.h"
 #include "net/loop.h"
+#include "net/poll_backoff.h"
 
 namespace millethollow {
 
@@ -91,7 +91,7 @@
   double moved_at_ = -1e9;              // on the loop's clock
   std::map<std::string, double> down_;  // told to drain or be gone: their last start
   int failures_ = 0;
-  membership::CallPace pace_;  // of a large tier
+  PollBackoff pace_;  // of a large tier
   std::uint64_t jitter_ = 0;
   Deadlines::Ticket retry_ = Deadlines::kNone, settle_ = Deadlines::kNone;
 };
--- a/src/membership/call_pace.h
+++ b/src/net/poll_backoff.h
@@ -1,11 +1,11 @@
 // When a node of a large tier calls discovery next, and when a new process may take requests.
 // Decides only: no I/O, no clock; random numbers come from the caller.
-#ifndef MILLETHOLLOW_MEMBERSHIP_CALL_PACE_H_
-#define MILLETHOLLOW_MEMBERSHIP_CALL_PACE_H_
+#ifndef MILLETHOLLOW_NET_POLL_BACKOFF_H_
+#define MILLETHOLLOW_NET_POLL_BACKOFF_H_
 
 #include <algorithm>
 
-namespace millethollow::membership {
+namespace millethollow {
 
 // Discovery serves one call after the other and fails those that have waited too long (some
 // seconds), or that find too many before them. A call that follows an answer at once lets the watch
@@ -17,17 +17,17 @@
 // After a call that failed, a change counts as told 6 s after discovery had it, and a node may send
 // to a server that is to end for the drain grace longer: of a failed call, the wait after it, and
 // one more call, the sum has to stay below that. So waits after failures are bounded.
-class CallPace {
+class PollBackoff {
  public:
-  explicit CallPace(int nodes)
+  explicit PollBackoff(int nodes)
       : start_(std::min(kMostStartS, kStartSpreadS * nodes)),
         least_(std::min(kMostSpreadS, kSpreadS * nodes)),
         window_(least_) {}
 
   // The wait before the next call; `unit` is random, from 0 to 1.
-  double AtStart(double unit) const { return start_ * unit; }
+  double InitialDelay(double unit) const { return start_ * unit; }
   // 0: at once, so that the watch goes on.
-  double AfterAnswer(double unit) {
+  double DelayAfterAnswer(double unit) {
     waited_ = 0;
     window_ = std::max(least_, std::min(kMostAnsweredS, window_ * kNarrower));
     if (!refused_) return 0;
@@ -35,8 +35,8 @@
     return window_ * (kSure + (1 - kSure) * unit);
   }
   // A call that followed an answer at once was turned away: discovery bears no such calls now.
-  void GoingOnRefused() { refused_ = true; }
-  double AfterFailure(double unit) {
+  void OnImmediatePollRejected() { refused_ = true; }
+  double DelayAfterFailure(double unit) {
     const bool first = waited_ == 0;
     // Overbooked for so long, discovery may answer nobody: it comes back only once fewer call.
     window_ = first ? kFirstS : waited_ < kHopefulS ? kNextS : std::min(kWider * window_, kMostS);
@@ -45,7 +45,7 @@
     return wait;
   }
   // A watch that fell silent says nothing of how busy discovery is, and what it missed is overdue.
-  double AfterSilence(double unit) const { return std::min(least_, kSilenceS) * unit; }
+  double DelayAfterSilence(double unit) const { return std::min(least_, kSilenceS) * unit; }
 
  private:
   // For each node of the tier: after an answer, and where all may have been started at once and
@@ -69,12 +69,12 @@
 // A process that has not heard the list is held to what discovery has all the same, from its first
 // moment: what it last knew may name servers that ended long ago. So it takes no request before its
 // first list, unless there is none to be had.
-class FirstList {
+class InitialListGate {
  public:
   // In a large tier a call that fails says little: discovery may have too many callers just then.
-  FirstList(bool crowd, double started_at) : crowd_(crowd), until_(started_at + kMostS) {}
-  void Heard() { ready_ = true; }
-  void Failed() { ready_ |= !crowd_; }
+  InitialListGate(bool crowd, double started_at) : crowd_(crowd), until_(started_at + kMostS) {}
+  void OnList() { ready_ = true; }
+  void OnPollFailed() { ready_ |= !crowd_; }
   bool Ready(double now) const { return ready_ || now >= until_; }
   double until() const { return until_; }
 
@@ -84,6 +84,6 @@
   double until_;
 };
 
-}  // namespace millethollow::membership
+}  // namespace millethollow
 
-#endif  // MILLETHOLLOW_MEMBERSHIP_CALL_PACE_H_
+#endif  // MILLETHOLLOW_NET_POLL_BACKOFF_H_
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -242,7 +242,7 @@
                              [this] {
                                planner_->OnEndpointsUpdated(
                                    balancing::EndpointListKind::kUnavailable, {});
-                               if (first_list_) first_list_->Failed();
+                               if (initial_list_gate_) initial_list_gate_->OnPollFailed();
                                TakeOnceListed();
                              }});
   }
@@ -269,9 +269,9 @@
   if (discovery_) discovery_->SetVersion(known.version);
   // The process before has kept its list until now.
   if (discovery_ && forwarder_ && !claimed_.whole) {
-    first_list_.emplace(discovery_->Crowd(), loop_.Now());
+    initial_list_gate_.emplace(discovery_->Crowd(), loop_.Now());
     forwarder_->SetAccepting(false);
-    loop_.deadlines().At(first_list_->until(), [this] { TakeOnceListed(); });
+    loop_.deadlines().At(initial_list_gate_->until(), [this] { TakeOnceListed(); });
   }
   planner_->Start(known.Members());
   if (front_) front_->SetServing(true);
@@ -280,8 +280,8 @@
 
 // Requests are taken once there is a list to go by.
 void Node::TakeOnceListed() {
-  if (!first_list_ || !first_list_->Ready(loop_.Now())) return;
-  first_list_.reset();
+  if (!initial_list_gate_ || !initial_list_gate_->Ready(loop_.Now())) return;
+  initial_list_gate_.reset();
   forwarder_->SetAccepting(true);
 }
 
@@ -444,7 +444,7 @@
     member_->Told(e.member.worker, e.member.started_at_s, gone);
   }
   if (succession_) succession_->TellDown();
-  if (first_list_) first_list_->Heard();
+  if (initial_list_gate_) initial_list_gate_->OnList();
   TakeOnceListed();
 }
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -10,7 +10,6 @@
 
 #include "config/config.h"
 #include "core/planner.h"
-#include "membership/call_pace.h"
 #include "net/admin/admin_server.h"
 #include "net/cluster/member.h"
 #include "net/cluster/promised_jobs.h"
@@ -23,6 +22,7 @@
 #include "net/link/link.h"
 #include "net/loop.h"
 #include "net/peers.h"
+#include "net/poll_backoff.h"
 
 namespace millethollow {
 
@@ -79,7 +79,7 @@
   // The planner's side.
   std::unique_ptr<Planner> planner_;
   std::unique_ptr<Discovery> discovery_;
-  std::optional<membership::FirstList> first_list_;  // until requests are taken
+  std::optional<InitialListGate> initial_list_gate_;  // until requests are taken
   std::unique_ptr<Peers> peers_;
   std::unique_ptr<link::PlannerServer> server_;
   // The forwarder's side.
--- a/src/quota/allocator.cpp
+++ b/src/quota/allocator.cpp
@@ -108,20 +108,23 @@
 
 // ---- reports ----
 
-RejectReason Allocator::OnUsageReport(double now, NodeId from, Life life,
+RejectReason Allocator::OnUsageReport(double now, NodeId from,
+                                      ProcessIncarnation process_incarnation,
                                       const UsageReport& report) {
   EndLeases(now);
   EndTakeovers(now);
   const auto found = dispatchers_.find(from);
-  const RejectReason refusal = found == dispatchers_.end() ? RejectReason::kNotAllocator
-                                                           : Check(found->second, life, report);
+  const RejectReason refusal = found == dispatchers_.end()
+                                   ? RejectReason::kNotAllocator
+                                   : Check(found->second, process_incarnation, report);
   if (refusal != RejectReason::kNone) {
     ++counters_.rejected[static_cast<std::size_t>(refusal)];
     return refusal;
   }
   ++counters_.reports;
   Dispatcher& dispatcher = found->second;
-  if (life != dispatcher.life) StartLife(from, dispatcher, life);
+  if (process_incarnation != dispatcher.process_incarnation)
+    StartLife(from, dispatcher, process_incarnation);
   const std::uint64_t full_epoch_before = dispatcher.full_epoch;
   const bool whole = dispatcher.TakeReport(report);
   dispatcher.heard_at = now;
@@ -137,14 +140,15 @@
   return RejectReason::kNone;
 }
 
-RejectReason Allocator::Check(const Dispatcher& dispatcher, Life life,
+RejectReason Allocator::Check(const Dispatcher& dispatcher, ProcessIncarnation process_incarnation,
                               const UsageReport& report) const {
   if (report.usages.size() > kMaxEntries) return RejectReason::kTooLarge;
   if (report.epoch < view_.epoch) return RejectReason::kStaleEpoch;
   if (report.epoch > view_.epoch || view_.epoch == 0) return RejectReason::kNotAllocator;
   const RejectReason refusal = CheckUsages(report);
   if (refusal != RejectReason::kNone) return refusal;
-  return dispatcher.IsNews(life, report.sequence) ? RejectReason::kNone : RejectReason::kDuplicate;
+  return dispatcher.IsNews(process_incarnation, report.sequence) ? RejectReason::kNone
+                                                                 : RejectReason::kDuplicate;
 }
 
 RejectReason Allocator::CheckUsages(const UsageReport& report) const {
@@ -157,8 +161,9 @@
   return RejectReason::kNone;
 }
 
-void Allocator::StartLife(NodeId id, Dispatcher& dispatcher, Life life) {
-  dispatcher.StartLife(life);
+void Allocator::StartLife(NodeId id, Dispatcher& dispatcher,
+                          ProcessIncarnation process_incarnation) {
+  dispatcher.StartLife(process_incarnation);
   for (const TenantId tenant : dispatcher.tenants) {
     TenantLeases& leases = tenants_.at(tenant);
     leases.shares.at(id).StartLife();
@@ -351,7 +356,7 @@
   Grant grant;
   grant.epoch = view_.epoch;
   grant.acked_sequence = dispatcher.sequence;
-  grant.life = dispatcher.life;
+  grant.process_incarnation = dispatcher.process_incarnation;
   grant.request_full_report = !dispatcher.current && !dispatcher.in_full_report;
   if (dispatcher.current) {
     for (const TenantId tenant : dispatcher.offers) {
--- a/src/quota/allocator.h
+++ b/src/quota/allocator.h
@@ -42,7 +42,8 @@
   void SetQuotas(double now, const std::vector<TenantQuota>& tenants);
   // A report of the process `life` of dispatcher `from` came. Nothing changes unless kNone is
   // returned; each refusal is counted.
-  RejectReason OnUsageReport(double now, NodeId from, Life life, const UsageReport& report);
+  RejectReason OnUsageReport(double now, NodeId from, ProcessIncarnation process_incarnation,
+                             const UsageReport& report);
   // Appends the grants that are due. `may_act`: this process, named with its life in the view,
   // holds its place there now; where it does not, nothing is granted.
   void Tick(double now, bool may_act, Actions* actions);
@@ -60,7 +61,8 @@
  private:
   using Due = std::set<std::pair<double, NodeId>>;
 
-  RejectReason Check(const Dispatcher& dispatcher, Life life, const UsageReport& report) const;
+  RejectReason Check(const Dispatcher& dispatcher, ProcessIncarnation process_incarnation,
+                     const UsageReport& report) const;
   RejectReason CheckUsages(const UsageReport& report) const;
   void TakeUsage(NodeId from, Dispatcher& dispatcher, const TenantUsage& usage,
                  std::uint64_t full_epoch_before);
@@ -69,7 +71,7 @@
   void CheckReachable(NodeId id, Dispatcher& dispatcher);
   void SetUnreachable(NodeId id, Dispatcher& dispatcher, bool unreachable);
   void EndFullReport(NodeId from, Dispatcher& dispatcher, std::uint64_t full_epoch_before);
-  void StartLife(NodeId id, Dispatcher& dispatcher, Life life);
+  void StartLife(NodeId id, Dispatcher& dispatcher, ProcessIncarnation process_incarnation);
 
   void TakeOver(double now, TenantId tenant);
   void EndTakeover(TenantId id, TenantLeases& tenant);
--- a/src/quota/dispatcher_state.cpp
+++ b/src/quota/dispatcher_state.cpp
@@ -10,16 +10,16 @@
 
 }  // namespace
 
-bool Dispatcher::IsNews(Life reporter, std::uint64_t number) const {
-  if (reporter == life) return number > sequence;
+bool Dispatcher::IsNews(ProcessIncarnation reporter, std::uint64_t number) const {
+  if (reporter == process_incarnation) return number > sequence;
   return std::find(former_lives.begin(), former_lives.end(), reporter) == former_lives.end();
 }
 
-void Dispatcher::StartLife(Life started) {
-  if (life != 0) former_lives.push_back(life);
+void Dispatcher::StartLife(ProcessIncarnation started) {
+  if (process_incarnation != 0) former_lives.push_back(process_incarnation);
   if (former_lives.size() > kMostFormerLives) former_lives.pop_front();
   if (!lapsed) former_end_at = std::max(former_end_at, leases_end_at);
-  life = started;
+  process_incarnation = started;
   sequence = 0;
   current = false;
   in_full_report = false;
--- a/src/quota/dispatcher_state.h
+++ b/src/quota/dispatcher_state.h
@@ -17,8 +17,8 @@
 struct Dispatcher {
   static constexpr double kNever = std::numeric_limits<double>::infinity();
 
-  Life life = 0;  // 0: nothing was heard of it
-  std::deque<Life> former_lives;
+  ProcessIncarnation process_incarnation = 0;  // 0: nothing was heard of it
+  std::deque<ProcessIncarnation> former_lives;
   std::uint64_t sequence = 0;    // of the newest report
   std::uint64_t full_epoch = 0;  // of the newest report that was full, to its end
   bool current = false;          // all it holds and needs is known, in the view that is known here
@@ -41,9 +41,9 @@
   bool unreachable = false;    // it reports, but tells no offer: grants don't reach it
 
   // Whether a report of this life and number is newer than all others.
-  bool IsNews(Life reporter, std::uint64_t number) const;
+  bool IsNews(ProcessIncarnation reporter, std::uint64_t number) const;
   // A new life begins; the former one's reports are refused from now on.
-  void StartLife(Life started);
+  void StartLife(ProcessIncarnation started);
   // A report came. Whether it ends a full one that has come whole.
   bool TakeReport(const UsageReport& report);
   // All offers go into one grant, so that each grant carries all that is open.
--- a/src/quota/lease_holder.cpp
+++ b/src/quota/lease_holder.cpp
@@ -15,9 +15,9 @@
 
 }  // namespace
 
-LeaseHolder::LeaseHolder(Life life, std::size_t dispatchers, std::vector<TenantQuota> tenants,
-                         const LeaseTimings& timings)
-    : life_(life), dispatchers_(dispatchers), timings_(timings) {
+LeaseHolder::LeaseHolder(ProcessIncarnation process_incarnation, std::size_t dispatchers,
+                         std::vector<TenantQuota> tenants, const LeaseTimings& timings)
+    : process_incarnation_(process_incarnation), dispatchers_(dispatchers), timings_(timings) {
   if (tenants.size() > kMaxTenants) tenants.resize(kMaxTenants);
   for (const TenantQuota& given : tenants) {
     Tenant tenant;
@@ -168,7 +168,8 @@
 
 // False for one that came before, came after a later one, or is meant for a former life.
 bool LeaseHolder::IsNews(const Link& link, const Grant& grant) const {
-  if (grant.life != life_ || grant.acked_sequence < link.heard_answer) return false;
+  if (grant.process_incarnation != process_incarnation_ || grant.acked_sequence < link.heard_answer)
+    return false;
   if (link.sent.empty() || grant.acked_sequence < link.sent.front().first) return false;
   if (grant.acked_sequence > link.heard_answer) return true;
   return std::any_of(grant.assignments.begin(), grant.assignments.end(), [&](const Assignment& a) {
--- a/src/quota/lease_holder.h
+++ b/src/quota/lease_holder.h
@@ -26,8 +26,8 @@
  public:
   // `life`: of this process. `dispatchers`: how many members of the cluster share each quota, this
   // one among them. The clock of every `now` counts pauses and never runs back, in seconds.
-  LeaseHolder(Life life, std::size_t dispatchers, std::vector<TenantQuota> tenants,
-              const LeaseTimings& timings);
+  LeaseHolder(ProcessIncarnation process_incarnation, std::size_t dispatchers,
+              std::vector<TenantQuota> tenants, const LeaseTimings& timings);
 
   // The agreed view has changed. An older one than is known is left out. The first one has this
   // very life as a member: a view from before it started could have an allocator that was replaced
@@ -96,7 +96,7 @@
   double NextDue(const Link& link) const;
   bool NeedsRenewal(const Link& link) const;
 
-  Life life_;
+  ProcessIncarnation process_incarnation_;
   std::size_t dispatchers_;
   LeaseTimings timings_;
   AllocatorView view_;
--- a/src/quota/tenant_placement.h
+++ b/src/quota/tenant_placement.h
@@ -13,7 +13,7 @@
 // A member of the view that allocates, in one run of its process.
 struct AllocatorMember {
   NodeId id = 0;
-  Life life = 0;
+  ProcessIncarnation process_incarnation = 0;
   bool operator==(const AllocatorMember&) const = default;
 };
 
--- a/src/quota/types.h
+++ b/src/quota/types.h
@@ -15,8 +15,8 @@
 
 namespace millethollow::quota {
 
-using membership::Life;
 using membership::NodeId;
+using membership::ProcessIncarnation;
 
 // A hash of the tenant's name: the same at every node.
 using TenantId = std::uint64_t;
@@ -108,7 +108,8 @@
       false;                    // the allocator knows too little: the next report is to be full
   double lease_duration_s = 0;  // 0: prolongs nothing
   std::vector<Assignment> assignments;  // what has changed, at most kMaxEntries
-  Life life = 0;  // of the dispatcher's process that sent the report; another one's refuses it
+  ProcessIncarnation process_incarnation =
+      0;  // of the dispatcher's process that sent the report; another one's refuses it
   bool operator==(const Grant&) const = default;
 };
 
--- a/src/store/vote_file.cpp
+++ b/src/store/vote_file.cpp
@@ -55,7 +55,8 @@
 }
 
 bool VoteFile::Open(const std::string& folder, std::uint64_t cluster, membership::NodeId self,
-                    Written written, membership::Votes* votes, bool* damaged, std::string* why) {
+                    Written written, membership::PersistentVoterState* votes, bool* damaged,
+                    std::string* why) {
   folder_ = folder;
   cluster_ = cluster;
   self_ = self;
@@ -89,7 +90,7 @@
       if (Word(bytes, 11, 8) != cluster) return *why = store + "of another cluster", false;
       if (Word(bytes, 19, 8) != self) return *why = store + "of another member", false;
     }
-    const auto read = whole ? codec::DecodeVotes(std::string_view(bytes).substr(
+    const auto read = whole ? codec::DecodeVoterState(std::string_view(bytes).substr(
                                   kHead, bytes.size() - kHead - kTail))
                             : std::nullopt;
     if (read) {
@@ -105,7 +106,7 @@
   return true;
 }
 
-void VoteFile::Write(const membership::Votes& votes, std::uint64_t ticket) {
+void VoteFile::Write(const membership::PersistentVoterState& votes, std::uint64_t ticket) {
   codec::Writer w;
   w.Bytes(kMark);
   w.Raw(kSchema);
--- a/src/store/vote_file.h
+++ b/src/store/vote_file.h
@@ -31,10 +31,11 @@
   // False, with one clear line, if the folder can't be used, is another's, or is of a later build.
   // A damaged file is put aside, as `votes.damaged`, and counts as none: `damaged` says so.
   bool Open(const std::string& folder, std::uint64_t cluster, membership::NodeId self,
-            Written written, membership::Votes* votes, bool* damaged, std::string* why);
+            Written written, membership::PersistentVoterState* votes, bool* damaged,
+            std::string* why);
   // Writes; a later write takes the place of one that has not begun. After a failure nothing is
   // written any more: the disk may hold either state, and a second try would not tell.
-  void Write(const membership::Votes& votes, std::uint64_t ticket);
+  void Write(const membership::PersistentVoterState& votes, std::uint64_t ticket);
 
  private:
   struct Job {
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -261,13 +261,13 @@
   rig->EachLink([](LinkFaults* l) { l->garbled = l->shortened = l->doubled = 0.1; });
   for (int i = 0; i < 2000; ++i) {
     std::string noise(rig->random().Below(1500), '\0');
-    for (char& c : noise) c = static_cast<char>(rig->random().Word());
+    for (char& c : noise) c = static_cast<char>(rig->random().NextUint64());
     rig->Inject(0, noise);
     if (i % 50 == 0) rig->For(0.005);
   }
   for (const std::string& old : rig->Overheard()) rig->Inject(0, old);
-  rig->Inject(
-      0, cluster::Encode({.cluster = 7, .from = 7, .life = 7, .number = 1}, membership::Probe{}));
+  rig->Inject(0, cluster::Encode({.cluster = 7, .from = 7, .process_incarnation = 7, .number = 1},
+                                 membership::SwimMessage{}));
   rig->For(Span(3, 30));
   EXPECT_GT(rig->Figure(0, "app.cluster.refused.garbled"), 1000);
   EXPECT_GT(rig->Figure(0, "app.cluster.refused.replayed"), 0);
@@ -318,7 +318,7 @@
       if (!rig->Running(i)) continue;
       for (int n = 0; n < 6; ++n) {
         Raw client(&rig->loop(), rig->http_address(i));
-        client.Write(Post("r" + std::to_string(rig->random().Word()), "look"));
+        client.Write(Post("r" + std::to_string(rig->random().NextUint64()), "look"));
         const auto answered = [&] {
           return client.ended || client.in.find("\r\n\r\n") != std::string::npos;
         };
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -13,43 +13,43 @@
 namespace millethollow {
 namespace {
 
-using membership::Message;
-using membership::Probe;
+using membership::AgreementMessage;
+using membership::SwimMessage;
 
 membership::Frame AMessage() {
-  Message m;
-  m.kind = Message::Kind::kPromise;
+  AgreementMessage m;
+  m.kind = AgreementMessage::Kind::kPromise;
   m.ballot = {7, 2};
   m.accepted_by = {6, 1};
-  m.view = {.epoch = 9, .members = {{1, 11, "rack-1", 3}, {2, 12, "", 9}}, .settled = 8};
-  m.mind = {2, 77};
-  m.minds = {{1, {1, 5}}, {2, {2, 77}}};
+  m.view = {.epoch = 9, .members = {{1, 11, "rack-1", 3}, {2, 12, "", 9}}, .settled_epoch = 8};
+  m.storage_identity = {2, 77};
+  m.storage_identities = {{1, {1, 5}}, {2, {2, 77}}};
   m.quorum = {{1, {1, 5}}};
   m.asked_at = 12.5;
   m.origin = 3;
   m.yes = true;
-  m.view.members[0].disk = 41;
+  m.view.members[0].store_id = 41;
   m.view.logs = {{5, 1, 11, 9, 2, {{1, 41}, {2, 42}}}, {6, 2, 0, 4, 1, {}}};
-  m.disk = 41;
+  m.store_id = 41;
   m.logs = {{5, 1, 11, 0, 3, {{1, 41}}}};
   return m;
 }
 
 membership::Frame AProbe() {
-  return Probe{
-      .kind = Probe::Kind::kAck,
+  return SwimMessage{
+      .kind = SwimMessage::Kind::kAck,
       .seq = 4,
       .about = 2,
       .incarnation = 3,
       .digest = 99,
-      .news = {{5, 6, membership::Health::kSuspect, 1}, {2, 0, membership::Health::kLeft, 0}}};
+      .updates = {{5, 6, membership::Health::kSuspect, 1}, {2, 0, membership::Health::kLeft, 0}}};
 }
 
 membership::Frame SomeFacts() {
-  membership::FactNews n;
-  n.number = 4;
-  n.ask = true;
-  n.facts = {{"w0", {{11, {2, 1}}}, 1700000000.5, 2}};
+  membership::MaintenanceGossip n;
+  n.sequence = 4;
+  n.request_all = true;
+  n.records = {{"w0", {{11, {2, 1}}}, 1700000000.5, membership::DrainState::kGone}};
   return n;
 }
 
@@ -71,9 +71,9 @@
   cluster::Header header;
   cluster::Body read;
   const std::string bytes =
-      cluster::Encode({.cluster = 1, .from = 2, .life = 3, .number = 4}, frame);
+      cluster::Encode({.cluster = 1, .from = 2, .process_incarnation = 3, .number = 4}, frame);
   EXPECT_EQ(cluster::Decode(bytes, &header, &read), cluster::Fault::kNone);
-  EXPECT_EQ(header.life, 3U);
+  EXPECT_EQ(header.process_incarnation, 3U);
   EXPECT_EQ(cluster::Encode(header, read), bytes) << "all of it came through";
   return bytes;
 }
@@ -95,27 +95,27 @@
 }
 
 TEST(ClusterFrame, FieldsOfALaterBuildAreSkippedAndGarbageIsOutlived) {
-  const std::string bytes = codec::Encode(std::get<Message>(AMessage()));
+  const std::string bytes = codec::Encode(std::get<AgreementMessage>(AMessage()));
   codec::Writer more;
   more.Bytes(bytes);
   more.Number(200, std::uint64_t{5});
   more.Text(201, std::string(300, 'x'));
-  const auto read = codec::DecodeMessage(more.bytes());
+  const auto read = codec::DecodeAgreementMessage(more.bytes());
   ASSERT_TRUE(read.has_value());
   EXPECT_EQ(codec::Encode(*read), bytes);
   membership::Random random(3);
   for (int i = 0; i < 20000; ++i) {
     std::string noise = i % 2 == 0 ? bytes : std::string(random.Below(80), '\0');
     for (char& c : noise) {
-      if (i % 2 == 1 || random.Below(20) == 0) c = static_cast<char>(random.Word());
+      if (i % 2 == 1 || random.Below(20) == 0) c = static_cast<char>(random.NextUint64());
     }
-    const auto message = codec::DecodeMessage(noise);
+    const auto message = codec::DecodeAgreementMessage(noise);
     if (message) {
-      EXPECT_LE(message->view.members.size(), codec::kMostMembers);
+      EXPECT_LE(message->view.members.size(), codec::kMaxMembers);
     }
-    (void)codec::DecodeProbe(noise);
-    (void)codec::DecodeFacts(noise);
-    (void)codec::DecodeVotes(noise);
+    (void)codec::DecodeSwimMessage(noise);
+    (void)codec::DecodeMaintenanceGossip(noise);
+    (void)codec::DecodeVoterState(noise);
   }
 }
 
@@ -126,20 +126,20 @@
     votes = {};
     return file->Open(folder, cluster, self, Written(), &votes, &damaged, &why);
   }
-  bool Write(const membership::Votes& v) {
+  bool Write(const membership::PersistentVoterState& v) {
     file->Write(v, 7);
     return Waits(7);
   }
-  static membership::Votes Some() {
+  static membership::PersistentVoterState Some() {
     return {.promised = {3, 2},
             .accepted_by = {2, 1},
-            .accepted = {.epoch = 4, .members = {}, .settled = 0},
-            .mind = {1, 9},
-            .minds = {},
+            .accepted = {.epoch = 4, .members = {}, .settled_epoch = 0},
+            .storage_identity = {1, 9},
+            .storage_identities = {},
             .writes = 5};
   }
   std::unique_ptr<store::VoteFile> file;
-  membership::Votes votes;
+  membership::PersistentVoterState votes;
   bool damaged = false;
 };
 
@@ -147,7 +147,7 @@
   ASSERT_TRUE(Open()) << why;
   EXPECT_TRUE(Write(Some()));
   store::VoteFile second;
-  membership::Votes unused;
+  membership::PersistentVoterState unused;
   bool bad = false;
   EXPECT_FALSE(second.Open(
       folder, 1, 2, [](std::uint64_t, bool) {}, &unused, &bad, &why));
@@ -167,7 +167,7 @@
     Put("votes", whole.substr(0, n));
     ASSERT_TRUE(Open()) << why;
     EXPECT_TRUE(damaged) << n;
-    EXPECT_EQ(votes.mind.number, 0U) << n;
+    EXPECT_EQ(votes.storage_identity.number, 0U) << n;
     file.reset();
   }
   EXPECT_TRUE(std::filesystem::exists(folder + "/votes.damaged"));
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -87,7 +87,7 @@
   const cluster::Header expected = SampleHeader();
   EXPECT_EQ(header.cluster, expected.cluster);
   EXPECT_EQ(header.from, expected.from);
-  EXPECT_EQ(header.life, expected.life);
+  EXPECT_EQ(header.process_incarnation, expected.process_incarnation);
   EXPECT_EQ(header.number, expected.number);
   EXPECT_EQ(cluster::LengthOf(bytes), bytes.size());
   return cluster::Encode(header, body);
@@ -240,7 +240,7 @@
   const auto operation = copies::DecodeOp(old.at("operation"));
   const auto job = copies::DecodeJob("H:a:1", old.at("job"));
   const auto key = copies::DecodeKey(old.at("key"));
-  const auto votes = codec::DecodeVotes(old.at("votes"));
+  const auto votes = codec::DecodeVoterState(old.at("votes"));
   ASSERT_TRUE(head && operation && job && key && votes);
   EXPECT_EQ(copies::Encode(*head), old.at("head"));
   EXPECT_EQ(copies::Encode(*operation), old.at("operation"));
@@ -262,14 +262,14 @@
 
 TEST_F(MemberFolder, VotesAreRead) {
   store::VoteFile file;
-  membership::Votes votes;
+  membership::PersistentVoterState votes;
   bool damaged = true;
   ASSERT_TRUE(file.Open(folder, cluster, self, Written(), &votes, &damaged, &why)) << why;
   EXPECT_FALSE(damaged);
   EXPECT_GT(votes.writes, 0U);
   EXPECT_EQ(votes.accepted.members.size(), 3U);
   EXPECT_EQ(votes.accepted.logs.size(), 3U);
-  EXPECT_EQ(votes.minds.size(), 2U);
+  EXPECT_EQ(votes.storage_identities.size(), 2U);
   EXPECT_GT(votes.promised.round, 0U);
   const std::string before = Bytes("votes");
   file.Write(votes, 1);
@@ -329,10 +329,10 @@
   ASSERT_TRUE(store.Load(copies::EntryPrefix(0, 0), &records, &damaged, &why)) << why;
   std::map<std::string, bool> out;
   for (const auto& [key, value] : records) {
-    const auto news = codec::DecodeFacts(value);
-    ASSERT_TRUE(news && news->facts.size() == 1);
+    const auto news = codec::DecodeMaintenanceGossip(value);
+    ASSERT_TRUE(news && news->records.size() == 1);
     EXPECT_EQ(codec::Encode(*news), value);
-    out[news->facts[0].worker] = news->facts[0].Out();
+    out[news->records[0].worker] = news->records[0].InMaintenance();
   }
   EXPECT_EQ(damaged, Lines{});
   EXPECT_EQ(out, (std::map<std::string, bool>{{"toy-0", false}, {"toy-1", true}}));
--- a/tests/copies_test.cpp
+++ b/tests/copies_test.cpp
@@ -110,12 +110,15 @@
   bool answers_before_disk = false;  // planted
 
   static View ViewOf(int gone) {
-    View v{.epoch = 2U + static_cast<std::uint64_t>(gone), .members = {}, .settled = 0, .logs = {}};
+    View v{.epoch = 2U + static_cast<std::uint64_t>(gone),
+           .members = {},
+           .settled_epoch = 0,
+           .logs = {}};
     for (NodeId id = gone ? 2 : 1; id <= 3; ++id)
       v.members.push_back({id, 10 + id, "p", 1, 100 + id});
     const NodeId owner = gone ? 2 : 1;
     v.logs.push_back({kLog, owner, 10 + owner, gone ? 3U : 2U, 1, {{2, 102}, {3, 103}}});
-    if (gone < 2) v.logs[0].holders.push_back({1, 101});
+    if (gone < 2) v.logs[0].replicas.push_back({1, 101});
     return v;
   }
   void Carry(State* s, std::size_t i, Copies::Actions* a) {
@@ -179,7 +182,7 @@
     State s;
     for (NodeId id = 1; id <= 3; ++id) {
       Options o;
-      o.self = id, o.life = 10 + id, o.disk = 100 + id, o.late_s = 1e9;
+      o.self = id, o.process_incarnation = 10 + id, o.disk = 100 + id, o.late_s = 1e9;
       s.nodes.emplace_back(o, std::vector<std::pair<std::string, std::string>>{});
     }
     for (int n = 0; n < 4; ++n) {
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -8,7 +8,7 @@
 #include <random>
 #include <vector>
 
-#include "membership/call_pace.h"
+#include "net/poll_backoff.h"
 #include "support/floor.h"
 
 namespace millethollow {
@@ -24,10 +24,9 @@
     constexpr double kPatienceS = 2.0, kStep = 0.002;
     std::mt19937_64 random(5);
     std::uniform_real_distribution<double> unit(0, 1);
-    std::vector<membership::CallPace> pace(static_cast<std::size_t>(nodes),
-                                           membership::CallPace(nodes));
+    std::vector<PollBackoff> pace(static_cast<std::size_t>(nodes), PollBackoff(nodes));
     std::vector<double> asks;  // when each does next; those that wait or are done: never
-    for (const auto& p : pace) asks.push_back(p.AtStart(unit(random)));
+    for (const auto& p : pace) asks.push_back(p.InitialDelay(unit(random)));
     std::deque<std::pair<std::size_t, double>> queue;  // who, since when
     double busy_until = -1;
     for (double now = 0; now < until && all_served_at < 0; now += kStep) {
@@ -47,7 +46,7 @@
         continue;
       }
       ++failed;
-      asks[node] = now + pace[node].AfterFailure(unit(random));
+      asks[node] = now + pace[node].DelayAfterFailure(unit(random));
     }
   }
 };
@@ -77,47 +76,47 @@
 TEST(Fleet, ACallThatFailedIsFollowedByAnotherInTime) {
   constexpr double kToldS = 6, kGraceS = 2, kPatienceS = 2;
   for (const int nodes : {7, 30, 100, 300}) {
-    membership::CallPace pace(nodes);
-    EXPECT_EQ(pace.AfterAnswer(1.0), 0) << "the watch goes on";
-    pace.GoingOnRefused();
+    PollBackoff pace(nodes);
+    EXPECT_EQ(pace.DelayAfterAnswer(1.0), 0) << "the watch goes on";
+    pace.OnImmediatePollRejected();
     // A change right after an answer, the next call fails, and the one after it is answered.
-    const double answered = pace.AfterAnswer(1.0);
-    EXPECT_LT(answered + kPatienceS + pace.AfterFailure(1.0) + kPatienceS, kToldS + kGraceS)
+    const double answered = pace.DelayAfterAnswer(1.0);
+    EXPECT_LT(answered + kPatienceS + pace.DelayAfterFailure(1.0) + kPatienceS, kToldS + kGraceS)
         << nodes;
     // Discovery is back right after a call began that fails: the next is answered.
     double waited = 0;
     while (waited < 8) {  // the outage
-      const double wait = pace.AfterFailure(1.0);
+      const double wait = pace.DelayAfterFailure(1.0);
       EXPECT_LT(kPatienceS + wait + 1.5, kToldS + kGraceS) << nodes;
       waited += kPatienceS + wait;
     }
-    EXPECT_LT(pace.AfterSilence(1.0), 1.0);
+    EXPECT_LT(pace.DelayAfterSilence(1.0), 1.0);
   }
 }
 
 TEST(Fleet, ListsAreAskedForWithinTheTimeAllowed) {
-  membership::CallPace pace(100);
-  EXPECT_LT(pace.AtStart(1.0), 5.0) << "until then a new process takes nothing";
+  PollBackoff pace(100);
+  EXPECT_LT(pace.InitialDelay(1.0), 5.0) << "until then a new process takes nothing";
   double wait = 0;
-  for (int i = 0; i < 20; ++i) wait = pace.AfterFailure(1.0);
+  for (int i = 0; i < 20; ++i) wait = pace.DelayAfterFailure(1.0);
   EXPECT_LT(wait + 2, 40);  // four times as long after a failed call
   for (int i = 0; i < 20; ++i) {
-    pace.GoingOnRefused();
-    EXPECT_GT(pace.AfterAnswer(1.0), 0.2);
-    EXPECT_LT(pace.AfterAnswer(1.0), 10);
+    pace.OnImmediatePollRejected();
+    EXPECT_GT(pace.DelayAfterAnswer(1.0), 0.2);
+    EXPECT_LT(pace.DelayAfterAnswer(1.0), 10);
   }
-  pace.GoingOnRefused();
-  EXPECT_LT(pace.AfterAnswer(1.0), 1.6);  // and back to news that is soon heard
-  EXPECT_EQ(pace.AfterAnswer(1.0), 0);
+  pace.OnImmediatePollRejected();
+  EXPECT_LT(pace.DelayAfterAnswer(1.0), 1.6);  // and back to news that is soon heard
+  EXPECT_EQ(pace.DelayAfterAnswer(1.0), 0);
 }
 
 // A new process takes requests once it has the list. It is ready within 10 s though nobody answers,
 // and where few call a failed call means that there is no list to be had.
 TEST(Fleet, ANewProcessWaitsForItsFirstListButNotForLong) {
   for (const bool crowd : {false, true}) {
-    membership::FirstList none(crowd, 100), failed(crowd, 100), heard(crowd, 100);
-    failed.Failed();
-    heard.Heard();
+    InitialListGate none(crowd, 100), failed(crowd, 100), heard(crowd, 100);
+    failed.OnPollFailed();
+    heard.OnList();
     EXPECT_FALSE(none.Ready(100.5));
     EXPECT_EQ(failed.Ready(100.5), !crowd);
     EXPECT_TRUE(heard.Ready(100.5));
--- a/tests/jobs_test.cpp
+++ b/tests/jobs_test.cpp
@@ -91,7 +91,7 @@
     Jobs::Limits limits;
     limits.running = 8;
     nodes_[i].jobs = std::make_unique<Jobs>(
-        limits, random_.Word() | 1,
+        limits, random_.NextUint64() | 1,
         Jobs::Hooks{
             .append =
                 [this, i](LogId log, const std::string& key, const std::string& value, bool gone,
--- a/tests/keys_test.cpp
+++ b/tests/keys_test.cpp
@@ -87,7 +87,8 @@
   };
 
   void Start(std::size_t i) {
-    const membership::Life life = world_.node(i).options.life;
+    const membership::ProcessIncarnation process_incarnation =
+        world_.node(i).options.process_incarnation;
     nodes_[i].ledger = std::make_unique<KeyLedger>(
         KeyLedger::Limits{},
         KeyLedger::Hooks{
@@ -101,17 +102,17 @@
             .there =
                 [this, i](const Claimer& c) {
                   const auto* member = world_.ViewOf(i).Find(c.who);
-                  return member != nullptr && member->life == c.life;
+                  return member != nullptr && member->process_incarnation == c.process_incarnation;
                 },
             .send = [this, i](NodeId to, const KeyWord& w) { Carry(i, to, w); }});
     nodes_[i].claims = std::make_unique<KeyClaims>(
-        i + 1, life,
-        KeyClaims::Hooks{.owner = [this, i](LogId log) -> NodeId {
-                           const LogPlace* place =
-                               world_.Leased(i) ? world_.ViewOf(i).Log(log) : nullptr;
-                           return place == nullptr || place->life == 0 ? 0 : place->owner;
-                         },
-                         .send = [this, i](NodeId to, const KeyWord& w) { Carry(i, to, w); }});
+        i + 1, process_incarnation,
+        KeyClaims::Hooks{
+            .owner = [this, i](LogId log) -> NodeId {
+              const LogAssignment* place = world_.Leased(i) ? world_.ViewOf(i).Log(log) : nullptr;
+              return place == nullptr || place->process_incarnation == 0 ? 0 : place->owner;
+            },
+            .send = [this, i](NodeId to, const KeyWord& w) { Carry(i, to, w); }});
     Beat(i);
   }
   void Carry(std::size_t from, NodeId to, const KeyWord& w) {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -38,7 +38,8 @@
   std::size_t Any() { return faults.Below(world.size()); }
   bool Remembers(std::size_t i) {  // also after a kill
     return world.up(i) && world.node(i).cluster->agreement().voter().voting() &&
-           world.node(i).disk.mind == world.node(i).cluster->agreement().votes().mind;
+           world.node(i).disk.storage_identity ==
+               world.node(i).cluster->agreement().voter_state().storage_identity;
   }
   // One voter at most may be without its memory: a majority that lost it can't be made good.
   void EmptyFolder(std::size_t i) {
@@ -121,10 +122,10 @@
 struct Orders {
   struct Flight {
     NodeId to = 0, from = 0;
-    Message message;
+    AgreementMessage message;
   };
   struct State {
-    std::vector<Agreement> nodes;
+    std::vector<ViewAgreement> nodes;
     std::vector<Flight> flight;
     std::vector<std::vector<std::uint64_t>> writes;
     double now = 10;
@@ -132,26 +133,27 @@
   std::uint64_t orders = 0, wrong = 0;
   std::size_t most_choices = 0;
 
-  void Carry(State* s, std::size_t i, Agreement::Actions* a) {
-    for (Sent& sent : a->send) s->flight.push_back({sent.to, i + 1, std::move(sent.message)});
+  void Carry(State* s, std::size_t i, ViewAgreement::Actions* a) {
+    for (OutgoingMessage& sent : a->send)
+      s->flight.push_back({sent.to, i + 1, std::move(sent.message)});
     if (a->write) s->writes[i].push_back(a->ticket);
   }
   void Deliver(State* s, std::size_t at) {
     const Flight f = s->flight[at];
     s->flight.erase(s->flight.begin() + static_cast<std::ptrdiff_t>(at));
-    Agreement::Actions a;
-    s->nodes[f.to - 1].Hear(s->now, f.from, 10 + f.from, f.message, &a);
+    ViewAgreement::Actions a;
+    s->nodes[f.to - 1].OnMessage(s->now, f.from, 10 + f.from, f.message, &a);
     Carry(s, f.to - 1, &a);
   }
   void Store(State* s, std::size_t i) {
-    Agreement::Actions a;
+    ViewAgreement::Actions a;
     const std::uint64_t ticket = s->writes[i].front();
     s->writes[i].erase(s->writes[i].begin());
-    s->nodes[i].Stored(s->now, ticket, &a);
+    s->nodes[i].OnStored(s->now, ticket, &a);
     Carry(s, i, &a);
   }
   void Tick(State* s, std::size_t i) {
-    Agreement::Actions a;
+    ViewAgreement::Actions a;
     s->nodes[i].Tick(s->now, &a);
     Carry(s, i, &a);
   }
@@ -169,9 +171,9 @@
     }
   }
   bool Sound(const State& s) {
-    for (const Agreement& a : s.nodes) {
+    for (const ViewAgreement& a : s.nodes) {
       if (a.counters().conflicts > 0) return false;
-      for (const Agreement& b : s.nodes) {
+      for (const ViewAgreement& b : s.nodes) {
         for (const View* v : {&b.view(), &b.leader().decided()}) {
           if (v->epoch > 0 && v->epoch == a.view().epoch && *v != a.view()) return false;
         }
@@ -182,26 +184,26 @@
   State Begin() {
     State s;
     s.writes.resize(3);
-    const View old{.epoch = 1, .members = {{1, 1, "p", 1}, {2, 2, "p", 1}}, .settled = 0};
+    const View old{.epoch = 1, .members = {{1, 1, "p", 1}, {2, 2, "p", 1}}, .settled_epoch = 0};
     for (NodeId id = 1; id <= 3; ++id) {
-      Votes votes{.promised = {1, 1},
-                  .accepted_by = {},
-                  .accepted = {},
-                  .mind = {1, id},
-                  .minds = {},
-                  .writes = 2};
+      PersistentVoterState votes{.promised = {1, 1},
+                                 .accepted_by = {},
+                                 .accepted = {},
+                                 .storage_identity = {1, id},
+                                 .storage_identities = {},
+                                 .writes = 2};
       for (NodeId other = 1; other <= 3; ++other) {
-        if (other != id) votes.minds.emplace_back(other, Mind{1, other});
+        if (other != id) votes.storage_identities.emplace_back(other, StorageIdentity{1, other});
       }
       if (id == 1) {
         votes.accepted_by = {1, 1};
         votes.accepted = old;
       }
-      s.nodes.emplace_back(Agreement::Options{.self = id,
-                                              .life = 10 + id,
-                                              .voters = {1, 2, 3},
-                                              .members = {{1, "p"}, {2, "p"}, {3, "p"}},
-                                              .timings = {}},
+      s.nodes.emplace_back(ViewAgreement::Options{.self = id,
+                                                  .process_incarnation = 10 + id,
+                                                  .voters = {1, 2, 3},
+                                                  .members = {{1, "p"}, {2, "p"}, {3, "p"}},
+                                                  .timings = {}},
                            votes, id, s.now);
     }
     for (std::size_t i = 0; i < 3; ++i) Tick(&s, i);
@@ -211,15 +213,17 @@
     // Both have asked around and stand: what is under way now are their ballots.
     for (std::size_t at = 0; at < s.flight.size();) {
       const auto kind = s.flight[at].message.kind;
-      const bool asks = kind == Message::Kind::kMiss || kind == Message::Kind::kMissed;
+      const bool asks =
+          kind == AgreementMessage::Kind::kMiss || kind == AgreementMessage::Kind::kMissed;
       asks ? Deliver(&s, at) : void(++at);
       if (asks) at = 0;
     }
     for (const std::size_t i : {0UL, 1UL}) {
       while (!s.writes[i].empty()) Store(&s, i);
     }
-    std::erase_if(s.flight,
-                  [](const Flight& f) { return f.message.kind != Message::Kind::kPrepare; });
+    std::erase_if(s.flight, [](const Flight& f) {
+      return f.message.kind != AgreementMessage::Kind::kPrepare;
+    });
     return s;
   }
   void Explore(const State& from, int depth) {
@@ -312,8 +316,8 @@
     w.size_of = OnTheWire;
     double at = 0;
     std::size_t said = 0;
-    w.on_change = [&](std::size_t, const Change& c) {
-      if (c.who != members || c.health != Health::kFailed) return;
+    w.on_change = [&](std::size_t, const HealthChange& c) {
+      if (c.member != members || c.health != Health::kFailed) return;
       if (++said == 1) spread.first.push_back(w.now() - at);
     };
     w.StartAll();
@@ -552,11 +556,11 @@
   w.Kill(1);
   w.RunUntil(w.now() + 5);
   w.Start(0);
-  EXPECT_TRUE(w.RunUntil([&] { return w.node(0).cluster->facts().synced(); }, 2));
+  EXPECT_TRUE(w.RunUntil([&] { return w.node(0).cluster->maintenance().synced(); }, 2));
   for (int i = 0; i < 100; ++i) EXPECT_TRUE(w.Out(0, "w" + std::to_string(i))) << i;
 }
 
-TEST(Agreement, AllStartInAnyOrderAndFoundOneView) {
+TEST(ViewAgreement, AllStartInAnyOrderAndFoundOneView) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     World w(seed, {.members = 5, .voters = 3});
     std::vector<std::size_t> order{0, 1, 2, 3, 4};
--- a/tests/quota_refusals_test.cpp
+++ b/tests/quota_refusals_test.cpp
@@ -72,7 +72,7 @@
     holders_.at(2).SetDemand(now_, 1, 150);
     Pass(4);
   }
-  static Life LifeOf(NodeId id) { return 100 + id; }
+  static ProcessIncarnation LifeOf(NodeId id) { return 100 + id; }
 
   LeaseHolder& holder() { return holders_.at(kDispatcher); }
   Allocator& allocator() { return allocator_; }
@@ -121,7 +121,7 @@
         .request_full_report = false,
         .lease_duration_s = timings_.lease_duration_s,
         .assignments = {{.tenant = tenant(0), .rate_rps = 33, .grant_number = last_number_ + 1}},
-        .life = LifeOf(kDispatcher)};
+        .process_incarnation = LifeOf(kDispatcher)};
   }
   const Grant& last_grant() const { return last_grant_; }
 
@@ -235,7 +235,8 @@
        [](const Pair&, Grant* g) { g->acked_sequence -= 1; }},
       {"answers a report that was never sent", std::nullopt,
        [](const Pair&, Grant* g) { g->acked_sequence += 100; }},
-      {"to a former life", RejectReason::kDuplicate, [](const Pair&, Grant* g) { g->life += 1; }},
+      {"to a former life", RejectReason::kDuplicate,
+       [](const Pair&, Grant* g) { g->process_incarnation += 1; }},
       {"unknown tenant", RejectReason::kUnknownTenant,
        [](const Pair&, Grant* g) {
          g->assignments.push_back({kUnknown, 1, 1000});
@@ -371,7 +372,7 @@
   void Spoil(const Pair& pair, Grant* grant) {
     if (Rarely()) grant->epoch = std::min(Word(), kEpoch);
     if (Rarely()) grant->acked_sequence = Word();
-    if (Rarely()) grant->life = Word();
+    if (Rarely()) grant->process_incarnation = Word();
     if (Rarely()) grant->request_full_report = true;
     if (Rarely()) grant->lease_duration_s = Number();
     if (Rarely()) grant->assignments.resize(Entries());
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -41,9 +41,10 @@
     StartAllocator(kAllocator);
   }
 
-  void StartHolder(NodeId id, Life life) {
-    lives_[id] = life;
-    holders_[id] = std::make_unique<LeaseHolder>(life, ids_.size(), tenants_, timings_);
+  void StartHolder(NodeId id, ProcessIncarnation process_incarnation) {
+    lives_[id] = process_incarnation;
+    holders_[id] =
+        std::make_unique<LeaseHolder>(process_incarnation, ids_.size(), tenants_, timings_);
   }
   void StartAllocator(NodeId id) {
     allocators_[id] = std::make_unique<Allocator>(id, ids_, tenants_, timings_, now);
@@ -78,7 +79,7 @@
   }
   LeaseHolder& holder(NodeId id) { return *holders_.at(id); }
   Allocator& allocator(NodeId id = kAllocator) { return *allocators_.at(id); }
-  Life life(NodeId id) const { return lives_.at(id); }
+  ProcessIncarnation process_incarnation(NodeId id) const { return lives_.at(id); }
 
   double now = 10;
   std::map<NodeId, bool> cut;  // dispatchers that nothing reaches
@@ -101,7 +102,7 @@
   std::vector<TenantQuota> tenants_;
   LeaseTimings timings_;
   std::vector<NodeId> ids_;
-  std::map<NodeId, Life> lives_;
+  std::map<NodeId, ProcessIncarnation> lives_;
   std::map<NodeId, std::unique_ptr<LeaseHolder>> holders_;
   std::map<NodeId, std::unique_ptr<Allocator>> allocators_;
 };
@@ -382,7 +383,7 @@
   cluster.holder(2).SetView(cluster.now, ViewOf(2, {{2, 102}}));
   Grant late{
       .epoch = 1, .acked_sequence = 2, .lease_duration_s = 3, .assignments = {{kTenant, 90, 1000}}};
-  late.life = cluster.life(2);
+  late.process_incarnation = cluster.process_incarnation(2);
   EXPECT_EQ(cluster.holder(2).OnGrant(cluster.now, 1, late), RejectReason::kStaleEpoch);
   EXPECT_EQ(cluster.holder(2).LeaseRate(cluster.now, 0), lease);
 }
@@ -414,7 +415,7 @@
     good_grant.epoch = 5;
     good_grant.acked_sequence = 2;
     good_grant.lease_duration_s = 3;
-    good_grant.life = cluster.life(1);
+    good_grant.process_incarnation = cluster.process_incarnation(1);
     good_grant.assignments = {{kTenant, 50, 1000}};
   }
   void ExpectRefused(const UsageReport& report, RejectReason cause, NodeId from = 1) {
@@ -423,7 +424,9 @@
     };
     const std::uint64_t before = counted();
     const double reserved = cluster.allocator().ReservedRate(cluster.now, kTenant);
-    EXPECT_EQ(cluster.allocator().OnUsageReport(cluster.now, from, cluster.life(1), report), cause);
+    EXPECT_EQ(cluster.allocator().OnUsageReport(cluster.now, from, cluster.process_incarnation(1),
+                                                report),
+              cause);
     EXPECT_EQ(counted(), before + 1);
     EXPECT_EQ(cluster.allocator().ReservedRate(cluster.now, kTenant), reserved);
   }
@@ -469,7 +472,8 @@
     report.usages[0].lease_remaining_s = bad;
     ExpectRefused(report, RejectReason::kInvalidNumber);
   }
-  EXPECT_EQ(cluster.allocator().OnUsageReport(cluster.now, 1, cluster.life(1), good_report),
+  EXPECT_EQ(cluster.allocator().OnUsageReport(cluster.now, 1, cluster.process_incarnation(1),
+                                              good_report),
             RejectReason::kNone);
 }
 
@@ -488,7 +492,7 @@
   ExpectRefused(grant, RejectReason::kNotAllocator);
   ExpectRefused(good_grant, RejectReason::kNotAllocator, 2);
   grant = good_grant;
-  grant.life = 555;
+  grant.process_incarnation = 555;
   ExpectRefused(grant, RejectReason::kDuplicate);
   grant = good_grant;
   grant.acked_sequence = 1;
@@ -518,7 +522,7 @@
   holder.Tick(cluster.now, &reports);
   ASSERT_EQ(reports.send.size(), 1u);
   Grant grant = good_grant;
-  grant.life = cluster.life(2);
+  grant.process_incarnation = cluster.process_incarnation(2);
   grant.acked_sequence = std::get<UsageReport>(reports.send[0].second).sequence;
   EXPECT_EQ(holder.OnGrant(cluster.now, kAllocator, grant), RejectReason::kNone);
   EXPECT_EQ(holder.OnGrant(cluster.now, kAllocator, grant), RejectReason::kDuplicate);
--- a/tests/quota_wiring_test.cpp
+++ b/tests/quota_wiring_test.cpp
@@ -44,7 +44,7 @@
                .lease_duration_s = 3,
                .assignments = {{.tenant = 5, .rate_rps = 11.5, .grant_number = 4},
                                {.tenant = 6, .rate_rps = 0, .grant_number = 5}},
-               .life = 91};
+               .process_incarnation = 91};
 }
 
 // Equal by bits: what is not a number is not equal to itself.
@@ -116,7 +116,7 @@
                         : i % 4 == 1 ? codec::Encode(AGrant())
                                      : std::string(random.Below(120), '\0');
     for (char& c : noise) {
-      if (i % 4 >= 2 || random.Below(20) == 0) c = static_cast<char>(random.Word());
+      if (i % 4 >= 2 || random.Below(20) == 0) c = static_cast<char>(random.NextUint64());
     }
     const auto read = codec::DecodeQuota(noise);
     if (!read) continue;
@@ -134,7 +134,7 @@
     cluster::Header header;
     cluster::Body read;
     const std::string bytes =
-        cluster::Encode({.cluster = 1, .from = 2, .life = 3, .number = 4}, message);
+        cluster::Encode({.cluster = 1, .from = 2, .process_incarnation = 3, .number = 4}, message);
     ASSERT_EQ(cluster::Decode(bytes, &header, &read), cluster::Fault::kNone);
     EXPECT_EQ(std::get<quota::Message>(read), message);
     for (std::size_t n = 0; n < bytes.size(); ++n) {
@@ -148,7 +148,8 @@
 
 // A build that does not know the kind skips just that frame.
 TEST(QuotaFrame, OfAKindThatIsNotKnownIsSkipped) {
-  std::string bytes = cluster::Encode({.cluster = 1, .from = 2, .life = 3, .number = 4}, AReport());
+  std::string bytes =
+      cluster::Encode({.cluster = 1, .from = 2, .process_incarnation = 3, .number = 4}, AReport());
   bytes[3] = 77;
   codec::Writer hash;
   bytes.resize(bytes.size() - cluster::kHashBytes);
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -13,7 +13,7 @@
 #include "copies/keys.h"
 #include "copies/records.h"
 #include "core/request.h"
-#include "membership/cluster.h"
+#include "membership/membership_node.h"
 #include "millethollow/balancing/load_balancer.h"
 #include "net/cluster/frame.h"
 #include "net/link/frame.h"
@@ -21,46 +21,56 @@
 
 namespace millethollow::compatibility {
 
-using membership::Message;
+using membership::AgreementMessage;
 
 inline cluster::Header SampleHeader() {
   return {.cluster = 0x1122334455667788,
           .from = 0x0102030405060708,
-          .life = 0xa1b2c3d4e5f60718,
+          .process_incarnation = 0xa1b2c3d4e5f60718,
           .number = 77};
 }
 
 inline membership::View SampleView() {
   membership::View view;
   view.epoch = 9;
-  view.settled = 8;
-  view.members = {{.id = 3, .life = 31, .place = "rack-1", .since = 2, .disk = 0xd15c},
-                  {.id = 5, .life = 51, .place = "", .since = 7, .disk = 0}};
+  view.settled_epoch = 8;
+  view.members = {
+      {.id = 3,
+       .process_incarnation = 31,
+       .failure_domain = "rack-1",
+       .joined_epoch = 2,
+       .store_id = 0xd15c},
+      {.id = 5, .process_incarnation = 51, .failure_domain = "", .joined_epoch = 7, .store_id = 0}};
   view.logs = {{.log = 0xabc01,
                 .owner = 3,
-                .life = 31,
-                .since = 8,
+                .process_incarnation = 31,
+                .owner_epoch = 8,
                 .version = 4,
-                .holders = {{.id = 3, .disk = 0xd15c}, {.id = 5, .disk = 0xd15d}}},
-               {.log = 0xabd02, .owner = 0, .life = 0, .since = 0, .version = 1, .holders = {}}};
+                .replicas = {{.id = 3, .store_id = 0xd15c}, {.id = 5, .store_id = 0xd15d}}},
+               {.log = 0xabd02,
+                .owner = 0,
+                .process_incarnation = 0,
+                .owner_epoch = 0,
+                .version = 1,
+                .replicas = {}}};
   return view;
 }
 
 // What every message of a voter carries.
-inline Message FromVoter(Message::Kind kind) {
-  Message m;
+inline AgreementMessage FromVoter(AgreementMessage::Kind kind) {
+  AgreementMessage m;
   m.kind = kind;
-  m.mind = {.number = 2, .nonce = 0xfeed};
-  m.minds = {{3, {.number = 2, .nonce = 0xfeed}}, {5, {.number = 1, .nonce = 0xbeef}}};
+  m.storage_identity = {.number = 2, .nonce = 0xfeed};
+  m.storage_identities = {{3, {.number = 2, .nonce = 0xfeed}}, {5, {.number = 1, .nonce = 0xbeef}}};
   m.count = 12;
   m.knows = membership::kKnowsLogs;
   return m;
 }
 
-inline std::map<std::string, Message> SampleMessages() {
-  using Kind = Message::Kind;
-  std::map<std::string, Message> all;
-  Message m = FromVoter(Kind::kWho);
+inline std::map<std::string, AgreementMessage> SampleMessages() {
+  using Kind = AgreementMessage::Kind;
+  std::map<std::string, AgreementMessage> all;
+  AgreementMessage m = FromVoter(Kind::kWho);
   m.number = 0xfeed;
   all["membership-who"] = m;
   m = FromVoter(Kind::kKnown);
@@ -70,8 +80,8 @@
   m = FromVoter(Kind::kClaim);
   all["membership-claim"] = m;
   m = FromVoter(Kind::kClaimed);
-  m.ballot = {.round = 4, .who = 5};
-  m.accepted_by = {.round = 3, .who = 3};
+  m.ballot = {.round = 4, .proposer = 5};
+  m.accepted_by = {.round = 3, .proposer = 3};
   m.view = SampleView();
   all["membership-claimed"] = m;
   m = FromVoter(Kind::kMiss);
@@ -82,32 +92,32 @@
   m.yes = true;
   all["membership-missed"] = m;
   m = FromVoter(Kind::kPrepare);
-  m.ballot = {.round = 6, .who = 3};
+  m.ballot = {.round = 6, .proposer = 3};
   all["membership-prepare"] = m;
   m = FromVoter(Kind::kPromise);
-  m.ballot = {.round = 6, .who = 3};
-  m.accepted_by = {.round = 5, .who = 5};
+  m.ballot = {.round = 6, .proposer = 3};
+  m.accepted_by = {.round = 5, .proposer = 5};
   m.view = SampleView();
   all["membership-promise"] = m;
   m = FromVoter(Kind::kPropose);
-  m.ballot = {.round = 6, .who = 3};
+  m.ballot = {.round = 6, .proposer = 3};
   m.view = SampleView();
   m.quorum = {{3, {.number = 2, .nonce = 0xfeed}}, {5, {.number = 1, .nonce = 0xbeef}}};
   all["membership-propose"] = m;
   m = FromVoter(Kind::kAccepted);
-  m.ballot = {.round = 6, .who = 3};
+  m.ballot = {.round = 6, .proposer = 3};
   m.number = 9;
   all["membership-accepted"] = m;
   m = FromVoter(Kind::kRefused);
-  m.ballot = {.round = 7, .who = 5};
+  m.ballot = {.round = 7, .proposer = 5};
   all["membership-refused"] = m;
   m = FromVoter(Kind::kBeat);
-  m.ballot = {.round = 6, .who = 3};
+  m.ballot = {.round = 6, .proposer = 3};
   m.number = 4711;
   m.quorum = {{3, {.number = 2, .nonce = 0xfeed}}};
   all["membership-beat"] = m;
   m = FromVoter(Kind::kBeaten);
-  m.ballot = {.round = 6, .who = 3};
+  m.ballot = {.round = 6, .proposer = 3};
   m.number = 4711;
   all["membership-beaten"] = m;
   m = {};
@@ -119,8 +129,8 @@
   m.kind = Kind::kRenew;
   m.number = 9;
   m.asked_at = 123.0625;
-  m.life = 31;
-  m.disk = 0xd15c;
+  m.process_incarnation = 31;
+  m.store_id = 0xd15c;
   m.logs = SampleView().logs;
   m.origin = 5;
   all["membership-renew"] = m;
@@ -129,75 +139,76 @@
   m.number = 9;
   m.asked_at = 123.0625;
   m.span = 3.75;
-  m.life = 31;
+  m.process_incarnation = 31;
   m.origin = 5;
   all["membership-grant"] = m;
   m = {};
   m.kind = Kind::kElsewhere;
-  m.ballot = {.round = 6, .who = 3};
+  m.ballot = {.round = 6, .proposer = 3};
   all["membership-elsewhere"] = m;
   m = {};
   m.kind = Kind::kTaken;
-  m.life = 32;
+  m.process_incarnation = 32;
   m.yes = true;
   m.origin = 5;
   all["membership-taken"] = m;
   m = {};
   m.kind = Kind::kRelease;
-  m.life = 31;
+  m.process_incarnation = 31;
   m.origin = 5;
   all["membership-release"] = m;
   return all;
 }
 
-inline std::map<std::string, membership::Probe> SampleProbes() {
-  using Kind = membership::Probe::Kind;
+inline std::map<std::string, membership::SwimMessage> SampleProbes() {
+  using Kind = membership::SwimMessage::Kind;
   using membership::Health;
-  std::map<std::string, membership::Probe> all;
+  std::map<std::string, membership::SwimMessage> all;
   all["detector-ping"] = {
       .kind = Kind::kPing,
       .seq = 300,
       .about = 0,
       .incarnation = 2,
       .digest = 0xd1,
-      .news = {{.who = 3, .incarnation = 1, .health = Health::kAlive, .by = 0}}};
+      .updates = {{.member = 3, .incarnation = 1, .health = Health::kAlive, .suspected_by = 0}}};
   all["detector-ack"] = {
-      .kind = Kind::kAck, .seq = 300, .about = 5, .incarnation = 2, .digest = 0xd2, .news = {}};
+      .kind = Kind::kAck, .seq = 300, .about = 5, .incarnation = 2, .digest = 0xd2, .updates = {}};
   all["detector-ping-for"] = {
-      .kind = Kind::kPingFor,
+      .kind = Kind::kPingRequest,
       .seq = 301,
       .about = 5,
       .incarnation = 0,
       .digest = 0xd3,
-      .news = {{.who = 5, .incarnation = 4, .health = Health::kSuspect, .by = 3},
-               {.who = 7, .incarnation = 4, .health = Health::kFailed, .by = 0}}};
+      .updates = {{.member = 5, .incarnation = 4, .health = Health::kSuspect, .suspected_by = 3},
+                  {.member = 7, .incarnation = 4, .health = Health::kFailed, .suspected_by = 0}}};
   all["detector-nack"] = {
-      .kind = Kind::kNack, .seq = 301, .about = 5, .incarnation = 1, .digest = 0xd4, .news = {}};
-  all["detector-news"] = {.kind = Kind::kNews,
-                          .seq = 0,
-                          .about = 0,
-                          .incarnation = 1,
-                          .digest = 0xd5,
-                          .news = {{.who = 9, .incarnation = 8, .health = Health::kLeft, .by = 0}}};
+      .kind = Kind::kNack, .seq = 301, .about = 5, .incarnation = 1, .digest = 0xd4, .updates = {}};
+  all["detector-news"] = {
+      .kind = Kind::kGossip,
+      .seq = 0,
+      .about = 0,
+      .incarnation = 1,
+      .digest = 0xd5,
+      .updates = {{.member = 9, .incarnation = 8, .health = Health::kLeft, .suspected_by = 0}}};
   return all;
 }
 
-inline std::map<std::string, membership::FactNews> SampleFacts() {
-  std::map<std::string, membership::FactNews> all;
-  membership::FactNews news;
+inline std::map<std::string, membership::MaintenanceGossip> SampleFacts() {
+  std::map<std::string, membership::MaintenanceGossip> all;
+  membership::MaintenanceGossip news;
   news.digest = 0xfac7;
-  news.number = 12;
-  news.answers = 11;
-  news.ask = true;
-  membership::Fact fact;
+  news.sequence = 12;
+  news.acked_sequence = 11;
+  news.request_all = true;
+  membership::MaintenanceRecord fact;
   fact.worker = "toy-1";
-  fact.calls = {{31, {3, 2}}, {51, {1, 0}}};
-  news.facts.push_back(fact);
+  fact.decisions = {{31, {3, 2}}, {51, {1, 0}}};
+  news.records.push_back(fact);
   fact = {};
   fact.worker = "toy-2";
   fact.started_at_s = 1700000000.5;
-  fact.down = 2;
-  news.facts.push_back(fact);
+  fact.drain_state = membership::DrainState::kGone;
+  news.records.push_back(fact);
   all["facts"] = news;
   return all;
 }
@@ -213,7 +224,7 @@
   f.seq = 40, f.commit = 38, f.end = 41;
   f.seq_epoch = 8, f.end_epoch = 7;
   f.number = 5;
-  f.life = 31;
+  f.process_incarnation = 31;
   f.fill = 2, f.chunk = 3;
   f.matched = true;
   all["copies-at"] = f;
@@ -254,7 +265,7 @@
                    .request_full_report = true,
                    .lease_duration_s = 3,
                    .assignments = {{.tenant = 0xaaaa, .rate_rps = 11.75, .grant_number = 4}},
-                   .life = 31};
+                   .process_incarnation = 31};
   return all;
 }
 
@@ -277,19 +288,19 @@
                     {.worker = "toy-2", .own = false, .seq = 0}}};
 }
 inline copies::KeyRecord SampleKey() {
-  return {.claimer = {.who = 3, .life = 31, .number = 6},
+  return {.claimer = {.who = 3, .process_incarnation = 31, .number = 6},
           .tried = {{.worker = "toy-1", .own = false, .seq = 44}},
           .window_s = 40,
           .answered = true,
           .result = "200 done"};
 }
-inline membership::Votes SampleVotes() {
-  membership::Votes votes;
-  votes.promised = {.round = 6, .who = 3};
-  votes.accepted_by = {.round = 5, .who = 5};
+inline membership::PersistentVoterState SampleVotes() {
+  membership::PersistentVoterState votes;
+  votes.promised = {.round = 6, .proposer = 3};
+  votes.accepted_by = {.round = 5, .proposer = 5};
   votes.accepted = SampleView();
-  votes.mind = {.number = 2, .nonce = 0xfeed};
-  votes.minds = {{5, {.number = 1, .nonce = 0xbeef}}};
+  votes.storage_identity = {.number = 2, .nonce = 0xfeed};
+  votes.storage_identities = {{5, {.number = 1, .nonce = 0xbeef}}};
   votes.writes = 12;
   return votes;
 }
--- a/tests/support/compatibility_settings.h
+++ b/tests/support/compatibility_settings.h
@@ -144,10 +144,10 @@
     const std::string at = "cluster.members." + std::to_string(index++) + ".";
     lines->Add(at + "id", m.id);
     lines->Add(at + "address", m.address);
-    lines->Add(at + "place", m.place);
+    lines->Add(at + "place", m.failure_domain);
     lines->Add(at + "voter", m.voter);
   }
-  lines->Add("cluster.cut_off_part", o.cut_off_part);
+  lines->Add("cluster.cut_off_part", o.isolated_share);
   lines->Add("cluster.store_bytes", o.store_bytes);
   lines->Add("cluster.copies", o.copies);
   lines->Add("cluster.copies_least", o.copies_least);
@@ -165,21 +165,21 @@
   lines->Add("cluster.quota.floor_part", o.quota.timings.floor_fraction);
   lines->Add("cluster.quota.hysteresis", o.quota.timings.hysteresis);
   lines->Add("cluster.quota.act_s", o.quota.timings.superseded_grant_s);
-  lines->Add("cluster.timings.probe_s", o.detector.probe_s);
-  lines->Add("cluster.timings.timeout_s", o.detector.timeout_s);
-  lines->Add("cluster.timings.gossip_s", o.detector.gossip_s);
-  lines->Add("cluster.timings.suspect_s", o.detector.suspect_s);
-  lines->Add("cluster.timings.suspect_most_s", o.detector.suspect_most_s);
-  lines->Add("cluster.timings.failed_probe_s", o.detector.failed_probe_s);
-  lines->Add("cluster.timings.beat_s", o.agreement.beat_s);
+  lines->Add("cluster.timings.probe_s", o.detector.probe_interval_s);
+  lines->Add("cluster.timings.timeout_s", o.detector.probe_timeout_s);
+  lines->Add("cluster.timings.gossip_s", o.detector.gossip_interval_s);
+  lines->Add("cluster.timings.suspect_s", o.detector.suspicion_min_s);
+  lines->Add("cluster.timings.suspect_most_s", o.detector.suspicion_max_s);
+  lines->Add("cluster.timings.failed_probe_s", o.detector.failed_probe_interval_s);
+  lines->Add("cluster.timings.beat_s", o.agreement.heartbeat_s);
   lines->Add("cluster.timings.election_s", o.agreement.election_s);
   lines->Add("cluster.timings.lease_s", o.agreement.lease_s);
   lines->Add("cluster.timings.renew_s", o.agreement.renew_s);
-  lines->Add("cluster.timings.view_gap_s", o.agreement.view_gap_s);
-  lines->Add("cluster.timings.drift", o.agreement.drift);
-  lines->Add("cluster.timings.return_s", o.agreement.return_s);
-  lines->Add("cluster.timings.return_most_s", o.agreement.return_most_s);
-  lines->Add("cluster.timings.forgive_s", o.agreement.forgive_s);
+  lines->Add("cluster.timings.view_gap_s", o.agreement.min_view_interval_s);
+  lines->Add("cluster.timings.drift", o.agreement.clock_drift);
+  lines->Add("cluster.timings.return_s", o.agreement.rejoin_backoff_s);
+  lines->Add("cluster.timings.return_most_s", o.agreement.rejoin_backoff_max_s);
+  lines->Add("cluster.timings.forgive_s", o.agreement.rejoin_backoff_reset_s);
 }
 
 inline std::string ValuesOf(const Config& config) {
--- a/tests/support/copies_world.h
+++ b/tests/support/copies_world.h
@@ -41,7 +41,7 @@
                      .loss = seed % 3 == 0 ? 0.05 : 0.02,
                      .doubled = 0.03}),
         nodes_(members) {
-    for (Node& n : nodes_) n.disk_id = random_.Word() | 1;
+    for (Node& n : nodes_) n.disk_id = random_.NextUint64() | 1;
     world.on_start = [this](std::size_t i) { Run(i); };
     world.on_kill = [this](std::size_t i) {
       if (nodes_[i].copies) fillings += nodes_[i].copies->counters().fillings;
@@ -54,7 +54,7 @@
   void Wipe(std::size_t i) {
     world.Kill(i);
     nodes_[i].disk.clear();
-    nodes_[i].disk_id = random_.Word() | 1;
+    nodes_[i].disk_id = random_.NextUint64() | 1;
   }
   void KeepOld(std::size_t i) { nodes_[i].old = nodes_[i].disk; }
   void PutBackOld(std::size_t i) {
@@ -69,15 +69,15 @@
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
       std::vector<const View*> views{&world.node(n).disk.accepted};
       if (world.up(n)) {
-        const membership::Agreement& a = world.node(n).cluster->agreement();
-        views.insert(views.end(), {&a.view(), &a.leader().decided(), &a.votes().accepted});
+        const membership::ViewAgreement& a = world.node(n).cluster->agreement();
+        views.insert(views.end(), {&a.view(), &a.leader().decided(), &a.voter_state().accepted});
       }
       for (const View* v : views) {
-        for (const LogPlace& log : v->logs) {
+        for (const LogAssignment& log : v->logs) {
           if (log.Find(i + 1) == nullptr) continue;
-          if (log.holders.size() < 2) return false;
-          for (const LogHolder& h : log.holders) {
-            if (h.id != i + 1 && nodes_[h.id - 1].disk_id != h.disk) return false;
+          if (log.replicas.size() < 2) return false;
+          for (const LogReplica& h : log.replicas) {
+            if (h.id != i + 1 && nodes_[h.id - 1].disk_id != h.store_id) return false;
           }
         }
       }
@@ -107,7 +107,7 @@
     Do(i, [&](Copies* c, double now, Copies::Actions* a) {
       op.seq = c->Append(now, log, key, value, gone, why, a);
       if (op.seq == 0) return;
-      op.epoch = world.ViewOf(i).Log(log)->since;
+      op.epoch = world.ViewOf(i).Log(log)->owner_epoch;
       made_[log][{op.seq, op.epoch}] = op;
     });
     return op.seq;
@@ -125,22 +125,24 @@
     if (!world.Whole()) return false;
     const View& view = world.ViewOf(0);
     return !view.logs.empty() &&
-           std::all_of(view.logs.begin(), view.logs.end(), [&](const LogPlace& log) {
-             return log.life != 0 && log.holders.size() >= std::min(copies, world.size()) &&
+           std::all_of(view.logs.begin(), view.logs.end(), [&](const LogAssignment& log) {
+             return log.process_incarnation != 0 &&
+                    log.replicas.size() >= std::min(copies, world.size()) &&
                     nodes_[log.owner - 1].copies->Acts(log.log);
            });
   }
-  void OpenLog(std::size_t i) { Open(i, random_.Word() | 1); }
+  void OpenLog(std::size_t i) { Open(i, random_.NextUint64() | 1); }
   std::string Told() {
     std::string all;
     const View* latest = Latest();
-    for (const LogPlace& log : latest ? latest->logs : std::vector<LogPlace>{}) {
+    for (const LogAssignment& log : latest ? latest->logs : std::vector<LogAssignment>{}) {
       all += "\nlog " + std::to_string(log.log % 1000) + " owner " + std::to_string(log.owner) +
-             " life " + std::to_string(log.life != 0) + " since " + std::to_string(log.since) +
-             " version " + std::to_string(log.version) + " holders";
-      for (const auto& h : log.holders) {
+             " life " + std::to_string(log.process_incarnation != 0) + " since " +
+             std::to_string(log.owner_epoch) + " version " + std::to_string(log.version) +
+             " holders";
+      for (const auto& h : log.replicas) {
         const Node& n = nodes_[h.id - 1];
-        all += " " + std::to_string(h.id) + (n.disk_id == h.disk ? "" : "(lost)") +
+        all += " " + std::to_string(h.id) + (n.disk_id == h.store_id ? "" : "(lost)") +
                (n.copies ? "" : "(down)");
         if (n.copies && n.copies->Acts(log.log)) all += "(acts)";
       }
@@ -181,7 +183,7 @@
     }
     Options o;
     o.self = i + 1;
-    o.life = world.node(i).options.life;
+    o.process_incarnation = world.node(i).options.process_incarnation;
     o.disk = n.disk_id;
     o.tail_ops = 24;
     o.fill_entries = 4;
@@ -207,8 +209,8 @@
   void Beat(std::size_t i) {
     Do(i, [](Copies* c, double now, Copies::Actions* a) { c->Tick(now, a); });
     if (!nodes_[i].copies) return;
-    world.node(i).cluster->Want(world.LocalNow(i), nodes_[i].copies->disk(),
-                                nodes_[i].copies->Wants());
+    world.node(i).cluster->RequestLogs(world.LocalNow(i), nodes_[i].copies->disk(),
+                                       nodes_[i].copies->Wants());
     world.At(world.now() + 0.01, i, [this, i] { Beat(i); });
   }
   const View* Latest() {
@@ -282,7 +284,7 @@
   void Kept(std::size_t i, LogId log, Seq seq) {
     const View& view = world.ViewOf(i);
     auto& kept = model_[log];
-    const LogPlace* place = view.Log(log);
+    const LogAssignment* place = view.Log(log);
     for (Seq s = kept.empty() ? 1 : kept.rbegin()->first + 1; s <= seq; ++s) {
       const Op* op = Find(i, log, s);
       if (op == nullptr) {
@@ -293,9 +295,9 @@
       answered += 1;
       std::size_t disks = 0;
       for (std::size_t d = 0; d < nodes_.size(); ++d) {
-        const LogHolder* h = place->Find(d + 1);
+        const LogReplica* h = place->Find(d + 1);
         // One that was lost since had it, or its owner would not have answered.
-        disks += h != nullptr && (h->disk != nodes_[d].disk_id || OnDisk(d, log, s, op->epoch));
+        disks += h != nullptr && (h->store_id != nodes_[d].disk_id || OnDisk(d, log, s, op->epoch));
       }
       if (disks < 2 && !faults_.planted())
         Break(i,
--- a/tests/support/membership_world.h
+++ b/tests/support/membership_world.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "membership/cluster.h"
+#include "membership/membership_node.h"
 
 namespace millethollow::membership {
 
@@ -35,9 +35,9 @@
     Planted planted = {};
   };
   struct Node {
-    Cluster::Options options;
-    std::unique_ptr<Cluster> cluster;  // none: the process is not there
-    Votes disk;
+    MembershipNode::Options options;
+    std::unique_ptr<MembershipNode> cluster;  // none: the process is not there
+    PersistentVoterState disk;
     double rate = 1, offset = 0, paused_until = -1, write_s = 0.001, written_at = 0;
     std::uint64_t timer = 0, tasks = 0;
     std::uint64_t datagrams = 0, bytes = 0;
@@ -70,10 +70,10 @@
   void Start(std::size_t i) {
     Node& n = nodes_[i];
     if (n.cluster) return;
-    n.options.life = random_.Word() | 1;
+    n.options.process_incarnation = random_.NextUint64() | 1;
     n.tasks += 1;
     n.paused_until = -1;
-    n.cluster = std::make_unique<Cluster>(n.options, n.disk, random_.Word(), Local(n));
+    n.cluster = std::make_unique<MembershipNode>(n.options, n.disk, random_.NextUint64(), Local(n));
     Arm(i);
     on_start(i);
   }
@@ -93,20 +93,20 @@
   void Say(std::size_t i, const std::string& worker, bool out) {
     Node& n = nodes_[i];
     if (!n.cluster || n.paused_until > now_) return;
-    Cluster::Actions actions;
-    n.cluster->Say(Local(n), worker, out, &actions);
+    MembershipNode::Actions actions;
+    n.cluster->SetMaintenance(Local(n), worker, out, &actions);
     CarryOut(i, &actions);
     Arm(i);
   }
   bool Out(std::size_t i, const std::string& worker) const {
-    return up(i) && nodes_[i].cluster->facts().Out(worker);
+    return up(i) && nodes_[i].cluster->maintenance().InMaintenance(worker);
   }
   // Do all that are there hold the same workers out?
   bool FactsAgree() const {
     for (std::size_t i = 0; i < size(); ++i) {
       if (!up(i)) continue;
-      const Facts& facts = nodes_[i].cluster->facts();
-      if (facts.digest() != nodes_[FirstUp()].cluster->facts().digest()) return false;
+      const MaintenanceRegistry& facts = nodes_[i].cluster->maintenance();
+      if (facts.digest() != nodes_[FirstUp()].cluster->maintenance().digest()) return false;
     }
     return true;
   }
@@ -157,11 +157,11 @@
 
   bool Hears(std::size_t from, std::size_t to) const { return !cut_[from][to]; }
   bool Runs(std::size_t i) const { return up(i) && nodes_[i].paused_until <= now_; }
-  double Part(std::size_t i) const { return nodes_[i].cluster->Part(Local(nodes_[i])); }
+  double Part(std::size_t i) const { return nodes_[i].cluster->FleetShare(Local(nodes_[i])); }
   double LocalNow(std::size_t i) const { return Local(nodes_[i]); }
   bool Leased(std::size_t i) const {
     const Node& n = nodes_[i];
-    return n.cluster && n.cluster->agreement().Leased(Local(n));
+    return n.cluster && n.cluster->agreement().HoldsLease(Local(n));
   }
   // All that are there have one view, with all of them in it, and a lease.
   bool Whole() const {
@@ -178,16 +178,17 @@
     std::string all;
     for (std::size_t i = 0; i < size(); ++i) {
       if (!up(i)) continue;
-      const Agreement& a = nodes_[i].cluster->agreement();
+      const ViewAgreement& a = nodes_[i].cluster->agreement();
       all += "\n" + std::to_string(i + 1) + ": epoch " + std::to_string(a.view().epoch) + " of";
       for (const ViewMember& m : a.view().members) all += " " + std::to_string(m.id);
-      all += "; part " + std::to_string(nodes_[i].cluster->Part(Local(nodes_[i])));
+      all += "; part " + std::to_string(nodes_[i].cluster->FleetShare(Local(nodes_[i])));
       all += "; leased " + std::to_string(Leased(i)) + " leads " +
              std::to_string(a.leader().leading()) + " vote " +
              std::to_string(static_cast<int>(a.voter().state())) + " mind " +
-             std::to_string(a.votes().mind.number) + " lost " +
-             std::to_string(a.voter().lost_disk()) + " writes " + std::to_string(a.votes().writes) +
-             "/" + std::to_string(nodes_[i].disk.writes) + " health";
+             std::to_string(a.voter_state().storage_identity.number) + " lost " +
+             std::to_string(a.voter().lost_disk()) + " writes " +
+             std::to_string(a.voter_state().writes) + "/" + std::to_string(nodes_[i].disk.writes) +
+             " health";
       for (const auto& m : nodes_[i].cluster->detector().members()) {
         all +=
             " " + std::to_string(static_cast<int>(m.health)) + "/" + std::to_string(m.incarnation);
@@ -233,7 +234,8 @@
   // Who was called failed though it answers: counted by whoever runs a day without such faults.
   std::uint64_t failures_said = 0;
   std::function<std::size_t(const Frame&)> size_of;  // on the wire; none: not counted
-  std::function<void(std::size_t at, const Change&)> on_change = [](std::size_t, const Change&) {};
+  std::function<void(std::size_t at, const HealthChange&)> on_change = [](std::size_t,
+                                                                          const HealthChange&) {};
 
  private:
   struct Event {
@@ -257,12 +259,12 @@
     if (!std::isfinite(at)) return;
     Put(std::max(at, now_), i, [this, i, mark = ++n.timer] {
       if (mark == nodes_[i].timer)
-        Do(i, [](Cluster* c, double now, Cluster::Actions* a) { c->Tick(now, a); });
+        Do(i, [](MembershipNode* c, double now, MembershipNode::Actions* a) { c->Tick(now, a); });
     });
   }
   template <typename What>
   void Do(std::size_t i, What what) {
-    Cluster::Actions actions;
+    MembershipNode::Actions actions;
     what(nodes_[i].cluster.get(), Local(nodes_[i]), &actions);
     CarryOut(i, &actions);
     Arm(i);
@@ -280,19 +282,20 @@
     Put(n.paused_until, e.node, std::move(e.what));
   }
 
-  void CarryOut(std::size_t i, Cluster::Actions* actions) {
+  void CarryOut(std::size_t i, MembershipNode::Actions* actions) {
     Node& n = nodes_[i];
-    for (const Change& change : actions->changes) {
+    for (const HealthChange& change : actions->changes) {
       if (change.health == Health::kFailed) failures_said += 1;
       on_change(i, change);
     }
     if (actions->write) {
       n.written_at = std::max(n.written_at, now_) + n.write_s * (0.5 + random_.Unit());
       At(n.written_at, i,
-         [this, i, ticket = actions->ticket, votes = n.cluster->agreement().votes()] {
+         [this, i, ticket = actions->ticket, votes = n.cluster->agreement().voter_state()] {
            if (!o_.planted.vote_not_kept || random_.Unit() < 0.5) nodes_[i].disk = votes;
-           Do(i,
-              [ticket](Cluster* c, double now, Cluster::Actions* a) { c->Stored(now, ticket, a); });
+           Do(i, [ticket](MembershipNode* c, double now, MembershipNode::Actions* a) {
+             c->OnStored(now, ticket, a);
+           });
          });
     }
     for (auto& [to, frame] : actions->send) Send(i, to, std::move(frame));
@@ -303,18 +306,19 @@
     n.datagrams += 1;
     if (size_of) n.bytes += size_of(frame);
     if (o_.planted.refutation_ignored) {
-      if (auto* probe = std::get_if<Probe>(&frame)) {
+      if (auto* probe = std::get_if<SwimMessage>(&frame)) {
         probe->incarnation = 0;
-        std::erase_if(probe->news, [](const News& w) {
+        std::erase_if(probe->updates, [](const GossipUpdate& w) {
           return w.health == Health::kAlive && w.incarnation > 0;
         });
       }
     }
     Carry(from, to - 1,
-          [this, at = to - 1, self = n.options.self, life = n.options.life,
+          [this, at = to - 1, self = n.options.self,
+           process_incarnation = n.options.process_incarnation,
            shared = std::make_shared<const Frame>(std::move(frame))] {
-            Do(at, [&](Cluster* c, double now, Cluster::Actions* a) {
-              c->Hear(now, self, life, *shared, a);
+            Do(at, [&](MembershipNode* c, double now, MembershipNode::Actions* a) {
+              c->OnFrame(now, self, process_incarnation, *shared, a);
               if (a->answer) a->send.emplace_back(self, std::move(*a->answer));
             });
           });
@@ -322,7 +326,7 @@
 
   void Check(std::size_t i) {
     Node& n = nodes_[i];
-    const Agreement& a = n.cluster->agreement();
+    const ViewAgreement& a = n.cluster->agreement();
     const View& view = a.view();
     if (view != n.last) {
       if (view.epoch < n.last.epoch && n.tasks == last_tasks_[i]) Broken("an epoch fell");
@@ -338,17 +342,18 @@
       const Node& other = nodes_[b];
       if (!other.cluster) continue;
       const double local = Local(other);
-      sum += other.cluster->Part(local);
-      if (!other.cluster->agreement().Leased(local)) continue;
+      sum += other.cluster->FleetShare(local);
+      if (!other.cluster->agreement().HoldsLease(local)) continue;
       // Whoever acts on a later view must find this one's place as it is.
       const ViewMember* at = nullptr;
       for (std::size_t c = 0; c < size(); ++c) {
         const Node& third = nodes_[c];
-        if (!third.cluster || !third.cluster->agreement().Leased(Local(third))) continue;
+        if (!third.cluster || !third.cluster->agreement().HoldsLease(Local(third))) continue;
         at = third.cluster->agreement().view().Find(other.options.self);
         const bool later =
             third.cluster->agreement().view().epoch > other.cluster->agreement().view().epoch;
-        if (later && (at == nullptr || at->life != other.options.life)) {
+        if (later &&
+            (at == nullptr || at->process_incarnation != other.options.process_incarnation)) {
           Broken("member " + std::to_string(b + 1) + " acts on a lease after member " +
                  std::to_string(c + 1) + " has a view without it");
         }
--- a/tests/support/quota_world.h
+++ b/tests/support/quota_world.h
@@ -55,7 +55,7 @@
     NodeId id = 0;
     std::size_t region = 0;
     double offset = 0, pace = 1;  // of its clock, which goes on while it is stopped
-    Life life = 0;
+    ProcessIncarnation process_incarnation = 0;
     std::optional<LeaseHolder> holder;  // none: the process is not there
     std::unique_ptr<Allocator> allocator;
     std::optional<LeaseHolder> earlier;  // planted: one that goes on in the view before
@@ -77,7 +77,7 @@
         checker_(options.dispatchers, FirstQuotas(), options.timings.floor_fraction,
                  [this](std::size_t i, std::size_t tenant) { return RateOf(i, tenant); }) {
     for (std::size_t i = 0; i < size(); ++i) Prepare(i);
-    views_.push_back({{}, std::vector<Life>(size(), 0), 0});
+    views_.push_back({{}, std::vector<ProcessIncarnation>(size(), 0), 0});
   }
   QuotaWorld(const QuotaWorld&) = delete;
   QuotaWorld& operator=(const QuotaWorld&) = delete;
@@ -110,12 +110,12 @@
   void Start(std::size_t i) {
     Process& process = processes_[i];
     if (process.holder) return;
-    process.life = random_.Word() | 1;
+    process.process_incarnation = random_.NextUint64() | 1;
     process.stopped_until = -1;
     process.epoch = 0;
     process.settings = quotas_.size() - 1;
     const std::vector<TenantQuota> quotas = TenantQuotas(process.settings);
-    process.holder.emplace(process.life, size(), quotas, options_.timings);
+    process.holder.emplace(process.process_incarnation, size(), quotas, options_.timings);
     if (i < options_.allocators) {
       process.allocator = std::make_unique<Allocator>(
           process.id, AllIds(), quotas, TimingsWith(options_.planted, options_.timings),
@@ -135,7 +135,7 @@
     process.holder.reset();
     process.earlier.reset();
     process.allocator.reset();
-    process.life = 0;
+    process.process_incarnation = 0;
     process.timer += 1;
   }
   void Stop(std::size_t i, double seconds) {
@@ -165,12 +165,12 @@
   template <typename Member, typename Allocates, typename DelayOf>
   void ProposeViewKnownAfter(Member member, Allocates allocates, DelayOf delay_of) {
     AllocatorView view{.epoch = views_.size(), .allocators = {}};
-    std::vector<Life> lives(size(), 0);
+    std::vector<ProcessIncarnation> lives(size(), 0);
     for (std::size_t i = 0; i < size(); ++i) {
       if (!up(i) || !member(i)) continue;
-      lives[i] = processes_[i].life;
+      lives[i] = processes_[i].process_incarnation;
       if (i >= options_.allocators || !allocates(i)) continue;
-      view.allocators.push_back({processes_[i].id, processes_[i].life});
+      view.allocators.push_back({processes_[i].id, processes_[i].process_incarnation});
     }
     views_.push_back({std::move(view), std::move(lives), now_});
     for (std::size_t i = 0; i < size(); ++i) {
@@ -195,7 +195,7 @@
   bool MayAct(std::size_t i) const {
     const Process& process = processes_[i];
     const AllocatorView& view = views_[process.epoch].view;
-    const AllocatorMember self{process.id, process.life};
+    const AllocatorMember self{process.id, process.process_incarnation};
     if (std::find(view.allocators.begin(), view.allocators.end(), self) == view.allocators.end()) {
       return false;
     }
@@ -232,7 +232,7 @@
  private:
   struct ProposedView {
     AllocatorView view;
-    std::vector<Life> lives;  // of the members, by process; 0: it is no member
+    std::vector<ProcessIncarnation> lives;  // of the members, by process; 0: it is no member
     double proposed_at = 0;
   };
   struct Event {
@@ -340,7 +340,7 @@
     Process& process = processes_[i];
     const AllocatorView& view = views_[epoch].view;
     // A process that is in no view yet waits for the first that names its life.
-    if (process.epoch == 0 && views_[epoch].lives[i] != process.life) return;
+    if (process.epoch == 0 && views_[epoch].lives[i] != process.process_incarnation) return;
     if (epoch > process.epoch) {
       if (options_.planted.old_epoch_taken && process.epoch > 0) process.earlier = *process.holder;
       process.epoch = epoch;
@@ -376,9 +376,9 @@
     if (from != target) Count(grant == nullptr ? &process.reports : &process.grants, message);
     if (grant != nullptr) tampering_.OnSend(process.id, to, *grant);
     const auto shared = std::make_shared<const Message>(std::move(message));
-    Carry(from, target, [this, target, from_id = process.id, life = process.life, shared] {
-      Arrive(target, from_id, life, *shared);
-    });
+    Carry(from, target,
+          [this, target, from_id = process.id, process_incarnation = process.process_incarnation,
+           shared] { Arrive(target, from_id, process_incarnation, *shared); });
   }
   void Count(Traffic* traffic, const Message& message) const {
     traffic->messages += 1;
@@ -399,14 +399,16 @@
       At(now_ + delay, to, what);
     }
   }
-  void Arrive(std::size_t i, NodeId from, Life life, const Message& message) {
+  void Arrive(std::size_t i, NodeId from, ProcessIncarnation process_incarnation,
+              const Message& message) {
     Process& process = processes_[i];
     if (const auto* report = std::get_if<UsageReport>(&message)) {
       if (!process.allocator) return;
       UsageReport tampered = *report;
       tampering_.OnArrival(from, process.id, &tampered);
-      Measured(&process.allocator_ns,
-               [&] { process.allocator->OnUsageReport(Local(process), from, life, tampered); });
+      Measured(&process.allocator_ns, [&] {
+        process.allocator->OnUsageReport(Local(process), from, process_incarnation, tampered);
+      });
     } else {
       Grant tampered = std::get<Grant>(message);
       tampering_.OnArrival(from, process.id, &tampered);
