--- a/src/codec/membership.cpp
+++ b/src/codec/membership.cpp
@@ -3,7 +3,9 @@
 #include <xxhash.h>
 
 #include <algorithm>
+#include <type_traits>
 #include <utility>
+#include <variant>
 
 #include "codec/fields.h"
 
@@ -12,7 +14,6 @@
 
 using namespace membership;
 
-constexpr auto kLastMessage = AgreementMessage::Kind::kRelease;
 constexpr auto kLastProbe = SwimMessage::Kind::kGossip;
 
 std::string Pair(std::uint64_t a, std::uint64_t b) {
@@ -37,26 +38,26 @@
   inner.Raw(m.nonce);
   w->Nested(field, inner.bytes());
 }
-StorageIdentity TakeMind(Reader* r) {
+StorageIdentity TakeStorageIdentity(Reader* r) {
   StorageIdentity m;
   m.number = r->Raw<std::uint32_t>();
   m.nonce = r->Raw<std::uint64_t>();
   return m;
 }
-void Put(Writer* w, std::uint8_t field, const StorageIdentities& storage_identities) {
-  for (const auto& [id, storage_identity] : storage_identities) {
+void Put(Writer* w, std::uint8_t field, const VoterIdentities& identities) {
+  for (const VoterIdentity& identity : identities) {
     Writer inner;
-    inner.Raw(id);
-    inner.Raw(storage_identity.number);
-    inner.Raw(storage_identity.nonce);
+    inner.Raw(identity.id);
+    inner.Raw(identity.storage_identity.number);
+    inner.Raw(identity.storage_identity.nonce);
     w->Nested(field, inner.bytes());
   }
 }
-void Take(Reader* r, StorageIdentities* storage_identities) {
+void Take(Reader* r, VoterIdentities* identities) {
   const auto id = r->Raw<std::uint64_t>();
-  const StorageIdentity storage_identity = TakeMind(r);
-  if (storage_identities->size() >= kMaxVoters) return r->Fail();
-  storage_identities->emplace_back(id, storage_identity);
+  const StorageIdentity identity = TakeStorageIdentity(r);
+  if (identities->size() >= kMaxVoters) return r->Fail();
+  identities->push_back({id, identity});
 }
 void Put(Writer* w, std::uint8_t field, const std::vector<LogAssignment>& logs) {
   for (const LogAssignment& l : logs) {
@@ -131,6 +132,203 @@
   return r.ok();
 }
 
+// ---- the fields of each message, by rising number ----
+
+// Writes fields; what has its default value is left out.
+struct FieldWriter {
+  Writer* w;
+  template <typename T>
+  void operator()(std::uint8_t number, const T& value) const {
+    if constexpr (std::is_same_v<T, bool>) {
+      w->Number(number, static_cast<std::uint8_t>(value));
+    } else if constexpr (std::is_arithmetic_v<T>) {
+      w->Number(number, value);
+    } else {
+      Put(w, number, value);
+    }
+  }
+};
+
+// Reads the field that the reader is at, where it has the number.
+struct FieldReader {
+  Reader* r;
+  template <typename T>
+  void operator()(std::uint8_t number, T& value) const {
+    if (r->field() != number) return;
+    if constexpr (std::is_same_v<T, bool>) {
+      value = r->Raw<std::uint8_t>() != 0;
+    } else if constexpr (std::is_arithmetic_v<T>) {
+      value = r->Raw<T>();
+    } else if constexpr (std::is_same_v<T, Ballot>) {
+      value = TakeBallot(r);
+    } else if constexpr (std::is_same_v<T, StorageIdentity>) {
+      value = TakeStorageIdentity(r);
+    } else if constexpr (std::is_same_v<T, VoterIdentities>) {
+      Take(r, &value);
+    } else if (!Take(r->value(), &value)) {
+      r->Fail();
+    }
+  }
+};
+
+template <typename T, typename Message>
+concept Of = std::is_same_v<std::remove_const_t<T>, Message>;
+
+template <typename Visit>
+void VisitIdentities(auto& header, Visit visit) {
+  visit(4, header.storage_identity);
+  visit(5, header.known_identities);
+}
+template <typename Visit>
+void VisitBuild(auto& header, Visit visit) {
+  visit(8, header.writes);
+  visit(16, header.features);
+}
+
+template <Of<IdentityQuery> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  VisitIdentities(m.voter, visit);
+  visit(7, m.nonce);
+  VisitBuild(m.voter, visit);
+}
+template <Of<IdentityReply> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  VisitIdentities(m.voter, visit);
+  visit(7, m.nonce);
+  visit(8, m.writes_seen);
+  visit(12, m.never_promised);
+  visit(16, m.voter.features);
+}
+template <Of<IdentityClaim> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  VisitIdentities(m.voter, visit);
+  visit(7, m.nonce);
+  VisitBuild(m.voter, visit);
+}
+template <Of<IdentityClaimAck> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  visit(1, m.promised);
+  visit(2, m.accepted_by);
+  visit(3, m.accepted);
+  VisitIdentities(m.voter, visit);
+  VisitBuild(m.voter, visit);
+}
+template <Of<LeaderLossQuery> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  VisitIdentities(m.voter, visit);
+  visit(7, m.query_number);
+  VisitBuild(m.voter, visit);
+}
+template <Of<LeaderLossReply> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  visit(1, m.promised);
+  VisitIdentities(m.voter, visit);
+  visit(7, m.query_number);
+  visit(8, m.voter.writes);
+  visit(12, m.leader_lost);
+  visit(16, m.voter.features);
+}
+template <Of<Prepare> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  visit(1, m.ballot);
+  VisitIdentities(m.voter, visit);
+  VisitBuild(m.voter, visit);
+}
+template <Of<Promise> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  visit(1, m.ballot);
+  visit(2, m.accepted_by);
+  visit(3, m.accepted);
+  VisitIdentities(m.voter, visit);
+  VisitBuild(m.voter, visit);
+}
+template <Of<Propose> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  visit(1, m.ballot);
+  visit(3, m.view);
+  VisitIdentities(m.voter, visit);
+  visit(6, m.quorum);
+  VisitBuild(m.voter, visit);
+}
+template <Of<Accepted> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  visit(1, m.ballot);
+  VisitIdentities(m.voter, visit);
+  visit(7, m.epoch);
+  VisitBuild(m.voter, visit);
+}
+template <Of<Rejection> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  visit(1, m.promised);
+  VisitIdentities(m.voter, visit);
+  VisitBuild(m.voter, visit);
+}
+template <Of<Heartbeat> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  visit(1, m.ballot);
+  VisitIdentities(m.voter, visit);
+  visit(6, m.quorum);
+  visit(7, m.sequence);
+  VisitBuild(m.voter, visit);
+}
+template <Of<HeartbeatAck> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  visit(1, m.ballot);
+  VisitIdentities(m.voter, visit);
+  visit(7, m.sequence);
+  VisitBuild(m.voter, visit);
+}
+template <Of<ViewDecided> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  visit(3, m.view);
+  visit(13, m.origin);
+}
+template <Of<LeaseRequest> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  visit(7, m.epoch);
+  visit(9, m.process_incarnation);
+  visit(10, m.requested_at_s);
+  visit(13, m.origin);
+  visit(14, m.store_id);
+  visit(15, m.wanted_logs);
+}
+template <Of<LeaseGrant> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  visit(1, m.ballot);
+  visit(7, m.epoch);
+  visit(9, m.process_incarnation);
+  visit(10, m.requested_at_s);
+  visit(11, m.duration_s);
+  visit(13, m.origin);
+}
+template <Of<LeaderRedirect> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  visit(1, m.ballot);
+  visit(13, m.origin);
+}
+template <Of<IdentityConflict> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  visit(9, m.process_incarnation);
+  visit(12, m.both_present);
+  visit(13, m.origin);
+}
+template <Of<LeaseRelease> Message, typename Visit>
+void VisitFields(Message& m, Visit visit) {
+  visit(9, m.process_incarnation);
+  visit(13, m.origin);
+}
+
+// An empty message of the kind that a number on the wire names; none: of a later build.
+template <std::size_t kIndex = 0>
+std::optional<AgreementMessage> MessageOfKind(std::size_t kind) {
+  if constexpr (kIndex == std::variant_size_v<AgreementMessage>) {
+    return std::nullopt;
+  } else {
+    if (kind == kIndex) return AgreementMessage(std::in_place_index<kIndex>);
+    return MessageOfKind<kIndex + 1>(kind);
+  }
+}
+
 }  // namespace
 
 std::uint64_t Hash(std::string_view text) {
@@ -144,7 +342,7 @@
   Put(&w, 2, v.accepted_by);
   Put(&w, 3, v.accepted);
   Put(&w, 4, v.storage_identity);
-  Put(&w, 5, v.storage_identities);
+  Put(&w, 5, v.known_identities);
   w.Number(6, v.writes);
   return w.Take();
 }
@@ -164,10 +362,10 @@
         if (!Take(r.value(), &v.accepted)) return std::nullopt;
         break;
       case 4:
-        v.storage_identity = TakeMind(&r);
+        v.storage_identity = TakeStorageIdentity(&r);
         break;
       case 5:
-        Take(&r, &v.storage_identities);
+        Take(&r, &v.known_identities);
         break;
       case 6:
         v.writes = r.Raw<std::uint64_t>();
@@ -182,8 +380,8 @@
 std::string Encode(const SwimMessage& p) {
   Writer w;
   w.Raw(static_cast<std::uint8_t>(p.kind));
-  w.Number(1, p.seq);
-  w.Number(2, p.about);
+  w.Number(1, p.sequence);
+  w.Number(2, p.subject);
   w.Number(3, p.incarnation);
   w.Number(4, p.digest);
   for (const GossipUpdate& n : p.updates) {
@@ -206,8 +404,8 @@
   p.kind = static_cast<SwimMessage::Kind>(bytes[0]);
   Reader r(bytes.substr(1));
   while (r.Next()) {
-    if (r.field() == 1) p.seq = r.Raw<std::uint32_t>();
-    if (r.field() == 2) p.about = r.Raw<std::uint64_t>();
+    if (r.field() == 1) p.sequence = r.Raw<std::uint32_t>();
+    if (r.field() == 2) p.subject = r.Raw<std::uint64_t>();
     if (r.field() == 3) p.incarnation = r.Raw<std::uint32_t>();
     if (r.field() == 4) p.digest = r.Raw<std::uint64_t>();
     if (r.field() != 5) continue;
@@ -223,91 +421,22 @@
   return r.ok() ? std::optional(std::move(p)) : std::nullopt;
 }
 
-std::string Encode(const AgreementMessage& m) {
+std::string Encode(const AgreementMessage& message) {
   Writer w;
-  w.Raw(static_cast<std::uint8_t>(m.kind));
-  Put(&w, 1, m.ballot);
-  Put(&w, 2, m.accepted_by);
-  Put(&w, 3, m.view);
-  Put(&w, 4, m.storage_identity);
-  Put(&w, 5, m.storage_identities);
-  Put(&w, 6, m.quorum);
-  w.Number(7, m.number);
-  w.Number(8, m.count);
-  w.Number(9, m.process_incarnation);
-  w.Number(10, m.asked_at);
-  w.Number(11, m.span);
-  w.Number(12, static_cast<std::uint8_t>(m.yes));
-  w.Number(13, m.origin);
-  w.Number(14, m.store_id);
-  Put(&w, 15, m.logs);
-  w.Number(16, m.knows);
+  w.Raw(static_cast<std::uint8_t>(message.index()));
+  std::visit([&w](const auto& m) { VisitFields(m, FieldWriter{&w}); }, message);
   return w.Take();
 }
 
 std::optional<AgreementMessage> DecodeAgreementMessage(std::string_view bytes) {
-  if (bytes.empty() ||
-      static_cast<std::uint8_t>(bytes[0]) > static_cast<std::uint8_t>(kLastMessage)) {
-    return std::nullopt;
-  }
-  AgreementMessage m;
-  m.kind = static_cast<AgreementMessage::Kind>(bytes[0]);
+  if (bytes.empty()) return std::nullopt;
+  std::optional<AgreementMessage> message = MessageOfKind(static_cast<std::uint8_t>(bytes[0]));
+  if (!message) return std::nullopt;
   Reader r(bytes.substr(1));
   while (r.Next()) {
-    switch (r.field()) {
-      case 1:
-        m.ballot = TakeBallot(&r);
-        break;
-      case 2:
-        m.accepted_by = TakeBallot(&r);
-        break;
-      case 3:
-        if (!Take(r.value(), &m.view)) return std::nullopt;
-        break;
-      case 4:
-        m.storage_identity = TakeMind(&r);
-        break;
-      case 5:
-        Take(&r, &m.storage_identities);
-        break;
-      case 6:
-        Take(&r, &m.quorum);
-        break;
-      case 7:
-        m.number = r.Raw<std::uint64_t>();
-        break;
-      case 8:
-        m.count = r.Raw<std::uint64_t>();
-        break;
-      case 9:
-        m.process_incarnation = r.Raw<std::uint64_t>();
-        break;
-      case 10:
-        m.asked_at = r.Raw<double>();
-        break;
-      case 11:
-        m.span = r.Raw<double>();
-        break;
-      case 14:
-        m.store_id = r.Raw<std::uint64_t>();
-        break;
-      case 15:
-        if (!Take(r.value(), &m.logs)) return std::nullopt;
-        break;
-      case 16:
-        m.knows = r.Raw<std::uint8_t>();
-        break;
-      case 13:
-        m.origin = r.Raw<std::uint64_t>();
-        break;
-      case 12:
-        m.yes = r.Raw<std::uint8_t>() != 0;
-        break;
-      default:
-        break;
-    }
+    std::visit([&r](auto& m) { VisitFields(m, FieldReader{&r}); }, *message);
   }
-  return r.ok() ? std::optional(std::move(m)) : std::nullopt;
+  return r.ok() ? std::move(message) : std::nullopt;
 }
 
 std::string Encode(const MaintenanceGossip& n) {
@@ -341,7 +470,7 @@
     if (r.field() == 2) n.sequence = r.Raw<std::uint64_t>();
     if (r.field() == 3) n.acked_sequence = r.Raw<std::uint64_t>();
     if (r.field() == 4) n.request_all = r.Raw<std::uint8_t>() != 0;
-    if (r.field() != 5 || n.records.size() >= MaintenanceGossip::kMost) continue;
+    if (r.field() != 5 || n.records.size() >= MaintenanceGossip::kMaxRecords) continue;
     MaintenanceRecord& f = n.records.emplace_back();
     Reader in(r.value());
     while (in.Next()) {
--- a/src/membership/leader.cpp
+++ b/src/membership/leader.cpp
@@ -1,251 +1,270 @@
 #include "membership/leader.h"
 
 #include <algorithm>
+#include <iterator>
+#include <utility>
 
 namespace millethollow::membership {
 namespace {
 
-constexpr std::size_t kMostBeats = 16;  // without an answer
-constexpr double kCheckS = 0.1;
+constexpr std::size_t kMaxUnconfirmedHeartbeats = 16;
+constexpr double kCheckIntervalS = 0.1;  // between looks whether another view is wanted
+
+template <typename Message>
+void SendToVoters(const Message& message, const Voter& voter, std::vector<OutgoingMessage>* send) {
+  for (const NodeId id : voter.voters()) send->push_back({id, message});
+}
+
+// By the way that the request came.
+template <typename Message>
+void Reply(NodeId to, NodeId relay, Message message, std::vector<OutgoingMessage>* send) {
+  if (relay != 0) message.origin = to;
+  send->push_back({relay != 0 ? relay : to, std::move(message)});
+}
 
 }  // namespace
 
-Leader::Leader(NodeId self, const ViewAgreementTimings& timings, Places places)
-    : self_(self), t_(timings), places_(std::move(places)) {}
+Leader::Leader(NodeId self, const ViewAgreementTimings& timings, FailureDomains failure_domains)
+    : self_(self), timings_(timings), failure_domains_(std::move(failure_domains)) {}
 
-// Counts only voters whose mind is still the one that answered.
-bool Leader::Majority(const std::map<NodeId, StorageIdentity>& who, const Voter& voter) {
-  const auto current = [&](const auto& entry) { return entry.second == voter.Known(entry.first); };
+// Counts only voters whose storage identity is still the one that answered.
+bool Leader::IsMajority(const std::map<NodeId, StorageIdentity>& who, const Voter& voter) {
+  const auto current = [&](const auto& entry) {
+    return entry.second == voter.KnownIdentity(entry.first);
+  };
   return static_cast<std::size_t>(std::count_if(who.begin(), who.end(), current)) >=
          voter.Majority();
 }
 
-void Leader::Begin(double now, Ballot ballot, StorageIdentities quorum, const View& best,
-                   const Voter& voter, std::vector<OutgoingMessage>* send) {
+void Leader::StartLeading(double now, Ballot ballot, VoterIdentities quorum, const View& latest,
+                          const Voter& voter, std::vector<OutgoingMessage>* send) {
   leading_ = true;
   ballot_ = ballot;
   quorum_ = std::move(quorum);
   began_at_ = confirmed_at_ = now;
-  check_at_ = now + kCheckS;
-  // Whatever was decided before is in `best`; whether it was, its members' answers will not tell.
+  check_at_ = now + kCheckIntervalS;
+  // Whatever was decided before is in `latest`; the promises don't tell whether that one was.
   decided_ = {};
   proposing_ = false;
-  accepted_.clear();
-  beats_.clear();
-  holders_.clear();
-  asking_.clear();
-  settled_ = best.settled_epoch;
-  caught_up_ = best.epoch == 0;
-  if (!caught_up_) Propose(now, best, voter, send);
-  Beat(now, voter, send);
+  accepted_by_.clear();
+  unconfirmed_heartbeats_.clear();
+  leaseholders_.clear();
+  pending_requests_.clear();
+  settled_epoch_ = latest.settled_epoch;
+  caught_up_ = latest.epoch == 0;
+  if (!caught_up_) ProposeView(now, latest, voter, send);
+  SendHeartbeat(now, voter, send);
 }
 
-void Leader::Propose(double now, View view, const Voter& voter,
-                     std::vector<OutgoingMessage>* send) {
+// ---- proposals and heartbeats ----
+
+void Leader::ProposeView(double now, View view, const Voter& voter,
+                         std::vector<OutgoingMessage>* send) {
   proposed_ = std::move(view);
   proposing_ = true;
-  accepted_.clear();
-  view_at_ = now;
-  AgreementMessage m = voter.Say(AgreementMessage::Kind::kPropose);
-  m.view = proposed_;
-  ToVoters(std::move(m), voter, send);
-}
-
-void Leader::ToVoters(AgreementMessage m, const Voter& voter,
-                      std::vector<OutgoingMessage>* send) const {
-  m.ballot = ballot_;
-  m.quorum = quorum_;
-  for (const NodeId id : voter.voters()) send->push_back({id, m});
+  accepted_by_.clear();
+  proposed_at_ = now;
+  SendToVoters(
+      Propose{.voter = voter.Header(), .ballot = ballot_, .view = proposed_, .quorum = quorum_},
+      voter, send);
 }
 
-void Leader::Accepted(double now, NodeId from, const AgreementMessage& m, const Voter& voter,
-                      std::vector<OutgoingMessage>* send) {
-  if (!leading_ || !proposing_ || m.ballot != ballot_ || m.number != proposed_.epoch) return;
-  accepted_[from] = m.storage_identity;
-  if (!Majority(accepted_, voter)) return;
-  for (const ViewMember& was : decided_.members) {
-    if (proposed_.Find(was.id) != nullptr) continue;
-    Return& r = returns_[was.id];
-    const bool forgiven = now - r.in_at > t_.rejoin_backoff_reset_s;
-    r.wait_s = r.wait_s == 0 || forgiven ? t_.rejoin_backoff_s
-                                         : std::min(2 * r.wait_s, t_.rejoin_backoff_max_s);
-    r.out_at = now;
-  }
-  for (const ViewMember& is : proposed_.members) {
-    if (decided_.Find(is.id) == nullptr) returns_[is.id].in_at = now;
-  }
+void Leader::OnAccepted(double now, NodeId from, const Accepted& accepted, const Voter& voter,
+                        std::vector<OutgoingMessage>* send) {
+  if (!leading_ || !proposing_) return;
+  if (accepted.ballot != ballot_ || accepted.epoch != proposed_.epoch) return;
+  accepted_by_[from] = accepted.voter.storage_identity;
+  if (!IsMajority(accepted_by_, voter)) return;
+  UpdateRejoinBackoffs(now);
   decided_ = proposed_;
   proposing_ = false;
   caught_up_ = true;
   for (const ViewMember& member : decided_.members) SendDecided(member.id, 0, send);
 }
 
-// The way that it came.
-void Leader::Answer(NodeId to, NodeId by, AgreementMessage m, std::vector<OutgoingMessage>* send) {
-  if (by != 0) m.origin = to;
-  send->push_back({by != 0 ? by : to, std::move(m)});
+// From the view decided so far to the one that is proposed.
+void Leader::UpdateRejoinBackoffs(double now) {
+  for (const ViewMember& before : decided_.members) {
+    if (proposed_.Find(before.id) != nullptr) continue;
+    RejoinBackoff& backoff = rejoin_backoffs_[before.id];
+    const bool reset = now - backoff.joined_at > timings_.rejoin_backoff_reset_s;
+    backoff.wait_s = backoff.wait_s == 0 || reset
+                         ? timings_.rejoin_backoff_s
+                         : std::min(2 * backoff.wait_s, timings_.rejoin_backoff_max_s);
+    backoff.removed_at = now;
+  }
+  for (const ViewMember& after : proposed_.members) {
+    if (decided_.Find(after.id) == nullptr) rejoin_backoffs_[after.id].joined_at = now;
+  }
 }
 
-void Leader::SendDecided(NodeId to, NodeId by, std::vector<OutgoingMessage>* send) const {
-  AgreementMessage m;
-  m.kind = AgreementMessage::Kind::kDecided;
-  m.view = decided_;
-  Answer(to, by, std::move(m), send);
+void Leader::SendDecided(NodeId to, NodeId relay, std::vector<OutgoingMessage>* send) const {
+  Reply(to, relay, ViewDecided{.view = decided_}, send);
 }
 
-void Leader::Beat(double now, const Voter& voter, std::vector<OutgoingMessage>* send) {
-  beat_at_ = now + t_.heartbeat_s;
-  beats_[++beat_].first = now;
-  if (beats_.size() > kMostBeats) beats_.erase(beats_.begin());
-  AgreementMessage m = voter.Say(AgreementMessage::Kind::kBeat);
-  m.number = beat_;
-  ToVoters(std::move(m), voter, send);
+void Leader::SendHeartbeat(double now, const Voter& voter, std::vector<OutgoingMessage>* send) {
+  heartbeat_at_ = now + timings_.heartbeat_s;
+  unconfirmed_heartbeats_[++heartbeat_sequence_].sent_at = now;
+  if (unconfirmed_heartbeats_.size() > kMaxUnconfirmedHeartbeats) {
+    unconfirmed_heartbeats_.erase(unconfirmed_heartbeats_.begin());
+  }
+  SendToVoters(Heartbeat{.voter = voter.Header(),
+                         .ballot = ballot_,
+                         .quorum = quorum_,
+                         .sequence = heartbeat_sequence_},
+               voter, send);
 }
 
-void Leader::Beaten(double now, NodeId from, const AgreementMessage& m, const Voter& voter,
-                    std::vector<OutgoingMessage>* send) {
-  const auto it = beats_.find(m.number);
-  if (!leading_ || m.ballot != ballot_ || it == beats_.end()) return;
-  it->second.second[from] = m.storage_identity;
-  if (m.knows >= kKnowsLogs) {
+void Leader::OnHeartbeatAck(double now, NodeId from, const HeartbeatAck& ack, const Voter& voter,
+                            std::vector<OutgoingMessage>* send) {
+  const auto it = unconfirmed_heartbeats_.find(ack.sequence);
+  if (!leading_ || ack.ballot != ballot_ || it == unconfirmed_heartbeats_.end()) return;
+  SentHeartbeat& heartbeat = it->second;
+  heartbeat.acked_by[from] = ack.voter.storage_identity;
+  if (ack.voter.features >= kLogsFeature) {
     know_logs_.insert(from);
   } else {
     know_logs_.erase(from);
   }
-  if (!Majority(it->second.second, voter)) return;
-  confirmed_at_ = std::max(confirmed_at_, it->second.first);
-  // Whoever asked before that beat was sent asked while no other led.
-  for (auto a = asking_.begin(); a != asking_.end();) {
-    if (a->second.beat > m.number) {
-      ++a;
+  if (!IsMajority(heartbeat.acked_by, voter)) return;
+  confirmed_at_ = std::max(confirmed_at_, heartbeat.sent_at);
+  // Whoever asked before that heartbeat was sent asked while no other led.
+  for (auto request = pending_requests_.begin(); request != pending_requests_.end();) {
+    if (request->second.heartbeat > ack.sequence) {
+      ++request;
       continue;
     }
-    Grant(now, a->first, a->second, send);
-    a = asking_.erase(a);
+    Grant(now, request->first, request->second, send);
+    request = pending_requests_.erase(request);
   }
-  beats_.erase(beats_.begin(), std::next(it));
+  unconfirmed_heartbeats_.erase(unconfirmed_heartbeats_.begin(), std::next(it));
 }
 
-// The end of any lease on the member's place, as far as this leader can know.
-double Leader::MayRunUntil(NodeId id) const {
-  const double before = began_at_ + t_.lease_s * (1 + t_.clock_drift);  // given by a leader before
-  const auto it = holders_.find(id);
-  // A first word with the life that is in the view gives no news of what was given before.
-  return it == holders_.end() ? before : std::max(before, it->second.until);
+// ---- leases ----
+
+double Leader::LeaseMayRunUntil(NodeId id) const {
+  // Granted by a leader before this one.
+  const double earlier = began_at_ + timings_.lease_s * (1 + timings_.clock_drift);
+  const auto it = leaseholders_.find(id);
+  return it == leaseholders_.end() ? earlier : std::max(earlier, it->second.lease_until);
 }
 
-// Does nobody act on a view before this epoch any more?
-bool Leader::Settled(double now, std::uint64_t epoch) {
-  if (epoch <= settled_) return true;
+bool Leader::CheckSettled(double now, std::uint64_t epoch) {
+  if (epoch <= settled_epoch_) return true;
   if (decided_.epoch < epoch) return false;
   const bool settled =
       std::all_of(decided_.members.begin(), decided_.members.end(), [&](const ViewMember& m) {
-        const auto it = holders_.find(m.id);
-        const bool knows = it != holders_.end() &&
+        const auto it = leaseholders_.find(m.id);
+        const bool knows = it != leaseholders_.end() &&
                            it->second.process_incarnation == m.process_incarnation &&
                            it->second.epoch >= epoch;
-        return knows || m.joined_epoch >= epoch || MayRunUntil(m.id) < now;
+        return knows || m.joined_epoch >= epoch || LeaseMayRunUntil(m.id) < now;
       });
-  if (settled) settled_ = epoch;
+  if (settled) settled_epoch_ = epoch;
   return settled;
 }
 
-void Leader::Grant(double now, NodeId to, const Asking& asking,
-                   std::vector<OutgoingMessage>* send) {
-  if (!caught_up_) return;
+bool Leader::MayGrant(double now, NodeId to, const PendingRequest& request) {
   const ViewMember* member = decided_.Find(to);
-  if (asking.epoch < decided_.epoch) return SendDecided(to, asking.by, send);
-  if (member == nullptr || member->process_incarnation != asking.process_incarnation ||
-      asking.epoch != decided_.epoch)
-    return;
+  if (member == nullptr || member->process_incarnation != request.process_incarnation) return false;
+  if (request.epoch != decided_.epoch) return false;
   // A view without it may be decided already, though the answers are still under way.
   const ViewMember* next = proposing_ ? proposed_.Find(to) : member;
-  if (next == nullptr || next->process_incarnation != asking.process_incarnation) return;
-  // One that speaks but does not hear: what it was given would bind its place for nobody.
-  if (Failed(to)) return;
-  // A newcomer's part was another's, who may act on it until he knows the view.
-  if (!Settled(now, member->joined_epoch)) return;
-  Holder& holder = holders_[to];
-  holder.until = std::max(holder.until, now + t_.lease_s * (1 + t_.clock_drift));
-  AgreementMessage m;
-  m.kind = AgreementMessage::Kind::kGrant;
-  m.ballot = ballot_;
-  m.number = decided_.epoch;
-  m.process_incarnation = asking.process_incarnation;
-  m.asked_at = asking.asked_at;
-  m.span = t_.lease_s;
-  Answer(to, asking.by, std::move(m), send);
+  if (next == nullptr || next->process_incarnation != request.process_incarnation) return false;
+  // One that sends but does not receive: its lease would only keep others from its share.
+  if (HasFailed(to)) return false;
+  // A newcomer's share was another's, who may act on it until it knows the view.
+  return CheckSettled(now, member->joined_epoch);
 }
 
-void Leader::Renew(double now, NodeId from, NodeId by, const AgreementMessage& m,
+void Leader::Grant(double now, NodeId to, const PendingRequest& request,
                    std::vector<OutgoingMessage>* send) {
-  if (!leading_ || !places_.contains(from)) return;
-  Holder& holder = holders_[from];
+  if (!caught_up_) return;
+  if (request.epoch < decided_.epoch) return SendDecided(to, request.relay, send);
+  if (!MayGrant(now, to, request)) return;
+  Leaseholder& holder = leaseholders_[to];
+  holder.lease_until =
+      std::max(holder.lease_until, now + timings_.lease_s * (1 + timings_.clock_drift));
+  Reply(to, request.relay,
+        LeaseGrant{.ballot = ballot_,
+                   .epoch = decided_.epoch,
+                   .process_incarnation = request.process_incarnation,
+                   .requested_at_s = request.requested_at_s,
+                   .duration_s = timings_.lease_s},
+        send);
+}
+
+void Leader::OnLeaseRequest(double now, NodeId from, NodeId relay, const LeaseRequest& request,
+                            std::vector<OutgoingMessage>* send) {
+  if (!leading_ || !failure_domains_.contains(from)) return;
+  Leaseholder& holder = leaseholders_[from];
   const ViewMember* member = caught_up_ ? decided_.Find(from) : nullptr;
-  if (member != nullptr && member->process_incarnation != m.process_incarnation &&
-      now < MayRunUntil(from)) {
-    AgreementMessage taken;
-    taken.kind = AgreementMessage::Kind::kTaken;
-    taken.process_incarnation = member->process_incarnation;
-    Answer(from, by, std::move(taken), send);
-    return;
+  const bool other_process =
+      member != nullptr && member->process_incarnation != request.process_incarnation;
+  if (other_process && now < LeaseMayRunUntil(from)) {
+    IdentityConflict conflict{.process_incarnation = member->process_incarnation};
+    return Reply(from, relay, std::move(conflict), send);
   }
-  if (holder.process_incarnation != m.process_incarnation) {
-    holder.process_incarnation = m.process_incarnation;
+  if (holder.process_incarnation != request.process_incarnation) {
+    holder.process_incarnation = request.process_incarnation;
     holder.epoch = holder.wants_epoch = 0;
     holder.released = false;
   }
-  if (holder.released) return;  // it was under way when the release came
-  holder.epoch = std::max(holder.epoch, m.number);
-  holder.asked_at = now;
-  if (m.number >= holder.wants_epoch) {
-    holder.store_id = m.store_id;
-    holder.wants_epoch = m.number;
-    holder.wants = m.logs;
+  if (holder.released) return;  // the request was under way when the release came
+  holder.epoch = std::max(holder.epoch, request.epoch);
+  holder.requested_at = now;
+  if (request.epoch >= holder.wants_epoch) {
+    holder.store_id = request.store_id;
+    holder.wants_epoch = request.epoch;
+    holder.wanted_logs = request.wanted_logs;
   }
-  asking_[from] = {.process_incarnation = m.process_incarnation,
-                   .epoch = m.number,
-                   .beat = beat_ + 1,
-                   .asked_at = m.asked_at,
-                   .by = by};
+  pending_requests_[from] = {.process_incarnation = request.process_incarnation,
+                             .epoch = request.epoch,
+                             .heartbeat = heartbeat_sequence_ + 1,
+                             .requested_at_s = request.requested_at_s,
+                             .relay = relay};
 }
 
-void Leader::Released(double now, NodeId from, ProcessIncarnation process_incarnation) {
+void Leader::OnLeaseRelease(double now, NodeId from, ProcessIncarnation process_incarnation) {
   const ViewMember* member = decided_.Find(from);
   if (!leading_ || member == nullptr || member->process_incarnation != process_incarnation) return;
-  Holder& holder = holders_[from];
+  Leaseholder& holder = leaseholders_[from];
   holder = {.process_incarnation = process_incarnation,
-            .until = 0,
-            .asked_at = now,
+            .lease_until = 0,
+            .requested_at = now,
             .epoch = holder.epoch,
             .released = true};
-  asking_.erase(from);
+  pending_requests_.erase(from);
 }
 
-bool Leader::Failed(NodeId id) const {
+// ---- the next view ----
+
+bool Leader::HasFailed(NodeId id) const {
   const auto health = health_.find(id);
   return health != health_.end() && health->second >= Health::kFailed;
 }
 
-bool Leader::Gone(double now, const ViewMember& member) const {
-  const auto it = holders_.find(member.id);
-  if (it != holders_.end() && it->second.released &&
-      it->second.process_incarnation == member.process_incarnation)
-    return true;
-  if (MayRunUntil(member.id) >= now) return false;
-  const double asked_at = it == holders_.end() ? began_at_ : it->second.asked_at;
-  const bool other_life = it != holders_.end() && it->second.asked_at >= 0 &&
-                          it->second.process_incarnation != member.process_incarnation;
-  return Failed(member.id) || other_life || now - asked_at > t_.lease_s + 2 * t_.renew_s;
+bool Leader::MayRemove(double now, const ViewMember& member) const {
+  const auto it = leaseholders_.find(member.id);
+  const bool asked = it != leaseholders_.end();
+  const bool same_process = asked && it->second.process_incarnation == member.process_incarnation;
+  if (same_process && it->second.released) return true;
+  if (LeaseMayRunUntil(member.id) >= now) return false;
+  const double requested_at = asked ? it->second.requested_at : began_at_;
+  const bool other_process = asked && it->second.requested_at >= 0 && !same_process;
+  const double silent_s = timings_.lease_s + 2 * timings_.renew_s;
+  return HasFailed(member.id) || other_process || now - requested_at > silent_s;
 }
 
-bool Leader::Wanted(double now, NodeId id) const {
-  const auto it = holders_.find(id);
-  if (it == holders_.end() || it->second.released) return false;
-  if (it->second.asked_at < 0 || now - it->second.asked_at > 3 * t_.renew_s) return false;
-  if (Failed(id)) return false;
-  const auto r = returns_.find(id);
-  return r == returns_.end() || now >= r->second.out_at + r->second.wait_s;
+bool Leader::MayAdd(double now, NodeId id) const {
+  const auto it = leaseholders_.find(id);
+  if (it == leaseholders_.end() || it->second.released) return false;
+  const double requested_at = it->second.requested_at;
+  if (requested_at < 0 || now - requested_at > 3 * timings_.renew_s) return false;
+  if (HasFailed(id)) return false;
+  const auto backoff = rejoin_backoffs_.find(id);
+  return backoff == rejoin_backoffs_.end() ||
+         now >= backoff->second.removed_at + backoff->second.wait_s;
 }
 
 // Where there are some, all voters have said so once.
@@ -256,65 +275,75 @@
   });
 }
 
-// Is another view wanted?
-void Leader::Consider(double now, const Voter& voter, std::vector<OutgoingMessage>* send) {
-  if (!caught_up_ || proposing_ || now < view_at_ + t_.min_view_interval_s) return;
-  if (decided_.epoch == 0 && now < began_at_ + t_.first_view_delay_s) return;
-  View next{.epoch = decided_.epoch + 1, .members = {}, .settled_epoch = settled_, .logs = {}};
-  bool more = false, fewer = false;
-  for (const auto& [id, place] : places_) {
+Leader::MemberChanges Leader::FillMembers(double now, View* next) {
+  MemberChanges changes;
+  for (const auto& [id, failure_domain] : failure_domains_) {
     const ViewMember* member = decided_.Find(id);
-    if (member != nullptr && !Gone(now, *member)) {
-      next.members.push_back(*member);
-      const auto holder = holders_.find(id);
-      if (holder != holders_.end() &&
-          holder->second.process_incarnation == member->process_incarnation) {
-        next.members.back().store_id = holder->second.store_id;
-      }
+    if (member != nullptr && !MayRemove(now, *member)) {
+      next->members.push_back(*member);
+      const auto holder = leaseholders_.find(id);
+      const bool same_process = holder != leaseholders_.end() &&
+                                holder->second.process_incarnation == member->process_incarnation;
+      if (same_process) next->members.back().store_id = holder->second.store_id;
       continue;
     }
-    fewer |= member != nullptr;
-    if (!Wanted(now, id)) continue;
-    more = true;
-    next.members.push_back({.id = id,
-                            .process_incarnation = holders_[id].process_incarnation,
-                            .failure_domain = place,
-                            .joined_epoch = next.epoch,
-                            .store_id = holders_[id].store_id});
+    changes.removed |= member != nullptr;
+    if (!MayAdd(now, id)) continue;
+    changes.added = true;
+    next->members.push_back({.id = id,
+                             .process_incarnation = leaseholders_[id].process_incarnation,
+                             .failure_domain = failure_domain,
+                             .joined_epoch = next->epoch,
+                             .store_id = leaseholders_[id].store_id});
   }
   // Who came last must be known to all before others come; who goes may go at any time.
-  if (more && !Settled(now, decided_.epoch)) {
-    std::erase_if(next.members, [&](const ViewMember& m) { return m.joined_epoch == next.epoch; });
-    more = false;
+  if (changes.added && !CheckSettled(now, decided_.epoch)) {
+    std::erase_if(next->members,
+                  [&](const ViewMember& m) { return m.joined_epoch == next->epoch; });
+    changes.added = false;
   }
-  std::vector<LogRequest> wants;
+  return changes;
+}
+
+std::vector<LogRequest> Leader::CurrentLogRequests(const View& next) const {
+  std::vector<LogRequest> requests;
   for (const ViewMember& m : next.members) {
-    const auto holder = holders_.find(m.id);
+    const auto holder = leaseholders_.find(m.id);
     // Asked for under another view, it may rest on answers that were given since without it.
-    if (holder == holders_.end() || holder->second.wants_epoch != decided_.epoch) continue;
-    if (holder->second.process_incarnation == m.process_incarnation)
-      wants.push_back({m.id, m.process_incarnation, holder->second.wants});
+    if (holder == leaseholders_.end() || holder->second.wants_epoch != decided_.epoch) continue;
+    if (holder->second.process_incarnation != m.process_incarnation) continue;
+    requests.push_back({m.id, m.process_incarnation, holder->second.wanted_logs});
   }
-  next.logs = NextLogs(decided_, next, wants, MayOpenLogs(voter));
-  const bool other =
-      next.logs != decided_.logs || (!more && !fewer && next.members != decided_.members);
-  if ((more || fewer || other) && !next.members.empty()) Propose(now, std::move(next), voter, send);
+  return requests;
+}
+
+void Leader::ConsiderNextView(double now, const Voter& voter, std::vector<OutgoingMessage>* send) {
+  if (!caught_up_ || proposing_ || now < proposed_at_ + timings_.min_view_interval_s) return;
+  if (decided_.epoch == 0 && now < began_at_ + timings_.first_view_delay_s) return;
+  View next{
+      .epoch = decided_.epoch + 1, .members = {}, .settled_epoch = settled_epoch_, .logs = {}};
+  const MemberChanges changes = FillMembers(now, &next);
+  next.logs = NextLogs(decided_, next, CurrentLogRequests(next), MayOpenLogs(voter));
+  const bool same_members = !changes.added && !changes.removed;
+  const bool entries_differ = same_members && next.members != decided_.members;
+  const bool wanted = !same_members || entries_differ || next.logs != decided_.logs;
+  if (wanted && !next.members.empty()) ProposeView(now, std::move(next), voter, send);
 }
 
 void Leader::Tick(double now, const Voter& voter, std::vector<OutgoingMessage>* send) {
   if (!leading_) return;
-  if (beat_at_ <= now) {
+  if (heartbeat_at_ <= now) {
     if (proposing_) {  // some of it may have been lost
-      const double at = view_at_;
-      const auto accepted = accepted_;
-      Propose(at, proposed_, voter, send);
-      accepted_ = accepted;
+      const double proposed_at = proposed_at_;
+      const auto accepted_by = accepted_by_;
+      ProposeView(proposed_at, proposed_, voter, send);
+      accepted_by_ = accepted_by;
     }
-    Beat(now, voter, send);
+    SendHeartbeat(now, voter, send);
   }
   if (check_at_ <= now) {
-    check_at_ = now + kCheckS;
-    Consider(now, voter, send);
+    check_at_ = now + kCheckIntervalS;
+    ConsiderNextView(now, voter, send);
   }
 }
 
--- a/src/membership/log_assignment.cpp
+++ b/src/membership/log_assignment.cpp
@@ -1,100 +1,136 @@
 #include "membership/log_assignment.h"
 
 #include <algorithm>
+#include <optional>
+#include <utility>
 
 namespace millethollow::membership {
 namespace {
 
-bool There(const View& view, const LogReplica& holder) {
-  const ViewMember* member = view.Find(holder.id);
-  return member != nullptr && holder.store_id != 0 && member->store_id == holder.store_id;
+// The member is in the view with the store that has the replica.
+bool IsPresent(const View& view, const LogReplica& replica) {
+  const ViewMember* member = view.Find(replica.id);
+  return member != nullptr && replica.store_id != 0 && member->store_id == replica.store_id;
 }
 
-// The one before, where it is back with its disk: it knows its promises best. Else the same one
-// whoever asks, and another for another log.
-NodeId Adopter(const View& next, const LogAssignment& log, NodeId before) {
+bool IsPresent(const View& view, const LogReplica* replica) {
+  return replica != nullptr && IsPresent(view, *replica);
+}
+
+bool HasProcess(const View& view, NodeId member, ProcessIncarnation process_incarnation) {
+  const ViewMember* found = view.Find(member);
+  return found != nullptr && found->process_incarnation == process_incarnation;
+}
+
+// The owner before, where it is back with its store. Else the same member whoever computes it, and
+// another for another log (rendezvous hashing). 0: nobody.
+NodeId NextOwner(const View& next, const LogAssignment& log) {
   NodeId best = 0;
-  std::uint64_t most = 0;
-  for (const LogReplica& h : log.replicas) {
-    if (!There(next, h)) continue;
-    if (h.id == before) return before;
-    const std::uint64_t weight = Mix(log.log ^ Mix(h.id));
-    if (best == 0 || weight > most) best = h.id, most = weight;
+  std::uint64_t best_weight = 0;
+  for (const LogReplica& replica : log.replicas) {
+    if (!IsPresent(next, replica)) continue;
+    if (replica.id == log.owner) return log.owner;
+    const std::uint64_t weight = Mix(log.log ^ Mix(replica.id));
+    if (best != 0 && weight <= best_weight) continue;
+    best = replica.id;
+    best_weight = weight;
   }
   return best;
 }
 
-const LogAssignment* Wanted(const std::vector<LogRequest>& wants, const LogAssignment& log) {
-  for (const LogRequest& w : wants) {
-    if (w.member != log.owner || w.process_incarnation != log.process_incarnation) continue;
-    for (const LogAssignment& l : w.logs) {
-      if (l.log == log.log && l.version > log.version) return &l;
+// What the log's owner asks for, where it is newer than what it has.
+const LogAssignment* FindRequest(const std::vector<LogRequest>& requests,
+                                 const LogAssignment& log) {
+  for (const LogRequest& request : requests) {
+    if (request.member != log.owner) continue;
+    if (request.process_incarnation != log.process_incarnation) continue;
+    for (const LogAssignment& wanted : request.logs) {
+      if (wanted.log == log.log && wanted.version > log.version) return &wanted;
     }
   }
   return nullptr;
 }
 
+void SetOwner(const View& next, NodeId owner, LogAssignment* log) {
+  log->owner = owner;
+  log->process_incarnation = next.Find(owner)->process_incarnation;
+  log->owner_epoch = next.epoch;
+}
+
+// Applies what the owner asks for. True where it gives the log to another member that has all of
+// it.
+bool ApplyRequest(const View& next, const LogAssignment& wanted, LogAssignment* log) {
+  const bool owner_stays = wanted.Find(log->owner) != nullptr;
+  if (!owner_stays || wanted.replicas.size() > kMaxReplicasPerLog) return false;
+  log->replicas = wanted.replicas;
+  log->version = wanted.version;
+  if (wanted.owner == log->owner || !IsPresent(next, log->Find(wanted.owner))) return false;
+  SetOwner(next, wanted.owner, log);
+  return true;
+}
+
+void ReplaceMissingOwner(const View& next, LogAssignment* log) {
+  const bool stays = HasProcess(next, log->owner, log->process_incarnation) &&
+                     IsPresent(next, log->Find(log->owner));
+  if (stays) return;
+  const NodeId owner = NextOwner(next, *log);
+  if (owner != 0) return SetOwner(next, owner, log);
+  if (log->process_incarnation == 0) return;
+  // Nobody's: the owner's id is kept, so that it is preferred when it is back.
+  log->process_incarnation = 0;
+  log->owner_epoch = next.epoch;
+}
+
+// The log in the next view; none: its owner closes it.
+std::optional<LogAssignment> NextAssignment(const View& next,
+                                            const std::vector<LogRequest>& requests,
+                                            LogAssignment log) {
+  const bool has_owner = HasProcess(next, log.owner, log.process_incarnation);
+  const LogAssignment* wanted = has_owner ? FindRequest(requests, log) : nullptr;
+  if (wanted != nullptr) {
+    if (wanted->replicas.empty()) return std::nullopt;
+    if (ApplyRequest(next, *wanted, &log)) return log;
+  }
+  ReplaceMissingOwner(next, &log);
+  return log;
+}
+
+void OpenLogs(const View& decided, const View& next, const LogRequest& request,
+              std::vector<LogAssignment>* logs) {
+  if (!HasProcess(next, request.member, request.process_incarnation)) return;
+  const std::uint64_t store_id = next.Find(request.member)->store_id;
+  if (store_id == 0) return;
+  for (const LogAssignment& wanted : request.logs) {
+    // Two may open one at once. What was asked of a log that has been closed since opens no other
+    // under its number.
+    const bool opened = std::any_of(logs->begin(), logs->end(), [&](const LogAssignment& log) {
+      return log.log == wanted.log;
+    });
+    const bool asks_to_open =
+        wanted.log != 0 && !wanted.replicas.empty() && wanted.owner_epoch == 0;
+    if (!asks_to_open || opened || decided.Log(wanted.log) != nullptr) continue;
+    if (logs->size() >= kMaxLogs) continue;
+    logs->push_back({.log = wanted.log,
+                     .owner = request.member,
+                     .process_incarnation = request.process_incarnation,
+                     .owner_epoch = next.epoch,
+                     .version = wanted.version,
+                     .replicas = {{request.member, store_id}}});
+  }
+}
+
 }  // namespace
 
 std::vector<LogAssignment> NextLogs(const View& decided, const View& next,
-                                    const std::vector<LogRequest>& wants, bool open) {
+                                    const std::vector<LogRequest>& requests, bool may_open) {
   std::vector<LogAssignment> logs;
-  for (LogAssignment log : decided.logs) {
-    const ViewMember* owner = next.Find(log.owner);
-    if (owner != nullptr && owner->process_incarnation == log.process_incarnation) {
-      if (const LogAssignment* want = Wanted(wants, log)) {
-        if (want->replicas.empty()) continue;
-        const LogReplica* self = want->Find(log.owner);
-        if (self != nullptr && want->replicas.size() <= kMaxReplicasPerLog) {
-          log.replicas = want->replicas;
-          log.version = want->version;
-          // It gives the log to another who has all of it.
-          const LogReplica* to = want->owner == log.owner ? nullptr : log.Find(want->owner);
-          if (to != nullptr && There(next, *to)) {
-            log.owner = to->id;
-            log.process_incarnation = next.Find(to->id)->process_incarnation;
-            log.owner_epoch = next.epoch;
-            logs.push_back(std::move(log));
-            continue;
-          }
-        }
-      }
-    }
-    const bool stays = owner != nullptr && owner->process_incarnation == log.process_incarnation &&
-                       log.Find(log.owner) != nullptr && There(next, *log.Find(log.owner));
-    if (!stays) {
-      const NodeId adopter = Adopter(next, log, log.owner);
-      if (adopter != 0 || log.process_incarnation != 0) {
-        // Nobody's: the name of the one before is kept, so that it is known when it is back.
-        log.process_incarnation = adopter == 0 ? 0 : next.Find(adopter)->process_incarnation;
-        if (adopter != 0) log.owner = adopter;
-        log.owner_epoch = next.epoch;
-      }
-    }
-    logs.push_back(std::move(log));
-  }
-  for (const LogRequest& w : wants) {
-    if (!open) break;
-    const ViewMember* member = next.Find(w.member);
-    if (member == nullptr || member->process_incarnation != w.process_incarnation ||
-        member->store_id == 0)
-      continue;
-    for (const LogAssignment& want : w.logs) {
-      // Two may open one at once. What was asked of a log that has ended since opens no other under
-      // its number.
-      const bool there = std::any_of(logs.begin(), logs.end(),
-                                     [&](const LogAssignment& l) { return l.log == want.log; });
-      const bool known = there || decided.Log(want.log) != nullptr || want.log == 0 ||
-                         want.replicas.empty() || want.owner_epoch != 0;
-      if (known || logs.size() >= kMaxLogs) continue;
-      logs.push_back({.log = want.log,
-                      .owner = w.member,
-                      .process_incarnation = w.process_incarnation,
-                      .owner_epoch = next.epoch,
-                      .version = want.version,
-                      .replicas = {{w.member, member->store_id}}});
+  for (const LogAssignment& log : decided.logs) {
+    if (auto assignment = NextAssignment(next, requests, log)) {
+      logs.push_back(std::move(*assignment));
     }
   }
+  if (!may_open) return logs;
+  for (const LogRequest& request : requests) OpenLogs(decided, next, request, &logs);
   return logs;
 }
 
--- a/src/membership/log_assignment.h
+++ b/src/membership/log_assignment.h
@@ -1,9 +1,11 @@
-// The logs of the next view: who owns each, and who holds it. The rules of PacificA's configuration
-// manager (Lin, Yang, Zhang, Zhou 2008): an owner changes the holders of its own log, and where the
-// owner is gone a holder takes its place. docs/design/copies.md has the promises.
+// The logs of the next view: who owns each, and who has replicas of it. The rules of PacificA's
+// configuration manager (Lin, Yang, Zhang, Zhou 2008): an owner changes the replicas of its own
+// log, and where the owner is gone one with a replica takes its place. docs/design/copies.md has
+// the promises.
 #ifndef MILLETHOLLOW_MEMBERSHIP_LOG_ASSIGNMENT_H_
 #define MILLETHOLLOW_MEMBERSHIP_LOG_ASSIGNMENT_H_
 
+#include <cstddef>
 #include <vector>
 
 #include "membership/types.h"
@@ -12,18 +14,19 @@
 
 constexpr std::size_t kMaxLogs = 256;          // of all members
 constexpr std::size_t kMaxLogsPerMember = 16;  // that one member may ask for
-constexpr std::size_t kMaxReplicasPerLog = 8;  // holders of one log
+constexpr std::size_t kMaxReplicasPerLog = 8;
 
-// What a member wants of its logs, asked with the view that is decided.
+// What a member wants of its logs, asked for with the view that is decided.
 struct LogRequest {
   NodeId member = 0;
   ProcessIncarnation process_incarnation = 0;
   std::vector<LogAssignment> logs;
 };
 
-// `next` has its epoch and its members; `decided` came before it. `open`: new logs may be opened.
+// `next` has its epoch and its members; `decided` is the view before it. `may_open`: new logs may
+// be opened.
 std::vector<LogAssignment> NextLogs(const View& decided, const View& next,
-                                    const std::vector<LogRequest>& wants, bool open);
+                                    const std::vector<LogRequest>& requests, bool may_open);
 
 }  // namespace millethollow::membership
 
--- a/src/membership/maintenance_registry.cpp
+++ b/src/membership/maintenance_registry.cpp
@@ -1,24 +1,24 @@
 #include "membership/maintenance_registry.h"
 
 #include <algorithm>
-#include <bit>
-#include <limits>
+#include <iterator>
+#include <utility>
 
 namespace millethollow::membership {
 namespace {
 
-constexpr std::size_t kMostTellings = 64;
-constexpr std::size_t kMaxCallers = 64;  // lives that called one worker out, remembered
+constexpr std::size_t kMaxUpdates = 64;            // of other members' records on their way on
+constexpr std::size_t kMaxDecidingProcesses = 64;  // remembered of one worker
 
-// Of the calls by hand alone: drains are told on but not compared, or those that one member forgets
-// it would learn from another for ever.
-std::uint64_t DigestOf(const MaintenanceRecord& f) {
-  if (f.decisions.empty()) return 0;
+// Of the decisions alone: drain notices are passed on but not compared, or those that one member
+// drops it would learn from another for ever.
+std::uint64_t DigestOf(const MaintenanceRecord& record) {
+  if (record.decisions.empty()) return 0;
   std::uint64_t hash = 0x9e3779b97f4a7c15ULL;
-  for (const char c : f.worker) hash = Mix(hash + static_cast<unsigned char>(c));
-  for (const auto& [process_incarnation, calls] : f.decisions) {
+  for (const char c : record.worker) hash = Mix(hash + static_cast<unsigned char>(c));
+  for (const auto& [process_incarnation, counts] : record.decisions) {
     hash =
-        Mix(hash + process_incarnation) ^ (std::uint64_t{calls.taken_out} << 32 | calls.put_back);
+        Mix(hash + process_incarnation) ^ (std::uint64_t{counts.taken_out} << 32 | counts.put_back);
   }
   return hash;
 }
@@ -26,8 +26,9 @@
 }  // namespace
 
 bool MaintenanceRecord::InMaintenance() const {
-  return std::any_of(decisions.begin(), decisions.end(),
-                     [](const auto& c) { return c.second.taken_out > c.second.put_back; });
+  return std::any_of(decisions.begin(), decisions.end(), [](const auto& decision) {
+    return decision.second.taken_out > decision.second.put_back;
+  });
 }
 
 MaintenanceRegistry::MaintenanceRegistry(NodeId self, ProcessIncarnation process_incarnation,
@@ -35,219 +36,249 @@
                                          double now)
     : self_(self),
       process_incarnation_(process_incarnation),
-      t_(timings),
+      timings_(timings),
       random_(seed),
-      tell_at_(now),
+      update_at_(now),
       compare_at_(now) {}
 
 double MaintenanceRegistry::NextAt() const {
-  return tellings_.empty() ? compare_at_ : std::min(tell_at_, compare_at_);
+  return updates_.empty() ? compare_at_ : std::min(update_at_, compare_at_);
 }
 
 bool MaintenanceRegistry::InMaintenance(const std::string& worker) const {
-  const auto it = facts_.find(worker);
-  return it != facts_.end() && it->second.fact.InMaintenance();
+  const auto it = entries_.find(worker);
+  return it != entries_.end() && it->second.record.InMaintenance();
 }
 
 std::vector<std::string> MaintenanceRegistry::WorkersInMaintenance() const {
-  std::vector<std::string> out;
-  for (const auto& [worker, kept] : facts_) {
-    if (kept.fact.InMaintenance()) out.push_back(worker);
+  std::vector<std::string> workers;
+  for (const auto& [worker, entry] : entries_) {
+    if (entry.record.InMaintenance()) workers.push_back(worker);
   }
-  return out;
-}
-
-// Room for a worker: where there is none, the one that was not spoken of for longest makes it, but
-// never one that is out.
-MaintenanceRegistry::Kept* MaintenanceRegistry::Keep(double now, const std::string& worker) {
-  const auto found = facts_.find(worker);
-  if (found != facts_.end()) return &found->second;
-  if (facts_.size() >= kMaxWorkers) {
-    auto oldest = facts_.end();
-    for (auto it = facts_.begin(); it != facts_.end(); ++it) {
-      if (it->second.fact.InMaintenance()) continue;
-      if (oldest == facts_.end() || it->second.spoken_at < oldest->second.spoken_at) oldest = it;
-    }
-    if (oldest == facts_.end()) return nullptr;
-    digest_ ^= DigestOf(oldest->second.fact);
-    facts_.erase(oldest);
+  return workers;
+}
+
+std::vector<MaintenanceRecord> MaintenanceRegistry::Records() const {
+  std::vector<MaintenanceRecord> records;
+  for (const auto& [worker, entry] : entries_) records.push_back(entry.record);
+  return records;
+}
+
+// ---- records ----
+
+MaintenanceRegistry::Entry* MaintenanceRegistry::FindOrMake(double now, const std::string& worker) {
+  const auto found = entries_.find(worker);
+  if (found != entries_.end()) return &found->second;
+  if (entries_.size() >= kMaxWorkers && !EvictOldest()) return nullptr;
+  Entry& entry = entries_[worker];
+  entry.record.worker = worker;
+  entry.mentioned_at = now;
+  digest_ ^= DigestOf(entry.record);
+  return &entry;
+}
+
+// The one that was mentioned longest ago, but never one in maintenance.
+bool MaintenanceRegistry::EvictOldest() {
+  auto oldest = entries_.end();
+  for (auto it = entries_.begin(); it != entries_.end(); ++it) {
+    if (it->second.record.InMaintenance()) continue;
+    const bool older =
+        oldest == entries_.end() || it->second.mentioned_at < oldest->second.mentioned_at;
+    if (older) oldest = it;
   }
-  Kept& kept = facts_[worker];
-  kept.fact.worker = worker;
-  kept.spoken_at = now;
-  digest_ ^= DigestOf(kept.fact);
-  return &kept;
+  if (oldest == entries_.end()) return false;
+  digest_ ^= DigestOf(oldest->second.record);
+  entries_.erase(oldest);
+  return true;
 }
 
-void MaintenanceRegistry::StartTelling(const std::string& worker, bool own) {
-  // What is told on may make room: comparing digests finds it.
-  if (tellings_.size() >= kMostTellings && !own) return;
-  std::erase_if(tellings_, [&](const Telling& t) { return t.worker == worker && !t.own; });
-  tellings_.push_back({++numbers_, worker, {}, t_.tellings, own});
+void MaintenanceRegistry::OnChanged(const std::string& worker, std::uint64_t digest_before) {
+  digest_ ^= digest_before ^ DigestOf(entries_[worker].record);
 }
 
 std::uint64_t MaintenanceRegistry::SetMaintenance(double now, const std::string& worker, bool out,
                                                   Actions* actions) {
-  Kept* kept = Keep(now, worker);
-  if (kept == nullptr) return 0;
-  const bool was = kept->fact.InMaintenance();
-  const std::uint64_t before = DigestOf(kept->fact);
-  kept->spoken_at = now;
-  if (out) {  // also where it is out: a call back at another node may not have known of that
-    auto& own = kept->fact.decisions[process_incarnation_];
+  Entry* entry = FindOrMake(now, worker);
+  if (entry == nullptr) return 0;
+  MaintenanceRecord& record = entry->record;
+  const bool was_out = record.InMaintenance();
+  const std::uint64_t digest_before = DigestOf(record);
+  entry->mentioned_at = now;
+  if (out) {  // also where it is out: a decision elsewhere to put it back may not know of that one
+    DecisionCounts& own = record.decisions[process_incarnation_];
     own.taken_out = std::max(own.taken_out, own.put_back) + 1;
   } else {
-    for (auto& [process_incarnation, calls] : kept->fact.decisions)
-      calls.put_back = std::max(calls.taken_out, calls.put_back);
+    for (auto& [process_incarnation, counts] : record.decisions) {
+      counts.put_back = std::max(counts.taken_out, counts.put_back);
+    }
   }
-  Changed(worker, before);
-  actions->changed.push_back(kept->fact);
-  if (was != out) (out ? actions->taken_out : actions->put_back).push_back(worker);
-  StartTelling(worker, true);
-  tell_at_ = now;
-  return numbers_;
-}
-
-void MaintenanceRegistry::Changed(const std::string& worker, std::uint64_t before) {
-  digest_ ^= before ^ DigestOf(facts_[worker].fact);
+  OnChanged(worker, digest_before);
+  actions->changed.push_back(record);
+  if (was_out != out) (out ? actions->taken_out : actions->put_back).push_back(worker);
+  StartUpdate(worker, true);
+  update_at_ = now;
+  return last_sequence_;
 }
 
 void MaintenanceRegistry::OnDrainNotice(double now, const std::string& worker, double started_at_s,
                                         bool gone) {
-  Kept* kept = Keep(now, worker);
-  if (kept == nullptr) return;
-  kept->spoken_at = now;
+  Entry* entry = FindOrMake(now, worker);
+  if (entry == nullptr) return;
+  entry->mentioned_at = now;
+  MaintenanceRecord& record = entry->record;
   const DrainState state = gone ? DrainState::kGone : DrainState::kDraining;
-  if (std::pair(started_at_s, state) <= std::pair(kept->fact.started_at_s, kept->fact.drain_state))
-    return;
-  const std::uint64_t before = DigestOf(kept->fact);
-  kept->fact.started_at_s = started_at_s;
-  kept->fact.drain_state = state;
-  Changed(worker, before);
-  StartTelling(worker, false);
-  tell_at_ = now;
-}
-
-void MaintenanceRegistry::Merge(double now, const MaintenanceRecord& fact, Actions* actions) {
-  Kept* kept = Keep(now, fact.worker);
-  if (kept == nullptr) return;
-  MaintenanceRecord& own = kept->fact;
-  const MaintenanceRecord old = own;
-  for (const auto& [process_incarnation, calls] : fact.decisions) {
-    if (own.decisions.size() >= kMaxCallers && !own.decisions.contains(process_incarnation))
-      continue;
-    auto& mine = own.decisions[process_incarnation];
-    mine = {std::max(mine.taken_out, calls.taken_out), std::max(mine.put_back, calls.put_back)};
+  const bool news =
+      std::pair(started_at_s, state) > std::pair(record.started_at_s, record.drain_state);
+  if (!news) return;
+  const std::uint64_t digest_before = DigestOf(record);
+  record.started_at_s = started_at_s;
+  record.drain_state = state;
+  OnChanged(worker, digest_before);
+  StartUpdate(worker, false);
+  update_at_ = now;
+}
+
+void MaintenanceRegistry::Merge(double now, const MaintenanceRecord& record, Actions* actions) {
+  Entry* entry = FindOrMake(now, record.worker);
+  if (entry == nullptr) return;
+  MaintenanceRecord& own = entry->record;
+  const MaintenanceRecord before = own;
+  for (const auto& [process_incarnation, counts] : record.decisions) {
+    const bool full = own.decisions.size() >= kMaxDecidingProcesses;
+    if (full && !own.decisions.contains(process_incarnation)) continue;
+    DecisionCounts& merged = own.decisions[process_incarnation];
+    merged = {std::max(merged.taken_out, counts.taken_out),
+              std::max(merged.put_back, counts.put_back)};
   }
-  const bool down =
-      std::pair(fact.started_at_s, fact.drain_state) > std::pair(own.started_at_s, own.drain_state);
-  if (down) {
-    own.started_at_s = fact.started_at_s;
-    own.drain_state = fact.drain_state;
+  const bool drain_news = std::pair(record.started_at_s, record.drain_state) >
+                          std::pair(own.started_at_s, own.drain_state);
+  if (drain_news) {
+    own.started_at_s = record.started_at_s;
+    own.drain_state = record.drain_state;
   }
-  if (own == old) return;
-  kept->spoken_at = now;
-  Changed(fact.worker, DigestOf(old));
-  if (old.InMaintenance() != own.InMaintenance())
-    (own.InMaintenance() ? actions->taken_out : actions->put_back).push_back(fact.worker);
-  if (down) actions->drains.push_back(own);
-  if (old.decisions != own.decisions) actions->changed.push_back(own);
-  StartTelling(fact.worker, false);
-  tell_at_ = std::min(tell_at_, now);
+  if (own == before) return;
+  entry->mentioned_at = now;
+  OnChanged(record.worker, DigestOf(before));
+  const bool out = own.InMaintenance();
+  if (before.InMaintenance() != out) {
+    (out ? actions->taken_out : actions->put_back).push_back(record.worker);
+  }
+  if (drain_news) actions->drains.push_back(own);
+  if (before.decisions != own.decisions) actions->changed.push_back(own);
+  StartUpdate(record.worker, false);
+  update_at_ = std::min(update_at_, now);
 }
 
-void MaintenanceRegistry::Restore(double now, const MaintenanceRecord& fact) {
-  Kept* kept = Keep(now, fact.worker);
-  if (kept == nullptr) return;
-  const std::uint64_t before = DigestOf(kept->fact);
-  kept->fact = fact;
-  Changed(fact.worker, before);
+void MaintenanceRegistry::Restore(double now, const MaintenanceRecord& record) {
+  Entry* entry = FindOrMake(now, record.worker);
+  if (entry == nullptr) return;
+  const std::uint64_t digest_before = DigestOf(entry->record);
+  entry->record = record;
+  OnChanged(record.worker, digest_before);
 }
 
-std::vector<MaintenanceRecord> MaintenanceRegistry::Records() const {
-  std::vector<MaintenanceRecord> all;
-  for (const auto& [worker, kept] : facts_) all.push_back(kept.fact);
-  return all;
-}
-
-MaintenanceGossip MaintenanceRegistry::All() const {
-  MaintenanceGossip news;
-  news.digest = digest_;
-  auto it = facts_.upper_bound(next_sent_);
-  for (std::size_t n = 0; n < facts_.size() && news.records.size() < MaintenanceGossip::kMost;
-       ++n, ++it) {
-    if (it == facts_.end()) it = facts_.begin();
-    if (!it->second.fact.decisions.empty()) news.records.push_back(it->second.fact);
+// ---- gossip ----
+
+void MaintenanceRegistry::StartUpdate(const std::string& worker, bool own) {
+  // What is only passed on is dropped where there are too many: anti-entropy finds it.
+  if (updates_.size() >= kMaxUpdates && !own) return;
+  std::erase_if(updates_, [&](const Update& u) { return u.worker == worker && !u.own; });
+  updates_.push_back({++last_sequence_, worker, {}, timings_.max_transmissions, own});
+}
+
+MaintenanceGossip MaintenanceRegistry::NextRecords() const {
+  MaintenanceGossip gossip;
+  gossip.digest = digest_;
+  auto it = entries_.upper_bound(last_sent_worker_);
+  for (std::size_t n = 0; n < entries_.size(); ++n, ++it) {
+    if (gossip.records.size() >= MaintenanceGossip::kMaxRecords) break;
+    if (it == entries_.end()) it = entries_.begin();
+    if (!it->second.record.decisions.empty()) gossip.records.push_back(it->second.record);
   }
-  return news;
+  return gossip;
 }
 
-void MaintenanceRegistry::OnGossip(double now, NodeId from, const MaintenanceGossip& news,
+void MaintenanceRegistry::OnAck(NodeId from, std::uint64_t sequence, Actions* actions) {
+  const auto update = std::find_if(updates_.begin(), updates_.end(),
+                                   [&](const Update& u) { return u.sequence == sequence; });
+  if (update == updates_.end()) return;
+  update->acked_by.insert(from);
+  if (std::exchange(update->own, false)) actions->replicated.push_back(sequence);
+}
+
+void MaintenanceRegistry::OnGossip(double now, NodeId from, const MaintenanceGossip& gossip,
                                    Actions* actions) {
-  for (std::size_t i = 0; i < std::min(news.records.size(), MaintenanceGossip::kMost); ++i) {
-    Merge(now, news.records[i], actions);
-  }
-  for (std::size_t i = 0; i < tellings_.size(); ++i) {
-    Telling& t = tellings_[i];
-    if (t.number != news.acked_sequence) continue;
-    t.told.insert(from);
-    if (std::exchange(t.own, false)) actions->replicated.push_back(t.number);
-    break;
-  }
-  // Whatever it has that we have not came with this, or comes with its answer to ours.
-  if (news.digest == digest_) synced_ = true;
+  const std::size_t records = std::min(gossip.records.size(), MaintenanceGossip::kMaxRecords);
+  for (std::size_t i = 0; i < records; ++i) Merge(now, gossip.records[i], actions);
+  OnAck(from, gossip.acked_sequence, actions);
+  // Whatever the sender has that we have not came with this, or comes with its reply to ours.
+  if (gossip.digest == digest_) synced_ = true;
+  if (!gossip.request_all && gossip.sequence == 0) return;
   MaintenanceGossip reply;
   reply.digest = digest_;
-  reply.acked_sequence = news.sequence;
-  const bool differs = news.request_all && news.digest != digest_;
-  if (differs) {
-    reply = All();
-    reply.acked_sequence = news.sequence;
-    if (!reply.records.empty()) next_sent_ = reply.records.back().worker;
+  if (gossip.request_all && gossip.digest != digest_) {
+    reply = NextRecords();
+    if (!reply.records.empty()) last_sent_worker_ = reply.records.back().worker;
   }
-  if (news.request_all || news.sequence != 0) actions->send.emplace_back(from, std::move(reply));
+  reply.acked_sequence = gossip.sequence;
+  actions->send.emplace_back(from, std::move(reply));
 }
 
-void MaintenanceRegistry::Tick(double now, const std::vector<NodeId>& alive, Actions* actions) {
-  if (!tellings_.empty() && tell_at_ <= now) {
-    tell_at_ = now + t_.retransmit_interval_s;
-    std::erase_if(tellings_, [this](const Telling& t) { return !facts_.contains(t.worker); });
-    for (Telling& t : tellings_) {
-      std::vector<NodeId> to;
-      for (const NodeId id : alive) {
-        if (!t.told.contains(id)) to.push_back(id);
-      }
-      t.left = to.empty() ? 0 : t.left - 1;
-      for (int n = 0; n < t_.fanout && !to.empty(); ++n) {
-        const std::size_t pick = random_.Below(to.size());
-        MaintenanceGossip news;
-        news.digest = digest_;
-        news.sequence = t.number;
-        news.records.push_back(facts_[t.worker].fact);
-        actions->send.emplace_back(to[pick], std::move(news));
-        to[pick] = to.back();
-        to.pop_back();
-      }
-    }
-    std::erase_if(tellings_, [](const Telling& t) { return t.left <= 0; });
+void MaintenanceRegistry::SendUpdate(const std::vector<NodeId>& alive, Update* update,
+                                     Actions* actions) {
+  std::vector<NodeId> to;
+  for (const NodeId id : alive) {
+    if (!update->acked_by.contains(id)) to.push_back(id);
   }
-  if (compare_at_ <= now) {
-    compare_at_ =
-        now + (synced_ ? t_.digest_interval_s : t_.retransmit_interval_s) * (0.5 + random_.Unit());
-    if (alive.empty()) synced_ = true;  // nobody is there who could know better
-    if (!alive.empty()) {
-      MaintenanceGossip news = All();
-      if (!news.records.empty()) next_sent_ = news.records.back().worker;
-      if (synced_) news.records.clear();
-      news.request_all = true;
-      actions->send.emplace_back(alive[random_.Below(alive.size())], std::move(news));
-    }
-    for (auto it = facts_.begin(); it != facts_.end();) {
-      const bool calls = !it->second.fact.decisions.empty();
-      const bool keep = calls || now - it->second.spoken_at < t_.drain_retention_s;
-      it = keep ? std::next(it) : facts_.erase(it);
-    }
+  update->transmissions_left = to.empty() ? 0 : update->transmissions_left - 1;
+  for (int n = 0; n < timings_.fanout && !to.empty(); ++n) {
+    const std::size_t pick = random_.Below(to.size());
+    MaintenanceGossip gossip;
+    gossip.digest = digest_;
+    gossip.sequence = update->sequence;
+    gossip.records.push_back(entries_[update->worker].record);
+    actions->send.emplace_back(to[pick], std::move(gossip));
+    to[pick] = to.back();
+    to.pop_back();
   }
 }
 
+void MaintenanceRegistry::SendUpdates(double now, const std::vector<NodeId>& alive,
+                                      Actions* actions) {
+  update_at_ = now + timings_.retransmit_interval_s;
+  std::erase_if(updates_, [this](const Update& u) { return !entries_.contains(u.worker); });
+  for (Update& update : updates_) SendUpdate(alive, &update, actions);
+  std::erase_if(updates_, [](const Update& u) { return u.transmissions_left <= 0; });
+}
+
+void MaintenanceRegistry::CompareDigests(double now, const std::vector<NodeId>& alive,
+                                         Actions* actions) {
+  const double interval_s = synced_ ? timings_.digest_interval_s : timings_.retransmit_interval_s;
+  compare_at_ = now + interval_s * (0.5 + random_.Unit());
+  if (alive.empty()) {
+    synced_ = true;  // nobody is there who could know more
+    return;
+  }
+  MaintenanceGossip gossip = NextRecords();
+  if (!gossip.records.empty()) last_sent_worker_ = gossip.records.back().worker;
+  if (synced_) gossip.records.clear();
+  gossip.request_all = true;
+  actions->send.emplace_back(alive[random_.Below(alive.size())], std::move(gossip));
+}
+
+void MaintenanceRegistry::DropOldDrains(double now) {
+  std::erase_if(entries_, [&](const auto& item) {
+    const Entry& entry = item.second;
+    const bool recent = now - entry.mentioned_at < timings_.drain_retention_s;
+    return entry.record.decisions.empty() && !recent;
+  });
+}
+
+void MaintenanceRegistry::Tick(double now, const std::vector<NodeId>& alive, Actions* actions) {
+  if (!updates_.empty() && update_at_ <= now) SendUpdates(now, alive, actions);
+  if (compare_at_ > now) return;
+  CompareDigests(now, alive, actions);
+  DropOldDrains(now);
+}
+
 }  // namespace millethollow::membership
--- a/src/membership/maintenance_registry.h
+++ b/src/membership/maintenance_registry.h
@@ -1,14 +1,17 @@
-// What is said once to any member and holds on all: workers out by hand, and drains that discovery
-// told to one. Each fact merges the same in any order and any number of times, so news of it may be
-// lost, doubled and late; two sides of a cut merge when it is healed. A worker taken out is out
-// until a call back that came after it: a call back ends the calls out that its node knew, and no
-// others (an observed-remove set: Shapiro, Preguica, Baquero, Zawirski 2011).
+// Replicated maintenance state of workers: operators' decisions to take a worker out or put it
+// back, and drain notices that discovery gave to one member. Made at any member, they hold at all.
+// Records merge the same in any order and any number of times, so gossip of them may be lost,
+// duplicated and late; two sides of a partition merge when it is healed. A worker taken out stays
+// out until a later decision to put it back: that one revokes the decisions that its member knew,
+// and no others (an observed-remove set: Shapiro, Preguica, Baquero, Zawirski 2011).
 //
-// Decides only. State is bounded by kMaxWorkers; news goes to a few members at random and on from
-// there, and members whose digests differ exchange all they have (Demers et al. 1987).
+// Decides only; not thread-safe. State is bounded by kMaxWorkers. An update goes to a few members
+// at random and on from there (rumor mongering), and members whose digests differ exchange all
+// records (anti-entropy; Demers et al. 1987). Times are seconds on the member's clock.
 #ifndef MILLETHOLLOW_MEMBERSHIP_MAINTENANCE_REGISTRY_H_
 #define MILLETHOLLOW_MEMBERSHIP_MAINTENANCE_REGISTRY_H_
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <set>
@@ -30,31 +33,30 @@
 
 struct MaintenanceRecord {
   std::string worker;
-  // By the life that took it out: how often, and how many of these were called back.
-  std::map<ProcessIncarnation, DecisionCounts> decisions;
-  // The latest drain that was told: the worker's start that it speaks of (Unix seconds), and what:
-  // 0 nothing, 1 drains, 2 gone.
+  std::map<ProcessIncarnation, DecisionCounts> decisions;  // by the process that took it out
+  // The latest drain notice: the start time of the worker that it is about (Unix seconds).
   double started_at_s = 0;
   DrainState drain_state = DrainState::kNone;
   bool InMaintenance() const;
   bool operator==(const MaintenanceRecord&) const = default;
 };
 
+// A message between two registries.
 struct MaintenanceGossip {
-  static constexpr std::size_t kMost = 12;  // facts in one frame
-  std::uint64_t digest = 0;                 // of all that the sender has
-  std::uint64_t sequence = 0;               // to be answered with; 0: this is no telling
-  std::uint64_t acked_sequence = 0;         // the number of a telling that has come
-  bool request_all = false;                 // for all that the receiver has, where digests differ
+  static constexpr std::size_t kMaxRecords = 12;
+  std::uint64_t digest = 0;          // of all records of the sender
+  std::uint64_t sequence = 0;        // to be acknowledged; 0: no update
+  std::uint64_t acked_sequence = 0;  // of an update that has come
+  bool request_all = false;          // for all records of the receiver, where digests differ
   std::vector<MaintenanceRecord> records;
 };
 
 struct MaintenanceTimings {
-  double retransmit_interval_s = 0.1;  // an unanswered telling is told again, to others too
-  double digest_interval_s = 1.0;      // digests are compared with one member this often
-  double drain_retention_s = 300.0;    // a drain that nobody spoke of for so long
+  double retransmit_interval_s = 0.1;  // of an update, to further members
+  double digest_interval_s = 1.0;      // between comparisons of digests with one member
+  double drain_retention_s = 300.0;    // a drain notice is dropped so long after the last mention
   int fanout = 3;
-  int tellings = 12;  // of one fact, until comparing digests must do
+  int max_transmissions = 12;  // of one update, until anti-entropy must do
 };
 
 class MaintenanceRegistry {
@@ -62,61 +64,72 @@
   static constexpr std::size_t kMaxWorkers = 2048;
   struct Actions {
     std::vector<std::pair<NodeId, MaintenanceGossip>> send;
-    std::vector<std::string> taken_out, put_back;  // workers whose calls changed so
-    std::vector<MaintenanceRecord> drains;         // drains that were news
-    std::vector<MaintenanceRecord> changed;  // calls by hand, as they are now: to be kept on disk
-    std::vector<std::uint64_t>
-        replicated;  // numbers of SetMaintenance() that another member has now
+    std::vector<std::string> taken_out, put_back;  // workers whose state changed so
+    std::vector<MaintenanceRecord> drains;         // with a new drain notice
+    std::vector<MaintenanceRecord> changed;        // with new decisions: to be kept on disk
+    // Numbers of SetMaintenance() whose decision another member has now.
+    std::vector<std::uint64_t> replicated;
   };
 
   MaintenanceRegistry(NodeId self, ProcessIncarnation process_incarnation,
                       const MaintenanceTimings& timings, std::uint64_t seed, double now);
 
-  // `alive`: the other members that are there. Returns the number under which replicated comes, and
-  // 0 where the store is full of workers that are out.
+  // An operator's decision at this member. Returns the number that comes in Actions::replicated, or
+  // 0 where kMaxWorkers are in maintenance.
   std::uint64_t SetMaintenance(double now, const std::string& worker, bool out, Actions* actions);
+  // Discovery has told this member that the worker drains, or is gone.
   void OnDrainNotice(double now, const std::string& worker, double started_at_s, bool gone);
-  // What this member's disk had: before any other event. Told to nobody; comparing finds it.
-  void Restore(double now, const MaintenanceRecord& fact);
-  void OnGossip(double now, NodeId from, const MaintenanceGossip& news, Actions* actions);
+  // A record from this member's disk, before any other event. Not gossiped; anti-entropy finds it.
+  void Restore(double now, const MaintenanceRecord& record);
+  void OnGossip(double now, NodeId from, const MaintenanceGossip& gossip, Actions* actions);
+  // `alive`: the other members that are.
   void Tick(double now, const std::vector<NodeId>& alive, Actions* actions);
-  double NextAt() const;
+  double NextAt() const;  // when Tick is due
 
   bool InMaintenance(const std::string& worker) const;
   std::vector<std::string> WorkersInMaintenance() const;
-  std::size_t size() const { return facts_.size(); }
-  std::vector<MaintenanceRecord> Records() const;  // all there are
-  // Has another member compared its facts with ours since the start?
+  std::size_t size() const { return entries_.size(); }
+  std::vector<MaintenanceRecord> Records() const;
+  // Has another member compared its records with ours since the start?
   bool synced() const { return synced_; }
   std::uint64_t digest() const { return digest_; }
 
  private:
-  struct Kept {
-    MaintenanceRecord fact;
-    double spoken_at = 0;
+  struct Entry {
+    MaintenanceRecord record;
+    double mentioned_at = 0;
   };
-  struct Telling {
-    std::uint64_t number = 0;
+  struct Update {  // a record on its way to the other members
+    std::uint64_t sequence = 0;
     std::string worker;
-    std::set<NodeId> told;
-    int left = 0;
-    bool own = false;  // somebody waits to hear of it
+    std::set<NodeId> acked_by;
+    int transmissions_left = 0;
+    bool own = false;  // made here: the caller waits for its replication
   };
-  void Merge(double now, const MaintenanceRecord& fact, Actions* actions);
-  MaintenanceGossip All() const;
-  Kept* Keep(double now, const std::string& worker);
-  void Changed(const std::string& worker, std::uint64_t before);
-  void StartTelling(const std::string& worker, bool own);
+
+  // The worker's entry, made where there is none; null where there is no room.
+  Entry* FindOrMake(double now, const std::string& worker);
+  bool EvictOldest();
+  void OnChanged(const std::string& worker, std::uint64_t digest_before);
+  void StartUpdate(const std::string& worker, bool own);
+  void Merge(double now, const MaintenanceRecord& record, Actions* actions);
+  void OnAck(NodeId from, std::uint64_t sequence, Actions* actions);
+  void SendUpdates(double now, const std::vector<NodeId>& alive, Actions* actions);
+  void SendUpdate(const std::vector<NodeId>& alive, Update* update, Actions* actions);
+  void CompareDigests(double now, const std::vector<NodeId>& alive, Actions* actions);
+  void DropOldDrains(double now);
+  // The next records that have decisions, after last_sent_worker_ in turn.
+  MaintenanceGossip NextRecords() const;
 
   NodeId self_;
   ProcessIncarnation process_incarnation_;
-  MaintenanceTimings t_;
+  MaintenanceTimings timings_;
   Random random_;
-  std::map<std::string, Kept> facts_;
-  std::uint64_t digest_ = 0, numbers_ = 0;
-  std::vector<Telling> tellings_;
-  double tell_at_, compare_at_;
-  std::string next_sent_;  // of all, where they don't fit in one frame
+  std::map<std::string, Entry> entries_;
+  std::uint64_t digest_ = 0, last_sequence_ = 0;
+  std::vector<Update> updates_;
+  double update_at_, compare_at_;
+  std::string last_sent_worker_;  // of all records, where they don't fit in one frame
   bool synced_ = false;
 };
 
--- a/src/membership/membership_node.cpp
+++ b/src/membership/membership_node.cpp
@@ -7,9 +7,9 @@
 namespace millethollow::membership {
 namespace {
 
-// Of the lease: a process that was silent for so long may be followed by another.
-constexpr double kSilentShare = 0.5;
-constexpr double kBreakS = 1.0;
+// A process that was silent for this fraction of the lease may be succeeded by another.
+constexpr double kSilentLeaseFraction = 0.5;
+constexpr double kRivalBreakS = 1.0;
 
 std::vector<NodeId> Ids(const MembershipNode::Options& options, bool voters_only) {
   std::vector<NodeId> ids;
@@ -20,59 +20,60 @@
   return ids;
 }
 
-Leader::Places PlacesOf(const MembershipNode::Options& options) {
-  Leader::Places places;
-  for (const auto& m : options.members) places.emplace(m.id, m.failure_domain);
-  return places;
+Leader::FailureDomains FailureDomainsOf(const MembershipNode::Options& options) {
+  Leader::FailureDomains domains;
+  for (const auto& m : options.members) domains.emplace(m.id, m.failure_domain);
+  return domains;
 }
 
 }  // namespace
 
-MembershipNode::MembershipNode(const Options& options, PersistentVoterState votes,
+MembershipNode::MembershipNode(const Options& options, PersistentVoterState voter_state,
                                std::uint64_t seed, double now)
     : options_(options),
       detector_(options.self, Ids(options, false), options.detector, seed, now),
       agreement_({.self = options.self,
                   .process_incarnation = options.process_incarnation,
                   .voters = Ids(options, true),
-                  .members = PlacesOf(options),
+                  .members = FailureDomainsOf(options),
                   .timings = options.agreement},
-                 std::move(votes), seed ^ 0x9e3779b97f4a7c15ULL, now),
+                 std::move(voter_state), seed ^ 0x9e3779b97f4a7c15ULL, now),
       maintenance_(options.self, options.process_incarnation, options.maintenance, seed + 1, now) {}
 
-// Two processes under one id: who was there first is listened to until it is silent.
+// Two processes under one id: the one that was there first is accepted until it is silent.
 bool MembershipNode::AcceptsProcess(double now, NodeId from,
                                     ProcessIncarnation process_incarnation) {
   if (detector_.Find(from) == nullptr) return false;
-  Heard& heard = heard_[from];
-  const double silent_s = kSilentShare * options_.agreement.lease_s;
-  if (heard.process_incarnation != 0 && heard.process_incarnation != process_incarnation &&
-      now - heard.at < silent_s) {
-    // Heard of without a break: one that was stopped itself finds late words of the gone and words
-    // of its follower side by side.
-    if (heard.rival != process_incarnation || now - heard.rival_at > kBreakS)
-      heard.rival_since = now;
-    heard.rival = process_incarnation;
-    heard.rival_at = now;
+  AcceptedProcess& accepted = accepted_processes_[from];
+  const bool other = accepted.process_incarnation != process_incarnation;
+  const double silent_s = kSilentLeaseFraction * options_.agreement.lease_s;
+  const bool present = accepted.process_incarnation != 0 && now - accepted.heard_at < silent_s;
+  if (other && present) {
+    // Heard without a break: a process that was paused itself finds late messages of the one that
+    // ended beside those of its successor.
+    const bool first = accepted.rival != process_incarnation;
+    if (first || now - accepted.rival_heard_at > kRivalBreakS) accepted.rival_since = now;
+    accepted.rival = process_incarnation;
+    accepted.rival_heard_at = now;
     return false;
   }
-  if (heard.process_incarnation != process_incarnation)
-    heard = {.process_incarnation = process_incarnation};
-  heard.at = now;
+  if (other) accepted = {.process_incarnation = process_incarnation};
+  accepted.heard_at = now;
   return true;
 }
 
-void MembershipNode::Take(FailureDetector::Actions* from, Actions* to) {
-  for (FailureDetector::Out& out : from->send) to->send.emplace_back(out.to, std::move(out.probe));
+void MembershipNode::Merge(FailureDetector::Actions* from, Actions* to) {
+  for (FailureDetector::Outgoing& out : from->send)
+    to->send.emplace_back(out.to, std::move(out.message));
   for (const HealthChange& change : from->changes) {
     agreement_.OnHealthChange(change);
-    // Whoever says that it goes may be followed at once.
-    if (change.health == Health::kLeft) heard_.erase(change.member);
+    // A member that leaves may be succeeded at once.
+    if (change.health == Health::kLeft) accepted_processes_.erase(change.member);
     to->changes.push_back(change);
   }
 }
 
-void MembershipNode::Take(ViewAgreement::Actions* from, Actions* to) {
+void MembershipNode::Merge(ViewAgreement::Actions* from, Actions* to) {
   for (OutgoingMessage& sent : from->send) to->send.emplace_back(sent.to, std::move(sent.message));
   to->write |= from->write;
   to->ticket = std::max(to->ticket, from->ticket);
@@ -81,12 +82,13 @@
 }
 
 void MembershipNode::SendMaintenance(Actions* actions) {
-  for (auto& [to, news] : actions->maintenance.send)
-    actions->send.emplace_back(to, std::move(news));
+  for (auto& [to, gossip] : actions->maintenance.send) {
+    actions->send.emplace_back(to, std::move(gossip));
+  }
   actions->maintenance.send.clear();
 }
 
-std::vector<NodeId> MembershipNode::Alive() const {
+std::vector<NodeId> MembershipNode::AliveOthers() const {
   std::vector<NodeId> alive;
   for (const FailureDetector::Member& m : detector_.members()) {
     if (m.id != options_.self && m.health <= Health::kSuspect) alive.push_back(m.id);
@@ -97,7 +99,7 @@
 std::uint64_t MembershipNode::SetMaintenance(double now, const std::string& worker, bool out,
                                              Actions* actions) {
   const std::uint64_t number = maintenance_.SetMaintenance(now, worker, out, &actions->maintenance);
-  maintenance_.Tick(now, Alive(), &actions->maintenance);
+  maintenance_.Tick(now, AliveOthers(), &actions->maintenance);
   SendMaintenance(actions);
   return number;
 }
@@ -106,26 +108,24 @@
                              const Frame& frame, Actions* actions) {
   if (from == options_.self || agreement_.superseded()) return;
   if (!AcceptsProcess(now, from, process_incarnation)) {
-    AgreementMessage taken;
-    taken.kind = AgreementMessage::Kind::kTaken;
-    const Heard& heard = heard_[from];
-    taken.process_incarnation = heard.process_incarnation;
-    // Late words of one that is gone come before the first of its follower, or soon after.
-    taken.yes = heard.at - heard.rival_since > options_.agreement.lease_s;
-    actions->answer = std::move(taken);
+    const AcceptedProcess& accepted = accepted_processes_[from];
+    // Late messages of one that ended come before the first of its successor, or soon after.
+    const bool both_present = accepted.heard_at - accepted.rival_since > options_.agreement.lease_s;
+    actions->answer = IdentityConflict{.process_incarnation = accepted.process_incarnation,
+                                       .both_present = both_present};
     return;
   }
-  if (const auto* probe = std::get_if<SwimMessage>(&frame)) {
+  if (const auto* message = std::get_if<SwimMessage>(&frame)) {
     FailureDetector::Actions a;
-    detector_.OnMessage(now, from, *probe, &a);
-    Take(&a, actions);
-  } else if (const auto* news = std::get_if<MaintenanceGossip>(&frame)) {
-    maintenance_.OnGossip(now, from, *news, &actions->maintenance);
+    detector_.OnMessage(now, from, *message, &a);
+    Merge(&a, actions);
+  } else if (const auto* gossip = std::get_if<MaintenanceGossip>(&frame)) {
+    maintenance_.OnGossip(now, from, *gossip, &actions->maintenance);
     SendMaintenance(actions);
   } else {
     ViewAgreement::Actions a;
     agreement_.OnMessage(now, from, process_incarnation, std::get<AgreementMessage>(frame), &a);
-    Take(&a, actions);
+    Merge(&a, actions);
   }
 }
 
@@ -133,27 +133,27 @@
   if (agreement_.superseded()) return;
   FailureDetector::Actions d;
   if (detector_.NextAt() <= now) detector_.Tick(now, &d);
-  Take(&d, actions);
+  Merge(&d, actions);
   ViewAgreement::Actions a;
   agreement_.Tick(now, &a);
-  Take(&a, actions);
-  if (maintenance_.NextAt() <= now) maintenance_.Tick(now, Alive(), &actions->maintenance);
+  Merge(&a, actions);
+  if (maintenance_.NextAt() <= now) maintenance_.Tick(now, AliveOthers(), &actions->maintenance);
   SendMaintenance(actions);
 }
 
 void MembershipNode::OnStored(double now, std::uint64_t ticket, Actions* actions) {
   ViewAgreement::Actions a;
   agreement_.OnStored(now, ticket, &a);
-  Take(&a, actions);
+  Merge(&a, actions);
 }
 
 void MembershipNode::Leave(double now, Actions* actions) {
   ViewAgreement::Actions a;
   agreement_.Leave(now, &a);
-  Take(&a, actions);
+  Merge(&a, actions);
   FailureDetector::Actions d;
   detector_.Leave(now, &d);
-  Take(&d, actions);
+  Merge(&d, actions);
 }
 
 double MembershipNode::NextAt() const {
@@ -162,11 +162,11 @@
 }
 
 double MembershipNode::FleetShare(double now) const {
-  const auto all = static_cast<double>(options_.members.size());
-  const double kept_back = options_.isolated_share / all;
-  if (!agreement_.HoldsLease(now)) return kept_back;
-  const auto here = static_cast<double>(agreement_.view().members.size());
-  return (1 - (all - here) * kept_back) / here;
+  const auto members = static_cast<double>(options_.members.size());
+  const double isolated_share = options_.isolated_share / members;
+  if (!agreement_.HoldsLease(now)) return isolated_share;
+  const auto in_view = static_cast<double>(agreement_.view().members.size());
+  return (1 - (members - in_view) * isolated_share) / in_view;
 }
 
 }  // namespace millethollow::membership
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -1,63 +1,156 @@
-// What members say to each other to agree. Any message may be lost, doubled, late or out of order.
+// Messages of view agreement between members: a type for each kind. Any message may be lost,
+// duplicated, late or out of order. Their wire form is in codec/membership.cpp.
 #ifndef MILLETHOLLOW_MEMBERSHIP_MESSAGE_H_
 #define MILLETHOLLOW_MEMBERSHIP_MESSAGE_H_
 
-#include <utility>
+#include <variant>
 #include <vector>
 
 #include "membership/types.h"
 
 namespace millethollow::membership {
 
-using StorageIdentities = std::vector<std::pair<NodeId, StorageIdentity>>;  // by rising id
-
-// Logs are opened once all voters know them: one that does not would propose views without them.
-constexpr std::uint8_t kKnowsLogs = 1;
-
-struct AgreementMessage {
-  enum class Kind : std::uint8_t {
-    // A voter that starts: what do you know of my mind? Then: note that it is this from now on.
-    kWho,      // number: nonce; count: own writes
-    kKnown,    // number: nonce; minds; count: the writes that I saw; yes: I never promised anything
-    kClaim,    // mind
-    kClaimed,  // mind, and ballot, accepted_by, view as in a promise
-    // Votes.
-    kMiss,      // do you miss the leader?  number: of the question
-    kMissed,    // number; yes
-    kPrepare,   // ballot
-    kPromise,   // ballot, accepted_by, view
-    kPropose,   // ballot, view, quorum
-    kAccepted,  // ballot, number: epoch
-    kRefused,   // ballot: the higher one
-    kBeat,      // ballot, number: of the beat, quorum
-    kBeaten,    // ballot, number
-    // To and from any member.
-    kDecided,  // view
-    kRenew,    // number: epoch known; asked_at; life; disk; logs; origin, by a voter that passes on
-    kGrant,    // number: epoch; asked_at; span
-    kElsewhere,  // ballot: of the leader, as far as known
-    kTaken,      // life: of the other process of the same member; yes: it spoke after this one
-                 // had been there for a while, so both are there
-    kRelease,    // this life needs no lease any more
-  };
-  Kind kind = Kind::kRenew;
+// A voter and its storage identity, as somebody knows it.
+struct VoterIdentity {
+  NodeId id = 0;
+  StorageIdentity storage_identity;
+};
+using VoterIdentities = std::vector<VoterIdentity>;  // by rising id
+
+// VoterHeader::features from which on a build reads and writes logs in views. Logs are opened once
+// all voters know them: one that does not would propose views without them.
+constexpr std::uint8_t kLogsFeature = 1;
+
+// What each message of a voter says about its sender's storage.
+struct VoterHeader {
+  StorageIdentity storage_identity;  // number 0: it has none yet
+  VoterIdentities known_identities;  // of all voters, its own among them
+  std::uint64_t writes = 0;          // VoterState::writes of the sender
+  std::uint8_t features = 0;         // of the sender's build; 0: the first one
+};
+
+// ---- recovery of a voter's storage identity ----
+
+// A voter that starts asks what the others know of its storage identity.
+struct IdentityQuery {
+  VoterHeader voter;
+  std::uint64_t nonce = 0;
+};
+// `voter.writes` is not sent: in its place goes what the replier has seen of the asker's writes.
+struct IdentityReply {
+  VoterHeader voter;
+  std::uint64_t nonce = 0;
+  std::uint64_t writes_seen = 0;
+  bool never_promised = false;  // the replier has no vote on record
+};
+// A voter that lost its disk: from now on it has the identity in `voter.storage_identity`.
+struct IdentityClaim {
+  VoterHeader voter;
+  std::uint64_t nonce = 0;
+};
+// `voter.storage_identity` is the one that was claimed.
+struct IdentityClaimAck {
+  VoterHeader voter;
+  Ballot promised, accepted_by;
+  View accepted;
+};
+
+// ---- elections and votes ----
+
+// Does the receiver miss the leader too? Asked before a ballot is opened.
+struct LeaderLossQuery {
+  VoterHeader voter;
+  std::uint64_t query_number = 0;
+};
+struct LeaderLossReply {
+  VoterHeader voter;
+  Ballot promised;
+  std::uint64_t query_number = 0;
+  bool leader_lost = false;
+};
+struct Prepare {
+  VoterHeader voter;
+  Ballot ballot;
+};
+struct Promise {
+  VoterHeader voter;
   Ballot ballot, accepted_by;
+  View accepted;
+};
+struct Propose {
+  VoterHeader voter;
+  Ballot ballot;
   View view;
-  StorageIdentity storage_identity;      // of a voter that speaks; number 0: it has none yet
-  StorageIdentities storage_identities;  // all that a voter knows, its own among them
-  StorageIdentities quorum;              // those whose promise made the leader
-  std::uint64_t number = 0, count = 0;
+  VoterIdentities quorum;  // whose promises made the leader
+};
+struct Accepted {
+  VoterHeader voter;
+  Ballot ballot;
+  std::uint64_t epoch = 0;
+};
+struct Rejection {
+  VoterHeader voter;
+  Ballot promised;  // the higher one
+};
+struct Heartbeat {
+  VoterHeader voter;
+  Ballot ballot;
+  VoterIdentities quorum;
+  std::uint64_t sequence = 0;
+};
+struct HeartbeatAck {
+  VoterHeader voter;
+  Ballot ballot;
+  std::uint64_t sequence = 0;
+};
+
+// ---- to and from any member ----
+// `origin`: where a voter in between passes the message on, the member that asked; else 0.
+
+struct ViewDecided {
+  View view;
+  NodeId origin = 0;
+};
+struct LeaseRequest {
+  std::uint64_t epoch = 0;  // of the latest view that the member knows
+  ProcessIncarnation process_incarnation = 0;
+  double requested_at_s = 0;  // on the clock of the member that asks
+  NodeId origin = 0;
+  std::uint64_t store_id = 0;              // of its store of copies; 0: none
+  std::vector<LogAssignment> wanted_logs;  // as LogRequest::logs
+};
+struct LeaseGrant {
+  Ballot ballot;
+  std::uint64_t epoch = 0;
+  ProcessIncarnation process_incarnation = 0;
+  double requested_at_s = 0;  // as in the request
+  double duration_s = 0;      // from requested_at_s
+  NodeId origin = 0;
+};
+// The leader is another, as far as the sender knows: ballot.proposer.
+struct LeaderRedirect {
+  Ballot ballot;
+  NodeId origin = 0;
+};
+// Another process speaks under the receiver's member id.
+struct IdentityConflict {
+  ProcessIncarnation process_incarnation = 0;  // of the other process
+  bool both_present = false;  // neither of them is a late message of one that ended
+  NodeId origin = 0;
+};
+// This process needs no lease any more.
+struct LeaseRelease {
   ProcessIncarnation process_incarnation = 0;
-  NodeId origin = 0;    // whose renewal it is, or who is answered, by way of a voter in between
-  double asked_at = 0;  // on the clock of the member that asked; seconds
-  double span = 0;      // of a lease, from asked_at; seconds
-  bool yes = false;
-  std::uint64_t store_id = 0;       // kRenew: of the copies' store
-  std::vector<LogAssignment> logs;  // kRenew: what it wants of its logs
-  // What the build of a voter that speaks knows beside the first one's: 1 and more, logs in views.
-  std::uint8_t knows = 0;
+  NodeId origin = 0;
 };
 
+// In the order of their numbers on the wire.
+using AgreementMessage =
+    std::variant<IdentityQuery, IdentityReply, IdentityClaim, IdentityClaimAck, LeaderLossQuery,
+                 LeaderLossReply, Prepare, Promise, Propose, Accepted, Rejection, Heartbeat,
+                 HeartbeatAck, ViewDecided, LeaseRequest, LeaseGrant, LeaderRedirect,
+                 IdentityConflict, LeaseRelease>;
+
 struct OutgoingMessage {
   NodeId to = 0;
   AgreementMessage message;
--- a/src/membership/view_agreement.cpp
+++ b/src/membership/view_agreement.cpp
@@ -2,383 +2,451 @@
 
 #include <algorithm>
 #include <limits>
+#include <type_traits>
+#include <utility>
 
 namespace millethollow::membership {
 namespace {
 
-constexpr double kAskMindS = 0.2;
-constexpr std::size_t kMostWaiting =
-    512;                         // messages for the disk; the oldest are lost, as any may be
-constexpr double kSilentS = 10;  // a voter that gave no answer is not gone back to for so long
-constexpr int kTriesAtOne = 2;   // renewals without an answer, then another voter is asked
+constexpr double kRecoveryIntervalS = 0.2;
+constexpr std::size_t kMaxUnstored = 512;  // messages; the oldest are dropped, as any may be lost
+constexpr double kSilentVoterS = 10;       // a voter that didn't answer is left alone for so long
+constexpr int kRequestsPerVoter = 2;       // without an answer, then another voter is asked
+
+template <typename Message>
+concept LeaseMessage =
+    std::is_same_v<Message, LeaseRequest> || std::is_same_v<Message, LeaseRelease>;
+// To any member, by way of a voter where `origin` names the member.
+template <typename Message>
+concept MemberReply = !LeaseMessage<Message> && requires(Message m) {
+  m.origin;
+};
 
 }  // namespace
 
-ViewAgreement::ViewAgreement(Options options, PersistentVoterState votes, std::uint64_t seed,
+ViewAgreement::ViewAgreement(Options options, PersistentVoterState voter_state, std::uint64_t seed,
                              double now)
     : options_(std::move(options)),
-      voter_(options_.self, options_.voters, options_.process_incarnation, std::move(votes)),
+      voter_(options_.self, options_.voters, options_.process_incarnation, std::move(voter_state)),
       leader_(options_.self, options_.timings, options_.members),
       random_(seed),
-      beat_heard_at_(now),
-      ask_around_at_(now + options_.timings.election_s * (1 + random_.Unit())),
-      ask_mind_at_(now),
+      heartbeat_heard_at_(now),
+      election_timeout_at_(now + options_.timings.election_s * (1 + random_.Unit())),
+      recovery_at_(now),
       renew_at_(now + 0.2 * options_.timings.renew_s * random_.Unit()) {
   asked_voter_ = random_.Below(options_.voters.size());
 }
 
 double ViewAgreement::NextAt() const {
   double at = renew_at_;
-  if (voter_.Is(options_.self) && voter_.state() != Voter::State::kStopped) {
-    at = std::min(at, voter_.voting() ? ask_around_at_ : ask_mind_at_);
+  if (voter_.IsVoter(options_.self) && voter_.state() != Voter::State::kStopped) {
+    at = std::min(at, voter_.voting() ? election_timeout_at_ : recovery_at_);
     if (leader_.leading()) at = std::min(at, leader_.NextAt());
   }
-  if (had_lease_) at = std::min(at, leased_until_);
+  if (had_lease_) at = std::min(at, lease_until_);
   return at;
 }
 
 double ViewAgreement::LeaseRemaining(double now) const {
-  const ViewMember* me = view_.Find(options_.self);
-  if (me == nullptr || me->process_incarnation != options_.process_incarnation || leaving_ ||
-      yielded_)
-    return 0;
-  return std::max(0.0, leased_until_ - now);
+  const ViewMember* self = view_.Find(options_.self);
+  if (self == nullptr || self->process_incarnation != options_.process_incarnation) return 0;
+  if (leaving_ || superseded_) return 0;
+  return std::max(0.0, lease_until_ - now);
 }
 
-void ViewAgreement::Emit(double now, std::vector<OutgoingMessage>* said, Actions* actions) {
-  // What a process says to itself it hears at once, or once it is on disk.
+// ---- sending, after what is on disk ----
+
+void ViewAgreement::Emit(double now, std::vector<OutgoingMessage>* outgoing, Actions* actions) {
   while (true) {
     if (voter_.TakeDirty()) {
-      ticket_ += 1;
+      last_ticket_ += 1;
       actions->write = true;
-      actions->ticket = ticket_;
+      actions->ticket = last_ticket_;
     }
-    std::vector<OutgoingMessage> own;
-    for (OutgoingMessage& s : *said) {
-      if (stored_ < ticket_) {
-        if (waiting_.size() >= kMostWaiting) waiting_.pop_front();
-        waiting_.push_back({ticket_, std::move(s)});
-      } else if (s.to == options_.self) {
-        own.push_back(std::move(s));
+    std::vector<OutgoingMessage> to_self;
+    for (OutgoingMessage& sent : *outgoing) {
+      if (stored_ticket_ < last_ticket_) {
+        if (unstored_.size() >= kMaxUnstored) unstored_.pop_front();
+        unstored_.push_back({last_ticket_, std::move(sent)});
+      } else if (sent.to == options_.self) {
+        to_self.push_back(std::move(sent));
       } else {
-        actions->send.push_back(std::move(s));
+        actions->send.push_back(std::move(sent));
       }
     }
-    said->clear();
-    if (own.empty()) return;
-    for (const OutgoingMessage& s : own) {
-      Dispatch(now, options_.self, options_.process_incarnation, s.message, said, actions);
+    outgoing->clear();
+    if (to_self.empty()) return;
+    for (const OutgoingMessage& sent : to_self) {
+      Dispatch(now, options_.self, options_.process_incarnation, sent.message, outgoing, actions);
     }
   }
 }
 
 void ViewAgreement::OnStored(double now, std::uint64_t ticket, Actions* actions) {
-  stored_ = std::max(stored_, ticket);
-  std::vector<OutgoingMessage> said;
-  while (!waiting_.empty() && waiting_.front().ticket <= stored_) {
-    OutgoingMessage s = std::move(waiting_.front().sent);
-    waiting_.pop_front();
-    if (s.to == options_.self) {
-      Dispatch(now, options_.self, options_.process_incarnation, s.message, &said, actions);
+  stored_ticket_ = std::max(stored_ticket_, ticket);
+  std::vector<OutgoingMessage> replies;
+  while (!unstored_.empty() && unstored_.front().ticket <= stored_ticket_) {
+    OutgoingMessage sent = std::move(unstored_.front().outgoing);
+    unstored_.pop_front();
+    if (sent.to == options_.self) {
+      Dispatch(now, options_.self, options_.process_incarnation, sent.message, &replies, actions);
     } else {
-      actions->send.push_back(std::move(s));
+      actions->send.push_back(std::move(sent));
     }
   }
-  Emit(now, &said, actions);
+  Emit(now, &replies, actions);
 }
 
 void ViewAgreement::OnStoreFailed() {
   voter_.OnStoreFailed();
-  leader_.End();
-  waiting_.clear();
+  leader_.StopLeading();
+  unstored_.clear();
 }
 
+// ---- dispatch ----
+
 void ViewAgreement::OnMessage(double now, NodeId from, ProcessIncarnation process_incarnation,
-                              const AgreementMessage& m, Actions* actions) {
-  if (yielded_ || from == options_.self) return;
-  std::vector<OutgoingMessage> said;
-  Dispatch(now, from, process_incarnation, m, &said, actions);
-  Emit(now, &said, actions);
+                              const AgreementMessage& message, Actions* actions) {
+  if (superseded_ || from == options_.self) return;
+  std::vector<OutgoingMessage> replies;
+  Dispatch(now, from, process_incarnation, message, &replies, actions);
+  Emit(now, &replies, actions);
 }
 
 void ViewAgreement::Dispatch(double now, NodeId from, ProcessIncarnation process_incarnation,
-                             const AgreementMessage& m, std::vector<OutgoingMessage>* said,
+                             const AgreementMessage& message, std::vector<OutgoingMessage>* send,
                              Actions* actions) {
-  using Kind = AgreementMessage::Kind;
-  if (m.kind == Kind::kRenew || m.kind == Kind::kRelease) {
-    return HearRenewal(now, from, process_incarnation, m, said);
-  }
-  if (m.kind == Kind::kDecided || m.kind == Kind::kGrant || m.kind == Kind::kElsewhere ||
-      m.kind == Kind::kTaken) {
-    if (m.origin == 0 || m.origin == options_.self) return HearHolder(now, m, actions);
-    AgreementMessage on = m;
-    on.origin = 0;
-    said->push_back({m.origin, std::move(on)});
-    return;
+  const auto handle = [&]<typename Message>(const Message& m) {
+    if constexpr (LeaseMessage<Message>) {
+      Handle(now, from, process_incarnation, m, send);
+    } else if constexpr (MemberReply<Message>) {
+      if (m.origin == 0 || m.origin == options_.self) {
+        if (!leaving_) Handle(now, m, actions);
+        return;
+      }
+      Message passed_on = m;
+      passed_on.origin = 0;
+      send->push_back({m.origin, std::move(passed_on)});
+    } else {
+      const bool between_voters = voter_.IsVoter(options_.self) && voter_.IsVoter(from);
+      if (between_voters) OnVoterMessage(now, from, message, send);
+    }
+  };
+  std::visit(handle, message);
+}
+
+// ---- lease requests, at a voter ----
+
+void ViewAgreement::Handle(double now, NodeId from, ProcessIncarnation process_incarnation,
+                           const LeaseRequest& request, std::vector<OutgoingMessage>* send) {
+  const bool passed_on = request.origin != 0;
+  if (leader_.leading()) {
+    LeaseRequest complete = request;
+    if (!passed_on) complete.process_incarnation = process_incarnation;
+    const NodeId member = passed_on ? request.origin : from;
+    return leader_.OnLeaseRequest(now, member, passed_on ? from : 0, complete, send);
   }
-  if (voter_.Is(options_.self) && voter_.Is(from)) HearVoter(now, from, m, said);
+  if (!PassOnToLeader(now, from, process_incarnation, request, send)) return;
+  send->push_back({from, LeaderRedirect{.ballot = latest_ballot_}});
 }
 
-void ViewAgreement::HearRenewal(double now, NodeId from, ProcessIncarnation process_incarnation,
-                                const AgreementMessage& m, std::vector<OutgoingMessage>* said) {
-  using Kind = AgreementMessage::Kind;
-  const bool passed_on = m.origin != 0;
-  const NodeId whose = passed_on ? m.origin : from;
+void ViewAgreement::Handle(double now, NodeId from, ProcessIncarnation process_incarnation,
+                           const LeaseRelease& release, std::vector<OutgoingMessage>* send) {
+  const bool passed_on = release.origin != 0;
   if (leader_.leading()) {
-    AgreementMessage asked = m;
-    if (!passed_on) asked.process_incarnation = process_incarnation;
-    if (m.kind == Kind::kRelease) return leader_.Released(now, whose, asked.process_incarnation);
-    return leader_.Renew(now, whose, passed_on ? from : 0, asked, said);
+    return leader_.OnLeaseRelease(now, passed_on ? release.origin : from,
+                                  passed_on ? release.process_incarnation : process_incarnation);
   }
-  if (passed_on || !voter_.Is(options_.self) || Missing(now) || heard_ballot_.proposer == 0) return;
-  // It may be that it does not reach the leader itself: ours goes through.
-  AgreementMessage on = m;
-  on.origin = from;
-  on.process_incarnation = process_incarnation;
-  said->push_back({heard_ballot_.proposer, std::move(on)});
-  if (m.kind == Kind::kRelease) return;
-  AgreementMessage elsewhere;
-  elsewhere.kind = Kind::kElsewhere;
-  elsewhere.ballot = heard_ballot_;
-  said->push_back({from, std::move(elsewhere)});
-}
-
-void ViewAgreement::HearVoter(double now, NodeId from, const AgreementMessage& m,
-                              std::vector<OutgoingMessage>* said) {
-  using Kind = AgreementMessage::Kind;
-  const std::size_t answers = said->size();
-  if (voter_.OnMessage(from, m, said)) {
-    // A beat counts where it was not refused.
-    const bool led = (m.kind == Kind::kBeat || m.kind == Kind::kPropose) &&
-                     said->size() > answers && said->back().message.kind != Kind::kRefused;
-    if (led) {
-      beat_heard_at_ = now;
-      ask_around_at_ = now + options_.timings.election_s * (1 + random_.Unit());
-      heard_ballot_ = m.ballot;
-      if (from != options_.self && leader_.leading() && m.ballot > leader_.ballot()) StepDown(now);
-      if (standing_ < m.ballot) standing_ = {};
+  PassOnToLeader(now, from, process_incarnation, release, send);
+}
+
+// It may be that the member's messages don't reach the leader, and ours do.
+template <typename Message>
+bool ViewAgreement::PassOnToLeader(double now, NodeId from, ProcessIncarnation process_incarnation,
+                                   const Message& message, std::vector<OutgoingMessage>* send) {
+  if (message.origin != 0 || !voter_.IsVoter(options_.self)) return false;
+  if (LeaderLost(now) || latest_ballot_.proposer == 0) return false;
+  Message passed_on = message;
+  passed_on.origin = from;
+  passed_on.process_incarnation = process_incarnation;
+  send->push_back({latest_ballot_.proposer, std::move(passed_on)});
+  return true;
+}
+
+// ---- messages between voters ----
+
+void ViewAgreement::OnVoterMessage(double now, NodeId from, const AgreementMessage& message,
+                                   std::vector<OutgoingMessage>* send) {
+  const std::size_t replies = send->size();
+  if (voter_.OnMessage(from, message, send)) {
+    // A leader's message counts where it was not rejected.
+    const bool accepted =
+        send->size() > replies && !std::holds_alternative<Rejection>(send->back().message);
+    if (!accepted) return;
+    if (const auto* heartbeat = std::get_if<Heartbeat>(&message)) {
+      OnLeaderHeard(now, from, heartbeat->ballot);
+    } else if (const auto* propose = std::get_if<Propose>(&message)) {
+      OnLeaderHeard(now, from, propose->ballot);
     }
     return;
   }
   if (!voter_.voting()) return;
-  if (m.kind == Kind::kMiss) {
-    const bool leads =
-        leader_.leading() && now - leader_.confirmed_at() < options_.timings.election_s;
-    AgreementMessage reply = voter_.Say(Kind::kMissed);
-    reply.number = m.number;
-    reply.ballot = voter_.voter_state().promised;
-    reply.yes = from == options_.self || (!leads && Missing(now));
-    voter_.Merge(from, m);
-    said->push_back({from, std::move(reply)});
-    return;
-  }
-  if (!voter_.Merge(from, m)) return;
-  switch (m.kind) {
-    case Kind::kMissed:
-      if (question_ == 0 || m.number != question_ || !m.yes || !Missing(now)) return;
-      missed_by_[from] = m.storage_identity;
-      heard_ballot_.round = std::max(heard_ballot_.round, m.ballot.round);
-      if (missed_by_.size() >= voter_.Majority() && standing_ == Ballot{}) Stand(said);
-      return;
-    case Kind::kPromise: {
-      if (m.ballot != standing_ || standing_ == Ballot{}) return;
-      promises_[from] = {m.storage_identity, m};
-      if (from == options_.self) {
-        AgreementMessage prepare = voter_.Say(Kind::kPrepare);
-        prepare.ballot = standing_;
-        for (const NodeId id : options_.voters) {
-          if (id != options_.self) said->push_back({id, prepare});
-        }
-      }
-      StorageIdentities quorum;
-      View best;
-      Ballot best_by;
-      for (const auto& [id, promise] : promises_) {
-        if (promise.first != voter_.Known(id)) continue;
-        quorum.emplace_back(id, promise.first);
-        const AgreementMessage& p = promise.second;
-        if (std::pair(p.accepted_by, p.view.epoch) <= std::pair(best_by, best.epoch)) continue;
-        best_by = p.accepted_by;
-        best = p.view;
-      }
-      if (quorum.size() < voter_.Majority()) return;
-      standing_ = {};
-      counters_.elections += 1;
-      leader_.Begin(now, m.ballot, std::move(quorum), best, voter_, said);
-      return;
+  std::visit(
+      [&](const auto& m) {
+        if constexpr (requires { Handle(now, from, m, send); }) Handle(now, from, m, send);
+      },
+      message);
+}
+
+void ViewAgreement::OnLeaderHeard(double now, NodeId from, const Ballot& ballot) {
+  heartbeat_heard_at_ = now;
+  RestartElectionTimeout(now, 1);
+  latest_ballot_ = ballot;
+  if (from != options_.self && leader_.leading() && ballot > leader_.ballot()) StepDown(now);
+  if (candidate_ballot_ < ballot) candidate_ballot_ = {};
+}
+
+void ViewAgreement::Handle(double now, NodeId from, const LeaderLossQuery& query,
+                           std::vector<OutgoingMessage>* send) {
+  const bool leads =
+      leader_.leading() && now - leader_.confirmed_at() < options_.timings.election_s;
+  LeaderLossReply reply{.voter = voter_.Header(),
+                        .promised = voter_.voter_state().promised,
+                        .query_number = query.query_number,
+                        .leader_lost = from == options_.self || (!leads && LeaderLost(now))};
+  voter_.MergeHeader(from, query.voter);
+  send->push_back({from, std::move(reply)});
+}
+
+void ViewAgreement::Handle(double now, NodeId from, const LeaderLossReply& reply,
+                           std::vector<OutgoingMessage>* send) {
+  if (!voter_.MergeHeader(from, reply.voter)) return;
+  if (query_number_ == 0 || reply.query_number != query_number_) return;
+  if (!reply.leader_lost || !LeaderLost(now)) return;
+  leader_lost_by_[from] = reply.voter.storage_identity;
+  latest_ballot_.round = std::max(latest_ballot_.round, reply.promised.round);
+  const bool majority = leader_lost_by_.size() >= voter_.Majority();
+  if (majority && candidate_ballot_ == Ballot{}) StartElection(send);
+}
+
+void ViewAgreement::Handle(double now, NodeId from, const Promise& promise,
+                           std::vector<OutgoingMessage>* send) {
+  if (!voter_.MergeHeader(from, promise.voter)) return;
+  if (promise.ballot != candidate_ballot_ || candidate_ballot_ == Ballot{}) return;
+  promises_[from] = promise;
+  if (from == options_.self) {
+    const Prepare prepare{.voter = voter_.Header(), .ballot = candidate_ballot_};
+    for (const NodeId id : options_.voters) {
+      if (id != options_.self) send->push_back({id, prepare});
     }
-    case Kind::kAccepted:
-      return leader_.Accepted(now, from, m, voter_, said);
-    case Kind::kBeaten:
-      return leader_.Beaten(now, from, m, voter_, said);
-    case Kind::kRefused:
-      if (m.ballot > leader_.ballot() && leader_.leading()) StepDown(now);
-      if (m.ballot > standing_) standing_ = {};
-      heard_ballot_.round = std::max(heard_ballot_.round, m.ballot.round);
-      return;
-    default:
-      return;
   }
+  EndElectionIfWon(now, send);
+}
+
+void ViewAgreement::Handle(double now, NodeId from, const Accepted& accepted,
+                           std::vector<OutgoingMessage>* send) {
+  if (!voter_.MergeHeader(from, accepted.voter)) return;
+  leader_.OnAccepted(now, from, accepted, voter_, send);
+}
+
+void ViewAgreement::Handle(double now, NodeId from, const HeartbeatAck& ack,
+                           std::vector<OutgoingMessage>* send) {
+  if (!voter_.MergeHeader(from, ack.voter)) return;
+  leader_.OnHeartbeatAck(now, from, ack, voter_, send);
+}
+
+void ViewAgreement::Handle(double now, NodeId from, const Rejection& rejection,
+                           std::vector<OutgoingMessage>* /*send*/) {
+  if (!voter_.MergeHeader(from, rejection.voter)) return;
+  if (rejection.promised > leader_.ballot() && leader_.leading()) StepDown(now);
+  if (rejection.promised > candidate_ballot_) candidate_ballot_ = {};
+  latest_ballot_.round = std::max(latest_ballot_.round, rejection.promised.round);
+}
+
+// ---- elections ----
+
+void ViewAgreement::RestartElectionTimeout(double now, double least) {
+  election_timeout_at_ = now + options_.timings.election_s * (least + random_.Unit());
 }
 
 void ViewAgreement::StepDown(double now) {
-  leader_.End();
-  ask_around_at_ = now + options_.timings.election_s * (1 + random_.Unit());
+  leader_.StopLeading();
+  RestartElectionTimeout(now, 1);
 }
 
-void ViewAgreement::AskAround(double now, std::vector<OutgoingMessage>* said) {
-  ask_around_at_ = now + options_.timings.election_s * (0.5 + random_.Unit());
-  standing_ = {};
-  missed_by_.clear();
+void ViewAgreement::QueryLeaderLoss(double now, std::vector<OutgoingMessage>* send) {
+  RestartElectionTimeout(now, 0.5);
+  candidate_ballot_ = {};
+  leader_lost_by_.clear();
   promises_.clear();
-  question_ = random_.NextUint64();
-  AgreementMessage m = voter_.Say(AgreementMessage::Kind::kMiss);
-  m.number = question_;
-  for (const NodeId id : options_.voters) said->push_back({id, m});
-}
-
-void ViewAgreement::Stand(std::vector<OutgoingMessage>* said) {
-  const std::uint64_t round =
-      std::max({voter_.voter_state().promised.round, heard_ballot_.round, leader_.ballot().round}) +
-      1;
-  standing_ = {round, options_.self};
-  // Of this ballot alone, and a late answer to the question asks for no other.
+  query_number_ = random_.NextUint64();
+  const LeaderLossQuery query{.voter = voter_.Header(), .query_number = query_number_};
+  for (const NodeId id : options_.voters) send->push_back({id, query});
+}
+
+void ViewAgreement::StartElection(std::vector<OutgoingMessage>* send) {
+  const std::uint64_t round = std::max({voter_.voter_state().promised.round, latest_ballot_.round,
+                                        leader_.ballot().round}) +
+                              1;
+  candidate_ballot_ = {round, options_.self};
+  // Of this ballot alone, and a late reply to the query starts no other.
   promises_.clear();
-  missed_by_.clear();
-  question_ = 0;
+  leader_lost_by_.clear();
+  query_number_ = 0;
   // To itself first. Asked of others before it is on disk here, a ballot could be used again by the
-  // next life of this process, for other views.
-  AgreementMessage m = voter_.Say(AgreementMessage::Kind::kPrepare);
-  m.ballot = standing_;
-  said->push_back({options_.self, std::move(m)});
+  // next process of this member, for other views.
+  send->push_back({options_.self, Prepare{.voter = voter_.Header(), .ballot = candidate_ballot_}});
 }
 
-void ViewAgreement::Learn(double now, const View& view, Actions* actions) {
+void ViewAgreement::EndElectionIfWon(double now, std::vector<OutgoingMessage>* send) {
+  VoterIdentities quorum;
+  View latest;
+  Ballot latest_by;
+  for (const auto& [id, promise] : promises_) {
+    const StorageIdentity identity = promise.voter.storage_identity;
+    if (identity != voter_.KnownIdentity(id)) continue;
+    quorum.push_back({id, identity});
+    const bool later =
+        std::pair(promise.accepted_by, promise.accepted.epoch) > std::pair(latest_by, latest.epoch);
+    if (!later) continue;
+    latest_by = promise.accepted_by;
+    latest = promise.accepted;
+  }
+  if (quorum.size() < voter_.Majority()) return;
+  const Ballot won = std::exchange(candidate_ballot_, {});
+  counters_.elections += 1;
+  leader_.StartLeading(now, won, std::move(quorum), latest, voter_, send);
+}
+
+// ---- views and leases, at any member ----
+
+void ViewAgreement::LearnView(double now, const View& view, Actions* actions) {
   if (view.epoch == view_.epoch && view != view_) counters_.conflicts += 1;
   if (view.epoch <= view_.epoch) return;
   view_ = view;
   counters_.views += 1;
   actions->new_view = true;
-  const ViewMember* me = view_.Find(options_.self);
-  if (me == nullptr || me->process_incarnation != options_.process_incarnation) leased_until_ = -1;
-  renew_at_ = std::min(renew_at_, now);  // say that we know it: others may wait for that
+  const ViewMember* self = view_.Find(options_.self);
+  const bool in_view = self != nullptr && self->process_incarnation == options_.process_incarnation;
+  if (!in_view) lease_until_ = -1;
+  renew_at_ = std::min(renew_at_, now);  // the leader may wait until this member knows the view
 }
 
-void ViewAgreement::HearHolder(double now, const AgreementMessage& m, Actions* actions) {
-  using Kind = AgreementMessage::Kind;
-  if (leaving_) return;
-  if (m.kind == Kind::kDecided) return Learn(now, m.view, actions);
-  if (m.kind == Kind::kElsewhere) {
-    const auto at = std::find(options_.voters.begin(), options_.voters.end(), m.ballot.proposer);
-    if (at == options_.voters.end() || unanswered_ == 0) return;
-    const auto index = static_cast<std::size_t>(at - options_.voters.begin());
-    // Not to one who left us without an answer a moment ago: it was passed on to that one.
-    if (index == asked_voter_ || (index == silent_voter_ && now < silent_until_)) return;
-    asked_voter_ = index;
-    unanswered_ = 0;
-    renew_at_ = std::min(renew_at_, now);
-    return;
-  }
-  if (m.kind == Kind::kTaken) {
-    unanswered_ = 0;
-    counters_.identity_conflicts += 1;
-    if (m.yes && m.process_incarnation != options_.process_incarnation)
-      actions->superseded = yielded_ = true;
-    return;
-  }
-  if (m.process_incarnation != options_.process_incarnation || m.number != view_.epoch ||
-      view_.epoch == 0)
-    return;
-  unanswered_ = 0;
-  const double until = m.asked_at + m.span * (1 - options_.timings.clock_drift);
+void ViewAgreement::Handle(double now, const ViewDecided& decided, Actions* actions) {
+  LearnView(now, decided.view, actions);
+}
+
+void ViewAgreement::Handle(double now, const LeaderRedirect& redirect, Actions* /*actions*/) {
+  const auto at =
+      std::find(options_.voters.begin(), options_.voters.end(), redirect.ballot.proposer);
+  if (at == options_.voters.end() || unanswered_requests_ == 0) return;
+  const auto index = static_cast<std::size_t>(at - options_.voters.begin());
+  // Not to one that left us without an answer a moment ago: the request was passed on to that one.
+  if (index == asked_voter_ || (index == silent_voter_ && now < silent_until_)) return;
+  asked_voter_ = index;
+  unanswered_requests_ = 0;
+  renew_at_ = std::min(renew_at_, now);
+}
+
+void ViewAgreement::Handle(double /*now*/, const IdentityConflict& conflict, Actions* actions) {
+  unanswered_requests_ = 0;
+  counters_.identity_conflicts += 1;
+  const bool other = conflict.process_incarnation != options_.process_incarnation;
+  if (conflict.both_present && other) actions->superseded = superseded_ = true;
+}
+
+void ViewAgreement::Handle(double now, const LeaseGrant& grant, Actions* /*actions*/) {
+  if (grant.process_incarnation != options_.process_incarnation) return;
+  if (grant.epoch != view_.epoch || view_.epoch == 0) return;
+  unanswered_requests_ = 0;
+  const double until = grant.requested_at_s + grant.duration_s * (1 - options_.timings.clock_drift);
   // An answer from the future, or for longer than any lease runs, is none.
-  if (m.asked_at > now || m.span > options_.timings.lease_s) return;
-  leased_until_ = std::max(leased_until_, until);
+  if (grant.requested_at_s > now || grant.duration_s > options_.timings.lease_s) return;
+  lease_until_ = std::max(lease_until_, until);
   counters_.leases += 1;
   had_lease_ = true;
 }
 
-void ViewAgreement::AskLease(double now, Actions* actions) {
-  const ViewAgreementTimings& t = options_.timings;
-  renew_at_ = now + t.renew_s * (0.9 + 0.2 * random_.Unit());
-  if (leaving_ || yielded_) return;
-  if (++unanswered_ > kTriesAtOne) {
+void ViewAgreement::RequestLease(double now, Actions* actions) {
+  renew_at_ = now + options_.timings.renew_s * (0.9 + 0.2 * random_.Unit());
+  if (leaving_ || superseded_) return;
+  if (++unanswered_requests_ > kRequestsPerVoter) {
     silent_voter_ = asked_voter_;
-    silent_until_ = now + kSilentS;
+    silent_until_ = now + kSilentVoterS;
     asked_voter_ = (asked_voter_ + 1) % options_.voters.size();
-    unanswered_ = 1;
+    unanswered_requests_ = 1;
   }
-  AgreementMessage m;
-  m.kind = AgreementMessage::Kind::kRenew;
-  m.process_incarnation = options_.process_incarnation;
-  m.number = view_.epoch;
-  m.asked_at = now;
-  m.store_id = store_id_;
-  m.logs = wants_;
+  LeaseRequest request{.epoch = view_.epoch,
+                       .process_incarnation = options_.process_incarnation,
+                       .requested_at_s = now,
+                       .store_id = store_id_,
+                       .wanted_logs = wanted_logs_};
   const NodeId to = options_.voters[asked_voter_];
   if (to != options_.self) {
-    actions->send.push_back({to, std::move(m)});
+    actions->send.push_back({to, std::move(request)});
     return;
   }
-  std::vector<OutgoingMessage> said;
-  Dispatch(now, options_.self, options_.process_incarnation, m, &said, actions);
-  Emit(now, &said, actions);
-}
-
-void ViewAgreement::Tick(double now, Actions* actions) {
-  if (had_lease_ && leased_until_ <= now) {
-    had_lease_ = false;
-    counters_.leases_expired += 1;
-  }
-  if (yielded_) {
-    renew_at_ = std::numeric_limits<double>::infinity();
-    return;
-  }
-  std::vector<OutgoingMessage> said;
-  if (voter_.Is(options_.self)) {
-    if (!voter_.voting() && ask_mind_at_ <= now) {
-      ask_mind_at_ = now + kAskMindS;
-      voter_.Ask(&said);
-      Emit(now, &said, actions);
-    }
-    if (voter_.voting()) {
-      leader_.Tick(now, voter_, &said);
-      // A leader whom no majority answers leads nobody.
-      if (leader_.leading() && now - leader_.confirmed_at() > 2 * options_.timings.election_s) {
-        StepDown(now);
-      }
-      if (ask_around_at_ <= now) {
-        if (leader_.leading() || leaving_) {
-          ask_around_at_ = now + options_.timings.election_s;
-        } else {
-          AskAround(now, &said);
-        }
-      }
-      Emit(now, &said, actions);
-    }
-  }
-  if (renew_at_ <= now) AskLease(now, actions);
+  std::vector<OutgoingMessage> replies;
+  Dispatch(now, options_.self, options_.process_incarnation, request, &replies, actions);
+  Emit(now, &replies, actions);
 }
 
 void ViewAgreement::RequestLogs(double now, std::uint64_t store_id,
                                 std::vector<LogAssignment> logs) {
-  if (store_id == store_id_ && logs == wants_) return;
+  if (store_id == store_id_ && logs == wanted_logs_) return;
   store_id_ = store_id;
-  wants_ = std::move(logs);
+  wanted_logs_ = std::move(logs);
   renew_at_ = std::min(renew_at_, now);
 }
 
 void ViewAgreement::Leave(double now, Actions* actions) {
   if (leaving_) return;
-  AgreementMessage m;
-  m.kind = AgreementMessage::Kind::kRelease;
-  m.process_incarnation = options_.process_incarnation;
+  const LeaseRelease release{.process_incarnation = options_.process_incarnation};
   for (const NodeId to : options_.voters) {
-    if (to != options_.self) actions->send.push_back({to, m});
+    if (to != options_.self) actions->send.push_back({to, release});
+  }
+  if (leader_.leading()) {
+    leader_.OnLeaseRelease(now, options_.self, options_.process_incarnation);
   }
-  if (leader_.leading()) leader_.Released(now, options_.self, options_.process_incarnation);
   leaving_ = true;
-  leased_until_ = -1;
+  lease_until_ = -1;
+}
+
+// ---- time ----
+
+void ViewAgreement::Tick(double now, Actions* actions) {
+  if (had_lease_ && lease_until_ <= now) {
+    had_lease_ = false;
+    counters_.leases_expired += 1;
+  }
+  if (superseded_) {
+    renew_at_ = std::numeric_limits<double>::infinity();
+    return;
+  }
+  if (voter_.IsVoter(options_.self)) TickVoter(now, actions);
+  if (renew_at_ <= now) RequestLease(now, actions);
+}
+
+void ViewAgreement::TickVoter(double now, Actions* actions) {
+  std::vector<OutgoingMessage> send;
+  if (!voter_.voting() && recovery_at_ <= now) {
+    recovery_at_ = now + kRecoveryIntervalS;
+    voter_.ContinueRecovery(&send);
+    Emit(now, &send, actions);
+  }
+  if (!voter_.voting()) return;
+  leader_.Tick(now, voter_, &send);
+  // A leader that no majority answers leads nobody.
+  const double unconfirmed_s = now - leader_.confirmed_at();
+  if (leader_.leading() && unconfirmed_s > 2 * options_.timings.election_s) StepDown(now);
+  if (election_timeout_at_ <= now) {
+    if (leader_.leading() || leaving_) {
+      election_timeout_at_ = now + options_.timings.election_s;
+    } else {
+      QueryLeaderLoss(now, &send);
+    }
+  }
+  Emit(now, &send, actions);
 }
 
 }  // namespace millethollow::membership
--- a/src/membership/voter.cpp
+++ b/src/membership/voter.cpp
@@ -1,225 +1,233 @@
 #include "membership/voter.h"
 
 #include <algorithm>
-#include <tuple>
+#include <utility>
 
 namespace millethollow::membership {
 
 Voter::Voter(NodeId self, std::vector<NodeId> voters, std::uint64_t nonce,
-             PersistentVoterState votes)
-    : self_(self), voters_(std::move(voters)), nonce_(nonce), votes_(std::move(votes)) {
-  best_known_ = votes_.storage_identity;
+             PersistentVoterState state)
+    : self_(self), voters_(std::move(voters)), nonce_(nonce), voter_state_(std::move(state)) {
+  best_known_ = voter_state_.storage_identity;
 }
 
-bool Voter::Is(NodeId id) const {
+bool Voter::IsVoter(NodeId id) const {
   return std::find(voters_.begin(), voters_.end(), id) != voters_.end();
 }
 
-StorageIdentity Voter::Known(NodeId id) const {
-  if (id == self_) return votes_.storage_identity;
-  for (const auto& [who, storage_identity] : votes_.storage_identities) {
-    if (who == id) return storage_identity;
+StorageIdentity Voter::KnownIdentity(NodeId id) const {
+  if (id == self_) return voter_state_.storage_identity;
+  for (const VoterIdentity& known : voter_state_.known_identities) {
+    if (known.id == id) return known.storage_identity;
   }
   return {};
 }
 
-void Voter::Note(NodeId id, StorageIdentity storage_identity) {
-  if (id == self_ || !Is(id)) return;
-  auto it = std::lower_bound(votes_.storage_identities.begin(), votes_.storage_identities.end(), id,
-                             [](const auto& entry, NodeId key) { return entry.first < key; });
-  if (it == votes_.storage_identities.end() || it->first != id) {
-    it = votes_.storage_identities.insert(it, {id, StorageIdentity{}});
-  }
-  it->second = std::max(it->second, storage_identity);
+void Voter::NoteIdentity(NodeId id, StorageIdentity identity) {
+  if (id == self_ || !IsVoter(id)) return;
+  VoterIdentities& known = voter_state_.known_identities;
+  auto it = std::lower_bound(known.begin(), known.end(), id,
+                             [](const VoterIdentity& entry, NodeId key) { return entry.id < key; });
+  if (it == known.end() || it->id != id) it = known.insert(it, {id, {}});
+  it->storage_identity = std::max(it->storage_identity, identity);
 }
 
-bool Voter::Current(const StorageIdentities& quorum) const {
-  return std::all_of(quorum.begin(), quorum.end(),
-                     [this](const auto& entry) { return entry.second >= Known(entry.first); });
+bool Voter::IsCurrent(const VoterIdentities& quorum) const {
+  return std::all_of(quorum.begin(), quorum.end(), [this](const VoterIdentity& entry) {
+    return entry.storage_identity >= KnownIdentity(entry.id);
+  });
 }
 
-AgreementMessage Voter::Say(AgreementMessage::Kind kind) const {
-  AgreementMessage m;
-  m.kind = kind;
-  m.storage_identity = votes_.storage_identity;
-  m.storage_identities = votes_.storage_identities;
-  m.count = votes_.writes;
-  if (votes_.storage_identity.number > 0)
-    m.storage_identities.emplace_back(self_, votes_.storage_identity);
-  m.knows = kKnowsLogs;
-  return m;
+VoterHeader Voter::Header() const {
+  VoterHeader header{.storage_identity = voter_state_.storage_identity,
+                     .known_identities = voter_state_.known_identities,
+                     .writes = voter_state_.writes,
+                     .features = kLogsFeature};
+  if (voter_state_.storage_identity.number > 0) {
+    header.known_identities.push_back({self_, voter_state_.storage_identity});
+  }
+  return header;
 }
 
-bool Voter::Merge(NodeId from, const AgreementMessage& m) {
-  if (!Is(from)) return false;
-  for (const auto& [id, storage_identity] : m.storage_identities) {
-    // Another process has spoken for this voter since: its vote is that one's now.
-    if (id == self_ && storage_identity > votes_.storage_identity && state_ == State::kVoting)
-      state_ = State::kStopped;
-    Note(id, storage_identity);
+bool Voter::MergeHeader(NodeId from, const VoterHeader& header) {
+  if (!IsVoter(from)) return false;
+  for (const auto& [id, identity] : header.known_identities) {
+    // Another process has voted as this member since: the vote is that one's now.
+    const bool replaced = id == self_ && identity > voter_state_.storage_identity;
+    if (replaced && state_ == State::kVoting) state_ = State::kStopped;
+    NoteIdentity(id, identity);
   }
-  Note(from, m.storage_identity);
-  if (m.storage_identity < Known(from)) return false;
-  writes_seen_[from] = std::max(writes_seen_[from], {m.storage_identity, m.count});
+  NoteIdentity(from, header.storage_identity);
+  if (header.storage_identity < KnownIdentity(from)) return false;
+  WritesSeen& seen = writes_seen_[from];
+  seen = std::max(seen, WritesSeen{header.storage_identity, header.writes});
   return true;
 }
 
-// Counted before anything that tells of the change is said, so that whoever hears it can notice if
-// this disk later shows less.
-void Voter::Touch() {
+// Counted before anything that tells of the change is sent, so that whoever receives it can notice
+// if this disk later shows less.
+void Voter::MarkDirty() {
   if (dirty_) return;
   dirty_ = true;
-  votes_.writes += 1;
+  voter_state_.writes += 1;
+}
+
+void Voter::Reject(NodeId to, std::vector<OutgoingMessage>* send) const {
+  send->push_back({to, Rejection{.voter = Header(), .promised = voter_state_.promised}});
+}
+
+bool Voter::OnMessage(NodeId from, const AgreementMessage& message,
+                      std::vector<OutgoingMessage>* send) {
+  return std::visit(
+      [&](const auto& m) {
+        if constexpr (requires { Handle(from, m, send); }) {
+          if (IsVoter(from) && state_ != State::kStopped) Handle(from, m, send);
+          return true;
+        } else {
+          return false;
+        }
+      },
+      message);
 }
 
-void Voter::Refuse(NodeId to, std::vector<OutgoingMessage>* send) const {
-  AgreementMessage m = Say(AgreementMessage::Kind::kRefused);
-  m.ballot = votes_.promised;
-  send->push_back({to, std::move(m)});
+// ---- votes ----
+
+void Voter::Handle(NodeId from, const Prepare& prepare, std::vector<OutgoingMessage>* send) {
+  if (!voting() || !MergeHeader(from, prepare.voter)) return;
+  if (prepare.ballot < voter_state_.promised) return Reject(from, send);
+  if (prepare.ballot > voter_state_.promised) {
+    voter_state_.promised = prepare.ballot;
+    MarkDirty();
+  }
+  send->push_back({from, Promise{.voter = Header(),
+                                 .ballot = prepare.ballot,
+                                 .accepted_by = voter_state_.accepted_by,
+                                 .accepted = voter_state_.accepted}});
 }
 
-void Voter::Promise(NodeId from, const AgreementMessage& m, std::vector<OutgoingMessage>* send) {
-  if (m.ballot < votes_.promised) return Refuse(from, send);
-  if (m.ballot > votes_.promised) {
-    votes_.promised = m.ballot;
-    Touch();
+void Voter::Handle(NodeId from, const Propose& propose, std::vector<OutgoingMessage>* send) {
+  if (!voting() || !MergeHeader(from, propose.voter)) return;
+  // A leader made by an identity that is lost may have missed what that one had accepted.
+  if (propose.ballot < voter_state_.promised || !IsCurrent(propose.quorum)) {
+    return Reject(from, send);
   }
-  AgreementMessage reply = Say(AgreementMessage::Kind::kPromise);
-  reply.ballot = m.ballot;
-  reply.accepted_by = votes_.accepted_by;
-  reply.view = votes_.accepted;
-  send->push_back({from, std::move(reply)});
-}
-
-void Voter::Accept(NodeId from, const AgreementMessage& m, std::vector<OutgoingMessage>* send) {
-  // A leader made by a mind that is lost may have missed what that mind had accepted.
-  if (m.ballot < votes_.promised || !Current(m.quorum)) return Refuse(from, send);
-  const bool later =
-      std::pair(m.ballot, m.view.epoch) > std::pair(votes_.accepted_by, votes_.accepted.epoch);
+  const bool later = std::pair(propose.ballot, propose.view.epoch) >
+                     std::pair(voter_state_.accepted_by, voter_state_.accepted.epoch);
   if (later) {
-    votes_.promised = votes_.accepted_by = m.ballot;
-    votes_.accepted = m.view;
-    Touch();
+    voter_state_.promised = voter_state_.accepted_by = propose.ballot;
+    voter_state_.accepted = propose.view;
+    MarkDirty();
   }
-  AgreementMessage reply = Say(AgreementMessage::Kind::kAccepted);
-  reply.ballot = m.ballot;
-  reply.number = m.view.epoch;
-  send->push_back({from, std::move(reply)});
-}
-
-bool Voter::OnMessage(NodeId from, const AgreementMessage& m, std::vector<OutgoingMessage>* send) {
-  using Kind = AgreementMessage::Kind;
-  const bool asks = m.kind == Kind::kWho || m.kind == Kind::kClaim;
-  const bool votes = m.kind == Kind::kPrepare || m.kind == Kind::kPropose || m.kind == Kind::kBeat;
-  const bool answers = m.kind == Kind::kKnown || m.kind == Kind::kClaimed;
-  if (!asks && !votes && !answers) return false;
-  if (!Is(from) || state_ == State::kStopped) return true;
-  if (m.kind == Kind::kWho) {
-    // Also one that does not vote yet tells what its disk says.
-    AgreementMessage reply = Say(Kind::kKnown);
-    reply.number = m.number;
-    reply.yes = Fresh();
-    const auto& [storage_identity, writes] = writes_seen_[from];
-    reply.count = storage_identity == Known(from) ? writes : 0;
-    if (from != self_) send->push_back({from, std::move(reply)});
-    return true;
-  }
-  if (m.kind == Kind::kKnown) return HearKnown(from, m), true;
-  if (m.kind == Kind::kClaimed) return HearClaimed(from, m), true;
-  if (!voting() || !Merge(from, m)) return true;
-  switch (m.kind) {
-    case Kind::kClaim: {
-      if (claims_[from] != m.storage_identity)
-        Touch();  // Merge has noted it: on disk before we say so
-      claims_[from] = m.storage_identity;
-      AgreementMessage reply = Say(Kind::kClaimed);
-      reply.storage_identity = m.storage_identity;
-      reply.ballot = votes_.promised;
-      reply.accepted_by = votes_.accepted_by;
-      reply.view = votes_.accepted;
-      send->push_back({from, std::move(reply)});
-      break;
-    }
-    case Kind::kPrepare:
-      Promise(from, m, send);
-      break;
-    case Kind::kPropose:
-      Accept(from, m, send);
-      break;
-    default: {  // kBeat
-      if (m.ballot < votes_.promised || !Current(m.quorum)) {
-        Refuse(from, send);
-        break;
-      }
-      AgreementMessage reply = Say(Kind::kBeaten);
-      reply.ballot = m.ballot;
-      reply.number = m.number;
-      send->push_back({from, std::move(reply)});
-    }
+  send->push_back(
+      {from, Accepted{.voter = Header(), .ballot = propose.ballot, .epoch = propose.view.epoch}});
+}
+
+void Voter::Handle(NodeId from, const Heartbeat& heartbeat, std::vector<OutgoingMessage>* send) {
+  if (!voting() || !MergeHeader(from, heartbeat.voter)) return;
+  if (heartbeat.ballot < voter_state_.promised || !IsCurrent(heartbeat.quorum)) {
+    return Reject(from, send);
   }
-  return true;
+  send->push_back(
+      {from, HeartbeatAck{
+                 .voter = Header(), .ballot = heartbeat.ballot, .sequence = heartbeat.sequence}});
 }
 
-void Voter::Ask(std::vector<OutgoingMessage>* send) {
+// ---- recovery of the storage identity ----
+
+void Voter::ContinueRecovery(std::vector<OutgoingMessage>* send) {
   if (state_ == State::kVoting || state_ == State::kStopped) return;
   if (voters_.size() == 1 && state_ == State::kAsking) {
-    if (votes_.storage_identity.number == 0) votes_.storage_identity = {1, nonce_};
-    Touch();
+    if (voter_state_.storage_identity.number == 0) voter_state_.storage_identity = {1, nonce_};
+    MarkDirty();
     state_ = State::kVoting;
     return;
   }
-  AgreementMessage m =
-      Say(state_ == State::kAsking ? AgreementMessage::Kind::kWho : AgreementMessage::Kind::kClaim);
-  m.number = nonce_;
-  if (state_ == State::kClaiming) m.storage_identity = claim_;
+  AgreementMessage message = IdentityQuery{.voter = Header(), .nonce = nonce_};
+  if (state_ == State::kClaiming) {
+    IdentityClaim claim{.voter = Header(), .nonce = nonce_};
+    claim.voter.storage_identity = claim_;
+    message = std::move(claim);
+  }
   for (const NodeId id : voters_) {
-    if (id != self_) send->push_back({id, m});
+    if (id != self_) send->push_back({id, message});
   }
 }
 
-void Voter::HearKnown(NodeId from, const AgreementMessage& m) {
-  if (state_ != State::kAsking || m.number != nonce_) return;
-  for (const auto& [id, storage_identity] : m.storage_identities) {
-    if (id == self_) best_known_ = std::max(best_known_, storage_identity);
+// Also one that does not vote yet tells what its disk says.
+void Voter::Handle(NodeId from, const IdentityQuery& query, std::vector<OutgoingMessage>* send) {
+  const WritesSeen& seen = writes_seen_[from];
+  const bool latest = seen.storage_identity == KnownIdentity(from);
+  if (from == self_) return;
+  send->push_back({from, IdentityReply{.voter = Header(),
+                                       .nonce = query.nonce,
+                                       .writes_seen = latest ? seen.writes : 0,
+                                       .never_promised = NeverPromised()}});
+}
+
+void Voter::Handle(NodeId from, const IdentityReply& reply,
+                   std::vector<OutgoingMessage>* /*send*/) {
+  if (state_ != State::kAsking || reply.nonce != nonce_) return;
+  for (const auto& [id, identity] : reply.voter.known_identities) {
+    if (id == self_) best_known_ = std::max(best_known_, identity);
   }
   // It saw more than our disk holds.
-  if (m.count > votes_.writes && best_known_ == votes_.storage_identity) lost_disk_ = true;
-  if (m.yes) fresh_.insert(from);
-  if (m.storage_identity.number > 0) remember_.insert(from);
-  if (best_known_ > votes_.storage_identity) lost_disk_ = true;
+  const bool same_identity = best_known_ == voter_state_.storage_identity;
+  if (reply.writes_seen > voter_state_.writes && same_identity) lost_disk_ = true;
+  if (reply.never_promised) never_promised_.insert(from);
+  if (reply.voter.storage_identity.number > 0) with_identity_.insert(from);
+  if (best_known_ > voter_state_.storage_identity) lost_disk_ = true;
+  EndRecoveryIfKnown();
+}
+
+void Voter::EndRecoveryIfKnown() {
   const std::size_t others = voters_.size() - 1;
-  if (votes_.storage_identity.number > 0 && !lost_disk_) {
-    // With itself a majority that remembers, and none of them knows better.
-    if (remember_.size() + 1 >= Majority()) state_ = State::kVoting;
-  } else if (!lost_disk_ && fresh_.size() == others) {
+  if (voter_state_.storage_identity.number > 0 && !lost_disk_) {
+    // With itself a majority that has its storage, and none of them knows a later identity of this.
+    if (with_identity_.size() + 1 >= Majority()) state_ = State::kVoting;
+  } else if (!lost_disk_ && never_promised_.size() == others) {
     // The very first start: nobody has ever promised anything.
-    votes_.storage_identity = {1, nonce_};
-    Touch();
+    voter_state_.storage_identity = {1, nonce_};
+    MarkDirty();
     state_ = State::kVoting;
-  } else if (remember_.size() >= Majority()) {
+  } else if (with_identity_.size() >= Majority()) {
     lost_disk_ = true;
     claim_ = {best_known_.number + 1, nonce_};
-    gathered_ = {};
-    gathered_.writes = votes_.writes;
+    recovered_ = {};
+    recovered_.writes = voter_state_.writes;
     state_ = State::kClaiming;
   }
 }
 
-void Voter::HearClaimed(NodeId from, const AgreementMessage& m) {
-  if (state_ != State::kClaiming || m.storage_identity != claim_) return;
-  claimed_.insert(from);
-  gathered_.promised = std::max(gathered_.promised, m.ballot);
-  if (std::pair(m.accepted_by, m.view.epoch) >
-      std::pair(gathered_.accepted_by, gathered_.accepted.epoch)) {
-    gathered_.accepted_by = m.accepted_by;
-    gathered_.accepted = m.view;
+void Voter::Handle(NodeId from, const IdentityClaim& claim, std::vector<OutgoingMessage>* send) {
+  if (!voting() || !MergeHeader(from, claim.voter)) return;
+  // MergeHeader has noted it: on disk before the ack goes out.
+  const StorageIdentity claimed = claim.voter.storage_identity;
+  if (noted_claims_[from] != claimed) MarkDirty();
+  noted_claims_[from] = claimed;
+  IdentityClaimAck ack{.voter = Header(),
+                       .promised = voter_state_.promised,
+                       .accepted_by = voter_state_.accepted_by,
+                       .accepted = voter_state_.accepted};
+  ack.voter.storage_identity = claimed;
+  send->push_back({from, std::move(ack)});
+}
+
+void Voter::Handle(NodeId from, const IdentityClaimAck& ack,
+                   std::vector<OutgoingMessage>* /*send*/) {
+  if (state_ != State::kClaiming || ack.voter.storage_identity != claim_) return;
+  claim_acks_.insert(from);
+  recovered_.promised = std::max(recovered_.promised, ack.promised);
+  if (std::pair(ack.accepted_by, ack.accepted.epoch) >
+      std::pair(recovered_.accepted_by, recovered_.accepted.epoch)) {
+    recovered_.accepted_by = ack.accepted_by;
+    recovered_.accepted = ack.accepted;
   }
-  for (const auto& [id, storage_identity] : m.storage_identities) Note(id, storage_identity);
-  if (claimed_.size() < Majority()) return;
-  gathered_.storage_identity = claim_;
-  gathered_.storage_identities = votes_.storage_identities;
-  votes_ = gathered_;
-  Touch();
+  for (const auto& [id, identity] : ack.voter.known_identities) NoteIdentity(id, identity);
+  if (claim_acks_.size() < Majority()) return;
+  recovered_.storage_identity = claim_;
+  recovered_.known_identities = voter_state_.known_identities;
+  voter_state_ = recovered_;
+  MarkDirty();
   state_ = State::kVoting;
 }
 
--- a/src/membership/voter.h
+++ b/src/membership/voter.h
@@ -1,10 +1,14 @@
-// A voter's vote: the acceptor of a register that is decided by ballots (Paxos; CASPaxos, Rystsov
-// 2018), and its mind, by which a voter that lost its disk is told from one that has it (crash
+// A voter: the acceptor of a register that is decided by ballots (Paxos; CASPaxos, Rystsov 2018),
+// and its storage identity, by which a voter that lost its disk is told from one that has it (crash
 // vectors: Michael, Ports, Sharma, Szekeres, 'Recovering shared objects without stable storage',
 // 2017).
+//
+// Decides only; not thread-safe. Invariant: a reply goes out only after the change of voter_state()
+// that it tells of is on disk; the caller sees to that by TakeDirty().
 #ifndef MILLETHOLLOW_MEMBERSHIP_VOTER_H_
 #define MILLETHOLLOW_MEMBERSHIP_VOTER_H_
 
+#include <cstdint>
 #include <map>
 #include <set>
 #include <utility>
@@ -19,68 +23,86 @@
   Ballot promised, accepted_by;
   View accepted;
   StorageIdentity storage_identity;
-  StorageIdentities storage_identities;
-  std::uint64_t writes = 0;  // how often it was written
+  VoterIdentities known_identities;  // of the other voters
+  std::uint64_t writes = 0;          // how often it was written
 };
 
 class Voter {
  public:
   enum class State : std::uint8_t {
-    kAsking,    // what the others know of its mind
-    kClaiming,  // it lost its disk: a majority of the others must note its new mind
+    kAsking,    // asks the others what they know of its storage identity
+    kClaiming,  // it lost its disk: a majority of the others must note its new identity
     kVoting,
-    kStopped,  // its disk failed: no more votes in this life
+    kStopped,  // its disk failed, or another process has voted as this member: no more votes
   };
-  // Of one voter alone a majority is itself, whatever it has lost: then nobody could tell.
-  Voter(NodeId self, std::vector<NodeId> voters, std::uint64_t nonce, PersistentVoterState votes);
+  // `nonce` tells this process from others of the same member. Of one voter alone a majority is
+  // itself, whatever it has lost: then nobody could tell.
+  Voter(NodeId self, std::vector<NodeId> voters, std::uint64_t nonce, PersistentVoterState state);
 
-  // Answers what concerns the vote; true if `m` was such a message.
-  bool OnMessage(NodeId from, const AgreementMessage& m, std::vector<OutgoingMessage>* send);
-  // Goes on with what it asks until it may vote. To be called every now and then.
-  void Ask(std::vector<OutgoingMessage>* send);
+  // Answers what concerns the vote; true if `message` was of such a kind.
+  bool OnMessage(NodeId from, const AgreementMessage& message, std::vector<OutgoingMessage>* send);
+  // Goes on with the recovery of the storage identity until this voter may vote. To be called
+  // every now and then.
+  void ContinueRecovery(std::vector<OutgoingMessage>* send);
   void OnStoreFailed() { state_ = State::kStopped; }
-  // True once after a change of votes(): it must be on disk before what was sent since goes out.
+  // True once after a change of voter_state(): it must be on disk before what was sent since goes
+  // out.
   bool TakeDirty() { return std::exchange(dirty_, false); }
 
   State state() const { return state_; }
   bool voting() const { return state_ == State::kVoting; }
-  const PersistentVoterState& voter_state() const { return votes_; }
+  const PersistentVoterState& voter_state() const { return voter_state_; }
   const std::vector<NodeId>& voters() const { return voters_; }
   std::size_t Majority() const { return voters_.size() / 2 + 1; }
-  bool Is(NodeId id) const;  // a voter
-  // The mind that this voter knows for another; number 0 where it knows none.
-  StorageIdentity Known(NodeId id) const;
-  // Are these all the latest minds that it knows?
-  bool Current(const StorageIdentities& quorum) const;
-  // A message of a voter, with all that it knows of minds.
-  AgreementMessage Say(AgreementMessage::Kind kind) const;
-  // Takes in what another knows. False: its words come from a mind that it has since lost.
-  bool Merge(NodeId from, const AgreementMessage& m);
+  bool IsVoter(NodeId id) const;
+  // The identity that this voter knows for another; number 0 where it knows none.
+  StorageIdentity KnownIdentity(NodeId id) const;
+  // Are these all the latest identities that it knows?
+  bool IsCurrent(const VoterIdentities& quorum) const;
+  // What this voter's messages say of its storage.
+  VoterHeader Header() const;
+  // Notes the identities that another voter knows. False: the sender's own has been replaced since,
+  // and its message doesn't count.
+  bool MergeHeader(NodeId from, const VoterHeader& header);
   bool lost_disk() const { return lost_disk_; }
 
  private:
-  void Touch();
-  void Note(NodeId id, StorageIdentity storage_identity);
-  void Promise(NodeId from, const AgreementMessage& m, std::vector<OutgoingMessage>* send);
-  void Accept(NodeId from, const AgreementMessage& m, std::vector<OutgoingMessage>* send);
-  void HearKnown(NodeId from, const AgreementMessage& m);
-  void HearClaimed(NodeId from, const AgreementMessage& m);
-  void Refuse(NodeId to, std::vector<OutgoingMessage>* send) const;
-  bool Fresh() const { return votes_.promised == Ballot{} && votes_.accepted.epoch == 0; }
+  void Handle(NodeId from, const IdentityQuery& query, std::vector<OutgoingMessage>* send);
+  void Handle(NodeId from, const IdentityReply& reply, std::vector<OutgoingMessage>* send);
+  void Handle(NodeId from, const IdentityClaim& claim, std::vector<OutgoingMessage>* send);
+  void Handle(NodeId from, const IdentityClaimAck& ack, std::vector<OutgoingMessage>* send);
+  void Handle(NodeId from, const Prepare& prepare, std::vector<OutgoingMessage>* send);
+  void Handle(NodeId from, const Propose& propose, std::vector<OutgoingMessage>* send);
+  void Handle(NodeId from, const Heartbeat& heartbeat, std::vector<OutgoingMessage>* send);
+
+  void MarkDirty();
+  void NoteIdentity(NodeId id, StorageIdentity identity);
+  void EndRecoveryIfKnown();
+  void Reject(NodeId to, std::vector<OutgoingMessage>* send) const;
+  bool NeverPromised() const {
+    return voter_state_.promised == Ballot{} && voter_state_.accepted.epoch == 0;
+  }
+
+  struct WritesSeen {
+    StorageIdentity storage_identity;  // the latest
+    std::uint64_t writes = 0;          // the most under it
+    auto operator<=>(const WritesSeen&) const = default;
+  };
 
   NodeId self_;
   std::vector<NodeId> voters_;
   std::uint64_t nonce_;
-  PersistentVoterState votes_;
+  PersistentVoterState voter_state_;
   State state_ = State::kAsking;
   bool dirty_ = false, lost_disk_ = false;
-  std::map<NodeId, std::pair<StorageIdentity, std::uint64_t>>
-      writes_seen_;                           // of each one's latest mind
-  std::map<NodeId, StorageIdentity> claims_;  // noted, and on the way to disk
-  // While asking and claiming.
-  std::set<NodeId> fresh_, remember_, claimed_;
-  StorageIdentity claim_, best_known_;
-  PersistentVoterState gathered_;
+  std::map<NodeId, WritesSeen> writes_seen_;        // by other voters
+  std::map<NodeId, StorageIdentity> noted_claims_;  // on disk, or on the way there
+  // Recovery.
+  std::set<NodeId> never_promised_;  // voters that have no vote on record
+  std::set<NodeId> with_identity_;   // voters that have a storage identity
+  std::set<NodeId> claim_acks_;
+  StorageIdentity claim_, best_known_;  // of this voter: claimed, and the latest that anybody knows
+  PersistentVoterState recovered_;      // the latest of what the others' acks tell
 };
 
 }  // namespace millethollow::membership
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -16,30 +16,52 @@
 using membership::AgreementMessage;
 using membership::SwimMessage;
 
-membership::Frame AMessage() {
-  AgreementMessage m;
-  m.kind = AgreementMessage::Kind::kPromise;
-  m.ballot = {7, 2};
-  m.accepted_by = {6, 1};
-  m.view = {.epoch = 9, .members = {{1, 11, "rack-1", 3}, {2, 12, "", 9}}, .settled_epoch = 8};
-  m.storage_identity = {2, 77};
-  m.storage_identities = {{1, {1, 5}}, {2, {2, 77}}};
-  m.quorum = {{1, {1, 5}}};
-  m.asked_at = 12.5;
-  m.origin = 3;
-  m.yes = true;
-  m.view.members[0].store_id = 41;
-  m.view.logs = {{5, 1, 11, 9, 2, {{1, 41}, {2, 42}}}, {6, 2, 0, 4, 1, {}}};
-  m.store_id = 41;
-  m.logs = {{5, 1, 11, 0, 3, {{1, 41}}}};
-  return m;
+membership::VoterHeader AVoter() {
+  return {.storage_identity = {2, 77},
+          .known_identities = {{1, {1, 5}}, {2, {2, 77}}},
+          .writes = 3,
+          .features = 1};
+}
+
+membership::View AView() {
+  return {.epoch = 9,
+          .members = {{1, 11, "rack-1", 3, 41}, {2, 12, "", 9}},
+          .settled_epoch = 8,
+          .logs = {{5, 1, 11, 9, 2, {{1, 41}, {2, 42}}}, {6, 2, 0, 4, 1, {}}}};
+}
+
+AgreementMessage AMessage() {
+  return membership::Promise{
+      .voter = AVoter(), .ballot = {7, 2}, .accepted_by = {6, 1}, .accepted = AView()};
+}
+
+// With the fields that a promise does not have.
+std::vector<AgreementMessage> MoreMessages() {
+  using namespace membership;
+  return {
+      LeaderLossReply{
+          .voter = AVoter(), .promised = {7, 2}, .query_number = 21, .leader_lost = true},
+      Propose{.voter = AVoter(), .ballot = {7, 2}, .view = AView(), .quorum = {{1, {1, 5}}}},
+      LeaseRequest{.epoch = 9,
+                   .process_incarnation = 11,
+                   .requested_at_s = 12.5,
+                   .origin = 3,
+                   .store_id = 41,
+                   .wanted_logs = {{5, 1, 11, 0, 3, {{1, 41}}}}},
+      LeaseGrant{.ballot = {7, 2},
+                 .epoch = 9,
+                 .process_incarnation = 11,
+                 .requested_at_s = 12.5,
+                 .duration_s = 4,
+                 .origin = 3},
+  };
 }
 
 membership::Frame AProbe() {
   return SwimMessage{
       .kind = SwimMessage::Kind::kAck,
-      .seq = 4,
-      .about = 2,
+      .sequence = 4,
+      .subject = 2,
       .incarnation = 3,
       .digest = 99,
       .updates = {{5, 6, membership::Health::kSuspect, 1}, {2, 0, membership::Health::kLeft, 0}}};
@@ -80,8 +102,12 @@
 
 TEST(ClusterFrame, IsReadAsItWasWrittenAndNotWhereAByteIsOff) {
   std::uint64_t word = 1;
-  for (const cluster::Body& frame : {cluster::Body(AMessage()), cluster::Body(AProbe()),
-                                     cluster::Body(SomeFacts()), cluster::Body(SomeOperations())}) {
+  std::vector<cluster::Body> frames = {membership::Frame(AMessage()), AProbe(), SomeFacts(),
+                                       SomeOperations()};
+  for (const AgreementMessage& message : MoreMessages()) {
+    frames.push_back(membership::Frame(message));
+  }
+  for (const cluster::Body& frame : frames) {
     const std::string bytes = Again(frame);
     cluster::Header header;
     cluster::Body read;
@@ -95,7 +121,7 @@
 }
 
 TEST(ClusterFrame, FieldsOfALaterBuildAreSkippedAndGarbageIsOutlived) {
-  const std::string bytes = codec::Encode(std::get<AgreementMessage>(AMessage()));
+  const std::string bytes = codec::Encode(AMessage());
   codec::Writer more;
   more.Bytes(bytes);
   more.Number(200, std::uint64_t{5});
@@ -111,7 +137,16 @@
     }
     const auto message = codec::DecodeAgreementMessage(noise);
     if (message) {
-      EXPECT_LE(message->view.members.size(), codec::kMaxMembers);
+      std::visit(
+          [](const auto& m) {
+            if constexpr (requires { m.accepted.members; }) {
+              EXPECT_LE(m.accepted.members.size(), codec::kMaxMembers);
+            }
+            if constexpr (requires { m.view.members; }) {
+              EXPECT_LE(m.view.members.size(), codec::kMaxMembers);
+            }
+          },
+          *message);
     }
     (void)codec::DecodeSwimMessage(noise);
     (void)codec::DecodeMaintenanceGossip(noise);
@@ -135,7 +170,7 @@
             .accepted_by = {2, 1},
             .accepted = {.epoch = 4, .members = {}, .settled_epoch = 0},
             .storage_identity = {1, 9},
-            .storage_identities = {},
+            .known_identities = {},
             .writes = 5};
   }
   std::unique_ptr<store::VoteFile> file;
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -269,7 +269,7 @@
   EXPECT_GT(votes.writes, 0U);
   EXPECT_EQ(votes.accepted.members.size(), 3U);
   EXPECT_EQ(votes.accepted.logs.size(), 3U);
-  EXPECT_EQ(votes.storage_identities.size(), 2U);
+  EXPECT_EQ(votes.known_identities.size(), 2U);
   EXPECT_GT(votes.promised.round, 0U);
   const std::string before = Bytes("votes");
   file.Write(votes, 1);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -190,10 +190,10 @@
                                  .accepted_by = {},
                                  .accepted = {},
                                  .storage_identity = {1, id},
-                                 .storage_identities = {},
+                                 .known_identities = {},
                                  .writes = 2};
       for (NodeId other = 1; other <= 3; ++other) {
-        if (other != id) votes.storage_identities.emplace_back(other, StorageIdentity{1, other});
+        if (other != id) votes.known_identities.push_back({other, {1, other}});
       }
       if (id == 1) {
         votes.accepted_by = {1, 1};
@@ -212,18 +212,17 @@
     for (const std::size_t i : {0UL, 1UL}) Tick(&s, i);
     // Both have asked around and stand: what is under way now are their ballots.
     for (std::size_t at = 0; at < s.flight.size();) {
-      const auto kind = s.flight[at].message.kind;
-      const bool asks =
-          kind == AgreementMessage::Kind::kMiss || kind == AgreementMessage::Kind::kMissed;
+      const AgreementMessage& message = s.flight[at].message;
+      const bool asks = std::holds_alternative<LeaderLossQuery>(message) ||
+                        std::holds_alternative<LeaderLossReply>(message);
       asks ? Deliver(&s, at) : void(++at);
       if (asks) at = 0;
     }
     for (const std::size_t i : {0UL, 1UL}) {
       while (!s.writes[i].empty()) Store(&s, i);
     }
-    std::erase_if(s.flight, [](const Flight& f) {
-      return f.message.kind != AgreementMessage::Kind::kPrepare;
-    });
+    std::erase_if(s.flight,
+                  [](const Flight& f) { return !std::holds_alternative<Prepare>(f.message); });
     return s;
   }
   void Explore(const State& from, int depth) {
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -57,106 +57,65 @@
 }
 
 // What every message of a voter carries.
-inline AgreementMessage FromVoter(AgreementMessage::Kind kind) {
-  AgreementMessage m;
-  m.kind = kind;
-  m.storage_identity = {.number = 2, .nonce = 0xfeed};
-  m.storage_identities = {{3, {.number = 2, .nonce = 0xfeed}}, {5, {.number = 1, .nonce = 0xbeef}}};
-  m.count = 12;
-  m.knows = membership::kKnowsLogs;
-  return m;
+inline membership::VoterHeader SampleVoter() {
+  return {.storage_identity = {.number = 2, .nonce = 0xfeed},
+          .known_identities = {{3, {.number = 2, .nonce = 0xfeed}},
+                               {5, {.number = 1, .nonce = 0xbeef}}},
+          .writes = 12,
+          .features = membership::kLogsFeature};
 }
 
 inline std::map<std::string, AgreementMessage> SampleMessages() {
-  using Kind = AgreementMessage::Kind;
+  using namespace membership;
+  const VoterHeader voter = SampleVoter();
   std::map<std::string, AgreementMessage> all;
-  AgreementMessage m = FromVoter(Kind::kWho);
-  m.number = 0xfeed;
-  all["membership-who"] = m;
-  m = FromVoter(Kind::kKnown);
-  m.number = 0xfeed;
-  m.yes = true;
-  all["membership-known"] = m;
-  m = FromVoter(Kind::kClaim);
-  all["membership-claim"] = m;
-  m = FromVoter(Kind::kClaimed);
-  m.ballot = {.round = 4, .proposer = 5};
-  m.accepted_by = {.round = 3, .proposer = 3};
-  m.view = SampleView();
-  all["membership-claimed"] = m;
-  m = FromVoter(Kind::kMiss);
-  m.number = 21;
-  all["membership-miss"] = m;
-  m = FromVoter(Kind::kMissed);
-  m.number = 21;
-  m.yes = true;
-  all["membership-missed"] = m;
-  m = FromVoter(Kind::kPrepare);
-  m.ballot = {.round = 6, .proposer = 3};
-  all["membership-prepare"] = m;
-  m = FromVoter(Kind::kPromise);
-  m.ballot = {.round = 6, .proposer = 3};
-  m.accepted_by = {.round = 5, .proposer = 5};
-  m.view = SampleView();
-  all["membership-promise"] = m;
-  m = FromVoter(Kind::kPropose);
-  m.ballot = {.round = 6, .proposer = 3};
-  m.view = SampleView();
-  m.quorum = {{3, {.number = 2, .nonce = 0xfeed}}, {5, {.number = 1, .nonce = 0xbeef}}};
-  all["membership-propose"] = m;
-  m = FromVoter(Kind::kAccepted);
-  m.ballot = {.round = 6, .proposer = 3};
-  m.number = 9;
-  all["membership-accepted"] = m;
-  m = FromVoter(Kind::kRefused);
-  m.ballot = {.round = 7, .proposer = 5};
-  all["membership-refused"] = m;
-  m = FromVoter(Kind::kBeat);
-  m.ballot = {.round = 6, .proposer = 3};
-  m.number = 4711;
-  m.quorum = {{3, {.number = 2, .nonce = 0xfeed}}};
-  all["membership-beat"] = m;
-  m = FromVoter(Kind::kBeaten);
-  m.ballot = {.round = 6, .proposer = 3};
-  m.number = 4711;
-  all["membership-beaten"] = m;
-  m = {};
-  m.kind = Kind::kDecided;
-  m.view = SampleView();
-  m.origin = 5;
-  all["membership-decided"] = m;
-  m = {};
-  m.kind = Kind::kRenew;
-  m.number = 9;
-  m.asked_at = 123.0625;
-  m.process_incarnation = 31;
-  m.store_id = 0xd15c;
-  m.logs = SampleView().logs;
-  m.origin = 5;
-  all["membership-renew"] = m;
-  m = {};
-  m.kind = Kind::kGrant;
-  m.number = 9;
-  m.asked_at = 123.0625;
-  m.span = 3.75;
-  m.process_incarnation = 31;
-  m.origin = 5;
-  all["membership-grant"] = m;
-  m = {};
-  m.kind = Kind::kElsewhere;
-  m.ballot = {.round = 6, .proposer = 3};
-  all["membership-elsewhere"] = m;
-  m = {};
-  m.kind = Kind::kTaken;
-  m.process_incarnation = 32;
-  m.yes = true;
-  m.origin = 5;
-  all["membership-taken"] = m;
-  m = {};
-  m.kind = Kind::kRelease;
-  m.process_incarnation = 31;
-  m.origin = 5;
-  all["membership-release"] = m;
+  all["membership-who"] = IdentityQuery{.voter = voter, .nonce = 0xfeed};
+  all["membership-known"] =
+      IdentityReply{.voter = voter, .nonce = 0xfeed, .writes_seen = 12, .never_promised = true};
+  all["membership-claim"] = IdentityClaim{.voter = voter};
+  all["membership-claimed"] = IdentityClaimAck{.voter = voter,
+                                               .promised = {.round = 4, .proposer = 5},
+                                               .accepted_by = {.round = 3, .proposer = 3},
+                                               .accepted = SampleView()};
+  all["membership-miss"] = LeaderLossQuery{.voter = voter, .query_number = 21};
+  all["membership-missed"] =
+      LeaderLossReply{.voter = voter, .promised = {}, .query_number = 21, .leader_lost = true};
+  all["membership-prepare"] = Prepare{.voter = voter, .ballot = {.round = 6, .proposer = 3}};
+  all["membership-promise"] = Promise{.voter = voter,
+                                      .ballot = {.round = 6, .proposer = 3},
+                                      .accepted_by = {.round = 5, .proposer = 5},
+                                      .accepted = SampleView()};
+  all["membership-propose"] =
+      Propose{.voter = voter,
+              .ballot = {.round = 6, .proposer = 3},
+              .view = SampleView(),
+              .quorum = {{3, {.number = 2, .nonce = 0xfeed}}, {5, {.number = 1, .nonce = 0xbeef}}}};
+  all["membership-accepted"] =
+      Accepted{.voter = voter, .ballot = {.round = 6, .proposer = 3}, .epoch = 9};
+  all["membership-refused"] = Rejection{.voter = voter, .promised = {.round = 7, .proposer = 5}};
+  all["membership-beat"] = Heartbeat{.voter = voter,
+                                     .ballot = {.round = 6, .proposer = 3},
+                                     .quorum = {{3, {.number = 2, .nonce = 0xfeed}}},
+                                     .sequence = 4711};
+  all["membership-beaten"] =
+      HeartbeatAck{.voter = voter, .ballot = {.round = 6, .proposer = 3}, .sequence = 4711};
+  all["membership-decided"] = ViewDecided{.view = SampleView(), .origin = 5};
+  all["membership-renew"] = LeaseRequest{.epoch = 9,
+                                         .process_incarnation = 31,
+                                         .requested_at_s = 123.0625,
+                                         .origin = 5,
+                                         .store_id = 0xd15c,
+                                         .wanted_logs = SampleView().logs};
+  all["membership-grant"] = LeaseGrant{.ballot = {},
+                                       .epoch = 9,
+                                       .process_incarnation = 31,
+                                       .requested_at_s = 123.0625,
+                                       .duration_s = 3.75,
+                                       .origin = 5};
+  all["membership-elsewhere"] = LeaderRedirect{.ballot = {.round = 6, .proposer = 3}};
+  all["membership-taken"] =
+      IdentityConflict{.process_incarnation = 32, .both_present = true, .origin = 5};
+  all["membership-release"] = LeaseRelease{.process_incarnation = 31, .origin = 5};
   return all;
 }
 
@@ -166,27 +125,35 @@
   std::map<std::string, membership::SwimMessage> all;
   all["detector-ping"] = {
       .kind = Kind::kPing,
-      .seq = 300,
-      .about = 0,
+      .sequence = 300,
+      .subject = 0,
       .incarnation = 2,
       .digest = 0xd1,
       .updates = {{.member = 3, .incarnation = 1, .health = Health::kAlive, .suspected_by = 0}}};
-  all["detector-ack"] = {
-      .kind = Kind::kAck, .seq = 300, .about = 5, .incarnation = 2, .digest = 0xd2, .updates = {}};
+  all["detector-ack"] = {.kind = Kind::kAck,
+                         .sequence = 300,
+                         .subject = 5,
+                         .incarnation = 2,
+                         .digest = 0xd2,
+                         .updates = {}};
   all["detector-ping-for"] = {
       .kind = Kind::kPingRequest,
-      .seq = 301,
-      .about = 5,
+      .sequence = 301,
+      .subject = 5,
       .incarnation = 0,
       .digest = 0xd3,
       .updates = {{.member = 5, .incarnation = 4, .health = Health::kSuspect, .suspected_by = 3},
                   {.member = 7, .incarnation = 4, .health = Health::kFailed, .suspected_by = 0}}};
-  all["detector-nack"] = {
-      .kind = Kind::kNack, .seq = 301, .about = 5, .incarnation = 1, .digest = 0xd4, .updates = {}};
+  all["detector-nack"] = {.kind = Kind::kNack,
+                          .sequence = 301,
+                          .subject = 5,
+                          .incarnation = 1,
+                          .digest = 0xd4,
+                          .updates = {}};
   all["detector-news"] = {
       .kind = Kind::kGossip,
-      .seq = 0,
-      .about = 0,
+      .sequence = 0,
+      .subject = 0,
       .incarnation = 1,
       .digest = 0xd5,
       .updates = {{.member = 9, .incarnation = 8, .health = Health::kLeft, .suspected_by = 0}}};
@@ -300,7 +267,7 @@
   votes.accepted_by = {.round = 5, .proposer = 5};
   votes.accepted = SampleView();
   votes.storage_identity = {.number = 2, .nonce = 0xfeed};
-  votes.storage_identities = {{5, {.number = 1, .nonce = 0xbeef}}};
+  votes.known_identities = {{5, {.number = 1, .nonce = 0xbeef}}};
   votes.writes = 12;
   return votes;
 }
--- a/tests/support/membership_world.h
+++ b/tests/support/membership_world.h
@@ -5,6 +5,7 @@
 
 #include <algorithm>
 #include <cmath>
+#include <functional>
 #include <map>
 #include <memory>
 #include <optional>
