--- a/src/codec/copies.cpp
+++ b/src/codec/copies.cpp
@@ -7,11 +7,11 @@
 namespace millethollow::codec {
 namespace {
 
-constexpr auto kLast = copies::Frame::Kind::kLied;
+constexpr auto kLast = copies::ReplicationMessage::Kind::kStaleStore;
 
 }  // namespace
 
-std::string Encode(const copies::Frame& f) {
+std::string Encode(const copies::ReplicationMessage& f) {
   Writer w;
   w.Raw(static_cast<std::uint8_t>(f.kind));
   w.Number(1, f.log);
@@ -28,7 +28,7 @@
   w.Number(12, f.chunk);
   w.Number(13, static_cast<std::uint8_t>(f.last));
   w.Number(14, static_cast<std::uint8_t>(f.matched));
-  for (const copies::Op& op : f.ops) {
+  for (const copies::Operation& op : f.ops) {
     Writer inner;
     inner.Number(1, op.seq);
     inner.Number(2, op.epoch);
@@ -40,12 +40,12 @@
   return w.Take();
 }
 
-std::optional<copies::Frame> DecodeCopies(std::string_view bytes) {
+std::optional<copies::ReplicationMessage> DecodeReplicationMessage(std::string_view bytes) {
   if (bytes.empty() || static_cast<std::uint8_t>(bytes[0]) > static_cast<std::uint8_t>(kLast)) {
     return std::nullopt;
   }
-  copies::Frame f;
-  f.kind = static_cast<copies::Frame::Kind>(bytes[0]);
+  copies::ReplicationMessage f;
+  f.kind = static_cast<copies::ReplicationMessage::Kind>(bytes[0]);
   std::uint64_t* const words[] = {nullptr,
                                   &f.log,
                                   &f.epoch,
@@ -65,8 +65,8 @@
     if (r.field() == 13) f.last = r.Raw<std::uint8_t>() != 0;
     if (r.field() == 14) f.matched = r.Raw<std::uint8_t>() != 0;
     if (r.field() != 15) continue;
-    if (f.ops.size() >= kMostOps) return std::nullopt;
-    copies::Op& op = f.ops.emplace_back();
+    if (f.ops.size() >= kMaxOperations) return std::nullopt;
+    copies::Operation& op = f.ops.emplace_back();
     Reader in(r.value());
     while (in.Next()) {
       if (in.field() == 1) op.seq = in.Raw<std::uint64_t>();
@@ -75,7 +75,7 @@
       if (in.field() == 4) op.value = in.value();
       if (in.field() == 5) op.gone = in.Raw<std::uint8_t>() != 0;
     }
-    if (!in.ok() || op.key.size() > kMostKey) return std::nullopt;
+    if (!in.ok() || op.key.size() > kMaxKeyBytes) return std::nullopt;
   }
   return r.ok() ? std::optional(std::move(f)) : std::nullopt;
 }
--- a/src/codec/copies.h
+++ b/src/codec/copies.h
@@ -11,10 +11,10 @@
 namespace millethollow::codec {
 
 // What bounds the memory that a frame can make us hold.
-constexpr std::size_t kMostOps = 4096, kMostKey = 1024;
+constexpr std::size_t kMaxOperations = 4096, kMaxKeyBytes = 1024;
 
-std::string Encode(const copies::Frame& frame);
-std::optional<copies::Frame> DecodeCopies(std::string_view bytes);
+std::string Encode(const copies::ReplicationMessage& frame);
+std::optional<copies::ReplicationMessage> DecodeReplicationMessage(std::string_view bytes);
 
 }  // namespace millethollow::codec
 
--- a/src/config/cluster.cpp
+++ b/src/config/cluster.cpp
@@ -90,11 +90,11 @@
     return wrong("1, 3, 5 or 7 members must be voters, not " + std::to_string(voters));
   }
   if (self->voter && o.store.empty()) return wrong("a voter needs a folder: 'store' is missing");
-  if (o.copies_least > o.copies) return wrong("'copies_least' must not be over 'copies'");
-  if (o.copies_least > o.members.size()) {
+  if (o.min_replicas > o.copies) return wrong("'copies_least' must not be over 'copies'");
+  if (o.min_replicas > o.members.size()) {
     return wrong("'copies_least' is over the number of members");
   }
-  if (o.jobs.again_least_s > o.jobs.again_most_s) {
+  if (o.jobs.retry_min_s > o.jobs.retry_max_s) {
     return wrong("'jobs.again_least_s' must not be over 'jobs.again_most_s'");
   }
   // A lease must outlive a change of the leader, and be asked for several times in its span.
@@ -192,8 +192,8 @@
       {"bytes", number(&bytes, 1 << 16, 1e11)},
       {"running", number(&running, 1, 1e4)},
       {"tenant_share", number(&o.jobs.tenant_share, 0.001, 1)},
-      {"again_least_s", number(&o.jobs.again_least_s, 0.01, 60)},
-      {"again_most_s", number(&o.jobs.again_most_s, 0.01, 3600)},
+      {"again_least_s", number(&o.jobs.retry_min_s, 0.01, 60)},
+      {"again_most_s", number(&o.jobs.retry_max_s, 0.01, 3600)},
   };
   const KeyReaders readers{
       {"name", TextKey(&o.name, why)},
@@ -214,13 +214,13 @@
   if (!ReadKeys(*section, "cluster", readers, why)) return false;
   o.store_bytes = static_cast<std::uint64_t>(store_bytes);
   o.copies = static_cast<std::size_t>(copies);
-  o.copies_least = static_cast<std::size_t>(least);
+  o.min_replicas = static_cast<std::size_t>(least);
   o.jobs.jobs = static_cast<std::size_t>(most);
   o.jobs.bytes = static_cast<std::size_t>(bytes);
   o.jobs.running = static_cast<std::size_t>(running);
   CompleteQuota(&o);
   if (!Check(o, why)) return false;
-  if (o.copies_least == 0) o.copies_least = std::min({o.copies, o.members.size(), kLeast});
+  if (o.min_replicas == 0) o.min_replicas = std::min({o.copies, o.members.size(), kLeast});
   if (o.listen.empty()) o.listen = o.Self()->address;
   *options = std::move(o);
   return true;
--- a/src/config/cluster.h
+++ b/src/config/cluster.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "copies/jobs.h"
+#include "copies/durable_job_queue.h"
 #include "membership/failure_detector.h"
 #include "membership/view_agreement.h"
 #include "quota/types.h"
@@ -37,10 +37,10 @@
   membership::ViewAgreementTimings agreement;
   double isolated_share = 0.5;
   std::uint64_t store_bytes = 256ULL << 20;  // of what it keeps for others
-  // Members that have each promise on disk, and the least that may. copies_least 0: two where there
+  // Members that have each promise on disk, and the least that may. min_replicas 0: two where there
   // are as many members.
-  std::size_t copies = 3, copies_least = 0;
-  copies::Jobs::Limits jobs;  // promised ones that this member holds
+  std::size_t copies = 3, min_replicas = 0;
+  copies::DurableJobQueue::Limits jobs;  // promised ones that this member holds
   QuotaOptions quota;
 
   bool on() const { return !name.empty(); }
--- a/src/copies/jobs.cpp
+++ b/src/copies/durable_job_queue.cpp
@@ -1,4 +1,4 @@
-#include "copies/jobs.h"
+#include "copies/durable_job_queue.h"
 
 #include <algorithm>
 #include <limits>
@@ -24,20 +24,20 @@
 
 }  // namespace
 
-std::string Encode(const Tried& t) {
+std::string Encode(const AttemptRecord& t) {
   codec::Writer w;
   w.Text(1, t.worker);
-  w.Number(2, static_cast<std::uint8_t>(t.own));
+  w.Number(2, static_cast<std::uint8_t>(t.local_worker));
   w.Number(3, t.seq);
   return w.Take();
 }
 
-std::optional<Tried> DecodeTried(std::string_view bytes) {
-  Tried t;
+std::optional<AttemptRecord> DecodeAttempt(std::string_view bytes) {
+  AttemptRecord t;
   codec::Reader r(bytes);
   while (r.Next()) {
     if (r.field() == 1) t.worker = r.value();
-    if (r.field() == 2) t.own = r.Raw<std::uint8_t>() != 0;
+    if (r.field() == 2) t.local_worker = r.Raw<std::uint8_t>() != 0;
     if (r.field() == 3) t.seq = r.Raw<std::uint64_t>();
   }
   return r.ok() ? std::optional(std::move(t)) : std::nullopt;
@@ -51,7 +51,7 @@
   w.Text(4, job.tenant);
   w.Text(5, job.body);
   w.Number(6, job.priority);
-  for (const Tried& t : job.tried) w.Nested(7, Encode(t));
+  for (const AttemptRecord& t : job.attempts) w.Nested(7, Encode(t));
   return w.Take();
 }
 
@@ -68,27 +68,27 @@
     if (r.field() == 5) job.body = r.value();
     if (r.field() == 6) job.priority = std::min<std::uint8_t>(r.Raw<std::uint8_t>(), 2);
     if (r.field() != 7) continue;
-    if (job.tried.size() >= kMostTried) return std::nullopt;
-    auto tried = DecodeTried(r.value());
-    if (!tried) return std::nullopt;
-    job.tried.push_back(std::move(*tried));
+    if (job.attempts.size() >= kMaxAttempts) return std::nullopt;
+    auto attempt = DecodeAttempt(r.value());
+    if (!attempt) return std::nullopt;
+    job.attempts.push_back(std::move(*attempt));
   }
   return r.ok() ? std::optional(std::move(job)) : std::nullopt;
 }
 
-Jobs::Jobs(const Limits& limits, std::uint64_t number, Hooks hooks)
+DurableJobQueue::DurableJobQueue(const Limits& limits, std::uint64_t number, Hooks hooks)
     : limits_(limits), number_(number), hooks_(std::move(hooks)) {}
 
-std::string Jobs::NewHandle(const std::string& prefix) {
+std::string DurableJobQueue::NewHandle(const std::string& prefix) {
   return prefix + Hex(number_) + ":" + std::to_string(++order_);
 }
 
-std::size_t Jobs::SizeOf(const JobRecord& job) {
+std::size_t DurableJobQueue::SizeOf(const JobRecord& job) {
   return kOverhead + job.handle.size() + job.function.size() + 2 * job.unique.size() +
          job.body.size();
 }
 
-Jobs::Job* Jobs::Put(JobRecord record, LogId log) {
+DurableJobQueue::Job* DurableJobQueue::Put(JobRecord record, LogId log) {
   Load& load = load_[record.tenant];
   load.jobs += 1;
   load.bytes += SizeOf(record);
@@ -104,7 +104,7 @@
   return &job;
 }
 
-JobRecord Jobs::Remove(std::map<std::string, Job>::iterator it) {
+JobRecord DurableJobQueue::Remove(std::map<std::string, Job>::iterator it) {
   Job& job = it->second;
   const std::size_t size = SizeOf(job.record);
   const auto load = load_.find(job.record.tenant);
@@ -124,85 +124,88 @@
   return record;
 }
 
-void Jobs::LeaveLine(const Job& job) {
+void DurableJobQueue::LeaveLine(const Job& job) {
   const auto line = ready_.find(job.record.tenant);
   if (line == ready_.end()) return;
   line->second.erase({job.record.priority, job.order});
   if (line->second.empty()) ready_.erase(line);
 }
 
-std::string Jobs::Find(const std::string& function, const std::string& unique) const {
+std::string DurableJobQueue::Find(const std::string& function, const std::string& unique) const {
   const auto it = uniques_.find({function, unique});
   return it == uniques_.end() ? "" : it->second;
 }
 
-bool Jobs::Idle() const {
+bool DurableJobQueue::Idle() const {
   return running_ == 0 && ending_ == 0 &&
          std::all_of(logs_.begin(), logs_.end(),
-                     [](const auto& l) { return l.second.owed.empty(); });
+                     [](const auto& l) { return l.second.pending_commits.empty(); });
 }
 
-Jobs::No Jobs::Room(const JobRecord& job) const {
-  if (jobs_.size() >= limits_.jobs || bytes_ + SizeOf(job) > limits_.bytes) return No::kFull;
+DurableJobQueue::RejectReason DurableJobQueue::CheckCapacity(const JobRecord& job) const {
+  if (jobs_.size() >= limits_.jobs || bytes_ + SizeOf(job) > limits_.bytes)
+    return RejectReason::kFull;
   const auto load = load_.find(job.tenant);
-  if (load == load_.end()) return No::kNone;
+  if (load == load_.end()) return RejectReason::kNone;
   const bool many = static_cast<double>(load->second.jobs) >=
                     limits_.tenant_share * static_cast<double>(limits_.jobs);
   const bool much = static_cast<double>(load->second.bytes + SizeOf(job)) >
                     limits_.tenant_share * static_cast<double>(limits_.bytes);
-  return many || much ? No::kTenantFull : No::kNone;
+  return many || much ? RejectReason::kTenantFull : RejectReason::kNone;
 }
 
-Jobs::No Jobs::Because(Copies::Refusal why) {
-  return why == Copies::Refusal::kTooFewCopies  ? No::kTooFewCopies
-         : why == Copies::Refusal::kFull        ? No::kFull
-         : why == Copies::Refusal::kStoreFailed ? No::kStore
-                                                : No::kNoLog;
+DurableJobQueue::RejectReason DurableJobQueue::RejectReasonOf(ReplicatedLogs::AppendError why) {
+  return why == ReplicatedLogs::AppendError::kTooFewReplicas ? RejectReason::kTooFewReplicas
+         : why == ReplicatedLogs::AppendError::kFull         ? RejectReason::kFull
+         : why == ReplicatedLogs::AppendError::kStoreFailed  ? RejectReason::kStore
+                                                             : RejectReason::kNoLog;
 }
 
-void Jobs::Accept(double now, JobRecord record, Then then) {
-  const auto refuse = [&](No no) {
+void DurableJobQueue::Submit(double now, JobRecord record, Then then) {
+  const auto refuse = [&](RejectReason reason) {
     counters_.refused += 1;
-    then(record.handle, no, kReturnS);
+    then(record.handle, reason, kReturnS);
   };
-  if (main_ == 0 || stopping_) return refuse(No::kNoLog);
+  if (main_ == 0 || stopping_) return refuse(RejectReason::kNoLog);
   if (const std::string same = Find(record.function, record.unique);
       !record.unique.empty() && !same.empty()) {
     Job& job = jobs_[same];
-    if (job.state != State::kAsked) return then(same, No::kNone, 0);
-    logs_[job.log].owed.emplace(job.put, Owed{.handle = same, .then = std::move(then), .sent = {}});
+    if (job.state != State::kAsked) return then(same, RejectReason::kNone, 0);
+    logs_[job.log].pending_commits.emplace(
+        job.put, PendingCommit{.handle = same, .then = std::move(then), .sent = {}});
     return;
   }
-  if (const No no = Room(record); no != No::kNone) return refuse(no);
-  Copies::Refusal why{};
+  if (const RejectReason reason = CheckCapacity(record); reason != RejectReason::kNone)
+    return refuse(reason);
+  ReplicatedLogs::AppendError why{};
   const LogId log = main_;
-  const Seq seq = hooks_.append(log, record.handle, Encode(record), false, &why);
-  if (seq == 0) return refuse(Because(why));
+  const SequenceNumber seq = hooks_.append(log, record.handle, Encode(record), false, &why);
+  if (seq == 0) return refuse(RejectReasonOf(why));
   Job* job = Put(std::move(record), log);
   job->put = seq;
   job->at = now;
-  logs_[log].owed.emplace(seq,
-                          Owed{.handle = job->record.handle, .then = std::move(then), .sent = {}});
+  logs_[log].pending_commits.emplace(
+      seq, PendingCommit{.handle = job->record.handle, .then = std::move(then), .sent = {}});
 }
 
-void Jobs::Kept(double, LogId log, Seq seq) {
+void DurableJobQueue::OnCommitted(double, LogId log, SequenceNumber seq) {
   // What is told may end the log, or give it more to owe.
   while (true) {
     const auto it = logs_.find(log);
-    if (it == logs_.end() || it->second.owed.empty()) break;
-    if (it->second.owed.begin()->first > seq) break;
-    const Owed owed = std::move(it->second.owed.begin()->second);
-    it->second.owed.erase(it->second.owed.begin());
+    if (it == logs_.end() || it->second.pending_commits.empty()) break;
+    if (it->second.pending_commits.begin()->first > seq) break;
+    const PendingCommit owed = std::move(it->second.pending_commits.begin()->second);
+    it->second.pending_commits.erase(it->second.pending_commits.begin());
     const auto job = jobs_.find(owed.handle);
     if (owed.end) {
       if (job == jobs_.end()) continue;
-      const How how = job->second.how;
-      (how == How::kServed ? counters_.served : counters_.failed) += 1;
-      hooks_.ended(Remove(job), how);
+      const JobOutcome outcome = job->second.outcome;
+      (outcome == JobOutcome::kCompleted ? counters_.served : counters_.failed) += 1;
+      hooks_.ended(Remove(job), outcome);
     } else if (owed.then) {
       counters_.accepted += 1;
       if (job != jobs_.end() && job->second.state == State::kAsked) SetReady(&job->second);
-      owed.then(owed.handle, No::kNone, 0);
+      owed.then(owed.handle, RejectReason::kNone, 0);
     } else if (owed.sent) {
       owed.sent(true);
     }
@@ -211,13 +214,13 @@
   StartMore();
 }
 
-void Jobs::SetReady(Job* job) {
+void DurableJobQueue::SetReady(Job* job) {
   job->state = State::kReady;
   ready_[job->record.tenant].emplace(Line{job->record.priority, job->order}, job->record.handle);
 }
 
 // By turns among tenants, within one by priority and then in order.
-void Jobs::StartMore() {
+void DurableJobQueue::StartMore() {
   if (std::exchange(starting_, true)) return;
   while (!stopping_ && running_ < limits_.running && !ready_.empty()) {
     auto tenant = ready_.upper_bound(last_tenant_);
@@ -231,18 +234,18 @@
   starting_ = false;
 }
 
-void Jobs::Start(Job* job) {
+void DurableJobQueue::Start(Job* job) {
   job->state = State::kRunning;
   running_ += 1;
   counters_.rounds += 1;
   Round round{.job = &job->record, .number = ++rounds_, .ages_s = {}};
-  for (const Tried& t : job->record.tried) {
+  for (const AttemptRecord& t : job->record.attempts) {
     round.ages_s.push_back(hooks_.age(job->log, t.seq == 0 ? job->put : t.seq));
   }
   hooks_.run(round);
 }
 
-bool Jobs::Hurry(double now, const std::string& handle) {
+bool DurableJobQueue::RunNow(double now, const std::string& handle) {
   const auto it = jobs_.find(handle);
   if (it == jobs_.end() || stopping_) return false;
   Job& job = it->second;
@@ -257,41 +260,42 @@
   return job.state == State::kRunning;
 }
 
-bool Jobs::Acts(const std::string& handle) const {
+bool DurableJobQueue::MayAct(const std::string& handle) const {
   const auto it = jobs_.find(handle);
-  return it != jobs_.end() && hooks_.acts(it->second.log);
+  return it != jobs_.end() && hooks_.may_act(it->second.log);
 }
 
-void Jobs::Try(double, const std::string& handle, const std::string& worker, bool own,
-               std::function<void(bool)> then) {
+void DurableJobQueue::RecordAttempt(double, const std::string& handle, const std::string& worker,
+                                    bool local_worker, std::function<void(bool)> then) {
   const auto it = jobs_.find(handle);
   if (it == jobs_.end() || it->second.state != State::kRunning) return then(false);
   Job& job = it->second;
   JobRecord next = job.record;
-  if (!next.tried.empty() && next.tried.back().seq == 0) next.tried.back().seq = job.put;
-  if (next.tried.size() >= kMostTried) return then(false);
-  next.tried.push_back({worker, own, 0});
-  Copies::Refusal why{};
-  const Seq seq = hooks_.append(job.log, handle, Encode(next), false, &why);
+  if (!next.attempts.empty() && next.attempts.back().seq == 0) next.attempts.back().seq = job.put;
+  if (next.attempts.size() >= kMaxAttempts) return then(false);
+  next.attempts.push_back({worker, local_worker, 0});
+  ReplicatedLogs::AppendError why{};
+  const SequenceNumber seq = hooks_.append(job.log, handle, Encode(next), false, &why);
   if (seq == 0) return then(false);
-  job.record.tried = std::move(next.tried);
+  job.record.attempts = std::move(next.attempts);
   job.put = seq;
-  logs_[job.log].owed.emplace(seq, Owed{.handle = handle, .then = {}, .sent = std::move(then)});
+  logs_[job.log].pending_commits.emplace(
+      seq, PendingCommit{.handle = handle, .then = {}, .sent = std::move(then)});
 }
 
-void Jobs::Done(double now, const std::string& handle, How how, double retry_after_s,
-                const std::vector<std::string>& ran_at) {
+void DurableJobQueue::OnJobEnded(double now, const std::string& handle, JobOutcome outcome,
+                                 double retry_after_s, const std::vector<std::string>& ran_at) {
   const auto it = jobs_.find(handle);
   if (it == jobs_.end() || it->second.state != State::kRunning) return;
   Job& job = it->second;
   running_ -= 1;
-  job.how = how;
-  if (how == How::kRefused) {
-    std::erase_if(job.record.tried, [&](const Tried& t) {
+  job.outcome = outcome;
+  if (outcome == JobOutcome::kRejected) {
+    std::erase_if(job.record.attempts, [&](const AttemptRecord& t) {
       return std::find(ran_at.begin(), ran_at.end(), t.worker) == ran_at.end();
     });
-    job.wait_s = std::clamp(std::max(retry_after_s, 2 * job.wait_s), limits_.again_least_s,
-                            limits_.again_most_s);
+    job.wait_s = std::clamp(std::max(retry_after_s, 2 * job.wait_s), limits_.retry_min_s,
+                            limits_.retry_max_s);
     job.state = State::kWaiting;
     job.at = now + job.wait_s;
     later_.emplace(job.at, handle);
@@ -304,13 +308,14 @@
 }
 
 // Written down; where that can't be done now it is said again, until another has the log.
-void Jobs::End(double now, Job* job) {
-  Copies::Refusal why{};
+void DurableJobQueue::End(double now, Job* job) {
+  ReplicatedLogs::AppendError why{};
   const LogId log = job->log;
   const std::string handle = job->record.handle;
-  const Seq seq = hooks_.append(log, handle, "", true, &why);
+  const SequenceNumber seq = hooks_.append(log, handle, "", true, &why);
   if (seq != 0) {
-    logs_[log].owed.emplace(seq, Owed{.handle = handle, .then = {}, .sent = {}, .end = true});
+    logs_[log].pending_commits.emplace(
+        seq, PendingCommit{.handle = handle, .then = {}, .sent = {}, .end = true});
     return;
   }
   const auto it = jobs_.find(handle);
@@ -319,11 +324,11 @@
   later_.emplace(it->second.at, handle);
 }
 
-void Jobs::Begun(double now, LogId log, const std::vector<Op>& entries) {
+void DurableJobQueue::OnLogAcquired(double now, LogId log, const std::vector<Operation>& entries) {
   logs_[log];
   if (main_ == 0) main_ = log;
   opened_ = 0;
-  for (const Op& op : entries) {
+  for (const Operation& op : entries) {
     auto record = DecodeJob(op.key, op.value);
     if (!record || jobs_.contains(op.key)) continue;
     Job* job = Put(std::move(*record), log);
@@ -336,10 +341,10 @@
   StartMore();
 }
 
-void Jobs::Ended(LogId log) {
+void DurableJobQueue::OnLogReleased(LogId log) {
   const auto it = logs_.find(log);
   if (it == logs_.end()) return;
-  const auto owed = std::move(it->second.owed);
+  const auto owed = std::move(it->second.pending_commits);
   logs_.erase(it);
   if (main_ == log) main_ = logs_.empty() ? 0 : logs_.begin()->first;
   std::vector<std::string> theirs, running;
@@ -350,19 +355,19 @@
   }
   counters_.lost += theirs.size();
   for (const std::string& handle : theirs) Remove(jobs_.find(handle));
-  for (const std::string& handle : running) hooks_.call_off(handle);
+  for (const std::string& handle : running) hooks_.abort(handle);
   for (const auto& [seq, o] : owed) {
-    if (o.then) o.then(o.handle, No::kLost, kReturnS);
+    if (o.then) o.then(o.handle, RejectReason::kLost, kReturnS);
     if (o.sent) o.sent(false);
   }
 }
 
 // Of the logs that came to this member the empty ones end.
-void Jobs::Tidy() {
+void DurableJobQueue::Tidy() {
   if (logs_.size() < 2) return;
   std::vector<LogId> empty;
   for (const auto& [id, log] : logs_) {
-    if (id != main_ && log.owed.empty() && log.jobs == 0) empty.push_back(id);
+    if (id != main_ && log.pending_commits.empty() && log.jobs == 0) empty.push_back(id);
   }
   for (const LogId log : empty) {
     logs_.erase(log);
@@ -370,7 +375,7 @@
   }
 }
 
-void Jobs::Leased(double now, bool leased) {
+void DurableJobQueue::OnLease(double now, bool leased) {
   if (!leased) {
     leased_since_ = -1;
   } else if (leased_since_ < 0) {
@@ -378,7 +383,7 @@
   }
 }
 
-void Jobs::Tick(double now) {
+void DurableJobQueue::Tick(double now) {
   if (now >= OpensAt()) {
     opened_at_ = now;
     opened_ = (membership::Mix(number_ ^ membership::Mix(++order_)) << 8) |
@@ -398,13 +403,13 @@
   StartMore();
 }
 
-double Jobs::NextAt() const {
+double DurableJobQueue::NextAt() const {
   double at = later_.empty() ? kInf : later_.begin()->first;
   return std::min(at, OpensAt());
 }
 
 // When a log of its own is to be asked for.
-double Jobs::OpensAt() const {
+double DurableJobQueue::OpensAt() const {
   if (!limits_.takes || stopping_ || leased_since_ < 0 || !logs_.empty()) return kInf;
   const double settled_at = leased_since_ + limits_.settle_s;
   return opened_ == 0 ? settled_at : std::max(settled_at, opened_at_ + kOpenAgainS);
--- a/src/copies/jobs.h
+++ b/src/copies/durable_job_queue.h
@@ -4,8 +4,8 @@
 //
 // Decides only: what logs and the process tell and time go in, calls of Hooks come out. Bounded by
 // Limits, but for what is adopted. Times are seconds on a clock that counts pauses.
-#ifndef MILLETHOLLOW_COPIES_JOBS_H_
-#define MILLETHOLLOW_COPIES_JOBS_H_
+#ifndef MILLETHOLLOW_COPIES_DURABLE_JOB_QUEUE_H_
+#define MILLETHOLLOW_COPIES_DURABLE_JOB_QUEUE_H_
 
 #include <cstdint>
 #include <deque>
@@ -18,27 +18,27 @@
 #include <utility>
 #include <vector>
 
-#include "copies/copies.h"
+#include "copies/replicated_logs.h"
 
 namespace millethollow::copies {
 
 // An attempt that went out or was about to.
-struct Tried {
+struct AttemptRecord {
   std::string worker;
-  bool own = false;  // the worker connected to that node by itself: no other knows it
-  Seq seq = 0;       // of the operation that first told of it; 0: the one that it came with
+  bool local_worker = false;  // the worker connected to that node by itself: no other knows it
+  SequenceNumber seq = 0;  // of the operation that first told of it; 0: the one that it came with
 };
 
 struct JobRecord {
   std::string handle;  // unique in the cluster for ever
   std::string function, unique, cls, tenant, body;
-  std::uint8_t priority = 1;  // 0 high, 1 normal, 2 low
-  std::vector<Tried> tried;   // and may have run, oldest first
+  std::uint8_t priority = 1;            // 0 high, 1 normal, 2 low
+  std::vector<AttemptRecord> attempts;  // and may have run, oldest first
 };
 
-constexpr std::size_t kMostTried = 32;
-std::string Encode(const Tried& tried);
-std::optional<Tried> DecodeTried(std::string_view bytes);
+constexpr std::size_t kMaxAttempts = 32;
+std::string Encode(const AttemptRecord& attempt);
+std::optional<AttemptRecord> DecodeAttempt(std::string_view bytes);
 std::string Encode(const JobRecord& job);  // but for the handle, which is its key
 std::optional<JobRecord> DecodeJob(std::string handle, std::string_view bytes);
 
@@ -46,34 +46,44 @@
 enum class LogKind : std::uint8_t { kJobs = 1, kKeys = 2 };
 inline LogKind KindOf(LogId log) { return static_cast<LogKind>(log & 0xff); }
 
-class Jobs {
+class DurableJobQueue {
  public:
   struct Limits {
     std::size_t jobs = 10000, bytes = 64 << 20;
-    double tenant_share = 0.5;                       // of both, that one tenant's jobs may take
-    std::size_t running = 64;                        // at once; the others wait here
-    double again_least_s = 0.1, again_most_s = 5.0;  // between two rounds of one job
+    double tenant_share = 0.5;                    // of both, that one tenant's jobs may take
+    std::size_t running = 64;                     // at once; the others wait here
+    double retry_min_s = 0.1, retry_max_s = 5.0;  // between two rounds of one job
     double settle_s = 1.0;  // a lease held for so long without a log of jobs: one is opened
     bool takes = true;      // else it opens none, and only has what it adopts
   };
-  enum class No : std::uint8_t { kNone, kNoLog, kTooFewCopies, kFull, kTenantFull, kStore, kLost };
-  enum class How : std::uint8_t { kServed, kFailed, kRefused };
+  enum class RejectReason : std::uint8_t {
+    kNone,
+    kNoLog,
+    kTooFewReplicas,
+    kFull,
+    kTenantFull,
+    kStore,
+    kLost
+  };
+  enum class JobOutcome : std::uint8_t { kCompleted, kFailed, kRejected };
   // Whether it is promised now; else why not, and when to come back (seconds).
-  using Then = std::function<void(const std::string& handle, No no, double retry_after_s)>;
+  using Then =
+      std::function<void(const std::string& handle, RejectReason reason, double retry_after_s)>;
   struct Round {  // of one job: to be tried as a request would
     const JobRecord* job = nullptr;
     std::uint64_t number = 0;    // of this process's rounds: no two have one
     std::vector<double> ages_s;  // of job->tried: at most so long ago; infinite: not known
   };
   struct Hooks {
-    std::function<Seq(LogId, std::string key, std::string value, bool gone, Copies::Refusal*)>
+    std::function<SequenceNumber(LogId, std::string key, std::string value, bool gone,
+                                 ReplicatedLogs::AppendError*)>
         append;
-    std::function<bool(LogId)> acts;  // by a clock read now
+    std::function<bool(LogId)> may_act;  // by a clock read now
     std::function<void(LogId)> open, close;
-    std::function<double(LogId, Seq)> age;  // as CopyKeeper::AgeAtMost
+    std::function<double(LogId, SequenceNumber)> age;  // as LogReplicator::AgeAtMost
     std::function<void(const Round&)> run;
-    std::function<void(const std::string& handle)> call_off;  // it is another member's now
-    std::function<void(const JobRecord&, How)> ended = [](const JobRecord&, How) {};
+    std::function<void(const std::string& handle)> abort;  // it is another member's now
+    std::function<void(const JobRecord&, JobOutcome)> ended = [](const JobRecord&, JobOutcome) {};
   };
   struct Counters {
     std::uint64_t accepted = 0, refused = 0, adopted = 0, rounds = 0, served = 0, failed = 0,
@@ -81,29 +91,29 @@
   };
 
   // `number` is never another process's: names of logs and jobs are made of it.
-  Jobs(const Limits& limits, std::uint64_t number, Hooks hooks);
+  DurableJobQueue(const Limits& limits, std::uint64_t number, Hooks hooks);
 
-  // Logs, as CopyKeeper tells of them.
-  void Begun(double now, LogId log, const std::vector<Op>& entries);
-  void Ended(LogId log);
-  void Kept(double now, LogId log, Seq seq);
-  void Leased(double now, bool leased);
+  // Logs, as LogReplicator tells of them.
+  void OnLogAcquired(double now, LogId log, const std::vector<Operation>& entries);
+  void OnLogReleased(LogId log);
+  void OnCommitted(double now, LogId log, SequenceNumber seq);
+  void OnLease(double now, bool leased);
 
   // `then` once, maybe at once. One of the same function and unique id is the same job.
-  void Accept(double now, JobRecord job, Then then);
+  void Submit(double now, JobRecord job, Then then);
   // An attempt of the round is about to go out: it may once `then(true)` comes.
-  void Try(double now, const std::string& handle, const std::string& worker, bool own,
-           std::function<void(bool)> then);
+  void RecordAttempt(double now, const std::string& handle, const std::string& worker,
+                     bool local_worker, std::function<void(bool)> then);
   // May this process act for the job now?
-  bool Acts(const std::string& handle) const;
+  bool MayAct(const std::string& handle) const;
   // `ran_at`: workers where it may have run, in this round or before it.
-  void Done(double now, const std::string& handle, How how, double retry_after_s,
-            const std::vector<std::string>& ran_at);
+  void OnJobEnded(double now, const std::string& handle, JobOutcome outcome, double retry_after_s,
+                  const std::vector<std::string>& ran_at);
   void Tick(double now);
   double NextAt() const;
   // Whoever asks for a job's result waits for it now: it is run at once if it waits. False:
   // unknown.
-  bool Hurry(double now, const std::string& handle);
+  bool RunNow(double now, const std::string& handle);
   // Nothing new is begun; what runs may end. Idle: it has, and that is written down.
   void Stop() { stopping_ = true; }
   bool Idle() const;
@@ -123,19 +133,19 @@
     JobRecord record;
     LogId log = 0;
     State state = State::kAsked;
-    Seq put = 0;  // the last operation that wrote it
+    SequenceNumber put = 0;  // the last operation that wrote it
     double at = 0, wait_s = 0;
     std::uint64_t order = 0;
-    How how = How::kServed;
+    JobOutcome outcome = JobOutcome::kCompleted;
   };
-  struct Owed {  // by a log, until an operation is kept
+  struct PendingCommit {  // by a log, until an operation is kept
     std::string handle;
     Then then;                       // of an Accept
     std::function<void(bool)> sent;  // of a Try
     bool end = false;
   };
   struct Log {
-    std::multimap<Seq, Owed> owed;
+    std::multimap<SequenceNumber, PendingCommit> pending_commits;
     std::size_t jobs = 0;
   };
   struct Load {
@@ -153,8 +163,8 @@
   void Start(Job* job);
   void Tidy();
   double OpensAt() const;
-  No Room(const JobRecord& job) const;
-  static No Because(Copies::Refusal why);
+  RejectReason CheckCapacity(const JobRecord& job) const;
+  static RejectReason RejectReasonOf(ReplicatedLogs::AppendError why);
 
   Limits limits_;
   std::uint64_t number_;
@@ -176,4 +186,4 @@
 
 }  // namespace millethollow::copies
 
-#endif  // MILLETHOLLOW_COPIES_JOBS_H_
+#endif  // MILLETHOLLOW_COPIES_DURABLE_JOB_QUEUE_H_
--- a/src/copies/keys.cpp
+++ b/src/copies/idempotency_keys.cpp
@@ -1,4 +1,4 @@
-#include "copies/keys.h"
+#include "copies/idempotency_keys.h"
 
 #include <algorithm>
 #include <limits>
@@ -16,7 +16,7 @@
 constexpr double kLater = 0.05;     // an end is said again more seldom with its age
 constexpr std::size_t kOverhead = 200, kForgetAtOnce = 256;
 
-std::string EncodeClaimer(const Claimer& c) {
+std::string EncodeClaimId(const ClaimId& c) {
   codec::Writer w;
   w.Raw(c.who);
   w.Raw(c.process_incarnation);
@@ -26,29 +26,29 @@
 
 }  // namespace
 
-std::string Encode(const KeyRecord& record) {
+std::string Encode(const IdempotencyRecord& record) {
   codec::Writer w;
-  if (record.claimer.who != 0) w.Nested(1, EncodeClaimer(record.claimer));
-  for (const Tried& t : record.tried) w.Nested(2, Encode(t));
+  if (record.claim.who != 0) w.Nested(1, EncodeClaimId(record.claim));
+  for (const AttemptRecord& t : record.attempts) w.Nested(2, Encode(t));
   w.Number(3, record.window_s);
   w.Number(4, static_cast<std::uint8_t>(record.answered));
   w.Text(5, record.result);
   return w.Take();
 }
 
-std::optional<KeyRecord> DecodeKey(std::string_view bytes) {
-  KeyRecord record;
+std::optional<IdempotencyRecord> DecodeIdempotencyRecord(std::string_view bytes) {
+  IdempotencyRecord record;
   codec::Reader r(bytes);
   while (r.Next()) {
     if (r.field() == 1) {
-      record.claimer.who = r.Raw<std::uint64_t>();
-      record.claimer.process_incarnation = r.Raw<std::uint64_t>();
-      record.claimer.number = r.Raw<std::uint64_t>();
+      record.claim.who = r.Raw<std::uint64_t>();
+      record.claim.process_incarnation = r.Raw<std::uint64_t>();
+      record.claim.number = r.Raw<std::uint64_t>();
     }
     if (r.field() == 2) {
-      auto tried = DecodeTried(r.value());
-      if (!tried || record.tried.size() >= kMostTried) return std::nullopt;
-      record.tried.push_back(std::move(*tried));
+      auto attempt = DecodeAttempt(r.value());
+      if (!attempt || record.attempts.size() >= kMaxAttempts) return std::nullopt;
+      record.attempts.push_back(std::move(*attempt));
     }
     if (r.field() == 3) record.window_s = r.Raw<double>();
     if (r.field() == 4) record.answered = r.Raw<std::uint8_t>() != 0;
@@ -57,13 +57,13 @@
   return r.ok() ? std::optional(std::move(record)) : std::nullopt;
 }
 
-LogId HomeOf(std::string_view key) {
+LogId LogOfKey(std::string_view key) {
   std::uint64_t hash = 0x9e3779b97f4a7c15ULL;
   for (const char c : key) hash = membership::Mix(hash ^ static_cast<std::uint8_t>(c));
   return (hash % kKeyLogs + 1) << 8 | static_cast<LogId>(LogKind::kKeys);
 }
 
-NodeId OpenerOf(LogId log, const View& view) {
+NodeId PreferredOpener(LogId log, const View& view) {
   NodeId best = 0;
   std::uint64_t most = 0;
   for (const auto& member : view.members) {
@@ -75,14 +75,15 @@
 
 // ---- the owner's side ----
 
-std::size_t KeyLedger::SizeOf(const std::string& key, const KeyRecord& record) {
+std::size_t IdempotencyKeyRegistry::SizeOf(const std::string& key,
+                                           const IdempotencyRecord& record) {
   return kOverhead + key.size() + record.result.size();
 }
 
-void KeyLedger::Begun(double now, LogId log, const std::vector<Op>& entries) {
+void IdempotencyKeyRegistry::Begun(double now, LogId log, const std::vector<Operation>& entries) {
   logs_[log];
-  for (const Op& op : entries) {
-    auto it = DecodeKey(op.value);
+  for (const Operation& op : entries) {
+    auto it = DecodeIdempotencyRecord(op.value);
     if (!it || records_.contains(op.key)) continue;
     Record& record = records_[op.key];
     bytes_ += SizeOf(op.key, *it);
@@ -94,7 +95,7 @@
   }
 }
 
-void KeyLedger::Ended(LogId log) {
+void IdempotencyKeyRegistry::Ended(LogId log) {
   logs_.erase(log);
   for (auto it = records_.begin(); it != records_.end();) {
     if (it->second.log != log) {
@@ -107,15 +108,15 @@
 }
 
 // What was tried last came with the last operation: said so before there is another.
-void KeyLedger::Date(Record* record) {
-  if (record->it.tried.empty() || record->it.tried.back().seq != 0) return;
-  record->it.tried.back().seq = record->put;
+void IdempotencyKeyRegistry::Date(Record* record) {
+  if (record->it.attempts.empty() || record->it.attempts.back().seq != 0) return;
+  record->it.attempts.back().seq = record->put;
 }
 
 // Written as it is now; `kept` falls until it is on the disks. False: it can't be.
-bool KeyLedger::Put(const std::string& key, Record* record) {
-  Copies::Refusal why{};
-  const Seq seq = hooks_.append(record->log, key, Encode(record->it), false, &why);
+bool IdempotencyKeyRegistry::Put(const std::string& key, Record* record) {
+  ReplicatedLogs::AppendError why{};
+  const SequenceNumber seq = hooks_.append(record->log, key, Encode(record->it), false, &why);
   if (seq == 0) return false;
   record->put = seq;
   record->kept = false;
@@ -123,31 +124,31 @@
   return true;
 }
 
-void KeyLedger::Tell(const std::string& key, const Record& record, const Claimer& to,
-                     KeyWord::Kind kind, std::uint64_t step) {
+void IdempotencyKeyRegistry::Tell(const std::string& key, const Record& record, const ClaimId& to,
+                                  KeyWord::Kind kind, std::uint64_t step) {
   KeyWord w;
   w.kind = kind;
   w.log = record.log;
   w.key = key;
-  w.claimer = to;
+  w.claim = to;
   w.step = step;
   if (kind == KeyWord::Kind::kAnswered) w.result = record.it.result;
   if (kind == KeyWord::Kind::kGo) {
-    w.tried = record.it.tried;
-    for (const Tried& t : w.tried) {
+    w.attempts = record.it.attempts;
+    for (const AttemptRecord& t : w.attempts) {
       w.ages_s.push_back(hooks_.age(record.log, t.seq == 0 ? record.put : t.seq));
     }
   }
   hooks_.send(to.who, w);
 }
 
-void KeyLedger::Hear(double now, NodeId from, const KeyWord& word) {
-  if (word.claimer.who != from) return;
+void IdempotencyKeyRegistry::Hear(double now, NodeId from, const KeyWord& word) {
+  if (word.claim.who != from) return;
   if (!logs_.contains(word.log)) {  // not this member's, or not yet
     if (word.kind == KeyWord::Kind::kTry) {
       Record none;
       none.log = word.log;
-      Tell(word.key, none, word.claimer, KeyWord::Kind::kNo, word.step);
+      Tell(word.key, none, word.claim, KeyWord::Kind::kNo, word.step);
     }
     return;
   }
@@ -156,17 +157,17 @@
   if (word.kind == KeyWord::Kind::kEnd) End(now, word);
 }
 
-void KeyLedger::Claim(double now, const KeyWord& w) {
+void IdempotencyKeyRegistry::Claim(double now, const KeyWord& w) {
   const auto found = records_.find(w.key);
   Record fresh;
   fresh.log = w.log;
   if (found == records_.end()) {
     const bool full = records_.size() >= limits_.keys || bytes_ >= limits_.bytes;
-    fresh.it.claimer = w.claimer;
+    fresh.it.claim = w.claim;
     fresh.it.window_s = w.window_s;
     if (full || !Put(w.key, &fresh)) {
       counters_.refused += 1;
-      return Tell(w.key, fresh, w.claimer, KeyWord::Kind::kNo);
+      return Tell(w.key, fresh, w.claim, KeyWord::Kind::kNo);
     }
     counters_.claims += 1;
     bytes_ += SizeOf(w.key, fresh.it);
@@ -178,42 +179,42 @@
   if (record.it.answered) {
     if (!record.kept) return;
     counters_.repeated += 1;
-    return Tell(w.key, record, w.claimer, KeyWord::Kind::kAnswered);
+    return Tell(w.key, record, w.claim, KeyWord::Kind::kAnswered);
   }
-  if (record.it.claimer == w.claimer) {
-    if (record.kept) Tell(w.key, record, w.claimer, KeyWord::Kind::kGo);
+  if (record.it.claim == w.claim) {
+    if (record.kept) Tell(w.key, record, w.claim, KeyWord::Kind::kGo);
     return;
   }
-  if (std::find(record.waiting.begin(), record.waiting.end(), w.claimer) == record.waiting.end()) {
+  if (std::find(record.waiting.begin(), record.waiting.end(), w.claim) == record.waiting.end()) {
     if (record.waiting.size() >= limits_.waiting) {
-      return Tell(w.key, record, w.claimer, KeyWord::Kind::kNo);
+      return Tell(w.key, record, w.claim, KeyWord::Kind::kNo);
     }
-    record.waiting.push_back(w.claimer);
+    record.waiting.push_back(w.claim);
     counters_.joined += 1;
   }
   Settle(now, w.key, &record);
-  if (record.it.claimer != w.claimer) Tell(w.key, record, w.claimer, KeyWord::Kind::kWait);
+  if (record.it.claim != w.claim) Tell(w.key, record, w.claim, KeyWord::Kind::kWait);
 }
 
 // Nobody runs it, or whoever did is gone: the first of those that wait may.
-void KeyLedger::Settle(double now, const std::string& key, Record* record) {
+void IdempotencyKeyRegistry::Settle(double now, const std::string& key, Record* record) {
   if (record->it.answered || record->ending) return;
-  if (record->it.claimer.who != 0) {
-    if (hooks_.there(record->it.claimer)) return;
-    record->it.claimer = {};
+  if (record->it.claim.who != 0) {
+    if (hooks_.there(record->it.claim)) return;
+    record->it.claim = {};
     record->step = 0;
     record->ends_at = now + record->it.window_s;
   }
   while (!record->waiting.empty()) {
-    const Claimer next = record->waiting.front();
+    const ClaimId next = record->waiting.front();
     if (!hooks_.there(next)) {
       record->waiting.pop_front();
       continue;
     }
-    record->it.claimer = next;
+    record->it.claim = next;
     Date(record);
     if (!Put(key, record)) {
-      record->it.claimer = {};
+      record->it.claim = {};
       return;
     }
     record->waiting.pop_front();
@@ -222,44 +223,43 @@
   }
 }
 
-void KeyLedger::Try(double, const KeyWord& w) {
+void IdempotencyKeyRegistry::Try(double, const KeyWord& w) {
   const auto found = records_.find(w.key);
   Record none;
   none.log = w.log;
-  if (found == records_.end() || found->second.it.claimer != w.claimer ||
-      found->second.it.answered) {
-    return Tell(w.key, none, w.claimer, KeyWord::Kind::kNo, w.step);
+  if (found == records_.end() || found->second.it.claim != w.claim || found->second.it.answered) {
+    return Tell(w.key, none, w.claim, KeyWord::Kind::kNo, w.step);
   }
   Record& record = found->second;
   if (w.step <= record.step) {  // said again
     if (w.step == record.step && record.kept) {
-      Tell(w.key, record, w.claimer, KeyWord::Kind::kMay, w.step);
+      Tell(w.key, record, w.claim, KeyWord::Kind::kMay, w.step);
     }
     return;
   }
-  const std::vector<Tried> before = record.it.tried;
+  const std::vector<AttemptRecord> before = record.it.attempts;
   Date(&record);
-  record.it.tried.push_back({w.worker, w.own, 0});
-  if (record.it.tried.size() > kMostTried || !Put(w.key, &record)) {
-    record.it.tried = before;
-    return Tell(w.key, record, w.claimer, KeyWord::Kind::kNo, w.step);
+  record.it.attempts.push_back({w.worker, w.local_worker, 0});
+  if (record.it.attempts.size() > kMaxAttempts || !Put(w.key, &record)) {
+    record.it.attempts = before;
+    return Tell(w.key, record, w.claim, KeyWord::Kind::kNo, w.step);
   }
   record.step = w.step;
 }
 
-void KeyLedger::End(double now, const KeyWord& w) {
+void IdempotencyKeyRegistry::End(double now, const KeyWord& w) {
   const auto found = records_.find(w.key);
   Record none;
   none.log = w.log;
-  if (found == records_.end()) return Tell(w.key, none, w.claimer, KeyWord::Kind::kDone);
+  if (found == records_.end()) return Tell(w.key, none, w.claim, KeyWord::Kind::kDone);
   Record& record = found->second;
-  std::erase(record.waiting, w.claimer);
+  std::erase(record.waiting, w.claim);
   // Only once that it ended is kept: else whoever adopts the log takes it for one that runs.
-  if (record.it.claimer != w.claimer || record.it.answered || record.ending) {
-    if (record.kept) Tell(w.key, record, w.claimer, KeyWord::Kind::kDone);
+  if (record.it.claim != w.claim || record.it.answered || record.ending) {
+    if (record.kept) Tell(w.key, record, w.claim, KeyWord::Kind::kDone);
     return;
   }
-  const KeyRecord before = record.it;
+  const IdempotencyRecord before = record.it;
   if (w.served) {
     bytes_ += w.result.size();
     record.it.answered = true;
@@ -272,25 +272,25 @@
     return;
   }
   Date(&record);
-  std::erase_if(record.it.tried, [&](const Tried& t) {
+  std::erase_if(record.it.attempts, [&](const AttemptRecord& t) {
     return std::none_of(w.ran_at.begin(), w.ran_at.end(),
                         [&](const std::string& at) { return at == t.worker || at == kAnywhere; });
   });
-  record.it.claimer = {};
+  record.it.claim = {};
   const std::uint64_t step = std::exchange(record.step, 0);
   record.ends_at = now + record.it.window_s;
   Settle(now, w.key, &record);
-  const bool nobody = record.it.claimer.who == 0;
+  const bool nobody = record.it.claim.who == 0;
   const bool written =
-      !nobody || (record.it.tried.empty() ? Release(w.key, &record) : Put(w.key, &record));
+      !nobody || (record.it.attempts.empty() ? Release(w.key, &record) : Put(w.key, &record));
   if (written) return;
   record.it = before;  // it says so again
   record.step = step;
 }
 
-bool KeyLedger::Release(const std::string& key, Record* record) {
-  Copies::Refusal why{};
-  const Seq seq = hooks_.append(record->log, key, "", true, &why);
+bool IdempotencyKeyRegistry::Release(const std::string& key, Record* record) {
+  ReplicatedLogs::AppendError why{};
+  const SequenceNumber seq = hooks_.append(record->log, key, "", true, &why);
   if (seq == 0) return false;
   record->put = seq;
   record->kept = false;
@@ -299,11 +299,11 @@
   return true;
 }
 
-void KeyLedger::Kept(double now, LogId log, Seq seq) {
+void IdempotencyKeyRegistry::Kept(double now, LogId log, SequenceNumber seq) {
   while (true) {
     const auto it = logs_.find(log);
     if (it == logs_.end() || it->second.empty() || it->second.begin()->first > seq) return;
-    const Seq done = it->second.begin()->first;
+    const SequenceNumber done = it->second.begin()->first;
     const std::string key = std::move(it->second.begin()->second);
     it->second.erase(it->second.begin());
     const auto found = records_.find(key);
@@ -316,24 +316,24 @@
       records_.erase(found);
       (void)waiting;  // they ask again
     } else if (record.it.answered) {
-      Tell(key, record, record.it.claimer, KeyWord::Kind::kDone);
-      for (const Claimer& c : std::exchange(record.waiting, {})) {
+      Tell(key, record, record.it.claim, KeyWord::Kind::kDone);
+      for (const ClaimId& c : std::exchange(record.waiting, {})) {
         Tell(key, record, c, KeyWord::Kind::kAnswered);
       }
     } else if (record.step > 0) {
-      Tell(key, record, record.it.claimer, KeyWord::Kind::kMay, record.step);
-    } else if (record.it.claimer.who != 0) {
-      Tell(key, record, record.it.claimer, KeyWord::Kind::kGo);
+      Tell(key, record, record.it.claim, KeyWord::Kind::kMay, record.step);
+    } else if (record.it.claim.who != 0) {
+      Tell(key, record, record.it.claim, KeyWord::Kind::kGo);
     }
   }
   (void)now;
 }
 
-void KeyLedger::Tick(double now) {
+void IdempotencyKeyRegistry::Tick(double now) {
   std::vector<std::string> open, over;
   for (const auto& [key, record] : records_) {
     if (!record.kept || record.ending) continue;
-    const bool nobody = record.it.claimer.who == 0;
+    const bool nobody = record.it.claim.who == 0;
     if (!record.it.answered && (!nobody || !record.waiting.empty())) open.push_back(key);
     const bool idle = record.it.answered || nobody;
     if (idle && now >= record.ends_at && over.size() < kForgetAtOnce) over.push_back(key);
@@ -349,8 +349,9 @@
 
 // ---- the side of the member that was asked ----
 
-std::uint64_t KeyClaims::Claim(double now, const std::string& key, double window_s, Then then) {
-  const LogId log = HomeOf(key);
+std::uint64_t IdempotencyKeyClient::Claim(double now, const std::string& key, double window_s,
+                                          Then then) {
+  const LogId log = LogOfKey(key);
   if (hooks_.owner(log) == 0) {
     then({});
     return 0;
@@ -361,26 +362,26 @@
   open.word.kind = KeyWord::Kind::kClaim;
   open.word.log = log;
   open.word.key = key;
-  open.word.claimer = {self_, process_incarnation_, number};
+  open.word.claim = {self_, process_incarnation_, number};
   open.word.window_s = window_s;
   open.since = now;
   Say(now, &open);
   return number;
 }
 
-void KeyClaims::Say(double now, Open* open) {
+void IdempotencyKeyClient::Say(double now, Open* open) {
   open->said_at = now;
   const NodeId owner = hooks_.owner(open->word.log);
   if (owner != 0) hooks_.send(owner, open->word);
 }
 
-bool KeyClaims::Waits(std::uint64_t number) const {
+bool IdempotencyKeyClient::Waits(std::uint64_t number) const {
   const auto it = claims_.find(number);
   return it != claims_.end() && it->second.waits;
 }
 
-void KeyClaims::Try(double now, std::uint64_t number, const std::string& worker, bool own,
-                    std::function<void(bool)> then) {
+void IdempotencyKeyClient::Try(double now, std::uint64_t number, const std::string& worker,
+                               bool local_worker, std::function<void(bool)> then) {
   const auto it = claims_.find(number);
   if (it == claims_.end() || it->second.asks || it->second.ended) return then(false);
   Open& open = it->second;
@@ -389,12 +390,12 @@
   open.word.kind = KeyWord::Kind::kTry;
   open.word.step = ++open.step;
   open.word.worker = worker;
-  open.word.own = own;
+  open.word.local_worker = local_worker;
   Say(now, &open);
 }
 
-void KeyClaims::End(double now, std::uint64_t number, bool served, std::string result,
-                    std::vector<std::string> ran_at) {
+void IdempotencyKeyClient::End(double now, std::uint64_t number, bool served, std::string result,
+                               std::vector<std::string> ran_at) {
   const auto it = claims_.find(number);
   if (it == claims_.end() || it->second.ended) return;
   Open& open = it->second;
@@ -410,9 +411,9 @@
   Say(now, &open);
 }
 
-void KeyClaims::Hear(double now, const KeyWord& w) {
-  if (w.claimer.who != self_ || w.claimer.process_incarnation != process_incarnation_) return;
-  const auto it = claims_.find(w.claimer.number);
+void IdempotencyKeyClient::Hear(double now, const KeyWord& w) {
+  if (w.claim.who != self_ || w.claim.process_incarnation != process_incarnation_) return;
+  const auto it = claims_.find(w.claim.number);
   if (it == claims_.end() || it->second.word.key != w.key) return;
   Open& open = it->second;
   using Kind = KeyWord::Kind;
@@ -423,9 +424,9 @@
     result.kind = w.kind == Kind::kGo         ? Result::Kind::kGo
                   : w.kind == Kind::kAnswered ? Result::Kind::kAnswered
                                               : Result::Kind::kRefused;
-    result.tried = w.tried;
+    result.attempts = w.attempts;
     for (const double age : w.ages_s) result.ages_s.push_back(age + kOnItsWayS);
-    result.ages_s.resize(result.tried.size(), kInf);
+    result.ages_s.resize(result.attempts.size(), kInf);
     result.result = w.result;
     const Then then = std::move(open.then);
     open.asks = false;
@@ -444,7 +445,7 @@
   (void)now;
 }
 
-void KeyClaims::Tick(double now) {
+void IdempotencyKeyClient::Tick(double now) {
   std::vector<std::uint64_t> silent;
   for (auto& [number, open] : claims_) {
     if (!open.asks || now < SayAt(open)) continue;
@@ -462,12 +463,12 @@
   }
 }
 
-double KeyClaims::SayAt(const Open& open) {
+double IdempotencyKeyClient::SayAt(const Open& open) {
   const double age = open.ended ? open.said_at - open.since : 0;
   return open.said_at + std::max(kSayAgainS, kLater * age);
 }
 
-double KeyClaims::NextAt() const {
+double IdempotencyKeyClient::NextAt() const {
   double at = kInf;
   for (const auto& [number, open] : claims_) {
     if (open.asks) at = std::min(at, SayAt(open));
--- a/src/copies/keys.h
+++ b/src/copies/idempotency_keys.h
@@ -4,8 +4,8 @@
 //
 // Decides only: words of members, what logs tell and time go in, calls of Hooks come out. Bounded
 // by Limits. Times are seconds on a clock that counts pauses.
-#ifndef MILLETHOLLOW_COPIES_KEYS_H_
-#define MILLETHOLLOW_COPIES_KEYS_H_
+#ifndef MILLETHOLLOW_COPIES_IDEMPOTENCY_KEYS_H_
+#define MILLETHOLLOW_COPIES_IDEMPOTENCY_KEYS_H_
 
 #include <cstdint>
 #include <deque>
@@ -18,27 +18,27 @@
 #include <utility>
 #include <vector>
 
-#include "copies/jobs.h"
+#include "copies/durable_job_queue.h"
 
 namespace millethollow::copies {
 
 // One that a client asked with a key: the member, its process, and which of its claims.
-struct Claimer {
+struct ClaimId {
   NodeId who = 0;  // 0: nobody
   ProcessIncarnation process_incarnation = 0;
   std::uint64_t number = 0;
-  auto operator<=>(const Claimer&) const = default;
+  auto operator<=>(const ClaimId&) const = default;
 };
 
-struct KeyRecord {
-  Claimer claimer;           // who may run it now
-  std::vector<Tried> tried;  // and may have run, oldest first
-  double window_s = 0;       // of its class
+struct IdempotencyRecord {
+  ClaimId claim;                        // who may run it now
+  std::vector<AttemptRecord> attempts;  // and may have run, oldest first
+  double window_s = 0;                  // of its class
   bool answered = false;
   std::string result;
 };
-std::string Encode(const KeyRecord& record);
-std::optional<KeyRecord> DecodeKey(std::string_view bytes);
+std::string Encode(const IdempotencyRecord& record);
+std::optional<IdempotencyRecord> DecodeIdempotencyRecord(std::string_view bytes);
 
 // What the one who was asked and the owner of the key's log say to each other. Lost, doubled and
 // late words do no harm: each is said again until it is answered.
@@ -57,43 +57,45 @@
   Kind kind = Kind::kClaim;
   LogId log = 0;
   std::string key;
-  Claimer claimer;         // who asks
+  ClaimId claim;           // who asks
   std::uint64_t step = 0;  // of a kTry: rises
   double window_s = 0;
   std::string worker, result;
-  bool own = false, served = false;
+  bool local_worker = false, served = false;
   std::vector<std::string> ran_at;  // kEnd: workers where it may have run; "*": wherever tried
-  std::vector<Tried> tried;
+  std::vector<AttemptRecord> attempts;
   std::vector<double> ages_s;  // of `tried`: at most so long ago; infinite: not known
 };
 
 constexpr LogId kKeyLogs = 8;
 // The log that a key has its home in, and whose part it is to open it where it is not there.
-LogId HomeOf(std::string_view key);
-NodeId OpenerOf(LogId log, const View& view);
+LogId LogOfKey(std::string_view key);
+NodeId PreferredOpener(LogId log, const View& view);
 
 // The owner's side.
-class KeyLedger {
+class IdempotencyKeyRegistry {
  public:
   struct Limits {
     std::size_t keys = 100000, bytes = 64 << 20, waiting = 32;  // waiting: for one key
   };
   struct Hooks {
     // The view is looked at before each call of this class: no log ends within an append.
-    std::function<Seq(LogId, std::string key, std::string value, bool gone, Copies::Refusal*)>
+    std::function<SequenceNumber(LogId, std::string key, std::string value, bool gone,
+                                 ReplicatedLogs::AppendError*)>
         append;
-    std::function<double(LogId, Seq)> age;
-    std::function<bool(const Claimer&)> there;  // its process is in the view
+    std::function<double(LogId, SequenceNumber)> age;
+    std::function<bool(const ClaimId&)> there;  // its process is in the view
     std::function<void(NodeId, const KeyWord&)> send;
   };
   struct Counters {
     std::uint64_t claims = 0, joined = 0, repeated = 0, taken_over = 0, refused = 0;
   };
-  KeyLedger(const Limits& limits, Hooks hooks) : limits_(limits), hooks_(std::move(hooks)) {}
+  IdempotencyKeyRegistry(const Limits& limits, Hooks hooks)
+      : limits_(limits), hooks_(std::move(hooks)) {}
 
-  void Begun(double now, LogId log, const std::vector<Op>& entries);
+  void Begun(double now, LogId log, const std::vector<Operation>& entries);
   void Ended(LogId log);
-  void Kept(double now, LogId log, Seq seq);
+  void Kept(double now, LogId log, SequenceNumber seq);
   void Hear(double now, NodeId from, const KeyWord& word);
   void Tick(double now);  // each second or so, and when the view has changed
 
@@ -103,14 +105,14 @@
 
  private:
   struct Record {
-    KeyRecord it;
+    IdempotencyRecord it;
     LogId log = 0;
-    Seq put = 0;             // the last operation that wrote it
+    SequenceNumber put = 0;  // the last operation that wrote it
     bool kept = false;       // and it is kept
     std::uint64_t step = 0;  // of the claimer's last kTry
     double ends_at = 0;      // when nobody runs it: it is forgotten then
     bool ending = false;     // that is being written
-    std::deque<Claimer> waiting;
+    std::deque<ClaimId> waiting;
   };
   using Records = std::map<std::string, Record>;
 
@@ -120,41 +122,42 @@
   bool Release(const std::string& key, Record* record);
   bool Put(const std::string& key, Record* record);
   static void Date(Record* record);
-  void Tell(const std::string& key, const Record& record, const Claimer& to, KeyWord::Kind kind,
+  void Tell(const std::string& key, const Record& record, const ClaimId& to, KeyWord::Kind kind,
             std::uint64_t step = 0);
   void Settle(double now, const std::string& key, Record* record);
-  static std::size_t SizeOf(const std::string& key, const KeyRecord& record);
+  static std::size_t SizeOf(const std::string& key, const IdempotencyRecord& record);
 
   Limits limits_;
   Hooks hooks_;
   Records records_;
-  std::map<LogId, std::multimap<Seq, std::string>> logs_;  // on which it acts: keys that wait
+  std::map<LogId, std::multimap<SequenceNumber, std::string>>
+      logs_;  // on which it acts: keys that wait
   std::size_t bytes_ = 0;
   Counters counters_;
 };
 
 // The side of the member that a client asked.
-class KeyClaims {
+class IdempotencyKeyClient {
  public:
   struct Result {
     enum class Kind : std::uint8_t { kGo, kAnswered, kRefused };
     Kind kind = Kind::kRefused;
-    std::vector<Tried> tried;    // kGo
-    std::vector<double> ages_s;  // at most so long ago
-    std::string result;          // kAnswered
+    std::vector<AttemptRecord> attempts;  // kGo
+    std::vector<double> ages_s;           // at most so long ago
+    std::string result;                   // kAnswered
   };
   using Then = std::function<void(const Result&)>;
   struct Hooks {
     std::function<NodeId(LogId)> owner;  // as the view has it, with a lease held now; 0: none
     std::function<void(NodeId, const KeyWord&)> send;
   };
-  KeyClaims(NodeId self, ProcessIncarnation process_incarnation, Hooks hooks)
+  IdempotencyKeyClient(NodeId self, ProcessIncarnation process_incarnation, Hooks hooks)
       : self_(self), process_incarnation_(process_incarnation), hooks_(std::move(hooks)) {}
 
   // `then` once, maybe at once, unless End comes first. Its number; 0: refused.
   std::uint64_t Claim(double now, const std::string& key, double window_s, Then then);
   // An attempt may go out once `then(true)` comes.
-  void Try(double now, std::uint64_t number, const std::string& worker, bool own,
+  void Try(double now, std::uint64_t number, const std::string& worker, bool local_worker,
            std::function<void(bool)> then);
   // It has ended here, answered or not; or nobody waits for it any more.
   void End(double now, std::uint64_t number, bool served, std::string result,
@@ -187,4 +190,4 @@
 
 }  // namespace millethollow::copies
 
-#endif  // MILLETHOLLOW_COPIES_KEYS_H_
+#endif  // MILLETHOLLOW_COPIES_IDEMPOTENCY_KEYS_H_
--- a/src/copies/log.cpp
+++ b/src/copies/log.cpp
@@ -3,7 +3,7 @@
 #include <iterator>
 #include <utility>
 
-#include "copies/copies.h"
+#include "copies/replicated_logs.h"
 
 namespace millethollow::copies {
 namespace {
@@ -13,59 +13,60 @@
 
 }  // namespace
 
-const Op* Copies::Log::At(Seq seq) const {
+const Operation* ReplicatedLogs::Log::At(SequenceNumber seq) const {
   if (ops.empty() || seq < ops.front().seq || seq > ops.back().seq) return nullptr;
   return &ops[seq - ops.front().seq];
 }
 
 // Of an operation that is known; 0: it is not.
-std::uint64_t Copies::Log::EpochAt(Seq seq) const {
-  if (const Op* op = At(seq)) return op->epoch;
+std::uint64_t ReplicatedLogs::Log::EpochAt(SequenceNumber seq) const {
+  if (const Operation* op = At(seq)) return op->epoch;
   if (!ops.empty() && seq + 1 == ops.front().seq) return before;
   return seq == head.applied ? head.applied_epoch : 0;
 }
 
-void Copies::Log::Mark(double since_s) {
+void ReplicatedLogs::Log::Mark(double since_s) {
   if (!marks.empty() && since_s - marks.back().first < kMarkS) return;
   marks.emplace_back(since_s, End());
   if (marks.size() > kMostMarks) marks.pop_front();
 }
 
-void Copies::Put(LogId id, const Op& op) {
-  batch_.push_back({Write::What::kPut, OpKey(id, op.seq), Encode(op)});
+void ReplicatedLogs::Put(LogId id, const Operation& op) {
+  batch_.push_back({StoreWrite::Kind::kPut, OperationKey(id, op.seq), Encode(op)});
 }
 
-void Copies::PutHead(LogId id, const Log& log) {
-  batch_.push_back({Write::What::kPut, HeadKey(id), Encode(log.head)});
+void ReplicatedLogs::PutHead(LogId id, const Log& log) {
+  batch_.push_back({StoreWrite::Kind::kPut, HeadKey(id), Encode(log.head)});
 }
 
 // Operations that are on all holders become entries.
-void Copies::Apply(LogId id, Log* log, Seq commit) {
-  const Seq until = std::min(commit, log->End());
+void ReplicatedLogs::Apply(LogId id, Log* log, SequenceNumber commit) {
+  const SequenceNumber until = std::min(commit, log->End());
   if (until <= log->head.applied) return;
-  for (Seq seq = log->head.applied + 1; seq <= until; ++seq) {
-    const Op& op = *log->At(seq);
-    batch_.push_back({Write::What::kErase, OpKey(id, seq), ""});
+  for (SequenceNumber seq = log->head.applied + 1; seq <= until; ++seq) {
+    const Operation& op = *log->At(seq);
+    batch_.push_back({StoreWrite::Kind::kErase, OperationKey(id, seq), ""});
     if (op.gone) {
-      batch_.push_back({Write::What::kErase, EntryKey(id, log->head.filling, op.key), ""});
+      batch_.push_back({StoreWrite::Kind::kErase, EntryKey(id, log->head.filling, op.key), ""});
     } else {
-      batch_.push_back({Write::What::kPut, EntryKey(id, log->head.filling, op.key), Encode(op)});
+      batch_.push_back(
+          {StoreWrite::Kind::kPut, EntryKey(id, log->head.filling, op.key), Encode(op)});
     }
     log->head.applied = seq;
     log->head.applied_epoch = op.epoch;
   }
   PutHead(id, *log);
   // An owner keeps some for holders that are behind.
-  const std::size_t keep = log->own ? o_.tail_ops : 0;
+  const std::size_t keep = log->own ? o_.retained_operations : 0;
   while (log->ops.size() > keep && !log->ops.empty() && log->ops.front().seq <= log->head.applied) {
     log->Drop();
   }
 }
 
 // Takes out what no owner answered: all from this number on.
-void Copies::Cut(LogId id, Log* log, Seq from) {
+void ReplicatedLogs::Truncate(LogId id, Log* log, SequenceNumber from) {
   while (!log->ops.empty() && log->ops.back().seq >= from) {
-    batch_.push_back({Write::What::kErase, OpKey(id, log->ops.back().seq), ""});
+    batch_.push_back({StoreWrite::Kind::kErase, OperationKey(id, log->ops.back().seq), ""});
     log->ops.pop_back();
   }
   log->stored = std::min(log->stored, log->End());
@@ -75,7 +76,7 @@
   }
 }
 
-void Copies::Flush(Actions* actions) {
+void ReplicatedLogs::Flush(Actions* actions) {
   if (failed_) batch_.clear();
   if (batch_.empty()) return;
   Flight flight{.ticket = ++ticket_, .reaches = {}};
@@ -87,7 +88,7 @@
   actions->ticket = ticket_;
 }
 
-void Copies::Stored(double now, std::uint64_t ticket, Actions* actions) {
+void ReplicatedLogs::OnStored(double now, std::uint64_t ticket, Actions* actions) {
   if (failed_) return;
   while (!flights_.empty() && flights_.front().ticket <= ticket) {
     for (const auto& [id, reach] : flights_.front().reaches) {
@@ -108,7 +109,7 @@
       ++it;
       continue;
     }
-    if (log != logs_.end()) Tell(it->second, it->first, log->second, true, actions);
+    if (log != logs_.end()) SendStatus(it->second, it->first, log->second, true, actions);
     it = answer_to_.erase(it);
   }
   for (auto& [id, log] : logs_) {
--- a/src/copies/records.cpp
+++ b/src/copies/records.cpp
@@ -16,7 +16,9 @@
 
 std::string LogPrefix(LogId log) { return Digits(log) + "/"; }
 std::string HeadKey(LogId log) { return LogPrefix(log) + "h/"; }
-std::string OpKey(LogId log, Seq seq) { return LogPrefix(log) + "o/" + Digits(seq); }
+std::string OperationKey(LogId log, SequenceNumber seq) {
+  return LogPrefix(log) + "o/" + Digits(seq);
+}
 std::string EntryPrefix(LogId log, std::uint64_t filling) {
   return LogPrefix(log) + "e/" + Digits(filling) + "/";
 }
@@ -24,9 +26,9 @@
   return EntryPrefix(log, filling) + std::string(key);
 }
 
-std::optional<KeyParts> Split(std::string_view key) {
+std::optional<StoreKey> ParseStoreKey(std::string_view key) {
   if (key.size() < 19 || key[16] != '/' || key[18] != '/') return std::nullopt;
-  KeyParts parts{.log = 0, .what = key[17], .rest = key.substr(19)};
+  StoreKey parts{.log = 0, .type = key[17], .rest = key.substr(19)};
   for (const char c : key.substr(0, 16)) {
     const bool digit = c >= '0' && c <= '9';
     if (!digit && (c < 'a' || c > 'f')) return std::nullopt;
@@ -35,7 +37,7 @@
   return parts;
 }
 
-std::string Encode(const Head& h) {
+std::string Encode(const LogHead& h) {
   codec::Writer w;
   w.Number(1, h.applied);
   w.Number(2, h.applied_epoch);
@@ -44,8 +46,8 @@
   return w.Take();
 }
 
-std::optional<Head> DecodeHead(std::string_view bytes) {
-  Head h;
+std::optional<LogHead> DecodeLogHead(std::string_view bytes) {
+  LogHead h;
   codec::Reader r(bytes);
   while (r.Next()) {
     if (r.field() == 1) h.applied = r.Raw<std::uint64_t>();
@@ -56,7 +58,7 @@
   return r.ok() ? std::optional(h) : std::nullopt;
 }
 
-std::string Encode(const Op& op) {
+std::string Encode(const Operation& op) {
   codec::Writer w;
   w.Number(1, op.seq);
   w.Number(2, op.epoch);
@@ -66,8 +68,8 @@
   return w.Take();
 }
 
-std::optional<Op> DecodeOp(std::string_view bytes) {
-  Op op;
+std::optional<Operation> DecodeOperation(std::string_view bytes) {
+  Operation op;
   codec::Reader r(bytes);
   while (r.Next()) {
     if (r.field() == 1) op.seq = r.Raw<std::uint64_t>();
--- a/src/copies/records.h
+++ b/src/copies/records.h
@@ -14,71 +14,72 @@
 namespace millethollow::copies {
 
 using LogId = std::uint64_t;
-using Seq = std::uint64_t;  // of a log's operations; the first is 1
+using SequenceNumber = std::uint64_t;  // of a log's operations; the first is 1
 
 // An entry is put in place of the one of that key, or taken out. `epoch`: the one in which whoever
 // made it became the log's owner; two operations of one number and epoch are one.
-struct Op {
-  Seq seq = 0;
+struct Operation {
+  SequenceNumber seq = 0;
   std::uint64_t epoch = 0;
   std::string key, value;
   bool gone = false;
 };
 
 // To the store, in this order and all or none.
-struct Write {
-  enum class What : std::uint8_t { kPut, kErase, kErasePrefix };
-  What what = What::kPut;
+struct StoreWrite {
+  enum class Kind : std::uint8_t { kPut, kErase, kErasePrefix };
+  Kind kind = Kind::kPut;
   std::string key, value;
 };
 
 // Of a log on this disk, beside its operations and entries.
-struct Head {
-  Seq applied = 0;  // operations up to this are in the entries and no more apart
+struct LogHead {
+  SequenceNumber applied = 0;  // operations up to this are in the entries and no more apart
   std::uint64_t applied_epoch = 0;
   std::uint64_t epoch = 0;  // of the latest owner that it heard
   std::uint64_t filling =
       0;  // how often it was filled: entries of a filling lie apart until it ends
 };
 
-struct Frame {
+struct ReplicationMessage {
   enum class Kind : std::uint8_t {
-    kWhere,  // owner: how far are you?
-    kAt,     // holder: on disk up to seq as the owner has it; commit: applied; end: its last
-    kOps,    // owner: operations after seq (of seq_epoch); commit
-    kFill,   // owner: entries, in the order of their keys
-    kLied,   // owner: your disk is older than what you said of it
+    kStatusQuery,  // owner: how far are you?
+    kStatus,       // holder: on disk up to seq as the owner has it; commit: applied; end: its last
+    kAppend,       // owner: operations after seq (of seq_epoch); commit
+    kSnapshotChunk,  // owner: entries, in the order of their keys
+    kStaleStore,     // owner: your disk is older than what you said of it
   };
-  Kind kind = Kind::kWhere;
+  Kind kind = Kind::kStatusQuery;
   LogId log = 0;
   std::uint64_t epoch = 0;  // in which the owner became it
   std::uint64_t disk = 0;   // of the holder: whose it is, or for whom
-  Seq seq = 0, commit = 0, end = 0;
+  SequenceNumber seq = 0, commit = 0, end = 0;
   std::uint64_t seq_epoch = 0, end_epoch = 0;
-  std::uint64_t number = 0;  // of a kWhere, and of the kAt that answers it
-  membership::ProcessIncarnation process_incarnation = 0;  // of the process that says kAt
-  std::uint64_t fill = 0, chunk = 0;  // which filling, and which part; kAt: how many parts it has
+  std::uint64_t number = 0;  // of a kStatusQuery, and of the kStatus that answers it
+  membership::ProcessIncarnation process_incarnation = 0;  // of the process that says kStatus
+  std::uint64_t fill = 0,
+                chunk = 0;  // which filling, and which part; kStatus: how many parts it has
   bool last = false, matched = false;
-  std::vector<Op> ops = {};
+  std::vector<Operation> ops = {};
 };
 
 std::string HeadKey(LogId log);
-std::string OpKey(LogId log, Seq seq);
+std::string OperationKey(LogId log, SequenceNumber seq);
 std::string LogPrefix(LogId log);
 std::string EntryPrefix(LogId log, std::uint64_t filling);
 std::string EntryKey(LogId log, std::uint64_t filling, std::string_view key);
 // Of a key as above: whose it is, and what.
-struct KeyParts {
+struct StoreKey {
   LogId log = 0;
-  char what = 0;  // 'h', 'o' or 'e'
+  char type = 0;  // 'h', 'o' or 'e'
   std::string_view rest;
 };
-std::optional<KeyParts> Split(std::string_view key);
+std::optional<StoreKey> ParseStoreKey(std::string_view key);
 
-std::string Encode(const Head& head);
-std::optional<Head> DecodeHead(std::string_view bytes);
-std::string Encode(const Op& op);
-std::optional<Op> DecodeOp(std::string_view bytes);
+std::string Encode(const LogHead& head);
+std::optional<LogHead> DecodeLogHead(std::string_view bytes);
+std::string Encode(const Operation& op);
+std::optional<Operation> DecodeOperation(std::string_view bytes);
 
 }  // namespace millethollow::copies
 
--- a/src/copies/holders.cpp
+++ b/src/copies/replica_assignment.cpp
@@ -3,12 +3,13 @@
 #include <set>
 #include <utility>
 
-#include "copies/copies.h"
+#include "copies/replicated_logs.h"
 
 namespace millethollow::copies {
 
-void Copies::Own(double now, LogId id, Log* log, const LogAssignment& place, Actions* actions) {
-  Disown(id, log, actions);
+void ReplicatedLogs::BecomeOwner(double now, LogId id, Log* log, const LogAssignment& place,
+                                 Actions* actions) {
+  StepDown(id, log, actions);
   log->own = true;
   log->since = place.owner_epoch;
   log->pass_to = 0;
@@ -21,15 +22,15 @@
   PutHead(id, *log);
 }
 
-void Copies::Disown(LogId id, Log* log, Actions* actions) {
-  if (log->own && log->begun) actions->ended.push_back(id);
+void ReplicatedLogs::StepDown(LogId id, Log* log, Actions* actions) {
+  if (log->own && log->begun) actions->released.push_back(id);
   log->own = log->begun = log->closing = false;
   log->peers.clear();
   log->wanted.clear();
   log->asked.clear();
 }
 
-void Copies::SetPeers(double now, Log* log, const LogAssignment& place) {
+void ReplicatedLogs::SetPeers(double now, Log* log, const LogAssignment& place) {
   for (auto it = log->peers.begin(); it != log->peers.end();) {
     const auto* member = view_.Find(it->first);
     const bool goes = place.Find(it->first) == nullptr &&
@@ -50,7 +51,7 @@
 }
 
 // A further member to hold the log: at a place without a copy first, then by rendezvous.
-NodeId Copies::Candidate(double now, LogId id, const Log& log) const {
+NodeId ReplicatedLogs::Candidate(double now, LogId id, const Log& log) const {
   std::set<std::string> places;
   const auto place_of = [this](NodeId who) {
     const auto* member = view_.Find(who);
@@ -58,7 +59,7 @@
   };
   places.insert(place_of(o_.self));
   for (const auto& [who, peer] : log.peers) {
-    if (now - peer.heard_at <= o_.late_s) places.insert(place_of(who));
+    if (now - peer.heard_at <= o_.replica_timeout_s) places.insert(place_of(who));
   }
   NodeId best = 0;
   std::pair<bool, std::uint64_t> most;
@@ -72,7 +73,7 @@
 }
 
 // Which holders the log should have, where the view has others.
-void Copies::Want(double now, Log* log, const LogAssignment& place) {
+void ReplicatedLogs::RequestReplicas(double now, Log* log, const LogAssignment& place) {
   if (log->closing) return;
   // Gone since with what it had, cut off, or put out before it was heard: ours is the most there
   // is.
@@ -80,7 +81,8 @@
     const auto* member = view_.Find(log->pass_to);
     const auto peer = log->peers.find(log->pass_to);
     if (member == nullptr || peer == log->peers.end() || place.Find(log->pass_to) == nullptr ||
-        member->store_id != peer->second.disk || now - peer->second.heard_at > o_.late_s) {
+        member->store_id != peer->second.disk ||
+        now - peer->second.heard_at > o_.replica_timeout_s) {
       log->pass_to = 0;
     }
   }
@@ -90,23 +92,23 @@
     const auto peer = log->peers.find(h.id);
     const bool other_disk = member != nullptr && member->store_id != h.store_id;
     const bool late = h.id != o_.self && peer != log->peers.end() &&
-                      now - std::max(peer->second.heard_at, log->owned_at) > o_.late_s;
+                      now - std::max(peer->second.heard_at, log->owned_at) > o_.replica_timeout_s;
     if (other_disk && log->pass_to == 0) continue;  // what it had is lost
     (late && log->pass_to == 0 ? silent : holders).push_back(h);
   }
-  const Seq must = std::max(log->base, log->commit);
+  const SequenceNumber must = std::max(log->base, log->commit);
   for (const auto& [who, peer] : log->peers) {
     const auto* member = view_.Find(who);
     // From the asking on it is waited for; until then it must have all that may have been answered.
     if (peer.holder || !peer.met || peer.acked < must || log->pass_to != 0 || member == nullptr ||
         member->store_id != peer.disk)
       continue;
-    if (now - peer.heard_at <= o_.late_s && holders.size() < o_.copies)
+    if (now - peer.heard_at <= o_.replica_timeout_s && holders.size() < o_.copies)
       holders.push_back({who, peer.disk});
   }
   // Not fewer than must be: who is silent may come back with all of it.
   for (const LogReplica& h : silent) {
-    if (holders.size() < o_.copies_least) holders.push_back(h);
+    if (holders.size() < o_.min_replicas) holders.push_back(h);
   }
   const auto by_id = [](const LogReplica& a, const LogReplica& b) { return a.id < b.id; };
   std::sort(holders.begin(), holders.end(), by_id);
@@ -120,14 +122,14 @@
   for (const LogReplica& h : holders) log->asked.insert(h.id);
 }
 
-void Copies::Close(LogId id) {
+void ReplicatedLogs::Close(LogId id) {
   const auto it = logs_.find(id);
   if (it == logs_.end() || !it->second.own || it->second.closing) return;
   it->second.closing = true;
   it->second.version += 1;
 }
 
-std::vector<LogAssignment> Copies::Wants() const {
+std::vector<LogAssignment> ReplicatedLogs::RequestedLogs() const {
   std::vector<LogAssignment> wants;
   for (const auto& [id, log] : logs_) {
     if (log.own && log.closing) {
--- a/src/copies/copies.cpp
+++ b/src/copies/replicated_logs.cpp
@@ -1,4 +1,4 @@
-#include "copies/copies.h"
+#include "copies/replicated_logs.h"
 
 #include <algorithm>
 #include <limits>
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-double Copies::AgeAtMost(double now, LogId id, Seq seq) const {
+double ReplicatedLogs::MaxAge(double now, LogId id, SequenceNumber seq) const {
   const auto it = logs_.find(id);
   if (it != logs_.end() && seq > it->second.late) {
     const auto& marks = it->second.marks;
@@ -22,19 +22,19 @@
   return std::numeric_limits<double>::infinity();
 }
 
-Copies::Copies(const Options& options,
-               const std::vector<std::pair<std::string, std::string>>& records)
+ReplicatedLogs::ReplicatedLogs(const Options& options,
+                               const std::vector<std::pair<std::string, std::string>>& records)
     : o_(options) {
   for (const auto& [key, value] : records) {
-    const auto parts = Split(key);
-    if (!parts || parts->what != 'h') continue;
-    if (const auto head = DecodeHead(value)) logs_[parts->log].head = *head;
+    const auto parts = ParseStoreKey(key);
+    if (!parts || parts->type != 'h') continue;
+    if (const auto head = DecodeLogHead(value)) logs_[parts->log].head = *head;
   }
   for (const auto& [key, value] : records) {
-    const auto parts = Split(key);
-    if (!parts || parts->what != 'o' || !logs_.contains(parts->log)) continue;
+    const auto parts = ParseStoreKey(key);
+    if (!parts || parts->type != 'o' || !logs_.contains(parts->log)) continue;
     Log& log = logs_[parts->log];
-    auto op = DecodeOp(value);
+    auto op = DecodeOperation(value);
     // One that is missing ends what is known: what follows it can't be told from another's.
     if (op && op->seq == log.End() + 1) log.ops.push_back(std::move(*op));
   }
@@ -45,7 +45,7 @@
   }
 }
 
-void Copies::Look(double now, const View& view, bool leased, Actions* actions) {
+void ReplicatedLogs::OnView(double now, const View& view, bool leased, Actions* actions) {
   leased_ = leased;
   before_ = std::exchange(looked_at_, now);
   if (view.epoch == view_.epoch && looked_) return;
@@ -64,10 +64,11 @@
     if (it == logs_.end()) continue;
     Log& log = it->second;
     if (!ours) {
-      Disown(place.log, &log, actions);
+      StepDown(place.log, &log, actions);
       continue;
     }
-    if (!log.own || log.since != place.owner_epoch) Own(now, place.log, &log, place, actions);
+    if (!log.own || log.since != place.owner_epoch)
+      BecomeOwner(now, place.log, &log, place, actions);
     if (place.version == log.version) log.wanted.clear();
     log.asked.clear();
     log.passing = log.pass_to != 0;
@@ -82,14 +83,14 @@
       ++it;
       continue;
     }
-    Disown(it->first, &it->second, actions);
-    batch_.push_back({Write::What::kErasePrefix, LogPrefix(it->first), ""});
+    StepDown(it->first, &it->second, actions);
+    batch_.push_back({StoreWrite::Kind::kErasePrefix, LogPrefix(it->first), ""});
     it = logs_.erase(it);
   }
   Flush(actions);
 }
 
-std::string Copies::Told(LogId id) const {
+std::string ReplicatedLogs::DescribeReplicas(LogId id) const {
   const auto it = logs_.find(id);
   if (it == logs_.end()) return "none";
   const Log& log = it->second;
@@ -106,39 +107,41 @@
   return told;
 }
 
-std::string Copies::Prefix(LogId id) const {
+std::string ReplicatedLogs::EntryPrefixOf(LogId id) const {
   const auto it = logs_.find(id);
   return EntryPrefix(id, it == logs_.end() ? 0 : it->second.head.filling);
 }
 
-bool Copies::Acts(LogId id) const {
+bool ReplicatedLogs::MayAct(LogId id) const {
   const auto it = logs_.find(id);
   return leased_ && !failed_ && it != logs_.end() && it->second.own && it->second.begun;
 }
 
-std::size_t Copies::InReach(double now, const Log& log, const LogAssignment& place) const {
+std::size_t ReplicatedLogs::ReachableReplicas(double now, const Log& log,
+                                              const LogAssignment& place) const {
   std::size_t there = 1;
   for (const auto& [who, peer] : log.peers) {
-    there += peer.holder && place.Find(who) != nullptr && now - peer.heard_at <= o_.late_s;
+    there +=
+        peer.holder && place.Find(who) != nullptr && now - peer.heard_at <= o_.replica_timeout_s;
   }
   return there;
 }
 
-Seq Copies::Append(double now, LogId id, std::string key, std::string value, bool gone,
-                   Refusal* why, Actions* actions) {
+SequenceNumber ReplicatedLogs::Append(double now, LogId id, std::string key, std::string value,
+                                      bool gone, AppendError* why, Actions* actions) {
   const auto it = logs_.find(id);
-  *why = Refusal::kNone;
+  *why = AppendError::kNone;
   const LogAssignment* place = view_.Log(id);
   if (failed_) {
-    *why = Refusal::kStoreFailed;
-  } else if (!Acts(id) || place == nullptr || it->second.closing) {
-    *why = Refusal::kNotOwner;
-  } else if (InReach(now, it->second, *place) < o_.copies_least) {
-    *why = Refusal::kTooFewCopies;
-  } else if (it->second.End() - it->second.commit >= o_.open_ops) {
-    *why = Refusal::kFull;
+    *why = AppendError::kStoreFailed;
+  } else if (!MayAct(id) || place == nullptr || it->second.closing) {
+    *why = AppendError::kNotOwner;
+  } else if (ReachableReplicas(now, it->second, *place) < o_.min_replicas) {
+    *why = AppendError::kTooFewReplicas;
+  } else if (it->second.End() - it->second.commit >= o_.max_uncommitted_operations) {
+    *why = AppendError::kFull;
   }
-  if (*why != Refusal::kNone) {
+  if (*why != AppendError::kNone) {
     counters_.refusals += 1;
     return 0;
   }
@@ -147,11 +150,11 @@
   log.ops.push_back({log.End() + 1, log.since, std::move(key), std::move(value), gone});
   Put(id, log.ops.back());
   Flush(actions);
-  for (auto& [who, peer] : log.peers) SendOps(now, id, &log, who, &peer, actions);
+  for (auto& [who, peer] : log.peers) SendAppend(now, id, &log, who, &peer, actions);
   return log.End();
 }
 
-std::vector<LogId> Copies::Owned() const {
+std::vector<LogId> ReplicatedLogs::Owned() const {
   std::vector<LogId> owned;
   for (const auto& [id, log] : logs_) {
     if (log.own && log.begun) owned.push_back(id);
@@ -159,10 +162,10 @@
   return owned;
 }
 
-std::vector<Copies::Held> Copies::Holds() const {
-  std::vector<Held> all;
+std::vector<ReplicatedLogs::LogStatus> ReplicatedLogs::LogStatuses() const {
+  std::vector<LogStatus> all;
   for (const auto& [id, log] : logs_) {
-    Held held{.log = id, .own = log.own};
+    LogStatus held{.log = id, .own = log.own};
     for (const auto& [who, peer] : log.peers) {
       held.holders += peer.holder;
       held.filling += peer.fill != 0;
@@ -174,7 +177,7 @@
   return all;
 }
 
-void Copies::Tick(double now, Actions* actions) {
+void ReplicatedLogs::Tick(double now, Actions* actions) {
   if (tick_at_ > now) return;
   tick_at_ = now + kTickS;
   if (failed_) return;
@@ -182,7 +185,7 @@
     const LogAssignment* place = view_.Log(id);
     if (!log.own || place == nullptr || !leased_) continue;
     std::size_t copies = 1;
-    for (const auto& [who, peer] : log.peers) copies += now - peer.heard_at <= o_.late_s;
+    for (const auto& [who, peer] : log.peers) copies += now - peer.heard_at <= o_.replica_timeout_s;
     if (copies < o_.copies) {
       if (const NodeId who = Candidate(now, id, log)) {
         Peer& peer = log.peers[who];
@@ -193,13 +196,14 @@
     for (auto it = log.peers.begin(); it != log.peers.end();) {
       auto& [who, peer] = *it;
       // A candidate that says nothing makes room for another.
-      if (!peer.holder && !log.asked.contains(who) && now - peer.heard_at > 2 * o_.late_s) {
+      if (!peer.holder && !log.asked.contains(who) &&
+          now - peer.heard_at > 2 * o_.replica_timeout_s) {
         it = log.peers.erase(it);
         continue;
       }
       if (peer.fill != 0) {
         const bool trimmed = !log.ops.empty() && log.ops.front().seq > peer.fill_from + 1;
-        if (trimmed || now - peer.heard_at > o_.late_s) {
+        if (trimmed || now - peer.heard_at > o_.replica_timeout_s) {
           peer.Forget();
         } else if (!peer.reading && peer.chunk > peer.part.chunk && now >= peer.chunk_at) {
           peer.reading = true;
@@ -207,14 +211,14 @@
               {id, peer.fill, EntryPrefix(id, log.head.filling),
                peer.after.empty() ? "" : EntryKey(id, log.head.filling, peer.after)});
         } else if (!peer.reading && peer.chunk == peer.part.chunk &&
-                   now - peer.sent_at > o_.resend_s) {
+                   now - peer.sent_at > o_.resend_interval_s) {
           peer.sent_at = now;
           actions->send.emplace_back(who, peer.part);
         }
-      } else if (now - peer.sent_at > o_.resend_s) {
+      } else if (now - peer.sent_at > o_.resend_interval_s) {
         peer.sent_at = now;
         peer.next = std::max(peer.acked + 1, peer.first);
-        SendOps(now, id, &log, who, &peer, actions);
+        SendAppend(now, id, &log, who, &peer, actions);
       }
       ++it;
     }
--- a/src/copies/replication.cpp
+++ b/src/copies/replication.cpp
@@ -3,7 +3,7 @@
 #include <iterator>
 #include <utility>
 
-#include "copies/copies.h"
+#include "copies/replicated_logs.h"
 #include "membership/log_assignment.h"
 
 namespace millethollow::copies {
@@ -15,10 +15,10 @@
 }  // namespace
 
 // What all holders have, and whoever was asked for as one, and this disk too.
-void Copies::Commit(double now, LogId id, Log* log, Actions* actions) {
+void ReplicatedLogs::Commit(double now, LogId id, Log* log, Actions* actions) {
   const LogAssignment* place = view_.Log(id);
   if (!log->own || place == nullptr || failed_ || !leased_) return;
-  Seq commit = log->stored;
+  SequenceNumber commit = log->stored;
   for (const auto& [who, peer] : log->peers) {
     if (peer.holder || log->asked.contains(who))
       commit = std::min(commit, peer.met ? peer.acked : 0);
@@ -26,22 +26,26 @@
   for (const NodeId who : log->asked) {
     if (who != o_.self && !log->peers.contains(who)) commit = 0;
   }
-  if (commit > log->commit && place->replicas.size() >= o_.copies_least) {
+  if (commit > log->commit && place->replicas.size() >= o_.min_replicas) {
     counters_.promises += commit - std::max(log->commit, std::min(log->base, commit));
     log->commit = commit;
-    actions->kept.emplace_back(id, commit);
+    actions->committed.emplace_back(id, commit);
     Apply(id, log, commit);
   }
   if (!log->begun && log->commit >= log->base && log->pass_to == 0 && !log->passing) {
     log->begun = true;
     counters_.adoptions += 1;
-    actions->begun.push_back(id);
+    actions->acquired.push_back(id);
   }
-  Want(now, log, *place);
+  RequestReplicas(now, log, *place);
 }
 
-void Copies::Tell(NodeId to, LogId id, const Log& log, bool matched, Actions* actions) const {
-  Frame f{.kind = Frame::Kind::kAt, .log = id, .epoch = log.head.epoch, .disk = o_.disk};
+void ReplicatedLogs::SendStatus(NodeId to, LogId id, const Log& log, bool matched,
+                                Actions* actions) const {
+  ReplicationMessage f{.kind = ReplicationMessage::Kind::kStatus,
+                       .log = id,
+                       .epoch = log.head.epoch,
+                       .disk = o_.disk};
   f.seq = matched ? std::min(log.matched, log.stored) : log.head.applied;
   f.matched = matched;
   f.commit = log.head.applied;
@@ -53,28 +57,36 @@
   actions->send.emplace_back(to, std::move(f));
 }
 
-void Copies::SendWhere(LogId id, const Log& log, NodeId to, Peer* peer, Actions* actions) {
+void ReplicatedLogs::SendStatusQuery(LogId id, const Log& log, NodeId to, Peer* peer,
+                                     Actions* actions) {
   peer->asked = ++numbers_;
-  Frame f{.kind = Frame::Kind::kWhere, .log = id, .epoch = log.since, .disk = peer->disk};
+  ReplicationMessage f{.kind = ReplicationMessage::Kind::kStatusQuery,
+                       .log = id,
+                       .epoch = log.since,
+                       .disk = peer->disk};
   f.number = peer->asked;
   actions->send.emplace_back(to, std::move(f));
 }
 
 // What a holder has not got yet, as much as one frame takes; nothing new: it is asked again.
-void Copies::SendOps(double now, LogId id, Log* log, NodeId to, Peer* peer, Actions* actions) {
-  if (!peer->met) return SendWhere(id, *log, to, peer, actions);
+void ReplicatedLogs::SendAppend(double now, LogId id, Log* log, NodeId to, Peer* peer,
+                                Actions* actions) {
+  if (!peer->met) return SendStatusQuery(id, *log, to, peer, actions);
   if (peer->fill != 0) return;
-  const Seq first = log->ops.empty() ? log->head.applied + 1 : log->ops.front().seq;
-  if (peer->next < first) return StartFill(now, id, log, peer, actions);
-  Frame f{.kind = Frame::Kind::kOps, .log = id, .epoch = log->since, .disk = peer->disk};
+  const SequenceNumber first = log->ops.empty() ? log->head.applied + 1 : log->ops.front().seq;
+  if (peer->next < first) return StartSnapshot(now, id, log, peer, actions);
+  ReplicationMessage f{.kind = ReplicationMessage::Kind::kAppend,
+                       .log = id,
+                       .epoch = log->since,
+                       .disk = peer->disk};
   f.seq = peer->next - 1;
   f.seq_epoch = log->EpochAt(f.seq);
   f.commit = log->commit;
   std::size_t bytes = 0;
-  for (std::size_t n = 0; n < o_.frame_ops && peer->next <= log->End(); ++n) {
-    const Op& op = *log->At(peer->next);
+  for (std::size_t n = 0; n < o_.max_message_operations && peer->next <= log->End(); ++n) {
+    const Operation& op = *log->At(peer->next);
     bytes += op.key.size() + op.value.size();
-    if (n > 0 && bytes > o_.frame_bytes) break;
+    if (n > 0 && bytes > o_.max_message_bytes) break;
     f.ops.push_back(op);
     peer->next += 1;
   }
@@ -82,9 +94,9 @@
   actions->send.emplace_back(to, std::move(f));
 }
 
-void Copies::StartFill(double now, LogId id, Log* log, Peer* peer, Actions* actions) {
+void ReplicatedLogs::StartSnapshot(double now, LogId id, Log* log, Peer* peer, Actions* actions) {
   // What it is filled with must not be less than what it has.
-  const Seq from = std::min(log->head_stored, log->head.applied);
+  const SequenceNumber from = std::min(log->head_stored, log->head.applied);
   if (from + 1 < peer->next) return;
   counters_.fillings += 1;
   peer->fill = ++fills_;
@@ -98,15 +110,19 @@
   actions->read.push_back({id, peer->fill, EntryPrefix(id, log->head.filling), ""});
 }
 
-void Copies::Chunk(double now, LogId id, std::uint64_t fill, std::vector<Op> entries, bool last,
-                   Actions* actions) {
+void ReplicatedLogs::OnSnapshotChunkRead(double now, LogId id, std::uint64_t fill,
+                                         std::vector<Operation> entries, bool last,
+                                         Actions* actions) {
   const auto it = logs_.find(id);
   if (it == logs_.end() || !it->second.own) return;
   for (auto& [who, peer] : it->second.peers) {
     if (peer.fill != fill || !peer.reading) continue;
     peer.reading = false;
-    Frame& f = peer.part;
-    f = {.kind = Frame::Kind::kFill, .log = id, .epoch = it->second.since, .disk = peer.disk};
+    ReplicationMessage& f = peer.part;
+    f = {.kind = ReplicationMessage::Kind::kSnapshotChunk,
+         .log = id,
+         .epoch = it->second.since,
+         .disk = peer.disk};
     f.fill = fill;
     f.chunk = peer.chunk;
     f.last = last;
@@ -121,27 +137,27 @@
 }
 
 // Entries of a filling lie apart until all are there: what this disk has counts until then.
-void Copies::HearFill(NodeId from, const Frame& f, Actions* actions) {
+void ReplicatedLogs::OnSnapshotChunk(NodeId from, const ReplicationMessage& f, Actions* actions) {
   Log& log = logs_[f.log];
   const std::uint64_t next = log.head.filling + 1;
   if (f.fill < log.fill) return;  // late
   if (f.chunk == 0 && log.fill != f.fill) {
-    batch_.push_back({Write::What::kErasePrefix, EntryPrefix(f.log, next), ""});
+    batch_.push_back({StoreWrite::Kind::kErasePrefix, EntryPrefix(f.log, next), ""});
     log.fill = f.fill;
     log.chunk = log.chunk_stored = 0;
   }
   if (log.fill != f.fill || f.chunk != log.chunk || f.seq < log.head.applied) {
-    return Tell(from, f.log, log, false, actions);
+    return SendStatus(from, f.log, log, false, actions);
   }
-  for (const Op& op : f.ops) {
-    batch_.push_back({Write::What::kPut, EntryKey(f.log, next, op.key), Encode(op)});
+  for (const Operation& op : f.ops) {
+    batch_.push_back({StoreWrite::Kind::kPut, EntryKey(f.log, next, op.key), Encode(op)});
   }
   log.chunk += 1;
   if (f.last) {
-    batch_.push_back({Write::What::kErasePrefix, EntryPrefix(f.log, log.head.filling), ""});
+    batch_.push_back({StoreWrite::Kind::kErasePrefix, EntryPrefix(f.log, log.head.filling), ""});
     // Later ones stay: they may have been answered.
     while (!log.ops.empty() && log.ops.front().seq <= f.seq) {
-      batch_.push_back({Write::What::kErase, OpKey(f.log, log.ops.front().seq), ""});
+      batch_.push_back({StoreWrite::Kind::kErase, OperationKey(f.log, log.ops.front().seq), ""});
       log.Drop();
     }
     log.head.filling = next;
@@ -156,10 +172,11 @@
 }
 
 // Raft's rule: what follows an operation that both have in the same epoch follows it in both.
-void Copies::HearOps(NodeId from, const Frame& f, Log* log, Actions* actions) {
+void ReplicatedLogs::OnAppend(NodeId from, const ReplicationMessage& f, Log* log,
+                              Actions* actions) {
   const bool known = f.seq < log->head.applied || log->EpochAt(f.seq) == f.seq_epoch;
-  if (f.seq > log->End() || !known) return Tell(from, f.log, *log, false, actions);
-  Seq upto = f.seq;
+  if (f.seq > log->End() || !known) return SendStatus(from, f.log, *log, false, actions);
+  SequenceNumber upto = f.seq;
   if (!f.ops.empty()) {
     // A holder that is waited for hears of an operation before it counts. One that was stopped may
     // find frames that waited as long; one that is not waited for hears of it when it may.
@@ -171,25 +188,26 @@
       log->Mark(before_ - kOnItsWayS);
     }
   }
-  for (const Op& op : f.ops) {
+  for (const Operation& op : f.ops) {
     if (op.seq != ++upto) return;  // no frame of ours
     if (op.seq <= log->head.applied) continue;
-    const Op* mine = log->At(op.seq);
+    const Operation* mine = log->At(op.seq);
     if (mine != nullptr && mine->epoch == op.epoch) continue;
-    if (mine != nullptr) Cut(f.log, log, op.seq);
+    if (mine != nullptr) Truncate(f.log, log, op.seq);
     log->ops.push_back(op);
     Put(f.log, op);
   }
   log->matched = std::max(log->matched, upto);
   Apply(f.log, log, std::min(f.commit, std::min(log->matched, log->stored)));
   Flush(actions);
-  if (log->stored >= log->matched) return Tell(from, f.log, *log, true, actions);
+  if (log->stored >= log->matched) return SendStatus(from, f.log, *log, true, actions);
   answer_to_[f.log] = from;
 }
 
-void Copies::Hear(double now, NodeId from, const Frame& f, Actions* actions) {
+void ReplicatedLogs::OnMessage(double now, NodeId from, const ReplicationMessage& f,
+                               Actions* actions) {
   if (failed_) return;
-  if (f.kind == Frame::Kind::kAt) return HearAt(now, from, f, actions);
+  if (f.kind == ReplicationMessage::Kind::kStatus) return OnStatus(now, from, f, actions);
   if (f.disk != o_.disk) return;
   // One that was its owner and does not know that it is no more; or one whose view is to come.
   const LogAssignment* place = view_.Log(f.log);
@@ -202,7 +220,7 @@
   }
   Log& log = it->second;
   if (f.epoch < log.head.epoch || (log.own && f.epoch <= log.since)) return;
-  if (log.own) Disown(f.log, &log, actions);
+  if (log.own) StepDown(f.log, &log, actions);
   if (f.epoch > log.head.epoch) {
     log.head.epoch = f.epoch;
     log.matched = log.fill = log.chunk = log.chunk_stored = 0;
@@ -210,21 +228,22 @@
     PutHead(f.log, log);
   }
   switch (f.kind) {
-    case Frame::Kind::kLied:
-      return GiveUpDisk(actions);
-    case Frame::Kind::kWhere:
+    case ReplicationMessage::Kind::kStaleStore:
+      return AbandonStore(actions);
+    case ReplicationMessage::Kind::kStatusQuery:
       Flush(actions);
-      Tell(from, f.log, log, false, actions);
+      SendStatus(from, f.log, log, false, actions);
       actions->send.back().second.number = f.number;
       return;
-    case Frame::Kind::kOps:
-      return HearOps(from, f, &log, actions);
+    case ReplicationMessage::Kind::kAppend:
+      return OnAppend(from, f, &log, actions);
     default:
-      return HearFill(from, f, actions);
+      return OnSnapshotChunk(from, f, actions);
   }
 }
 
-void Copies::HearAt(double now, NodeId from, const Frame& f, Actions* actions) {
+void ReplicatedLogs::OnStatus(double now, NodeId from, const ReplicationMessage& f,
+                              Actions* actions) {
   const auto it = logs_.find(f.log);
   if (it == logs_.end() || !it->second.own || f.epoch != it->second.since) return;
   Log& log = it->second;
@@ -244,13 +263,15 @@
     peer.end = {f.end_epoch, f.end};
     // It has less than it said that it had on disk.
     if (f.end < peer.acked) {
-      actions->send.emplace_back(
-          from,
-          Frame{.kind = Frame::Kind::kLied, .log = f.log, .epoch = log.since, .disk = f.disk});
+      actions->send.emplace_back(from,
+                                 ReplicationMessage{.kind = ReplicationMessage::Kind::kStaleStore,
+                                                    .log = f.log,
+                                                    .epoch = log.since,
+                                                    .disk = f.disk});
       return;
     }
   }
-  if (f.commit > log.End()) return GiveUpDisk(actions);
+  if (f.commit > log.End()) return AbandonStore(actions);
   if (peer.fill != 0) {
     if (f.commit > peer.fill_from) {  // it has more than it would be filled with
       peer.Forget();
@@ -258,7 +279,7 @@
     }
     if (f.fill != peer.fill || f.chunk != peer.chunk + 1 || peer.reading) return;
     peer.chunk += 1;
-    peer.chunk_at = now + o_.fill_gap_s;
+    peer.chunk_at = now + o_.snapshot_chunk_interval_s;
     if (!peer.part.last) return;
     peer.fill = 0;  // it has all of it
     peer.acked = peer.fill_from;
@@ -275,12 +296,12 @@
     log.pass_to = from;
   }
   Commit(now, f.log, &log, actions);
-  if (peer.next <= log.End() || f.number != 0) SendOps(now, f.log, &log, from, &peer, actions);
+  if (peer.next <= log.End() || f.number != 0) SendAppend(now, f.log, &log, from, &peer, actions);
   Flush(actions);
 }
 
-void Copies::GiveUpDisk(Actions* actions) {
-  actions->lied = true;
+void ReplicatedLogs::AbandonStore(Actions* actions) {
+  actions->store_is_stale = true;
   failed_ = true;
   counters_.lies += 1;
 }
--- a/src/net/cluster/kept_store.cpp
+++ b/src/net/cluster/async_record_store.cpp
@@ -1,4 +1,4 @@
-#include "net/cluster/kept_store.h"
+#include "net/cluster/async_record_store.h"
 
 #include <unistd.h>
 
@@ -11,9 +11,9 @@
 
 namespace millethollow::cluster {
 
-bool KeptStore::OpenFile(std::uint64_t new_disk, std::string* why) {
+bool AsyncRecordStore::OpenFile(std::uint64_t new_disk, std::string* why) {
   const std::uint64_t file = ++file_;
-  store_ = std::make_unique<store::CopyStore>();
+  store_ = std::make_unique<store::RecordStore>();
   return store_->Open(
       o_.folder, {o_.cluster, o_.member, new_disk}, o_.most_bytes,
       [this, file](std::uint64_t ticket, bool ok) {
@@ -22,14 +22,15 @@
       why);
 }
 
-void KeptStore::PutAside() {
+void AsyncRecordStore::PutAside() {
   store_.reset();
   const std::string file = o_.folder + "/copies.db";
   (void)rename(file.c_str(), (file + ".damaged").c_str());
   (void)unlink((file + "-wal").c_str());
 }
 
-bool KeptStore::Open(Loop* loop, const Options& options, std::uint64_t new_disk, std::string* why) {
+bool AsyncRecordStore::Open(Loop* loop, const Options& options, std::uint64_t new_disk,
+                            std::string* why) {
   loop_ = loop;
   o_ = options;
   if (!mail_.Open(loop, why)) return false;
@@ -47,7 +48,7 @@
   return opened;
 }
 
-bool KeptStore::LoadLogs(Records* records, bool* damaged) {
+bool AsyncRecordStore::LoadLogs(Records* records, bool* damaged) {
   std::vector<std::string> keys;
   std::string why;
   if (failed_ || !store_->LoadLogs(records, &keys, &why)) return false;
@@ -55,7 +56,7 @@
   return true;
 }
 
-bool KeptStore::Load(const std::string& prefix, Records* records, std::size_t* damaged) {
+bool AsyncRecordStore::Load(const std::string& prefix, Records* records, std::size_t* damaged) {
   std::vector<std::string> keys;
   std::string why;
   if (failed_ || !store_->Load(prefix, records, &keys, &why)) return false;
@@ -63,7 +64,7 @@
   return true;
 }
 
-bool KeptStore::Renew(std::uint64_t new_disk) {
+bool AsyncRecordStore::Renew(std::uint64_t new_disk) {
   if (failed_) return false;
   PutAside();  // the last writes are on it, and nobody hears of them any more
   std::string why;
@@ -73,13 +74,13 @@
   return !failed_;
 }
 
-void KeptStore::Write(std::vector<copies::Write> batch, Then then) {
+void AsyncRecordStore::Write(std::vector<copies::StoreWrite> batch, Then then) {
   if (failed_ || (batch.empty() && waiting_.empty())) return then(!failed_);
   if (!batch.empty()) store_->Write(std::move(batch), ++ticket_);
   waiting_.push_back({ticket_, loop_->Now(), std::move(then)});
 }
 
-void KeptStore::Read(std::string prefix, std::string after, std::size_t most, Found found) {
+void AsyncRecordStore::Read(std::string prefix, std::string after, std::size_t most, Found found) {
   if (failed_) return found({}, true, true);
   const std::uint64_t file = file_;
   store_->Read(std::move(prefix), std::move(after), most,
@@ -92,7 +93,7 @@
                });
 }
 
-void KeptStore::Written(std::uint64_t file, std::uint64_t ticket, bool ok) {
+void AsyncRecordStore::Written(std::uint64_t file, std::uint64_t ticket, bool ok) {
   if (file != file_) return;
   if (!ok && !std::exchange(failed_, true)) {
     Events().error("cluster store-failed store={} nothing is kept on it any more", o_.folder);
@@ -100,7 +101,7 @@
   Answer(failed_ ? std::numeric_limits<std::uint64_t>::max() : ticket);
 }
 
-void KeptStore::Answer(std::uint64_t ticket) {
+void AsyncRecordStore::Answer(std::uint64_t ticket) {
   while (!waiting_.empty() && waiting_.front().ticket <= ticket) {
     const Waiting done = std::move(waiting_.front());
     waiting_.pop_front();
--- a/src/net/cluster/kept_store.h
+++ b/src/net/cluster/async_record_store.h
@@ -1,7 +1,7 @@
 // The store of copies as the loop's thread sees it: opened, written and read in turns of the loop,
 // put aside where it can't be read.
-#ifndef MILLETHOLLOW_NET_CLUSTER_KEPT_STORE_H_
-#define MILLETHOLLOW_NET_CLUSTER_KEPT_STORE_H_
+#ifndef MILLETHOLLOW_NET_CLUSTER_ASYNC_RECORD_STORE_H_
+#define MILLETHOLLOW_NET_CLUSTER_ASYNC_RECORD_STORE_H_
 
 #include <cstdint>
 #include <deque>
@@ -12,13 +12,13 @@
 
 #include "net/mailbox.h"
 #include "scheduling/runtime_estimator.h"
-#include "store/copy_store.h"
+#include "store/record_store.h"
 
 namespace millethollow::cluster {
 
-class KeptStore {
+class AsyncRecordStore {
  public:
-  using Records = store::CopyStore::Records;
+  using Records = store::RecordStore::Records;
   // false: it is not on the disk, and nothing will be any more.
   using Then = std::function<void(bool kept)>;
   // Records by rising keys; `last`: there are no more; `damaged`: one was not what was written.
@@ -43,7 +43,7 @@
   bool Renew(std::uint64_t new_disk);
 
   // `then` once these and all that were given before are on the disk; none may be given.
-  void Write(std::vector<copies::Write> batch, Then then);
+  void Write(std::vector<copies::StoreWrite> batch, Then then);
   // Sees all that was given before.
   void Read(std::string prefix, std::string after, std::size_t most, Found found);
 
@@ -70,9 +70,9 @@
   bool failed_ = false;
   Figures figures_;
   Mailbox mail_;
-  std::unique_ptr<store::CopyStore> store_;  // goes first: its thread speaks to what is above
+  std::unique_ptr<store::RecordStore> store_;  // goes first: its thread speaks to what is above
 };
 
 }  // namespace millethollow::cluster
 
-#endif  // MILLETHOLLOW_NET_CLUSTER_KEPT_STORE_H_
+#endif  // MILLETHOLLOW_NET_CLUSTER_ASYNC_RECORD_STORE_H_
--- a/src/net/cluster/fact_keeper.cpp
+++ b/src/net/cluster/fact_keeper.cpp
@@ -12,17 +12,18 @@
 // Beside the logs, whose numbers are never 0.
 constexpr copies::LogId kFacts = 0;
 
-copies::Write Put(const membership::MaintenanceRecord& fact) {
+copies::StoreWrite Put(const membership::MaintenanceRecord& fact) {
   membership::MaintenanceGossip news;
   news.records.push_back(fact);
-  return {copies::Write::What::kPut, copies::EntryKey(kFacts, 0, fact.worker), codec::Encode(news)};
+  return {copies::StoreWrite::Kind::kPut, copies::EntryKey(kFacts, 0, fact.worker),
+          codec::Encode(news)};
 }
 
 }  // namespace
 
 std::vector<membership::MaintenanceRecord> FactKeeper::Load() {
   std::vector<membership::MaintenanceRecord> facts;
-  KeptStore::Records records;
+  AsyncRecordStore::Records records;
   std::size_t damaged = 0;
   const std::string prefix = copies::EntryPrefix(kFacts, 0);
   if (!store_->Load(prefix, &records, &damaged)) return facts;
@@ -40,15 +41,15 @@
     Events().error("cluster records-damaged records={} are learned again from others", damaged);
   }
   if (facts.size() == records.size() && damaged == 0) return facts;
-  std::vector<copies::Write> batch{{copies::Write::What::kErasePrefix, prefix, ""}};
+  std::vector<copies::StoreWrite> batch{{copies::StoreWrite::Kind::kErasePrefix, prefix, ""}};
   for (const membership::MaintenanceRecord& f : facts) batch.push_back(Put(f));
   store_->Write(std::move(batch), [](bool) {});
   return facts;
 }
 
 void FactKeeper::Keep(const std::vector<membership::MaintenanceRecord>& changed,
-                      KeptStore::Then then) {
-  std::vector<copies::Write> batch;
+                      AsyncRecordStore::Then then) {
+  std::vector<copies::StoreWrite> batch;
   for (const membership::MaintenanceRecord& f : changed) batch.push_back(Put(f));
   store_->Write(std::move(batch), std::move(then));
 }
--- a/src/net/cluster/fact_keeper.h
+++ b/src/net/cluster/fact_keeper.h
@@ -5,21 +5,21 @@
 #include <vector>
 
 #include "membership/maintenance_registry.h"
-#include "net/cluster/kept_store.h"
+#include "net/cluster/async_record_store.h"
 
 namespace millethollow::cluster {
 
 class FactKeeper {
  public:
-  explicit FactKeeper(KeptStore* store) : store_(store) {}
+  explicit FactKeeper(AsyncRecordStore* store) : store_(store) {}
   // Damaged records are left out: others have them. No more than Facts::kMaxWorkers, those that
   // are out first.
   std::vector<membership::MaintenanceRecord> Load();
   // `then` once these and all that were given before are on the disk; none may be given.
-  void Keep(const std::vector<membership::MaintenanceRecord>& changed, KeptStore::Then then);
+  void Keep(const std::vector<membership::MaintenanceRecord>& changed, AsyncRecordStore::Then then);
 
  private:
-  KeptStore* store_;
+  AsyncRecordStore* store_;
 };
 
 }  // namespace millethollow::cluster
--- a/src/net/cluster/frame.cpp
+++ b/src/net/cluster/frame.cpp
@@ -22,7 +22,9 @@
   constexpr Kind kKinds[] = {kProbe, kMessage, kFacts};  // as the variant has them
   return {kKinds[frame.index()], std::visit([](const auto& f) { return codec::Encode(f); }, frame)};
 }
-EncodedBody EncodeBody(const copies::Frame& frame) { return {kCopies, codec::Encode(frame)}; }
+EncodedBody EncodeBody(const copies::ReplicationMessage& frame) {
+  return {kCopies, codec::Encode(frame)};
+}
 EncodedBody EncodeBody(const quota::Message& message) { return {kQuota, codec::Encode(message)}; }
 
 template <typename T>
@@ -88,7 +90,7 @@
     case kFacts:
       return member(codec::DecodeMaintenanceGossip(fields));
     case kCopies:
-      return Put(codec::DecodeCopies(fields), body);
+      return Put(codec::DecodeReplicationMessage(fields), body);
     case kQuota:
       return Put(codec::DecodeQuota(fields), body);
     default:
--- a/src/net/cluster/frame.h
+++ b/src/net/cluster/frame.h
@@ -31,7 +31,7 @@
 enum class Fault : std::uint8_t { kNone, kShort, kGarbled, kOtherVersion, kUnknownKind };
 
 // All that members say to each other.
-using Body = std::variant<membership::Frame, copies::Frame, quota::Message>;
+using Body = std::variant<membership::Frame, copies::ReplicationMessage, quota::Message>;
 
 std::string Encode(const Header& header, const Body& body);
 Fault Decode(std::string_view bytes, Header* header, Body* body);
--- a/src/net/cluster/copy_keeper.h
+++ b/src/net/cluster/log_replicator.h
@@ -1,7 +1,8 @@
-// This process's part in keeping copies: carries between the decisions of copies::Copies and the
-// store, the links and the clock. Whoever keeps promises in logs (copies::Jobs) is told of them.
-#ifndef MILLETHOLLOW_NET_CLUSTER_COPY_KEEPER_H_
-#define MILLETHOLLOW_NET_CLUSTER_COPY_KEEPER_H_
+// This process's part in keeping copies: carries between the decisions of copies::ReplicatedLogs
+// and the store, the links and the clock. Whoever keeps promises in logs (copies::DurableJobQueue)
+// is told of them.
+#ifndef MILLETHOLLOW_NET_CLUSTER_LOG_REPLICATOR_H_
+#define MILLETHOLLOW_NET_CLUSTER_LOG_REPLICATOR_H_
 
 #include <cstdint>
 #include <functional>
@@ -11,55 +12,56 @@
 #include <utility>
 #include <vector>
 
-#include "copies/copies.h"
-#include "net/cluster/kept_store.h"
+#include "copies/replicated_logs.h"
+#include "net/cluster/async_record_store.h"
 #include "net/loop.h"
 
 namespace millethollow::cluster {
 
-class CopyKeeper {
+class LogReplicator {
  public:
   struct Hooks {
     std::function<double()> now;  // of the machine: counts its pauses
     std::function<const membership::View&()> view;
     std::function<bool()> leased;  // by a clock read now
-    std::function<void(membership::NodeId to, const copies::Frame&)> send;
+    std::function<void(membership::NodeId to, const copies::ReplicationMessage&)> send;
     std::function<void(std::uint64_t disk, std::vector<membership::LogAssignment>)> want;
     std::function<std::uint64_t()> draw;  // a number for a new store
     std::function<void()> renewed;        // the store is a new one: what is not in logs is lost
   };
   struct Ledger {  // whoever keeps promises in logs
     // This member acts on the log from now on, and has all of its entries; and no more.
-    std::function<void(copies::LogId, std::vector<copies::Op>)> begun = {};
-    std::function<void(copies::LogId)> ended = {};
-    std::function<void(copies::LogId, copies::Seq)> kept = {};  // all up to this operation
+    std::function<void(copies::LogId, std::vector<copies::Operation>)> acquired = {};
+    std::function<void(copies::LogId)> released = {};
+    std::function<void(copies::LogId, copies::SequenceNumber)> committed =
+        {};  // all up to this operation
   };
 
-  CopyKeeper(Loop* loop, KeptStore* store, const copies::Options& options, Hooks hooks);
-  ~CopyKeeper();
-  CopyKeeper(const CopyKeeper&) = delete;
-  CopyKeeper& operator=(const CopyKeeper&) = delete;
+  LogReplicator(Loop* loop, AsyncRecordStore* store, const copies::Options& options, Hooks hooks);
+  ~LogReplicator();
+  LogReplicator(const LogReplicator&) = delete;
+  LogReplicator& operator=(const LogReplicator&) = delete;
 
   void SetLedger(Ledger ledger) { ledger_ = std::move(ledger); }
   void Start();  // reads what the store has of the logs
   // A view or a lease may have changed.
   void Look();
-  void Hear(membership::NodeId from, const copies::Frame& frame);
+  void Hear(membership::NodeId from, const copies::ReplicationMessage& frame);
   void Open(copies::LogId log);
   void Close(copies::LogId log);
-  copies::Seq Append(copies::LogId log, std::string key, std::string value, bool gone,
-                     copies::Copies::Refusal* why);
+  copies::SequenceNumber Append(copies::LogId log, std::string key, std::string value, bool gone,
+                                copies::ReplicatedLogs::AppendError* why);
   bool Acts(copies::LogId log);  // looked at with a clock read now
   // What has been stored of an operation was heard or made at most so long ago; infinite: not
   // known.
-  double AgeAtMost(copies::LogId log, copies::Seq seq) const;
-  const copies::Copies& decisions() const { return *copies_; }
+  double AgeAtMost(copies::LogId log, copies::SequenceNumber seq) const;
+  const copies::ReplicatedLogs& decisions() const { return *copies_; }
 
  private:
-  using Actions = copies::Copies::Actions;
-  void Do(const std::function<void(copies::Copies*, double, Actions*)>& event);
+  using Actions = copies::ReplicatedLogs::Actions;
+  void Do(const std::function<void(copies::ReplicatedLogs*, double, Actions*)>& event);
   void CarryOut(Actions* actions);
-  void ReadChunk(const copies::Copies::Read& read);
+  void ReadChunk(const copies::ReplicatedLogs::Read& read);
   void Load(copies::LogId log, const std::string& prefix, const std::string& after);
   void Renew();
   void Arm();
@@ -68,16 +70,16 @@
   static constexpr std::size_t kLoadEntries = 256;
 
   Loop* loop_;
-  KeptStore* store_;
+  AsyncRecordStore* store_;
   copies::Options options_;
   Hooks hooks_;
   Ledger ledger_;
-  std::unique_ptr<copies::Copies> copies_;
+  std::unique_ptr<copies::ReplicatedLogs> copies_;
   std::uint64_t run_ = 0;  // rises with each new store
-  std::map<copies::LogId, std::vector<copies::Op>> loading_;
+  std::map<copies::LogId, std::vector<copies::Operation>> loading_;
   Deadlines::Ticket tick_ = Deadlines::kNone;
 };
 
 }  // namespace millethollow::cluster
 
-#endif  // MILLETHOLLOW_NET_CLUSTER_COPY_KEEPER_H_
+#endif  // MILLETHOLLOW_NET_CLUSTER_LOG_REPLICATOR_H_
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -126,8 +126,8 @@
   }
   std::vector<membership::MaintenanceRecord> facts;
   if (!options_.store.empty()) {
-    store_ = std::make_unique<KeptStore>();
-    const KeptStore::Options kept{options_.store, hash_, self_, options_.store_bytes};
+    store_ = std::make_unique<AsyncRecordStore>();
+    const AsyncRecordStore::Options kept{options_.store, hash_, self_, options_.store_bytes};
     if (!store_->Open(loop_, kept, random.NextUint64() | 1, why)) return false;
     keeper_ = std::make_unique<FactKeeper>(store_.get());
     facts = keeper_->Load();
@@ -152,14 +152,14 @@
   o.self = self_;
   o.process_incarnation = process_incarnation_;
   o.copies = options_.copies;
-  o.copies_least = options_.copies_least;
-  copies_ = std::make_unique<CopyKeeper>(
+  o.min_replicas = options_.min_replicas;
+  copies_ = std::make_unique<LogReplicator>(
       loop_, store_.get(), o,
-      CopyKeeper::Hooks{
+      LogReplicator::Hooks{
           .now = [] { return Now(); },
           .view = [this]() -> const membership::View& { return cluster_->agreement().view(); },
           .leased = [this] { return Leased(); },
-          .send = [this](NodeId to, const copies::Frame& frame) { Send(to, frame); },
+          .send = [this](NodeId to, const copies::ReplicationMessage& frame) { Send(to, frame); },
           .want =
               [this](std::uint64_t disk, std::vector<membership::LogAssignment> logs) {
                 cluster_->RequestLogs(Now(), disk, std::move(logs));
@@ -195,7 +195,7 @@
 }
 
 void Member::Send(NodeId to, const Body& body) {
-  const bool ordered = std::holds_alternative<copies::Frame>(body);
+  const bool ordered = std::holds_alternative<copies::ReplicationMessage>(body);
   transport_.Send(to, Encode({hash_, self_, process_incarnation_, ++numbers_[to]}, body), ordered);
 }
 
@@ -246,7 +246,7 @@
     refusals_.replayed += 1;
     return;
   }
-  if (const auto* frame = std::get_if<copies::Frame>(&body)) {
+  if (const auto* frame = std::get_if<copies::ReplicationMessage>(&body)) {
     if (copies_ && cluster_->Accepts(Now(), header.from, header.process_incarnation)) {
       copies_->Hear(header.from, *frame);
     }
@@ -439,13 +439,13 @@
   count("bytes_out", t.bytes_out);
   count("streams", t.streams);
   if (copies_) {
-    const copies::Copies& c = copies_->decisions();
+    const copies::ReplicatedLogs& c = copies_->decisions();
     std::uint64_t own = 0, behind = 0;
-    for (const auto& held : c.Holds()) {
+    for (const auto& held : c.LogStatuses()) {
       own += held.own;
       behind = std::max<std::uint64_t>(behind, held.behind);
     }
-    count("copies.logs_held", c.Holds().size(), 'g');
+    count("copies.logs_held", c.LogStatuses().size(), 'g');
     count("copies.logs_owned", own, 'g');
     count("copies.most_behind", behind, 'g');
     count("copies.promises", c.counters().promises);
--- a/src/net/cluster/member.h
+++ b/src/net/cluster/member.h
@@ -16,10 +16,10 @@
 #include "config/cluster.h"
 #include "membership/membership_node.h"
 #include "millethollow/balancing/load_balancer.h"
-#include "net/cluster/copy_keeper.h"
+#include "net/cluster/async_record_store.h"
 #include "net/cluster/fact_keeper.h"
 #include "net/cluster/frame.h"
-#include "net/cluster/kept_store.h"
+#include "net/cluster/log_replicator.h"
 #include "net/cluster/quota_keeper.h"
 #include "net/cluster/transport.h"
 #include "net/loop.h"
@@ -76,7 +76,7 @@
   balancing::FleetShare Parts() const;  // of what the whole cluster may do
   const membership::MembershipNode& decisions() const { return *cluster_; }
   // Copies of what members hold for others; null: this one has no store.
-  CopyKeeper* copies() const { return copies_.get(); }
+  LogReplicator* copies() const { return copies_.get(); }
   static double Now();          // of the machine, counts its pauses
   std::string Figures() const;  // one a line, as at the second address
   std::string Json() const;     // of GET /members
@@ -128,9 +128,9 @@
   bool was_leased_ = false;
   Mailbox mail_;
   std::unique_ptr<store::VoteFile> votes_;
-  std::unique_ptr<KeptStore> store_;
+  std::unique_ptr<AsyncRecordStore> store_;
   std::unique_ptr<FactKeeper> keeper_;
-  std::unique_ptr<CopyKeeper> copies_;
+  std::unique_ptr<LogReplicator> copies_;
   std::unique_ptr<QuotaKeeper> quota_;  // null: quotas are not leased
 };
 
--- a/src/net/cluster/promised_jobs.cpp
+++ b/src/net/cluster/promised_jobs.cpp
@@ -11,25 +11,25 @@
 namespace millethollow::cluster {
 namespace {
 
-using copies::Jobs;
+using copies::DurableJobQueue;
 
 constexpr double kLookS = 0.25;  // whether the lease is held, for a member without any log
 
-std::string_view WordFor(Jobs::No no) {
-  switch (no) {
-    case Jobs::No::kNone:
+std::string_view WordFor(DurableJobQueue::RejectReason reason) {
+  switch (reason) {
+    case DurableJobQueue::RejectReason::kNone:
       return "";
-    case Jobs::No::kNoLog:
+    case DurableJobQueue::RejectReason::kNoLog:
       return "no majority, or not ready yet";
-    case Jobs::No::kTooFewCopies:
+    case DurableJobQueue::RejectReason::kTooFewReplicas:
       return "too few copies in reach";
-    case Jobs::No::kFull:
+    case DurableJobQueue::RejectReason::kFull:
       return "queue full";
-    case Jobs::No::kTenantFull:
+    case DurableJobQueue::RejectReason::kTenantFull:
       return "tenant's queue full";
-    case Jobs::No::kStore:
+    case DurableJobQueue::RejectReason::kStore:
       return "store failed";
-    case Jobs::No::kLost:
+    case DurableJobQueue::RejectReason::kLost:
       break;
   }
   return "not known whether kept";
@@ -37,8 +37,8 @@
 
 }  // namespace
 
-PromisedJobs::PromisedJobs(Loop* loop, Member* member, const Jobs::Limits& limits, std::string name,
-                           std::uint64_t number)
+PromisedJobs::PromisedJobs(Loop* loop, Member* member, const DurableJobQueue::Limits& limits,
+                           std::string name, std::uint64_t number)
     : loop_(loop),
       member_(member),
       name_(std::move(name)),
@@ -46,42 +46,45 @@
       jobs_(limits, number,
             {.append =
                  [this](copies::LogId log, std::string key, std::string value, bool gone,
-                        copies::Copies::Refusal* why) {
+                        copies::ReplicatedLogs::AppendError* why) {
                    return member_->copies()->Append(log, std::move(key), std::move(value), gone,
                                                     why);
                  },
-             .acts = [this](copies::LogId log) { return member_->copies()->Acts(log); },
+             .may_act = [this](copies::LogId log) { return member_->copies()->Acts(log); },
              .open = [this](copies::LogId log) { member_->copies()->Open(log); },
              .close = [this](copies::LogId log) { member_->copies()->Close(log); },
-             .age = [this](copies::LogId log,
-                           copies::Seq seq) { return member_->copies()->AgeAtMost(log, seq); },
-             .run = [this](const Jobs::Round& round) { Run(round); },
-             .call_off =
+             .age =
+                 [this](copies::LogId log, copies::SequenceNumber seq) {
+                   return member_->copies()->AgeAtMost(log, seq);
+                 },
+             .run = [this](const DurableJobQueue::Round& round) { Run(round); },
+             .abort =
                  [this](const std::string& handle) {
                    if (runner_ != nullptr) runner_->Abort(handle);
                  },
              .ended =
-                 [](const copies::JobRecord& job, Jobs::How how) {
-                   Events().info("cluster job={} function={} tenant={} ended={}", job.handle,
-                                 job.function, job.tenant,
-                                 how == Jobs::How::kServed ? "served" : "failed");
+                 [](const copies::JobRecord& job, DurableJobQueue::JobOutcome how) {
+                   Events().info(
+                       "cluster job={} function={} tenant={} ended={}", job.handle, job.function,
+                       job.tenant,
+                       how == DurableJobQueue::JobOutcome::kCompleted ? "served" : "failed");
                  }}) {
   member_->copies()->SetLedger(
-      {.begun =
-           [this](copies::LogId log, const std::vector<copies::Op>& entries) {
+      {.acquired =
+           [this](copies::LogId log, const std::vector<copies::Operation>& entries) {
              if (copies::KindOf(log) == copies::LogKind::kJobs) {
-               jobs_.Begun(Member::Now(), log, entries);
+               jobs_.OnLogAcquired(Member::Now(), log, entries);
              }
              Arm();
            },
-       .ended =
+       .released =
            [this](copies::LogId log) {
-             jobs_.Ended(log);
+             jobs_.OnLogReleased(log);
              Arm();
            },
-       .kept =
-           [this](copies::LogId log, copies::Seq seq) {
-             jobs_.Kept(Member::Now(), log, seq);
+       .committed =
+           [this](copies::LogId log, copies::SequenceNumber seq) {
+             jobs_.OnCommitted(Member::Now(), log, seq);
              Arm();
            }});
   Arm();
@@ -97,7 +100,7 @@
   const double in = std::min(kLookS, jobs_.NextAt() - Member::Now());
   tick_ = loop_->deadlines().At(loop_->Now() + std::max(0.0, in), [this] {
     tick_ = Deadlines::kNone;
-    jobs_.Leased(Member::Now(), member_->Leased());
+    jobs_.OnLease(Member::Now(), member_->Leased());
     jobs_.Tick(Member::Now());
     Arm();
   });
@@ -112,10 +115,10 @@
   record.tenant = std::move(job.tenant);
   record.body = std::move(job.body);
   record.priority = static_cast<std::uint8_t>(std::clamp(job.priority, 0, 2));
-  jobs_.Accept(Member::Now(), std::move(record),
-               [then = std::move(then)](const std::string& handle, Jobs::No no, double after_s) {
-                 then(handle, WordFor(no), after_s);
-               });
+  jobs_.Submit(
+      Member::Now(), std::move(record),
+      [then = std::move(then)](const std::string& handle, DurableJobQueue::RejectReason reason,
+                               double after_s) { then(handle, WordFor(reason), after_s); });
   Arm();
 }
 
@@ -124,29 +127,29 @@
 }
 
 void PromisedJobs::RunNow(const std::string& handle) {
-  jobs_.Hurry(Member::Now(), handle);
+  jobs_.RunNow(Member::Now(), handle);
   Arm();
 }
 
 void PromisedJobs::Complete(const std::string& handle, const FinalAnswer& answer) {
   using Kind = FinalAnswer::Kind;
-  jobs_.Done(Member::Now(), handle,
-             answer.kind == Kind::kCompleted  ? Jobs::How::kServed
-             : answer.kind == Kind::kRejected ? Jobs::How::kRefused
-                                              : Jobs::How::kFailed,
-             answer.retry_after_s, answer.ran_at);
+  jobs_.OnJobEnded(Member::Now(), handle,
+                   answer.kind == Kind::kCompleted  ? DurableJobQueue::JobOutcome::kCompleted
+                   : answer.kind == Kind::kRejected ? DurableJobQueue::JobOutcome::kRejected
+                                                    : DurableJobQueue::JobOutcome::kFailed,
+                   answer.retry_after_s, answer.ran_at);
   Arm();
 }
 
 void PromisedJobs::BeforeSend(const std::string& handle, const std::string& worker, bool own,
                               bool repeatable, std::function<void(bool)> then) {
-  if (repeatable) return then(jobs_.Acts(handle));
-  jobs_.Try(Member::Now(), handle, worker, own, [this, handle, then = std::move(then)](bool kept) {
-    then(kept && jobs_.Acts(handle));
-  });
+  if (repeatable) return then(jobs_.MayAct(handle));
+  jobs_.RecordAttempt(
+      Member::Now(), handle, worker, own,
+      [this, handle, then = std::move(then)](bool kept) { then(kept && jobs_.MayAct(handle)); });
 }
 
-void PromisedJobs::Run(const Jobs::Round& round) {
+void PromisedJobs::Run(const DurableJobQueue::Round& round) {
   DurableJob job;
   const copies::JobRecord& record = *round.job;
   char tail[48];
@@ -160,8 +163,9 @@
   job.tenant = record.tenant;
   job.body = record.body;
   job.priority = record.priority;
-  for (std::size_t i = 0; i < record.tried.size(); ++i) {
-    job.tried.push_back({record.tried[i].worker, record.tried[i].own, round.ages_s[i]});
+  for (std::size_t i = 0; i < record.attempts.size(); ++i) {
+    job.tried.push_back(
+        {record.attempts[i].worker, record.attempts[i].local_worker, round.ages_s[i]});
   }
   if (runner_ != nullptr) return runner_->Run(job);
   loop_->Later([this, handle = job.handle] {
@@ -174,7 +178,7 @@
   const auto count = [&](const char* name, std::uint64_t value, char kind = 'c') {
     out << "app.cluster.jobs." << name << ':' << value << '|' << kind << '\n';
   };
-  const Jobs::Counters& c = jobs_.counters();
+  const DurableJobQueue::Counters& c = jobs_.counters();
   count("held", jobs_.size(), 'g');
   count("bytes", jobs_.bytes(), 'g');
   count("running", jobs_.running(), 'g');
--- a/src/net/cluster/promised_jobs.h
+++ b/src/net/cluster/promised_jobs.h
@@ -1,5 +1,5 @@
-// Promised jobs in this process: carries between the decisions of copies::Jobs, the logs that this
-// member acts on, and the front that runs the jobs.
+// Promised jobs in this process: carries between the decisions of copies::DurableJobQueue, the logs
+// that this member acts on, and the front that runs the jobs.
 #ifndef MILLETHOLLOW_NET_CLUSTER_PROMISED_JOBS_H_
 #define MILLETHOLLOW_NET_CLUSTER_PROMISED_JOBS_H_
 
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "copies/jobs.h"
+#include "copies/durable_job_queue.h"
 #include "core/durable_jobs.h"
 #include "net/cluster/member.h"
 #include "net/loop.h"
@@ -18,8 +18,8 @@
 class PromisedJobs final : public DurableJobs {
  public:
   // `name`: of this node, the beginning of the handles that it gives; `number`: no other process's.
-  PromisedJobs(Loop* loop, Member* member, const copies::Jobs::Limits& limits, std::string name,
-               std::uint64_t number);
+  PromisedJobs(Loop* loop, Member* member, const copies::DurableJobQueue::Limits& limits,
+               std::string name, std::uint64_t number);
   ~PromisedJobs() override;
   PromisedJobs(const PromisedJobs&) = delete;
   PromisedJobs& operator=(const PromisedJobs&) = delete;
@@ -34,7 +34,7 @@
   std::string Find(std::string_view function, std::string_view unique) const override;
   bool Has(std::string_view handle) const override { return jobs_.Has(std::string(handle)); }
   void RunNow(const std::string& handle) override;
-  bool MayAct(const std::string& handle) const override { return jobs_.Acts(handle); }
+  bool MayAct(const std::string& handle) const override { return jobs_.MayAct(handle); }
   void Complete(const std::string& handle, const FinalAnswer& answer) override;
 
   // For the planner: as Planner::Hooks::before_send.
@@ -43,7 +43,7 @@
   std::string Figures() const;
 
  private:
-  void Run(const copies::Jobs::Round& round);
+  void Run(const copies::DurableJobQueue::Round& round);
   void Arm();
 
   Loop* loop_;
@@ -51,7 +51,7 @@
   std::string name_;
   std::uint64_t number_;
   DurableJobRunner* runner_ = nullptr;
-  copies::Jobs jobs_;
+  copies::DurableJobQueue jobs_;
   Deadlines::Ticket tick_ = Deadlines::kNone;
 };
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -135,7 +135,7 @@
                                               std::random_device{}(), std::move(hooks));
   if (!member_->Start(why)) return false;
   if (member_->copies() != nullptr) {
-    copies::Jobs::Limits limits = config_.cluster.jobs;
+    copies::DurableJobQueue::Limits limits = config_.cluster.jobs;
     limits.takes = gearman_ != nullptr;
     promised_ = std::make_unique<cluster::PromisedJobs>(
         &loop_, member_.get(), limits, config_.name,
--- a/src/store/copy_store.cpp
+++ b/src/store/record_store.cpp
@@ -1,4 +1,4 @@
-#include "store/copy_store.h"
+#include "store/record_store.h"
 
 #include <sqlite3.h>
 #include <sys/stat.h>
@@ -57,10 +57,10 @@
 
 }  // namespace
 
-void CopyStore::CloseDb::operator()(sqlite3* db) const { sqlite3_close_v2(db); }
-void CopyStore::EndStatement::operator()(sqlite3_stmt* s) const { sqlite3_finalize(s); }
+void RecordStore::CloseDb::operator()(sqlite3* db) const { sqlite3_close_v2(db); }
+void RecordStore::EndStatement::operator()(sqlite3_stmt* s) const { sqlite3_finalize(s); }
 
-CopyStore::~CopyStore() {
+RecordStore::~RecordStore() {
   if (!writer_.joinable()) return;
   {
     const std::lock_guard lock(mutex_);
@@ -70,35 +70,35 @@
   writer_.join();
 }
 
-bool CopyStore::Run(const char* sql) {
+bool RecordStore::Run(const char* sql) {
   return sqlite3_exec(db_.get(), sql, nullptr, nullptr, nullptr) == SQLITE_OK;
 }
 
-CopyStore::Statement CopyStore::Prepare(const char* sql) {
+RecordStore::Statement RecordStore::Prepare(const char* sql) {
   sqlite3_stmt* s = nullptr;
   sqlite3_prepare_v2(db_.get(), sql, -1, &s, nullptr);
   return Statement(s);
 }
 
 // Of one row and column; -1: there is none.
-std::int64_t CopyStore::Number(const char* sql) {
+std::int64_t RecordStore::Number(const char* sql) {
   const Statement s = Prepare(sql);
   return s && sqlite3_step(s.get()) == SQLITE_ROW ? sqlite3_column_int64(s.get(), 0) : -1;
 }
 
-std::string CopyStore::Problem() {
+std::string RecordStore::Problem() {
   code_ = sqlite3_errcode(db_.get());
   if (code_ == SQLITE_BUSY || code_ == SQLITE_LOCKED) return "in use by another process";
   return sqlite3_errmsg(db_.get());
 }
 
-bool CopyStore::damaged() const { return code_ == SQLITE_CORRUPT || code_ == SQLITE_NOTADB; }
-bool CopyStore::unwritable() const {
+bool RecordStore::damaged() const { return code_ == SQLITE_CORRUPT || code_ == SQLITE_NOTADB; }
+bool RecordStore::unwritable() const {
   return code_ == SQLITE_FULL || code_ == SQLITE_IOERR || code_ == SQLITE_READONLY;
 }
 
-bool CopyStore::Open(const std::string& folder, const Identity& identity, std::uint64_t most_bytes,
-                     Written written, std::string* why) {
+bool RecordStore::Open(const std::string& folder, const Identity& identity,
+                       std::uint64_t most_bytes, Written written, std::string* why) {
   name_ = "copies' store " + folder + ": ";
   written_ = std::move(written);
   most_pages_ = std::max<std::uint64_t>(most_bytes / kPage, 64);
@@ -139,7 +139,7 @@
 }
 
 // Whose the file is; in a new one that is written down.
-bool CopyStore::Check(const Identity& identity, std::string* why) {
+bool RecordStore::Check(const Identity& identity, std::string* why) {
   const std::int64_t schema = Number("SELECT number FROM about WHERE what='schema'");
   if (schema < 0) {
     const auto put = [this](const char* what, std::uint64_t number) {
@@ -166,7 +166,7 @@
   return why->empty();
 }
 
-bool CopyStore::LoadLogs(Records* records, std::vector<std::string>* damaged, std::string* why) {
+bool RecordStore::LoadLogs(Records* records, std::vector<std::string>* damaged, std::string* why) {
   // Entries are passed over by their prefix: there may be many.
   std::string after;
   while (true) {
@@ -175,8 +175,8 @@
     if (!Scan("", after, 256, &some, &last, damaged)) return *why = name_ + Problem(), false;
     for (auto& [key, value] : some) {
       after = key;
-      const auto parts = copies::Split(key);
-      if (parts && parts->what == 'e') {
+      const auto parts = copies::ParseStoreKey(key);
+      if (parts && parts->type == 'e') {
         after = After(copies::LogPrefix(parts->log) + "e/");
         break;
       }
@@ -186,14 +186,14 @@
   }
 }
 
-bool CopyStore::Load(const std::string& prefix, Records* records, std::vector<std::string>* damaged,
-                     std::string* why) {
+bool RecordStore::Load(const std::string& prefix, Records* records,
+                       std::vector<std::string>* damaged, std::string* why) {
   bool last = false;
   if (Scan(prefix, "", 1U << 30, records, &last, damaged)) return true;
   return *why = name_ + Problem(), false;
 }
 
-void CopyStore::Write(std::vector<copies::Write> batch, std::uint64_t ticket) {
+void RecordStore::Write(std::vector<copies::StoreWrite> batch, std::uint64_t ticket) {
   {
     const std::lock_guard lock(mutex_);
     jobs_.push_back(
@@ -202,7 +202,7 @@
   wake_.notify_one();
 }
 
-void CopyStore::Read(std::string prefix, std::string after, std::size_t most, Found found) {
+void RecordStore::Read(std::string prefix, std::string after, std::size_t most, Found found) {
   {
     const std::lock_guard lock(mutex_);
     jobs_.push_back({.batch = {},
@@ -214,24 +214,24 @@
   wake_.notify_one();
 }
 
-bool CopyStore::Apply(const copies::Write& w) {
-  using What = copies::Write::What;
-  const std::string value = w.what == What::kPut ? Sealed(w.key, w.value) : After(w.key);
-  sqlite3_stmt* s = w.what == What::kPut     ? put_.get()
-                    : w.what == What::kErase ? erase_.get()
+bool RecordStore::Apply(const copies::StoreWrite& w) {
+  using Kind = copies::StoreWrite::Kind;
+  const std::string value = w.kind == Kind::kPut ? Sealed(w.key, w.value) : After(w.key);
+  sqlite3_stmt* s = w.kind == Kind::kPut     ? put_.get()
+                    : w.kind == Kind::kErase ? erase_.get()
                                              : erase_range_.get();
   Bind(s, 1, w.key);
-  if (w.what != What::kErase) Bind(s, 2, value);
+  if (w.kind != Kind::kErase) Bind(s, 2, value);
   const bool done = sqlite3_step(s) == SQLITE_DONE;
   sqlite3_reset(s);
   sqlite3_clear_bindings(s);
   return done;
 }
 
-bool CopyStore::Commit(const std::vector<Job>& jobs) {
+bool RecordStore::Commit(const std::vector<Job>& jobs) {
   if (!Run("BEGIN")) return false;
   for (const Job& job : jobs) {
-    for (const copies::Write& w : job.batch) {
+    for (const copies::StoreWrite& w : job.batch) {
       if (!Apply(w)) return Run("ROLLBACK"), false;
     }
   }
@@ -241,8 +241,8 @@
   return true;
 }
 
-bool CopyStore::Scan(const std::string& prefix, const std::string& after, std::size_t most,
-                     Records* records, bool* last, std::vector<std::string>* damaged) {
+bool RecordStore::Scan(const std::string& prefix, const std::string& after, std::size_t most,
+                       Records* records, bool* last, std::vector<std::string>* damaged) {
   const std::string end = prefix.empty() ? std::string("\xff", 1) : After(prefix);
   Bind(scan_.get(), 1, after.empty() ? std::string_view(prefix) : std::string_view(after));
   Bind(scan_.get(), 2, end);
@@ -264,7 +264,7 @@
   return step == SQLITE_DONE;
 }
 
-void CopyStore::Serve() {
+void RecordStore::Serve() {
   while (true) {
     std::vector<Job> jobs;
     {
--- a/src/store/copy_store.h
+++ b/src/store/record_store.h
@@ -2,8 +2,8 @@
 // Batches are written in order by a thread of its own, several in one commit where they wait for
 // the disk; a batch is done when its commit is on the disk (write-ahead log, synchronous). Each
 // record carries the hash of its key and value. docs/design/copies.md says why this library.
-#ifndef MILLETHOLLOW_STORE_COPY_STORE_H_
-#define MILLETHOLLOW_STORE_COPY_STORE_H_
+#ifndef MILLETHOLLOW_STORE_RECORD_STORE_H_
+#define MILLETHOLLOW_STORE_RECORD_STORE_H_
 
 #include <atomic>
 #include <condition_variable>
@@ -25,7 +25,7 @@
 
 namespace millethollow::store {
 
-class CopyStore {
+class RecordStore {
  public:
   using Records = std::vector<std::pair<std::string, std::string>>;
   // What a write came to: all up to this ticket, or none from it on. On the writer's thread.
@@ -39,10 +39,10 @@
   };
   static constexpr std::uint32_t kSchema = 1;
 
-  CopyStore() = default;
-  ~CopyStore();  // what was given to Write is written first
-  CopyStore(const CopyStore&) = delete;
-  CopyStore& operator=(const CopyStore&) = delete;
+  RecordStore() = default;
+  ~RecordStore();  // what was given to Write is written first
+  RecordStore(const RecordStore&) = delete;
+  RecordStore& operator=(const RecordStore&) = delete;
 
   // Takes or makes `folder`/copies.db for this process alone, of at most `most_bytes`. False, with
   // one clear line, if it can't be used, is another's, of a later build, or damaged as a whole.
@@ -59,7 +59,7 @@
   std::uint64_t disk() const { return disk_; }
 
   // After a failure nothing is written any more: the disk may hold either state.
-  void Write(std::vector<copies::Write> batch, std::uint64_t ticket);
+  void Write(std::vector<copies::StoreWrite> batch, std::uint64_t ticket);
   // Sees all that was given to Write before.
   void Read(std::string prefix, std::string after, std::size_t most, Found found);
   // Of `most_bytes`, 0 to 1: as of the last commit. At 1 a write would fail.
@@ -67,7 +67,7 @@
 
  private:
   struct Job {
-    std::vector<copies::Write> batch;
+    std::vector<copies::StoreWrite> batch;
     std::uint64_t ticket = 0;
     std::string prefix, after;
     std::size_t most = 0;
@@ -86,7 +86,7 @@
   Statement Prepare(const char* sql);
   std::string Problem();
   bool Check(const Identity& identity, std::string* why);
-  bool Apply(const copies::Write& write);
+  bool Apply(const copies::StoreWrite& write);
   bool Commit(const std::vector<Job>& jobs);
   // Up to `most` records with this prefix after a key; false: the file is damaged.
   bool Scan(const std::string& prefix, const std::string& after, std::size_t most, Records* records,
@@ -109,4 +109,4 @@
 
 }  // namespace millethollow::store
 
-#endif  // MILLETHOLLOW_STORE_COPY_STORE_H_
+#endif  // MILLETHOLLOW_STORE_RECORD_STORE_H_
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -53,13 +53,13 @@
   return n;
 }
 
-copies::Frame SomeOperations() {
-  copies::Frame f{.kind = copies::Frame::Kind::kOps,
-                  .log = 0x101,
-                  .epoch = 4,
-                  .disk = 41,
-                  .seq = 6,
-                  .commit = 5};
+copies::ReplicationMessage SomeOperations() {
+  copies::ReplicationMessage f{.kind = copies::ReplicationMessage::Kind::kAppend,
+                               .log = 0x101,
+                               .epoch = 4,
+                               .disk = 41,
+                               .seq = 6,
+                               .commit = 5};
   f.seq_epoch = 3;
   f.number = 8;
   f.last = f.matched = true;
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -19,7 +19,7 @@
 #include "config/config.h"
 #include "net/handover/handover.h"
 #include "net/handover/succession.h"
-#include "store/copy_store.h"
+#include "store/record_store.h"
 #include "store/vote_file.h"
 #include "support/compatibility_samples.h"
 #include "support/compatibility_settings.h"
@@ -234,12 +234,12 @@
   EXPECT_EQ(copies::Encode(SampleKey()), old.at("key"));
   EXPECT_EQ(codec::Encode(SampleVotes()), old.at("votes"));
   EXPECT_EQ(copies::HeadKey(0xabc01), old.at("store-key-head"));
-  EXPECT_EQ(copies::OpKey(0xabc01, 41), old.at("store-key-operation"));
+  EXPECT_EQ(copies::OperationKey(0xabc01, 41), old.at("store-key-operation"));
   EXPECT_EQ(copies::EntryKey(0xabc01, 2, "H:a:1"), old.at("store-key-entry"));
-  const auto head = copies::DecodeHead(old.at("head"));
-  const auto operation = copies::DecodeOp(old.at("operation"));
+  const auto head = copies::DecodeLogHead(old.at("head"));
+  const auto operation = copies::DecodeOperation(old.at("operation"));
   const auto job = copies::DecodeJob("H:a:1", old.at("job"));
-  const auto key = copies::DecodeKey(old.at("key"));
+  const auto key = copies::DecodeIdempotencyRecord(old.at("key"));
   const auto votes = codec::DecodeVoterState(old.at("votes"));
   ASSERT_TRUE(head && operation && job && key && votes);
   EXPECT_EQ(copies::Encode(*head), old.at("head"));
@@ -278,29 +278,29 @@
 }
 
 TEST_F(MemberFolder, LogsAndWorkersOutByHandAreRead) {
-  store::CopyStore store;
+  store::RecordStore store;
   ASSERT_TRUE(store.Open(folder, {cluster, self, 1}, 16 << 20, Written(), &why)) << why;
   EXPECT_NE(store.disk(), 1U) << "the file was made anew";
-  store::CopyStore::Records records;
+  store::RecordStore::Records records;
   Lines damaged;
   ASSERT_TRUE(store.LoadLogs(&records, &damaged, &why)) << why;
   EXPECT_EQ(damaged, Lines{});
   std::size_t heads = 0, operations = 0;
-  std::map<copies::LogId, copies::Head> logs;
+  std::map<copies::LogId, copies::LogHead> logs;
   for (const auto& [key, value] : records) {
-    const auto parts = copies::Split(key);
+    const auto parts = copies::ParseStoreKey(key);
     ASSERT_TRUE(parts);
-    if (parts->what == 'h') {
-      const auto head = copies::DecodeHead(value);
+    if (parts->type == 'h') {
+      const auto head = copies::DecodeLogHead(value);
       ASSERT_TRUE(head);
       EXPECT_EQ(copies::Encode(*head), value);
       logs[parts->log] = *head;
       heads += 1;
     } else {
-      const auto operation = copies::DecodeOp(value);
+      const auto operation = copies::DecodeOperation(value);
       ASSERT_TRUE(operation);
       EXPECT_EQ(copies::Encode(*operation), value);
-      EXPECT_EQ(copies::OpKey(parts->log, operation->seq), key);
+      EXPECT_EQ(copies::OperationKey(parts->log, operation->seq), key);
       operations += 1;
     }
   }
@@ -312,7 +312,7 @@
     const std::string prefix = copies::EntryPrefix(log, head.filling);
     ASSERT_TRUE(store.Load(prefix, &records, &damaged, &why)) << why;
     for (const auto& [key, value] : records) {
-      const auto entry = copies::DecodeOp(value);
+      const auto entry = copies::DecodeOperation(value);
       ASSERT_TRUE(entry);
       EXPECT_EQ(copies::Encode(*entry), value);
       EXPECT_EQ(prefix + entry->key, key);
--- a/tests/jobs_test.cpp
+++ b/tests/durable_job_queue_test.cpp
@@ -1,6 +1,6 @@
 // Days of promised jobs from seeds: the real decisions on the real logs, with workers that a seed
 // makes late or deaf. After each run and each end the promises are checked. SEEDS plays more days.
-#include "copies/jobs.h"
+#include "copies/durable_job_queue.h"
 
 #include <gtest/gtest.h>
 
@@ -25,19 +25,20 @@
         copies_(seed, 3 + seed % 3, {}),
         world_(copies_.world),
         nodes_(copies_.world.size()) {
-    copies_.ledger = {
-        .start = [this](std::size_t i) { Start(i); },
-        .kill = [this](std::size_t i) { nodes_[i].jobs.reset(); },
-        .begun = [this](std::size_t i, LogId log,
-                        const std::vector<Op>& e) { nodes_[i].jobs->Begun(world_.now(), log, e); },
-        .ended =
-            [this](std::size_t i, LogId log) {
-              if (nodes_[i].jobs) nodes_[i].jobs->Ended(log);
-            },
-        .kept =
-            [this](std::size_t i, LogId log, Seq seq) {
-              if (nodes_[i].jobs) nodes_[i].jobs->Kept(world_.now(), log, seq);
-            }};
+    copies_.ledger = {.start = [this](std::size_t i) { Start(i); },
+                      .kill = [this](std::size_t i) { nodes_[i].jobs.reset(); },
+                      .begun =
+                          [this](std::size_t i, LogId log, const std::vector<Operation>& e) {
+                            nodes_[i].jobs->OnLogAcquired(world_.now(), log, e);
+                          },
+                      .ended =
+                          [this](std::size_t i, LogId log) {
+                            if (nodes_[i].jobs) nodes_[i].jobs->OnLogReleased(log);
+                          },
+                      .kept =
+                          [this](std::size_t i, LogId log, SequenceNumber seq) {
+                            if (nodes_[i].jobs) nodes_[i].jobs->OnCommitted(world_.now(), log, seq);
+                          }};
     world_.StartAll();
     world_.RunUntil(8);
     double fault_at = 8;
@@ -67,7 +68,7 @@
 
  private:
   struct Node {
-    std::unique_ptr<Jobs> jobs;
+    std::unique_ptr<DurableJobQueue> jobs;
   };
   struct Truth {  // of one job, as an onlooker sees it
     bool keyed = false, promised = false, ended = false, end_made = false;
@@ -88,34 +89,37 @@
         }));
   }
   void Start(std::size_t i) {
-    Jobs::Limits limits;
+    DurableJobQueue::Limits limits;
     limits.running = 8;
-    nodes_[i].jobs = std::make_unique<Jobs>(
+    nodes_[i].jobs = std::make_unique<DurableJobQueue>(
         limits, random_.NextUint64() | 1,
-        Jobs::Hooks{
+        DurableJobQueue::Hooks{
             .append =
                 [this, i](LogId log, const std::string& key, const std::string& value, bool gone,
-                          Copies::Refusal* why) {
+                          ReplicatedLogs::AppendError* why) {
                   if (gone && planted_.end_not_written)
                     return copies_.Put(i, log, "none", "", true, why);
-                  const Seq seq = copies_.Put(i, log, key, value, gone, why);
+                  const SequenceNumber seq = copies_.Put(i, log, key, value, gone, why);
                   if (gone && seq != 0) truth_[key].end_made = true;
                   if (planted_.told_before_kept && !gone && seq != 0) truth_[key].promised = true;
                   return seq;
                 },
-            .acts = [this, i](LogId log) { return copies_.Acts(i, log); },
+            .may_act = [this, i](LogId log) { return copies_.Acts(i, log); },
             .open = [this, i](LogId log) { copies_.Open(i, log); },
             .close = [this, i](LogId log) { copies_.Close(i, log); },
-            .age = [this, i](LogId log,
-                             Seq seq) { return copies_.At(i)->AgeAtMost(world_.now(), log, seq); },
-            .run = [this, i](const Jobs::Round& round) { Run(i, round); },
-            .call_off = [this](const std::string&) { lost += 1; },
-            .ended = [this](const JobRecord& job, Jobs::How how) { Ended(job, how); }});
+            .age =
+                [this, i](LogId log, SequenceNumber seq) {
+                  return copies_.At(i)->MaxAge(world_.now(), log, seq);
+                },
+            .run = [this, i](const DurableJobQueue::Round& round) { Run(i, round); },
+            .abort = [this](const std::string&) { lost += 1; },
+            .ended = [this](const JobRecord& job,
+                            DurableJobQueue::JobOutcome outcome) { Ended(job, outcome); }});
     Beat(i);
   }
   void Beat(std::size_t i) {
     if (!nodes_[i].jobs) return;
-    nodes_[i].jobs->Leased(world_.now(), world_.Leased(i));
+    nodes_[i].jobs->OnLease(world_.now(), world_.Leased(i));
     nodes_[i].jobs->Tick(world_.now());
     world_.At(world_.now() + 0.02, i, [this, i] { Beat(i); });
   }
@@ -128,24 +132,25 @@
     job.body = "b";
     Truth& truth = truth_[job.handle];
     truth.keyed = job.function == "charge";
-    nodes_[i].jobs->Accept(world_.now(), std::move(job),
-                           [this](const std::string& handle, Jobs::No no, double) {
-                             truth_[handle].promised |= no == Jobs::No::kNone;
-                             (no == Jobs::No::kNone ? promised : refused) += 1;
-                           });
+    nodes_[i].jobs->Submit(
+        world_.now(), std::move(job),
+        [this](const std::string& handle, DurableJobQueue::RejectReason reason, double) {
+          truth_[handle].promised |= reason == DurableJobQueue::RejectReason::kNone;
+          (reason == DurableJobQueue::RejectReason::kNone ? promised : refused) += 1;
+        });
   }
   // As the planner does: a keyed job that may have run goes to the same worker within its window,
   // or fails.
-  void Run(std::size_t i, const Jobs::Round& round) {
+  void Run(std::size_t i, const DurableJobQueue::Round& round) {
     const JobRecord& job = *round.job;
     std::string worker = "w" + std::to_string(random_.Below(4));
     std::vector<std::string> ran_at;
-    for (const Tried& t : job.tried) ran_at.push_back(t.worker);
+    for (const AttemptRecord& t : job.attempts) ran_at.push_back(t.worker);
     double age_s = -1e9, from = world_.now();
-    if (job.function == "charge" && !job.tried.empty()) {
+    if (job.function == "charge" && !job.attempts.empty()) {
       age_s = *std::max_element(round.ages_s.begin(), round.ages_s.end());
       adopted += 1;
-      worker = job.tried[0].worker;
+      worker = job.attempts[0].worker;
     }
     Later(i, 0.01 * random_.Unit(),
           [this, i, handle = job.handle, worker, ran_at, age_s, from,
@@ -153,13 +158,13 @@
             if (!nodes_[i].jobs || !nodes_[i].jobs->Has(handle)) return;
             const auto go = [this, i, handle, worker, ran_at, age_s, from](bool may) {
               if (age_s + world_.now() - from > kWindowS)
-                return Done(i, handle, Jobs::How::kFailed);
-              if (!may || !nodes_[i].jobs->Acts(handle))
-                return Done(i, handle, Jobs::How::kRefused, ran_at);
+                return Done(i, handle, DurableJobQueue::JobOutcome::kFailed);
+              if (!may || !nodes_[i].jobs->MayAct(handle))
+                return Done(i, handle, DurableJobQueue::JobOutcome::kRejected, ran_at);
               Work(i, handle, worker);
             };
             if (!keyed || planted_.sent_before_written) return go(true);
-            nodes_[i].jobs->Try(world_.now(), handle, worker, false, go);
+            nodes_[i].jobs->RecordAttempt(world_.now(), handle, worker, false, go);
           });
   }
   void Work(std::size_t i, const std::string& handle, const std::string& worker) {
@@ -176,27 +181,28 @@
       t.first_at = world_.now();
     }
     const auto luck = random_.Below(20);
-    const Jobs::How how = luck == 0              ? Jobs::How::kFailed
-                          : luck < 3 && !t.keyed ? Jobs::How::kRefused
-                                                 : Jobs::How::kServed;
-    Later(i, 0.3 * random_.Unit(), [this, i, handle, how] { Done(i, handle, how); });
+    const DurableJobQueue::JobOutcome outcome = luck == 0 ? DurableJobQueue::JobOutcome::kFailed
+                                                : luck < 3 && !t.keyed
+                                                    ? DurableJobQueue::JobOutcome::kRejected
+                                                    : DurableJobQueue::JobOutcome::kCompleted;
+    Later(i, 0.3 * random_.Unit(), [this, i, handle, outcome] { Done(i, handle, outcome); });
   }
-  void Done(std::size_t i, const std::string& handle, Jobs::How how,
+  void Done(std::size_t i, const std::string& handle, DurableJobQueue::JobOutcome outcome,
             const std::vector<std::string>& ran_at = {}) {
-    if (nodes_[i].jobs) nodes_[i].jobs->Done(world_.now(), handle, how, 0.1, ran_at);
+    if (nodes_[i].jobs) nodes_[i].jobs->OnJobEnded(world_.now(), handle, outcome, 0.1, ran_at);
   }
-  void Ended(const JobRecord& job, Jobs::How how) {
+  void Ended(const JobRecord& job, DurableJobQueue::JobOutcome outcome) {
     Truth& t = truth_[job.handle];
     if (t.ended) Break(job.handle + " ended twice");
-    if (how == Jobs::How::kServed && t.runs == 0)
+    if (outcome == DurableJobQueue::JobOutcome::kCompleted && t.runs == 0)
       Break(job.handle + " is called served, and no worker had it");
-    failed += how == Jobs::How::kFailed;
+    failed += outcome == DurableJobQueue::JobOutcome::kFailed;
     t.ended = true;
   }
   // In this process, if it is still there.
-  template <typename What>
-  void Later(std::size_t i, double in_s, What what) {
-    world_.At(world_.now() + in_s, i, [what] { what(); });
+  template <typename Event>
+  void Later(std::size_t i, double in_s, Event event) {
+    world_.At(world_.now() + in_s, i, [event] { event(); });
   }
 
   const JobFaults planted_;
@@ -234,20 +240,20 @@
 
 // One that takes none has nothing to wake up for; one whose log never comes asks for another, and
 // not all the time.
-TEST(Jobs, AskForALogOnlyWhereTheyTakeAnyAndNotAllTheTime) {
+TEST(DurableJobQueue, AskForALogOnlyWhereTheyTakeAnyAndNotAllTheTime) {
   for (const bool takes : {false, true}) {
     std::vector<LogId> opened;
-    Jobs::Limits limits;
+    DurableJobQueue::Limits limits;
     limits.takes = takes;
-    Jobs jobs(limits, 7,
-              {.append = {},
-               .acts = {},
-               .open = [&](LogId log) { opened.push_back(log); },
-               .close = {},
-               .age = {},
-               .run = {},
-               .call_off = {}});
-    jobs.Leased(100, true);
+    DurableJobQueue jobs(limits, 7,
+                         {.append = {},
+                          .may_act = {},
+                          .open = [&](LogId log) { opened.push_back(log); },
+                          .close = {},
+                          .age = {},
+                          .run = {},
+                          .abort = {}});
+    jobs.OnLease(100, true);
     for (double now = 100; now < 150; now += 0.1) {
       jobs.Tick(now);
       EXPECT_GT(jobs.NextAt(), now);
--- a/tests/keys_test.cpp
+++ b/tests/idempotency_keys_test.cpp
@@ -1,6 +1,6 @@
 // Days of keys from seeds: the same charges at several members at once, while processes, links and
 // disks break. After each run: it never ran elsewhere within its window. SEEDS plays more days.
-#include "copies/keys.h"
+#include "copies/idempotency_keys.h"
 
 #include <gtest/gtest.h>
 
@@ -28,7 +28,7 @@
     copies_.ledger = {.start = [this](std::size_t i) { Start(i); },
                       .kill = [this](std::size_t i) { nodes_[i] = {}; },
                       .begun =
-                          [this](std::size_t i, LogId log, const std::vector<Op>& e) {
+                          [this](std::size_t i, LogId log, const std::vector<Operation>& e) {
                             nodes_[i].ledger->Begun(world_.now(), log, e);
                           },
                       .ended =
@@ -36,7 +36,7 @@
                             if (nodes_[i].ledger) nodes_[i].ledger->Ended(log);
                           },
                       .kept =
-                          [this](std::size_t i, LogId log, Seq seq) {
+                          [this](std::size_t i, LogId log, SequenceNumber seq) {
                             if (nodes_[i].ledger) nodes_[i].ledger->Kept(world_.now(), log, seq);
                           }};
     world_.StartAll();
@@ -77,8 +77,8 @@
 
  private:
   struct Node {
-    std::unique_ptr<KeyLedger> ledger;
-    std::unique_ptr<KeyClaims> claims;
+    std::unique_ptr<IdempotencyKeyRegistry> ledger;
+    std::unique_ptr<IdempotencyKeyClient> claims;
   };
   struct Truth {
     std::string worker;
@@ -89,25 +89,27 @@
   void Start(std::size_t i) {
     const membership::ProcessIncarnation process_incarnation =
         world_.node(i).options.process_incarnation;
-    nodes_[i].ledger = std::make_unique<KeyLedger>(
-        KeyLedger::Limits{},
-        KeyLedger::Hooks{
+    nodes_[i].ledger = std::make_unique<IdempotencyKeyRegistry>(
+        IdempotencyKeyRegistry::Limits{},
+        IdempotencyKeyRegistry::Hooks{
             .append =
                 [this, i](LogId log, const std::string& key, const std::string& value, bool gone,
-                          Copies::Refusal* why) {
+                          ReplicatedLogs::AppendError* why) {
                   return copies_.Put(i, log, key, value, gone, why);
                 },
-            .age = [this, i](LogId log,
-                             Seq seq) { return copies_.At(i)->AgeAtMost(world_.now(), log, seq); },
+            .age =
+                [this, i](LogId log, SequenceNumber seq) {
+                  return copies_.At(i)->MaxAge(world_.now(), log, seq);
+                },
             .there =
-                [this, i](const Claimer& c) {
+                [this, i](const ClaimId& c) {
                   const auto* member = world_.ViewOf(i).Find(c.who);
                   return member != nullptr && member->process_incarnation == c.process_incarnation;
                 },
             .send = [this, i](NodeId to, const KeyWord& w) { Carry(i, to, w); }});
-    nodes_[i].claims = std::make_unique<KeyClaims>(
+    nodes_[i].claims = std::make_unique<IdempotencyKeyClient>(
         i + 1, process_incarnation,
-        KeyClaims::Hooks{
+        IdempotencyKeyClient::Hooks{
             .owner = [this, i](LogId log) -> NodeId {
               const LogAssignment* place = world_.Leased(i) ? world_.ViewOf(i).Log(log) : nullptr;
               return place == nullptr || place->process_incarnation == 0 ? 0 : place->owner;
@@ -134,7 +136,7 @@
     const View& view = world_.ViewOf(i);
     for (LogId k = 1; k <= kKeyLogs; ++k) {
       const LogId log = k << 8 | static_cast<LogId>(LogKind::kKeys);
-      if (world_.Leased(i) && view.Log(log) == nullptr && OpenerOf(log, view) == i + 1)
+      if (world_.Leased(i) && view.Log(log) == nullptr && PreferredOpener(log, view) == i + 1)
         copies_.Open(i, log);
     }
     nodes_[i].claims->Tick(world_.now());
@@ -154,8 +156,8 @@
     if (!world_.Runs(i) || !nodes_[i].claims) return;
     asked += 1;
     auto number = std::make_shared<std::uint64_t>(0);
-    const auto then = [this, i, key, number, fresh](const KeyClaims::Result& r) {
-      using Kind = KeyClaims::Result::Kind;
+    const auto then = [this, i, key, number, fresh](const IdempotencyKeyClient::Result& r) {
+      using Kind = IdempotencyKeyClient::Result::Kind;
       if (r.kind == Kind::kRefused) {
         refused += 1;
       } else if (r.kind == Kind::kAnswered) {
@@ -171,16 +173,16 @@
     };
     *number = nodes_[i].claims->Claim(world_.now(), key, kWindowS, then);
   }
-  void Go(std::size_t i, const std::string& key, std::uint64_t number, const KeyClaims::Result& r,
-          bool fresh) {
+  void Go(std::size_t i, const std::string& key, std::uint64_t number,
+          const IdempotencyKeyClient::Result& r, bool fresh) {
     if (!nodes_[i].claims) return;
     std::string worker = "w" + std::to_string(random_.Below(4));
     std::vector<std::string> ran_at;
     double age = -1e9;
-    for (std::size_t t = 0; t < r.tried.size() && !planted_.forgets_what_was_tried; ++t) {
-      ran_at.push_back(r.tried[t].worker);
+    for (std::size_t t = 0; t < r.attempts.size() && !planted_.forgets_what_was_tried; ++t) {
+      ran_at.push_back(r.attempts[t].worker);
       age = std::max(age, r.ages_s[t]);
-      worker = r.tried[0].worker;
+      worker = r.attempts[0].worker;
     }
     const auto go = [this, i, key, number, worker, ran_at, age, from = world_.now(),
                      fresh](bool may) {
--- a/tests/copy_store_test.cpp
+++ b/tests/record_store_test.cpp
@@ -1,6 +1,6 @@
 // The store of copies on real files: what was said to be on disk is there after any end of the
 // process, and what is not as it was written is noticed.
-#include "store/copy_store.h"
+#include "store/record_store.h"
 
 #include <gtest/gtest.h>
 #include <sqlite3.h>
@@ -14,20 +14,20 @@
 namespace millethollow::store {
 namespace {
 
-using copies::Write;
+using copies::StoreWrite;
 using Model = std::map<std::string, std::string>;
 constexpr copies::LogId kLog = 0xabc;
 
 struct CopyFolder : Folder {
   ~CopyFolder() override { store.reset(); }
   bool Open(const std::string& at, std::uint64_t most = 16 << 20,
-            CopyStore::Identity who = {1, 2, 77}) {
+            RecordStore::Identity who = {1, 2, 77}) {
     store.reset();
-    store = std::make_unique<CopyStore>();
+    store = std::make_unique<RecordStore>();
     why.clear();
     return store->Open(at, who, most, Written(), &why);
   }
-  bool Put(std::vector<Write> batch) {  // waits until it is there
+  bool Put(std::vector<StoreWrite> batch) {  // waits until it is there
     store->Write(std::move(batch), ++tickets);
     return Waits(tickets);
   }
@@ -38,7 +38,7 @@
     for (bool more = true; more;) {
       bool come = false;
       store->Read(prefix, after, most,
-                  [&](CopyStore::Records records, bool last, std::vector<std::string> bad) {
+                  [&](RecordStore::Records records, bool last, std::vector<std::string> bad) {
                     const std::lock_guard lock(mutex);
                     for (auto& [key, value] : records) all[key] = value, after = key;
                     damaged.insert(damaged.end(), bad.begin(), bad.end());
@@ -52,8 +52,8 @@
     }
     return all;
   }
-  static Write PutOf(const std::string& key, const std::string& value) {
-    return {Write::What::kPut, key, value};
+  static StoreWrite PutOf(const std::string& key, const std::string& value) {
+    return {StoreWrite::Kind::kPut, key, value};
   }
   void Sql(const char* text) const {
     sqlite3* db = nullptr;
@@ -62,18 +62,18 @@
     sqlite3_close(db);
   }
   // Batches at random, on the store and on a plain map.
-  std::vector<Write> Some(membership::Random* random, Model* model) {
-    std::vector<Write> batch;
+  std::vector<StoreWrite> Some(membership::Random* random, Model* model) {
+    std::vector<StoreWrite> batch;
     for (std::size_t n = 1 + random->Below(6); n > 0; --n) {
       const std::string key =
           copies::EntryKey(kLog, random->Below(2), "k" + std::to_string(random->Below(30)));
       const std::size_t what = random->Below(12);
       if (what == 0) {
         const std::string prefix = copies::EntryPrefix(kLog, random->Below(2));
-        batch.push_back({Write::What::kErasePrefix, prefix, ""});
+        batch.push_back({StoreWrite::Kind::kErasePrefix, prefix, ""});
         std::erase_if(*model, [&](const auto& e) { return e.first.starts_with(prefix); });
       } else if (what < 4) {
-        batch.push_back({Write::What::kErase, key, ""});
+        batch.push_back({StoreWrite::Kind::kErase, key, ""});
         model->erase(key);
       } else {
         batch.push_back(PutOf(
@@ -83,7 +83,7 @@
     }
     return batch;
   }
-  std::unique_ptr<CopyStore> store;
+  std::unique_ptr<RecordStore> store;
   std::vector<std::string> damaged;
   std::uint64_t tickets = 0;
 };
@@ -103,20 +103,20 @@
 
 TEST_F(CopyFolder, LoadsHeadsAndOperationsAndPassesEntriesBy) {
   ASSERT_TRUE(Open(folder)) << why;
-  std::vector<Write> batch;
+  std::vector<StoreWrite> batch;
   for (const copies::LogId log : {3U, 4U}) {
     batch.push_back(PutOf(copies::HeadKey(log), "h"));
-    for (copies::Seq seq = 1; seq <= 300; ++seq)
-      batch.push_back(PutOf(copies::OpKey(log, seq), "o"));
+    for (copies::SequenceNumber seq = 1; seq <= 300; ++seq)
+      batch.push_back(PutOf(copies::OperationKey(log, seq), "o"));
     for (int e = 0; e < 600; ++e)
       batch.push_back(PutOf(copies::EntryKey(log, 0, std::to_string(e)), "e"));
   }
   ASSERT_TRUE(Put(batch));
   ASSERT_TRUE(Open(folder)) << why;
-  CopyStore::Records records;
+  RecordStore::Records records;
   ASSERT_TRUE(store->LoadLogs(&records, &damaged, &why)) << why;
   EXPECT_EQ(records.size(), 602U);
-  for (const auto& [key, value] : records) EXPECT_NE(copies::Split(key)->what, 'e');
+  for (const auto& [key, value] : records) EXPECT_NE(copies::ParseStoreKey(key)->type, 'e');
 }
 
 // Power is lost while the last commits are on their way: the log beside the file ends at any byte.
@@ -157,7 +157,7 @@
 TEST_F(CopyFolder, ABitThatFlippedIsNoticed) {
   ASSERT_TRUE(Open(folder)) << why;
   Model model;
-  std::vector<Write> batch;
+  std::vector<StoreWrite> batch;
   for (int n = 0; n < 200; ++n) {
     batch.push_back(PutOf(copies::EntryKey(kLog, 0, "k" + std::to_string(n)),
                           std::string(100, static_cast<char>('a' + n % 26))));
@@ -196,8 +196,8 @@
 
 TEST_F(CopyFolder, OfAnotherOrInUseOrNoStoreIsOneClearLine) {
   ASSERT_TRUE(Open(folder)) << why;
-  const auto refuses = [this](CopyStore::Identity who, const std::string& line) {
-    CopyStore other;
+  const auto refuses = [this](RecordStore::Identity who, const std::string& line) {
+    RecordStore other;
     why.clear();
     EXPECT_FALSE(other.Open(
         folder, who, 1 << 20, [](std::uint64_t, bool) {}, &why));
--- a/tests/copies_test.cpp
+++ b/tests/replicated_logs_test.cpp
@@ -94,15 +94,15 @@
   static constexpr LogId kLog = 9;
   struct Flight {
     NodeId to = 0, from = 0;
-    Frame frame;
+    ReplicationMessage frame;
   };
   struct State {
-    std::vector<Copies> nodes;
+    std::vector<ReplicatedLogs> nodes;
     std::vector<Disk> disks{3};
-    std::vector<std::deque<std::pair<std::uint64_t, std::vector<Write>>>> writes{3};
+    std::vector<std::deque<std::pair<std::uint64_t, std::vector<StoreWrite>>>> writes{3};
     std::vector<Flight> flight;
     std::vector<bool> begun = std::vector<bool>(3, false);
-    Seq kept = 0;
+    SequenceNumber kept = 0;
     int gone = 0;  // the first owner; 2: and it is put out of the holders
     double now = 1;
   };
@@ -121,17 +121,17 @@
     if (gone < 2) v.logs[0].replicas.push_back({1, 101});
     return v;
   }
-  void Carry(State* s, std::size_t i, Copies::Actions* a) {
+  void Carry(State* s, std::size_t i, ReplicatedLogs::Actions* a) {
     for (auto& [to, frame] : a->send) s->flight.push_back({to, i + 1, std::move(frame)});
     if (!a->write.empty()) s->writes[i].emplace_back(a->ticket, std::move(a->write));
-    for (const auto& [log, seq] : a->kept) s->kept = std::max(s->kept, seq);
-    for (const LogId unused : a->begun) s->begun[i] = unused == kLog;
+    for (const auto& [log, seq] : a->committed) s->kept = std::max(s->kept, seq);
+    for (const LogId unused : a->acquired) s->begun[i] = unused == kLog;
   }
   template <typename Do>
   void On(State* s, std::size_t i, Do what) {
     if (i == 0 && s->gone) return;
-    Copies::Actions look, a;
-    s->nodes[i].Look(s->now, ViewOf(s->gone), true, &look);
+    ReplicatedLogs::Actions look, a;
+    s->nodes[i].OnView(s->now, ViewOf(s->gone), true, &look);
     Carry(s, i, &look);
     what(&s->nodes[i], &a);
     Carry(s, i, &a);
@@ -139,20 +139,25 @@
   void Deliver(State* s, std::size_t at) {
     const Flight f = s->flight[at];
     s->flight.erase(s->flight.begin() + static_cast<std::ptrdiff_t>(at));
-    On(s, f.to - 1, [&](Copies* c, Copies::Actions* a) { c->Hear(s->now, f.from, f.frame, a); });
+    On(s, f.to - 1, [&](ReplicatedLogs* c, ReplicatedLogs::Actions* a) {
+      c->OnMessage(s->now, f.from, f.frame, a);
+    });
   }
   void Store(State* s, std::size_t i) {
     const auto [ticket, batch] = s->writes[i].front();
     s->writes[i].pop_front();
     if (!answers_before_disk || i != 1 || ticket == 1) WriteTo(&s->disks[i], batch);
-    On(s, i, [&, ticket = ticket](Copies* c, Copies::Actions* a) { c->Stored(s->now, ticket, a); });
+    On(s, i, [&, ticket = ticket](ReplicatedLogs* c, ReplicatedLogs::Actions* a) {
+      c->OnStored(s->now, ticket, a);
+    });
   }
   void Go(State* s) {  // the owner, with its disk
     s->gone = 1;
     s->disks[0].clear();
     s->writes[0].clear();
     std::erase_if(s->flight, [](const Flight& f) { return f.to == 1; });
-    for (const std::size_t i : {1UL, 2UL}) On(s, i, [](Copies*, Copies::Actions*) {});
+    for (const std::size_t i : {1UL, 2UL})
+      On(s, i, [](ReplicatedLogs*, ReplicatedLogs::Actions*) {});
   }
   void Settle(State* s) {
     for (int n = 0; n < 300; ++n) {
@@ -169,11 +174,11 @@
   bool Sound(const State& s) const {
     if (!s.gone || !s.begun[1]) return true;
     const auto head = s.disks[1].find(HeadKey(kLog));
-    const Seq applied = head == s.disks[1].end() ? 0 : DecodeHead(head->second)->applied;
-    for (Seq seq = applied + 1; seq <= s.kept; ++seq) {
-      if (!s.disks[1].contains(OpKey(kLog, seq))) return false;
+    const SequenceNumber applied = head == s.disks[1].end() ? 0 : DecodeLogHead(head->second)->applied;
+    for (SequenceNumber seq = applied + 1; seq <= s.kept; ++seq) {
+      if (!s.disks[1].contains(OperationKey(kLog, seq))) return false;
     }
-    for (Seq seq = 1; seq <= std::min(applied, s.kept); ++seq) {
+    for (SequenceNumber seq = 1; seq <= std::min(applied, s.kept); ++seq) {
       if (!s.disks[1].contains(EntryKey(kLog, 0, "k" + std::to_string(seq)))) return false;
     }
     return true;
@@ -182,18 +187,18 @@
     State s;
     for (NodeId id = 1; id <= 3; ++id) {
       Options o;
-      o.self = id, o.process_incarnation = 10 + id, o.disk = 100 + id, o.late_s = 1e9;
+      o.self = id, o.process_incarnation = 10 + id, o.disk = 100 + id, o.replica_timeout_s = 1e9;
       s.nodes.emplace_back(o, std::vector<std::pair<std::string, std::string>>{});
     }
     for (int n = 0; n < 4; ++n) {
       for (std::size_t i = 0; i < 3; ++i)
-        On(&s, i, [&](Copies* c, Copies::Actions* a) { c->Tick(s.now, a); });
+        On(&s, i, [&](ReplicatedLogs* c, ReplicatedLogs::Actions* a) { c->Tick(s.now, a); });
       Settle(&s);
       s.now += 0.3;
     }
     for (const char* key : {"k1", "k2"}) {
-      On(&s, 0, [&](Copies* c, Copies::Actions* a) {
-        Copies::Refusal why{};
+      On(&s, 0, [&](ReplicatedLogs* c, ReplicatedLogs::Actions* a) {
+        ReplicatedLogs::AppendError why{};
         EXPECT_GT(c->Append(s.now, kLog, key, "v", false, &why, a), 0U) << static_cast<int>(why);
       });
     }
@@ -209,12 +214,12 @@
       for (int n = 0; n < 20; ++n) {
         s.now += 0.3;
         for (std::size_t i = 1; i < 3; ++i)
-          On(&s, i, [&](Copies* c, Copies::Actions* a) { c->Tick(s.now, a); });
+          On(&s, i, [&](ReplicatedLogs* c, ReplicatedLogs::Actions* a) { c->Tick(s.now, a); });
         Settle(&s);
       }
       orders += 1;
       // Or it gives the log to the third, which has more of what was not answered.
-      const auto wants = s.nodes[1].Wants();
+      const auto wants = s.nodes[1].RequestedLogs();
       begun += s.begun[1] || (!wants.empty() && wants[0].owner == 3);
       answered += s.kept;
       wrong += !Sound(s);
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "balancing/usage_report.h"
-#include "copies/jobs.h"
-#include "copies/keys.h"
+#include "copies/durable_job_queue.h"
+#include "copies/idempotency_keys.h"
 #include "copies/records.h"
 #include "core/request.h"
 #include "membership/membership_node.h"
@@ -213,14 +213,14 @@
   return all;
 }
 
-inline std::map<std::string, copies::Frame> SampleCopies() {
-  using copies::Frame;
-  using Kind = Frame::Kind;
-  std::map<std::string, Frame> all;
-  Frame f{.kind = Kind::kWhere, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+inline std::map<std::string, copies::ReplicationMessage> SampleCopies() {
+  using copies::ReplicationMessage;
+  using Kind = ReplicationMessage::Kind;
+  std::map<std::string, ReplicationMessage> all;
+  ReplicationMessage f{.kind = Kind::kStatusQuery, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
   f.number = 5;
   all["copies-where"] = f;
-  f = {.kind = Kind::kAt, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  f = {.kind = Kind::kStatus, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
   f.seq = 40, f.commit = 38, f.end = 41;
   f.seq_epoch = 8, f.end_epoch = 7;
   f.number = 5;
@@ -228,18 +228,18 @@
   f.fill = 2, f.chunk = 3;
   f.matched = true;
   all["copies-at"] = f;
-  f = {.kind = Kind::kOps, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  f = {.kind = Kind::kAppend, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
   f.seq = 40, f.commit = 38, f.seq_epoch = 8;
   f.ops = {{.seq = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .gone = false},
            {.seq = 42, .epoch = 8, .key = "H:a:2", .value = "", .gone = true}};
   all["copies-ops"] = f;
-  f = {.kind = Kind::kFill, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  f = {.kind = Kind::kSnapshotChunk, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
   f.seq = 40, f.commit = 40, f.seq_epoch = 8;
   f.fill = 2, f.chunk = 3;
   f.last = true;
   f.ops = {{.seq = 7, .epoch = 6, .key = "H:a:1", .value = "entry", .gone = false}};
   all["copies-fill"] = f;
-  f = {.kind = Kind::kLied, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  f = {.kind = Kind::kStaleStore, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
   all["copies-lied"] = f;
   return all;
 }
@@ -270,10 +270,10 @@
 }
 
 // What lies in the store.
-inline copies::Head SampleHead() {
+inline copies::LogHead SampleHead() {
   return {.applied = 38, .applied_epoch = 7, .epoch = 8, .filling = 2};
 }
-inline copies::Op SampleOp() {
+inline copies::Operation SampleOp() {
   return {.seq = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .gone = true};
 }
 inline copies::JobRecord SampleJob() {
@@ -284,12 +284,12 @@
           .tenant = "andes",
           .body = std::string("b\0y", 3),
           .priority = 2,
-          .tried = {{.worker = "toy-1", .own = true, .seq = 41},
-                    {.worker = "toy-2", .own = false, .seq = 0}}};
+          .attempts = {{.worker = "toy-1", .local_worker = true, .seq = 41},
+                       {.worker = "toy-2", .local_worker = false, .seq = 0}}};
 }
-inline copies::KeyRecord SampleKey() {
-  return {.claimer = {.who = 3, .process_incarnation = 31, .number = 6},
-          .tried = {{.worker = "toy-1", .own = false, .seq = 44}},
+inline copies::IdempotencyRecord SampleKey() {
+  return {.claim = {.who = 3, .process_incarnation = 31, .number = 6},
+          .attempts = {{.worker = "toy-1", .local_worker = false, .seq = 44}},
           .window_s = 40,
           .answered = true,
           .result = "200 done"};
--- a/tests/support/compatibility_settings.h
+++ b/tests/support/compatibility_settings.h
@@ -150,13 +150,13 @@
   lines->Add("cluster.cut_off_part", o.isolated_share);
   lines->Add("cluster.store_bytes", o.store_bytes);
   lines->Add("cluster.copies", o.copies);
-  lines->Add("cluster.copies_least", o.copies_least);
+  lines->Add("cluster.copies_least", o.min_replicas);
   lines->Add("cluster.jobs.most", o.jobs.jobs);
   lines->Add("cluster.jobs.bytes", o.jobs.bytes);
   lines->Add("cluster.jobs.running", o.jobs.running);
   lines->Add("cluster.jobs.tenant_share", o.jobs.tenant_share);
-  lines->Add("cluster.jobs.again_least_s", o.jobs.again_least_s);
-  lines->Add("cluster.jobs.again_most_s", o.jobs.again_most_s);
+  lines->Add("cluster.jobs.again_least_s", o.jobs.retry_min_s);
+  lines->Add("cluster.jobs.again_most_s", o.jobs.retry_max_s);
   lines->Add("cluster.quota.on", o.quota.on);
   lines->AddAll("cluster.quota.allocators", o.quota.allocators);
   lines->Add("cluster.quota.span_s", o.quota.timings.lease_duration_s);
--- a/tests/support/copies_world.h
+++ b/tests/support/copies_world.h
@@ -5,7 +5,7 @@
 
 #include <functional>
 
-#include "copies/copies.h"
+#include "copies/replicated_logs.h"
 #include "support/membership_world.h"
 
 namespace millethollow::copies {
@@ -14,11 +14,11 @@
 using membership::World;
 using Disk = std::map<std::string, std::string>;
 
-inline void WriteTo(Disk* disk, const std::vector<Write>& batch) {
-  for (const Write& w : batch) {
-    if (w.what == Write::What::kPut) (*disk)[w.key] = w.value;
-    if (w.what == Write::What::kErase) disk->erase(w.key);
-    if (w.what != Write::What::kErasePrefix) continue;
+inline void WriteTo(Disk* disk, const std::vector<StoreWrite>& batch) {
+  for (const StoreWrite& w : batch) {
+    if (w.kind == StoreWrite::Kind::kPut) (*disk)[w.key] = w.value;
+    if (w.kind == StoreWrite::Kind::kErase) disk->erase(w.key);
+    if (w.kind != StoreWrite::Kind::kErasePrefix) continue;
     auto it = disk->lower_bound(w.key);
     while (it != disk->end() && it->first.starts_with(w.key)) it = disk->erase(it);
   }
@@ -63,7 +63,7 @@
     put_back = true;
   }
   void Slow(std::size_t i, double s) { nodes_[i].write_s = s; }
-  // One disk less than `copies_least` of a log's at a time: of any view that somebody knows or has
+  // One disk less than `min_replicas` of a log's at a time: of any view that somebody knows or has
   // accepted.
   bool MayLose(std::size_t i) {
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
@@ -88,23 +88,23 @@
     if (!world.Runs(i) || !nodes_[i].copies) return;
     for (const auto& [log, unused] : model_) {
       if (!Acts(i, log)) continue;
-      Copies::Refusal why{};
+      ReplicatedLogs::AppendError why{};
       const std::string key = "k" + std::to_string(random_.Below(40)),
                         value = "v" + std::to_string(++values_);
       const bool gone = random_.Below(3) == 0;
       Put(i, log, key, gone ? "" : value, gone, &why);
-      refused += why == Copies::Refusal::kTooFewCopies;
+      refused += why == ReplicatedLogs::AppendError::kTooFewReplicas;
     }
   }
   bool Acts(std::size_t i, LogId log) {
     bool acts = false;
-    Do(i, [&](Copies* c, double, Copies::Actions*) { acts = c->Acts(log); });
+    Do(i, [&](ReplicatedLogs* c, double, ReplicatedLogs::Actions*) { acts = c->MayAct(log); });
     return acts;
   }
-  Seq Put(std::size_t i, LogId log, const std::string& key, const std::string& value, bool gone,
-          Copies::Refusal* why) {
-    Op op{.key = key, .value = value, .gone = gone};
-    Do(i, [&](Copies* c, double now, Copies::Actions* a) {
+  SequenceNumber Put(std::size_t i, LogId log, const std::string& key, const std::string& value,
+                     bool gone, ReplicatedLogs::AppendError* why) {
+    Operation op{.key = key, .value = value, .gone = gone};
+    Do(i, [&](ReplicatedLogs* c, double now, ReplicatedLogs::Actions* a) {
       op.seq = c->Append(now, log, key, value, gone, why, a);
       if (op.seq == 0) return;
       op.epoch = world.ViewOf(i).Log(log)->owner_epoch;
@@ -117,9 +117,9 @@
     if (nodes_[i].copies) nodes_[i].copies->Open(log);
   }
   void Close(std::size_t i, LogId log) {
-    Do(i, [log](Copies* c, double, Copies::Actions*) { c->Close(log); });
+    Do(i, [log](ReplicatedLogs* c, double, ReplicatedLogs::Actions*) { c->Close(log); });
   }
-  const Copies* At(std::size_t i) const { return nodes_[i].copies.get(); }
+  const ReplicatedLogs* At(std::size_t i) const { return nodes_[i].copies.get(); }
   // Every log has an owner who acts and holders as many as wanted, where so many are there.
   bool Whole(std::size_t copies) {
     if (!world.Whole()) return false;
@@ -128,7 +128,7 @@
            std::all_of(view.logs.begin(), view.logs.end(), [&](const LogAssignment& log) {
              return log.process_incarnation != 0 &&
                     log.replicas.size() >= std::min(copies, world.size()) &&
-                    nodes_[log.owner - 1].copies->Acts(log.log);
+                    nodes_[log.owner - 1].copies->MayAct(log.log);
            });
   }
   void OpenLog(std::size_t i) { Open(i, random_.NextUint64() | 1); }
@@ -144,10 +144,10 @@
         const Node& n = nodes_[h.id - 1];
         all += " " + std::to_string(h.id) + (n.disk_id == h.store_id ? "" : "(lost)") +
                (n.copies ? "" : "(down)");
-        if (n.copies && n.copies->Acts(log.log)) all += "(acts)";
+        if (n.copies && n.copies->MayAct(log.log)) all += "(acts)";
       }
       if (log.owner != 0 && nodes_[log.owner - 1].copies)
-        all += "\n  " + nodes_[log.owner - 1].copies->Told(log.log);
+        all += "\n  " + nodes_[log.owner - 1].copies->DescribeReplicas(log.log);
     }
     return all;
   }
@@ -155,10 +155,11 @@
   // Whoever keeps promises in the logs.
   struct Ledger {
     std::function<void(std::size_t)> start = [](std::size_t) {}, kill = [](std::size_t) {};
-    std::function<void(std::size_t, LogId, const std::vector<Op>&)> begun =
-        [](std::size_t, LogId, const std::vector<Op>&) {};
+    std::function<void(std::size_t, LogId, const std::vector<Operation>&)> begun =
+        [](std::size_t, LogId, const std::vector<Operation>&) {};
     std::function<void(std::size_t, LogId)> ended = [](std::size_t, LogId) {};
-    std::function<void(std::size_t, LogId, Seq)> kept = [](std::size_t, LogId, Seq) {};
+    std::function<void(std::size_t, LogId, SequenceNumber)> kept = [](std::size_t, LogId,
+                                                                      SequenceNumber) {};
   } ledger;
   const CopyFaults faults_;
   Random random_;
@@ -169,7 +170,7 @@
 
  private:
   struct Node {
-    std::unique_ptr<Copies> copies;
+    std::unique_ptr<ReplicatedLogs> copies;
     std::uint64_t disk_id = 0;
     Disk disk, old;  // old: as it was when somebody copied it
     double write_s = 0.002, busy_until = 0, written_at = 0;
@@ -179,38 +180,38 @@
     Node& n = nodes_[i];
     std::vector<std::pair<std::string, std::string>> records;
     for (const auto& [key, value] : n.disk) {
-      if (Split(key)->what != 'e') records.emplace_back(key, value);
+      if (ParseStoreKey(key)->type != 'e') records.emplace_back(key, value);
     }
     Options o;
     o.self = i + 1;
     o.process_incarnation = world.node(i).options.process_incarnation;
     o.disk = n.disk_id;
-    o.tail_ops = 24;
-    o.fill_entries = 4;
-    o.frame_ops = 5;
-    n.copies = std::make_unique<Copies>(o, records);
+    o.retained_operations = 24;
+    o.snapshot_chunk_entries = 4;
+    o.max_message_operations = 5;
+    n.copies = std::make_unique<ReplicatedLogs>(o, records);
     n.busy_until = n.written_at = 0;
     ledger.start(i);
     Beat(i);
   }
   // What comes between a clock and the decisions of the process that is there.
-  template <typename What>
-  void Do(std::size_t i, What what) {
+  template <typename Event>
+  void Do(std::size_t i, Event event) {
     if (!nodes_[i].copies) return;
-    Copies::Actions look, then;
-    nodes_[i].copies->Look(world.now(), world.ViewOf(i),
-                           world.Leased(i) || faults_.acts_without_lease, &look);
+    ReplicatedLogs::Actions look, then;
+    nodes_[i].copies->OnView(world.now(), world.ViewOf(i),
+                             world.Leased(i) || faults_.acts_without_lease, &look);
     CarryOut(i, &look);
     if (!nodes_[i].copies) return;
-    what(nodes_[i].copies.get(), world.now(), &then);
+    event(nodes_[i].copies.get(), world.now(), &then);
     CarryOut(i, &then);
     Check();
   }
   void Beat(std::size_t i) {
-    Do(i, [](Copies* c, double now, Copies::Actions* a) { c->Tick(now, a); });
+    Do(i, [](ReplicatedLogs* c, double now, ReplicatedLogs::Actions* a) { c->Tick(now, a); });
     if (!nodes_[i].copies) return;
     world.node(i).cluster->RequestLogs(world.LocalNow(i), nodes_[i].copies->disk(),
-                                       nodes_[i].copies->Wants());
+                                       nodes_[i].copies->RequestedLogs());
     world.At(world.now() + 0.01, i, [this, i] { Beat(i); });
   }
   const View* Latest() {
@@ -224,7 +225,7 @@
     }
     return latest;
   }
-  void CarryOut(std::size_t i, Copies::Actions* a) {
+  void CarryOut(std::size_t i, ReplicatedLogs::Actions* a) {
     Node& n = nodes_[i];
     const double now = world.now();
     if (!a->write.empty()) {
@@ -240,38 +241,39 @@
       if (faults_.answers_before_disk) world.At(n.written_at + 0.2, i, put);
       world.At(n.written_at, i, [this, i, put, ticket = a->ticket] {
         if (!faults_.answers_before_disk) put();
-        Do(i,
-           [ticket](Copies* c, double at, Copies::Actions* more) { c->Stored(at, ticket, more); });
+        Do(i, [ticket](ReplicatedLogs* c, double at, ReplicatedLogs::Actions* more) {
+          c->OnStored(at, ticket, more);
+        });
       });
     }
-    for (const Copies::Read& r : a->read) {
+    for (const ReplicatedLogs::Read& r : a->read) {
       world.At(std::max(now, n.written_at) + 0.001, i, [this, i, r] {
-        std::vector<Op> entries;
+        std::vector<Operation> entries;
         const Disk& disk = nodes_[i].disk;
         auto it = disk.upper_bound(r.after.empty() ? r.prefix : r.after);
         const auto more = [&] { return it != disk.end() && it->first.starts_with(r.prefix); };
-        for (; more() && entries.size() < 4; ++it) entries.push_back(*DecodeOp(it->second));
+        for (; more() && entries.size() < 4; ++it) entries.push_back(*DecodeOperation(it->second));
         const bool last = !more() || faults_.loses_tail_of_filling;
-        Do(i, [&](Copies* c, double at, Copies::Actions* then) {
-          c->Chunk(at, r.log, r.fill, entries, last, then);
+        Do(i, [&](ReplicatedLogs* c, double at, ReplicatedLogs::Actions* then) {
+          c->OnSnapshotChunkRead(at, r.log, r.fill, entries, last, then);
         });
       });
     }
     for (const auto& [to, frame] : a->send) {
       world.Carry(i, to - 1, [this, i, at = to - 1, frame = frame] {
-        Do(at, [&](Copies* c, double then, Copies::Actions* more) {
-          c->Hear(then, i + 1, frame, more);
+        Do(at, [&](ReplicatedLogs* c, double then, ReplicatedLogs::Actions* more) {
+          c->OnMessage(then, i + 1, frame, more);
         });
       });
     }
-    for (const LogId log : a->ended) ledger.ended(i, log);
-    for (const LogId log : a->begun) {
+    for (const LogId log : a->released) ledger.ended(i, log);
+    for (const LogId log : a->acquired) {
       world.At(std::max(now, n.written_at) + 1e-6, i,
                [this, i, log, upto = Answered(log)] { Begun(i, log, upto); });
     }
-    for (const auto& [log, seq] : a->kept) Kept(i, log, seq);
-    for (const auto& [log, seq] : a->kept) ledger.kept(i, log, seq);
-    if (!a->lied) return;  // else a new disk, and a new process on it
+    for (const auto& [log, seq] : a->committed) Kept(i, log, seq);
+    for (const auto& [log, seq] : a->committed) ledger.kept(i, log, seq);
+    if (!a->store_is_stale) return;  // else a new disk, and a new process on it
     if (!put_back && !faults_.planted())
       return Break(i, "gives its disk up, which was never put back");
     given_up += 1;
@@ -281,12 +283,12 @@
     });
   }
   // Answered: whoever acts on the log later must know of it.
-  void Kept(std::size_t i, LogId log, Seq seq) {
+  void Kept(std::size_t i, LogId log, SequenceNumber seq) {
     const View& view = world.ViewOf(i);
     auto& kept = model_[log];
     const LogAssignment* place = view.Log(log);
-    for (Seq s = kept.empty() ? 1 : kept.rbegin()->first + 1; s <= seq; ++s) {
-      const Op* op = Find(i, log, s);
+    for (SequenceNumber s = kept.empty() ? 1 : kept.rbegin()->first + 1; s <= seq; ++s) {
+      const Operation* op = Find(i, log, s);
       if (op == nullptr) {
         Break(i, "answers operation " + std::to_string(s) + " that it does not have");
         return;
@@ -305,22 +307,24 @@
     }
   }
   // As the owner has it: on its disk, of those that were made under this number.
-  const Op* Find(std::size_t i, LogId log, Seq seq) {
-    const auto record = nodes_[i].disk.find(OpKey(log, seq));
+  const Operation* Find(std::size_t i, LogId log, SequenceNumber seq) {
+    const auto record = nodes_[i].disk.find(OperationKey(log, seq));
     if (record == nodes_[i].disk.end()) return nullptr;
-    const auto made = made_[log].find({seq, DecodeOp(record->second)->epoch});
+    const auto made = made_[log].find({seq, DecodeOperation(record->second)->epoch});
     return made == made_[log].end() ? nullptr : &made->second;
   }
-  bool OnDisk(std::size_t d, LogId log, Seq seq, std::uint64_t epoch) const {
+  bool OnDisk(std::size_t d, LogId log, SequenceNumber seq, std::uint64_t epoch) const {
     const auto head = nodes_[d].disk.find(HeadKey(log));
-    if (head != nodes_[d].disk.end() && DecodeHead(head->second)->applied >= seq) return true;
-    const auto op = nodes_[d].disk.find(OpKey(log, seq));
-    return op != nodes_[d].disk.end() && DecodeOp(op->second)->epoch == epoch;
+    if (head != nodes_[d].disk.end() && DecodeLogHead(head->second)->applied >= seq) return true;
+    const auto op = nodes_[d].disk.find(OperationKey(log, seq));
+    return op != nodes_[d].disk.end() && DecodeOperation(op->second)->epoch == epoch;
   }
   // It may act: the entries on its disk, and the operations that follow them, must hold all that
   // was answered.
-  Seq Answered(LogId log) { return model_[log].empty() ? 0 : model_[log].rbegin()->first; }
-  void Begun(std::size_t i, LogId log, Seq upto) {
+  SequenceNumber Answered(LogId log) {
+    return model_[log].empty() ? 0 : model_[log].rbegin()->first;
+  }
+  void Begun(std::size_t i, LogId log, SequenceNumber upto) {
     if (!nodes_[i].copies) return;
     const auto owned = nodes_[i].copies->Owned();  // its lease may have ended for a while
     if (std::find(owned.begin(), owned.end(), log) == owned.end()) return;
@@ -328,8 +332,8 @@
     const Disk& disk = nodes_[i].disk;
     const auto head = disk.find(HeadKey(log));
     if (head == disk.end()) return Break(i, "acts on a log that its disk does not have");
-    const Seq applied = DecodeHead(head->second)->applied;
-    std::map<std::string, Op> last;  // answered, by entry
+    const SequenceNumber applied = DecodeLogHead(head->second)->applied;
+    std::map<std::string, Operation> last;  // answered, by entry
     for (const auto& [seq, op] : model_[log]) {
       if (seq <= upto) last[op.key] = op;
     }
@@ -337,10 +341,10 @@
       return Break(i, "acts on operations up to " + std::to_string(applied) + ", answered were " +
                           std::to_string(upto));
     }
-    const std::string prefix = nodes_[i].copies->Prefix(log);
+    const std::string prefix = nodes_[i].copies->EntryPrefixOf(log);
     for (const auto& [key, op] : last) {
       const auto it = disk.find(prefix + key);
-      const Seq has = it == disk.end() ? 0 : DecodeOp(it->second)->seq;
+      const SequenceNumber has = it == disk.end() ? 0 : DecodeOperation(it->second)->seq;
       bool taken_out = false;
       for (const auto& [id, made] : made_[log])
         taken_out |= made.key == key && made.gone && id.first >= op.seq && id.first <= applied;
@@ -348,13 +352,13 @@
         return Break(i, "lacks entry " + key + " of operation " + std::to_string(op.seq) +
                             ", has " + std::to_string(has) + " applied " + std::to_string(applied));
       }
-      if (has == op.seq && DecodeOp(it->second)->epoch != op.epoch)
+      if (has == op.seq && DecodeOperation(it->second)->epoch != op.epoch)
         return Break(i, "has another operation " + std::to_string(op.seq));
     }
-    std::vector<Op> entries;
+    std::vector<Operation> entries;
     for (auto it = disk.lower_bound(prefix); it != disk.end() && it->first.starts_with(prefix);
          ++it) {
-      entries.push_back(*DecodeOp(it->second));
+      entries.push_back(*DecodeOperation(it->second));
     }
     ledger.begun(i, log, entries);
   }
@@ -363,7 +367,7 @@
       std::size_t act = 0, who = 0;
       for (std::size_t i = 0; i < nodes_.size(); ++i) {
         // One that is stopped acts on nothing, and looks at its lease before it goes on.
-        if (!world.Runs(i) || !nodes_[i].copies || !nodes_[i].copies->Acts(log)) continue;
+        if (!world.Runs(i) || !nodes_[i].copies || !nodes_[i].copies->MayAct(log)) continue;
         if (!world.Leased(i) && !faults_.acts_without_lease) continue;
         act += 1;
         who = i;
@@ -377,8 +381,8 @@
 
   std::vector<Node> nodes_;
   std::uint64_t values_ = 0;
-  std::map<LogId, std::map<Seq, Op>> model_;  // answered
-  std::map<LogId, std::map<std::pair<Seq, std::uint64_t>, Op>> made_;
+  std::map<LogId, std::map<SequenceNumber, Operation>> model_;  // answered
+  std::map<LogId, std::map<std::pair<SequenceNumber, std::uint64_t>, Operation>> made_;
 };
 
 }  // namespace millethollow::copies
