--- a/tests/idempotency_keys_test.cpp
+++ b/tests/idempotency_keys_test.cpp
@@ -1,9 +1,9 @@
 // Days of keys from seeds: the same charges at several members at once, while processes, links and
 // disks break. After each run: it never ran elsewhere within its window. SEEDS plays more days.
-#include "copies/idempotency_keys.h"
-
 #include <gtest/gtest.h>
 
+#include "copies/idempotency_key_client.h"
+#include "copies/idempotency_key_registry.h"
 #include "support/copies_world.h"
 #include "support/days.h"
 
@@ -29,15 +29,15 @@
                       .kill = [this](std::size_t i) { nodes_[i] = {}; },
                       .begun =
                           [this](std::size_t i, LogId log, const std::vector<Operation>& e) {
-                            nodes_[i].ledger->Begun(world_.now(), log, e);
+                            nodes_[i].ledger->OnLogAcquired(world_.now(), log, e);
                           },
                       .ended =
                           [this](std::size_t i, LogId log) {
-                            if (nodes_[i].ledger) nodes_[i].ledger->Ended(log);
+                            if (nodes_[i].ledger) nodes_[i].ledger->OnLogReleased(log);
                           },
                       .kept =
                           [this](std::size_t i, LogId log, SequenceNumber seq) {
-                            if (nodes_[i].ledger) nodes_[i].ledger->Kept(world_.now(), log, seq);
+                            if (nodes_[i].ledger) nodes_[i].ledger->OnCommitted(log, seq);
                           }};
     world_.StartAll();
     world_.RunUntil(8);
@@ -97,16 +97,17 @@
                           ReplicatedLogs::AppendError* why) {
                   return copies_.Put(i, log, key, value, gone, why);
                 },
-            .age =
+            .max_age_s =
                 [this, i](LogId log, SequenceNumber seq) {
                   return copies_.At(i)->MaxAge(world_.now(), log, seq);
                 },
-            .there =
+            .alive =
                 [this, i](const ClaimId& c) {
                   const auto* member = world_.ViewOf(i).Find(c.who);
                   return member != nullptr && member->process_incarnation == c.process_incarnation;
                 },
-            .send = [this, i](NodeId to, const KeyWord& w) { Carry(i, to, w); }});
+            .send = [this, i](NodeId to,
+                              const IdempotencyMessage& message) { Carry(i, to, message); }});
     nodes_[i].claims = std::make_unique<IdempotencyKeyClient>(
         i + 1, process_incarnation,
         IdempotencyKeyClient::Hooks{
@@ -114,18 +115,19 @@
               const LogAssignment* place = world_.Leased(i) ? world_.ViewOf(i).Log(log) : nullptr;
               return place == nullptr || place->process_incarnation == 0 ? 0 : place->owner;
             },
-            .send = [this, i](NodeId to, const KeyWord& w) { Carry(i, to, w); }});
+            .send = [this, i](NodeId to,
+                              const IdempotencyMessage& message) { Carry(i, to, message); }});
     Beat(i);
   }
-  void Carry(std::size_t from, NodeId to, const KeyWord& w) {
-    const auto hear = [this, from, at = to - 1, w] {
+  void Carry(std::size_t from, NodeId to, const IdempotencyMessage& message) {
+    const auto hear = [this, from, at = to - 1, message] {
       if (!nodes_[at].ledger) return;
-      if (w.kind <= KeyWord::Kind::kEnd) {
+      if (message.ToOwner()) {
         // Whoever hears looks at its lease first, as the process does.
-        if (!copies_.Acts(at, w.log)) return;
-        nodes_[at].ledger->Hear(world_.now(), from + 1, w);
+        if (!copies_.Acts(at, message.log)) return;
+        nodes_[at].ledger->OnMessage(world_.now(), from + 1, message);
       } else {
-        nodes_[at].claims->Hear(world_.now(), w);
+        nodes_[at].claims->OnMessage(message);
       }
     };
     if (to == from + 1) return world_.At(world_.now(), from, hear);
@@ -158,7 +160,7 @@
     auto number = std::make_shared<std::uint64_t>(0);
     const auto then = [this, i, key, number, fresh](const IdempotencyKeyClient::Result& r) {
       using Kind = IdempotencyKeyClient::Result::Kind;
-      if (r.kind == Kind::kRefused) {
+      if (r.kind == Kind::kRejected) {
         refused += 1;
       } else if (r.kind == Kind::kAnswered) {
         repeated += 1;
@@ -190,7 +192,7 @@
       // Right before it goes out: is this process still in the view?
       if (!may || !world_.Leased(i) || age + world_.now() - from > kWindowS) {
         unsure += !ran_at.empty();
-        return nodes_[i].claims->End(world_.now(), number, false, "", ran_at);
+        return nodes_[i].claims->Release(world_.now(), number, false, "", ran_at);
       }
       Work(key, worker);
       std::vector<std::string> now_ran = ran_at;
@@ -202,11 +204,11 @@
                   std::string result = key + "@" + std::to_string(++results_);
                   if (served) truth_[key].answers.insert(result);
                   fresh_ += fresh;
-                  nodes_[i].claims->End(world_.now(), number, served, result, now_ran);
+                  nodes_[i].claims->Release(world_.now(), number, served, result, now_ran);
                 });
     };
     if (planted_.sent_before_written) return go(true);
-    nodes_[i].claims->Try(world_.now(), number, worker, false, go);
+    nodes_[i].claims->RequestAttempt(world_.now(), number, worker, false, go);
   }
   void Work(const std::string& key, const std::string& worker) {
     Truth& t = truth_[key];
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -10,7 +10,7 @@
 
 #include "balancing/usage_report.h"
 #include "copies/durable_job_queue.h"
-#include "copies/idempotency_keys.h"
+#include "copies/idempotency_record.h"
 #include "copies/records.h"
 #include "core/request.h"
 #include "membership/membership_node.h"
