--- a/src/codec/membership.cpp
+++ b/src/codec/membership.cpp
@@ -5,11 +5,14 @@
 #include <algorithm>
 #include <utility>
 
-#include "codec/fields.h"
+#include "encoding/fields.h"
 
 namespace millethollow::codec {
 namespace {
 
+using encoding::Reader;
+using encoding::Writer;
+
 using namespace membership;
 
 constexpr auto kLastMessage = AgreementMessage::Kind::kRelease;
--- a/src/codec/quota.cpp
+++ b/src/codec/quota.cpp
@@ -2,11 +2,14 @@
 
 #include <utility>
 
-#include "codec/fields.h"
+#include "encoding/fields.h"
 
 namespace millethollow::codec {
 namespace {
 
+using encoding::Reader;
+using encoding::Writer;
+
 using quota::Assignment;
 using quota::Grant;
 using quota::TenantUsage;
--- a/src/copies/durable_job_queue.cpp
+++ b/src/copies/durable_job_queue.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <limits>
 
-#include "codec/fields.h"
+#include "encoding/fields.h"
 
 namespace millethollow::copies {
 namespace {
@@ -25,7 +25,7 @@
 }  // namespace
 
 std::string Encode(const AttemptRecord& t) {
-  codec::Writer w;
+  encoding::Writer w;
   w.Text(1, t.worker);
   w.Number(2, static_cast<std::uint8_t>(t.local_worker));
   w.Number(3, t.seq);
@@ -34,7 +34,7 @@
 
 std::optional<AttemptRecord> DecodeAttempt(std::string_view bytes) {
   AttemptRecord t;
-  codec::Reader r(bytes);
+  encoding::Reader r(bytes);
   while (r.Next()) {
     if (r.field() == 1) t.worker = r.value();
     if (r.field() == 2) t.local_worker = r.Raw<std::uint8_t>() != 0;
@@ -44,7 +44,7 @@
 }
 
 std::string Encode(const JobRecord& job) {
-  codec::Writer w;
+  encoding::Writer w;
   w.Text(1, job.function);
   w.Text(2, job.unique);
   w.Text(3, job.cls);
@@ -59,7 +59,7 @@
   JobRecord job;
   job.handle = std::move(handle);
   job.priority = 0;  // as left out
-  codec::Reader r(bytes);
+  encoding::Reader r(bytes);
   while (r.Next()) {
     if (r.field() == 1) job.function = r.value();
     if (r.field() == 2) job.unique = r.value();
--- a/src/copies/idempotency_record.cpp
+++ b/src/copies/idempotency_record.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "codec/fields.h"
+#include "encoding/fields.h"
 
 namespace millethollow::copies {
 namespace {
@@ -12,14 +12,14 @@
 enum Field : std::uint8_t { kClaim = 1, kAttempt = 2, kWindow = 3, kAnswered = 4, kResult = 5 };
 
 std::string Encode(const ClaimId& claim) {
-  codec::Writer writer;
+  encoding::Writer writer;
   writer.Raw(claim.who);
   writer.Raw(claim.process_incarnation);
   writer.Raw(claim.number);
   return writer.Take();
 }
 
-ClaimId TakeClaim(codec::Reader* reader) {
+ClaimId TakeClaim(encoding::Reader* reader) {
   ClaimId claim;
   claim.who = reader->Raw<std::uint64_t>();
   claim.process_incarnation = reader->Raw<std::uint64_t>();
@@ -30,7 +30,7 @@
 }  // namespace
 
 std::string Encode(const IdempotencyRecord& record) {
-  codec::Writer writer;
+  encoding::Writer writer;
   if (record.claim.who != 0) writer.Nested(kClaim, Encode(record.claim));
   for (const AttemptRecord& attempt : record.attempts) writer.Nested(kAttempt, Encode(attempt));
   writer.Number(kWindow, record.window_s);
@@ -41,7 +41,7 @@
 
 std::optional<IdempotencyRecord> DecodeIdempotencyRecord(std::string_view bytes) {
   IdempotencyRecord record;
-  codec::Reader reader(bytes);
+  encoding::Reader reader(bytes);
   while (reader.Next()) {
     if (reader.field() == kClaim) record.claim = TakeClaim(&reader);
     if (reader.field() == kAttempt) {
--- a/src/copies/records.cpp
+++ b/src/copies/records.cpp
@@ -1,6 +1,6 @@
 #include "copies/records.h"
 
-#include "codec/fields.h"
+#include "encoding/fields.h"
 
 namespace millethollow::copies {
 namespace {
@@ -38,7 +38,7 @@
 }
 
 std::string Encode(const LogHead& h) {
-  codec::Writer w;
+  encoding::Writer w;
   w.Number(1, h.applied);
   w.Number(2, h.applied_epoch);
   w.Number(3, h.epoch);
@@ -48,7 +48,7 @@
 
 std::optional<LogHead> DecodeLogHead(std::string_view bytes) {
   LogHead h;
-  codec::Reader r(bytes);
+  encoding::Reader r(bytes);
   while (r.Next()) {
     if (r.field() == 1) h.applied = r.Raw<std::uint64_t>();
     if (r.field() == 2) h.applied_epoch = r.Raw<std::uint64_t>();
@@ -59,7 +59,7 @@
 }
 
 std::string Encode(const Operation& op) {
-  codec::Writer w;
+  encoding::Writer w;
   w.Number(1, op.seq);
   w.Number(2, op.epoch);
   w.Text(3, op.key);
@@ -70,7 +70,7 @@
 
 std::optional<Operation> DecodeOperation(std::string_view bytes) {
   Operation op;
-  codec::Reader r(bytes);
+  encoding::Reader r(bytes);
   while (r.Next()) {
     if (r.field() == 1) op.seq = r.Raw<std::uint64_t>();
     if (r.field() == 2) op.epoch = r.Raw<std::uint64_t>();
--- a/src/codec/fields.h
+++ b/src/encoding/fields.h
@@ -2,15 +2,15 @@
 // disk between members of a cluster. A reader skips the numbers that it does not know, so that two
 // builds can read each other; a field that is shorter than its type is an error, a longer one is
 // read in part.
-#ifndef MILLETHOLLOW_CODEC_FIELDS_H_
-#define MILLETHOLLOW_CODEC_FIELDS_H_
+#ifndef MILLETHOLLOW_ENCODING_FIELDS_H_
+#define MILLETHOLLOW_ENCODING_FIELDS_H_
 
 #include <bit>
 #include <cstdint>
 #include <string>
 #include <string_view>
 
-namespace millethollow::codec {
+namespace millethollow::encoding {
 
 class Writer {
  public:
@@ -105,6 +105,6 @@
   bool ok_ = true;
 };
 
-}  // namespace millethollow::codec
+}  // namespace millethollow::encoding
 
-#endif  // MILLETHOLLOW_CODEC_FIELDS_H_
+#endif  // MILLETHOLLOW_ENCODING_FIELDS_H_
--- a/src/net/cluster/frame.cpp
+++ b/src/net/cluster/frame.cpp
@@ -4,9 +4,9 @@
 #include <utility>
 
 #include "codec/copies.h"
-#include "codec/fields.h"
 #include "codec/membership.h"
 #include "codec/quota.h"
+#include "encoding/fields.h"
 
 namespace millethollow::cluster {
 namespace {
@@ -46,7 +46,7 @@
 
 std::string Encode(const Header& header, const Body& body) {
   const auto [kind, fields] = std::visit([](const auto& b) { return EncodeBody(b); }, body);
-  codec::Writer w;
+  encoding::Writer w;
   w.Bytes("mh");
   w.Raw(kVersion);
   w.Raw(kind);
--- a/src/store/vote_file.cpp
+++ b/src/store/vote_file.cpp
@@ -11,8 +11,8 @@
 #include <sstream>
 #include <utility>
 
-#include "codec/fields.h"
 #include "codec/membership.h"
+#include "encoding/fields.h"
 
 namespace millethollow::store {
 namespace {
@@ -23,9 +23,9 @@
 constexpr std::size_t kHead = 7 + 4 + 8 + 8, kTail = 8;
 
 std::uint64_t Word(std::string_view bytes, std::size_t at, std::size_t size) {
-  codec::Writer framed;  // as a field, so that one reader serves
+  encoding::Writer framed;  // as a field, so that one reader serves
   framed.Nested(1, bytes.substr(at, size));
-  codec::Reader r(framed.bytes());
+  encoding::Reader r(framed.bytes());
   r.Next();
   return size == 4 ? r.Raw<std::uint32_t>() : r.Raw<std::uint64_t>();
 }
@@ -107,7 +107,7 @@
 }
 
 void VoteFile::Write(const membership::PersistentVoterState& votes, std::uint64_t ticket) {
-  codec::Writer w;
+  encoding::Writer w;
   w.Bytes(kMark);
   w.Raw(kSchema);
   w.Raw(cluster_);
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -3,9 +3,9 @@
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
-#include "codec/fields.h"
 #include "codec/membership.h"
 #include "config/cluster.h"
+#include "encoding/fields.h"
 #include "net/cluster/frame.h"
 #include "store/vote_file.h"
 #include "support/folder.h"
@@ -96,7 +96,7 @@
 
 TEST(ClusterFrame, FieldsOfALaterBuildAreSkippedAndGarbageIsOutlived) {
   const std::string bytes = codec::Encode(std::get<AgreementMessage>(AMessage()));
-  codec::Writer more;
+  encoding::Writer more;
   more.Bytes(bytes);
   more.Number(200, std::uint64_t{5});
   more.Text(201, std::string(300, 'x'));
@@ -184,7 +184,7 @@
   EXPECT_NE(why.find("another member"), std::string::npos) << why;
   std::string later = whole.substr(0, whole.size() - 8);
   later[7] = 9;
-  codec::Writer hash;
+  encoding::Writer hash;
   hash.Raw(codec::Hash(later));
   Put("votes", later + hash.bytes());
   EXPECT_FALSE(Open());
--- a/tests/quota_wiring_test.cpp
+++ b/tests/quota_wiring_test.cpp
@@ -7,11 +7,11 @@
 #include <limits>
 
 #include "balancing/agreed_share.h"
-#include "codec/fields.h"
 #include "codec/membership.h"
 #include "codec/quota.h"
 #include "config/cluster.h"
 #include "core/demand_meter.h"
+#include "encoding/fields.h"
 #include "net/cluster/frame.h"
 #include "support/floor.h"
 
@@ -86,7 +86,7 @@
 
 TEST(QuotaCodec, FieldsOfALaterBuildAreSkipped) {
   for (const quota::Message& message : {AReport(), AGrant()}) {
-    codec::Writer more;
+    encoding::Writer more;
     more.Bytes(codec::Encode(message));
     more.Number(200, std::uint64_t{5});
     more.Text(201, std::string(300, 'x'));
@@ -151,7 +151,7 @@
   std::string bytes =
       cluster::Encode({.cluster = 1, .from = 2, .process_incarnation = 3, .number = 4}, AReport());
   bytes[3] = 77;
-  codec::Writer hash;
+  encoding::Writer hash;
   bytes.resize(bytes.size() - cluster::kHashBytes);
   hash.Raw(codec::Hash(bytes));
   cluster::Header header;
