--- a/tests/replicated_logs_test.cpp
+++ b/tests/replicated_logs_test.cpp
@@ -174,7 +174,8 @@
   bool Sound(const State& s) const {
     if (!s.gone || !s.begun[1]) return true;
     const auto head = s.disks[1].find(HeadKey(kLog));
-    const SequenceNumber applied = head == s.disks[1].end() ? 0 : DecodeLogHead(head->second)->applied;
+    const SequenceNumber applied =
+        head == s.disks[1].end() ? 0 : DecodeLogHead(head->second)->applied;
     for (SequenceNumber seq = applied + 1; seq <= s.kept; ++seq) {
       if (!s.disks[1].contains(OperationKey(kLog, seq))) return false;
     }
