--- a/src/codec/membership.cpp
+++ b/src/codec/membership.cpp
@@ -7,11 +7,14 @@
 #include <utility>
 #include <variant>
 
-#include "codec/fields.h"
+#include "encoding/fields.h"
 
 namespace millethollow::codec {
 namespace {
 
+using encoding::Reader;
+using encoding::Writer;
+
 using namespace membership;
 
 constexpr auto kLastProbe = SwimMessage::Kind::kGossip;
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -3,9 +3,9 @@
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
-#include "codec/fields.h"
 #include "codec/membership.h"
 #include "config/cluster.h"
+#include "encoding/fields.h"
 #include "net/cluster/frame.h"
 #include "store/vote_file.h"
 #include "support/folder.h"
@@ -75,13 +75,13 @@
   return n;
 }
 
-copies::Frame SomeOperations() {
-  copies::Frame f{.kind = copies::Frame::Kind::kOps,
-                  .log = 0x101,
-                  .epoch = 4,
-                  .disk = 41,
-                  .seq = 6,
-                  .commit = 5};
+copies::ReplicationMessage SomeOperations() {
+  copies::ReplicationMessage f{.kind = copies::ReplicationMessage::Kind::kAppend,
+                               .log = 0x101,
+                               .epoch = 4,
+                               .disk = 41,
+                               .seq = 6,
+                               .commit = 5};
   f.seq_epoch = 3;
   f.number = 8;
   f.last = f.matched = true;
@@ -122,7 +122,7 @@
 
 TEST(ClusterFrame, FieldsOfALaterBuildAreSkippedAndGarbageIsOutlived) {
   const std::string bytes = codec::Encode(AMessage());
-  codec::Writer more;
+  encoding::Writer more;
   more.Bytes(bytes);
   more.Number(200, std::uint64_t{5});
   more.Text(201, std::string(300, 'x'));
@@ -219,7 +219,7 @@
   EXPECT_NE(why.find("another member"), std::string::npos) << why;
   std::string later = whole.substr(0, whole.size() - 8);
   later[7] = 9;
-  codec::Writer hash;
+  encoding::Writer hash;
   hash.Raw(codec::Hash(later));
   Put("votes", later + hash.bytes());
   EXPECT_FALSE(Open());
