--- a/bench/scheduler_bench.cpp
+++ b/bench/scheduler_bench.cpp
@@ -19,7 +19,7 @@
       scheduler.SetWorker(w, {.kind = static_cast<int>(w % 2),
                               .usable = true,
                               .capacity = {slots, slots},
-                              .told = true});
+                              .capacity_reported = true});
     }
     while (scheduler.stats().waiting < kWaiting) Arrive();
   }
@@ -69,10 +69,10 @@
   Scheduler scheduler;
   std::mt19937 random;
   double now = 0;
-  Handle last = 0;
+  JobHandle last = 0;
   std::uint64_t started = 0;
-  std::unordered_map<Handle, Job> jobs;
-  std::vector<std::pair<Handle, std::size_t>> running;
+  std::unordered_map<JobHandle, Job> jobs;
+  std::vector<std::pair<JobHandle, std::size_t>> running;
 };
 
 void Decisions(benchmark::State& state) {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -34,10 +34,10 @@
        << at << "backfilled:" << f.backfilled << "|c\n"
        << at << "broken_off:" << f.broken_reservations << "|c\n"
        << at << "turned_away:" << f.rejected << "|c\n";
-  for (const auto& [cls, count] : s.WaitingByClass()) {
+  for (const auto& [cls, count] : s.QueuedByClass()) {
     *out << at << planner.class_name(cls) << ".waiting:" << count << "|g\n";
   }
-  for (const auto& [cls, waits] : s.waits()) {
+  for (const auto& [cls, waits] : s.wait_times()) {
     if (!waits.known()) continue;
     for (const auto& [name, p] : {std::pair{"p50", 0.5}, {"p95", 0.95}}) {
       *out << at << planner.class_name(cls) << ".wait_ms_" << name << ":"
--- a/src/scheduling/runtime_estimator.cpp
+++ b/src/scheduling/runtime_estimator.cpp
@@ -16,8 +16,9 @@
 using Accumulator =
     acc::accumulator_set<double,
                          acc::stats<acc::tag::extended_p_square, acc::tag::min, acc::tag::max>>;
-constexpr std::size_t kRefresh = 16;  // samples between two readings of the table
-constexpr double kTail = 0.5;  // beyond all that was seen: as much again, and half of it is likely
+constexpr std::size_t kRefresh = 16;  // samples between updates of the table
+// Beyond all samples a job is expected to run for so much of its elapsed time again (median).
+constexpr double kTail = 0.5;
 
 std::vector<double> Steps() {
   std::vector<double> steps;
@@ -88,14 +89,15 @@
   return std::max(0.0, At(gone + p * (1 - gone)) - elapsed);
 }
 
-void RuntimeEstimator::Ran(int cls, int kind, double hint_s, double took_s) {
+void RuntimeEstimator::AddSample(int cls, int kind, double hint_s, double took_s) {
   for (const int k : {kind, -1}) {
     runs_[{cls, k}].Add(took_s);
     if (hint_s > 0) scaled_[{cls, k}].Add(took_s / hint_s);
   }
 }
 
-const Quantiles* RuntimeEstimator::Best(int cls, int kind, double hint_s, double* unit) const {
+const Quantiles* RuntimeEstimator::BestSketch(int cls, int kind, double hint_s,
+                                              double* unit) const {
   const auto find = [&](const auto& table) -> const Quantiles* {
     for (const int k : {kind, -1}) {
       const auto it = table.find({cls, k});
@@ -113,11 +115,11 @@
 double RuntimeEstimator::Remaining(int cls, int kind, double hint_s, double elapsed,
                                    double p) const {
   double unit = 1;
-  if (const Quantiles* q = Best(cls, kind, hint_s, &unit)) {
+  if (const Quantiles* q = BestSketch(cls, kind, hint_s, &unit)) {
     return unit * q->Remaining(elapsed / unit, p);
   }
-  const auto it = expected_.find(cls);
-  const double run = hint_s > 0 ? hint_s : it != expected_.end() ? it->second : 1.0;
+  const auto it = prior_s_.find(cls);
+  const double run = hint_s > 0 ? hint_s : it != prior_s_.end() ? it->second : 1.0;
   return elapsed < run ? run - elapsed : kTail * elapsed;
 }
 
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -3,21 +3,28 @@
 #include <algorithm>
 #include <cmath>
 #include <limits>
+#include <utility>
+
+#include "scheduling/mix.h"
 
 namespace millethollow::scheduling {
 namespace {
 
 constexpr double kInf = std::numeric_limits<double>::infinity();
-constexpr Resources kBottomless{1e12, 1e12};
-constexpr double kLikely = 0.5;          // a running job's end, for a reservation: as likely as not
-constexpr double kSure = 0.75;           // a backfilled job's: it should not delay who waits
-constexpr std::uint64_t kLateTurn = 16;  // one start in so many goes to a job that is late already
-constexpr std::size_t kLooks = 32;       // workers compared for a reservation: a small fleet whole
-constexpr double kFullS = 0.2;           // a worker that turned a job away is full for so long
-constexpr int kHinted = 4;               // jobs of a shape that are tried where their hints differ
-
+constexpr Resources kUnlimited{1e12, 1e12};
+// Quantiles of a job's remaining run time: of one that runs where room is reserved, and of one that
+// is to be backfilled there and should not delay the reservation.
+constexpr double kReservationQuantile = 0.5;
+constexpr double kBackfillQuantile = 0.75;
+// One pick in so many takes a job that can't start in time any more.
+constexpr std::uint64_t kLatePickInterval = 16;
+constexpr double kRejectionBackoffS = 0.2;  // a worker that rejected a job counts as full so long
+constexpr double kMinRunS = 1e-4;
+constexpr double kMeanRunWeight = 100;  // samples in the moving mean of run times
+
+// Needs are rounded up to steps, so that there are few shapes: a quarter of a slot.
 int SlotSteps(double slots) { return static_cast<int>(std::ceil(slots * 4 - kRounding)); }
-// Even steps up to two units, then of a twentieth: few shapes, and little room lost to rounding.
+// Even steps of memory up to two units, above that of a twentieth.
 int MemorySteps(double memory) {
   if (memory <= 2) return static_cast<int>(std::ceil(memory * 32 - kRounding));
   return 64 + static_cast<int>(std::ceil(std::log(memory / 2) / std::log(1.05) - kRounding));
@@ -26,175 +33,174 @@
   return steps <= 64 ? steps / 32.0 : 2 * std::pow(1.05, static_cast<double>(steps) - 64);
 }
 
-std::uint64_t Scramble(std::uint64_t a, std::uint64_t b) {  // SplitMix64's last steps
-  std::uint64_t z = a * 0x9e3779b97f4a7c15ULL + b;
-  z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
-  z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
-  return z ^ (z >> 31);
-}
-
 }  // namespace
 
 void Scheduler::Configure(const Options& options) {
   options_ = options;
-  plan_ = true;
+  plan_needed_ = true;
 }
 
 // ---- workers ----
 
-// A capacity that was learned may be too low. A job that by all of them never fits is tried alone.
-Resources Scheduler::Clamped(const Worker& w, const Resources& need) const {
-  if (w.facts.told || need.Within(largest_.at(w.facts.kind))) return need;
-  return {std::min(need.slots, w.facts.capacity.slots),
-          std::min(need.memory, w.facts.capacity.memory)};
+// An estimated capacity may be too low. A job larger than all of them counts as just fitting, so
+// that it is tried on an idle worker.
+Resources Scheduler::EffectiveNeed(const Worker& w, const Resources& need) const {
+  if (w.state.capacity_reported || need.Within(largest_capacity_.at(w.state.kind))) return need;
+  return {std::min(need.slots, w.state.capacity.slots),
+          std::min(need.memory, w.state.capacity.memory)};
 }
 
-Resources Scheduler::Others(const Worker& w) const {
-  const double unit = w.facts.capacity.slots > 0
-                          ? w.facts.capacity.memory / w.facts.capacity.slots
-                          : 0;  // others' jobs take their slot's part of the memory
-  const double slots = std::max(w.facts.others, w.full_others);
+Resources Scheduler::OtherUsage(const Worker& w) const {
+  // The memory that other nodes' jobs use is not known: their slots' part of it.
+  const double unit =
+      w.state.capacity.slots > 0 ? w.state.capacity.memory / w.state.capacity.slots : 0;
+  const double slots = std::max(w.state.other_slots, w.assumed_other_slots);
   return {slots, slots * std::min(unit, options_.memory_per_slot)};
 }
 
-Resources Scheduler::Free(const Worker& w) const {
-  if (!w.facts.usable || w.shunned) return {-1, -1};
-  if (w.facts.capacity.slots <= 0) return kBottomless;
-  return w.facts.capacity - Others(w) - w.used;
+Resources Scheduler::Available(const Worker& w) const {
+  if (!w.state.usable || w.excluded) return {-1, -1};
+  if (w.state.capacity.slots <= 0) return kUnlimited;
+  return w.state.capacity - OtherUsage(w) - w.used;
 }
 
-void Scheduler::SetWorker(std::size_t worker, const WorkerState& facts) {
+void Scheduler::SetWorker(std::size_t worker, const WorkerState& state) {
   if (worker >= workers_.size()) workers_.resize(worker + 1);
   Worker& w = workers_[worker];
-  if (w.listed && w.facts == facts) return;
+  if (w.listed && w.state == state) return;
   const auto count = [this](const WorkerState& f, double sign) {
     const double slots = f.usable ? sign * f.capacity.slots : 0;
     fleet_slots_ += slots;
-    near_slots_ += f.far ? 0 : slots;
+    local_zone_slots_ += f.remote_zone ? 0 : slots;
   };
-  if (w.listed) count(w.facts, -1);
-  count(facts, 1);
-  const bool lost = w.listed && w.facts.usable && !facts.usable;
-  if (w.listed && (w.facts.kind != facts.kind || w.facts.far != facts.far)) {
-    for (const int kind : {-1, w.facts.kind}) open_[{kind, w.facts.far}].Set(worker, {-1, -1});
+  if (w.listed) count(w.state, -1);
+  count(state, 1);
+  const bool lost = w.listed && w.state.usable && !state.usable;
+  if (w.listed && (w.state.kind != state.kind || w.state.remote_zone != state.remote_zone)) {
+    for (const int kind : {-1, w.state.kind})
+      available_[{kind, w.state.remote_zone}].Set(worker, {-1, -1});
   }
-  w.facts = facts;
+  w.state = state;
   w.listed = true;
-  for (const int kind : {-1, facts.kind}) {
-    Resources& largest = largest_.try_emplace(kind, Resources{0, 0}).first->second;
-    largest = {std::max(largest.slots, facts.capacity.slots),
-               std::max(largest.memory, facts.capacity.memory)};
+  for (const int kind : {-1, state.kind}) {
+    Resources& largest = largest_capacity_.try_emplace(kind, Resources{0, 0}).first->second;
+    largest = {std::max(largest.slots, state.capacity.slots),
+               std::max(largest.memory, state.capacity.memory)};
   }
-  if (lost && w.held_for != 0) Unhold(&waiting_.at(w.held_for), true);
-  // A job that had room here may now do better elsewhere, and the other way round.
-  plan_ = true;
-  Touch(worker);
+  if (lost && w.reserved_for != 0) Unreserve(&queue_.at(w.reserved_for), true);
+  // Reservations may be better placed now.
+  plan_needed_ = true;
+  UpdateIndex(worker);
 }
 
-void Scheduler::Touch(std::size_t worker) {
+void Scheduler::UpdateIndex(std::size_t worker) {
   Worker& w = workers_[worker];
-  Resources room = Free(w);
-  if (w.held_for != 0) room = room - Clamped(w, waiting_.at(w.held_for).job.need);
-  for (const int kind : {-1, w.facts.kind}) open_[{kind, w.facts.far}].Set(worker, room);
-  if (w.dirty || waiting_.empty() || !w.facts.usable) return;
-  w.dirty = true;
-  dirty_.push_back(worker);
-}
-
-double Scheduler::EndOf(const Worker& w, const Run& run, double now) const {
-  return now + estimates_.Remaining(run.cls, w.facts.kind, run.hint_s, now - run.since, kLikely);
-}
-
-// When there will be room for `need`, as far as can be told. What others have there ends last.
-double Scheduler::Shadow(const Worker& w, const Resources& need, double now) const {
-  Resources room = Free(w);
-  if (need.Within(room)) return now;
+  Resources available = Available(w);
+  if (w.reserved_for != 0)
+    available = available - EffectiveNeed(w, queue_.at(w.reserved_for).job.need);
+  for (const int kind : {-1, w.state.kind})
+    available_[{kind, w.state.remote_zone}].Set(worker, available);
+  if (w.changed || queue_.empty() || !w.state.usable) return;
+  w.changed = true;
+  changed_workers_.push_back(worker);
+}
+
+double Scheduler::ExpectedEnd(const Worker& w, const RunningJob& run, double now) const {
+  return now + runtimes_.Remaining(run.cls, w.state.kind, run.hint_s, now - run.started_at,
+                                   kReservationQuantile);
+}
+
+// The expected time at which `need` fits at the worker (the shadow time of EASY backfill). Jobs of
+// other nodes are taken to end last.
+double Scheduler::ShadowTime(const Worker& w, const Resources& need, double now) const {
+  Resources available = Available(w);
+  if (need.Within(available)) return now;
   std::vector<std::pair<double, Resources>> ends;
-  for (const Run& run : w.runs) ends.emplace_back(EndOf(w, run, now), run.need);
+  for (const RunningJob& run : w.running) ends.emplace_back(ExpectedEnd(w, run, now), run.need);
   std::sort(ends.begin(), ends.end(),
             [](const auto& a, const auto& b) { return a.first < b.first; });
   double last = now;
   for (const auto& [at, freed] : ends) {
-    room = room + freed;
+    available = available + freed;
     last = at;
-    if (need.Within(room)) return at;
+    if (need.Within(available)) return at;
   }
-  if (!need.Within(w.facts.capacity)) return kInf;
-  return last + mean_run_s_;  // of others nothing more is known
-}
-
-// Would the job that room is held for at `w` start as early with this one beside it?
-bool Scheduler::SparesHeld(const Worker& w, const Job& job, const Resources& need,
-                           double now) const {
-  const Waiting& holder = waiting_.at(w.held_for);
-  if (holder.job.handle == job.handle) return true;
-  const Resources held = Clamped(w, holder.job.need);
-  const Resources room = Free(w);
-  if (need.Within(room - held)) return true;
-  const double shadow = Shadow(w, held, now);
-  if (now + estimates_.Remaining(job.cls, w.facts.kind, job.hint_s, 0, kSure) <= shadow)
+  if (!need.Within(w.state.capacity)) return kInf;
+  return last + mean_run_s_;
+}
+
+// Whether the job with the reservation at `w` would start as early with this one beside it.
+bool Scheduler::MayBackfill(const Worker& w, const Job& job, const Resources& need,
+                            double now) const {
+  const QueuedJob& reserved = queue_.at(w.reserved_for);
+  if (reserved.job.handle == job.handle) return true;
+  const Resources reserved_need = EffectiveNeed(w, reserved.job.need);
+  const Resources available = Available(w);
+  if (need.Within(available - reserved_need)) return true;
+  const double shadow = ShadowTime(w, reserved_need, now);
+  if (now + runtimes_.Remaining(job.cls, w.state.kind, job.hint_s, 0, kBackfillQuantile) <= shadow)
     return true;
-  Resources then = room;
-  for (const Run& run : w.runs) {
-    if (EndOf(w, run, now) <= shadow) then = then + run.need;
+  Resources at_shadow = available;
+  for (const RunningJob& run : w.running) {
+    if (ExpectedEnd(w, run, now) <= shadow) at_shadow = at_shadow + run.need;
   }
-  return need.Within(then - held);
+  return need.Within(at_shadow - reserved_need);
 }
 
-// To wait a little for a slot nearby costs less than to cross, as long as few wait for it (delay
-// scheduling; Zaharia et al. 2010).
-bool Scheduler::MayCross(const Job& job, double now) const {
-  return now - job.arrived_at >= options_.local_zone_wait_s || Crowded(waiting_.size());
+// Delay scheduling (Zaharia et al. 2010): a short wait for a slot in the local zone costs less than
+// crossing, as long as few jobs wait for one.
+bool Scheduler::MayUseRemoteZone(const Job& job, double now) const {
+  return now - job.arrived_at >= options_.local_zone_wait_s || ExceedsLocalSupply(queue_.size());
 }
 
-// With room in both zones the choice is the module's: it weighs the price of crossing.
-bool Scheduler::RoomNear(const Job& job) const {
-  const auto near = open_.find({job.kind, false});
-  return near != open_.end() && near->second.Find(job.need) >= 0;
+// With room in both zones the balancer chooses: it weighs the cost of crossing.
+bool Scheduler::LocalZoneFits(const Job& job) const {
+  const auto near = available_.find({job.kind, false});
+  return near != available_.end() && near->second.Find(job.need) >= 0;
 }
 
-bool Scheduler::Crowded(std::size_t waiting) const {
-  const double soon = near_slots_ * options_.local_zone_wait_s / mean_run_s_;
-  return static_cast<double>(waiting) > soon;
+bool Scheduler::ExceedsLocalSupply(std::size_t queued) const {
+  const double freed_soon = local_zone_slots_ * options_.local_zone_wait_s / mean_run_s_;
+  return static_cast<double>(queued) > freed_soon;
 }
 
-void Scheduler::LookFar() {
-  if (near_slots_ >= fleet_slots_) return;
+void Scheduler::TouchRemoteWorkers() {
+  if (local_zone_slots_ >= fleet_slots_) return;
   for (std::size_t w = 0; w < workers_.size(); ++w) {
-    if (workers_[w].facts.far && Free(workers_[w]).slots > 0) Touch(w);
+    if (workers_[w].state.remote_zone && Available(workers_[w]).slots > 0) UpdateIndex(w);
   }
 }
 
 bool Scheduler::MayStart(const Job& job, std::size_t worker, double now) const {
   if (worker >= workers_.size()) return false;
   const Worker& w = workers_[worker];
-  if (!w.facts.usable || w.shunned || !KindFits(job.kind, w)) return false;
-  if (w.facts.far && !MayCross(job, now) && !RoomNear(job)) return false;
-  const Resources need = Clamped(w, job.need);
-  if (w.facts.capacity.slots > 0 && !need.Within(Free(w))) return false;
-  return w.held_for == 0 || SparesHeld(w, job, need, now);
+  if (!w.state.usable || w.excluded || !MatchesKind(job.kind, w)) return false;
+  if (w.state.remote_zone && !MayUseRemoteZone(job, now) && !LocalZoneFits(job)) return false;
+  const Resources need = EffectiveNeed(w, job.need);
+  if (w.state.capacity.slots > 0 && !need.Within(Available(w))) return false;
+  return w.reserved_for == 0 || MayBackfill(w, job, need, now);
 }
 
 int Scheduler::FindWorker(const Job& job, double now) const {
-  const auto held = waiting_.find(job.handle);
-  if (held != waiting_.end() && held->second.held_at >= 0 &&
-      MayStart(job, static_cast<std::size_t>(held->second.held_at), now)) {
-    return held->second.held_at;
+  const auto queued = queue_.find(job.handle);
+  if (queued != queue_.end() && queued->second.reserved_worker >= 0 &&
+      MayStart(job, static_cast<std::size_t>(queued->second.reserved_worker), now)) {
+    return queued->second.reserved_worker;
   }
   for (const bool far : {false, true}) {
-    const auto index = open_.find({job.kind, far});
-    if (index == open_.end() || (far && !MayCross(job, now))) continue;
-    const int found = index->second.Find(job.need, Scramble(seed_, job.handle));
+    const auto index = available_.find({job.kind, far});
+    if (index == available_.end() || (far && !MayUseRemoteZone(job, now))) continue;
+    const int found = index->second.Find(job.need, Mix(seed_, job.handle));
     if (found >= 0) return found;
   }
   std::size_t looked = 0;
-  for (const int w : reserved_) {
-    if (++looked > kLooks) break;
+  for (const int w : reserved_workers_) {
+    if (++looked > kMaxWorkersCompared) break;
     if (MayStart(job, static_cast<std::size_t>(w), now)) return w;
   }
-  // It may be larger than any capacity that was learned: then an idle worker is to try.
-  const auto largest = largest_.find(job.kind);
-  if (largest == largest_.end() || job.need.Within(largest->second)) return -1;
+  // Larger than any capacity that was ever known: an idle worker may still take it.
+  const auto largest = largest_capacity_.find(job.kind);
+  if (largest == largest_capacity_.end() || job.need.Within(largest->second)) return -1;
   for (std::size_t w = 0; w < workers_.size(); ++w) {
     if (MayStart(job, w, now)) return static_cast<int>(w);
   }
@@ -202,12 +208,12 @@
 }
 
 bool Scheduler::FitsNoWorker(const Job& job) const {
-  const auto largest = largest_.find(job.kind);
-  if (largest == largest_.end() || job.need.Within(largest->second)) return false;
+  const auto largest = largest_capacity_.find(job.kind);
+  if (largest == largest_capacity_.end() || job.need.Within(largest->second)) return false;
   bool any = false;
   for (const Worker& w : workers_) {
-    if (!w.facts.usable || !KindFits(job.kind, w)) continue;
-    if (!w.facts.told || job.need.Within(w.facts.capacity)) return false;
+    if (!w.state.usable || !MatchesKind(job.kind, w)) continue;
+    if (!w.state.capacity_reported || job.need.Within(w.state.capacity)) return false;
     any = true;
   }
   return any;
@@ -215,140 +221,156 @@
 
 // ---- jobs ----
 
-void Scheduler::AddToShape(Waiting* waiting) {
-  Shape& shape = shapes_[waiting->shape];
-  shape.timely.emplace(waiting->job.start_by, waiting->job.handle);
-  if (waiting->job.may_reserve && waiting->held_at < 0) {
-    holdable_[waiting->job.tenant].insert(waiting->job.handle);
-    plan_ = true;
+void Scheduler::AddToShape(QueuedJob* queued) {
+  Shape& shape = shapes_[queued->shape];
+  shape.timely.emplace(queued->job.start_by, queued->job.handle);
+  if (queued->job.may_reserve && queued->reserved_worker < 0) {
+    unreserved_[queued->job.tenant].insert(queued->job.handle);
+    plan_needed_ = true;
   }
 }
 
-void Scheduler::RemoveFromShape(Waiting* waiting) {
-  const auto it = shapes_.find(waiting->shape);
+void Scheduler::RemoveFromShape(QueuedJob* queued) {
+  const auto it = shapes_.find(queued->shape);
   if (it == shapes_.end()) return;
-  it->second.timely.erase({waiting->job.start_by, waiting->job.handle});
-  it->second.late.erase(waiting->job.handle);
+  it->second.timely.erase({queued->job.start_by, queued->job.handle});
+  it->second.late.erase(queued->job.handle);
   if (it->second.timely.empty() && it->second.late.empty()) shapes_.erase(it);
-  const auto mine = holdable_.find(waiting->job.tenant);
-  if (mine == holdable_.end()) return;
-  mine->second.erase(waiting->job.handle);
-  if (mine->second.empty()) holdable_.erase(mine);
+  const auto mine = unreserved_.find(queued->job.tenant);
+  if (mine == unreserved_.end()) return;
+  mine->second.erase(queued->job.handle);
+  if (mine->second.empty()) unreserved_.erase(mine);
 }
 
 bool Scheduler::Enqueue(const Job& job, double now) {
-  if (waiting_.contains(job.handle)) return true;
-  const auto most = static_cast<double>(options_.max_queued_jobs);
-  const bool crowded = static_cast<double>(by_tenant_[job.tenant]) >=
-                       std::max(1.0, options_.max_tenant_share * most);
-  if (waiting_.size() >= options_.max_queued_jobs || crowded ||
-      bytes_ + job.bytes > options_.max_queued_bytes) {
-    figures_.rejected += 1;
+  if (queue_.contains(job.handle)) return true;
+  if (!QueueHasRoom(job)) {
+    stats_.rejected += 1;
     return false;
   }
-  Waiting& w = waiting_[job.handle];
-  w.job = job;
-  // The need in whole steps is what the job is taken to need from here on.
-  w.shape = {job.cls, SlotSteps(job.need.slots), MemorySteps(job.need.memory)};
-  w.job.need.memory = std::max(job.need.memory, MemoryOf(std::get<2>(w.shape)));
-  w.no_hold_until = now;
-  bytes_ += job.bytes;
-  by_class_[job.cls] += 1;
-  by_tenant_[job.tenant] += 1;
-  AddToShape(&w);
-  if (Crowded(waiting_.size()) && !Crowded(waiting_.size() - 1)) LookFar();
+  QueuedJob& queued = queue_[job.handle];
+  queued.job = job;
+  queued.shape = {job.cls, SlotSteps(job.need.slots), MemorySteps(job.need.memory)};
+  // From here on the job needs what its shape does.
+  queued.job.need.memory = std::max(job.need.memory, MemoryOf(std::get<2>(queued.shape)));
+  queued.no_reservation_until = now;
+  queued_bytes_ += job.bytes;
+  queued_by_class_[job.cls] += 1;
+  queued_by_tenant_[job.tenant] += 1;
+  AddToShape(&queued);
+  if (ExceedsLocalSupply(queue_.size()) && !ExceedsLocalSupply(queue_.size() - 1)) {
+    TouchRemoteWorkers();
+  }
   return true;
 }
 
+// Whatever its share, a tenant may have one job in the queue.
+bool Scheduler::QueueHasRoom(const Job& job) const {
+  const auto of_tenant = queued_by_tenant_.find(job.tenant);
+  const std::size_t jobs = of_tenant == queued_by_tenant_.end() ? 0 : of_tenant->second;
+  const double most_jobs =
+      std::max(1.0, options_.max_tenant_share * static_cast<double>(options_.max_queued_jobs));
+  return queue_.size() < options_.max_queued_jobs && static_cast<double>(jobs) < most_jobs &&
+         queued_bytes_ + job.bytes <= options_.max_queued_bytes;
+}
+
 void Scheduler::ExcludeUntilTick(std::size_t worker) {
-  if (worker >= workers_.size() || workers_[worker].shunned) return;
+  if (worker >= workers_.size() || workers_[worker].excluded) return;
   Worker& w = workers_[worker];
-  w.shunned = true;
-  shunned_.push_back(worker);
-  if (w.held_for != 0) Unhold(&waiting_.at(w.held_for), true);  // what is in the way may last
-  Touch(worker);
+  w.excluded = true;
+  excluded_workers_.push_back(worker);
+  if (w.reserved_for != 0) Unreserve(&queue_.at(w.reserved_for), true);
+  UpdateIndex(worker);
 }
 
-void Scheduler::Dequeue(Handle job) {
-  const auto it = waiting_.find(job);
-  if (it == waiting_.end()) return;
-  Waiting& w = it->second;
-  if (w.held_at >= 0) Unhold(&w, true);
+void Scheduler::Dequeue(JobHandle job) {
+  const auto it = queue_.find(job);
+  if (it == queue_.end()) return;
+  QueuedJob& w = it->second;
+  if (w.reserved_worker >= 0) Unreserve(&w, true);
   RemoveFromShape(&w);
-  bytes_ -= w.job.bytes;
+  queued_bytes_ -= w.job.bytes;
   const auto drop = [](auto* counts, int key) {
     const auto at = counts->find(key);
     if (--at->second == 0) counts->erase(at);
   };
-  drop(&by_class_, w.job.cls);
-  drop(&by_tenant_, w.job.tenant);
-  waiting_.erase(it);
+  drop(&queued_by_class_, w.job.cls);
+  drop(&queued_by_tenant_, w.job.tenant);
+  queue_.erase(it);
 }
 
 void Scheduler::OnStarted(const Job& job, std::size_t worker, double now) {
-  const auto it = waiting_.find(job.handle);
-  if (it != waiting_.end()) {
-    Waiting& w = it->second;
-    figures_.waited += 1;
-    waits_[w.job.cls].Add(now - w.job.arrived_at);
-    if (w.held_at == static_cast<int>(worker)) Unhold(&w, false);
+  const auto it = queue_.find(job.handle);
+  if (it != queue_.end()) {
+    QueuedJob& w = it->second;
+    stats_.waited += 1;
+    wait_times_[w.job.cls].Add(now - w.job.arrived_at);
+    if (w.reserved_worker == static_cast<int>(worker)) Unreserve(&w, false);
     Dequeue(job.handle);
   }
   if (worker >= workers_.size()) return;
   Worker& w = workers_[worker];
-  figures_.backfilled += w.held_for != 0;
-  w.runs.push_back({job.handle, Clamped(w, job.need), job.cls, job.hint_s, now});
-  w.used = w.used + w.runs.back().need;
-  Touch(worker);
+  stats_.backfilled += w.reserved_for != 0;
+  w.running.push_back({job.handle, EffectiveNeed(w, job.need), job.cls, job.hint_s, now});
+  w.used = w.used + w.running.back().need;
+  UpdateIndex(worker);
 }
 
-void Scheduler::OnEnded(Handle job, std::size_t worker, double ran_s) {
+void Scheduler::OnEnded(JobHandle job, std::size_t worker, double ran_s) {
   if (worker >= workers_.size()) return;
   Worker& w = workers_[worker];
-  const auto run =
-      std::find_if(w.runs.begin(), w.runs.end(), [job](const Run& r) { return r.job == job; });
-  if (run == w.runs.end()) return;
-  if (ran_s >= 0) mean_run_s_ += (std::max(ran_s, 1e-4) - mean_run_s_) / 100;
-  if (ran_s >= 0) estimates_.Ran(run->cls, w.facts.kind, run->hint_s, ran_s);
+  const auto run = std::find_if(w.running.begin(), w.running.end(),
+                                [job](const RunningJob& r) { return r.job == job; });
+  if (run == w.running.end()) return;
+  if (ran_s >= 0) mean_run_s_ += (std::max(ran_s, kMinRunS) - mean_run_s_) / kMeanRunWeight;
+  if (ran_s >= 0) runtimes_.AddSample(run->cls, w.state.kind, run->hint_s, ran_s);
   w.used = w.used - run->need;
-  w.runs.erase(run);
-  if (w.runs.empty()) w.used = {0, 0};  // no rounding is carried along
-  Touch(worker);
+  w.running.erase(run);
+  if (w.running.empty()) w.used = {0, 0};  // drops rounding errors
+  UpdateIndex(worker);
 }
 
 double Scheduler::SlotsInUseSince(std::size_t worker, double since) const {
   double slots = 0;
   if (worker >= workers_.size()) return slots;
-  for (const Run& run : workers_[worker].runs) slots += run.since < since ? run.need.slots : 0;
+  for (const RunningJob& run : workers_[worker].running)
+    slots += run.started_at < since ? run.need.slots : 0;
   return slots;
 }
 
 void Scheduler::OnRejected(std::size_t worker, double now) {
   if (worker >= workers_.size()) return;
   Worker& w = workers_[worker];
-  if (w.facts.capacity.slots <= 0) return;
-  if (w.full_others <= 0) full_.push_back(worker);
-  w.full_others = std::max(1e-3, w.facts.capacity.slots - w.used.slots);
-  w.full_until = now + kFullS;
-  Touch(worker);
+  if (w.state.capacity.slots <= 0) return;
+  if (w.assumed_other_slots <= 0) rejecting_workers_.push_back(worker);
+  w.assumed_other_slots = std::max(1e-3, w.state.capacity.slots - w.used.slots);
+  w.rejecting_until = now + kRejectionBackoffS;
+  UpdateIndex(worker);
 }
 
-// ---- who starts next ----
+// ---- the next job to start ----
+
+void Scheduler::Shape::MoveLate(double now) {
+  while (!timely.empty() && timely.begin()->first < now) {
+    late.insert(timely.begin()->second);
+    timely.erase(timely.begin());
+  }
+}
 
-Handle Scheduler::PickFor(Worker& w, std::size_t number, double now) {
-  if (w.held_for != 0 && MayStart(waiting_.at(w.held_for).job, number, now)) return w.held_for;
-  const Resources room = Free(w);
-  Handle timely = 0, late = 0;
+// The job with the earliest deadline that fits, or now and then the one that waits longest of those
+// that are late.
+JobHandle Scheduler::PickJob(Worker& w, std::size_t number, double now) {
+  if (w.reserved_for != 0 && MayStart(queue_.at(w.reserved_for).job, number, now))
+    return w.reserved_for;
+  const Resources available = Available(w);
+  JobHandle timely = 0, late = 0;
   double first = kInf;
-  const auto fits = [&](Handle handle) { return MayStart(waiting_.at(handle).job, number, now); };
+  const auto fits = [&](JobHandle handle) { return MayStart(queue_.at(handle).job, number, now); };
   for (auto& [key, shape] : shapes_) {
     const auto some = shape.timely.empty() ? *shape.late.begin() : shape.timely.begin()->second;
-    const Job& like = waiting_.at(some).job;
-    if (!KindFits(like.kind, w) || !Clamped(w, like.need).Within(room)) continue;
-    while (!shape.timely.empty() && shape.timely.begin()->first < now) {
-      shape.late.insert(shape.timely.begin()->second);
-      shape.timely.erase(shape.timely.begin());
-    }
+    const Job& like = queue_.at(some).job;
+    if (!MatchesKind(like.kind, w) || !EffectiveNeed(w, like.need).Within(available)) continue;
+    shape.MoveLate(now);
     int tries = 0;
     for (auto it = shape.timely.begin(); it != shape.timely.end() && it->first < first; ++it) {
       if (fits(it->second)) {
@@ -356,7 +378,7 @@
         timely = it->second;
         break;
       }
-      if (like.hint_s <= 0 || ++tries >= kHinted) break;
+      if (like.hint_s <= 0 || ++tries >= kMaxHintedTries) break;
     }
     tries = 0;
     for (auto it = shape.late.begin(); it != shape.late.end() && (late == 0 || *it < late); ++it) {
@@ -364,170 +386,61 @@
         late = *it;
         break;
       }
-      if (like.hint_s <= 0 || ++tries >= kHinted) break;
+      if (like.hint_s <= 0 || ++tries >= kMaxHintedTries) break;
     }
   }
   if (timely == 0 || late == 0) return timely != 0 ? timely : late;
-  return ++turn_ % kLateTurn == 0 ? late : timely;
+  return ++picks_ % kLatePickInterval == 0 ? late : timely;
 }
 
-std::optional<Scheduler::Start> Scheduler::Next(double now) {
-  if (plan_) Plan(now);
-  while (!dirty_.empty()) {
-    const std::size_t number = dirty_.front();
+std::optional<Scheduler::Assignment> Scheduler::Next(double now) {
+  if (plan_needed_) PlanReservations(now);
+  while (!changed_workers_.empty()) {
+    const std::size_t number = changed_workers_.front();
     Worker& w = workers_[number];
-    const Handle job = w.facts.usable ? PickFor(w, number, now) : 0;
-    if (job != 0) return Start{job, number};
-    w.dirty = false;
-    dirty_.pop_front();
+    const JobHandle job = w.state.usable ? PickJob(w, number, now) : 0;
+    if (job != 0) return Assignment{job, number};
+    w.changed = false;
+    changed_workers_.pop_front();
   }
   return std::nullopt;
 }
 
 void Scheduler::Tick(double now) {
-  for (const std::size_t worker : std::exchange(shunned_, {})) {
-    workers_[worker].shunned = false;
-    Touch(worker);
-  }
-  for (const std::size_t worker : std::exchange(full_, {})) {
-    Worker& w = workers_[worker];
-    if (w.full_until > now) {
-      full_.push_back(worker);
-      continue;
-    }
-    w.full_others = 0;
-    Touch(worker);
-  }
-  LookFar();  // some may have waited long enough to cross
-  std::vector<Handle> over;
-  for (const int worker : reserved_) {
-    const Handle job = workers_[static_cast<std::size_t>(worker)].held_for;
-    if (now - waiting_.at(job).held_since > options_.reservation_timeout_s) over.push_back(job);
+  for (const std::size_t worker : std::exchange(excluded_workers_, {})) {
+    workers_[worker].excluded = false;
+    UpdateIndex(worker);
   }
-  for (const Handle job : over) {
-    Waiting& w = waiting_.at(job);
-    w.no_hold_until = now + options_.reservation_timeout_s;  // others have their turn first
-    Unhold(&w, true);
-  }
-  if (!holdable_.empty()) plan_ = true;
+  EndRejections(now);
+  TouchRemoteWorkers();  // some jobs may have waited long enough for the remote zone
+  BreakOverdueReservations(now);
+  if (!unreserved_.empty()) plan_needed_ = true;
 }
 
-// ---- reservations ----
-
-double Scheduler::HoldCap() const {
-  return options_.max_reserved_fleet_share * fleet_slots_ * part_;
-}
-
-void Scheduler::Unhold(Waiting* waiting, bool broken) {
-  const auto number = static_cast<std::size_t>(std::exchange(waiting->held_at, -1));
-  Worker& w = workers_[number];
-  w.held_for = 0;
-  reserved_.erase(static_cast<int>(number));
-  held_total_ -= waiting->job.need.slots;
-  held_[waiting->job.tenant] -= waiting->job.need.slots;
-  if (reserved_.empty()) {
-    held_total_ = 0;
-    held_.clear();
-  }
-  figures_.broken_reservations += broken;
-  holdable_[waiting->job.tenant].insert(waiting->job.handle);
-  plan_ = true;
-  Touch(number);
-}
-
-// Reservations go to the tenant that holds least for its share, in turn, until the cap is reached.
-void Scheduler::Plan(double now) {
-  plan_ = false;
-  std::set<int> done;
-  while (true) {
-    int next = -1;
-    double least = kInf;
-    for (const auto& [tenant, jobs] : holdable_) {
-      if (done.contains(tenant)) continue;
-      const auto t = static_cast<std::size_t>(tenant);
-      const double share = t < shares_.size() && shares_[t] > 0 ? shares_[t] : 1e-3;
-      const auto it = held_.find(tenant);
-      const double held = (it == held_.end() ? 0 : it->second) / share;
-      if (held < least) {
-        least = held;
-        next = tenant;
-      }
+void Scheduler::EndRejections(double now) {
+  for (const std::size_t worker : std::exchange(rejecting_workers_, {})) {
+    Worker& w = workers_[worker];
+    if (w.rejecting_until > now) {
+      rejecting_workers_.push_back(worker);
+      continue;
     }
-    if (next < 0) return;
-    if (!PlanOne(next, now)) done.insert(next);
+    w.assumed_other_slots = 0;
+    UpdateIndex(worker);
   }
 }
 
-bool Scheduler::PlanOne(int tenant, double now) {
-  const auto mine = holdable_.find(tenant);
-  const auto t = static_cast<std::size_t>(tenant);
-  const double share = t < shares_.size() ? shares_[t] : 1.0;
-  int tries = 0;
-  for (const Handle handle : mine->second) {
-    Waiting& waiting = waiting_.at(handle);
-    if (waiting.no_hold_until > now) continue;
-    const double slots = waiting.job.need.slots;
-    const double cap = HoldCap();
-    // The first job is let hold whatever the cap, unless it is shut: a small fleet has few slots.
-    if (cap <= 0 || (held_total_ > 0 && held_total_ + slots > cap)) return false;
-    const auto held = held_.find(tenant);
-    const double has = held == held_.end() ? 0 : held->second;
-    if (has > 0 && has + slots > 2 * share * cap) return false;
-    int best = -1;
-    double earliest = kInf;
-    std::uint64_t rank = 0;
-    const std::size_t n = workers_.size();
-    for (std::size_t i = 0, looked = 0; i < std::min(n, 4 * kLooks) && looked < kLooks; ++i) {
-      const std::size_t number = n <= kLooks ? i : (cursor_ + i) % n;
-      const Worker& w = workers_[number];
-      if (!w.facts.usable || w.shunned || w.facts.cold || w.held_for != 0 ||
-          w.facts.capacity.slots <= 0) {
-        continue;
-      }
-      if (!KindFits(waiting.job.kind, w)) continue;
-      ++looked;
-      const Resources need = Clamped(w, waiting.job.need);
-      if (need.slots > options_.max_reserved_worker_share * w.facts.capacity.slots + kRounding)
-        continue;
-      const double shadow = Shadow(w, need, now);
-      if (shadow == kInf) continue;
-      // Nodes that see alike choose apart: ties go by a rank of each node's own.
-      const std::uint64_t mine_rank = Scramble(seed_, number);
-      if (best < 0 || shadow < earliest || (shadow == earliest && mine_rank < rank)) {
-        best = static_cast<int>(number);
-        earliest = shadow;
-        rank = mine_rank;
-      }
-    }
-    cursor_ += kLooks;
-    if (best >= 0) {
-      Worker& w = workers_[static_cast<std::size_t>(best)];
-      w.held_for = handle;
-      waiting.held_at = best;
-      waiting.held_since = now;
-      reserved_.insert(best);
-      held_total_ += slots;
-      held_[tenant] += slots;
-      mine->second.erase(handle);
-      if (mine->second.empty()) holdable_.erase(mine);
-      Touch(static_cast<std::size_t>(best));
-      return true;
-    }
-    if (++tries >= kHinted) break;
-  }
-  return false;
-}
+// ---- figures ----
 
 double Scheduler::ReservedSlots(std::size_t worker) const {
-  if (worker >= workers_.size() || workers_[worker].held_for == 0) return 0;
-  return waiting_.at(workers_[worker].held_for).job.need.slots;
+  if (worker >= workers_.size() || workers_[worker].reserved_for == 0) return 0;
+  return queue_.at(workers_[worker].reserved_for).job.need.slots;
 }
 
 SchedulerStats Scheduler::stats() const {
-  SchedulerStats f = figures_;
-  f.waiting = waiting_.size();
-  f.reservations = reserved_.size();
-  f.reserved_slots = held_total_;
+  SchedulerStats f = stats_;
+  f.waiting = queue_.size();
+  f.reservations = reserved_workers_.size();
+  f.reserved_slots = reserved_slots_;
   return f;
 }
 
--- a/src/scheduling/scheduling_balancer.h
+++ b/src/scheduling/scheduling_balancer.h
@@ -1,6 +1,6 @@
-// Stands between whoever carries out decisions (the node's planner, the adapter) and the decision
-// module, and plays the scheduler's part in them: the module is asked with the room that is left
-// to a job, and jobs that it puts on hold wait here until the scheduler finds room.
+// The balancer with the scheduler in front of it, for whoever carries out its actions (a node's
+// planner, the simulator's adapter). The balancer places a request where the scheduler has capacity
+// for it; requests that find none wait in the scheduler's queue until they may start.
 //
 // With scheduling off every event and action passes through unchanged.
 #ifndef MILLETHOLLOW_SCHEDULING_SCHEDULING_BALANCER_H_
@@ -20,11 +20,13 @@
 
 namespace millethollow::scheduling {
 
+// Not thread-safe. No I/O and no clock: times come with the calls, in seconds.
 class SchedulingBalancer final : private balancing::CapacityReservations {
  public:
   SchedulingBalancer(const balancing::Settings& settings, std::uint64_t seed,
                      const Options& options);
 
+  // Appends the actions that follow from the event. `now_s` must not fall.
   void Handle(double now_s, const balancing::Event& event, balancing::Actions* actions);
   bool Excludes(std::string_view worker) const { return balancer_.Excludes(worker); }
   std::vector<balancing::WorkerView> Workers() const { return balancer_.Workers(); }
@@ -36,9 +38,9 @@
   }
 
   bool on() const { return options_.on; }
-  // Bounds change at once and hold for jobs that wait already; whether it is on at all does not.
+  // New limits hold at once, for queued jobs too. Whether scheduling is on does not change.
   void Configure(const Options& options);
-  // Which classes `reserving_classes` means.
+  // By index: what `reserving_classes` refers to.
   void NameClasses(std::vector<std::string> names);
   const Scheduler& scheduler() const { return scheduler_; }
   std::size_t open_jobs() const { return jobs_.size(); }
@@ -46,10 +48,10 @@
  private:
   struct Attempt {
     std::size_t worker = 0;
-    double sent_at = 0, began_at = -1;
+    double sent_at = 0, started_at = -1;
     bool open = true;
   };
-  struct Known {
+  struct TrackedJob {
     Job job;
     std::vector<Attempt> attempts;
     bool ended = false;
@@ -58,25 +60,31 @@
     using is_transparent = void;
     std::size_t operator()(std::string_view s) const { return std::hash<std::string_view>()(s); }
   };
-  using Jobs = std::unordered_map<std::string, Known, TextHash, std::equal_to<>>;
+  using Jobs = std::unordered_map<std::string, TrackedJob, TextHash, std::equal_to<>>;
 
+  // CapacityReservations: what the balancer asks while it places a request.
   Candidate FindWorker(std::string_view job) override;
   bool HasCapacityFor(std::string_view job, std::string_view worker) override;
   bool MayReserve(int cls) const override {
-    return options_.max_reserved_fleet_share > 0 && MayHold(cls);
+    return options_.max_reserved_fleet_share > 0 && IsReservingClass(cls);
   }
   double ReservedSlots(std::string_view worker) const override;
 
-  void Note(const balancing::Event& event);
-  void Arrived(const balancing::RequestArrived& e);
-  void Ended(const balancing::AttemptEnded& e);
-  void Ask(const balancing::Event& event, balancing::Actions* actions);
-  void Finish(Jobs::iterator it);
-  void Drop(Jobs::iterator it);
-  void Sync();
-  void Reported(int worker, const double (&report)[4]);
-  int WorkerOf(std::string_view name) const;
-  bool MayHold(int cls) const;
+  void Observe(const balancing::Event& event);
+  void OnRequest(const balancing::RequestArrived& e);
+  void OnAttemptEnded(const balancing::AttemptEnded& e);
+  void AfterAction(const balancing::Action& action);
+  void StartQueued(balancing::Actions* actions);
+  void OnAwaitCapacity(const std::string& id);
+  void OnProgress(const balancing::AttemptProgress& e);
+  WorkerState StateOf(const balancing::WorkerView& view) const;
+  void Deliver(const balancing::Event& event, balancing::Actions* actions);
+  void FinishJob(Jobs::iterator it);
+  void EraseIfComplete(Jobs::iterator it);
+  void SyncWorkers();
+  void OnReport(int worker, const double (&report)[4]);
+  int FindIndex(std::string_view name) const;
+  bool IsReservingClass(int cls) const;
 
   Options options_;
   balancing::Settings settings_;
@@ -84,18 +92,19 @@
   Scheduler scheduler_;
   double now_ = 0;
   std::uint64_t seen_version_ = 0, last_handle_ = 0;
-  // By the module's order.
+  // In the balancer's order.
   struct Worker {
     std::string name;
     int kind = 0;
-    double others = 0, others_before = 0, others_at = 0;  // by peers: now, and a while ago
+    // Slots in use by other nodes: now, and at the last update before `others_at`.
+    double others = 0, others_before = 0, others_at = 0;
   };
   std::vector<Worker> workers_;
   CapacityEstimator capacity_;
   std::unordered_map<std::string, int, TextHash, std::equal_to<>> index_;
   Jobs jobs_;
-  std::unordered_map<scheduling::Handle, std::string> ids_;
-  std::deque<std::string> no_room_;  // found the waiting room full
+  std::unordered_map<scheduling::JobHandle, std::string> ids_;
+  std::deque<std::string> rejected_by_queue_;  // ids the balancer must still hear of
   std::vector<std::string> class_names_;
   bool ticking_ = false;
 };
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -32,39 +32,39 @@
 
 TEST(RuntimeEstimator, FallBackFromKindToClassToWhatIsExpected) {
   RuntimeEstimator e;
-  e.Expect(0, 0.25);
+  e.SetPrior(0, 0.25);
   EXPECT_DOUBLE_EQ(e.Remaining(0, 3, 0, 0, 0.5), 0.25);
   EXPECT_DOUBLE_EQ(e.Remaining(0, 3, 0, 0.1, 0.5), 0.15);
   EXPECT_DOUBLE_EQ(e.Remaining(0, 3, 2, 0, 0.5), 2) << "a job's own word";
-  for (int i = 0; i < 40; ++i) e.Ran(0, 1, 0, 3);
+  for (int i = 0; i < 40; ++i) e.AddSample(0, 1, 0, 3);
   EXPECT_NEAR(e.Remaining(0, 3, 0, 0, 0.5), 3, 1e-9) << "another kind: the class's";
-  for (int i = 0; i < 40; ++i) e.Ran(0, 2, 2, 8);
+  for (int i = 0; i < 40; ++i) e.AddSample(0, 2, 2, 8);
   EXPECT_NEAR(e.Remaining(0, 2, 1, 0, 0.5), 4, 1e-9) << "four times what was told";
 }
 
 TEST(CapacityEstimator, IsAnUpperQuantileOfWhatIsFreeAndTaken) {
   CapacityEstimator c;
-  c.Told(0, 1, 3, 0);
-  c.Told(0, 2, 2, 0);
-  EXPECT_EQ(c.Of(0), 0) << "two reports prove nothing";
-  for (const double taken : {3.0, 4.0, 4.0, 3.0, 4.0, 4.0}) c.Told(0, 1, taken, 1);
-  EXPECT_EQ(c.Of(0), 5);
-  EXPECT_EQ(c.Of(1), 5) << "a kind of which nothing is known is taken for like the others";
-  c.Told(0, 1, 8, 1);
-  EXPECT_EQ(c.Of(0), 5) << "a single figure strays";
-  for (const double odd : {-1.0, 0.0, 1e9, std::nan("")}) c.Told(1, odd, 0, 1);
-  EXPECT_EQ(c.Of(1), 5);
-  for (int i = 0; i < 12; ++i) c.Told(0, 3, 0, 200);
-  EXPECT_EQ(c.Of(0), 3) << "a release may bring smaller ones";
+  c.OnReport(0, 1, 3, 0);
+  c.OnReport(0, 2, 2, 0);
+  EXPECT_EQ(c.SlotsOf(0), 0) << "two reports prove nothing";
+  for (const double taken : {3.0, 4.0, 4.0, 3.0, 4.0, 4.0}) c.OnReport(0, 1, taken, 1);
+  EXPECT_EQ(c.SlotsOf(0), 5);
+  EXPECT_EQ(c.SlotsOf(1), 5) << "a kind of which nothing is known is taken for like the others";
+  c.OnReport(0, 1, 8, 1);
+  EXPECT_EQ(c.SlotsOf(0), 5) << "a single figure strays";
+  for (const double odd : {-1.0, 0.0, 1e9, std::nan("")}) c.OnReport(1, odd, 0, 1);
+  EXPECT_EQ(c.SlotsOf(1), 5);
+  for (int i = 0; i < 12; ++i) c.OnReport(0, 3, 0, 200);
+  EXPECT_EQ(c.SlotsOf(0), 3) << "a release may bring smaller ones";
 }
 
 // With none free, what is out there may wait: the least of such sums is a bound.
 TEST(CapacityEstimator, OfAKindThatIsNeverSeenWithAFreeSlotIsBounded) {
   CapacityEstimator c;
-  for (const double taken : {7.0, 4.0, 9.0}) c.Told(0, 0, taken, 0);
-  EXPECT_EQ(c.Of(0), 4);
-  for (int i = 0; i < 3; ++i) c.Told(0, 2, 3, 0);
-  EXPECT_EQ(c.Of(0), 5) << "better is known now";
+  for (const double taken : {7.0, 4.0, 9.0}) c.OnReport(0, 0, taken, 0);
+  EXPECT_EQ(c.SlotsOf(0), 4);
+  for (int i = 0; i < 3; ++i) c.OnReport(0, 2, 3, 0);
+  EXPECT_EQ(c.SlotsOf(0), 5) << "better is known now";
 }
 
 TEST(ResourceIndex, FindsWhateverLookingAtAllWouldFind) {
@@ -92,8 +92,8 @@
 
 struct Bench {
   explicit Bench(Options options = {}) : scheduler(options, 1) {
-    scheduler.runtimes().Expect(kSmall, 0.5);
-    scheduler.runtimes().Expect(kLarge, 3);
+    scheduler.runtimes().SetPrior(kSmall, 0.5);
+    scheduler.runtimes().SetPrior(kLarge, 3);
     scheduler.SetTenants({0.5, 0.5});
   }
   void Workers(int n, double slots, double memory) {
@@ -102,10 +102,10 @@
   void Set(int w, double slots, double memory, bool usable = true, double others = 0) {
     scheduler.SetWorker(static_cast<std::size_t>(w), {.kind = 0,
                                                       .usable = usable,
-                                                      .cold = false,
+                                                      .warming_up = false,
                                                       .capacity = {slots, memory},
-                                                      .told = true,
-                                                      .others = others});
+                                                      .capacity_reported = true,
+                                                      .other_slots = others});
   }
   Job Make(int cls, Resources need, int tenant = 0) {
     Job job;
@@ -128,16 +128,16 @@
     }
     return w;
   }
-  void Start(Handle job, int w) {
+  void Start(JobHandle job, int w) {
     scheduler.OnStarted(jobs.at(job), static_cast<std::size_t>(w), now);
     at[job] = w;
   }
-  void End(Handle job) {
+  void End(JobHandle job) {
     scheduler.OnEnded(job, static_cast<std::size_t>(at.at(job)), 1);
     at.erase(job);
   }
-  std::vector<Handle> RunWhatMay() {
-    std::vector<Handle> started;
+  std::vector<JobHandle> RunWhatMay() {
+    std::vector<JobHandle> started;
     while (const auto s = scheduler.Next(now)) {
       Start(s->job, static_cast<int>(s->worker));
       started.push_back(s->job);
@@ -146,9 +146,9 @@
   }
   Scheduler scheduler;
   double now = 0;
-  Handle last = 0;
-  std::map<Handle, Job> jobs;
-  std::map<Handle, int> at;
+  JobHandle last = 0;
+  std::map<JobHandle, Job> jobs;
+  std::map<JobHandle, int> at;
 };
 
 TEST(Scheduler, HoldsRoomForALargeJobWhileSmallOnesFillTheGaps) {
@@ -173,17 +173,17 @@
   EXPECT_EQ(b.scheduler.stats().backfilled, 1u);
   b.End(shorter.handle);
   b.End(two.handle);
-  EXPECT_EQ(b.RunWhatMay(), std::vector<Handle>{large.handle});
+  EXPECT_EQ(b.RunWhatMay(), std::vector<JobHandle>{large.handle});
   EXPECT_EQ(b.scheduler.ReservedSlots(0), 0);
   b.End(large.handle);
-  EXPECT_EQ(b.RunWhatMay(), std::vector<Handle>{later.handle});
+  EXPECT_EQ(b.RunWhatMay(), std::vector<JobHandle>{later.handle});
 }
 
 // What is left beside the large job once it starts is anybody's, however long they run.
 TEST(Scheduler, FillsWhatIsLeftBesideTheLargeJob) {
   Bench b;
   b.Workers(1, 4, 4);
-  std::vector<Handle> small;
+  std::vector<JobHandle> small;
   for (int i = 0; i < 4; ++i) {
     small.push_back(b.Make(kSmall, {1, 1}).handle);
     b.Arrive(b.jobs.at(small.back()));
@@ -209,7 +209,7 @@
   b.RunWhatMay();
   const int held = b.scheduler.ReservedSlots(0) > 0 ? 0 : 1;
   b.End(b.at.at(first.handle) == held ? second.handle : first.handle);
-  EXPECT_EQ(b.RunWhatMay(), std::vector<Handle>{large.handle}) << "no reservation makes it wait";
+  EXPECT_EQ(b.RunWhatMay(), std::vector<JobHandle>{large.handle}) << "no reservation makes it wait";
   EXPECT_EQ(b.scheduler.stats().broken_reservations, 1u);
 }
 
@@ -233,7 +233,7 @@
   for (const auto& [job, w] : std::map(b.at)) {
     if (w == moved) b.End(job);
   }
-  EXPECT_EQ(b.RunWhatMay(), std::vector<Handle>{large.handle});
+  EXPECT_EQ(b.RunWhatMay(), std::vector<JobHandle>{large.handle});
 }
 
 TEST(Scheduler, FreesHeldRoomWhenItsJobLeaves) {
@@ -250,7 +250,7 @@
   b.now = 0.1;
   EXPECT_EQ(b.Arrive(small), -1);
   b.scheduler.Dequeue(large.handle);
-  EXPECT_EQ(b.RunWhatMay(), std::vector<Handle>{small.handle}) << "in the same turn";
+  EXPECT_EQ(b.RunWhatMay(), std::vector<JobHandle>{small.handle}) << "in the same turn";
   EXPECT_EQ(b.scheduler.stats().reserved_slots, 0);
 }
 
@@ -260,7 +260,8 @@
   EXPECT_FALSE(b.scheduler.FitsNoWorker(b.Make(kLarge, {4, 4})));
   EXPECT_TRUE(b.scheduler.FitsNoWorker(b.Make(kLarge, {5, 1})));
   EXPECT_TRUE(b.scheduler.FitsNoWorker(b.Make(kLarge, {1, 4.5})));
-  b.scheduler.SetWorker(2, {.kind = 0, .usable = true, .capacity = {2, 2}, .told = false});
+  b.scheduler.SetWorker(
+      2, {.kind = 0, .usable = true, .capacity = {2, 2}, .capacity_reported = false});
   EXPECT_FALSE(b.scheduler.FitsNoWorker(b.Make(kLarge, {5, 1}))) << "a learned one may be wrong";
   EXPECT_EQ(b.scheduler.FindWorker(b.Make(kLarge, {5, 1}), 0), 2) << "tried at an idle one";
 }
@@ -299,7 +300,7 @@
   EXPECT_TRUE(b.RunWhatMay().empty());
   b.now = 1.1;
   b.scheduler.Tick(b.now);
-  EXPECT_EQ(b.RunWhatMay(), std::vector<Handle>{small.handle});
+  EXPECT_EQ(b.RunWhatMay(), std::vector<JobHandle>{small.handle});
   EXPECT_EQ(b.scheduler.stats().broken_reservations, 1u);
   b.now = 2.2;
   b.scheduler.Tick(b.now);
@@ -313,7 +314,7 @@
   Bench b(options);
   b.scheduler.SetTenants({0.8, 0.2});
   b.Workers(20, 1, 1);
-  std::vector<Handle> running;
+  std::vector<JobHandle> running;
   for (int i = 0; i < 20; ++i) {
     running.push_back(b.Make(kSmall, {1, 1}).handle);
     b.Arrive(b.jobs.at(running.back()));
@@ -324,7 +325,7 @@
   for (int i = 0; i < 5; ++i) b.Arrive(b.Make(kLarge, {1, 1}, 0));
   b.RunWhatMay();
   EXPECT_EQ(b.scheduler.stats().reserved_slots, 9);
-  b.scheduler.SetPart(0.25);  // other nodes hold their parts
+  b.scheduler.SetReservationShare(0.25);  // other nodes hold their parts
   b.Arrive(b.Make(kLarge, {1, 1}, 0));
   b.RunWhatMay();
   EXPECT_EQ(b.scheduler.stats().reserved_slots, 9) << "no more than a quarter of ten from here on";
@@ -361,7 +362,7 @@
   const Job old = b.Make(kSmall, {1, 1});
   b.Arrive(old);
   b.now = 5;  // far too late for it
-  Handle at = running.handle;
+  JobHandle at = running.handle;
   int turns = 0;
   for (; b.scheduler.IsQueued(old.handle) && turns < 40; ++turns) {
     b.Arrive(b.Make(kSmall, {1, 1}));
@@ -379,8 +380,11 @@
   options.local_zone_wait_s = 0.1;
   Bench b(options);
   b.Workers(1, 10, 10);  // jobs of a second: it frees one slot in that time
-  b.scheduler.SetWorker(1,
-                        {.kind = 0, .usable = true, .far = true, .capacity = {4, 4}, .told = true});
+  b.scheduler.SetWorker(1, {.kind = 0,
+                            .usable = true,
+                            .remote_zone = true,
+                            .capacity = {4, 4},
+                            .capacity_reported = true});
   std::vector<Job> jobs;
   for (int i = 0; i < 10; ++i) {
     jobs.push_back(b.Make(kSmall, {1, 1}));
@@ -390,13 +394,13 @@
   EXPECT_EQ(b.Arrive(waits), -1);
   EXPECT_TRUE(b.RunWhatMay().empty());
   b.End(jobs[0].handle);
-  EXPECT_EQ(b.RunWhatMay(), std::vector<Handle>{waits.handle});
+  EXPECT_EQ(b.RunWhatMay(), std::vector<JobHandle>{waits.handle});
   EXPECT_EQ(b.at.at(waits.handle), 0);
   const Job patient = b.Make(kSmall, {1, 1});
   EXPECT_EQ(b.Arrive(patient), -1);
   b.now = 0.11;
   b.scheduler.Tick(b.now);
-  EXPECT_EQ(b.RunWhatMay(), std::vector<Handle>{patient.handle}) << "it has waited long enough";
+  EXPECT_EQ(b.RunWhatMay(), std::vector<JobHandle>{patient.handle}) << "it has waited long enough";
   EXPECT_EQ(b.at.at(patient.handle), 1);
   EXPECT_EQ(b.Arrive(b.Make(kSmall, {1, 1})), -1);
   EXPECT_TRUE(b.RunWhatMay().empty());
@@ -422,11 +426,11 @@
     usable.push_back(true);
     b.Set(w, capacity.back().slots, capacity.back().memory);
   }
-  std::set<Handle> waiting;
-  std::map<Handle, double> ends;
+  std::set<JobHandle> waiting;
+  std::map<JobHandle, double> ends;
   std::size_t started = 0, left = 0, refused = 0, came = 0;
   const auto run = [&] {
-    for (const Handle job : b.RunWhatMay()) {
+    for (const JobHandle job : b.RunWhatMay()) {
       ASSERT_EQ(waiting.erase(job), 1u) << "started twice or never waited";
       ++started;
       ends[job] = b.now + 0.1 * (1 + below(9)) * wrong;
@@ -476,7 +480,7 @@
     for (std::size_t w = 0; w < capacity.size(); ++w) {
       ASSERT_TRUE(used[w].Within(capacity[w])) << "seed " << seed << " step " << step;
       if (!usable[w] || b.scheduler.ReservedSlots(w) > 0) continue;
-      for (const Handle job : waiting) {
+      for (const JobHandle job : waiting) {
         ASSERT_FALSE(b.jobs.at(job).need.Within(capacity[w] - used[w]))
             << "seed " << seed << " step " << step << " job " << job
             << " waits before an open worker";
