--- a/bench/scale/planner_fixture.cpp
+++ b/bench/scale/planner_fixture.cpp
@@ -12,12 +12,11 @@
 }  // namespace
 
 PlannerFixture::PlannerFixture(int workers, std::uint64_t seed) : members_(Workers(workers)) {
-  Planner::Hooks hooks;
-  hooks.now = [this] { return now_; };
   scheduling::Options scheduling_options;
   scheduling_options.on = true;
+  PlannerEnvironment* environment = this;
   planner_ = std::make_unique<Planner>(FleetSettings(kDispatchers, kTenants), seed, &deadlines_,
-                                       hooks, &counters_, scheduling_options);
+                                       environment, &counters_, scheduling_options);
   planner_->NameClasses({"plain", "keyed"}, {true, true});
   forwarder_ = planner_->AddForwarder(this, true);
   planner_->Start({});
--- a/bench/scale/planner_fixture.h
+++ b/bench/scale/planner_fixture.h
@@ -11,7 +11,7 @@
 
 namespace millethollow::scale {
 
-class PlannerFixture final : private ForwarderPort {
+class PlannerFixture final : private ForwarderPort, private PlannerEnvironment {
  public:
   PlannerFixture(int workers, std::uint64_t seed);
 
@@ -35,6 +35,8 @@
   void Probe(const std::string& worker) override;
   void Answer(RequestId id, const FinalAnswer& answer) override;
 
+  double Now() override { return now_; }
+
   double now_ = 1000;
   Deadlines deadlines_;
   Counters counters_;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -6,9 +6,9 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
+#include "config/address.h"
 #include "config/cluster.h"
 #include "config/scheduling.h"
-#include "net/connection.h"
 #include "simulator_adapter/adapter.h"
 
 namespace millethollow {
--- a/src/config/haproxy.cpp
+++ b/src/config/haproxy.cpp
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "net/connection.h"
+#include "config/address.h"
 
 namespace millethollow {
 namespace {
--- a/src/core/deadlines.h
+++ b/src/core/deadlines.h
@@ -1,4 +1,4 @@
-// All deadlines and module timers, in one sorted structure that the loop sweeps each turn.
+// Timers, in one sorted structure that the loop sweeps each turn.
 #ifndef MILLETHOLLOW_CORE_DEADLINES_H_
 #define MILLETHOLLOW_CORE_DEADLINES_H_
 
@@ -10,21 +10,25 @@
 
 namespace millethollow {
 
+// Times are seconds on the loop's clock. Not thread-safe.
 class Deadlines {
  public:
-  using Ticket = std::pair<double, std::uint64_t>;  // when, and the order of setting
+  using Ticket = std::pair<double, std::uint64_t>;  // due time, and a serial number
   static constexpr Ticket kNone{0, 0};
 
+  // Runs `what` once, at the first sweep from `when` on. Those with equal times run in the order of
+  // these calls.
   Ticket At(double when, std::function<void()> what) {
     const Ticket ticket{when, ++order_};
     entries_.emplace(ticket, std::move(what));
     return ticket;
   }
+  // Cancels it, if it has not run, and sets the ticket to kNone.
   void Drop(Ticket* ticket) {
     entries_.erase(*ticket);
     *ticket = kNone;
   }
-  // Runs what is due. What a deadline sets anew waits for the next turn, so a sweep always ends.
+  // Runs all that are due. Those set meanwhile wait for the next sweep, so that a sweep ends.
   void Sweep(double now) {
     const std::uint64_t last = order_;
     for (auto it = entries_.begin(); it != entries_.end() && it->first.first <= now;) {
@@ -35,9 +39,10 @@
       const auto what = std::move(it->second);
       entries_.erase(it);
       what();
-      it = entries_.begin();  // `what` may have dropped any of them
+      it = entries_.begin();  // `what` may have dropped any
     }
   }
+  // The earliest due time.
   std::optional<double> Next() const {
     if (entries_.empty()) return std::nullopt;
     return entries_.begin()->first.first;
--- a/src/core/demand_meter.h
+++ b/src/core/demand_meter.h
@@ -1,5 +1,4 @@
-// How much is asked for of each tenant, counted as it comes in. Quick where demand moves, and
-// steady where it only strays by chance: leases follow it, and need not swing with it.
+// Measures each tenant's demand: requests per second that arrive, whether admitted or not.
 #ifndef MILLETHOLLOW_CORE_DEMAND_METER_H_
 #define MILLETHOLLOW_CORE_DEMAND_METER_H_
 
@@ -9,11 +8,14 @@
 
 namespace millethollow {
 
+// Two exponential means: the steady one is used until the quick one differs by more than chance, so
+// that quota leases follow a change at once but don't follow noise. Times are seconds on the
+// caller's clock.
 class DemandMeter {
  public:
   explicit DemandMeter(std::size_t tenants) : tenants_(tenants) {}
 
-  // A request came in, whatever is done with it.
+  // A request of the tenant arrived. Unknown tenants are ignored.
   void Count(double now, std::size_t tenant) {
     if (tenant >= tenants_.size()) return;
     Means& means = tenants_[tenant];
@@ -24,22 +26,22 @@
 
   // By tenant, in requests per second.
   std::vector<double> Rates(double now) {
-    std::vector<double> all;
-    all.reserve(tenants_.size());
+    std::vector<double> rates;
+    rates.reserve(tenants_.size());
     for (Means& means : tenants_) {
       Decay(now, &means);
-      if (std::abs(means.quick - means.steady) > kStray * Stray(means.steady)) {
+      const double difference = std::abs(means.quick - means.steady);
+      if (difference > kMaxDeviations * StandardDeviation(means.steady)) {
         means.steady = means.quick;
       }
-      all.push_back(means.steady);
+      rates.push_back(means.steady);
     }
-    return all;
+    return rates;
   }
 
  private:
-  static constexpr double kQuickS = 0.6, kSteadyS = 2.0;  // over which each mean fades
-  // The quick mean counts where it is this many standard deviations off the steady one.
-  static constexpr double kStray = 2.0;
+  static constexpr double kQuickS = 0.6, kSteadyS = 2.0;  // time constants
+  static constexpr double kMaxDeviations = 2.0;           // a larger difference is not chance
 
   struct Means {
     double quick = 0, steady = 0, at = 0;
@@ -50,8 +52,8 @@
     means->steady *= std::exp(-span / kSteadyS);
     means->at = now;
   }
-  // The standard deviation of the quick mean of a Poisson stream.
-  static double Stray(double rate) { return std::sqrt(rate / (2 * kQuickS)); }
+  // Of the quick mean, for Poisson arrivals.
+  static double StandardDeviation(double rate) { return std::sqrt(rate / (2 * kQuickS)); }
 
   std::vector<Means> tenants_;
 };
--- a/src/core/durable_jobs.h
+++ b/src/core/durable_jobs.h
@@ -1,5 +1,6 @@
-// What a front needs of whoever keeps promises beyond this process (a cluster's copies), and what
-// that needs of the front. No wire, no I/O.
+// Durable jobs: background jobs that are run to their end although no client waits, by whichever
+// process survives. The interface between a front, which takes them in and runs them, and the store
+// that replicates them over the cluster.
 #ifndef MILLETHOLLOW_CORE_DURABLE_JOBS_H_
 #define MILLETHOLLOW_CORE_DURABLE_JOBS_H_
 
@@ -12,39 +13,45 @@
 
 namespace millethollow {
 
-// A job that is to be done though nobody waits for it.
 struct DurableJob {
-  std::string handle;   // unique in the cluster for ever
-  std::string wire_id;  // of this round: a worker takes a name once
+  std::string handle;   // never used again in the cluster
+  std::string wire_id;  // new for each run: a worker takes an id once
   std::string function, unique, cls, tenant, body;
   int priority = 1;  // 0 high, 1 normal, 2 low
-  std::vector<PriorAttempt> tried;
+  std::vector<PriorAttempt> prior_attempts;
 };
 
+// The store. All calls and callbacks are on the loop's thread.
 class DurableJobs {
  public:
-  // `refusal`: empty, and it is promised, under that handle; or a word for why not, with the time
-  // (seconds) to come back after.
+  // With an empty `refusal` the job is durable, under that handle. Else it is not kept: `refusal`
+  // is a reason for the log, and `retry_after_s` when to try again.
   using Then = std::function<void(const std::string& handle, std::string_view refusal,
                                   double retry_after_s)>;
+
   virtual ~DurableJobs() = default;
-  // One of the same function and unique id that is promised already is the same job.
+  // Calls `then` once it is replicated. A job with the function and unique id of another one here
+  // is the same job.
   virtual void Accept(DurableJob job, Then then) = 0;
-  // The handle of a promised job; empty: none such here.
+  // The handle of the job with these; empty: none here.
   virtual std::string Find(std::string_view function, std::string_view unique) const = 0;
   virtual bool Has(std::string_view handle) const = 0;
-  // Somebody waits for it now: it is run at once if it does not run.
+  // A client waits for it now: runs it at once unless it runs already.
   virtual void RunNow(const std::string& handle) = 0;
-  // May this process act for the job now? To be asked right before it does.
+  // Whether this process may act for the job. To be asked right before each action, since another
+  // process may have taken the job over.
   virtual bool MayAct(const std::string& handle) const = 0;
+  // A run of it has ended.
   virtual void Complete(const std::string& handle, const FinalAnswer& answer) = 0;
 };
 
+// The front, as the store sees it.
 class DurableJobRunner {
  public:
   virtual ~DurableJobRunner() = default;
+  // Ends with DurableJobs::Complete.
   virtual void Run(const DurableJob& job) = 0;
-  // It is another process's now: whatever is under way for it here is broken off.
+  // Another process has taken the job over: ends the run here, without Complete.
   virtual void Abort(const std::string& handle) = 0;
 };
 
--- a/src/core/planner.h
+++ b/src/core/planner.h
@@ -1,143 +1,133 @@
-// The planner: owns the decision module, maps events and actions, and keeps the ledger that gives
-// each request exactly one final answer. Its checks are a last line; policy is the module's.
+// The planner: owns the balancer and turns what forwarders, discovery, peers and operators report
+// into its events, and its actions into commands.
 #ifndef MILLETHOLLOW_CORE_PLANNER_H_
 #define MILLETHOLLOW_CORE_PLANNER_H_
 
-#include <deque>
+#include <cstdint>
 #include <functional>
 #include <map>
-#include <memory>
+#include <optional>
 #include <set>
 #include <string>
 #include <string_view>
-#include <unordered_map>
-#include <unordered_set>
 #include <vector>
 
 #include "core/deadlines.h"
 #include "core/demand_meter.h"
+#include "core/dispatch_check.h"
+#include "core/event_queue.h"
+#include "core/planner_environment.h"
 #include "core/planner_link.h"
 #include "core/request.h"
+#include "core/request_ledger.h"
+#include "core/worker_registry.h"
 #include "millethollow/balancing/load_balancer.h"
 #include "scheduling/scheduling_balancer.h"
 
 namespace millethollow {
 
+// Invariants: each accepted request gets exactly one final answer, or none once its client has
+// cancelled it. Each attempt has exactly one outcome. The balancer gets one event at a time: what
+// its actions set off is queued.
+//
+// Not thread-safe: all calls come from the loop's thread.
 class Planner {
  public:
-  // The ways out that are not forwarders.
-  struct Hooks {
-    std::function<double()> now;
-    std::function<void(bool)> subscribe = [](bool) {};
-    std::function<void()> fetch_list = [] {};
-    // While the list is overdue nothing is sent by it: sends wait for the next word of it.
-    std::function<bool()> list_overdue = [] { return false; };
-    std::function<void(int, const std::string&)> tell_peer = [](int, const std::string&) {};
-    std::function<void(const std::string&)> log = [](const std::string&) {};
-    std::function<balancing::FleetShare()> parts;  // where nodes agree on them; none: no cluster
-    std::function<void(const std::string&)> took = [](const std::string&) {};  // a Request-Id
-    // Before an attempt for a promise (its handle) goes out; `own`: the worker is one that
-    // connected here by itself. It may once `then(true)` comes, at once or later; `repeatable`: it
-    // may be made twice. None: there are no promises.
-    std::function<void(const std::string& promise, const std::string& worker, bool own,
-                       bool repeatable, std::function<void(bool)> then)>
-        before_send = {};
-  };
+  using WorkerSnapshot = millethollow::WorkerSnapshot;
 
+  // `deadlines`, `environment` and `counters` must outlive the planner.
   Planner(const balancing::Settings& settings, std::uint64_t seed, Deadlines* deadlines,
-          Hooks hooks, Counters* counters, const scheduling::Options& options = {});
+          PlannerEnvironment* environment, Counters* counters,
+          const scheduling::Options& options = {});
+  Planner(const Planner&) = delete;
+  Planner& operator=(const Planner&) = delete;
 
-  // Tells the module that it lives and what it last knew. Call once, before anything else.
+  // Starts the balancer with the endpoints that were known last. Call once, before any other
+  // event, but after ImportState.
   void Start(const std::vector<balancing::Endpoint>& known);
-  // A forwarder takes part from now on; its requests carry the number returned. In process, its
-  // word of a start cannot be under way while we decide.
+
+  // Returns the number that stands in the ids of the forwarder's requests. `in_process`: its
+  // reports arrive at once, so that an attempt without one has not started. `port` must stay valid
+  // until OnForwarderLost.
   std::uint64_t AddForwarder(ForwarderPort* port, bool in_process);
-  // The forwarder is gone, and with it all of its clients and connections.
+  // With it go its clients and the workers that are connected to it.
   void OnForwarderLost(std::uint64_t forwarder);
 
+  // Events of forwarders: see PlannerLink.
   void OnRequest(const Request& request);
   void OnRequestCancelled(RequestId id);
   void OnAttemptStarted(RequestId id, int attempt);
   void OnAttemptEnded(RequestId id, int attempt, const Outcome& outcome);
   void OnProbeAnswered(const std::string& worker, const Outcome& outcome);
-  void OnLocalWorkerChanged(std::uint64_t forwarder, const balancing::Endpoint& member);
+  void OnLocalWorkerChanged(std::uint64_t forwarder, const balancing::Endpoint& endpoint);
+
+  // From discovery. `endpoints` is ignored for kUnavailable.
   void OnEndpointsUpdated(balancing::EndpointListKind kind,
-                          const std::vector<balancing::Endpoint>& members);
+                          const std::vector<balancing::Endpoint>& endpoints);
   void OnPeerMessage(int sender, const std::string& body);
-  // An operator takes a worker out of service, or puts it back. The state stands over whatever
-  // lists say; one call back undoes any number out. False if no such worker was ever listed.
+  // Another member of the cluster reports that the worker's process that started at `started_at_s`
+  // (Unix time) drains or is gone.
+  void OnPeerWorkerDown(const std::string& worker, double started_at_s, bool gone);
+
+  // An operator takes a worker out of service or puts it back, whatever lists say. False: no such
+  // worker was ever listed.
   bool SetMaintenance(const std::string& worker, bool out);
-  // The names of the classes, by index; those not live only open requests have.
+
+  // Configuration. The names of the classes, by index; those that are not live are only those of
+  // open requests.
   void NameClasses(std::vector<std::string> names, std::vector<bool> live);
-  int ClassIndex(const std::string& name) const;  // -1: none
-  // Other settings under load: open requests keep their class, and so its rules, and the number of
-  // attempts that they came with.
+  // Open requests keep their class, and so its rules, and their limit of attempts. `added`: the
+  // classes that are new.
   void Configure(const balancing::Settings& settings, std::vector<std::string> names,
-                 std::vector<bool> live, std::vector<int> begun);
-  // Other bounds on the waiting room and on what is held; open requests that wait go on waiting.
+                 std::vector<bool> live, std::vector<int> added);
+  // Jobs in the queue stay there.
   void Configure(const scheduling::Options& options) { balancer_.Configure(options); }
-  bool InUse(int cls) const;  // by an open request
+  bool InUse(int cls) const { return ledger_.UsesClass(cls); }  // by an open request
+  int ClassIndex(const std::string& name) const;                // -1: no live class has the name
+  const std::string& class_name(int cls) const {
+    return class_names_[static_cast<std::size_t>(cls)];
+  }
+  const balancing::Settings& settings() const { return settings_; }
 
-  // While a process is replaced, two planners are one. What is known of a worker goes from the
-  // old one to the new: when a drain was told or it was taken out, each -1 if it was not.
-  struct WorkerSnapshot {
-    balancing::Endpoint member;
-    double drain_told_at = -1, out_since = -1;
-  };
-  std::vector<WorkerSnapshot> ExportWorkers() const;
-  // Before Start: what the other knew, and what its module had learned.
-  void ImportState(const std::vector<WorkerSnapshot>& known, std::string_view learned,
-                   const std::vector<int>& classes);
+  // Hot restart: while a process is replaced, two planners serve as one.
+  std::vector<WorkerSnapshot> ExportWorkers() const { return workers_.Export(); }
   std::string SaveState() const { return balancer_.SaveState(); }
-  std::vector<std::string> WireIds() const;         // all that may not come again
-  void MarkWireIdUsed(const std::string& wire_id);  // by the other
+  std::vector<std::string> WireIds() const { return ledger_.WireIds(); }
+  // Before Start. `balancer_state`: as of SaveState. `classes`: for each class here, its index
+  // there, or -1.
+  void ImportState(const std::vector<WorkerSnapshot>& workers, std::string_view balancer_state,
+                   const std::vector<int>& classes);
+  void MarkWireIdUsed(const std::string& wire_id) { ledger_.MarkWireIdUsed(wire_id); }
   void OnSiblingProcess(bool present, bool leaving);
-  // The other was told that a worker drains or is gone: so were we, unless we know a later start.
-  void OnSiblingWorkerDown(const balancing::Endpoint& member);
-  // The same from another node, which names the start that it speaks of.
-  void OnPeerWorkerDown(const std::string& worker, double started_at_s, bool gone);
-  bool HasWorker(const std::string& worker) const { return workers_.contains(worker); }
+  // The sibling knows that a worker drains or is gone. Ignored if a later start is known here.
+  void OnSiblingWorkerDown(const balancing::Endpoint& endpoint);
 
+  // Figures.
+  bool HasWorker(const std::string& worker) const { return workers_.Find(worker) != nullptr; }
+  WorkerRegistry::Counts CountWorkers() const;
   std::size_t open_requests() const { return ledger_.size(); }
+  std::size_t pending() const { return pending_; }  // accepted, without a final answer yet
   const scheduling::SchedulingBalancer& balancer() const { return balancer_; }
-  // By tenant: requests per second that came in lately, whether they were let in or not. What a
-  // client marks as sent again counts once. The module's own measure is smoothed for longer, and
-  // the more so the larger the tier.
-  std::vector<double> TenantDemand() { return demand_.Rates(hooks_.now()); }
-  const std::string& class_name(int cls) const {
-    return class_names_[static_cast<std::size_t>(cls)];
-  }
-  std::size_t pending() const { return pending_; }  // taken and without a final answer yet
-  // Workers on the list, and those of them that nothing new goes to.
-  std::pair<std::size_t, std::size_t> Members() const;
-  const balancing::Settings& settings() const { return settings_; }
+  // By tenant: requests per second that arrived lately, whether admitted or not, without those that
+  // a client marks as its retry. Follows demand faster than the balancer's own measure.
+  std::vector<double> TenantDemand() { return demand_.Rates(environment_->Now()); }
 
  private:
-  struct Attempt {
+  // An attempt that waits for a current endpoint list.
+  struct DeferredAttempt {
+    RequestId id;
+    std::size_t attempt;
     std::string worker;
-    double sent_at = 0;
-    bool open = true, may_have_run = true;
-    bool began = false;  // word has come that it runs
-    bool held = false;   // it waits for a promise to be written, or for the list
-  };
-  struct Entry {
-    int cls = 0, max_attempts = 1;
-    std::string wire_id, promise;
-    bool answered = false;
-    std::vector<Attempt> attempts;
-    Deadlines::Ticket expiry = Deadlines::kNone;
-    bool MayHaveRun() const;
-  };
-  struct Worker {
-    balancing::Endpoint member;
-    double drain_told_at = -1;    // when it was first told to drain or be gone; -1: in service
-    std::uint64_t forwarder = 0;  // owner, for one that connects by itself
-    bool local = false;
-    double out_since = -1;  // when an operator took it out; -1: in service
+    double timeout_s;
   };
 
-  void Post(std::function<void()> event);
+  // Events to the balancer.
   void Deliver(const balancing::Event& event);
+  void DeliverRequest(const Request& request, std::vector<balancing::PreviousAttempt> tried);
+  void PostCancelled(RequestId id);
+  void UpdateFleetShare();
+
+  // Actions of the balancer, by type.
   void Do(const balancing::SendAttempt& a);
   void Do(const balancing::RejectRequest& a);
   void Do(const balancing::FailRequest& a);
@@ -145,85 +135,65 @@
   void Do(const balancing::SetTimer& a);
   void Do(const balancing::Probe& a);
   void Do(const balancing::SendPeerMessage& a);
-  void Do(const balancing::Subscribe& a);
-  void Do(const balancing::FetchEndpoints& a);
-  void Do(const balancing::AwaitCapacity&) {}  // the desk keeps it
-  void Do(const balancing::Log& a);
-
-  Entry* Find(RequestId id);
-  Entry* Find(const std::string& name, RequestId* id);
-  ForwarderPort* PortOf(RequestId id);
-  // `itself`: the attempt that is asked about, where it is in the entry already.
-  const char* WhyNot(const Entry& entry, RequestId id, const std::string& worker,
-                     std::size_t itself = static_cast<std::size_t>(-1)) const;
-  const char* WhyNotAgain(const Attempt& before, const balancing::ClassSettings& cls,
-                          const Worker& worker_state) const;
-  bool TakeUp(const Request& request, Entry* entry, std::vector<balancing::PreviousAttempt>* tried);
-  bool Repeatable(int cls) const;
-  void ListCame();
+  void Do(const balancing::Subscribe& a) { environment_->Subscribe(a.enable); }
+  void Do(const balancing::FetchEndpoints&) { environment_->FetchEndpoints(); }
+  void Do(const balancing::AwaitCapacity&) {}  // SchedulingBalancer keeps it
+  void Do(const balancing::Log& a) { environment_->Log(a.line); }
+
+  ForwarderPort* PortOf(RequestId id) const;  // null: the forwarder is gone
+  const balancing::ClassSettings& ClassOf(const LedgerEntry& entry) const {
+    return settings_.classes[static_cast<std::size_t>(entry.cls)];
+  }
+  bool IsIdempotent(const LedgerEntry& entry) const;
+
+  // Sending.
+  bool AddPriorAttempts(const Request& request, LedgerEntry* entry,
+                        std::vector<balancing::PreviousAttempt>* tried) const;
+  std::optional<BlockReason> CheckSend(const LedgerEntry& entry, RequestId id,
+                                       const std::string& worker, std::size_t attempt) const;
+  void RecordThenDispatch(RequestId id, std::size_t attempt, const std::string& worker,
+                          double timeout_s);
+  void DispatchDeferred();
   void Dispatch(RequestId id, std::size_t attempt, const std::string& worker, double timeout_s);
-  void End(RequestId id, Entry* entry, std::size_t attempt, const Outcome& outcome);
-  bool SurelyWaiting(RequestId id, const Attempt& attempt) const;
-  void Answer(RequestId id, Entry* entry, FinalAnswer answer);
+  void BlockAttempt(RequestId id, LedgerEntry* entry, std::size_t attempt, BlockReason reason);
+
+  // Ends.
+  void EndAttempt(RequestId id, LedgerEntry* entry, std::size_t attempt, const Outcome& outcome);
+  void CancelOpenAttempt(RequestId id, LedgerEntry* entry, std::size_t attempt,
+                         AttemptStatus status_if_started);
+  void OnAttemptTimeout(RequestId id, std::size_t attempt);
+  bool SurelyNotStarted(RequestId id, const LedgerAttempt& attempt) const;
+  void Answer(RequestId id, LedgerEntry* entry, FinalAnswer answer);
+  void CountAnswer(const LedgerEntry& entry, FinalAnswer::Kind kind);
   void Expire(RequestId id);
-  void Forget(RequestId id);
-  void Note(const balancing::Endpoint& member, bool local, std::uint64_t forwarder);
-  void RememberId(std::string wire_id);
-  void ForgetWhatTheModuleForgot();
+  void EraseLater(RequestId id);
+
+  void ForgetGoneWorkers();
 
   balancing::Settings settings_;
-  scheduling::SchedulingBalancer balancer_;  // the module, with the scheduler before it
+  scheduling::SchedulingBalancer balancer_;
   Deadlines* deadlines_;
-  Hooks hooks_;
+  PlannerEnvironment* environment_;
   Counters* counters_;
+
+  EventQueue queue_;
+  RequestLedger ledger_;
+  WorkerRegistry workers_;
+  DispatchCheck dispatch_check_{&settings_, &workers_};
+  std::vector<DeferredAttempt> deferred_;
+
   std::map<std::uint64_t, ForwarderPort*> forwarders_;
-  std::set<std::uint64_t> in_process_;
-  std::uint64_t next_forwarder_ = 0;
-  std::unordered_map<RequestId, Entry> ledger_;
-  std::unordered_set<std::string> wire_ids_;  // of all in the ledger, and of the last that ended
-  std::deque<std::string> ended_ids_;         // those, in order
-  std::map<std::string, Worker> workers_;
-  struct Waiting {
-    RequestId id;
-    std::size_t attempt;
-    std::string worker;
-    double timeout_s;
-  };
-  std::vector<Waiting> waiting_;  // sends, for the list
-  std::deque<std::function<void()>> queue_;
-  bool running_ = false;
-  balancing::FleetShare parts_;  // as last agreed on, where nodes do
-  double parts_at_ = 0;
+  std::set<std::uint64_t> in_process_forwarders_;
+  std::uint64_t last_forwarder_ = 0;
+
+  balancing::FleetShare fleet_share_;  // as the balancer has it
+  double fleet_share_at_ = 0;
   DemandMeter demand_;
   std::size_t pending_ = 0;
   std::vector<std::string> class_names_;
   std::vector<bool> class_live_;
 };
 
-// The link for a forwarder in the planner's own process.
-class LocalLink final : public PlannerLink {
- public:
-  LocalLink(Planner* planner, std::uint64_t forwarder) : planner_(planner), me_(forwarder) {}
-  void OnRequest(const Request& request) override { planner_->OnRequest(request); }
-  void OnRequestCancelled(RequestId id) override { planner_->OnRequestCancelled(id); }
-  void OnAttemptStarted(RequestId id, int attempt) override {
-    planner_->OnAttemptStarted(id, attempt);
-  }
-  void OnAttemptEnded(RequestId id, int attempt, const Outcome& o) override {
-    planner_->OnAttemptEnded(id, attempt, o);
-  }
-  void OnProbeAnswered(const std::string& worker, const Outcome& o) override {
-    planner_->OnProbeAnswered(worker, o);
-  }
-  void OnWorkerChanged(const balancing::Endpoint& m) override {
-    planner_->OnLocalWorkerChanged(me_, m);
-  }
-
- private:
-  Planner* planner_;
-  std::uint64_t me_;
-};
-
 }  // namespace millethollow
 
 #endif  // MILLETHOLLOW_CORE_PLANNER_H_
--- a/src/logging/event_log.h
+++ b/src/logging/event_log.h
@@ -1,5 +1,5 @@
-// Structured lines by the registry's logging library, for the parts that tell of changes: a name,
-// then key=value pairs. They go where LogLine's go, in the same form.
+// Log lines by spdlog, for parts that need formatted values. Same stream, form and levels as
+// LogLine.
 #ifndef MILLETHOLLOW_LOGGING_EVENT_LOG_H_
 #define MILLETHOLLOW_LOGGING_EVENT_LOG_H_
 
@@ -11,7 +11,7 @@
 
 namespace millethollow {
 
-// The logger, at the level that the configuration has now.
+// The process's logger, set to the present LogLevel(). Thread-safe.
 spdlog::logger& Events();
 
 }  // namespace millethollow
--- a/src/logging/log.h
+++ b/src/logging/log.h
@@ -1,4 +1,4 @@
-// Logging: iostreams behind a level filter.
+// Log lines to standard error, filtered by level. Form: `event key=value ...`.
 #ifndef MILLETHOLLOW_LOGGING_LOG_H_
 #define MILLETHOLLOW_LOGGING_LOG_H_
 
@@ -11,11 +11,13 @@
 
 enum class Level : std::uint8_t { kError, kWarn, kInfo, kDebug };
 
+// The level of this process: lines of a less important one are dropped.
 inline Level& LogLevel() {
   static Level level = Level::kInfo;
   return level;
 }
 
+// As the configuration has it; kInfo for any other text.
 inline Level ParseLogLevel(std::string_view name) {
   return name == "error"   ? Level::kError
          : name == "warn"  ? Level::kWarn
@@ -23,7 +25,8 @@
                            : Level::kInfo;
 }
 
-// One line, written when it goes out of scope: LogLine(Level::kInfo) << "...".
+// One line, written when the object goes out of scope, after the level's letter (E, W, I, D):
+// LogLine(Level::kInfo) << "config-reloaded name=" << name.
 class LogLine {
  public:
   explicit LogLine(Level level) : on_(level <= LogLevel()) {
@@ -32,7 +35,7 @@
   ~LogLine() {
     if (!on_) return;
     text_ << '\n';
-    std::clog << text_.str() << std::flush;  // in one piece: processes share the stream
+    std::clog << text_.str() << std::flush;  // in one write: processes share the stream
   }
   LogLine(const LogLine&) = delete;
   LogLine& operator=(const LogLine&) = delete;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -3,6 +3,7 @@
 #include <csignal>
 #include <fstream>
 #include <iostream>
+#include <optional>
 #include <sstream>
 #include <string>
 #include <string_view>
@@ -24,11 +25,13 @@
     "       --also FILE: adds the section 'scheduling' to what the platform gives\n"
     "       millethollow import-haproxy FILE    writes an operator's file to standard output";
 
+// Prints an error for the operator. Returns the exit status.
 int Complain(const std::string& why) {
   std::cerr << "millethollow: " << why << std::endl;
   return 1;
 }
 
+// The command `import-haproxy`.
 int Import(const std::string& path) {
   std::ifstream in(path);
   std::stringstream text;
@@ -44,8 +47,9 @@
 int RunNode(const Config& config, Role role, const std::string& path) {
   try {
     millethollow::Node node(config, role);
-    std::string why;
-    if (!node.Start(&why)) return Complain(why);
+    if (const millethollow::Status started = node.Start(); !started) {
+      return Complain(started.error().message);
+    }
     node.CatchSignals(path);
     node.Run();
     node.PrintCounters(std::clog);
@@ -55,46 +59,63 @@
   return 0;
 }
 
-}  // namespace
+struct Arguments {
+  std::string config_path, also_path;
+  bool check_only = false;
+};
 
-int main(int argc, char** argv) {
-  std::string path, also;
-  bool check = false;
-  if (argc == 3 && std::string_view(argv[1]) == "import-haproxy") return Import(argv[2]);
+// None: they are not those of kUsage.
+std::optional<Arguments> ParseArguments(int argc, char** argv) {
+  Arguments arguments;
   for (int i = 1; i < argc; ++i) {
     const std::string_view arg = argv[i];
     if (arg == "--config" && i + 1 < argc) {
-      path = argv[++i];
+      arguments.config_path = argv[++i];
     } else if (arg == "--also" && i + 1 < argc) {
-      also = argv[++i];
+      arguments.also_path = argv[++i];
     } else if (arg == "--check") {
-      check = true;
+      arguments.check_only = true;
     } else {
-      return Complain(std::string(kUsage));
+      return std::nullopt;
     }
   }
-  Config config;
-  config.also = also;
-  std::string why;
-  if (!millethollow::LoadConfig(path, &config, &why)) return Complain(why);
-  if (check) return 0;
-  millethollow::LogLevel() = millethollow::ParseLogLevel(config.log_level);
-  // Held back until someone is there to catch it: a reload that comes early must not end us.
+  return arguments;
+}
+
+// SIGHUP stays blocked until a handler is installed: by default it ends the process.
+void BlockReloadSignal() {
   sigset_t reload;
   sigemptyset(&reload);
   sigaddset(&reload, SIGHUP);
   sigprocmask(SIG_BLOCK, &reload, nullptr);
+}
+
+// For the supervisor: processes that are restarted later use the new file.
+bool Reload(const std::string& path, Config* config) {
+  millethollow::ClassChanges changes;
+  std::string reason;
+  const auto in_use = [](int) { return false; };
+  if (millethollow::ReloadConfig(path, in_use, config, &changes, &reason)) return true;
+  millethollow::LogLine(Level::kError) << "config-rejected reason=\"" << reason << '"';
+  return false;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  if (argc == 3 && std::string_view(argv[1]) == "import-haproxy") return Import(argv[2]);
+  const std::optional<Arguments> arguments = ParseArguments(argc, argv);
+  if (!arguments) return Complain(std::string(kUsage));
+  const std::string& path = arguments->config_path;
+  Config config;
+  config.also = arguments->also_path;
+  std::string reason;
+  if (!millethollow::LoadConfig(path, &config, &reason)) return Complain(reason);
+  if (arguments->check_only) return 0;
+  millethollow::LogLevel() = millethollow::ParseLogLevel(config.log_level);
+  BlockReloadSignal();
   if (config.link.empty()) return RunNode(config, {}, path);
   return millethollow::Supervise(
       config.planners, config.forwarders, [&](Role role) { return RunNode(config, role, path); },
-      // What is started again later starts by the new file.
-      [&] {
-        millethollow::ClassChanges changes;
-        if (millethollow::ReloadConfig(
-                path, [](int) { return false; }, &config, &changes, &why)) {
-          return true;
-        }
-        millethollow::LogLine(Level::kError) << why << "; the old one stays";
-        return false;
-      });
+      [&] { return Reload(path, &config); });
 }
--- a/src/net/cluster/promised_jobs.cpp
+++ b/src/net/cluster/promised_jobs.cpp
@@ -161,7 +161,7 @@
   job.body = record.body;
   job.priority = record.priority;
   for (std::size_t i = 0; i < record.tried.size(); ++i) {
-    job.tried.push_back({record.tried[i].worker, record.tried[i].own, round.ages_s[i]});
+    job.prior_attempts.push_back({record.tried[i].worker, record.tried[i].own, round.ages_s[i]});
   }
   if (runner_ != nullptr) return runner_->Run(job);
   loop_->Later([this, handle = job.handle] {
--- a/src/net/cluster/promised_jobs.h
+++ b/src/net/cluster/promised_jobs.h
@@ -37,7 +37,7 @@
   bool MayAct(const std::string& handle) const override { return jobs_.Acts(handle); }
   void Complete(const std::string& handle, const FinalAnswer& answer) override;
 
-  // For the planner: as Planner::Hooks::before_send.
+  // For the planner: as AttemptRecorder::Record.
   void BeforeSend(const std::string& handle, const std::string& worker, bool own, bool repeatable,
                   std::function<void(bool)> then);
   std::string Figures() const;
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -9,7 +9,6 @@
 
 #include <algorithm>
 #include <cerrno>
-#include <charconv>
 
 #include "logging/log.h"
 
@@ -23,22 +22,6 @@
 
 }  // namespace
 
-std::optional<sockaddr_in> ParseAddress(std::string_view text) {
-  const std::size_t colon = text.rfind(':');
-  if (colon == std::string_view::npos) return std::nullopt;
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  unsigned port = 0;
-  const char* end = text.data() + text.size();
-  const auto [at, error] = std::from_chars(text.data() + colon + 1, end, port);
-  if (error != std::errc() || at != end || port > 65535) return std::nullopt;
-  address.sin_port = htons(static_cast<std::uint16_t>(port));
-  if (inet_pton(AF_INET, std::string(text.substr(0, colon)).c_str(), &address.sin_addr) != 1) {
-    return std::nullopt;
-  }
-  return address;
-}
-
 std::optional<sockaddr_un> UnixAddress(const std::string& path) {
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -11,11 +11,11 @@
 #include <string>
 #include <string_view>
 
+#include "config/address.h"
 #include "net/loop.h"
 
 namespace millethollow {
 
-std::optional<sockaddr_in> ParseAddress(std::string_view text);  // IPv4 address:port
 std::optional<sockaddr_un> UnixAddress(const std::string& path);
 std::string AddressText(const sockaddr_in& address);
 
--- a/src/net/gearman/jobs.cpp
+++ b/src/net/gearman/jobs.cpp
@@ -190,7 +190,7 @@
   ClientRequest held = Prepare(*job, mapped->second, promised.body);
   held.request.wire_id = promised.wire_id;
   held.request.durable_job = promised.handle;
-  held.request.tried = promised.tried;
+  held.request.prior_attempts = promised.prior_attempts;
   job->request = forwarder_->Submit(std::move(held), this);
   if (job->request == 0) return ended({.kind = Kind::kRejected, .retry_after_s = kNotMappedS});
   Add(job, promised.body.size());
--- a/src/net/handover/succession.cpp
+++ b/src/net/handover/succession.cpp
@@ -54,8 +54,8 @@
       case Kind::kKnown: {
         Planner::WorkerSnapshot k;
         k.member = f.GetMember();
-        k.drain_told_at = f.Real();
-        k.out_since = f.Real();
+        k.drain_notified_at = f.Real();
+        k.maintenance_since = f.Real();
         ListEntry e{.member = k.member, .address = f.Text(), .most_out = f.U64()};
         if (!f.Whole()) break;
         if (k.member.readiness != Readiness::kGone) got.list.push_back(std::move(e));
@@ -130,8 +130,8 @@
     const auto [address, most] = parts_.pool->Address(k.member.worker);
     link.Send(Writer(Kind::kKnown)
                   .Put(k.member)
-                  .Real(k.drain_told_at)
-                  .Real(k.out_since)
+                  .Real(k.drain_notified_at)
+                  .Real(k.maintenance_since)
                   .Text(address)
                   .U64(most)
                   .Done());
@@ -292,7 +292,7 @@
 void Succession::TellDown() {
   if (before_ == nullptr && after_ == nullptr) return;
   for (const Planner::WorkerSnapshot& k : parts_.planner->ExportWorkers()) {
-    if (k.member.readiness == Readiness::kReady || k.drain_told_at < told_down_until_) continue;
+    if (k.member.readiness == Readiness::kReady || k.drain_notified_at < told_down_until_) continue;
     Send(Writer(Kind::kDown).Put(k.member).Done());
   }
   told_down_until_ = loop_->Now();
--- a/src/node/supervisor.cpp
+++ b/src/node/supervisor.cpp
@@ -7,99 +7,145 @@
 #include <algorithm>
 #include <csignal>
 #include <ctime>
+#include <vector>
 
 #include "logging/log.h"
 
 namespace millethollow {
 namespace {
 
-constexpr int kMostQuickDeaths = 5;  // of one process, each within kQuickS: something is wrong
-constexpr std::time_t kQuickS = 2;
+// A process that ends so often in a row, each time within kQuickExitS, is not started again.
+constexpr int kMaxQuickExits = 5;
+constexpr std::time_t kQuickExitS = 2;
+
+constexpr int kSignals[] = {SIGTERM, SIGINT, SIGUSR1, SIGHUP, SIGCHLD};
+
+const char* RoleText(Role::Kind kind) {
+  return kind == Role::Kind::kPlanner ? "planner" : "forwarder";
+}
 
 struct Child {
   Role role;
-  pid_t pid = -1;
-  std::time_t began = 0;
-  int quick_deaths = 0;
+  pid_t pid = -1;  // -1: not running
+  std::time_t started_at = 0;
+  int quick_exits = 0;
 };
 
-}  // namespace
+class Supervisor {
+ public:
+  Supervisor(int planners, int forwarders, const std::function<int(Role)>& run,
+             const std::function<bool()>& reload)
+      : run_(run), reload_(reload) {
+    for (int i = 0; i < planners; ++i) children_.push_back({{Role::Kind::kPlanner, i}});
+    for (int i = 0; i < forwarders; ++i) children_.push_back({{Role::Kind::kForwarder, i}});
+  }
 
-int Supervise(int planners, int forwarders, const std::function<int(Role)>& run,
-              const std::function<bool()>& reload) {
-  sigset_t ours, before;
-  sigemptyset(&ours);
-  for (const int signal : {SIGTERM, SIGINT, SIGUSR1, SIGHUP, SIGCHLD}) sigaddset(&ours, signal);
-  sigprocmask(SIG_BLOCK, &ours, &before);
-
-  std::vector<Child> children;
-  for (int i = 0; i < planners; ++i) children.push_back({{Role::Kind::kPlanner, i}});
-  for (int i = 0; i < forwarders; ++i) children.push_back({{Role::Kind::kForwarder, i}});
-  const auto start = [&](Child& child) {
-    child.began = std::time(nullptr);
-    child.pid = fork();
-    if (child.pid == 0) {
-      prctl(PR_SET_PDEATHSIG, SIGTERM);  // none is left behind if we are killed
-      sigprocmask(SIG_SETMASK, &before, nullptr);
-      _exit(run(child.role));
+  int Run() {
+    sigset_t handled;
+    sigemptyset(&handled);
+    for (const int signal : kSignals) sigaddset(&handled, signal);
+    sigprocmask(SIG_BLOCK, &handled, &mask_before_);
+    for (Child& child : children_) Start(&child);
+    while (AnyRunning()) {
+      if (!OnSignal(sigwaitinfo(&handled, nullptr))) continue;
+      ReapChildren();
+      StopPlannersOnceAlone();
     }
-    if (child.pid < 0) LogLine(Level::kError) << "cannot start a process";
-  };
-  const auto send = [&](Role::Kind kind, int signal) {
-    bool any = false;
-    for (const Child& c : children) {
-      if (c.role.kind != kind || c.pid <= 0) continue;
-      kill(c.pid, signal);
-      any = true;
+    return exit_status_;
+  }
+
+ private:
+  void Start(Child* child) {
+    child->started_at = std::time(nullptr);
+    child->pid = fork();
+    if (child->pid == 0) {
+      prctl(PR_SET_PDEATHSIG, SIGTERM);  // no child outlives a supervisor that is killed
+      sigprocmask(SIG_SETMASK, &mask_before_, nullptr);
+      _exit(run_(child->role));
     }
-    return any;
-  };
-  for (Child& child : children) start(child);
-
-  bool stopping = false, planners_told = false;
-  int status = 0;
-  while (std::any_of(children.begin(), children.end(), [](const Child& c) { return c.pid > 0; })) {
-    const int signal = sigwaitinfo(&ours, nullptr);
+    if (child->pid < 0) {
+      LogLine(Level::kError) << "process-start-failed role=" << RoleText(child->role.kind)
+                             << " index=" << child->role.index;
+    }
+  }
+
+  void Signal(Role::Kind kind, int signal) const {
+    for (const Child& child : children_) {
+      if (child.role.kind == kind && child.pid > 0) kill(child.pid, signal);
+    }
+  }
+  void SignalAll(int signal) const {
+    Signal(Role::Kind::kPlanner, signal);
+    Signal(Role::Kind::kForwarder, signal);
+  }
+
+  // False: a reload was refused, and nothing else is to be done.
+  bool OnSignal(int signal) {
     if (signal == SIGUSR1) {
-      send(Role::Kind::kPlanner, SIGUSR1);
-      send(Role::Kind::kForwarder, SIGUSR1);
+      SignalAll(SIGUSR1);
     } else if (signal == SIGHUP) {
-      // One bad file is one line here, not one from each process.
-      if (!reload()) continue;
-      send(Role::Kind::kPlanner, SIGHUP);
-      send(Role::Kind::kForwarder, SIGHUP);
+      // Checked here, so that a bad file gives one log line and not one from each process.
+      if (!reload_()) return false;
+      SignalAll(SIGHUP);
     } else if (signal == SIGTERM || signal == SIGINT) {
-      stopping = true;
-      send(Role::Kind::kForwarder, SIGTERM);
-    }
-    int how = 0;
-    for (pid_t pid = waitpid(-1, &how, WNOHANG); pid > 0; pid = waitpid(-1, &how, WNOHANG)) {
-      const auto dead = std::find_if(children.begin(), children.end(),
-                                     [pid](const Child& c) { return c.pid == pid; });
-      if (dead == children.end()) continue;
-      dead->pid = -1;
-      if (stopping) continue;
-      LogLine(Level::kWarn) << (dead->role.kind == Role::Kind::kPlanner ? "planner " : "forwarder ")
-                            << dead->role.index << " died";
-      const bool quick = std::time(nullptr) - dead->began < kQuickS;
-      dead->quick_deaths = quick ? dead->quick_deaths + 1 : 0;
-      if (dead->quick_deaths < kMostQuickDeaths) {
-        start(*dead);
-      } else {  // it can't be had; the whole ends, so that whoever started us learns of it
-        status = 1;
-        stopping = true;
-        send(Role::Kind::kForwarder, SIGTERM);
-      }
+      BeginStop();
     }
-    const bool forwarders_gone = std::none_of(children.begin(), children.end(), [](const Child& c) {
-      return c.role.kind == Role::Kind::kForwarder && c.pid > 0;
-    });
-    if (stopping && forwarders_gone && !planners_told) {
-      planners_told = true;
-      send(Role::Kind::kPlanner, SIGTERM);
+    return true;
+  }
+
+  void BeginStop() {
+    stopping_ = true;
+    Signal(Role::Kind::kForwarder, SIGTERM);
+  }
+
+  void ReapChildren() {
+    int status = 0;
+    for (pid_t pid = waitpid(-1, &status, WNOHANG); pid > 0; pid = waitpid(-1, &status, WNOHANG)) {
+      const auto child = std::find_if(children_.begin(), children_.end(),
+                                      [pid](const Child& c) { return c.pid == pid; });
+      if (child != children_.end()) OnExit(&*child);
     }
   }
-  return status;
+
+  void OnExit(Child* child) {
+    child->pid = -1;
+    if (stopping_) return;
+    LogLine(Level::kWarn) << "process-died role=" << RoleText(child->role.kind)
+                          << " index=" << child->role.index;
+    const bool quick = std::time(nullptr) - child->started_at < kQuickExitS;
+    child->quick_exits = quick ? child->quick_exits + 1 : 0;
+    if (child->quick_exits < kMaxQuickExits) return Start(child);
+    exit_status_ = 1;  // whoever started the supervisor learns of it
+    BeginStop();
+  }
+
+  void StopPlannersOnceAlone() {
+    const bool forwarders_gone = std::none_of(
+        children_.begin(), children_.end(),
+        [](const Child& c) { return c.role.kind == Role::Kind::kForwarder && c.pid > 0; });
+    if (!stopping_ || !forwarders_gone || planners_stopped_) return;
+    planners_stopped_ = true;
+    Signal(Role::Kind::kPlanner, SIGTERM);
+  }
+
+  bool AnyRunning() const {
+    return std::any_of(children_.begin(), children_.end(),
+                       [](const Child& c) { return c.pid > 0; });
+  }
+
+  const std::function<int(Role)>& run_;
+  const std::function<bool()>& reload_;
+  std::vector<Child> children_;
+  sigset_t mask_before_{};
+  bool stopping_ = false, planners_stopped_ = false;
+  int exit_status_ = 0;
+};
+
+}  // namespace
+
+int Supervise(int planners, int forwarders, const std::function<int(Role)>& run,
+              const std::function<bool()>& reload) {
+  return Supervisor(planners, forwarders, run, reload).Run();
 }
 
 }  // namespace millethollow
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -409,9 +409,9 @@
   EXPECT_EQ(claimed.classes, (Lines{"consulta-plan", "cobro-envio"}));
   ASSERT_EQ(claimed.known.size(), 2U);
   EXPECT_EQ(claimed.known[0].member.worker, "toy-0");
-  EXPECT_LT(claimed.known[0].out_since, 0);
+  EXPECT_LT(claimed.known[0].maintenance_since, 0);
   EXPECT_EQ(claimed.known[1].member.worker, "toy-1");
-  EXPECT_GT(claimed.known[1].out_since, 0);
+  EXPECT_GT(claimed.known[1].maintenance_since, 0);
   ASSERT_EQ(claimed.list.size(), 2U);
   EXPECT_EQ(claimed.list[0].address, "127.0.0.1:23405");
   EXPECT_EQ(claimed.ids.size(), 30U);
@@ -428,7 +428,7 @@
   config.admin.clear();
   config.handover = folder;
   Node node(config);
-  ASSERT_TRUE(node.Start(&why)) << why;
+  ASSERT_TRUE(IsOk(node.Start()));
   Loop loop;
   auto link =
       handover::Link::To(&loop, folder + "/millethollow-" + config.name + "-127.0.0.1:0.sock");
@@ -498,7 +498,7 @@
     replace("@WORKER1@", workers[1]->address());
     EXPECT_TRUE(ReadConfig(text, &config, &why)) << why;
     node = std::make_unique<Node>(config);
-    EXPECT_TRUE(node->Start(&why)) << why;
+    EXPECT_TRUE(IsOk(node->Start()));
   }
   ~OldNode() override { node.reset(); }
   template <typename Done>
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -272,7 +272,7 @@
       Config config;
       ASSERT_TRUE(ReadConfig(text, &config, &why)) << why;
       Node node(config);
-      ASSERT_TRUE(node.Start(&why)) << why;
+      ASSERT_TRUE(IsOk(node.Start()));
       const auto until = [&](auto done, double most_s) {
         const double end = host.Now() + most_s;
         while (!done() && host.Now() < end) {
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -84,7 +84,7 @@
         << why;
     StartPlanner();
     forwarder = std::make_unique<Node>(config, Role{Role::Kind::kForwarder, 0});
-    EXPECT_TRUE(forwarder->Start(&why)) << why;
+    EXPECT_TRUE(IsOk(forwarder->Start()));
     client = std::make_unique<Raw>(&host, forwarder->http_address());
   }
   ~Levels() {
@@ -92,9 +92,8 @@
     rmdir(path.c_str());
   }
   void StartPlanner() {
-    std::string why;
     planner = std::make_unique<Node>(config, Role{Role::Kind::kPlanner, 0});
-    EXPECT_TRUE(planner->Start(&why)) << why;
+    EXPECT_TRUE(IsOk(planner->Start()));
   }
   template <typename Done>
   bool Until(Done done, double most_s = 5) {
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -27,7 +27,7 @@
     std::string why;
     ASSERT_TRUE(ReadConfig(text, &config, &why)) << why;
     node = std::make_unique<Node>(config);
-    ASSERT_TRUE(node->Start(&why)) << why;
+    ASSERT_TRUE(IsOk(node->Start()));
   }
   template <typename Done>
   bool Until(Done done, double most_s = 5) {
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -202,8 +202,7 @@
     rig.node.reset();
     rig.config.connect_timeout_s = 1e-9;
     rig.node = std::make_unique<Node>(rig.config);
-    std::string why;
-    ASSERT_TRUE(rig.node->Start(&why)) << why;
+    ASSERT_TRUE(IsOk(rig.node->Start()));
     for (const auto& w : rig.workers) w->act = [](const ToyWorker::Got&) {};  // runs on and on
     const auto client = rig.Client();
     client->Write(Post("c", "charge", "Idempotency-Key: k\r\n", "{}", 200));
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -117,7 +117,7 @@
   std::string why;
   ASSERT_TRUE(ReadConfig(text, &config, &why)) << why;
   Node node(config);
-  ASSERT_TRUE(node.Start(&why)) << why;
+  ASSERT_TRUE(IsOk(node.Start()));
   const auto has = [&](const std::string& line) {
     return ("\n" + node.Figures()).find("\napp.peers." + line + "\n") != std::string::npos;
   };
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -63,20 +63,19 @@
   int cancelled = 0;
 };
 
-struct World {
+struct World : PlannerEnvironment {
   World() {
     std::string why;
     EXPECT_TRUE(
         ReadConfig(TestConfig({"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}), &config, &why));
     ServerList list;
     EXPECT_TRUE(ReadServerList(config.known, config.zones, config.kinds, &list, &why));
-    Planner::Hooks hooks;
-    hooks.now = [this] { return now; };
-    hooks.list_overdue = [this] { return overdue; };
-    planner = std::make_unique<Planner>(config.settings, 1, &deadlines, hooks, &counters);
+    planner = std::make_unique<Planner>(config.settings, 1, &deadlines, this, &counters);
     number = planner->AddForwarder(&port, true);
     planner->Start(list.Members());
   }
+  double Now() override { return now; }
+  bool EndpointsOverdue() override { return overdue; }
   RequestId Take(int cls, double timeout = 5) {
     Request e;
     e.id = number << kForwarderShift | ++last;
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -132,7 +132,7 @@
   std::string why;
   ASSERT_TRUE(LoadConfig(path, &config, &why)) << why;
   Node node(config);
-  ASSERT_TRUE(node.Start(&why)) << why;
+  ASSERT_TRUE(IsOk(node.Start()));
   node.CatchSignals(path);
   const auto until = [&](auto done) {
     const double end = host.Now() + 5;
--- a/tests/scheduling_balancer_test.cpp
+++ b/tests/scheduling_balancer_test.cpp
@@ -379,7 +379,7 @@
     EXPECT_TRUE(ReadConfig(text, &config, &why)) << why;
     config.handover = handover;
     node = std::make_unique<Node>(config);
-    EXPECT_TRUE(node->Start(&why)) << why;
+    EXPECT_TRUE(IsOk(node->Start()));
   }
   template <typename Done>
   bool Until(Done done, double most_s = 10) {
@@ -394,13 +394,12 @@
     return done();
   }
   bool StartNext() {  // the same program once more beside itself
-    std::string why;
     next = std::make_unique<Node>(config);
     next->while_waiting = [this] {
       node->loop().deadlines().At(node->loop().Now() + 0.001, [] {});
       node->loop().Turn();
     };
-    return next->Start(&why);
+    return next->Start().has_value();
   }
   struct Call {
     std::unique_ptr<Raw> raw;
--- a/tests/support/rig.h
+++ b/tests/support/rig.h
@@ -16,7 +16,7 @@
     EXPECT_TRUE(ReadConfig(TestConfig(addresses, extra), &config, &why)) << why;
     config.handover = handover;
     node = std::make_unique<Node>(config);
-    EXPECT_TRUE(node->Start(&why)) << why;
+    EXPECT_TRUE(IsOk(node->Start()));
   }
   // Node and stand-ins have a loop each; they take turns.
   template <typename Done>
@@ -34,16 +34,15 @@
   }
   // The same program started once more beside itself.
   bool StartNext() {
-    std::string why;
     next = std::make_unique<Node>(config);
     next->while_waiting = [this] {
       if (!node) return;
       node->loop().deadlines().At(node->loop().Now() + 0.001, [] {});
       node->loop().Turn();
     };
-    const bool started = next->Start(&why);
-    EXPECT_TRUE(started) << why;
-    return started;
+    const Status started = next->Start();
+    EXPECT_TRUE(IsOk(started));
+    return started.has_value();
   }
   std::unique_ptr<Raw> Client() { return std::make_unique<Raw>(&host, node->http_address()); }
   std::unique_ptr<GearmanPeer> Gearman() {
--- a/tests/support/support.h
+++ b/tests/support/support.h
@@ -11,6 +11,7 @@
 #include <vector>
 
 #include "logging/log.h"
+#include "millethollow/error.h"
 #include "net/connection.h"
 #include "net/gearman/packet.h"
 #include "net/http/parser.h"
@@ -22,6 +23,12 @@
 // Settings as the platform's, with three HTTP workers: two in cell 0, one in cell 1.
 std::string TestConfig(const std::vector<std::string>& workers, const std::string& extra = "");
 
+// For EXPECT_TRUE: a failure shows the error's message.
+inline testing::AssertionResult IsOk(const Status& status) {
+  if (status) return testing::AssertionSuccess();
+  return testing::AssertionFailure() << status.error().message;
+}
+
 template <typename Done>
 bool TurnUntil(Loop& loop, Done done, double most_s = 5) {
   const double until = loop.Now() + most_s;
