--- a/src/net/cluster/promised_jobs.cpp
+++ b/src/net/cluster/promised_jobs.cpp
@@ -164,7 +164,7 @@
   job.body = record.body;
   job.priority = record.priority;
   for (std::size_t i = 0; i < record.attempts.size(); ++i) {
-    job.tried.push_back(
+    job.prior_attempts.push_back(
         {record.attempts[i].worker, record.attempts[i].local_worker, round.ages_s[i]});
   }
   if (runner_ != nullptr) return runner_->Run(job);
