--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -9,7 +9,7 @@
 #include "config/cluster.h"
 #include "config/scheduling.h"
 #include "net/connection.h"
-#include "simulator_adapter/adapter.h"
+#include "simulator_adapter/settings_reader.h"
 
 namespace millethollow {
 namespace {
@@ -155,11 +155,10 @@
   c->columns = NamesOf(Child(settings, "report"), "columns");
   std::vector<std::pair<std::string, std::string>> flat;
   Flatten("", settings, &flat);
-  millethollow::simulator_adapter::Fields pairs(flat.begin(), flat.end());
-  if (!millethollow::simulator_adapter::ParseSettings(pairs, &c->settings, why)) {
-    *why = "configuration: settings: " + *why;
-    return false;
-  }
+  const simulator_adapter::Fields fields(flat.begin(), flat.end());
+  Result<balancing::Settings> parsed = simulator_adapter::ParseSettings(fields);
+  if (!parsed) return *why = "configuration: settings: " + parsed.error().message, false;
+  c->settings = *std::move(parsed);
   if (!ReadScheduling(text, c->classes, &c->scheduling, why) ||
       !ReadCluster(text, &c->cluster, why)) {
     return false;
--- a/src/simulator_adapter/adapter.h
+++ b/src/simulator_adapter/adapter.h
@@ -1,8 +1,7 @@
-// The bench's wire: parsing, formatting, base64, settings. No decision is made here.
+// Runs decision modules behind the simulator's line protocol. No decision is made here.
 #ifndef MILLETHOLLOW_SIMULATOR_ADAPTER_ADAPTER_H_
 #define MILLETHOLLOW_SIMULATOR_ADAPTER_ADAPTER_H_
 
-#include <array>
 #include <cstdint>
 #include <map>
 #include <memory>
@@ -11,73 +10,60 @@
 #include <string>
 #include <string_view>
 #include <utility>
-#include <vector>
 
 #include "millethollow/balancing/load_balancer.h"
+#include "millethollow/error.h"
 #include "scheduling/scheduling_balancer.h"
+#include "simulator_adapter/endpoint_lists.h"
+#include "simulator_adapter/event_reader.h"
+#include "simulator_adapter/wire_line.h"
 
 namespace millethollow::simulator_adapter {
-using namespace balancing;  // NOLINT
 
-using Fields = std::vector<std::pair<std::string_view, std::string_view>>;
-
-// Splits `line` at single spaces into its name and name=value pairs. A part without '=' makes it
-// malformed.
-bool Split(std::string_view line, std::string_view* name, Fields* pairs);
-
-bool ParseNumber(std::string_view text, double* value);  // finite numbers only
-bool ParseInteger(std::string_view text, std::int64_t* value);
-bool ParseToken(std::string_view text, std::uint64_t* value);
-std::optional<std::string> DecodeBase64(std::string_view text);  // '-' is the empty string
-std::string EncodeBase64(std::string_view bytes);
-std::string FormatSeconds(double seconds);
-
-// Reads settings from START's pairs; unknown ones are ignored. False, with `why`, if a value is
-// bad.
-bool ParseSettings(const Fields& pairs, Settings* settings, std::string* why);
-
-// Hosts any number of instances behind the wire. Each instance is a Balancer of its own.
-class Host {
+// Any number of instances, each a decision module with the scheduler before it. Input comes in
+// batches of lines (TURN to YOUR_TURN), each of which is answered at its end. A line that can't be
+// used is reported and skipped.
+class Adapter {
  public:
-  explicit Host(std::ostream* errors, millethollow::scheduling::Options options = {})
+  // `errors`: where bad input is reported, one line each; must outlive the adapter. `options`: of
+  // the scheduler of each instance.
+  explicit Adapter(std::ostream* errors, scheduling::Options options = {})
       : errors_(errors), options_(std::move(options)) {}
 
-  // Takes one line of input. Returns false when framing is lost and nothing more can be read.
-  bool Line(std::string_view line);
-  // The reply to the batch just closed, if there is one; taken once.
-  bool TakeReply(std::string* reply);
-  bool InBatch() const { return in_batch_; }
+  // Takes one line of input. False when the bounds of batches are lost and no further line can be
+  // understood.
+  bool HandleLine(std::string_view text);
+  // The reply to the batch that was closed last, once; none if no batch was closed since.
+  std::optional<std::string> TakeReply();
+  bool in_batch() const { return in_batch_; }
 
  private:
-  struct Instance {
-    std::unique_ptr<millethollow::scheduling::SchedulingBalancer> balancer;
-  };
+  using Instances = std::map<std::int64_t, std::unique_ptr<scheduling::SchedulingBalancer>>;
 
-  void HandleLine(std::string_view name, std::string_view line);
-  void HandleEntry(std::string_view line);
-  void Complain(std::string_view line, std::string_view what);
-  bool Need(std::string_view line, std::string_view key, std::string_view* value);
-  bool NeedId(std::string_view line, std::string_view key, std::int64_t* value);
-  std::string_view Get(std::string_view key) const;
-  bool Optional(std::string_view line, std::string_view key, double* value);
-  bool OptionalInt(std::string_view line, std::string_view key, std::int64_t* value);
-  bool ReadReport(std::string_view line, bool* has, double (&values)[4]);
-  void Deliver(std::int64_t instance, const Event& event);
-  void Write(std::int64_t instance, const Action& action);
+  bool BeginBatch(std::string_view text);
+  void EndBatch(std::string_view text);
+  void HandleMessage(std::string_view text);
+  Status HandleEndpoint();
+  Status BeginEndpointList();
+  Status HandleInstanceMessage();
+  Status StartInstance(std::int64_t id);
+  Status HandleEvent(std::int64_t id);
+  void Deliver(std::int64_t id, scheduling::SchedulingBalancer* instance,
+               const balancing::Event& event);
+  void ReportError(std::string_view text, std::string_view error);
 
   std::ostream* errors_;
-  millethollow::scheduling::Options options_;
-  bool in_batch_ = false, replied_ = false;
-  double now_ = 0;
+  scheduling::Options options_;
+  Instances instances_;
+  EndpointLists lists_;
+  EventReader event_reader_{&lists_};
+  bool in_batch_ = false;
+  double now_s_ = 0;  // the simulator's clock at the batch
   std::uint64_t line_number_ = 0;
-  std::map<std::int64_t, Instance> instances_;
-  std::array<std::vector<Endpoint>, 16> lists_;
-  std::array<bool, 16> list_known_{};
-  std::int64_t entries_left_ = 0;
-  std::size_t filling_ = 0;
-  Fields pairs_;
-  Actions actions_;
+  WireLine line_;  // the one in hand
+  balancing::Actions actions_;
   std::string reply_;
+  bool reply_ready_ = false;
 };
 
 }  // namespace millethollow::simulator_adapter
