--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "net/poll_backoff.h"
-#include "support/floor.h"
+#include "support/simulated_fleet.h"
 
 namespace millethollow {
 namespace {
@@ -129,7 +129,7 @@
 struct Tier {
   static constexpr int kNodes = 60, kWorkers = 24;
   static constexpr double kAimS = 0.25, kStretch = 1.75;
-  Floor floor;
+  SimulatedFleet floor;
   std::mt19937_64 random{9};
   static balancing::Settings Settings() {
     balancing::Settings s;
@@ -249,7 +249,7 @@
     for (const double lost : {0.0, 0.4}) {
       for (const unsigned seed : {1u, 2u, 3u}) {
         balancing::Settings settings = Tier::Settings();
-        Floor floor(static_cast<int>(nodes), settings, {});
+        SimulatedFleet floor(static_cast<int>(nodes), settings, {});
         constexpr int kWorkers = 16, kCold = 4;
         for (int w = 0; w < kWorkers; ++w) floor.AddWorker({5, 100}, 6);
         std::mt19937_64 random(seed);
@@ -399,7 +399,7 @@
         .latency_objective_s = 0.4, .latency_objective_stretch = 2, .client_timeout_s = 6};
     s.tenants = {{.share = 1, .quota_rps = 100}};
     KeepPlatformRules(&s);
-    Floor floor(4, s, {});
+    SimulatedFleet floor(4, s, {});
     for (int w = 0; w < 8; ++w) floor.AddWorker({3, 100}, 30, true, 0, c.pace);
     floor.now = 100;
     floor.Start();
--- a/tests/cuts_test.cpp
+++ b/tests/network_partition_test.cpp
@@ -1,15 +1,14 @@
-// Whole decision modules of a cluster whose members are cut off, stopped and killed, on one virtual
-// clock with the membership that gives them their parts: what they let in and what they send to a
-// worker that has just started, in sum, against what one node alone would be allowed. SEEDS plays
-// more days.
+// Decision modules of a cluster whose members are partitioned, stopped and killed, on one virtual
+// clock with the membership that gives them their fleet shares: what they admit, and what they send
+// to a worker in its slow start, in sum, against what one node alone may. SEEDS plays more days.
 #include <gtest/gtest.h>
 
 #include <deque>
 
 #include "balancing/agreed_share.h"
 #include "support/days.h"
-#include "support/floor.h"
 #include "support/membership_world.h"
+#include "support/simulated_fleet.h"
 
 namespace millethollow {
 namespace {
@@ -40,7 +39,7 @@
 }
 
 // Two slots and a tenth of a second for each job: 120 jobs a second in all.
-struct CutDay {
+struct PartitionDay {
   std::uint64_t seed;
   membership::Random random;
   std::vector<Arrival> arrivals;
@@ -52,7 +51,7 @@
     std::string where;
   };
 
-  explicit CutDay(std::uint64_t s) : seed(s), random(s * 101 + 3) {
+  explicit PartitionDay(std::uint64_t s) : seed(s), random(s * 101 + 3) {
     const std::size_t n = 3 + seed % 3;
     const double load = seed % 2 == 0 ? 220 : 90;  // over what there is, or under
     std::vector<double> weight;
@@ -72,7 +71,7 @@
 
   // `w`: with the members' parts; none: one node alone, which gets what their nodes got.
   Told Play(membership::World* w, bool parts = true) {
-    Floor floor(w ? static_cast<int>(w->size()) : 1, Rules(), {});
+    SimulatedFleet floor(w ? static_cast<int>(w->size()) : 1, Rules(), {});
     for (int i = 0; i < kWorkers; ++i) floor.AddWorker({2, 100}, 0);
     floor.now = kStart;
     membership::Random faults(seed * 31 + 7);
@@ -165,7 +164,7 @@
     EXPECT_EQ(floor.faults, std::vector<std::string>{}) << "seed " << seed;
     return told;
   }
-  CutDay(const CutDay&) = delete;
+  PartitionDay(const PartitionDay&) = delete;
 };
 
 // The sums of a day with cuts, of what one node alone would be allowed that day.
@@ -175,11 +174,11 @@
 };
 
 Sums Compare(std::uint64_t seed, bool parts) {
-  CutDay day(seed);
+  PartitionDay day(seed);
   membership::World w(seed, {.members = 3 + seed % 3, .voters = 3});
-  const CutDay::Told all = day.Play(&w, parts);
+  const PartitionDay::Told all = day.Play(&w, parts);
   EXPECT_EQ(w.broken(), std::vector<std::string>{}) << "seed " << seed;
-  const CutDay::Told one = day.Play(nullptr);
+  const PartitionDay::Told one = day.Play(nullptr);
   Sums sums{.cold = all.worst_cold, .where = all.where};
   double in = 0, alone = 0;
   for (int t = 0; t < kTenants; ++t) {
@@ -201,7 +200,7 @@
   return s.most_tenant <= kTenantSlack && s.all <= kSlack && s.cold <= kColdSlack;
 }
 
-TEST(CutDays, SumsStayWithinWhatOneNodeAloneWouldBeAllowed) {
+TEST(NetworkPartitionTest, SumsStayWithinWhatOneNodeAloneMayDo) {
   const std::uint64_t seeds = FromEnvironment("SEEDS", 20);
   Sums worst;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
@@ -215,7 +214,7 @@
               seeds, worst.most_tenant, worst.all, worst.cold);
 }
 
-TEST(CutDays, FindDispatchersWithoutParts) {
+TEST(NetworkPartitionTest, DetectsDispatchersWithoutFleetShares) {
   EXPECT_NE(FirstSeed(100,
                       [](std::uint64_t seed) {
                         return std::vector<std::string>(Within(Compare(seed, false)) ? 0 : 1,
--- a/tests/quota_wiring_test.cpp
+++ b/tests/quota_wiring_test.cpp
@@ -13,7 +13,7 @@
 #include "config/cluster.h"
 #include "core/demand_meter.h"
 #include "net/cluster/frame.h"
-#include "support/floor.h"
+#include "support/simulated_fleet.h"
 
 namespace millethollow {
 namespace {
@@ -316,7 +316,7 @@
       if (!floor.asked.at(id).refused) let_in[node][tenant] += 1 / span;
     }
   }
-  Floor floor;
+  SimulatedFleet floor;
   std::vector<std::vector<double>> tenant_rates;
   double let_in[2][2] = {};
   int asked = 0;
--- a/tests/scheduling_balancer_test.cpp
+++ b/tests/scheduling_balancer_test.cpp
@@ -5,8 +5,8 @@
 
 #include <filesystem>
 
-#include "support/floor.h"
 #include "support/rig.h"
+#include "support/simulated_fleet.h"
 
 namespace millethollow {
 namespace {
@@ -50,9 +50,9 @@
 
 // A morning: charges at a third of the fleet, lookups at `flood` times all of it. By class.
 std::vector<Tally> Morning(int nodes, const Options& options, std::uint32_t seed, double flood,
-                           Floor** kept = nullptr) {
-  static std::unique_ptr<Floor> floor;
-  floor = std::make_unique<Floor>(nodes, Platform(), options);
+                           SimulatedFleet** kept = nullptr) {
+  static std::unique_ptr<SimulatedFleet> floor;
+  floor = std::make_unique<SimulatedFleet>(nodes, Platform(), options);
   for (int w = 0; w < 4; ++w) floor->AddWorker({4, 4}, 8);
   floor->Start();
   std::mt19937 random(seed);
@@ -124,7 +124,7 @@
 }
 
 TEST(Room, NodesThatShareWorkersStarveNone) {
-  Floor* floor = nullptr;
+  SimulatedFleet* floor = nullptr;
   const auto off = Morning(3, {}, 4, 0.7), on = Morning(3, On(), 4, 0.7, &floor);
   std::cout << "three nodes: charges " << off[kCharge].share() << " -> " << on[kCharge].share()
             << ", lookups " << off[kLook].share() << " -> " << on[kLook].share() << "\n";
@@ -151,7 +151,7 @@
     return -1;
   }
   scheduling::SchedulerStats stats() const { return floor.desks[0]->scheduler().stats(); }
-  Floor floor;
+  SimulatedFleet floor;
   std::vector<std::string> running;
 };
 
@@ -166,7 +166,7 @@
            Loss{"is gone", [](Busy&b, int w) { b.floor.List(w, Readiness::kGone); }},
            Loss{"is taken out by hand",
                 [](Busy&b, int w) {
-                  b.floor.Tell(0, balancing::MaintenanceChanged{Floor::Name(w), true});
+                  b.floor.Tell(0, balancing::MaintenanceChanged{SimulatedFleet::Name(w), true});
                 }},
            Loss{"dies and is ejected",
                 [](Busy&b, int w) {
@@ -186,7 +186,7 @@
     EXPECT_NE(b.Holding(), held) << loss.name;
     EXPECT_GE(b.Holding(), 0) << loss.name << ": it moves in the same turn";
     b.floor.Run(10);
-    const Floor::Asked& a = b.floor.asked.at(charge);
+    const SimulatedFleet::Asked& a = b.floor.asked.at(charge);
     EXPECT_TRUE(a.served) << loss.name;
     EXPECT_LT(a.took_s, 3.1) << loss.name << ": the next end after two seconds, and its own run";
     EXPECT_NE(a.sent_to.front(), held) << loss.name;
@@ -244,7 +244,7 @@
 // What waited for a worker that comes back cold must not reach it in one burst.
 TEST(Room, AReleaseAtAColdWorkerStaysWithinItsBudget) {
   const auto most_in_a_second = [](const Options& options) {
-    Floor floor(1, Platform(), options);
+    SimulatedFleet floor(1, Platform(), options);
     for (int w = 0; w < 3; ++w) floor.AddWorker({4, 4}, 16);
     floor.Start();
     std::mt19937 random(5);
@@ -304,7 +304,7 @@
 }
 
 TEST(Room, NothingIsLeftOfJobsThatEnded) {
-  Floor* floor = nullptr;
+  SimulatedFleet* floor = nullptr;
   Morning(2, On(), 9, 1.2, &floor);
   for (const auto& desk : floor->desks) {
     EXPECT_EQ(desk->scheduler().stats().waiting, 0u);
--- /dev/null
+++ b/tests/settings_validation_test.cpp
@@ -0,0 +1,22 @@
+// Which settings the decision module accepts.
+#include <gtest/gtest.h>
+
+#include "millethollow/balancing/load_balancer.h"
+
+namespace millethollow::balancing {
+namespace {
+
+TEST(SettingsValidationTest, TenantsAreBoundedByWhatReportsCanIndex) {
+  Settings settings;
+  settings.classes.resize(1);
+  settings.tenants.assign(60'000, {.share = 1});
+  const Status valid = ValidateSettings(settings);
+  EXPECT_TRUE(valid.has_value()) << valid.error().message;
+  settings.tenants.push_back({.share = 1});
+  const Status invalid = ValidateSettings(settings);
+  EXPECT_FALSE(invalid.has_value());
+  EXPECT_EQ(invalid.error().message, "too many tenants");
+}
+
+}  // namespace
+}  // namespace millethollow::balancing
--- a/tests/support/floor.h
+++ b/tests/support/simulated_fleet.h
@@ -1,7 +1,6 @@
-// Nodes' desks and model workers on a virtual clock: whole days in milliseconds, the same each
-// time.
-#ifndef MILLETHOLLOW_TESTS_SUPPORT_FLOOR_H_
-#define MILLETHOLLOW_TESTS_SUPPORT_FLOOR_H_
+// Dispatchers with their schedulers and model workers on a virtual clock: deterministic.
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_SIMULATED_FLEET_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_SIMULATED_FLEET_H_
 
 #include <functional>
 #include <map>
@@ -28,7 +27,7 @@
   s->overload_for_s = 3;
 }
 
-class Floor {
+class SimulatedFleet {
  public:
   struct Asked {
     int cls = 0, tenant = 0;
@@ -39,7 +38,7 @@
     std::vector<int> sent_to = {};  // one entry an attempt
   };
 
-  Floor(int nodes, balancing::Settings settings, const scheduling::Options& options)
+  SimulatedFleet(int nodes, balancing::Settings settings, const scheduling::Options& options)
       : settings_(std::move(settings)),
         options_(options),
         lives_(static_cast<std::size_t>(nodes), 0) {
@@ -108,7 +107,8 @@
                                          .slots = need.slots,
                                          .memory = need.memory,
                                          .tenant = tenant,
-                                         .cls = cls});
+                                         .cls = cls,
+                                         .key = {}});
     return id;
   }
   void Gone(std::size_t node, const std::string& id) {  // the client gives up
@@ -253,4 +253,4 @@
 
 }  // namespace millethollow
 
-#endif  // MILLETHOLLOW_TESTS_SUPPORT_FLOOR_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_SIMULATED_FLEET_H_
--- a/tests/support/worker_model.h
+++ b/tests/support/worker_model.h
@@ -1,5 +1,5 @@
-// A worker without any wire: slots, memory, a queue served in order, as the platform's workers have
-// them. The stand-ins on sockets and the virtual floor share it.
+// A model of a worker without a network: slots, memory and a queue served in order. Shared by the
+// workers on sockets and the simulated fleet.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_WORKER_MODEL_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_WORKER_MODEL_H_
 
@@ -23,7 +23,7 @@
   WorkerModel(scheduling::Resources capacity, std::size_t queue)
       : capacity_(capacity), most_(queue) {}
 
-  // False: turned away, since the queue is full or no such worker could run it.
+  // False: rejected, since the queue is full or no such worker could run it.
   bool Submit(Job job) {
     if (!job.need.Within(capacity_)) return false;
     if (waiting_.size() >= most_ && !(waiting_.empty() && job.need.Within(Free()))) return false;
--- a/tests/usage_report_parts_test.cpp
+++ b/tests/usage_exchange_test.cpp
@@ -1,5 +1,4 @@
-// Usage reports between dispatchers, by the module's public interface: what goes out and what
-// quotas follow from it.
+// Usage reports between dispatchers, by the public interface: when they go out.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,10 +7,79 @@
 #include <string>
 
 #include "support/report_tier.h"
+#include "support/test_dispatcher.h"
 
 namespace millethollow::balancing {
 namespace {
 
+// It must not be limited to one Nth while its peers still count its earlier usage.
+TEST(UsageExchangeTest, RestartedDispatcherIsAnsweredAtOnce) {
+  Settings s = TestSettings();
+  s.peers = true;
+  s.dispatcher_count = 2;
+  TestDispatcher old_one(s);
+  old_one.UpdateEndpoints(MakeEndpoints(4));
+  old_one.SendRequest("a");
+  old_one.AdvanceTime(2);
+  s.dispatcher_index = 1;
+  TestDispatcher fresh(s);
+  fresh.UpdateEndpoints(MakeEndpoints(4));
+  const auto told = ActionsOf<SendPeerMessage>(fresh.AdvanceTime(1));
+  ASSERT_FALSE(told.empty());
+  EXPECT_EQ(told[0].recipient, 0);
+  const auto answer = ActionsOf<SendPeerMessage>(old_one.Handle(PeerMessage{1, told[0].body}));
+  ASSERT_EQ(answer.size(), 1u);
+  EXPECT_EQ(answer[0].recipient, 1);
+  fresh.Handle(PeerMessage{0, answer[0].body});
+  // Once heard, it no longer asks: its next report is not answered.
+  const auto later = ActionsOf<SendPeerMessage>(fresh.AdvanceTime(1));
+  ASSERT_FALSE(later.empty());
+  EXPECT_TRUE(old_one.Handle(PeerMessage{1, later[0].body}).empty());
+}
+
+TEST(UsageExchangeTest, ReportIsIgnoredWherePeersAreOff) {
+  Settings s = TestSettings();
+  s.peers = true;
+  s.dispatcher_count = 3;
+  TestDispatcher talker(s);
+  talker.UpdateEndpoints(MakeEndpoints(4));
+  const auto told = ActionsOf<SendPeerMessage>(talker.AdvanceTime(1));
+  ASSERT_FALSE(told.empty());
+  s.peers = false;
+  s.dispatcher_index = 1;
+  TestDispatcher deaf(s);
+  EXPECT_TRUE(deaf.Handle(PeerMessage{0, told[0].body}).empty());
+}
+
+TEST(UsageExchangeTest, MessagesAreBoundedAndForeignOnesAreIgnored) {
+  for (const int tier : {3, 680}) {
+    Settings s = TestSettings();
+    s.peers = true;
+    s.dispatcher_count = tier;
+    s.tenants.resize(8);
+    for (TenantSettings& t : s.tenants) t.share = 0.125;
+    TestDispatcher dispatcher(s);
+    dispatcher.UpdateEndpoints(MakeEndpoints(12));
+    std::size_t told = 0;
+    for (int i = 0; i < 100; ++i) {
+      dispatcher.SendRequest("j" + std::to_string(i), i % 3, i % 8);
+      for (const SendPeerMessage& t : ActionsOf<SendPeerMessage>(dispatcher.AdvanceTime(0.1))) {
+        EXPECT_LE(t.body.size(), 256u);
+        EXPECT_NE(t.recipient, s.dispatcher_index);
+        EXPECT_LT(t.recipient, tier);
+        ++told;
+      }
+    }
+    EXPECT_GT(told, 0u);
+    EXPECT_LT(told, 200u);
+    for (const char* body :
+         {"", "D", "garbage that is long enough to be a message, but is not", "D\x02"}) {
+      EXPECT_TRUE(dispatcher.Handle(PeerMessage{1, body}).empty());
+    }
+    EXPECT_TRUE(dispatcher.Handle(PeerMessage{-4, "x"}).empty());
+  }
+}
+
 std::string Hex(const std::string& bytes) {
   std::string hex;
   for (const char c : bytes) {
@@ -50,9 +118,8 @@
   return recording;
 }
 
-// What fits one datagram is sent as it was before there were parts. Recorded with the code of
-// eb0c559.
-TEST(ReportParts, ReportsOfSmallTiersKeepTheirBytes) {
+// Recorded at eb0c559, before reports could take several datagrams.
+TEST(UsageExchangeTest, ReportsOfSmallTiersAreEncodedAsRecorded) {
   struct Case {
     int dispatchers, classes;
     std::size_t messages, bytes;
@@ -90,7 +157,7 @@
   }
 }
 
-TEST(ReportParts, NoDatagramIsLongerThan256Bytes) {
+TEST(UsageExchangeTest, DatagramsHoldAtMost256Bytes) {
   for (const int dispatchers : {3, 30}) {
     for (const int tenants : {6, 30, 50, 60, 130, 260}) {
       for (const int classes : {1, 2}) {
@@ -112,10 +179,10 @@
   }
 }
 
-// One tenant's demand comes to one dispatcher of three alone, within its told quota, while the
-// fleet is full. A dispatcher that hears nobody takes the others for its like and admits a third of
-// it.
-TEST(ReportParts, ATenantSeenByOneDispatcherOfThreeGetsItsQuotaThere) {
+// One tenant's demand comes to one dispatcher of three alone, within its quota, while the fleet is
+// full. A dispatcher that receives no report assumes that the others are like itself, and admits a
+// third of it.
+TEST(UsageExchangeTest, TenantAtOneDispatcherOfThreeGetsItsQuotaThere) {
   for (const double loss : {0.0, 0.2}) {
     for (const int tenants : {6, 50, 60, 130, 260}) {
       for (const int classes : {1, 2}) {
--- a/tests/usage_report_test.cpp
+++ b/tests/usage_report_test.cpp
@@ -47,7 +47,7 @@
   for (std::size_t i = 0; i < 4; ++i) (*body)[at + i] = static_cast<char>(bits >> (8 * i) & 0xff);
 }
 
-TEST(PeerReport, PartsGiveTheRowAgain) {
+TEST(UsageReportTest, DecodedPartsGiveTheEncodedRow) {
   for (const std::size_t tenants : {1u, 6u, 50u, 59u, 60u, 61u, 130u, 255u, 260u, 1000u}) {
     for (const RowLayout& layout : {Direct(tenants), Large(tenants, 1, 1), Large(tenants, 9, 12)}) {
       for (const std::size_t workers_out : {0u, 1u, 39u, 40u, 70u}) {
@@ -76,7 +76,7 @@
   }
 }
 
-TEST(PeerReport, FiguresOfAGroupStayTogether) {
+TEST(UsageReportTest, ValuesOfAGroupStayInOneDatagram) {
   const RowLayout layout = Large(55, 9, 12);
   EXPECT_EQ(layout.GroupStart(54), 54u);
   for (const std::size_t i : {55u, 56u, 57u}) EXPECT_EQ(layout.GroupStart(i), 55u);
@@ -94,7 +94,7 @@
 }
 
 // Each changes one of the parts of a row of 130 tenants in a large tier with two classes.
-TEST(PeerReport, GarbledPartsAreRefusedAsAWholeAndChangeNothing) {
+TEST(UsageReportTest, MalformedPartsAreRejectedAndChangeNothing) {
   struct Case {
     const char* name;
     std::size_t part;
@@ -181,7 +181,7 @@
   EXPECT_NE(balancer.SaveState(), before);  // a good one does change something
 }
 
-TEST(PeerReport, RandomDamageIsRefusedOrReadWithinBounds) {
+TEST(UsageReportTest, RandomDamageIsRejectedOrDecodedWithinBounds) {
   std::mt19937_64 random(20261202);
   const auto below = [&](std::size_t n) { return static_cast<std::size_t>(random() % n); };
   std::size_t refused = 0;
@@ -208,7 +208,7 @@
   EXPECT_GT(refused, 20'000u);
 }
 
-TEST(PeerReport, ARowHeardInPartIsUnknownAndNotZero) {
+TEST(UsageReportTest, IncompleteRowIsUnknownAndNotZero) {
   const RowLayout layout = Direct(100);
   const std::vector<std::string> parts = EncodeReport(ReportFor(layout, 3), layout);
   ASSERT_EQ(parts.size(), 2u);
@@ -243,12 +243,12 @@
   fleet_is(9, 2 + 1 + 1, 2 + last + last);
   fleet_is(10, (2 + 1) * 1.5, (2 + last) * 1.5);
   fleet_is(13, 2, 2);  // both silent: dead
-  hear(2, 0, 20);      // one comes back: what it told before it went is not taken
+  hear(2, 0, 20);      // one comes back: its reports from before don't count
   fleet_is(19, 2 * 2, 2 * 2);
 }
 
 // A part of a report says nothing of slots out: these keep their last word until they are too old.
-TEST(PeerReport, SlotsOutAreOfThePartThatBeginsTheRow) {
+TEST(UsageReportTest, SlotsInFlightAreInTheFirstPartOfTheRow) {
   const RowLayout layout = Direct(100);
   UsageReport report = ReportFor(layout, 0);
   const Worker worker{.name = "w", .hash = 7};
@@ -291,7 +291,7 @@
   return row;
 }
 
-TEST(PeerReport, ALargeTierAveragesOnlyThePartThatCame) {
+TEST(UsageReportTest, LargeTierAveragesOnlyReceivedParts) {
   Settings settings;
   settings.classes.resize(2);
   settings.tenants.assign(130, {.share = 1});
@@ -313,7 +313,7 @@
 }
 
 // A report counts once however many datagrams it takes: its fleet rate, and that it asks for news.
-TEST(PeerReport, AFreshPeerIsAnsweredOnceWithAllParts) {
+TEST(UsageReportTest, StartingPeerIsAnsweredOnceWithAllParts) {
   Settings settings;
   settings.classes.resize(1);
   settings.tenants.assign(130, {.share = 1});
@@ -337,7 +337,7 @@
 
 // Where the tier agrees on shares, a peer counts as heard only once its whole row is known: demand
 // is reckoned with only then.
-TEST(PeerReport, APeerHeardInPartIsNotAmongThoseHeardByAgreement) {
+TEST(UsageReportTest, PeerWithIncompleteRowDoesNotCountAsHeard) {
   Settings settings;
   settings.classes.resize(1);
   settings.tenants.assign(130, {.share = 1});
@@ -375,18 +375,6 @@
   }
 }
 
-TEST(PeerReport, SettingsHoldNoMoreTenantsThanReportsCanIndex) {
-  Settings settings;
-  settings.classes.resize(1);
-  settings.tenants.assign(60'000, {.share = 1});
-  const Status valid = ValidateSettings(settings);
-  EXPECT_TRUE(valid.has_value()) << valid.error().message;
-  settings.tenants.push_back({.share = 1});
-  const Status invalid = ValidateSettings(settings);
-  EXPECT_FALSE(invalid.has_value());
-  EXPECT_EQ(invalid.error().message, "too many tenants");
-}
-
 struct Crowd {
   int tenants, classes;
   double loss;
@@ -397,7 +385,7 @@
                          {60, 2, 0.2}, {130, 1, 0.2}, {130, 2, 0.2}, {260, 1, 0.2}, {260, 2, 0.2}};
 
 // Every dispatcher knows the row of every other, with its demand of each tenant.
-TEST(PeerReport, InADirectTierAllHearAllDemandOfAll) {
+TEST(UsageReportTest, DirectTierKnowsTheDemandAtEachDispatcher) {
   constexpr int kDispatchers = 3;
   constexpr double kReportInterval = 0.25;
   for (const Crowd& crowd : kCrowds) {
@@ -419,7 +407,7 @@
     for (int d = 0; d < kDispatchers; ++d) {
       for (int t = 0; t < crowd.tenants; ++t) tier.AddDemand(d, t, 1.0 + (t + d) % 3);
     }
-    // Jobs of the rarest come once a second; from then on it is some reports until all have heard.
+    // The rarest requests come once a second; after some more reports all dispatchers know them.
     const double reports = crowd.loss > 0 ? 10 : 2;
     tier.RunUntil(101 + reports * kReportInterval);
     for (int to = 0; to < kDispatchers; ++to) {
@@ -438,7 +426,7 @@
 }
 
 // In a large tier each dispatcher's means hold the demand of every tenant, wherever it comes in.
-TEST(PeerReport, InALargeTierTheMeansOfAllHoldTheDemandOfAll) {
+TEST(UsageReportTest, LargeTierKnowsTheMeanDemandOfAllDispatchers) {
   constexpr int kDispatchers = 30;
   for (const Crowd& crowd : kCrowds) {
     SCOPED_TRACE(std::to_string(crowd.tenants) + " tenants, " + std::to_string(crowd.classes) +
@@ -450,7 +438,7 @@
                      .classes = crowd.classes,
                      .loss = crowd.loss,
                      .half_full = true});
-    std::map<int, Peer> told;  // the last row that each has told
+    std::map<int, Peer> told;  // the last row that each has sent
     tier.on_tell = [&](int from, int, const std::string& body) {
       UsageReport report;
       ASSERT_TRUE(DecodeReport(body, layout, &report));
@@ -476,7 +464,7 @@
 }
 
 // What reports cost where all their datagrams go out each time.
-TEST(PeerReport, BytesASecondOfADispatcher) {
+TEST(UsageReportTest, TrafficOfADispatcherIsBounded) {
   constexpr int kTenants = 130;
   constexpr double kSeconds = 20, kMostBytesASecond = 48'000;
   for (const int dispatchers : {3, 24, 100}) {
