--- /dev/null
+++ b/tests/maintenance_registry_test.cpp
@@ -0,0 +1,71 @@
+// Maintenance records on a virtual clock.
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
+#include "support/membership_world.h"
+
+namespace millethollow::membership {
+namespace {
+
+// Who takes a worker out or puts it back, at which of four nodes, cut in two or not; and is it out
+// then?
+TEST(MaintenanceRegistry, OutWinsUntilItIsCalledBackLater) {
+  struct Call {
+    std::size_t at;
+    bool out;
+  };
+  struct Case {
+    const char* what;
+    std::vector<Call> before, cut, after;
+    bool out;
+  };
+  const Case cases[] = {
+      {"out", {{0, true}}, {}, {}, true},
+      {"out and back elsewhere", {{0, true}, {3, false}}, {}, {}, false},
+      {"out twice, one call back", {{0, true}, {1, true}, {2, false}}, {}, {}, false},
+      {"back in the cut, by one who knew", {{0, true}}, {{3, false}}, {}, false},
+      {"out and back on two sides", {}, {{0, true}, {3, false}}, {}, true},
+      {"out again and back on two sides", {{0, true}}, {{0, true}, {3, false}}, {}, true},
+      {"out on both sides, back on one", {}, {{0, true}, {3, true}, {3, false}}, {}, true},
+      {"and called back later", {}, {{0, true}, {3, false}}, {{2, false}}, false},
+  };
+  for (const Case& c : cases) {
+    World w(5, {.members = 4, .voters = 3, .loss = 0.1});
+    w.StartAll();
+    w.RunUntil(5);
+    const auto call = [&](const std::vector<Call>& calls) {
+      for (const Call& each : calls) {
+        w.Say(each.at, "w", each.out);
+        w.RunUntil(w.now() + 2);
+      }
+    };
+    call(c.before);
+    if (!c.cut.empty()) w.Split({0, 0, 1, 1});
+    call(c.cut);
+    w.Heal();
+    EXPECT_TRUE(w.RunUntil([&] { return w.FactsAgree(); }, 20)) << c.what;
+    w.RunUntil(w.now() + 2);
+    call(c.after);
+    EXPECT_TRUE(w.RunUntil([&] { return w.FactsAgree(); }, 20)) << c.what;
+    for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(w.Out(i, "w"), c.out) << c.what << " at " << i;
+  }
+}
+
+TEST(MaintenanceRegistry, SurviveWhoSaidThemAndReachWhoStartsLater) {
+  World w(6, {.members = 4, .voters = 3});
+  w.StartAll();
+  w.RunUntil(5);
+  for (int i = 0; i < 100; ++i) w.Say(0, "w" + std::to_string(i), true);
+  w.RunUntil(w.now() + 0.5);
+  w.Kill(0);
+  w.Kill(1);
+  w.RunUntil(w.now() + 5);
+  w.Start(0);
+  EXPECT_TRUE(w.RunUntil([&] { return w.node(0).cluster->maintenance().synced(); }, 2));
+  for (int i = 0; i < 100; ++i) EXPECT_TRUE(w.Out(0, "w" + std::to_string(i))) << i;
+}
+
+}  // namespace
+}  // namespace millethollow::membership
