--- a/src/quota/allocator.h
+++ b/src/quota/allocator.h
@@ -1,8 +1,8 @@
-// An allocator's side of quota leases: it splits the quota of each tenant that the agreed view
-// gives it over the dispatchers, by what they report. The sum of all floors and of all leases that
-// may still be in force at any dispatcher is never above the quota: what a silent dispatcher may
-// still use stays reserved until its lease is over by that dispatcher's clock. Decides only: no
-// I/O, no clock.
+// An allocator's side of quota leases: divides the quotas of the tenants that the agreed view gives
+// it over the dispatchers by their reported demand. The sum of all floor rates and of all leases
+// that may be in force never exceeds a quota: the lease of a silent dispatcher stays reserved until
+// it has ended by that dispatcher's clock. Rates in requests per second, times in seconds. No I/O,
+// no clock.
 #ifndef MILLETHOLLOW_QUOTA_ALLOCATOR_H_
 #define MILLETHOLLOW_QUOTA_ALLOCATOR_H_
 
@@ -20,7 +20,7 @@
 
 namespace millethollow::quota {
 
-// Events at an allocator since it started; `refused` by cause.
+// Counts since the start; `rejected` by RejectReason. A lapse: all leases of a dispatcher ended.
 struct AllocatorCounters {
   std::uint64_t reports = 0, grants = 0, takeovers = 0, lapses = 0;
   std::array<std::uint64_t, static_cast<std::size_t>(RejectReason::kCount)> rejected{};
@@ -29,31 +29,31 @@
 // The tenants that one member allocates.
 class Allocator {
  public:
-  // `dispatchers`: every member of the cluster, in the view or not, that may hold leases; this one
-  // among them. `now`: this process has just started, and knows nothing of leases given before.
+  // `dispatchers`: every member of the cluster that may hold leases, in the view or not, with this
+  // one. `now`: the start of this process, which knows no earlier leases.
   Allocator(NodeId self, std::vector<NodeId> dispatchers, std::vector<TenantQuota> tenants,
             const LeaseTimings& timings, double now);
 
   // The agreed view has changed. Tenants that are new here are taken over: their whole quota counts
-  // as leased until every dispatcher has reported in this epoch or later, or until whatever another
-  // allocator may have granted is over.
+  // as leased until every dispatcher has sent a full report in this epoch or later, or until all
+  // leases from another allocator have ended.
   void SetView(double now, const AllocatorView& view);
-  // Other quotas of the same tenants, from the settings. A lower one is pushed at once.
+  // Other quotas of the same tenants. Lower rates are granted at once.
   void SetQuotas(double now, const std::vector<TenantQuota>& tenants);
-  // A report of the process `life` of dispatcher `from` came. Nothing changes unless kNone is
-  // returned; each refusal is counted.
+  // A report of a process of dispatcher `from`. Returns kNone if it was accepted. Each rejection is
+  // counted.
   RejectReason OnUsageReport(double now, NodeId from, ProcessIncarnation process_incarnation,
                              const UsageReport& report);
-  // Appends the grants that are due. `may_act`: this process, named with its life in the view,
-  // holds its place there now; where it does not, nothing is granted.
+  // Appends the grants that are due. `may_act`: this process incarnation is in the view and holds
+  // its membership lease; otherwise nothing is granted.
   void Tick(double now, bool may_act, Actions* actions);
-  // When Tick is due next; infinity: never.
+  // When Tick is due; infinity: never.
   double NextTickAt() const;
 
   bool Allocates(TenantId tenant) const;
-  // What may be in use of a tenant beside the floors, 0 for one that is not allocated here.
+  // The rate of a tenant that may be in use above the floor rates; 0 if not allocated here.
   double ReservedRate(double now, TenantId tenant) const;
-  // While a takeover is not over.
+  // Whether leases from an earlier allocator may be unknown.
   bool IsTakingOver(double now, TenantId tenant) const;
   std::size_t tenants_allocated() const;
   const AllocatorCounters& counters() const { return counters_; }
@@ -61,47 +61,48 @@
  private:
   using Due = std::set<std::pair<double, NodeId>>;
 
-  RejectReason Check(const Dispatcher& dispatcher, ProcessIncarnation process_incarnation,
+  RejectReason Check(const DispatcherState& dispatcher, ProcessIncarnation process_incarnation,
                      const UsageReport& report) const;
   RejectReason CheckUsages(const UsageReport& report) const;
-  void TakeUsage(NodeId from, Dispatcher& dispatcher, const TenantUsage& usage,
-                 std::uint64_t full_epoch_before);
-  static void ExtendLeases(Dispatcher& dispatcher, double until);
-  void ReleaseWaiting(Dispatcher& dispatcher);
-  void CheckReachable(NodeId id, Dispatcher& dispatcher);
-  void SetUnreachable(NodeId id, Dispatcher& dispatcher, bool unreachable);
-  void EndFullReport(NodeId from, Dispatcher& dispatcher, std::uint64_t full_epoch_before);
-  void StartLife(NodeId id, Dispatcher& dispatcher, ProcessIncarnation process_incarnation);
-
-  void TakeOver(double now, TenantId tenant);
+  void ApplyUsage(NodeId from, DispatcherState& dispatcher, const TenantUsage& usage,
+                  std::uint64_t full_epoch_before);
+  static void ExtendLeases(DispatcherState& dispatcher, double until);
+  void ReleaseWaiting(DispatcherState& dispatcher);
+  void CheckReachable(NodeId id, DispatcherState& dispatcher);
+  void SetUnreachable(NodeId id, DispatcherState& dispatcher, bool unreachable);
+  void EndFullReport(NodeId from, DispatcherState& dispatcher, std::uint64_t full_epoch_before);
+  void StartIncarnation(NodeId id, DispatcherState& dispatcher,
+                        ProcessIncarnation process_incarnation);
+
+  void StartTakeover(double now, TenantId tenant);
   void EndTakeover(TenantId id, TenantLeases& tenant);
   void EndTakeovers(double now);
   void Drop(TenantId tenant);
 
-  void LowerOffers(TenantId id, TenantLeases& tenant, double leasable);
+  void LowerPendingRates(TenantId id, TenantLeases& tenant, double leasable);
 
-  void EndLeases(double now);
-  void EndLeasesOf(double now, NodeId id, Dispatcher& dispatcher);
-  void ScheduleEnd(NodeId id, Dispatcher& dispatcher);
+  void ExpireLeases(double now);
+  void ExpireLeasesOf(double now, NodeId id, DispatcherState& dispatcher);
+  void ScheduleExpiry(NodeId id, DispatcherState& dispatcher);
 
   void DivideChanged(double now);
   void Divide(double now, TenantId id, TenantLeases& tenant);
   void ProbeUnreachable(TenantId id, TenantLeases& tenant);
-  bool CanOffer(TenantId tenant, NodeId id);
-  void Offer(TenantId id, NodeId to, DispatcherShare& share, double rate);
+  bool CanGrant(TenantId tenant, NodeId id);
+  void GrantRate(TenantId id, NodeId to, DispatcherShare& share, double rate);
   void SendGrants(Actions* actions);
-  void SendGrant(NodeId id, Dispatcher& dispatcher, Actions* actions);
+  void SendGrant(NodeId id, DispatcherState& dispatcher, Actions* actions);
 
   LeaseTimings timings_;
   AllocatorView view_;
   NodeId self_;
   std::map<TenantId, double> quotas_;
   std::map<TenantId, TenantLeases> tenants_;  // allocated here
-  std::map<NodeId, Dispatcher> dispatchers_;
+  std::map<NodeId, DispatcherState> dispatchers_;
   std::set<TenantId> taking_over_;
   std::set<TenantId> changed_;  // to be divided again
   std::set<NodeId> to_send_;    // dispatchers that a grant is due to
-  Due ends_;                    // of leases: when to look, at which dispatcher
+  Due expiries_;                // of leases: when to look, at which dispatcher
   double ticked_at_;
   bool acts_ = false;  // at the last Tick
   std::uint64_t last_grant_ = 0;
--- a/src/quota/dispatcher_state.cpp
+++ b/src/quota/dispatcher_state.cpp
@@ -5,41 +5,42 @@
 namespace millethollow::quota {
 namespace {
 
-// Former lives whose late reports are known as such.
-constexpr std::size_t kMostFormerLives = 16;
+// Earlier process incarnations whose late reports are rejected.
+constexpr std::size_t kMaxEarlierIncarnations = 16;
 
 }  // namespace
 
-bool Dispatcher::IsNews(ProcessIncarnation reporter, std::uint64_t number) const {
+bool DispatcherState::IsNewer(ProcessIncarnation reporter, std::uint64_t number) const {
   if (reporter == process_incarnation) return number > sequence;
-  return std::find(former_lives.begin(), former_lives.end(), reporter) == former_lives.end();
+  return std::find(earlier_incarnations.begin(), earlier_incarnations.end(), reporter) ==
+         earlier_incarnations.end();
 }
 
-void Dispatcher::StartLife(ProcessIncarnation started) {
-  if (process_incarnation != 0) former_lives.push_back(process_incarnation);
-  if (former_lives.size() > kMostFormerLives) former_lives.pop_front();
-  if (!lapsed) former_end_at = std::max(former_end_at, leases_end_at);
+void DispatcherState::StartIncarnation(ProcessIncarnation started) {
+  if (process_incarnation != 0) earlier_incarnations.push_back(process_incarnation);
+  if (earlier_incarnations.size() > kMaxEarlierIncarnations) earlier_incarnations.pop_front();
+  if (!leases_expired) earlier_leases_end_at = std::max(earlier_leases_end_at, leases_end_at);
   process_incarnation = started;
   sequence = 0;
   current = false;
   in_full_report = false;
-  lapsed = true;
+  leases_expired = true;
   unreachable = false;
-  offers.clear();
+  pending_tenants.clear();
 }
 
-bool Dispatcher::TakeReport(const UsageReport& report) {
+bool DispatcherState::OnReport(const UsageReport& report) {
   const bool gap = report.sequence != sequence + 1;
   sequence = report.sequence;
   if (report.full) {
     in_full_report = true;
-    named.clear();
+    tenants_in_full_report.clear();
   } else if (gap) {
     in_full_report = false;
     current = false;
   }
   if (!in_full_report) return false;
-  for (const TenantUsage& usage : report.usages) named.insert(usage.tenant);
+  for (const TenantUsage& usage : report.usages) tenants_in_full_report.insert(usage.tenant);
   if (report.usages.size() == kMaxEntries) return false;
   in_full_report = false;
   full_epoch = std::max(full_epoch, report.epoch);
@@ -47,11 +48,11 @@
   return true;
 }
 
-double Dispatcher::NextEnd() const {
+double DispatcherState::NextExpiry() const {
   double next = kNever;
-  if (!lapsed) next = leases_end_at;
+  if (!leases_expired) next = leases_end_at;
   if (!silent) next = std::min(next, silent_at);
-  if (former_end_at > 0) next = std::min(next, former_end_at);
+  if (earlier_leases_end_at > 0) next = std::min(next, earlier_leases_end_at);
   return next;
 }
 
--- a/src/quota/lease_holder.cpp
+++ b/src/quota/lease_holder.cpp
@@ -6,10 +6,10 @@
 namespace millethollow::quota {
 namespace {
 
-// Reports whose time of sending is remembered, for each allocator.
-constexpr std::size_t kMostSent = 64;
-// The first retry of a full report comes after so many report gaps; then doubled.
-constexpr double kRetryGaps = 2;
+// Reports to one allocator whose time of sending is kept.
+constexpr std::size_t kMaxSentReports = 64;
+// Backoff of a full report that is not acknowledged: first delay in min_report_interval_s.
+constexpr double kFirstRetryIntervals = 2;
 
 double ValidRate(double rate) { return IsValidRate(rate) ? rate : 0; }
 
@@ -33,12 +33,12 @@
   ExpireLeases(now);
   const bool next = view.epoch == view_.epoch + 1;
   view_ = view;
-  MoveTenants(!next);
-  RenewLinks(now);
+  ReassignTenants(!next);
+  RebuildLinks(now);
 }
 
 // `views_missed`: others may have allocated any tenant in between.
-void LeaseHolder::MoveTenants(bool views_missed) {
+void LeaseHolder::ReassignTenants(bool views_missed) {
   for (Tenant& tenant : tenants_) {
     const AllocatorMember* allocator = view_.AllocatorOf(tenant.id);
     const AllocatorMember next = allocator == nullptr ? AllocatorMember{} : *allocator;
@@ -49,9 +49,9 @@
   }
 }
 
-// Each allocator of the view is told all at once, and whether there is anything or not: one that
-// takes tenants over waits for that.
-void LeaseHolder::RenewLinks(double now) {
+// Each allocator of the view gets a full report at once, even an empty one: an allocator that takes
+// tenants over waits for it.
+void LeaseHolder::RebuildLinks(double now) {
   for (auto& [id, link] : links_) {
     link.active = false;
     link.tenants.clear();
@@ -59,28 +59,28 @@
   for (std::size_t i = 0; i < tenants_.size(); ++i) {
     const AllocatorMember& allocator = tenants_[i].allocator;
     if (allocator.id == 0) continue;
-    Link& link = links_[allocator.id];
+    AllocatorLink& link = links_[allocator.id];
     link.active = true;
     link.tenants.push_back(i);
   }
   for (auto& [id, link] : links_) {
-    if (link.active) WantFull(now, id, link);
+    if (link.active) ScheduleFullReport(now, id, link);
   }
 }
 
-void LeaseHolder::WantFull(double now, NodeId allocator, Link& link) {
+void LeaseHolder::ScheduleFullReport(double now, NodeId allocator, AllocatorLink& link) {
   link.full = true;
-  link.full_begin = 0;
-  link.full_end = 0;
+  link.full_first_sequence = 0;
+  link.full_last_sequence = 0;
   link.reported_tenants = 0;
-  link.retry_s = kRetryGaps * timings_.min_report_interval_s;
-  MakeDue(now, allocator);
+  link.retry_s = kFirstRetryIntervals * timings_.min_report_interval_s;
+  ScheduleReport(now, allocator);
 }
 
-void LeaseHolder::MakeDue(double now, NodeId allocator) {
+void LeaseHolder::ScheduleReport(double now, NodeId allocator) {
   const auto found = links_.find(allocator);
   if (found == links_.end() || !found->second.active) return;
-  Link& link = found->second;
+  AllocatorLink& link = found->second;
   const double earliest =
       link.sequence == 0 ? now : std::max(now, link.reported_at + timings_.min_report_interval_s);
   link.due_at = std::min(link.due_at, earliest);
@@ -99,18 +99,18 @@
   const double difference = std::abs(changed.demand_rps - changed.reported_demand_rps);
   const bool begins_or_ends = (changed.demand_rps > 0) != (changed.reported_demand_rps > 0);
   if (begins_or_ends || difference > timings_.hysteresis * changed.reported_demand_rps) {
-    MakeDue(now, changed.allocator.id);
+    ScheduleReport(now, changed.allocator.id);
   }
 }
 
-// A lease that is over stays over: only another grant begins one.
+// An ended lease is not extended: only another grant begins one.
 void LeaseHolder::ExpireLeases(double now) {
   for (Tenant& tenant : tenants_) {
-    if (tenant.rate_rps <= 0 || now < tenant.until) continue;
+    if (tenant.rate_rps <= 0 || now < tenant.lease_ends_at) continue;
     tenant.rate_rps = 0;
     tenant.changed = true;
     ++counters_.expiries;
-    MakeDue(now, tenant.allocator.id);
+    ScheduleReport(now, tenant.allocator.id);
   }
 }
 
@@ -122,24 +122,24 @@
     return refusal;
   }
   ++counters_.grants;
-  Link& link = links_.at(from);
-  TakeAnswer(link, grant.acked_sequence);
-  const double sent_at = link.sent.front().second;
+  AllocatorLink& link = links_.at(from);
+  AcknowledgeReports(link, grant.acked_sequence);
+  const double sent_at = link.sent_reports.front().second;
   const double until = sent_at + std::min(grant.lease_duration_s, timings_.lease_duration_s);
-  Prolong(link, until);
+  ExtendLeases(link, until);
   for (const Assignment& assignment : grant.assignments) {
-    Apply(tenants_[index_.at(assignment.tenant)], assignment, now, until);
+    ApplyAssignment(tenants_[index_.at(assignment.tenant)], assignment, now, until);
   }
-  // One that answers an earlier report than the full one under way has nothing new to ask.
-  const bool under_way = link.full && link.full_begin > grant.acked_sequence;
-  if (grant.request_full_report && !under_way) WantFull(now, from, link);
+  // A grant for a report before the full one under way asks for what is already being sent.
+  const bool under_way = link.full && link.full_first_sequence > grant.acked_sequence;
+  if (grant.request_full_report && !under_way) ScheduleFullReport(now, from, link);
   return RejectReason::kNone;
 }
 
-void LeaseHolder::TakeAnswer(Link& link, std::uint64_t acked_sequence) {
-  link.heard_answer = acked_sequence;
-  while (link.sent.front().first < acked_sequence) link.sent.pop_front();
-  if (link.full_end != 0 && acked_sequence >= link.full_end) link.full = false;
+void LeaseHolder::AcknowledgeReports(AllocatorLink& link, std::uint64_t acked_sequence) {
+  link.acked_sequence = acked_sequence;
+  while (link.sent_reports.front().first < acked_sequence) link.sent_reports.pop_front();
+  if (link.full_last_sequence != 0 && acked_sequence >= link.full_last_sequence) link.full = false;
 }
 
 RejectReason LeaseHolder::Check(NodeId from, const Grant& grant) const {
@@ -152,7 +152,7 @@
   if (grant.acked_sequence > link->second.sequence) return RejectReason::kInvalidNumber;
   const RejectReason refusal = CheckAssignments(from, grant);
   if (refusal != RejectReason::kNone) return refusal;
-  return IsNews(link->second, grant) ? RejectReason::kNone : RejectReason::kDuplicate;
+  return IsNewer(link->second, grant) ? RejectReason::kNone : RejectReason::kDuplicate;
 }
 
 RejectReason LeaseHolder::CheckAssignments(NodeId from, const Grant& grant) const {
@@ -166,37 +166,40 @@
   return RejectReason::kNone;
 }
 
-// False for one that came before, came after a later one, or is meant for a former life.
-bool LeaseHolder::IsNews(const Link& link, const Grant& grant) const {
-  if (grant.process_incarnation != process_incarnation_ || grant.acked_sequence < link.heard_answer)
+// False for a grant received before, older than one received, or for an earlier process.
+bool LeaseHolder::IsNewer(const AllocatorLink& link, const Grant& grant) const {
+  if (grant.process_incarnation != process_incarnation_ ||
+      grant.acked_sequence < link.acked_sequence)
     return false;
-  if (link.sent.empty() || grant.acked_sequence < link.sent.front().first) return false;
-  if (grant.acked_sequence > link.heard_answer) return true;
+  if (link.sent_reports.empty() || grant.acked_sequence < link.sent_reports.front().first)
+    return false;
+  if (grant.acked_sequence > link.acked_sequence) return true;
   return std::any_of(grant.assignments.begin(), grant.assignments.end(), [&](const Assignment& a) {
     return a.grant_number > tenants_[index_.at(a.tenant)].grant_number;
   });
 }
 
-// A lease of an earlier allocator is not prolonged: that one may still act, takes this dispatcher
-// for silent, and grants the rate to others once the lease should be over.
-void LeaseHolder::Prolong(Link& link, double until) {
+// A lease from an earlier allocator is not extended: that allocator may still act, counts this
+// dispatcher as silent, and grants the rate to others once the lease has ended.
+void LeaseHolder::ExtendLeases(AllocatorLink& link, double until) {
   for (const std::size_t i : link.tenants) {
     Tenant& tenant = tenants_[i];
     if (tenant.rate_rps > 0 && tenant.grant_number != 0)
-      tenant.until = std::max(tenant.until, until);
+      tenant.lease_ends_at = std::max(tenant.lease_ends_at, until);
   }
 }
 
-void LeaseHolder::Apply(Tenant& tenant, const Assignment& assignment, double now, double until) {
+void LeaseHolder::ApplyAssignment(Tenant& tenant, const Assignment& assignment, double now,
+                                  double until) {
   if (assignment.grant_number < tenant.grant_number) return;
-  // One that came before is told of again: its allocator does not know yet.
+  // A repeated assignment is reported again: the allocator has not seen its confirmation.
   tenant.changed = true;
   if (assignment.grant_number > tenant.grant_number) {
     tenant.grant_number = assignment.grant_number;
     tenant.rate_rps = now < until ? assignment.rate_rps : 0;
-    tenant.until = until;
+    tenant.lease_ends_at = until;
   }
-  MakeDue(now, tenant.allocator.id);
+  ScheduleReport(now, tenant.allocator.id);
 }
 
 void LeaseHolder::Tick(double now, Actions* actions) {
@@ -206,22 +209,22 @@
   }
 }
 
-bool LeaseHolder::IsToTell(const Link& link, const Tenant& tenant) const {
+bool LeaseHolder::MustReport(const AllocatorLink& link, const Tenant& tenant) const {
   if (tenant.changed || tenant.demand_rps != tenant.reported_demand_rps) return true;
   const bool in_use = tenant.demand_rps > 0 || tenant.rate_rps > 0;
   return in_use && (link.full || link.reported_tenants > 0);
 }
 
-// What is to be told, as much as one report holds; it counts as told from here on.
-std::vector<TenantUsage> LeaseHolder::TakeUsages(double now, Link& link) {
+// The usages to report, as many as one message holds. They count as reported from now on.
+std::vector<TenantUsage> LeaseHolder::CollectUsages(double now, AllocatorLink& link) {
   std::vector<TenantUsage> usages;
   std::size_t next = link.reported_tenants;
   for (; next < link.tenants.size() && usages.size() < kMaxEntries; ++next) {
     Tenant& tenant = tenants_[link.tenants[next]];
-    if (!IsToTell(link, tenant)) continue;
+    if (!MustReport(link, tenant)) continue;
     tenant.changed = false;
     tenant.reported_demand_rps = tenant.demand_rps;
-    const double lease_remaining_s = tenant.rate_rps > 0 ? tenant.until - now : 0;
+    const double lease_remaining_s = tenant.rate_rps > 0 ? tenant.lease_ends_at - now : 0;
     usages.push_back(
         {tenant.id, tenant.demand_rps, tenant.rate_rps, lease_remaining_s, tenant.grant_number});
   }
@@ -230,19 +233,19 @@
   return usages;
 }
 
-// A full report that was begun is ended, also if all was told in another one meanwhile.
-void LeaseHolder::SendReport(double now, NodeId allocator, Link& link, Actions* actions) {
+// A full report that was begun is completed, even if another one was completed meanwhile.
+void LeaseHolder::SendReport(double now, NodeId allocator, AllocatorLink& link, Actions* actions) {
   const bool is_full = link.full || link.reported_tenants > 0;
   UsageReport report;
   report.epoch = view_.epoch;
   report.sequence = ++link.sequence;
   report.full = is_full && link.reported_tenants == 0;
-  report.usages = TakeUsages(now, link);
+  report.usages = CollectUsages(now, link);
   const bool is_filled = report.usages.size() == kMaxEntries;
-  if (report.full && link.full_begin == 0) link.full_begin = report.sequence;
+  if (report.full && link.full_first_sequence == 0) link.full_first_sequence = report.sequence;
   if (is_full && !is_filled) EndFullReport(link);
-  link.sent.emplace_back(report.sequence, now);
-  if (link.sent.size() > kMostSent) link.sent.pop_front();
+  link.sent_reports.emplace_back(report.sequence, now);
+  if (link.sent_reports.size() > kMaxSentReports) link.sent_reports.pop_front();
   link.reported_at = now;
   link.due_at = is_filled || HasChanges(link) ? now + timings_.min_report_interval_s : kNever;
   actions->send.emplace_back(allocator, std::move(report));
@@ -250,27 +253,28 @@
 }
 
 // A tenant may change after the full report under way has passed it.
-bool LeaseHolder::HasChanges(const Link& link) const {
+bool LeaseHolder::HasChanges(const AllocatorLink& link) const {
   return std::any_of(link.tenants.begin(), link.tenants.end(),
                      [&](std::size_t i) { return tenants_[i].changed; });
 }
 
-void LeaseHolder::EndFullReport(Link& link) {
-  if (link.full_end != 0) link.retry_s = std::min(2 * link.retry_s, timings_.renew_interval_s);
-  if (link.full_end == 0) link.full_end = link.sequence;
+void LeaseHolder::EndFullReport(AllocatorLink& link) {
+  if (link.full_last_sequence != 0)
+    link.retry_s = std::min(2 * link.retry_s, timings_.renew_interval_s);
+  if (link.full_last_sequence == 0) link.full_last_sequence = link.sequence;
 }
 
-// While it has demand or a lease there, or is not known to be heard.
-bool LeaseHolder::NeedsRenewal(const Link& link) const {
-  if (link.heard_answer < link.sequence) return true;
+// While it has demand or a lease there, or its last report is not acknowledged.
+bool LeaseHolder::NeedsRenewal(const AllocatorLink& link) const {
+  if (link.acked_sequence < link.sequence) return true;
   return std::any_of(link.tenants.begin(), link.tenants.end(), [&](std::size_t i) {
     return tenants_[i].reported_demand_rps > 0 || tenants_[i].rate_rps > 0;
   });
 }
 
-double LeaseHolder::NextDue(const Link& link) const {
+double LeaseHolder::NextDue(const AllocatorLink& link) const {
   const double renewal = NeedsRenewal(link) ? link.reported_at + timings_.renew_interval_s : kNever;
-  const bool unanswered = link.full && link.full_end != 0 && link.reported_tenants == 0;
+  const bool unanswered = link.full && link.full_last_sequence != 0 && link.reported_tenants == 0;
   const double retry = unanswered ? link.reported_at + link.retry_s : kNever;
   return std::min({link.due_at, renewal, retry});
 }
@@ -281,7 +285,7 @@
     if (link.active) next = std::min(next, NextDue(link));
   }
   for (const Tenant& tenant : tenants_) {
-    if (tenant.rate_rps > 0) next = std::min(next, tenant.until);
+    if (tenant.rate_rps > 0) next = std::min(next, tenant.lease_ends_at);
   }
   return next;
 }
@@ -292,7 +296,7 @@
 
 double LeaseHolder::LeaseRate(double now, std::size_t tenant) const {
   const Tenant& leased = tenants_.at(tenant);
-  return now < leased.until ? leased.rate_rps : 0;
+  return now < leased.lease_ends_at ? leased.rate_rps : 0;
 }
 
 double LeaseHolder::FloorRate(std::size_t tenant) const {
--- a/src/quota/rate_division.cpp
+++ b/src/quota/rate_division.cpp
@@ -12,13 +12,13 @@
   return std::accumulate(rates.begin(), rates.end(), 0.0);
 }
 
-// Whether a claim is to have its proportional rate whatever the others need.
+// Whether a dispatcher gets its proportional rate whatever the others need.
 bool MustChange(double rate, double target, double hysteresis) {
   if (rate <= 0 || target <= 0) return rate != target;
   return std::abs(target - rate) > hysteresis * rate;
 }
 
-// The claims that are above (`surplus`) or below their target, furthest first.
+// The dispatchers above (`surplus`) or below their target rate, furthest first.
 std::vector<std::size_t> Candidates(const std::vector<double>& rates,
                                     const std::vector<double>& targets, bool surplus) {
   const auto distance = [&](std::size_t i) {
@@ -36,25 +36,25 @@
 }  // namespace
 
 std::vector<double> ProportionalRates(double available,
-                                      const std::vector<DispatcherDemand>& claims) {
+                                      const std::vector<DispatcherDemand>& demands) {
   double total = 0;
-  for (const DispatcherDemand& claim : claims) total += claim.demand_rps;
-  std::vector<double> rates(claims.size(), 0.0);
+  for (const DispatcherDemand& demand : demands) total += demand.demand_rps;
+  std::vector<double> rates(demands.size(), 0.0);
   if (total <= 0 || available <= 0) return rates;
-  for (std::size_t i = 0; i < claims.size(); ++i) {
-    rates[i] = available * (claims[i].demand_rps / total);
+  for (std::size_t i = 0; i < demands.size(); ++i) {
+    rates[i] = available * (demands[i].demand_rps / total);
   }
   return rates;
 }
 
 std::vector<double> RatesWithHysteresis(double available,
-                                        const std::vector<DispatcherDemand>& claims,
+                                        const std::vector<DispatcherDemand>& demands,
                                         double hysteresis) {
-  const std::vector<double> targets = ProportionalRates(available, claims);
-  std::vector<double> rates(claims.size());
-  for (std::size_t i = 0; i < claims.size(); ++i) {
-    const bool change = MustChange(claims[i].rate_rps, targets[i], hysteresis);
-    rates[i] = change ? targets[i] : claims[i].rate_rps;
+  const std::vector<double> targets = ProportionalRates(available, demands);
+  std::vector<double> rates(demands.size());
+  for (std::size_t i = 0; i < demands.size(); ++i) {
+    const bool change = MustChange(demands[i].rate_rps, targets[i], hysteresis);
+    rates[i] = change ? targets[i] : demands[i].rate_rps;
   }
   double left = available - Sum(rates);
   const bool surplus = left < 0;
--- a/src/quota/rate_division.h
+++ b/src/quota/rate_division.h
@@ -1,4 +1,5 @@
-// Division of one tenant's leasable rate over dispatchers by their demand. Pure functions.
+// Division of one tenant's leasable rate over dispatchers by their demand, in requests per second.
+// Pure functions.
 #ifndef MILLETHOLLOW_QUOTA_RATE_DIVISION_H_
 #define MILLETHOLLOW_QUOTA_RATE_DIVISION_H_
 
@@ -6,28 +7,28 @@
 
 namespace millethollow::quota {
 
-// One dispatcher's part in a division.
+// One dispatcher in a division.
 struct DispatcherDemand {
   double demand_rps = 0;
   double rate_rps = 0;  // that it has now
 };
 
-// Free rate below this share of what is divided is not worth a message.
+// Smaller free rates, as a share of the rate that is divided, stay unused.
 constexpr double kNegligibleFraction = 1e-3;
 
-// Sums of rates that should be equal differ by this share of them at most.
+// Relative difference of sums that are equal but for rounding.
 constexpr double kRoundingTolerance = 1e-9;
 
-// The rate of each claim in proportion to its demand, 0 without demand; all of `available` is
-// handed out where there is any demand.
+// Rates in proportion to demand, 0 without demand. Divides all of `available` where there is any
+// demand.
 std::vector<double> ProportionalRates(double available,
-                                      const std::vector<DispatcherDemand>& claims);
+                                      const std::vector<DispatcherDemand>& demands);
 
-// The same with hysteresis: a claim keeps its rate while that is within `hysteresis` of its
-// proportional one, unless others need what it has too much, or something is left over. Those
-// furthest from their proportional rate change first.
+// The same with hysteresis: a dispatcher keeps its rate while that differs from its proportional
+// rate by at most the share `hysteresis`, unless others need the surplus or free rate is left.
+// Those furthest from their proportional rate change first.
 std::vector<double> RatesWithHysteresis(double available,
-                                        const std::vector<DispatcherDemand>& claims,
+                                        const std::vector<DispatcherDemand>& demands,
                                         double hysteresis);
 
 }  // namespace millethollow::quota
--- a/src/quota/tenant_leases.h
+++ b/src/quota/tenant_leases.h
@@ -1,5 +1,5 @@
-// What an allocator has granted of one tenant, and may still be in force. Decides only: no I/O, no
-// clock.
+// The leases of one tenant at its allocator: rates granted, and rates that may still be in force.
+// Rates in requests per second. No I/O, no clock.
 #ifndef MILLETHOLLOW_QUOTA_TENANT_LEASES_H_
 #define MILLETHOLLOW_QUOTA_TENANT_LEASES_H_
 
@@ -14,36 +14,38 @@
 
 namespace millethollow::quota {
 
-// One dispatcher's part of a tenant.
+// One dispatcher's share of a tenant's quota.
 struct DispatcherShare {
   double demand_rps = 0;
-  double confirmed = 0;           // the rate that it has told
-  double offer = 0;               // another rate, granted but not told yet
-  std::uint64_t offer_grant = 0;  // the number of that grant, 0: there is none
-  double most_offered = 0;        // the largest rate since, which may still arrive
-  bool inherited = false;         // what is confirmed was granted by an earlier allocator
-  bool unreachable = false;  // grants do not reach the dispatcher: its demand counts for nothing
-  double former = 0;         // what former lives of the dispatcher may still use
+  double confirmed_rps = 0;  // as its last report said
+  double pending_rps = 0;    // a newer rate, granted but not yet confirmed by a report
+  std::uint64_t pending_grant_number = 0;  // of that rate; 0: none is pending
+  double max_pending_rps = 0;              // the largest one since; its grant may still arrive
+  bool inherited = false;                  // confirmed_rps was granted by an earlier allocator
+  bool unreachable = false;  // grants don't reach the dispatcher: its demand counts as 0
+  double earlier_rps = 0;    // that earlier processes of the dispatcher may still use
 
-  bool offered() const { return offer_grant != 0; }
-  // The rate that it is to have by what was granted last.
-  double Intended() const { return offered() ? offer : confirmed; }
-  // The most that its present life may use.
-  double Current() const { return std::max(confirmed, most_offered); }
-  double InForce() const { return Current() + former; }
-  bool Empty() const { return demand_rps <= 0 && !offered() && confirmed <= 0 && former <= 0; }
+  bool has_pending() const { return pending_grant_number != 0; }
+  // The rate granted last.
+  double IntendedRate() const { return has_pending() ? pending_rps : confirmed_rps; }
+  // The most that the present process may use.
+  double CurrentRate() const { return std::max(confirmed_rps, max_pending_rps); }
+  double RateInForce() const { return CurrentRate() + earlier_rps; }
+  bool Empty() const {
+    return demand_rps <= 0 && !has_pending() && confirmed_rps <= 0 && earlier_rps <= 0;
+  }
 
-  // The dispatcher tells what it holds. `trusted`: nothing is known of it here yet, so that its
-  // word counts; else it can't hold more than it was granted.
+  // The dispatcher has reported its usage. `trusted`: the report is the only source, as in a
+  // takeover; otherwise the lease counts up to what was granted here.
   void Confirm(const TenantUsage& usage, bool trusted);
-  // Grants another rate, also in place of one that is not told yet.
-  void Offer(double rate, std::uint64_t grant);
-  // The dispatcher has told all that it holds, and this is not among it.
+  // Grants another rate, also in place of a pending one.
+  void GrantRate(double rate, std::uint64_t grant);
+  // A full report left the tenant out: the dispatcher has neither demand nor lease.
   void ConfirmNothing();
-  // All leases of the present life are over; its demand stays.
-  void Lapse();
-  // The dispatcher has started again.
-  void StartLife();
+  // The leases of the present process have ended; its demand stays.
+  void Expire();
+  // The dispatcher has restarted.
+  void StartIncarnation();
 };
 
 // A rate to be granted to a dispatcher.
@@ -52,29 +54,30 @@
   double rate_rps = 0;
 };
 
-// All of one tenant at its allocator.
+// The leases of one tenant at all dispatchers.
 struct TenantLeases {
-  double leasable = 0;  // of the quota
+  double leasable = 0;  // the part of the quota for leases
   std::map<NodeId, DispatcherShare> shares;
-  std::uint64_t taken_epoch = 0;  // of the view that brought the tenant here
-  bool taking_over = false;       // not all of what others granted is known
-  double takeover_ends_at = 0;    // whatever they granted is over
-  std::size_t unreported = 0;     // dispatchers that have not told all in taken_epoch or later
+  std::uint64_t takeover_epoch = 0;  // of the view that brought the tenant here
+  bool taking_over = false;          // leases from an earlier allocator may be unknown
+  double takeover_ends_at = 0;       // all leases from earlier allocators have ended
+  std::size_t unreported_dispatchers =
+      0;  // without a complete full report in takeover_epoch or later
   double divided_at = -std::numeric_limits<double>::infinity();
 
-  double InForce() const;
-  // The changes that bring rates nearer to the division by demand, none during a takeover. Raises
-  // are taken from what is free; what an earlier allocator granted is granted anew. `open`: who can
-  // be granted to.
+  double RateInForce() const;
+  // The changes that bring rates nearer to the division by demand; none during a takeover. Raises
+  // use only rate that is not in force elsewhere; inherited leases are granted again. `open`:
+  // whether a dispatcher can be granted a rate now.
   std::vector<RateChange> Divide(double hysteresis, const std::function<bool(NodeId)>& open) const;
 
  private:
-  struct Wish {
+  struct ProposedChange {
     NodeId dispatcher = 0;
     double from = 0, to = 0;
   };
-  std::vector<Wish> Wishes(double hysteresis) const;
-  std::vector<RateChange> Granted(const std::vector<Wish>& wishes) const;
+  std::vector<ProposedChange> ProposedChanges(double hysteresis) const;
+  std::vector<RateChange> FitToFreeRate(const std::vector<ProposedChange>& changes) const;
 };
 
 }  // namespace millethollow::quota
