--- a/src/balancing/endpoint_discovery.cpp
+++ b/src/balancing/endpoint_discovery.cpp
@@ -6,53 +6,60 @@
 
 namespace millethollow::balancing {
 
-constexpr double kPeerPoints = 0.003;  // of the result may go into messages
-constexpr double kGroupFade = 0.05;    // what went badly is forgiven with each report interval
+constexpr double kPeerMessageBudget = 0.003;  // of the result may go into messages
+constexpr double kGroupRecovery = 0.05;  // what went badly is forgiven with each report interval
 
 void LoadBalancerImpl::On(const DispatcherStarted&) {
   reported_at_ = now_;
-  next_cut_ = now_ + std::max(kDemandS, 2 * interval_);  // demand is not known yet
-  actions_->push_back(SetTimer{kReportMark, interval_ * (0.2 + random_.Unit())});
-  if (s_.polls_discovery) Ask();
+  next_cut_at_ =
+      now_ + std::max(kDemandSmoothingS, 2 * report_interval_s_);  // demand is not known yet
+  actions_->push_back(SetTimer{kReportTimer, report_interval_s_ * (0.2 + random_.Unit())});
+  if (settings_.polls_discovery) PollEndpoints();
 }
 
-void LoadBalancerImpl::Ask() {
+void LoadBalancerImpl::PollEndpoints() {
   actions_->push_back(Subscribe{true});
-  AskIn(std::max(0.5, 0.4 * s_.max_poll_interval_s));  // in case no answer comes
+  PollIn(std::max(0.5, 0.4 * settings_.max_poll_interval_s));  // in case no answer comes
 }
 
-void LoadBalancerImpl::AskIn(double span) {
-  ask_at_ = now_ + span;
-  actions_->push_back(SetTimer{kAskMark, span});
+void LoadBalancerImpl::PollIn(double span) {
+  poll_at_ = now_ + span;
+  actions_->push_back(SetTimer{kPollTimer, span});
 }
 
 void LoadBalancerImpl::On(const TimerFired& e) {
-  if (e.timer_id == kReportMark) {
-    LetBack();
-    if (!direct_) Weigh();
-    SumOthers();
+  if (e.timer_id == kReportTimer) {
+    EndEjections();
+    if (!full_mesh_) UpdateThroughputs();
+    UpdatePeerSlots();
     // Peers of a large tier don't tell what they have out where; they do as this one does.
     for (Worker& w : workers_)
-      w.others = direct_ ? w.others : (s_.dispatcher_count - 1) * w.MeanOut(now_);
-    for (double& room : room_) room += (1 - room) * kGroupFade * interval_ / kReportS;
-    if (now_ - reported_at_ > interval_ / 4) Report();
+      w.peer_slots_in_flight =
+          full_mesh_ ? w.peer_slots_in_flight
+                     : (settings_.dispatcher_count - 1) * w.TakeMeanSlotsInFlight(now_);
+    for (double& room : group_success_)
+      room += (1 - room) * kGroupRecovery * report_interval_s_ / kReportIntervalS;
+    if (now_ - reported_at_ > report_interval_s_ / 4) PublishUsage();
     // Jitter keeps dispatchers that started together from reporting in step.
     // In large tiers of little traffic the price of messages, per job, sets the pace.
-    const double price = direct_ ? 0 : s_.price_peer * kFanout * 100 / 256 / kPeerPoints;
-    const double even = price / std::max(own_[Idx(tenants_)], 1e-3);
-    const double span = std::clamp(even, interval_, 4 * interval_);
-    actions_->push_back(SetTimer{kReportMark, span * (0.75 + 0.5 * random_.Unit())});
-  } else if (e.timer_id == kWatchMark) {
-    while (!watch_.empty() && watch_.top().at <= now_) {
-      const Watch watch = watch_.top();
-      watch_.pop();
-      Overdue(watch);
+    const double price =
+        full_mesh_ ? 0 : settings_.price_peer * kGossipFanout * 100 / 256 / kPeerMessageBudget;
+    const double even = price / std::max(own_rates_[Idx(tenant_count_)], 1e-3);
+    const double span = std::clamp(even, report_interval_s_, 4 * report_interval_s_);
+    actions_->push_back(SetTimer{kReportTimer, span * (0.75 + 0.5 * random_.Unit())});
+  } else if (e.timer_id == kOverdueTimer) {
+    while (!overdue_checks_.empty() && overdue_checks_.top().at <= now_) {
+      const OverdueCheck watch = overdue_checks_.top();
+      overdue_checks_.pop();
+      OnOverdue(watch);
     }
-    watching_ = !watch_.empty();
-    const double next = watching_ ? std::clamp(watch_.top().at - now_, 0.005, kWatchS) : 0;
-    if (watching_) actions_->push_back(SetTimer{kWatchMark, next});
-  } else if (e.timer_id == kAskMark) {
-    if (!subscribed_ && now_ > ask_at_ - s_.tick_s) Ask();  // else set anew meanwhile
+    check_timer_set_ = !overdue_checks_.empty();
+    const double next =
+        check_timer_set_ ? std::clamp(overdue_checks_.top().at - now_, 0.005, kOverdueCheckS) : 0;
+    if (check_timer_set_) actions_->push_back(SetTimer{kOverdueTimer, next});
+  } else if (e.timer_id == kPollTimer) {
+    if (!subscribed_ && now_ > poll_at_ - settings_.tick_s)
+      PollEndpoints();  // else set anew meanwhile
   }
 }
 
@@ -60,49 +67,50 @@
   if (e.kind == EndpointListKind::kUnavailable) {
     // Ask again soon, but not all at once: the list service has a fixed capacity.
     subscribed_ = false;
-    if (s_.polls_discovery)
-      AskIn(std::min(0.3 * s_.max_poll_interval_s, 0.4 + 1.2 * random_.Unit()));
+    if (settings_.polls_discovery)
+      PollIn(std::min(0.3 * settings_.max_poll_interval_s, 0.4 + 1.2 * random_.Unit()));
     return;
   }
   if (e.kind != EndpointListKind::kRestored) subscribed_ = true;
   if (e.endpoints == nullptr) return;
   std::vector<char> listed(workers_.size(), e.kind == EndpointListKind::kIncremental);
   for (const Endpoint& m : *e.endpoints) {
-    auto it = index_.find(m.worker);
-    if (it == index_.end()) it = index_.emplace(m.worker, SlotFor(m.worker, &listed)).first;
+    auto it = worker_index_.find(m.worker);
+    if (it == worker_index_.end())
+      it = worker_index_.emplace(m.worker, AddWorker(m.worker, &listed)).first;
     listed[Idx(it->second)] = 1;
     Worker& w = workers_[Idx(it->second)];
-    const bool restarted = m.started_at_s > w.born && m.started_at_s > 0;
-    w.Follow(m, now_, static_cast<int>(kind_pace_.size()), zones());
-    if (restarted) StartAfresh(w);
+    const bool restarted = m.started_at_s > w.started_at_s && m.started_at_s > 0;
+    w.ApplyEndpoint(m, now_, static_cast<int>(kind_pace_.size()), zones());
+    if (restarted) ResetHealth(w);
   }
   for (std::size_t i = 0; i < workers_.size(); ++i) {
     if (!listed[i]) workers_[i].ready = workers_[i].listed = false;
   }
-  RemakePools();
+  RebuildPools();
 }
 
-void LoadBalancerImpl::StartAfresh(Worker& w) {
+void LoadBalancerImpl::ResetHealth(Worker& w) {
   w.ejected = w.probation = false;
-  w.eject_s = w.errors = 0;
-  w.limit = mean_limit_;
-  w.report_at = w.wait_at = -kInf;
+  w.ejection_s = w.error_rate = 0;
+  w.slot_limit = mean_slot_limit_;
+  w.reported_at = w.start_wait_at = -kInf;
   // Everyone hears of the start at once: a random first part keeps the first jobs apart.
-  w.cold_tokens = random_.Unit() * (agreed_.on() ? agreed_.part() : 1.0);
-  w.cold_at = std::max(now_, w.born);
+  w.slow_start_tokens = random_.Unit() * (agreed_share_.on() ? agreed_share_.share() : 1.0);
+  w.slow_start_tokens_at = std::max(now_, w.started_at_s);
 }
 
 void LoadBalancerImpl::On(const MaintenanceChanged& e) {
-  const auto it = index_.find(e.worker);
-  if (it == index_.end()) return;
+  const auto it = worker_index_.find(e.worker);
+  if (it == worker_index_.end()) return;
   Worker& w = workers_[Idx(it->second)];
-  if (!e.out_of_service && w.out_by_hand) {
-    w.born = w.back_at = now_;
-    StartAfresh(w);
+  if (!e.out_of_service && w.out_of_service) {
+    w.started_at_s = w.returned_at = now_;
+    ResetHealth(w);
   }
-  w.out_by_hand = e.out_of_service;
+  w.out_of_service = e.out_of_service;
   w.ready = w.listed && !e.out_of_service;
-  RemakePools();
+  RebuildPools();
 }
 
 }  // namespace millethollow::balancing
--- a/src/balancing/load_balancer.cpp
+++ b/src/balancing/load_balancer.cpp
@@ -15,18 +15,18 @@
   impl_->Handle(now_s, event, actions);
 }
 
-std::string LoadBalancer::SaveState() const { return Carry::Out(*impl_); }
+std::string LoadBalancer::SaveState() const { return StateTransfer::Out(*impl_); }
 bool LoadBalancer::RestoreState(std::string_view text, const std::vector<int>& classes) {
-  return Carry::In(text, classes, impl_.get());
+  return StateTransfer::In(text, classes, impl_.get());
 }
 bool LoadBalancer::Excludes(std::string_view worker) const { return impl_->Excludes(worker); }
 void LoadBalancer::SetCapacityReservations(CapacityReservations* room) {
   impl_->SetCapacityReservations(room);
 }
 std::uint64_t LoadBalancer::version() const { return impl_->version(); }
-std::vector<WorkerView> LoadBalancer::Workers() const { return impl_->Views(); }
+std::vector<WorkerView> LoadBalancer::Workers() const { return impl_->WorkerViews(); }
 void LoadBalancer::SetFleetShare(const FleetShare& parts) { impl_->SetFleetShare(parts); }
-std::uint64_t LoadBalancer::RejectedPeerMessages() const { return impl_->refused_messages(); }
+std::uint64_t LoadBalancer::RejectedPeerMessages() const { return impl_->rejected_messages(); }
 double LoadBalancer::DemandShare() const { return impl_->DemandShare(); }
 
 }  // namespace millethollow::balancing
--- a/src/balancing/support.cpp
+++ b/src/balancing/support.cpp
@@ -7,7 +7,7 @@
 namespace millethollow::balancing {
 namespace {
 
-constexpr std::size_t kMostTenants = 60'000;  // peer reports index their figures by 16 bits
+constexpr std::size_t kMaxTenants = 60'000;  // peer reports index their figures by 16 bits
 
 }  // namespace
 
@@ -28,7 +28,7 @@
       return bad("a class with a negative time or no deadline");
     }
   }
-  if (s.tenants.size() > kMostTenants) return bad("too many tenants");
+  if (s.tenants.size() > kMaxTenants) return bad("too many tenants");
   for (const TenantSettings& t : s.tenants) {
     if (!(t.share >= 0) || !(t.quota_rps >= 0))
       return bad("a tenant with a negative share or quota");
--- a/src/balancing/support.h
+++ b/src/balancing/support.h
@@ -71,7 +71,7 @@
 }
 
 // Remembers the fingerprints of what was refused lately; newer ones may overwrite older ones.
-class RecentPrints {
+class RecentDigests {
  public:
   void Put(std::uint64_t print, double now) { slots_[print % slots_.size()] = {print, now}; }
   // Forgets `print` and says whether it was put since `since`.
--- a/src/balancing/usage_report.cpp
+++ b/src/balancing/usage_report.cpp
@@ -18,9 +18,9 @@
 constexpr char kMagic = 'D', kWholeRow = 2, kPartOfRow = 3;
 constexpr std::size_t kRealBytes = 4, kUsageBytes = 6, kOutBytes = 3, kOutCountBytes = 1;
 constexpr std::size_t kRateAt = 4, kWholeHead = 8, kFirstAt = 8, kTotalAt = 10, kPartHead = 12;
-constexpr std::size_t kMostOut = 40;  // workers told of: some rates must fit beside them
-constexpr double kMostRate = 1e12;
-constexpr int kMostSlots = 255;
+constexpr std::size_t kMaxWorkersReported = 40;  // workers told of: some rates must fit beside them
+constexpr double kMaxRate = 1e12;
+constexpr int kMaxSlots = 255;
 constexpr unsigned kFreshFlag = 1, kHearsAllFlag = 2, kViewShift = 2;
 
 void Put(std::string* out, std::size_t value, int bytes) {
@@ -41,10 +41,12 @@
 
 bool GetReal(std::string_view in, std::size_t at, double* value) {
   *value = std::bit_cast<float>(Get(in, at, kRealBytes));
-  return *value >= 0 && *value < kMostRate;
+  return *value >= 0 && *value < kMaxRate;
 }
 
-std::size_t WorkersTold(const UsageReport& report) { return std::min(report.out.size(), kMostOut); }
+std::size_t ReportedWorkers(const UsageReport& report) {
+  return std::min(report.slots_in_flight.size(), kMaxWorkersReported);
+}
 
 // What both forms begin with.
 std::string Head(const UsageReport& report, char version, std::size_t rates) {
@@ -63,15 +65,15 @@
 void PutOut(std::string* out, const UsageReport& report, std::size_t told) {
   Put(out, told, kOutCountBytes);
   for (std::size_t i = 0; i < told; ++i) {
-    Put(out, report.out[i].first, 2);
-    Put(out, static_cast<std::size_t>(std::min(report.out[i].second, kMostSlots)), 1);
+    Put(out, report.slots_in_flight[i].first, 2);
+    Put(out, static_cast<std::size_t>(std::min(report.slots_in_flight[i].second, kMaxSlots)), 1);
   }
 }
 
 std::string EncodeWhole(const UsageReport& report) {
   std::string out = Head(report, kWholeRow, report.rates.size());
   PutRates(&out, report.rates, 0, report.rates.size());
-  PutOut(&out, report, WorkersTold(report));
+  PutOut(&out, report, ReportedWorkers(report));
   for (const UsageReport::Usage& used : report.usage) {
     if (out.size() + kUsageBytes > kMaxPeerMessageBytes) break;
     for (const int v : {used.bucket, used.allowed, used.denied}) {
@@ -85,7 +87,7 @@
   std::vector<std::string> parts;
   const std::size_t total = report.rates.size();
   for (std::size_t first = 0; first < total;) {
-    const std::size_t told = first == 0 ? WorkersTold(report) : 0;
+    const std::size_t told = first == 0 ? ReportedWorkers(report) : 0;
     const std::size_t taken = kPartHead + kOutCountBytes + kOutBytes * told;
     std::size_t end = std::min(total, first + (kMaxPeerMessageBytes - taken) / kRealBytes);
     if (end < total) end = layout.GroupStart(end);
@@ -120,7 +122,7 @@
 }
 
 // Whether the bytes from `usage_at` on are what the form has after the workers.
-bool EndsAsItShould(std::string_view body, std::size_t usage_at) {
+bool HasValidTail(std::string_view body, std::size_t usage_at) {
   if (body.size() < usage_at) return false;
   const std::size_t rest = body.size() - usage_at;
   return body[1] == kWholeRow ? rest % kUsageBytes == 0 : rest == 0;
@@ -140,15 +142,15 @@
 
 std::size_t RowLayout::GroupStart(std::size_t index) const {
   if (index < tenants) return index;
-  if (index < AskedAt()) return tenants;
-  if (index < ClassAt(0)) return AskedAt();
-  if (index < KindAt(0)) return index - (index - ClassAt(0)) % kClassFigures;
-  return index - (index - KindAt(0)) % kKindFigures;
+  if (index < ProbeIndex()) return tenants;
+  if (index < ClassIndex(0)) return ProbeIndex();
+  if (index < KindIndex(0)) return index - (index - ClassIndex(0)) % kClassFigures;
+  return index - (index - KindIndex(0)) % kKindFigures;
 }
 
 std::vector<std::string> EncodeReport(const UsageReport& report, const RowLayout& layout) {
   const std::size_t whole = kWholeHead + kRealBytes * report.rates.size() + kOutCountBytes +
-                            kOutBytes * WorkersTold(report);
+                            kOutBytes * ReportedWorkers(report);
   if (whole <= kMaxPeerMessageBytes) return {EncodeWhole(report)};
   return EncodeParts(report, layout);
 }
@@ -156,11 +158,12 @@
 bool DecodeReport(std::string_view body, const RowLayout& layout, UsageReport* report) {
   const std::optional<Extent> extent = ExtentOf(body, layout);
   if (!extent) return false;
-  const std::size_t told_at = extent->at + kRealBytes * extent->count;
-  if (body.size() < told_at + kOutCountBytes) return false;
-  const std::size_t told = Get(body, told_at, kOutCountBytes);
-  const std::size_t out_at = told_at + kOutCountBytes, usage_at = out_at + kOutBytes * told;
-  if (told > (extent->first == 0 ? kMostOut : 0) || !EndsAsItShould(body, usage_at)) return false;
+  const std::size_t workers_at = extent->at + kRealBytes * extent->count;
+  if (body.size() < workers_at + kOutCountBytes) return false;
+  const std::size_t told = Get(body, workers_at, kOutCountBytes);
+  const std::size_t out_at = workers_at + kOutCountBytes, usage_at = out_at + kOutBytes * told;
+  if (told > (extent->first == 0 ? kMaxWorkersReported : 0) || !HasValidTail(body, usage_at))
+    return false;
 
   UsageReport read;
   const unsigned flags = Get(body, 2, 1);
@@ -170,7 +173,7 @@
   read.first = extent->first;
   if (!GetReal(body, kRateAt, &read.rate) || !GetRates(body, *extent, &read.rates)) return false;
   for (std::size_t at = out_at; at < usage_at; at += kOutBytes) {
-    read.out.emplace_back(Get(body, at, 2), static_cast<int>(Get(body, at + 2, 1)));
+    read.slots_in_flight.emplace_back(Get(body, at, 2), static_cast<int>(Get(body, at + 2, 1)));
   }
   for (std::size_t at = usage_at; at < body.size(); at += kUsageBytes) {
     read.usage.push_back({static_cast<int>(Get(body, at, 2)),
--- a/src/balancing/usage_report.h
+++ b/src/balancing/usage_report.h
@@ -21,12 +21,14 @@
   bool large_tier = false;
   std::size_t classes = 0, kinds = 0;  // as far as a large tier learns of them together
 
-  std::size_t AskedAt() const { return tenants + kSignals; }
-  std::size_t ClassAt(std::size_t cls) const {
-    return AskedAt() + kProbeFigures + kClassFigures * cls;
+  std::size_t ProbeIndex() const { return tenants + kSignals; }
+  std::size_t ClassIndex(std::size_t cls) const {
+    return ProbeIndex() + kProbeFigures + kClassFigures * cls;
   }
-  std::size_t KindAt(std::size_t kind) const { return ClassAt(classes) + kKindFigures * kind; }
-  std::size_t size() const { return large_tier ? KindAt(kinds) : AskedAt(); }
+  std::size_t KindIndex(std::size_t kind) const {
+    return ClassIndex(classes) + kKindFigures * kind;
+  }
+  std::size_t size() const { return large_tier ? KindIndex(kinds) : ProbeIndex(); }
 
   // The first index of the group that `index` belongs to. Figures of a group, such as time and jobs
   // of a class, mean something only together: a datagram holds all of them or none.
@@ -45,7 +47,7 @@
   std::vector<double> rates;  // per second, as RowLayout has them, from index `first` on
   // Slots that the sender has out at each worker, named by 16 bits of its hash. Those it has none
   // out at are left out. Only in the part that begins the row.
-  std::vector<std::pair<std::uint16_t, int>> out;
+  std::vector<std::pair<std::uint16_t, int>> slots_in_flight;
   std::vector<Usage> usage;  // as many as fit beside a whole row; none in parts
   // Where the tier agrees on shares (AgreedShare): the sender hears all members, and six bits of
   // the view that it has its share in; 0: it is cut off.
--- a/tests/load_balancer_test.cpp
+++ b/tests/load_balancer_test.cpp
@@ -1264,9 +1264,9 @@
   };
   for (const Case c : {Case{2, 3, 5}, Case{0, 7, 0}, Case{1.2, -1, 1}, Case{3, 0, 3}}) {
     Worker w;
-    w.free = c.free;
-    w.held = c.held;
-    EXPECT_EQ(w.SlotsTold(), c.told) << c.free << " " << c.held;
+    w.reported_free_slots = c.free;
+    w.reported_in_flight = c.held;
+    EXPECT_EQ(w.ImpliedSlots(), c.told) << c.free << " " << c.held;
   }
 }
 
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -478,7 +478,7 @@
           sum += d.told[p];
         }
         const auto fleet =
-            d.agreed.Fleet(w.now(), 8 * kReportS, {d.demand}, {sum}, heard, others_hear);
+            d.agreed.TierRates(w.now(), 8 * kReportS, {d.demand}, {sum}, heard, others_hear);
         d.share = d.demand / fleet[0];
         by_demand += std::abs(d.share - w.Part(i)) > 0.01;
       }
@@ -491,7 +491,7 @@
                 std::to_string(all[i].agreed.hears_all());
         // A lease that ends between two reports ends the share with it, as Balancer::Agree has it.
         agree(i, &all[i]);
-        all[i].share *= all[i].agreed.Fall(0);
+        all[i].share *= all[i].agreed.Factor(0);
         shares += all[i].share;
       }
       ASSERT_LE(shares, 1 + 1e-9) << "seed " << seed << " at " << w.now() << told << w.Told();
--- a/tests/quota_wiring_test.cpp
+++ b/tests/quota_wiring_test.cpp
@@ -245,8 +245,8 @@
   plain.Set(parts);
   parts.tenant_rates_rps = {20, -1};
   given.Set(parts);
-  const std::vector<double> before = plain.Fleet(0, 1, own, own, 0, false);
-  std::vector<double> after = given.Fleet(0, 1, own, own, 0, false);
+  const std::vector<double> before = plain.TierRates(0, 1, own, own, 0, false);
+  std::vector<double> after = given.TierRates(0, 1, own, own, 0, false);
   EXPECT_EQ(before, after);
   given.ApplyTenantRates(own, tenants, &after);
   EXPECT_DOUBLE_EQ(after[0], 150) << "of 30 the quota of 100 is to let in 20";
@@ -260,9 +260,9 @@
     const double last = parts.tenant_rates_rps[0];
     parts.tenant_rates_rps[0] = rate;
     given.Set(parts);
-    EXPECT_DOUBLE_EQ(given.Fall(0), rate / last);
-    EXPECT_EQ(given.Fall(1), 1);
-    EXPECT_EQ(given.Fall(7), 1);
+    EXPECT_DOUBLE_EQ(given.Factor(0), rate / last);
+    EXPECT_EQ(given.Factor(1), 1);
+    EXPECT_EQ(given.Factor(7), 1);
   }
   given.ApplyTenantRates(own, tenants, &after);
   EXPECT_TRUE(std::isfinite(after[0]));
@@ -272,7 +272,7 @@
   const std::vector<double> own{30, 10, 5, 1, 0};
   balancing::AgreedShare part;
   part.Set({.share = 0.25, .member_count = 4, .epoch = 1});
-  std::vector<double> fleet = part.Fleet(0, 1, own, own, 0, false);
+  std::vector<double> fleet = part.TierRates(0, 1, own, own, 0, false);
   const std::vector<double> before = fleet;
   part.ApplyTenantRates(own, {{0.5, 100}, {0.5, 100}}, &fleet);
   EXPECT_EQ(fleet, before);
--- a/tests/usage_report_test.cpp
+++ b/tests/usage_report_test.cpp
@@ -36,7 +36,8 @@
   for (std::size_t i = 0; i < layout.size(); ++i)
     report.rates.push_back(1.0 + static_cast<double>(i));
   for (std::size_t w = 0; w < workers_out; ++w) {
-    report.out.emplace_back(static_cast<std::uint16_t>(1000 + w), static_cast<int>(w + 1));
+    report.slots_in_flight.emplace_back(static_cast<std::uint16_t>(1000 + w),
+                                        static_cast<int>(w + 1));
   }
   report.usage = {{3, 4, 5}, {6, 7, 8}};
   return report;
@@ -65,8 +66,9 @@
           EXPECT_EQ(heard.hears_all, sent.hears_all);
           EXPECT_EQ(heard.view, sent.view);
           const std::size_t told = heard.BeginsRow() ? std::min<std::size_t>(workers_out, 40) : 0;
-          EXPECT_TRUE(std::equal(heard.out.begin(), heard.out.end(), sent.out.begin(),
-                                 sent.out.begin() + static_cast<std::ptrdiff_t>(told)));
+          EXPECT_TRUE(std::equal(heard.slots_in_flight.begin(), heard.slots_in_flight.end(),
+                                 sent.slots_in_flight.begin(),
+                                 sent.slots_in_flight.begin() + static_cast<std::ptrdiff_t>(told)));
           row.insert(row.end(), heard.rates.begin(), heard.rates.end());
         }
         EXPECT_EQ(row, sent.rates);
@@ -200,7 +202,7 @@
       }
       EXPECT_FALSE(heard.rates.empty());
       EXPECT_LE(heard.first + heard.rates.size(), layout.size());
-      EXPECT_LE(heard.out.size(), 40u);
+      EXPECT_LE(heard.slots_in_flight.size(), 40u);
       for (const double rate : heard.rates) EXPECT_TRUE(std::isfinite(rate) && rate >= 0);
       EXPECT_TRUE(std::isfinite(heard.rate) && heard.rate >= 0);
     }
@@ -212,17 +214,17 @@
   const RowLayout layout = Direct(100);
   const std::vector<std::string> parts = EncodeReport(ReportFor(layout, 3), layout);
   ASSERT_EQ(parts.size(), 2u);
-  PeerTable table;
+  PeerUsageTable table;
   table.rows.resize(3);
   const auto hear = [&](std::size_t peer, std::size_t part, double now) {
     UsageReport report;
     ASSERT_TRUE(DecodeReport(parts[part], layout, &report));
-    table.rows[peer].Take(report, layout.size(), now);
+    table.rows[peer].Apply(report, layout.size(), now);
   };
   const std::vector<double> own(layout.size(), 2.0);
   const double last = static_cast<double>(layout.size());  // of the row that peers tell: 1, 2, 3...
   const auto fleet_is = [&](double since, double at_first, double at_last) {
-    const std::vector<double> fleet = table.Fleet(own, 0, since);
+    const std::vector<double> fleet = table.TierRates(own, 0, since);
     EXPECT_DOUBLE_EQ(fleet.front(), at_first);
     EXPECT_DOUBLE_EQ(fleet.back(), at_last);
   };
@@ -252,20 +254,20 @@
   const RowLayout layout = Direct(100);
   UsageReport report = ReportFor(layout, 0);
   const Worker worker{.name = "w", .hash = 7};
-  report.out = {{7, 5}};
+  report.slots_in_flight = {{7, 5}};
   const std::vector<std::string> parts = EncodeReport(report, layout);
-  PeerTable table;
+  PeerUsageTable table;
   table.rows.resize(2);
   std::vector<Worker> workers{worker};
   for (const std::size_t part : {0u, 1u}) {
     UsageReport heard;
     ASSERT_TRUE(DecodeReport(parts[part], layout, &heard));
-    table.rows[1].Take(heard, layout.size(), 10.0 + static_cast<double>(part));
-    table.SumOut(&workers, 9);
-    EXPECT_EQ(workers[0].others, 5);
+    table.rows[1].Apply(heard, layout.size(), 10.0 + static_cast<double>(part));
+    table.SumSlotsInFlight(&workers, 9);
+    EXPECT_EQ(workers[0].peer_slots_in_flight, 5);
   }
-  table.SumOut(&workers, 10.5);
-  EXPECT_EQ(workers[0].others, 0);
+  table.SumSlotsInFlight(&workers, 10.5);
+  EXPECT_EQ(workers[0].peer_slots_in_flight, 0);
 }
 
 // What one balancer tells after it has heard `bodies` from peer 1.
@@ -409,11 +411,11 @@
                      .classes = crowd.classes,
                      .loss = crowd.loss,
                      .half_full = true});
-    std::map<std::pair<int, int>, Peer> heard;
+    std::map<std::pair<int, int>, PeerUsage> heard;
     tier.on_hear = [&](int from, int to, const std::string& body) {
       UsageReport report;
       ASSERT_TRUE(DecodeReport(body, layout, &report));
-      heard[{to, from}].Take(report, layout.size(), tier.now());
+      heard[{to, from}].Apply(report, layout.size(), tier.now());
     };
     tier.Start();
     for (int d = 0; d < kDispatchers; ++d) {
@@ -426,11 +428,11 @@
       EXPECT_EQ(tier.dispatcher(to).RejectedPeerMessages(), 0u);
       for (int from = 0; from < kDispatchers; ++from) {
         if (from == to) continue;
-        const Peer& peer = heard[{to, from}];
+        const PeerUsage& peer = heard[{to, from}];
         EXPECT_TRUE(peer.RowKnown(tier.now() - 6 * kReportInterval)) << from << " at " << to;
-        ASSERT_EQ(peer.values.size(), layout.size());
+        ASSERT_EQ(peer.rates.size(), layout.size());
         for (int t = 0; t < crowd.tenants; ++t) {
-          EXPECT_GT(peer.values[static_cast<std::size_t>(t)], 0) << t;
+          EXPECT_GT(peer.rates[static_cast<std::size_t>(t)], 0) << t;
         }
       }
     }
@@ -450,11 +452,11 @@
                      .classes = crowd.classes,
                      .loss = crowd.loss,
                      .half_full = true});
-    std::map<int, Peer> told;  // the last row that each has told
+    std::map<int, PeerUsage> told;  // the last row that each has told
     tier.on_tell = [&](int from, int, const std::string& body) {
       UsageReport report;
       ASSERT_TRUE(DecodeReport(body, layout, &report));
-      told[from].Take(report, layout.size(), tier.now());
+      told[from].Apply(report, layout.size(), tier.now());
     };
     tier.Start();
     for (int t = 0; t < crowd.tenants; ++t) tier.AddDemand(t % kDispatchers, t, 4);
@@ -462,10 +464,10 @@
     std::vector<double> mean(static_cast<std::size_t>(crowd.tenants), 0);
     for (int d = 0; d < kDispatchers; ++d) {
       EXPECT_EQ(tier.dispatcher(d).RejectedPeerMessages(), 0u);
-      ASSERT_EQ(told[d].values.size(), layout.size());
+      ASSERT_EQ(told[d].rates.size(), layout.size());
       for (std::size_t t = 0; t < mean.size(); ++t) {
-        EXPECT_GT(told[d].values[t], 0) << t << " at " << d;
-        mean[t] += told[d].values[t] / kDispatchers;
+        EXPECT_GT(told[d].rates[t], 0) << t << " at " << d;
+        mean[t] += told[d].rates[t] / kDispatchers;
       }
     }
     // Taken over dispatchers and tenants, the means say what comes in.
