--- a/src/balancing/admission.cpp
+++ b/src/balancing/admission.cpp
@@ -1,6 +1,8 @@
-// Buckets, their quotas, and the reports between peers.
+// Admission control: one token bucket for each class and tenant, filled at its part of the fleet
+// rate.
 #include <algorithm>
 #include <cmath>
+#include <utility>
 
 #include "balancing/load_balancer_impl.h"
 
@@ -13,13 +15,6 @@
 constexpr double kSparseRps = 1.0;  // jobs a second; below, depth outlasts an overload
 constexpr double kReturnWindowS =
     0.3;  // a job refused this recently that comes again is the same one
-constexpr double kSignalWeightJobs =
-    5;  // own word of what found no room weighs by jobs against these
-constexpr double kSignalSmoothingS =
-    0.5;                                 // sends and 'full' are smoothed over this or one interval
-constexpr double kPeerRateWeight = 0.3;  // of the way to peers' rates in a report interval
-constexpr double kWorkerRateDecayS =
-    20.0;  // what workers carried in good times is remembered this long
 
 void LoadBalancerImpl::On(const RequestArrived& e) {
   if (e.cls < 0 || e.cls >= class_count_ || jobs_.contains(e.id)) return;
@@ -69,85 +64,23 @@
   actions_->push_back(RejectRequest{job.id, settings_.retry_after ? wait : 0.0});
 }
 
-// Sends the counts to peers, resets them, and reckons quotas anew.
-void LoadBalancerImpl::PublishUsage() {
-  const double span =
-      std::max(now_ - reported_at_, report_interval_s_ / 2);  // one early job is no rush
-  reported_at_ = now_;
-  const double keep = std::exp(-span / std::max(kDemandSmoothingS, 2 * report_interval_s_));
-  const double quick = std::exp(-span / std::max(kSignalSmoothingS, report_interval_s_));
-  std::fill_n(own_rates_.begin(), tenant_count_, 0.0);
-  std::vector<UsageReport::Usage> counts;
+void LoadBalancerImpl::SetFleetShare(const FleetShare& parts) {
+  agreed_share_.Set(parts);
   for (std::size_t b = 0; b < buckets_.size(); ++b) {
     Bucket& bucket = buckets_[b];
-    if (bucket.admitted + bucket.rejected > 0) {
-      counts.push_back({static_cast<int>(b), bucket.admitted, bucket.rejected});
+    const std::size_t tenant = b % Idx(tenant_count_);
+    const double given = agreed_share_.AdmitShare(tenant, own_rates_[tenant]);
+    if (bucket.rate_rps != kInf) {
+      bucket.rate_rps *= agreed_share_.Factor(tenant);
+    } else if (fleet_rate_rps_ != kInf && agreed_share_.Factor(tenant) < 1 && given < 1) {
+      // There was enough for all until now.
+      bucket.admit_share = given;
+      bucket.rate_rps = bucket.demand_rps * given;
     }
-    bucket.admitted = bucket.rejected = 0;
-    const double rate = bucket.first_attempts / span;
-    bucket.demand_rps = has_measured_ ? bucket.demand_rps * keep + rate * (1 - keep) : rate;
-    bucket.first_attempts = 0;
-    own_rates_[b % Idx(tenant_count_)] += bucket.demand_rps;
+    // What was saved up of a larger given rate goes with it: others may use that rate now.
+    if (agreed_share_.HasTenantRate(tenant))
+      bucket.tokens *= std::min(1.0, agreed_share_.Factor(tenant));
   }
-  std::vector<std::pair<int, double*>> signals{
-      {0, &sends_since_report_}, {1, &full_signals_}, {2, &late_signals_}};
-  if (!full_mesh_) signals.insert(signals.end(), {{3, &first_probes_}, {4, &first_probes_free_}});
-  for (const auto& [slot, count] : signals) {
-    double& rate = own_rates_[Idx(tenant_count_ + slot)];
-    rate = has_measured_ ? rate * quick + *count / span * (1 - quick) : *count / span;
-    *count = 0;
-  }
-  const double jobs = own_rates_[Idx(tenant_count_)] * span;
-  for (std::size_t i = 0; !full_mesh_ && i < tier_mean_rates_.size(); ++i) {
-    const bool signal = i >= Idx(tenant_count_) && i < ProbeIndex() + 2;
-    const double weight = signal ? jobs / (jobs + kSignalWeightJobs) : kOwnSampleWeight;
-    tier_mean_rates_[i] = has_measured_
-                              ? tier_mean_rates_[i] + weight * (own_rates_[i] - tier_mean_rates_[i])
-                              : own_rates_[i];
-  }
-  // What a worker carries in good times; low sends after a cut say nothing of capacity.
-  // In a large tier what all send on average says more: a node just back has sent nothing yet.
-  const double sent = std::max(own_rates_[Idx(tenant_count_)],
-                               full_mesh_ ? 0.0 : tier_mean_rates_[Idx(tenant_count_)]);
-  worker_rate_rps_ = WorkerRate(std::max(worker_rate_rps_ * std::exp(-span / kWorkerRateDecayS),
-                                         sent / std::max(1, ready_count_)));
-  has_measured_ = true;
-  if (sibling_.present) NotifySibling();
-  if (settings_.peers && settings_.dispatcher_count > 1 && !sibling_.draining) {
-    std::vector<int> told;
-    for (int i = 0; i < (full_mesh_ ? settings_.dispatcher_count : kGossipFanout); ++i) {
-      const int whom =
-          full_mesh_ ? i
-                     : random_.OtherThan(settings_.dispatcher_index, settings_.dispatcher_count);
-      if (whom != settings_.dispatcher_index) told.push_back(whom);
-    }
-    SendReport(told, !has_heard_peers_, std::move(counts));
-  }
-  UpdateFleetRate(span);
-}
-
-void LoadBalancerImpl::On(const PeerMessage& e) {
-  UsageReport report;
-  const bool readable = DecodeReport(e.body, layout_, &report);
-  if (e.sender == settings_.dispatcher_index && readable && report.BeginsRow()) {
-    peers_.sibling.ApplySlotsInFlight(report, now_);
-    return UpdatePeerSlots();
-  }
-  const bool peer = e.sender >= 0 && e.sender < settings_.dispatcher_count &&
-                    e.sender != settings_.dispatcher_index;
-  if (!settings_.peers || !peer || !readable) return void(++rejected_messages_);
-  OnPeerUsage(e.sender, report);
-  if (!report.BeginsRow()) return;  // what follows counts once a report
-  has_heard_peers_ = true;
-  // Rates draw together, but slowly: else the many that have not cut yet undo each cut at once.
-  const double weight =
-      fleet_rate_rps_ == kInf
-          ? 1
-          : kPeerRateWeight / (full_mesh_ ? settings_.dispatcher_count - 1 : kGossipFanout);
-  if (report.rate > 0)
-    fleet_rate_rps_ = std::min(fleet_rate_rps_, 1e12) * (1 - weight) + report.rate * weight;
-  // A restarted dispatcher is told at once what the fleet does: not held to one Nth for long.
-  if (report.fresh && has_measured_) SendReport({e.sender}, false, {});
 }
 
 }  // namespace millethollow::balancing
--- a/src/balancing/attempts.cpp
+++ b/src/balancing/attempts.cpp
@@ -1,4 +1,4 @@
-// Attempts and final answers.
+// Attempts of a job, from the first to its final answer.
 #include <algorithm>
 #include <utility>
 
@@ -7,12 +7,7 @@
 namespace millethollow::balancing {
 
 constexpr double kSlotLimitStep = 0.1;  // a threshold's rise after a good send at the threshold
-constexpr double kSilentProbeS =
-    0.25;  // no word since a send: the worker is asked whether it lives
-constexpr double kOverdueFactor = 4.0;  // an attempt this many times its expected time is overdue
 constexpr double kRejectBeforeExpiryS = 0.15;  // before its time is over, one that waits is refused
-constexpr int kMinProbedFull = 3;              // so many without room say that there is none
-constexpr int kCapacityWaitCheck = -2;         // a watch on the wait, not on an attempt
 constexpr double kMaxShedBudget =
     10.0;  // starts that earn the right to call off as much hopeless work
 
@@ -211,101 +206,32 @@
   CancelOpenAttempts(*job, true);
 }
 
-void LoadBalancerImpl::On(const ProbeAnswered& e) {
-  const auto it = worker_index_.find(e.worker);
-  if (it == worker_index_.end()) return;
-  Worker& w = workers_[Idx(it->second)];
-  const bool silent = e.status == AttemptStatus::kNoResponse ||
-                      e.status == AttemptStatus::kConnectFailed ||
-                      e.status == AttemptStatus::kConnectionLost;
-  if (!silent && e.status != AttemptStatus::kNotSent) w.heard_at = now_;
-  if (silent && w.heard_at < w.probed_at) Eject(it->second);
-  if (e.has_report) OnLoadReport(w, e.report);
-  for (const std::string& id : std::vector<std::string>(jobs_awaiting_probes_)) {
-    Job& job = jobs_.find(id)->second;
-    const auto now_asked = job.probed.begin() + static_cast<std::ptrdiff_t>(job.probe_round_begin);
-    if (std::count(now_asked, job.probed.end(), it->second) == 0) continue;
-    if (--job.probes_awaited == 0) OnProbesAnswered(id);
-  }
+Attempt* LoadBalancerImpl::FindAttempt(std::string_view id, int attempt, Job** job) {
+  const auto it = jobs_.find(id);
+  if (it == jobs_.end() || Idx(attempt) >= it->second.attempts.size()) return nullptr;
+  *job = &it->second;
+  return &it->second.attempts[Idx(attempt)];
 }
 
-void LoadBalancerImpl::OnProbesAnswered(
-    std::string_view id) {  // all asked have answered, or time is up
-  if (std::erase(jobs_awaiting_probes_, id) == 0) return;
-  Job& job = jobs_.find(id)->second;
-  const auto has_room = [&](int w) {
-    const Worker& worker = workers_[Idx(w)];
-    return now_ - worker.reported_at < kLoadReportFreshS && !Forecast(job, worker).second;
-  };
-  if (!full_mesh_ && job.probe_round_begin == 0 && job.probed[0] != job.slow_start_worker) {
-    first_probes_ += 1;
-    first_probes_free_ += has_room(job.probed[0]);
-  }
-  if (!full_mesh_ && std::none_of(job.probed.begin(), job.probed.end(), has_room)) {
-    if (ProbeCandidates(job)) return;
-    // Where the whole tier is full it would end late, and so would all that wait behind it:
-    // workers' queues then stay full for long after. Refused unsent, it may find room when it
-    // returns.
-    const auto told = [&](int w) {
-      return now_ - workers_[Idx(w)].reported_at < kLoadReportFreshS;
-    };
-    if (std::ranges::count_if(job.probed, told) >= kMinProbedFull &&
-        ProbedFreeShare(1) < kFreeShareNotFull) {
-      full_signals_ += 1;
-      return FinishIfIdle(job);
-    }
+void LoadBalancerImpl::CancelOpenAttempts(const Job& job, bool only_waiting) {
+  for (std::size_t i = 0; settings_.cancel && i < job.attempts.size(); ++i) {
+    const Attempt& a = job.attempts[i];
+    if (!a.open || (only_waiting && a.started_at >= 0)) continue;
+    actions_->push_back(CancelAttempt{job.id, static_cast<int>(i)});
   }
-  PlaceJob(job);
-  FinishIfIdle(job);
 }
 
-bool LoadBalancerImpl::WouldEndLate(const Job& job, const Worker& w, double age) const {
-  const double run = ExpectedRun(job) * PaceOf(w);
-  return age > LatencyObjectiveOf(job) + (settings_.workers_notify_start ? -run : run);
-}
-
-// An attempt has not started, or not ended, when it should have.
-void LoadBalancerImpl::OnOverdue(const OverdueCheck& watch) {
-  if (watch.attempt == kCapacityWaitCheck) return OnCapacityWaitCheck(watch);
-  if (watch.attempt < 0) return OnProbesAnswered(watch.job);
-  Job* job = nullptr;
-  Attempt* a = FindAttempt(watch.job, watch.attempt, &job);
-  if (a == nullptr || !a->open) return;
-  Worker& w = workers_[Idx(a->worker)];
-  const double age = now_ - a->sent_at;
-  if (settings_.workers_notify_start && a->started_at < 0) {
-    RecordStartWait(w, std::max(age, StartWaitOf(w)));
-    // One that is left out says nothing of the fleet.
-    OnBlocked(*job, *a, false,
-              !w.ejected && age > ClassOf(job->class_index).latency_objective_s && PaceOf(w) < 2);
-    if (w.heard_at < a->sent_at && settings_.probing && age > kSilentProbeS &&
-        w.probed_at < a->sent_at) {
-      w.probed_at = now_;
-      actions_->push_back(Probe{w.name});
-    }
-  }
-  // Exception: work that waits past hope is called off while the fleet is full, else all that
-  // waits behind it ends late too. No more of it than starts: else cancels end nothing here.
-  if (tier_full_ && may_shed_queued_ && !job->ended && !job->Running() && shed_budget_ >= 1 &&
-      WouldEndLate(*job, w, age)) {
-    shed_budget_ -= 1;
-    job->shed = true;
-    return CancelOpenAttempts(*job, false);
-  }
-  const double silence =
-      std::max({kOverdueFactor * ExpectedRun(*job), 1.5 * settings_.progress_interval_s, 1.0});
-  if (w.heard_at < a->sent_at && age > silence) Eject(a->worker);
-  const bool lost = w.ejected || !w.ready;
-  const bool waits = settings_.workers_notify_start ? a->started_at < 0 : age > silence;
-  if (!job->ended && !job->shed && (lost || waits) && (lost || hedge_budget_ >= 1)) {
-    if (settings_.allow_hedging) {
-      if (PlaceJob(*job) && !lost) hedge_budget_ -= 1;
-    } else if (lost && settings_.cancel &&
-               ClassOf(job->class_index).idempotency != Idempotency::kNotIdempotent) {
-      actions_->push_back(CancelAttempt{job->id, watch.attempt});
-    }
-  }
-  CheckAt(now_ + std::max(0.25, age / 2), watch.job, watch.attempt);
+// No room for the job. Only a warm, ready worker of ordinary pace that could hold it speaks of the
+// fleet; one full worker says little while others have room, two say more.
+void LoadBalancerImpl::OnBlocked(Job& job, Attempt& a, bool full, bool late) {
+  Worker& w = workers_[Idx(a.worker)];
+  if (!a.blocked) w.slot_limit = std::max(1.0, (w.slot_limit + a.slots_before) / 2);
+  a.blocked = true;
+  const bool holds = SlotsOf(w) == 0 || job.slots <= SlotsOf(w);
+  if (!w.ready || w.probation || WarmingUp(w) || !holds) return;
+  if (full && ++job.full_count <= 2) full_signals_ += load_unreported_ ? job.full_count - 1 : 0.5;
+  if (late && !job.counted_late) late_signals_ += 1;
+  job.counted_late |= late;
 }
 
 }  // namespace millethollow::balancing
--- a/src/balancing/fleet_rate.cpp
+++ b/src/balancing/fleet_rate.cpp
@@ -1,4 +1,4 @@
-// The fleet rate, and what of it each tenant and class gets.
+// The fleet rate, and what of it each tenant and class may use.
 #include <algorithm>
 #include <cmath>
 
--- a/src/balancing/placement.cpp
+++ b/src/balancing/placement.cpp
@@ -1,7 +1,7 @@
-// Which worker a job goes to.
+// Placement: which worker a job goes to.
 #include <algorithm>
-#include <cmath>
 #include <tuple>
+#include <utility>
 
 #include "balancing/load_balancer_impl.h"
 
@@ -11,41 +11,13 @@
 // In a large tier a node knows too little of them: the best of many would be the same for all, and
 // all would send there. Two drawn by what they can do spread the load as it should be spread.
 constexpr int kSampleSizeLargeTier = 2;
-constexpr int kMaxProbes = 5,
-              kMaxProbesStale = 2;  // workers asked for a job; where reports prove old
-// Where probes have a price, so many points of the result may go into them: reports of a few jobs
-// tell what a kind can hold, and what is out there peers tell for less.
-constexpr double kProbeBudget = 0.0025;
-constexpr double kProbeTimeoutS = 0.04;  // how long a job waits for them
-// Large tiers: half of what is lost where a job has to wait for its start is lost by ending late.
-constexpr double kLateShareOfWaiting = 0.5;
 constexpr int kPreferredWorkers = 4;  // workers that a key prefers, the same at every dispatcher
 constexpr int kNotPreferredRank = 4 * kPreferredWorkers;  // the rank of all other workers
 constexpr double kNoCapacityPenalty =
     10.0;  // past the threshold counts more than any pace or price
-constexpr double kKindPaceWeight =
-    8.0;  // a worker's own pace outweighs its kind's after so many jobs
 constexpr double kKeyFetchWeight =
     1.5;  // aims that a job waits rather than fetch its key elsewhere
 
-double LoadBalancerImpl::ExpectedRun(const Job& job) const {
-  const double mean =
-      class_run_time_[Idx(job.class_index)].Or(ClassOf(job.class_index).latency_objective_s);
-  return job.size_hint_s > 0 ? class_hint_fit_[Idx(job.class_index)].At(job.size_hint_s, mean)
-                             : mean;
-}
-double LoadBalancerImpl::PaceOf(const Worker& w) const {
-  const double kind = kind_pace_[Idx(w.kind)].Or(1 / std::max(0.1, w.capacity_hint));
-  // What was seen of one worker fades: a slow spell is forgiven and the worker tried again.
-  const double n = w.pace_weight * std::exp((w.pace_at - now_) / kPaceDecayS);
-  return (w.pace * n + kind * kKindPaceWeight) / (n + kKindPaceWeight);
-}
-double LoadBalancerImpl::LatencyObjectiveOf(const Job& job) const {
-  const ClassSettings& c = ClassOf(job.class_index);
-  return std::max(settings_.tick_s,
-                  c.latency_objective_s + c.latency_objective_stretch * ExpectedRun(job));
-}
-
 // May this job go to that worker at all?
 bool LoadBalancerImpl::Allowed(const Job& job, int index, int anchor) const {
   const Worker& w = workers_[Idx(index)];
@@ -63,38 +35,6 @@
                     : index == job.slow_start_worker && SlowStartHasCapacity(w);
 }
 
-// Expected time to the job's end, and whether it would find no room.
-std::pair<double, bool> LoadBalancerImpl::Forecast(const Job& job, const Worker& w) const {
-  const double run = ExpectedRun(job) * PaceOf(w);
-  double wait = StartWaitOf(w);
-  const bool silent = w.probed_at > w.heard_at && now_ - w.probed_at > kProbeTimeoutS / 2;
-  const double slots = SlotsOf(w);
-  bool over = silent;
-  if (slots > 0) {  // what all dispatchers have out there, against what its kind can hold
-    // A report just in counts what all have out there; a large tier's others are but a guess.
-    const double others =
-        full_mesh_ || now_ - w.reported_at > kLoadReportFreshS ? w.peer_slots_in_flight : 0;
-    double need = w.slots_in_flight + others + job.slots;
-    if (job.memory > 0)
-      need = std::max(need, w.memory_in_flight + others * memory_per_slot_.Or(0) + job.memory);
-    wait = std::max(0.0, need - slots) / slots * all_run_.Or(run) * PaceOf(w);
-    over |= need > slots;
-  } else {
-    over |= w.slots_in_flight > 0 && w.slots_in_flight + job.slots > w.slot_limit;
-    if (over) wait += run * (w.slots_in_flight + job.slots) / std::max(w.slot_limit, 1.0);
-  }
-  if (now_ - w.reported_at < kLoadReportFreshS) {
-    double room = w.reported_free_slots - w.slots_sent_since_report;
-    if (w.reported_free_memory != kInf)
-      room = std::min(room, w.reported_free_memory - job.memory + job.slots);
-    if (room < job.slots - 0.5) {
-      over = true;
-      wait += run * (job.slots - room + w.reported_queued) / std::max(1.0, slots);
-    }
-  }
-  return {run + wait, over};
-}
-
 // Lower is better: expected time over the aim, plus prices; workers with room come first.
 double LoadBalancerImpl::Score(const Job& job, const Worker& w, int home_rank) const {
   const auto [time, over] = Forecast(job, w);
@@ -124,54 +64,6 @@
   }
   return w;
 }
-double LoadBalancerImpl::ThroughputOf(const Worker& w) const {
-  return settings_.capacity_hints_valid ? w.capacity_hint : std::max(1.0, SlotsOf(w)) / PaceOf(w);
-}
-
-// How many workers to ask now, so that what they are likely to save is worth the price.
-int LoadBalancerImpl::ProbeCount(const Job& job) {
-  const double price = settings_.price_probe;
-  if (full_mesh_) {
-    const int probes = prompt_starts_.Or(1.0) > 0.8 ? kMaxProbes : kMaxProbesStale;
-    if (price <= 0) return probes;
-    const double most = kProbeBudget / price;  // a part of a probe is a chance of one
-    return std::min(probes, static_cast<int>(most + random_.Unit()));
-  }
-  // Peers can't tell what is out at a worker: only the worker does. One is asked after the other
-  // until one has room; the first only where many have none, or now and then to see how many.
-  const double found = ProbedFreeShare(0.5);
-  const double gain = kLateShareOfWaiting * (1 - ClassOf(job.class_index).late_weight) * found;
-  const int asked = static_cast<int>(job.probed.size());
-  const bool worth = price < (asked > 0 ? gain : gain * (1 - found));
-  const bool look = asked == 0 && random_.Unit() * price < kProbeBudget;
-  return worth || look ? std::min(asked > 0 ? 2 : 1, kMaxProbes - asked) : 0;
-}
-
-// Exception: where load is told only on probes, a job waits a moment for a few workers' word.
-bool LoadBalancerImpl::ProbeCandidates(Job& job) {
-  const std::vector<int>& all = Selectable(ClassOf(job.class_index).kind, -1);
-  const std::vector<int>& near = Selectable(ClassOf(job.class_index).kind, settings_.zone);
-  if (!settings_.probing || settings_.load_report_source != LoadReportSource::kOnProbe ||
-      all.empty())
-    return false;
-  if (job.expires_at_s < now_ + 10 * kProbeTimeoutS) return false;
-  job.probe_round_begin = job.probed.size();
-  const std::size_t most = job.probe_round_begin + Idx(ProbeCount(job));
-  for (std::size_t i = 0; i < 2 * most && job.probed.size() < most; ++i) {
-    const bool home = !full_mesh_ && i == 0 && settings_.price_cross_zone > 0 && !near.empty();
-    const bool drawn = job.probed.empty() && job.slow_start_worker >= 0;
-    const int w = drawn && i == 0 ? job.slow_start_worker : SampleWorker(home ? near : all);
-    if (std::count(job.probed.begin(), job.probed.end(), w) > 0 || !Allowed(job, w, -1)) continue;
-    job.probed.push_back(w);
-    workers_[Idx(w)].probed_at = now_;
-    actions_->push_back(Probe{workers_[Idx(w)].name});
-  }
-  job.probes_awaited = static_cast<int>(job.probed.size() - job.probe_round_begin);
-  if (job.probes_awaited == 0) return false;
-  jobs_awaiting_probes_.push_back(job.id);
-  CheckAt(now_ + kProbeTimeoutS, job.id, -1);
-  return true;
-}
 
 int LoadBalancerImpl::PickWorker(const Job& job, int anchor) {
   const int kind = ClassOf(job.class_index).kind;
--- /dev/null
+++ b/src/balancing/usage_exchange.cpp
@@ -0,0 +1,220 @@
+// Usage exchange: what dispatchers report to each other, and the rates of the whole tier.
+#include <algorithm>
+#include <cmath>
+#include <numeric>
+#include <utility>
+
+#include "balancing/load_balancer_impl.h"
+
+namespace millethollow::balancing {
+
+constexpr double kSignalWeightJobs =
+    5;  // own word of what found no room weighs by jobs against these
+constexpr double kSignalSmoothingS =
+    0.5;                                 // sends and 'full' are smoothed over this or one interval
+constexpr double kPeerRateWeight = 0.3;  // of the way to peers' rates in a report interval
+constexpr double kWorkerRateDecayS =
+    20.0;  // what workers carried in good times is remembered this long
+
+// Sends the counts to peers, resets them, and reckons quotas anew.
+void LoadBalancerImpl::PublishUsage() {
+  const double span =
+      std::max(now_ - reported_at_, report_interval_s_ / 2);  // one early job is no rush
+  reported_at_ = now_;
+  const double keep = std::exp(-span / std::max(kDemandSmoothingS, 2 * report_interval_s_));
+  const double quick = std::exp(-span / std::max(kSignalSmoothingS, report_interval_s_));
+  std::fill_n(own_rates_.begin(), tenant_count_, 0.0);
+  std::vector<UsageReport::Usage> counts;
+  for (std::size_t b = 0; b < buckets_.size(); ++b) {
+    Bucket& bucket = buckets_[b];
+    if (bucket.admitted + bucket.rejected > 0) {
+      counts.push_back({static_cast<int>(b), bucket.admitted, bucket.rejected});
+    }
+    bucket.admitted = bucket.rejected = 0;
+    const double rate = bucket.first_attempts / span;
+    bucket.demand_rps = has_measured_ ? bucket.demand_rps * keep + rate * (1 - keep) : rate;
+    bucket.first_attempts = 0;
+    own_rates_[b % Idx(tenant_count_)] += bucket.demand_rps;
+  }
+  std::vector<std::pair<int, double*>> signals{
+      {0, &sends_since_report_}, {1, &full_signals_}, {2, &late_signals_}};
+  if (!full_mesh_) signals.insert(signals.end(), {{3, &first_probes_}, {4, &first_probes_free_}});
+  for (const auto& [slot, count] : signals) {
+    double& rate = own_rates_[Idx(tenant_count_ + slot)];
+    rate = has_measured_ ? rate * quick + *count / span * (1 - quick) : *count / span;
+    *count = 0;
+  }
+  const double jobs = own_rates_[Idx(tenant_count_)] * span;
+  for (std::size_t i = 0; !full_mesh_ && i < tier_mean_rates_.size(); ++i) {
+    const bool signal = i >= Idx(tenant_count_) && i < ProbeIndex() + 2;
+    const double weight = signal ? jobs / (jobs + kSignalWeightJobs) : kOwnSampleWeight;
+    tier_mean_rates_[i] = has_measured_
+                              ? tier_mean_rates_[i] + weight * (own_rates_[i] - tier_mean_rates_[i])
+                              : own_rates_[i];
+  }
+  // What a worker carries in good times; low sends after a cut say nothing of capacity.
+  // In a large tier what all send on average says more: a node just back has sent nothing yet.
+  const double sent = std::max(own_rates_[Idx(tenant_count_)],
+                               full_mesh_ ? 0.0 : tier_mean_rates_[Idx(tenant_count_)]);
+  worker_rate_rps_ = WorkerRate(std::max(worker_rate_rps_ * std::exp(-span / kWorkerRateDecayS),
+                                         sent / std::max(1, ready_count_)));
+  has_measured_ = true;
+  if (sibling_.present) NotifySibling();
+  if (settings_.peers && settings_.dispatcher_count > 1 && !sibling_.draining) {
+    std::vector<int> told;
+    for (int i = 0; i < (full_mesh_ ? settings_.dispatcher_count : kGossipFanout); ++i) {
+      const int whom =
+          full_mesh_ ? i
+                     : random_.OtherThan(settings_.dispatcher_index, settings_.dispatcher_count);
+      if (whom != settings_.dispatcher_index) told.push_back(whom);
+    }
+    SendReport(told, !has_heard_peers_, std::move(counts));
+  }
+  UpdateFleetRate(span);
+}
+
+void LoadBalancerImpl::On(const PeerMessage& e) {
+  UsageReport report;
+  const bool readable = DecodeReport(e.body, layout_, &report);
+  if (e.sender == settings_.dispatcher_index && readable && report.BeginsRow()) {
+    peers_.sibling.ApplySlotsInFlight(report, now_);
+    return UpdatePeerSlots();
+  }
+  const bool peer = e.sender >= 0 && e.sender < settings_.dispatcher_count &&
+                    e.sender != settings_.dispatcher_index;
+  if (!settings_.peers || !peer || !readable) return void(++rejected_messages_);
+  OnPeerUsage(e.sender, report);
+  if (!report.BeginsRow()) return;  // what follows counts once a report
+  has_heard_peers_ = true;
+  // Rates draw together, but slowly: else the many that have not cut yet undo each cut at once.
+  const double weight =
+      fleet_rate_rps_ == kInf
+          ? 1
+          : kPeerRateWeight / (full_mesh_ ? settings_.dispatcher_count - 1 : kGossipFanout);
+  if (report.rate > 0)
+    fleet_rate_rps_ = std::min(fleet_rate_rps_, 1e12) * (1 - weight) + report.rate * weight;
+  // A restarted dispatcher is told at once what the fleet does: not held to one Nth for long.
+  if (report.fresh && has_measured_) SendReport({e.sender}, false, {});
+}
+
+void LoadBalancerImpl::OnPeerUsage(int sender, const UsageReport& report) {
+  if (!full_mesh_) return MergeSharedEstimates(report);
+  peers_.rows[Idx(sender)].Apply(report, layout_.size(), now_);
+  if (report.BeginsRow()) UpdatePeerSlots();
+}
+
+// A node of a large tier ends too few jobs to tell kinds and classes apart by itself: it learns
+// from the sums of all, times and jobs each. The most slots that peers agree on are taken as they
+// are.
+void LoadBalancerImpl::MergeSharedEstimates(const UsageReport& told) {
+  const std::size_t first = told.first, end = first + told.rates.size();
+  for (std::size_t i = first; i < end; ++i)
+    tier_mean_rates_[i] = (tier_mean_rates_[i] + told.rates[i - first]) / 2;
+  const auto holds = [&](std::size_t at) { return at >= first && at < end; };
+  const auto learn = [&](std::size_t at, Mean& mean) {
+    if (!holds(at) || tier_mean_rates_[at + 1] <= 0) return;
+    mean = {tier_mean_rates_[at] / tier_mean_rates_[at + 1], std::max(mean.n, kSharedSampleWeight)};
+  };
+  for (int c = 0; c < shared_class_count_; ++c)
+    learn(SharedEstimateIndex(c, -1), class_run_time_[Idx(c)]);
+  for (int k = 0; k < static_cast<int>(kind_pace_.size()); ++k) {
+    const std::size_t at = SharedEstimateIndex(-1, k);
+    if (!holds(at)) continue;
+    learn(at, kind_pace_[Idx(k)]);
+    kind_slots_[Idx(k)] = std::max(kind_slots_[Idx(k)], told.rates[at + 2 - first]);
+    own_rates_[at + 2] = tier_mean_rates_[at + 2] = kind_slots_[Idx(k)];
+  }
+}
+
+// Without the counts of buckets. Peers hear of both our processes.
+UsageReport LoadBalancerImpl::MakeReport(bool fresh, bool to_mate) const {
+  UsageReport report;
+  report.fresh = fresh;
+  report.rate = fleet_rate_rps_ == kInf ? 0.0 : fleet_rate_rps_;
+  report.rates = full_mesh_ ? own_rates_ : tier_mean_rates_;
+  report.hears_all = agreed_share_.hears_all();
+  report.view = agreed_share_.view();
+  for (const Worker& w : workers_) {
+    if (!full_mesh_ && !to_mate) break;  // one of many can't say how much is out there
+    const double held = reservations_ ? reservations_->ReservedSlots(w.name) : 0.0;
+    const double slots = w.slots_in_flight + held + (to_mate ? 0.0 : w.sibling_slots_in_flight);
+    if (slots > 0)
+      report.slots_in_flight.emplace_back(Tag(w), static_cast<int>(std::lround(slots)));
+  }
+  return report;
+}
+
+// All datagrams of a report go out at once. One in turn with each report would cost less, but each
+// rate would then be as old as there are datagrams, times the interval; what is reckoned from them
+// (kPeerTimeoutReports, the hold of AgreedShare, the weights of a large tier's means) takes them
+// for no older than one. `counts` is empty where the counts have gone out already.
+void LoadBalancerImpl::SendReport(const std::vector<int>& whom, bool fresh,
+                                  std::vector<UsageReport::Usage> counts) {
+  UsageReport report = MakeReport(fresh, false);
+  report.usage = std::move(counts);
+  const std::vector<std::string> datagrams = EncodeReport(report, layout_);
+  for (const int peer : whom) {
+    for (const std::string& datagram : datagrams)
+      actions_->push_back(SendPeerMessage{peer, datagram});
+  }
+}
+
+// Our other process heeds the slots out alone: they are where the row begins.
+void LoadBalancerImpl::NotifySibling() {
+  actions_->push_back(SendPeerMessage{settings_.dispatcher_index,
+                                      EncodeReport(MakeReport(false, true), layout_).front()});
+}
+
+std::vector<double> LoadBalancerImpl::TierRates() {
+  const double since = now_ - kPeerTimeoutReports * report_interval_s_;
+  if (!agreed_share_.on()) {
+    return full_mesh_ ? peers_.TierRates(own_rates_, settings_.dispatcher_index, since)
+                      : Times(tier_mean_rates_, settings_.dispatcher_count);
+  }
+  if (!full_mesh_) {
+    std::vector<double> fleet = Times(tier_mean_rates_, 1 / std::max(agreed_share_.share(), 1e-6));
+    agreed_share_.ApplyTenantRates(own_rates_, settings_.tenants, &fleet);
+    return fleet;
+  }
+  std::vector<double> all = own_rates_;
+  int heard = 0;
+  bool others_hear = true;
+  for (std::size_t p = 0; p < peers_.rows.size(); ++p) {
+    const PeerUsage& peer = peers_.rows[p];
+    if (static_cast<int>(p) == settings_.dispatcher_index || !peer.RowKnown(since)) continue;
+    if (peer.view == 0 || peer.view != agreed_share_.view()) continue;
+    heard += 1;
+    others_hear = others_hear && peer.hears_all;
+    for (std::size_t i = 0; i < all.size(); ++i) all[i] += peer.rates[i];
+  }
+  heard_sends_rps_ = all[Idx(tenant_count_)];
+  std::vector<double> fleet = agreed_share_.TierRates(
+      now_, (kPeerTimeoutReports + 2) * report_interval_s_, own_rates_, all, heard, others_hear);
+  agreed_share_.ApplyTenantRates(own_rates_, settings_.tenants, &fleet);
+  return fleet;
+}
+
+double LoadBalancerImpl::WorkerRate(double mine) {
+  return agreed_share_.WorkerRate(mine, heard_sends_rps_ / std::max(1, ready_count_),
+                                  Idx(tenant_count_));
+}
+
+double LoadBalancerImpl::DemandShare() const {
+  const auto sum = [this](const std::vector<double>& rates) {
+    return std::accumulate(rates.begin(), rates.begin() + tenant_count_, 0.0);
+  };
+  const double all = full_mesh_
+                         ? sum(peers_.TierRates(own_rates_, settings_.dispatcher_index,
+                                                now_ - kPeerTimeoutReports * report_interval_s_))
+                         : settings_.dispatcher_count * sum(tier_mean_rates_);
+  if (agreed_share_.on()) return agreed_share_.share();
+  const double even = 1.0 / std::max(1, settings_.dispatcher_count);
+  return all > 0 && has_measured_ ? std::clamp(sum(own_rates_) / all, even / 4, 1.0) : even;
+}
+
+void LoadBalancerImpl::On(const SiblingProcess& e) {
+  sibling_ = e;
+  if (e.present) NotifySibling();
+}
+
+}  // namespace millethollow::balancing
