--- a/src/balancing/attempts.cpp
+++ b/src/balancing/attempts.cpp
@@ -43,7 +43,8 @@
   const auto [time, over] = Forecast(job, w);
   // Exception: while the fleet is full, a first try that must wait and end late even at the best
   // worker makes the queue deeper for all behind it. Refused unsent, it may find room on return.
-  if (tier_full_ && job.attempts.empty() && over && !waits && time > LatencyObjectiveOf(job)) {
+  if (fleet_rate_.tier_full() && job.attempts.empty() && over && !waits &&
+      time > LatencyObjectiveOf(job)) {
     full_signals_ += 1;
     return false;
   }
--- a/src/balancing/load_balancer_impl.cpp
+++ b/src/balancing/load_balancer_impl.cpp
@@ -82,8 +82,8 @@
 
 void LoadBalancerImpl::On(const DispatcherStarted&) {
   reported_at_ = now_;
-  next_cut_at_ =
-      now_ + std::max(kDemandSmoothingS, 2 * report_interval_s_);  // demand is not known yet
+  fleet_rate_.AllowCutAt(
+      now_ + std::max(kDemandSmoothingS, 2 * report_interval_s_));  // demand is not known yet
   actions_->push_back(SetTimer{kReportTimer, report_interval_s_ * (0.2 + random_.Unit())});
   if (settings_.polls_discovery) PollEndpoints();
 }
--- a/src/balancing/load_balancer_impl.h
+++ b/src/balancing/load_balancer_impl.h
@@ -12,6 +12,7 @@
 
 #include "balancing/agreed_share.h"
 #include "balancing/constants.h"
+#include "balancing/fleet_rate_limiter.h"
 #include "balancing/state.h"
 #include "balancing/support.h"
 #include "millethollow/balancing/load_balancer.h"
@@ -68,7 +69,8 @@
   void On(const SiblingProcess& e);
 
   // Fleet rate.
-  void UpdateFleetRate(double span);
+  void UpdateFleetRate(double sample_s);
+  void LimitTenant(int tenant, double admit_share);
   std::vector<double> TierRates();  // what the tier reports in all
   // Sends that a warm worker carries, where `mine` are this dispatcher's own.
   double WorkerRate(double mine);
@@ -178,7 +180,7 @@
   AgreedShare agreed_share_;
   double heard_sends_rps_ = 0;  // of those heard, as of the last report
   // Fleet rate.
-  double fleet_rate_rps_ = kInf, next_cut_at_ = 0;
+  FleetRateLimiter fleet_rate_;
   // Workers.
   std::vector<Worker> workers_;
   TextMap<int> worker_index_;
@@ -213,7 +215,7 @@
   double hedge_budget_ = 0, hedges_per_attempt_ = 0,
          shed_budget_ = 0;                                  // rights to copies, and to calling off
   bool may_shed_queued_ = false, load_unreported_ = false;  // load is never told, only starts are
-  bool tier_full_ = false, check_timer_set_ = false, subscribed_ = false;
+  bool check_timer_set_ = false, subscribed_ = false;
   double poll_at_ = kInf;
 };
 
--- a/src/balancing/overdue_attempts.cpp
+++ b/src/balancing/overdue_attempts.cpp
@@ -35,8 +35,8 @@
   }
   // Exception: work that waits past hope is called off while the fleet is full, else all that
   // waits behind it ends late too. No more of it than starts: else cancels end nothing here.
-  if (tier_full_ && may_shed_queued_ && !job->ended && !job->Running() && shed_budget_ >= 1 &&
-      WouldEndLate(*job, w, age)) {
+  if (fleet_rate_.tier_full() && may_shed_queued_ && !job->ended && !job->Running() &&
+      shed_budget_ >= 1 && WouldEndLate(*job, w, age)) {
     shed_budget_ -= 1;
     job->shed = true;
     return CancelOpenAttempts(*job, false);
--- a/src/balancing/state_transfer.h
+++ b/src/balancing/state_transfer.h
@@ -16,10 +16,11 @@
 struct StateTransfer {
   template <typename LoadBalancerImpl, typename Visitor>
   static void Visit(LoadBalancerImpl& b, Visitor& v) {
-    v(b.fleet_rate_rps_, b.worker_rate_rps_, b.has_measured_, b.own_rates_, b.tier_mean_rates_,
-      b.memory_per_slot_, b.all_run_, b.class_hint_fit_, b.prompt_starts_, b.class_run_time_,
-      b.buckets_, b.kind_pace_, b.kind_slots_, b.kind_max_slots_, b.group_wait_s_, b.group_success_,
-      b.mean_slot_limit_, b.hedge_budget_, b.hedges_per_attempt_, b.shed_budget_, b.workers_);
+    v(b.fleet_rate_.rate_rps_, b.worker_rate_rps_, b.has_measured_, b.own_rates_,
+      b.tier_mean_rates_, b.memory_per_slot_, b.all_run_, b.class_hint_fit_, b.prompt_starts_,
+      b.class_run_time_, b.buckets_, b.kind_pace_, b.kind_slots_, b.kind_max_slots_,
+      b.group_wait_s_, b.group_success_, b.mean_slot_limit_, b.hedge_budget_, b.hedges_per_attempt_,
+      b.shed_budget_, b.workers_);
   }
 
   template <typename LoadBalancerImpl>
--- a/src/balancing/usage_exchange.cpp
+++ b/src/balancing/usage_exchange.cpp
@@ -88,11 +88,8 @@
   has_heard_peers_ = true;
   // Rates draw together, but slowly: else the many that have not cut yet undo each cut at once.
   const double weight =
-      fleet_rate_rps_ == kInf
-          ? 1
-          : kPeerRateWeight / (full_mesh_ ? settings_.dispatcher_count - 1 : kGossipFanout);
-  if (report.rate > 0)
-    fleet_rate_rps_ = std::min(fleet_rate_rps_, 1e12) * (1 - weight) + report.rate * weight;
+      kPeerRateWeight / (full_mesh_ ? settings_.dispatcher_count - 1 : kGossipFanout);
+  if (report.rate > 0) fleet_rate_.FollowPeer(report.rate, weight);
   // A restarted dispatcher is told at once what the fleet does: not held to one Nth for long.
   if (report.fresh && has_measured_) SendReport({e.sender}, false, {});
 }
@@ -130,7 +127,7 @@
 UsageReport LoadBalancerImpl::MakeReport(bool fresh, bool to_mate) const {
   UsageReport report;
   report.fresh = fresh;
-  report.rate = fleet_rate_rps_ == kInf ? 0.0 : fleet_rate_rps_;
+  report.rate = fleet_rate_.limits() ? fleet_rate_.rate_rps() : 0.0;
   report.rates = full_mesh_ ? own_rates_ : tier_mean_rates_;
   report.hears_all = agreed_share_.hears_all();
   report.view = agreed_share_.view();
