--- a/src/balancing/attempts.cpp
+++ b/src/balancing/attempts.cpp
@@ -7,72 +7,100 @@
 namespace millethollow::balancing {
 
 constexpr double kSlotLimitStep = 0.1;  // a threshold's rise after a good send at the threshold
+constexpr double kDeduplicationWindowUse = 0.9;  // of the window: clocks and queues differ
+constexpr double kMaxHedgeBudget = 3.0;
+constexpr double kMinOverdueS = 0.02;
+constexpr double kStartOverdueShare = 0.6;  // of the latency objective, without notice of a start
+constexpr double kStartNoticeTicks = 4;     // a notice of a start takes so long at least
 constexpr double kRejectBeforeExpiryS = 0.15;  // before its time is over, one that waits is refused
 constexpr double kMaxShedBudget =
     10.0;  // starts that earn the right to call off as much hopeless work
 
-// Sends the job somewhere it may go; false if there is no such place now.
-bool LoadBalancerImpl::PlaceJob(Job& job) {
-  if (job.attempts.size() >= Idx(job.max_attempts) || job.expires_at_s <= now_) return false;
+// Where a further attempt may go: at-most-once and deduplication rules of the job's class.
+LoadBalancerImpl::RetryScope LoadBalancerImpl::RetryScopeOf(const Job& job) const {
   const ClassSettings& c = ClassOf(job.class_index);
-  int anchor = -1;
+  RetryScope scope;
   for (const Attempt& a : job.attempts) {
-    if (a.open && !settings_.allow_hedging) return false;
+    if (a.open && !settings_.allow_hedging) return {.permitted = false};
     if (!a.may_have_run) continue;
-    if (c.idempotency == Idempotency::kNotIdempotent) return false;
+    if (c.idempotency == Idempotency::kNotIdempotent) return {.permitted = false};
     if (c.idempotency == Idempotency::kIdempotentWithKey) {
       // Repeats are dropped only within the group and the window, counted from the first sending.
-      if (now_ + settings_.tick_s > a.sent_at + 0.9 * c.deduplication_window_s) return false;
-      if (anchor < 0) anchor = a.worker;
+      const double window_s = kDeduplicationWindowUse * c.deduplication_window_s;
+      if (now_ + settings_.tick_s > a.sent_at + window_s) return {.permitted = false};
+      if (scope.anchor < 0) scope.anchor = a.worker;
     }
   }
-  // A keyed job that may have run has few places left: it queues there. All others wait for room.
-  const bool waits =
-      reservations_ && anchor < 0 && !job.AnyOpen() && !Selectable(c.kind, -1).empty();
-  if (waits && job.found_worker < 0) {
-    const CapacityReservations::Candidate place = reservations_->FindWorker(job.id);
-    job.impossible = place.impossible;
-    if (place.impossible) return false;
-    if (place.worker.empty()) return WaitForCapacity(job);
-    job.found_worker = worker_index_.find(place.worker)->second;
-  }
-  const int index = PickWorker(job, anchor);
+  return scope;
+}
+
+// Starts an attempt at the best worker that the job may go to; false if there is none now.
+bool LoadBalancerImpl::PlaceJob(Job& job) {
+  if (job.attempts.size() >= Idx(job.max_attempts) || job.expires_at_s <= now_) return false;
+  const RetryScope scope = RetryScopeOf(job);
+  if (!scope.permitted) return false;
+  // A keyed job that may have run has few workers left: it queues there. All others wait for
+  // capacity.
+  const bool waits = reservations_ && scope.anchor < 0 && !job.AnyOpen() &&
+                     !Selectable(ClassOf(job.class_index).kind, -1).empty();
+  if (waits && job.found_worker < 0 && !FindCapacity(job)) return false;
+  const int index = PickWorker(job, scope.anchor);
   job.found_worker = -1;
   if (index < 0) return waits && WaitForCapacity(job);
-  Worker& w = workers_[Idx(index)];
-  const auto [time, over] = Forecast(job, w);
-  // Exception: while the fleet is full, a first try that must wait and end late even at the best
-  // worker makes the queue deeper for all behind it. Refused unsent, it may find room on return.
-  if (fleet_rate_.tier_full() && job.attempts.empty() && over && !waits &&
-      time > LatencyObjectiveOf(job)) {
+  const Forecast forecast = ForecastFor(job, workers_[Idx(index)]);
+  // While the tier is full, a first attempt that must wait and end late even at the best worker
+  // makes the queue longer for all behind it. Rejected unsent, it may find capacity on its return.
+  if (fleet_rate_.tier_full() && job.attempts.empty() && forecast.no_capacity && !waits &&
+      forecast.time_s > LatencyObjectiveOf(job)) {
     full_signals_ += 1;
     return false;
   }
+  StartAttempt(job, index, forecast);
+  return true;
+}
+
+// Asks the scheduler for a worker with capacity; false if the job has to wait or can never run.
+bool LoadBalancerImpl::FindCapacity(Job& job) {
+  const CapacityReservations::Candidate candidate = reservations_->FindWorker(job.id);
+  job.impossible = candidate.impossible;
+  if (candidate.impossible) return false;
+  if (candidate.worker.empty()) return WaitForCapacity(job);
+  job.found_worker = worker_index_.find(candidate.worker)->second;
+  return true;
+}
+
+void LoadBalancerImpl::StartAttempt(Job& job, int index, const Forecast& forecast) {
+  Worker& w = workers_[Idx(index)];
   if (WarmingUp(w)) {
     w.slow_start_tokens = std::min(1.0, SlowStartTokens(w) - SlowStartCost(job));
     w.slow_start_tokens_at = now_;
   }
-  // The best of those asked can't end it in time: no worker need tell of a late start.
-  const bool told =
+  // By a fresh report of a probed worker.
+  const bool load_known =
       now_ - w.reported_at < kLoadReportFreshS && !job.probed.empty() && job.attempts.empty();
-  job.attempts.push_back({.worker = index,
-                          .sent_at = now_,
-                          .slots_before = w.slots_in_flight,
-                          .had_free_slot = !over});
-  job.attempts.back().had_free_slot &= told;
-  job.attempts.back().recent_key = w.OnSent(job.slots, job.memory, job.key, now_);
-  if (told && time > LatencyObjectiveOf(job)) OnBlocked(job, job.attempts.back(), false, true);
+  Attempt& attempt = job.attempts.emplace_back(
+      Attempt{.worker = index, .sent_at = now_, .slots_before = w.slots_in_flight});
+  attempt.had_free_slot = !forecast.no_capacity && load_known;
+  attempt.recent_key = w.OnSent(job.slots, job.memory, job.key, now_);
+  // The best of the probed workers can't end it in time: none need report a late start.
+  if (load_known && forecast.time_s > LatencyObjectiveOf(job)) {
+    OnBlocked(job, attempt, false, true);
+  }
   sends_since_report_ += job.attempts.size() == 1;
-  hedge_budget_ = std::min(3.0, hedge_budget_ + hedges_per_attempt_);
+  hedge_budget_ = std::min(kMaxHedgeBudget, hedge_budget_ + hedges_per_attempt_);
   actions_->push_back(SendAttempt{job.id, w.name, 0});
-  // Looked at as soon as the word of a start is overdue, where a second copy is permitted.
-  const bool soon = settings_.allow_hedging && c.idempotency != Idempotency::kNotIdempotent;
-  const double first =
-      settings_.workers_notify_start
-          ? std::max(soon ? 0.0 : c.latency_objective_s * 0.6, 4 * settings_.tick_s)
-          : kOverdueFactor * ExpectedRun(job);
-  CheckAt(now_ + std::max(first, 0.02), job.id, static_cast<int>(job.attempts.size()) - 1);
-  return true;
+  CheckAt(now_ + std::max(OverdueAfter(job), kMinOverdueS), job.id,
+          static_cast<int>(job.attempts.size()) - 1);
+}
+
+// Seconds after which an attempt is looked at first. Where hedging is permitted that is as soon as
+// the notice of its start is overdue.
+double LoadBalancerImpl::OverdueAfter(const Job& job) const {
+  const ClassSettings& c = ClassOf(job.class_index);
+  if (!settings_.workers_notify_start) return kOverdueFactor * ExpectedRun(job);
+  const bool may_hedge = settings_.allow_hedging && c.idempotency != Idempotency::kNotIdempotent;
+  return std::max(may_hedge ? 0.0 : c.latency_objective_s * kStartOverdueShare,
+                  kStartNoticeTicks * settings_.tick_s);
 }
 
 // To wait for room is not to give up; it ends with the job's time.
@@ -137,48 +165,56 @@
   a->may_have_run = e.status != AttemptStatus::kRejected &&
                     e.status != AttemptStatus::kConnectFailed &&
                     e.status != AttemptStatus::kNotSent;
-  switch (e.status) {
+  LearnFromOutcome(*job, *a, e.status);
+  if (e.terminal) job->ended = true;
+  if (job->ended) {
+    CancelOpenAttempts(*job, false);
+  } else if (!job->AnyOpen() && !job->shed) {
+    PlaceJob(*job);
+  }
+  FinishIfIdle(*job);
+}
+
+void LoadBalancerImpl::LearnFromOutcome(Job& job, Attempt& a, AttemptStatus status) {
+  Worker& w = workers_[Idx(a.worker)];
+  switch (status) {
     case AttemptStatus::kSucceeded:
-      w.heard_at = now_;
-      w.probation = false;
-      w.ejection_s = 0;
-      GroupSuccess(w) += (1 - GroupSuccess(w)) / 5;
-      w.error_rate *= 0.8;
-      RecordRunTime(*job, *a, w);
-      if (!a->blocked && a->slots_before + job->slots >= w.slot_limit)
-        w.slot_limit += kSlotLimitStep;
-      job->ended = true;
-      if (!settings_.workers_notify_start)
-        shed_budget_ = std::min(shed_budget_ + 1, kMaxShedBudget);
+      OnAttemptSucceeded(job, a);
       break;
     case AttemptStatus::kRejected:
       w.heard_at = now_;
-      RecordStartWait(w, ExpectedRun(*job));
+      RecordStartWait(w, ExpectedRun(job));
       GroupSuccess(w) += (2 * kGroupSuccessMin - GroupSuccess(w)) / 20;  // full is not lost
-      OnBlocked(*job, *a, true, false);
+      OnBlocked(job, a, true, false);
       break;
     case AttemptStatus::kServerError:
       w.heard_at = now_;
       [[fallthrough]];
     case AttemptStatus::kConnectionLost:  // one may be chance; a worker that is gone refuses the
                                           // next
-      w.error_rate = w.error_rate * 0.8 + (e.status == AttemptStatus::kServerError ? 0.2 : 0.3);
-      if (w.error_rate > 0.45 || w.probation) Eject(a->worker);
+      w.error_rate = w.error_rate * 0.8 + (status == AttemptStatus::kServerError ? 0.2 : 0.3);
+      if (w.error_rate > 0.45 || w.probation) Eject(a.worker);
       break;
     case AttemptStatus::kConnectFailed:
     case AttemptStatus::kNoResponse:
-      if (e.status == AttemptStatus::kConnectFailed || w.heard_at < a->sent_at) Eject(a->worker);
+      if (status == AttemptStatus::kConnectFailed || w.heard_at < a.sent_at) Eject(a.worker);
       break;
     default:  // called off, not sent: nothing is learned
       break;
   }
-  if (e.terminal) job->ended = true;
-  if (job->ended) {
-    CancelOpenAttempts(*job, false);
-  } else if (!job->AnyOpen() && !job->shed) {
-    PlaceJob(*job);
-  }
-  FinishIfIdle(*job);
+}
+
+void LoadBalancerImpl::OnAttemptSucceeded(Job& job, const Attempt& a) {
+  Worker& w = workers_[Idx(a.worker)];
+  w.heard_at = now_;
+  w.probation = false;
+  w.ejection_s = 0;
+  GroupSuccess(w) += (1 - GroupSuccess(w)) / 5;
+  w.error_rate *= 0.8;
+  RecordRunTime(job, a, w);
+  if (!a.blocked && a.slots_before + job.slots >= w.slot_limit) w.slot_limit += kSlotLimitStep;
+  job.ended = true;
+  if (!settings_.workers_notify_start) shed_budget_ = std::min(shed_budget_ + 1, kMaxShedBudget);
 }
 
 void LoadBalancerImpl::On(const RequestCancelled& e) {
@@ -202,7 +238,8 @@
   a->started_at = now_;
   RecordStartWait(w, now_ - a->sent_at);
   shed_budget_ = std::min(shed_budget_ + 1, kMaxShedBudget);
-  if (a->had_free_slot) prompt_starts_.Add(now_ - a->sent_at < 4 * settings_.tick_s, 50);
+  if (a->had_free_slot)
+    prompt_starts_.Add(now_ - a->sent_at < kStartNoticeTicks * settings_.tick_s, 50);
   // Second copies are sent to find a free slot: one runs, so those still waiting are dropped.
   CancelOpenAttempts(*job, true);
 }
--- a/src/balancing/load_balancer_impl.h
+++ b/src/balancing/load_balancer_impl.h
@@ -19,6 +19,12 @@
 
 namespace millethollow::balancing {
 
+// What is expected of a job at a worker.
+struct Forecast {
+  double time_s = 0;         // until it ends
+  bool no_capacity = false;  // it would have to queue
+};
+
 class LoadBalancerImpl {
  public:
   LoadBalancerImpl(const Settings& settings, std::uint64_t seed);
@@ -59,6 +65,10 @@
   void SendReport(const std::vector<int>& whom, bool fresh, std::vector<UsageReport::Usage> counts);
   void NotifySibling();
   void OnPeerUsage(int sender, const UsageReport& report);
+  std::vector<UsageReport::Usage> MeasureDemand(double sample_s);
+  void MeasureSignals(double sample_s);
+  void UpdateTierMeans(double sample_s);
+  std::vector<int> ReportRecipients();
   void PublishUsage();
   void On(const PeerMessage& e);
   static std::uint16_t Tag(const Worker& w) { return static_cast<std::uint16_t>(w.hash); }
@@ -102,7 +112,7 @@
     return w.capacity_slots > 0 ? w.capacity_slots : kind_slots_[Idx(w.kind)];
   }
   bool Allowed(const Job& job, int index, int anchor) const;
-  std::pair<double, bool> Forecast(const Job& job, const Worker& w) const;
+  Forecast ForecastFor(const Job& job, const Worker& w) const;
   double Score(const Job& job, const Worker& w, int home_rank) const;
   double KeyAffinityWeight() const;
   int SampleWorker(const std::vector<int>& from);
@@ -132,6 +142,19 @@
   // Attempts and final answers.
   bool PlaceJob(Job& job);
   void CheckAt(double at, const std::string& id, int attempt);
+  struct RetryScope {
+    bool permitted = true;
+    int anchor = -1;  // a worker whose deduplication group the attempt has to stay in; -1: none
+  };
+  RetryScope RetryScopeOf(const Job& job) const;
+  bool FindCapacity(Job& job);
+  void StartAttempt(Job& job, int index, const Forecast& forecast);
+  double OverdueAfter(const Job& job) const;
+  void LearnFromOutcome(Job& job, Attempt& a, AttemptStatus status);
+  void OnAttemptSucceeded(Job& job, const Attempt& a);
+  void OnStartOverdue(Job& job, Attempt& a, double age_s);
+  bool MayShed(const Job& job, const Attempt& a, double age_s) const;
+  void HedgeOrCancel(Job& job, int attempt, bool lost);
   bool WaitForCapacity(Job& job);
   void On(const CapacityFound& e);
   void FinishIfIdle(Job& job);
--- a/src/balancing/load_estimates.cpp
+++ b/src/balancing/load_estimates.cpp
@@ -10,6 +10,7 @@
 namespace millethollow::balancing {
 
 constexpr double kMaxReportValue = 1e6;   // a larger figure in a report is none
+constexpr double kSlotRounding = 0.5;     // a report may be short of a slot by so much
 constexpr double kStartWaitDecayS = 1.0;  // an observed wait for a start says little after this
 constexpr double kKindPaceWeight =
     8.0;  // a worker's own pace outweighs its kind's after so many jobs
@@ -91,36 +92,40 @@
   return settings_.capacity_hints_valid ? w.capacity_hint : std::max(1.0, SlotsOf(w)) / PaceOf(w);
 }
 
-// Expected time to the job's end, and whether it would find no room.
-std::pair<double, bool> LoadBalancerImpl::Forecast(const Job& job, const Worker& w) const {
-  const double run = ExpectedRun(job) * PaceOf(w);
-  double wait = StartWaitOf(w);
-  const bool silent = w.probed_at > w.heard_at && now_ - w.probed_at > kProbeTimeoutS / 2;
+Forecast LoadBalancerImpl::ForecastFor(const Job& job, const Worker& w) const {
+  const double run_s = ExpectedRun(job) * PaceOf(w);
   const double slots = SlotsOf(w);
-  bool over = silent;
-  if (slots > 0) {  // what all dispatchers have out there, against what its kind can hold
-    // A report just in counts what all have out there; a large tier's others are but a guess.
-    const double others =
+  const bool silent = w.probed_at > w.heard_at && now_ - w.probed_at > kProbeTimeoutS / 2;
+  Forecast forecast{.time_s = StartWaitOf(w), .no_capacity = silent};
+  if (slots > 0) {  // what all dispatchers have in flight there, against what its kind can hold
+    // A fresh report counts what all have in flight there; in a large tier the peers' slots are an
+    // estimate.
+    const double peers =
         full_mesh_ || now_ - w.reported_at > kLoadReportFreshS ? w.peer_slots_in_flight : 0;
-    double need = w.slots_in_flight + others + job.slots;
-    if (job.memory > 0)
-      need = std::max(need, w.memory_in_flight + others * memory_per_slot_.Or(0) + job.memory);
-    wait = std::max(0.0, need - slots) / slots * all_run_.Or(run) * PaceOf(w);
-    over |= need > slots;
+    double need = w.slots_in_flight + peers + job.slots;
+    if (job.memory > 0) {
+      need = std::max(need, w.memory_in_flight + peers * memory_per_slot_.Or(0) + job.memory);
+    }
+    forecast.time_s = std::max(0.0, need - slots) / slots * all_run_.Or(run_s) * PaceOf(w);
+    forecast.no_capacity |= need > slots;
   } else {
-    over |= w.slots_in_flight > 0 && w.slots_in_flight + job.slots > w.slot_limit;
-    if (over) wait += run * (w.slots_in_flight + job.slots) / std::max(w.slot_limit, 1.0);
+    const double need = w.slots_in_flight + job.slots;
+    forecast.no_capacity |= w.slots_in_flight > 0 && need > w.slot_limit;
+    if (forecast.no_capacity) forecast.time_s += run_s * need / std::max(w.slot_limit, 1.0);
   }
   if (now_ - w.reported_at < kLoadReportFreshS) {
-    double room = w.reported_free_slots - w.slots_sent_since_report;
-    if (w.reported_free_memory != kInf)
-      room = std::min(room, w.reported_free_memory - job.memory + job.slots);
-    if (room < job.slots - 0.5) {
-      over = true;
-      wait += run * (job.slots - room + w.reported_queued) / std::max(1.0, slots);
+    double free_slots = w.reported_free_slots - w.slots_sent_since_report;
+    if (w.reported_free_memory != kInf) {
+      free_slots = std::min(free_slots, w.reported_free_memory - job.memory + job.slots);
+    }
+    if (free_slots < job.slots - kSlotRounding) {
+      forecast.no_capacity = true;
+      forecast.time_s +=
+          run_s * (job.slots - free_slots + w.reported_queued) / std::max(1.0, slots);
     }
   }
-  return {run + wait, over};
+  forecast.time_s = run_s + forecast.time_s;
+  return forecast;
 }
 
 }  // namespace millethollow::balancing
--- a/src/balancing/overdue_attempts.cpp
+++ b/src/balancing/overdue_attempts.cpp
@@ -6,7 +6,11 @@
 namespace millethollow::balancing {
 
 constexpr double kSilentProbeS =
-    0.25;  // no word since a send: the worker is asked whether it lives
+    0.25;                             // no word since a send: the worker is asked whether it lives
+constexpr double kMinSilenceS = 1.0;  // without a word since the send: the worker is ejected
+constexpr double kProgressIntervals = 1.5;  // of silence where workers report progress
+constexpr double kOrdinaryPace = 2.0;       // a worker this much slower than expected is slow
+constexpr double kMinRecheckS = 0.25;
 
 bool LoadBalancerImpl::WouldEndLate(const Job& job, const Worker& w, double age) const {
   const double run = ExpectedRun(job) * PaceOf(w);
@@ -14,47 +18,61 @@
 }
 
 // An attempt has not started, or not ended, when it should have.
-void LoadBalancerImpl::OnOverdue(const OverdueCheck& watch) {
-  if (watch.attempt == kCapacityWaitCheck) return OnCapacityWaitCheck(watch);
-  if (watch.attempt < 0) return OnProbesAnswered(watch.job);
+void LoadBalancerImpl::OnOverdue(const OverdueCheck& check) {
+  if (check.attempt == kCapacityWaitCheck) return OnCapacityWaitCheck(check);
+  if (check.attempt < 0) return OnProbesAnswered(check.job);
   Job* job = nullptr;
-  Attempt* a = FindAttempt(watch.job, watch.attempt, &job);
+  Attempt* a = FindAttempt(check.job, check.attempt, &job);
   if (a == nullptr || !a->open) return;
-  Worker& w = workers_[Idx(a->worker)];
-  const double age = now_ - a->sent_at;
-  if (settings_.workers_notify_start && a->started_at < 0) {
-    RecordStartWait(w, std::max(age, StartWaitOf(w)));
-    // One that is left out says nothing of the fleet.
-    OnBlocked(*job, *a, false,
-              !w.ejected && age > ClassOf(job->class_index).latency_objective_s && PaceOf(w) < 2);
-    if (w.heard_at < a->sent_at && settings_.probing && age > kSilentProbeS &&
-        w.probed_at < a->sent_at) {
-      w.probed_at = now_;
-      actions_->push_back(Probe{w.name});
-    }
-  }
-  // Exception: work that waits past hope is called off while the fleet is full, else all that
-  // waits behind it ends late too. No more of it than starts: else cancels end nothing here.
-  if (fleet_rate_.tier_full() && may_shed_queued_ && !job->ended && !job->Running() &&
-      shed_budget_ >= 1 && WouldEndLate(*job, w, age)) {
+  const double age_s = now_ - a->sent_at;
+  if (settings_.workers_notify_start && a->started_at < 0) OnStartOverdue(*job, *a, age_s);
+  if (MayShed(*job, *a, age_s)) {
     shed_budget_ -= 1;
     job->shed = true;
     return CancelOpenAttempts(*job, false);
   }
-  const double silence =
-      std::max({kOverdueFactor * ExpectedRun(*job), 1.5 * settings_.progress_interval_s, 1.0});
-  if (w.heard_at < a->sent_at && age > silence) Eject(a->worker);
+  Worker& w = workers_[Idx(a->worker)];
+  const double silence_s =
+      std::max({kOverdueFactor * ExpectedRun(*job),
+                kProgressIntervals * settings_.progress_interval_s, kMinSilenceS});
+  if (w.heard_at < a->sent_at && age_s > silence_s) Eject(a->worker);
   const bool lost = w.ejected || !w.ready;
-  const bool waits = settings_.workers_notify_start ? a->started_at < 0 : age > silence;
-  if (!job->ended && !job->shed && (lost || waits) && (lost || hedge_budget_ >= 1)) {
-    if (settings_.allow_hedging) {
-      if (PlaceJob(*job) && !lost) hedge_budget_ -= 1;
-    } else if (lost && settings_.cancel &&
-               ClassOf(job->class_index).idempotency != Idempotency::kNotIdempotent) {
-      actions_->push_back(CancelAttempt{job->id, watch.attempt});
-    }
+  const bool waits = settings_.workers_notify_start ? a->started_at < 0 : age_s > silence_s;
+  if (lost || waits) HedgeOrCancel(*job, check.attempt, lost);
+  CheckAt(now_ + std::max(kMinRecheckS, age_s / 2), check.job, check.attempt);
+}
+
+void LoadBalancerImpl::OnStartOverdue(Job& job, Attempt& a, double age_s) {
+  Worker& w = workers_[Idx(a.worker)];
+  RecordStartWait(w, std::max(age_s, StartWaitOf(w)));
+  // An ejected or slow worker says nothing about the tier.
+  const bool late = !w.ejected && age_s > ClassOf(job.class_index).latency_objective_s &&
+                    PaceOf(w) < kOrdinaryPace;
+  OnBlocked(job, a, false, late);
+  if (w.heard_at < a.sent_at && settings_.probing && age_s > kSilentProbeS &&
+      w.probed_at < a.sent_at) {
+    w.probed_at = now_;
+    actions_->push_back(Probe{w.name});
+  }
+}
+
+// Queued work that would end late is cancelled while the tier is full, else all that waits behind
+// it ends late too. No more of it than starts: where none start, cancelling ends nothing.
+bool LoadBalancerImpl::MayShed(const Job& job, const Attempt& a, double age_s) const {
+  return fleet_rate_.tier_full() && may_shed_queued_ && !job.ended && !job.Running() &&
+         shed_budget_ >= 1 && WouldEndLate(job, workers_[Idx(a.worker)], age_s);
+}
+
+// Sends a hedged request, beyond the budget only where the attempt's worker is lost. Where hedging
+// is off, a lost attempt is cancelled, so that it can be retried.
+void LoadBalancerImpl::HedgeOrCancel(Job& job, int attempt, bool lost) {
+  if (job.ended || job.shed || (!lost && hedge_budget_ < 1)) return;
+  if (settings_.allow_hedging) {
+    if (PlaceJob(job) && !lost) hedge_budget_ -= 1;
+  } else if (lost && settings_.cancel &&
+             ClassOf(job.class_index).idempotency != Idempotency::kNotIdempotent) {
+    actions_->push_back(CancelAttempt{job.id, attempt});
   }
-  CheckAt(now_ + std::max(0.25, age / 2), watch.job, watch.attempt);
 }
 
 void LoadBalancerImpl::CheckAt(double at, const std::string& id, int attempt) {
--- a/src/balancing/placement.cpp
+++ b/src/balancing/placement.cpp
@@ -37,8 +37,9 @@
 
 // Lower is better: expected time over the aim, plus prices; workers with room come first.
 double LoadBalancerImpl::Score(const Job& job, const Worker& w, int home_rank) const {
-  const auto [time, over] = Forecast(job, w);
-  double score = time / LatencyObjectiveOf(job) + (over ? kNoCapacityPenalty : 0.0);
+  const Forecast forecast = ForecastFor(job, w);
+  double score =
+      forecast.time_s / LatencyObjectiveOf(job) + (forecast.no_capacity ? kNoCapacityPenalty : 0.0);
   if (group_success_[GroupOf(w)] < kGroupSuccessMin) score += 2 * kNoCapacityPenalty;
   if (w.zone != settings_.zone) score += settings_.price_cross_zone;
   if (job.key != 0)
--- a/src/balancing/probing.cpp
+++ b/src/balancing/probing.cpp
@@ -83,7 +83,7 @@
   Job& job = jobs_.find(id)->second;
   const auto has_room = [&](int w) {
     const Worker& worker = workers_[Idx(w)];
-    return now_ - worker.reported_at < kLoadReportFreshS && !Forecast(job, worker).second;
+    return now_ - worker.reported_at < kLoadReportFreshS && !ForecastFor(job, worker).no_capacity;
   };
   if (!full_mesh_ && job.probe_round_begin == 0 && job.probed[0] != job.slow_start_worker) {
     first_probes_ += 1;
--- a/src/balancing/usage_exchange.cpp
+++ b/src/balancing/usage_exchange.cpp
@@ -16,61 +16,81 @@
 constexpr double kWorkerRateDecayS =
     20.0;  // what workers carried in good times is remembered this long
 
-// Sends the counts to peers, resets them, and reckons quotas anew.
+// Measures this dispatcher's rates, sends them to peers and starts a control round.
 void LoadBalancerImpl::PublishUsage() {
-  const double span =
-      std::max(now_ - reported_at_, report_interval_s_ / 2);  // one early job is no rush
+  // One early job is not a high rate.
+  const double sample_s = std::max(now_ - reported_at_, report_interval_s_ / 2);
   reported_at_ = now_;
-  const double keep = std::exp(-span / std::max(kDemandSmoothingS, 2 * report_interval_s_));
-  const double quick = std::exp(-span / std::max(kSignalSmoothingS, report_interval_s_));
+  std::vector<UsageReport::Usage> usage = MeasureDemand(sample_s);
+  MeasureSignals(sample_s);
+  if (!full_mesh_) UpdateTierMeans(sample_s);
+  // What a worker carries in good times; few sends after a cut say nothing about capacity. In a
+  // large tier the mean of all says more: a dispatcher that has just come back has sent nothing.
+  const double sent = std::max(own_rates_[Idx(tenant_count_)],
+                               full_mesh_ ? 0.0 : tier_mean_rates_[Idx(tenant_count_)]);
+  worker_rate_rps_ = WorkerRate(std::max(worker_rate_rps_ * std::exp(-sample_s / kWorkerRateDecayS),
+                                         sent / std::max(1, ready_count_)));
+  has_measured_ = true;
+  if (sibling_.present) NotifySibling();
+  if (settings_.peers && settings_.dispatcher_count > 1 && !sibling_.draining) {
+    SendReport(ReportRecipients(), !has_heard_peers_, std::move(usage));
+  }
+  UpdateFleetRate(sample_s);
+}
+
+// Smooths the demand of each bucket, sums it by tenant, and takes the buckets' counts.
+std::vector<UsageReport::Usage> LoadBalancerImpl::MeasureDemand(double sample_s) {
+  const double keep = std::exp(-sample_s / std::max(kDemandSmoothingS, 2 * report_interval_s_));
   std::fill_n(own_rates_.begin(), tenant_count_, 0.0);
-  std::vector<UsageReport::Usage> counts;
+  std::vector<UsageReport::Usage> usage;
   for (std::size_t b = 0; b < buckets_.size(); ++b) {
     Bucket& bucket = buckets_[b];
     if (bucket.admitted + bucket.rejected > 0) {
-      counts.push_back({static_cast<int>(b), bucket.admitted, bucket.rejected});
+      usage.push_back({static_cast<int>(b), bucket.admitted, bucket.rejected});
     }
     bucket.admitted = bucket.rejected = 0;
-    const double rate = bucket.first_attempts / span;
+    const double rate = bucket.first_attempts / sample_s;
     bucket.demand_rps = has_measured_ ? bucket.demand_rps * keep + rate * (1 - keep) : rate;
     bucket.first_attempts = 0;
     own_rates_[b % Idx(tenant_count_)] += bucket.demand_rps;
   }
+  return usage;
+}
+
+// Smooths the rates that follow the tenants' in the row, and resets their counts.
+void LoadBalancerImpl::MeasureSignals(double sample_s) {
+  const double keep = std::exp(-sample_s / std::max(kSignalSmoothingS, report_interval_s_));
   std::vector<std::pair<int, double*>> signals{
       {0, &sends_since_report_}, {1, &full_signals_}, {2, &late_signals_}};
   if (!full_mesh_) signals.insert(signals.end(), {{3, &first_probes_}, {4, &first_probes_free_}});
-  for (const auto& [slot, count] : signals) {
-    double& rate = own_rates_[Idx(tenant_count_ + slot)];
-    rate = has_measured_ ? rate * quick + *count / span * (1 - quick) : *count / span;
+  for (const auto& [offset, count] : signals) {
+    double& rate = own_rates_[Idx(tenant_count_ + offset)];
+    rate = has_measured_ ? rate * keep + *count / sample_s * (1 - keep) : *count / sample_s;
     *count = 0;
   }
-  const double jobs = own_rates_[Idx(tenant_count_)] * span;
-  for (std::size_t i = 0; !full_mesh_ && i < tier_mean_rates_.size(); ++i) {
+}
+
+// Moves the gossiped means of a large tier towards this dispatcher's own rates.
+void LoadBalancerImpl::UpdateTierMeans(double sample_s) {
+  const double jobs = own_rates_[Idx(tenant_count_)] * sample_s;
+  for (std::size_t i = 0; i < tier_mean_rates_.size(); ++i) {
     const bool signal = i >= Idx(tenant_count_) && i < ProbeIndex() + 2;
     const double weight = signal ? jobs / (jobs + kSignalWeightJobs) : kOwnSampleWeight;
     tier_mean_rates_[i] = has_measured_
                               ? tier_mean_rates_[i] + weight * (own_rates_[i] - tier_mean_rates_[i])
                               : own_rates_[i];
   }
-  // What a worker carries in good times; low sends after a cut say nothing of capacity.
-  // In a large tier what all send on average says more: a node just back has sent nothing yet.
-  const double sent = std::max(own_rates_[Idx(tenant_count_)],
-                               full_mesh_ ? 0.0 : tier_mean_rates_[Idx(tenant_count_)]);
-  worker_rate_rps_ = WorkerRate(std::max(worker_rate_rps_ * std::exp(-span / kWorkerRateDecayS),
-                                         sent / std::max(1, ready_count_)));
-  has_measured_ = true;
-  if (sibling_.present) NotifySibling();
-  if (settings_.peers && settings_.dispatcher_count > 1 && !sibling_.draining) {
-    std::vector<int> told;
-    for (int i = 0; i < (full_mesh_ ? settings_.dispatcher_count : kGossipFanout); ++i) {
-      const int whom =
-          full_mesh_ ? i
-                     : random_.OtherThan(settings_.dispatcher_index, settings_.dispatcher_count);
-      if (whom != settings_.dispatcher_index) told.push_back(whom);
-    }
-    SendReport(told, !has_heard_peers_, std::move(counts));
+}
+
+// All peers, in a large tier a few random ones.
+std::vector<int> LoadBalancerImpl::ReportRecipients() {
+  std::vector<int> recipients;
+  for (int i = 0; i < (full_mesh_ ? settings_.dispatcher_count : kGossipFanout); ++i) {
+    const int peer =
+        full_mesh_ ? i : random_.OtherThan(settings_.dispatcher_index, settings_.dispatcher_count);
+    if (peer != settings_.dispatcher_index) recipients.push_back(peer);
   }
-  UpdateFleetRate(span);
+  return recipients;
 }
 
 void LoadBalancerImpl::On(const PeerMessage& e) {
