--- a/src/balancing/admission.cpp
+++ b/src/balancing/admission.cpp
@@ -24,7 +24,7 @@
   if (e.cls < 0 || e.cls >= class_count_ || jobs_.contains(e.id)) return;
   Job job = MakeJob(e, tenant_count_, worker_index_);
   job.max_attempts = settings_.max_attempts;
-  memory_per_slot_.Add(job.memory / job.slots, 200);
+  estimates_.OnRequest(job);
   Bucket& bucket = buckets_[BucketOf(job)];
   if (!std::exchange(bucket.in_use, true)) {
     bucket.tokens = BurstSize(bucket);
@@ -111,7 +111,7 @@
   const auto reserves = [this](int c) { return reservations_ && reservations_->MayReserve(c); };
   for (int c = 0; c < class_count_; ++c) {
     const double class_work = buckets_[Idx(c * tenant_count_ + tenant)].demand_rps *
-                              class_run_time_[Idx(c)].Or(ClassOf(c).latency_objective_s);
+                              estimates_.ClassRunTime(c, ClassOf(c).latency_objective_s);
     work += class_work;
     reserving_work += reserves(c) ? class_work : 0;
   }
--- a/src/balancing/attempts.cpp
+++ b/src/balancing/attempts.cpp
@@ -181,12 +181,14 @@
     case AttemptStatus::kSucceeded:
       OnAttemptSucceeded(job, a);
       break;
-    case AttemptStatus::kRejected:
+    case AttemptStatus::kRejected: {
       w.heard_at = now_;
-      RecordStartWait(w, ExpectedRun(job));
-      GroupSuccess(w) += (2 * kGroupSuccessMin - GroupSuccess(w)) / 20;  // full is not lost
+      estimates_.OnStartWait(ExpectedRun(job), now_, &w);
+      double& success = estimates_.GroupSuccess(w);
+      success += (2 * kGroupSuccessMin - success) / 20;  // full is not lost
       OnBlocked(job, a, true, false);
       break;
+    }
     case AttemptStatus::kServerError:
       w.heard_at = now_;
       [[fallthrough]];
@@ -209,9 +211,11 @@
   w.heard_at = now_;
   w.probation = false;
   w.ejection_s = 0;
-  GroupSuccess(w) += (1 - GroupSuccess(w)) / 5;
+  double& success = estimates_.GroupSuccess(w);
+  success += (1 - success) / 5;
   w.error_rate *= 0.8;
-  RecordRunTime(job, a, w);
+  const RunSample sample = estimates_.OnRunEnded(job, ClassOf(job.class_index), a, now_, &w);
+  if (!full_mesh_) ShareRunSample(job, w, sample);
   if (!a.blocked && a.slots_before + job.slots >= w.slot_limit) w.slot_limit += kSlotLimitStep;
   job.ended = true;
   if (!settings_.workers_notify_start) shed_budget_ = std::min(shed_budget_ + 1, kMaxShedBudget);
@@ -236,10 +240,11 @@
   w.heard_at = now_;
   if (a->started_at >= 0 || !a->open) return;
   a->started_at = now_;
-  RecordStartWait(w, now_ - a->sent_at);
+  estimates_.OnStartWait(now_ - a->sent_at, now_, &w);
   shed_budget_ = std::min(shed_budget_ + 1, kMaxShedBudget);
-  if (a->had_free_slot)
-    prompt_starts_.Add(now_ - a->sent_at < kStartNoticeTicks * settings_.tick_s, 50);
+  if (a->had_free_slot) {
+    estimates_.OnPromptStart(now_ - a->sent_at < kStartNoticeTicks * settings_.tick_s);
+  }
   // Second copies are sent to find a free slot: one runs, so those still waiting are dropped.
   CancelOpenAttempts(*job, true);
 }
--- a/src/balancing/constants.h
+++ b/src/balancing/constants.h
@@ -16,12 +16,10 @@
 constexpr double kOwnSampleWeight = 0.15;  // weight of the own sample in a gossiped mean of demand
 constexpr double kFreeShareNotFull =
     0.3;  // where so many of those asked have a free slot, a tier is not full
-constexpr double kSharedSampleWeight = 50;  // jobs that the sums of all peers count for, at least
 constexpr double kLoadReportFreshS =
     0.1;  // a report is soon older than what peers and own sends tell
 constexpr double kGroupSuccessMin =
     0.3;  // a kind's workers in a zone are left where less than this goes
-constexpr double kPaceDecayS = 10.0;
 constexpr double kOverdueCheckS = 0.1;  // how often overdue attempts are looked for
 // Second copies per send where load is never told: there a copy is the only way to a free slot. By
 // AIMD, since nothing tells whether a cancel ends waiting work.
--- a/src/balancing/load_balancer_impl.cpp
+++ b/src/balancing/load_balancer_impl.cpp
@@ -10,7 +10,10 @@
 constexpr double kGroupRecovery = 0.05;  // what went badly is forgiven with each report interval
 
 LoadBalancerImpl::LoadBalancerImpl(const Settings& settings, std::uint64_t seed)
-    : settings_(settings), random_(seed), pools_(settings_.kinds, settings_.zones) {
+    : settings_(settings),
+      random_(seed),
+      pools_(settings_.kinds, settings_.zones),
+      estimates_(settings_.kinds, settings_.zones) {
   SizeForSettings();
   full_mesh_ = settings_.dispatcher_count - 1 <= kMaxFullMeshPeers;
   report_interval_s_ =
@@ -30,11 +33,6 @@
       settings_.cancel &&
       (settings_.workers_notify_start ? load_unreported_
                                       : settings_.load_report_source == LoadReportSource::kOnProbe);
-  kind_pace_.resize(Idx(std::max(1, settings_.kinds)));
-  kind_slots_.assign(kind_pace_.size(), 0.0);
-  kind_max_slots_.assign(kind_pace_.size(), {0.0, -1});
-  group_wait_s_.assign(kind_pace_.size() * Idx(zones()), 0.0);
-  group_success_.assign(group_wait_s_.size(), 1.0);
 }
 
 // To the settings, at the start and when they change. By class first, so that indices stay.
@@ -43,16 +41,14 @@
   if (settings_.tenants.empty()) settings_.tenants.push_back({.share = 1});
   tenant_count_ = static_cast<int>(settings_.tenants.size());
   buckets_.resize(Idx(class_count_ * tenant_count_));
-  class_run_time_.resize(settings_.classes.size());
-  class_hint_fit_.resize(settings_.classes.size());
+  estimates_.SetClassCount(settings_.classes.size());
 }
 
 void LoadBalancerImpl::On(const SettingsChanged& e) {
   settings_ = *e.settings;
   SizeForSettings();
   for (const int c : *e.redefined_classes) {
-    class_run_time_[Idx(c)] = {};
-    class_hint_fit_[Idx(c)] = {};
+    estimates_.ForgetClass(c);
     for (int i = 0; c < shared_class_count_ && i < 2; ++i)
       own_rates_[SharedEstimateIndex(c, -1) + Idx(i)] =
           tier_mean_rates_[SharedEstimateIndex(c, -1) + Idx(i)] = 0;
@@ -98,8 +94,7 @@
       w.peer_slots_in_flight =
           full_mesh_ ? w.peer_slots_in_flight
                      : (settings_.dispatcher_count - 1) * w.TakeMeanSlotsInFlight(now_);
-    for (double& room : group_success_)
-      room += (1 - room) * kGroupRecovery * report_interval_s_ / kReportIntervalS;
+    estimates_.RecoverGroups(kGroupRecovery, report_interval_s_, kReportIntervalS);
     if (now_ - reported_at_ > report_interval_s_ / 4) PublishUsage();
     // Jitter keeps dispatchers that started together from reporting in step.
     // In large tiers of little traffic the price of messages, per job, sets the pace.
--- a/src/balancing/load_balancer_impl.h
+++ b/src/balancing/load_balancer_impl.h
@@ -13,6 +13,7 @@
 #include "balancing/agreed_share.h"
 #include "balancing/constants.h"
 #include "balancing/fleet_rate_limiter.h"
+#include "balancing/load_estimates.h"
 #include "balancing/state.h"
 #include "balancing/support.h"
 #include "millethollow/balancing/load_balancer.h"
@@ -99,18 +100,16 @@
   void MergeSharedEstimates(const UsageReport& told);
 
   // Placement.
-  int zones() const { return std::max(1, settings_.zones); }
-  std::size_t GroupOf(const Worker& w) const { return Idx(w.kind * zones() + w.zone); }
   const std::vector<int>& Selectable(int kind, int zone) const {
     return pools_.Workers(kind, zone);
   }
   void RebuildPools();
-  double ExpectedRun(const Job& job) const;
-  double PaceOf(const Worker& w) const;
-  double LatencyObjectiveOf(const Job& job) const;
-  double SlotsOf(const Worker& w) const {
-    return w.capacity_slots > 0 ? w.capacity_slots : kind_slots_[Idx(w.kind)];
+  double ExpectedRun(const Job& job) const {
+    return estimates_.RunTime(job, ClassOf(job.class_index));
   }
+  double PaceOf(const Worker& w) const { return estimates_.Pace(w, now_); }
+  double LatencyObjectiveOf(const Job& job) const;
+  double SlotsOf(const Worker& w) const { return estimates_.Slots(w); }
   bool Allowed(const Job& job, int index, int anchor) const;
   Forecast ForecastFor(const Job& job, const Worker& w) const;
   double Score(const Job& job, const Worker& w, int home_rank) const;
@@ -130,13 +129,11 @@
   double SlowStartTokens(const Worker& w) const;
   double SlowStartCost(const Job& job) const;
   void DrawSlowStartWorker(Job& job);
-  double& GroupSuccess(const Worker& w);
   void Eject(int index);
   void EndEjections();
   void OnLoadReport(Worker& w, const double (&report)[4]);
-  void RecordStartWait(Worker& w, double wait);
-  double StartWaitOf(const Worker& w) const;
-  void RecordRunTime(const Job& job, const Attempt& a, Worker& w);
+  double StartWaitOf(const Worker& w) const { return estimates_.StartWait(w, now_); }
+  void ShareRunSample(const Job& job, const Worker& w, const RunSample& sample);
   void OnBlocked(Job& job, Attempt& a, bool full, bool late);
 
   // Attempts and final answers.
@@ -216,20 +213,10 @@
   std::unordered_map<std::uint64_t, std::vector<int>> preferred_workers_;
   std::vector<std::pair<std::uint64_t, int>>
       rank_scratch_;  // PreferredWorkers's, kept for its capacity
-  std::vector<Mean> class_run_time_, kind_pace_;
-  std::vector<double> kind_slots_;  // what a kind holds: the second most free slots told
-  std::vector<std::pair<double, std::ptrdiff_t>> kind_max_slots_;  // the most, and by whom
-  std::vector<double> group_wait_s_,
-      group_success_;     // by kind and zone: wait for a start, share that goes well
-  Mean memory_per_slot_;  // of a job, for each of its slots
+  LoadEstimates estimates_;
   int shared_class_count_ = 0;
   double first_probes_ = 0,
          first_probes_free_ = 0;  // first ones asked for a job, and those with a free slot
-  Mean all_run_, prompt_starts_;  // prompt_starts_: slots told free where a job started at once
-  std::vector<LogFit> class_hint_fit_;  // by class: time taken by a job's hint
-  Mean recent_key_pace_,
-      other_key_pace_;  // pace at a worker, relative to its own, where a job's key was sent last or
-                        // not
   // Jobs.
   TextMap<Job> jobs_;
   std::priority_queue<OverdueCheck, std::vector<OverdueCheck>, std::greater<>> overdue_checks_;
--- a/src/balancing/outlier_detection.cpp
+++ b/src/balancing/outlier_detection.cpp
@@ -9,14 +9,13 @@
                  kMaxEjectionS = 12.0;  // first ejection, doubled each time up to this
 constexpr double kMaxEjectedShare =
     0.7;  // never more of the fleet than this: a lost zone of two fits
-
-// Draws go where jobs find room, by kind and zone. Workers that fail one after the other there
-// are lost: none could find all out one by one. Trials go on as it is forgiven.
-double& LoadBalancerImpl::GroupSuccess(const Worker& w) { return group_success_[GroupOf(w)]; }
+// Samples go where attempts succeed, by kind and zone. Workers that fail one after the other there
+// are lost: no dispatcher could find each of them out by itself. Trials go on as it recovers.
+constexpr double kGroupFailureKeep = 0.75;
 
 void LoadBalancerImpl::Eject(int index) {
   Worker& w = workers_[Idx(index)];
-  GroupSuccess(w) *= 0.75;
+  estimates_.GroupSuccess(w) *= kGroupFailureKeep;
   if (w.ejected) return;
   w.ejection_s = std::clamp(w.ejection_s * 2, kBaseEjectionS, kMaxEjectionS);
   // Never the whole fleet: then the list is the better guide.
--- a/src/balancing/overdue_attempts.cpp
+++ b/src/balancing/overdue_attempts.cpp
@@ -44,7 +44,7 @@
 
 void LoadBalancerImpl::OnStartOverdue(Job& job, Attempt& a, double age_s) {
   Worker& w = workers_[Idx(a.worker)];
-  RecordStartWait(w, std::max(age_s, StartWaitOf(w)));
+  estimates_.OnStartWait(std::max(age_s, StartWaitOf(w)), now_, &w);
   // An ejected or slow worker says nothing about the tier.
   const bool late = !w.ejected && age_s > ClassOf(job.class_index).latency_objective_s &&
                     PaceOf(w) < kOrdinaryPace;
--- a/src/balancing/placement.cpp
+++ b/src/balancing/placement.cpp
@@ -40,7 +40,7 @@
   const Forecast forecast = ForecastFor(job, w);
   double score =
       forecast.time_s / LatencyObjectiveOf(job) + (forecast.no_capacity ? kNoCapacityPenalty : 0.0);
-  if (group_success_[GroupOf(w)] < kGroupSuccessMin) score += 2 * kNoCapacityPenalty;
+  if (estimates_.GroupSuccess(w) < kGroupSuccessMin) score += 2 * kNoCapacityPenalty;
   if (w.zone != settings_.zone) score += settings_.price_cross_zone;
   if (job.key != 0)
     score += KeyAffinityWeight() * (1 - 0.8 / (1 + (w.HasRecentKey(job.key) ? 0 : home_rank)));
@@ -50,7 +50,7 @@
 // A job must fetch what its key names where it is not kept, and each fetch pushes out a key that
 // another job fetches again: keys stay on few workers once a cold one is seen to run longer.
 double LoadBalancerImpl::KeyAffinityWeight() const {
-  const double fetch = other_key_pace_.Or(1) / std::max(recent_key_pace_.Or(1), 1e-9) - 1;
+  const double fetch = estimates_.KeyFetchOverhead();
   return settings_.price_origin + kKeyFetchWeight * std::clamp(5 * fetch - 0.5, 0.0, 1.0);
 }
 
@@ -59,8 +59,8 @@
   int w = -1;
   for (int i = 0; i < 4; ++i) {
     w = from[random_.Below(from.size())];
-    if (random_.Unit() <
-        ThroughputOf(workers_[Idx(w)]) * GroupSuccess(workers_[Idx(w)]) / max_throughput_)
+    if (random_.Unit() < ThroughputOf(workers_[Idx(w)]) *
+                             estimates_.GroupSuccess(workers_[Idx(w)]) / max_throughput_)
       break;
   }
   return w;
--- a/src/balancing/probing.cpp
+++ b/src/balancing/probing.cpp
@@ -18,7 +18,7 @@
 int LoadBalancerImpl::ProbeCount(const Job& job) {
   const double price = settings_.price_probe;
   if (full_mesh_) {
-    const int probes = prompt_starts_.Or(1.0) > 0.8 ? kMaxProbes : kMaxProbesStale;
+    const int probes = estimates_.PromptStartShare() > 0.8 ? kMaxProbes : kMaxProbesStale;
     if (price <= 0) return probes;
     const double most = kProbeBudget / price;  // a part of a probe is a chance of one
     return std::min(probes, static_cast<int>(most + random_.Unit()));
--- a/src/balancing/slow_start.cpp
+++ b/src/balancing/slow_start.cpp
@@ -35,7 +35,7 @@
 
 double LoadBalancerImpl::SlowStartCost(const Job& job) const {
   const double run = ExpectedRun(job);
-  return std::max(1.0, job.slots) * std::max(0.5, run / all_run_.Or(run));
+  return std::max(1.0, job.slots) * std::max(0.5, run / estimates_.MeanRunTime(run));
 }
 
 // In a large tier a node sends a cold worker less than a job: parts can't add up. Each job draws
--- a/src/balancing/usage_exchange.cpp
+++ b/src/balancing/usage_exchange.cpp
@@ -128,19 +128,32 @@
   for (std::size_t i = first; i < end; ++i)
     tier_mean_rates_[i] = (tier_mean_rates_[i] + told.rates[i - first]) / 2;
   const auto holds = [&](std::size_t at) { return at >= first && at < end; };
-  const auto learn = [&](std::size_t at, Mean& mean) {
-    if (!holds(at) || tier_mean_rates_[at + 1] <= 0) return;
-    mean = {tier_mean_rates_[at] / tier_mean_rates_[at + 1], std::max(mean.n, kSharedSampleWeight)};
-  };
-  for (int c = 0; c < shared_class_count_; ++c)
-    learn(SharedEstimateIndex(c, -1), class_run_time_[Idx(c)]);
-  for (int k = 0; k < static_cast<int>(kind_pace_.size()); ++k) {
+  const auto mean = [&](std::size_t at) { return tier_mean_rates_[at] / tier_mean_rates_[at + 1]; };
+  const auto known = [&](std::size_t at) { return holds(at) && tier_mean_rates_[at + 1] > 0; };
+  for (int c = 0; c < shared_class_count_; ++c) {
+    const std::size_t at = SharedEstimateIndex(c, -1);
+    if (known(at)) estimates_.AdoptClassRunTime(c, mean(at));
+  }
+  for (int k = 0; k < estimates_.kinds(); ++k) {
     const std::size_t at = SharedEstimateIndex(-1, k);
     if (!holds(at)) continue;
-    learn(at, kind_pace_[Idx(k)]);
-    kind_slots_[Idx(k)] = std::max(kind_slots_[Idx(k)], told.rates[at + 2 - first]);
-    own_rates_[at + 2] = tier_mean_rates_[at + 2] = kind_slots_[Idx(k)];
+    if (known(at)) estimates_.AdoptKindPace(k, mean(at));
+    const double slots = estimates_.RaiseKindSlots(k, told.rates[at + 2 - first]);
+    own_rates_[at + 2] = tier_mean_rates_[at + 2] = slots;
+  }
+}
+
+// Adds a run to what a large tier learns together. Classes that came by a reload have no place in
+// the reports.
+void LoadBalancerImpl::ShareRunSample(const Job& job, const Worker& w, const RunSample& sample) {
+  const auto add = [this](std::size_t at, double value) {
+    own_rates_[at] += value;
+    own_rates_[at + 1] += 1;
+  };
+  if (job.class_index < shared_class_count_) {
+    add(SharedEstimateIndex(job.class_index, -1), sample.took_s);
   }
+  add(SharedEstimateIndex(-1, w.kind), sample.pace);
 }
 
 // Without the counts of buckets. Peers hear of both our processes.
--- a/src/balancing/worker_table.cpp
+++ b/src/balancing/worker_table.cpp
@@ -11,6 +11,7 @@
 // place to the next new one. Else every name that a list ever carried stays, and each list and
 // peer report costs more the longer the node runs while workers are replaced under new names.
 constexpr double kForgetWorkerS = 300;
+constexpr double kMaxReportValue = 1e6;
 constexpr double kSlotResidue = 1e-6;  // below the least slots of a job: a residue of rounding
 
 int LoadBalancerImpl::AddWorker(const std::string& name, std::vector<char>* listed) {
@@ -31,9 +32,7 @@
       continue;
     }
     worker_index_.erase(w.name);
-    for (auto& [most, who] : kind_max_slots_) {
-      if (who == static_cast<std::ptrdiff_t>(i)) std::tie(most, who) = std::pair(0.0, -1);
-    }
+    estimates_.OnWorkerForgotten(static_cast<std::ptrdiff_t>(i));
     workers_[i] = std::move(fresh);
     return at;
   }
@@ -89,7 +88,7 @@
     listed[Idx(it->second)] = 1;
     Worker& w = workers_[Idx(it->second)];
     const bool restarted = m.started_at_s > w.started_at_s && m.started_at_s > 0;
-    w.ApplyEndpoint(m, now_, static_cast<int>(kind_pace_.size()), zones());
+    w.ApplyEndpoint(m, now_, estimates_.kinds(), estimates_.zones());
     if (restarted) ResetHealth(w);
   }
   for (std::size_t i = 0; i < workers_.size(); ++i) {
@@ -98,6 +97,15 @@
   RebuildPools();
 }
 
+void LoadBalancerImpl::OnLoadReport(Worker& w, const double (&report)[4]) {
+  for (const double value : report) {  // negative or too large: unreadable
+    if (!(value >= 0 && value < kMaxReportValue)) return;
+  }
+  w.ApplyReport(now_, settings_.load_report_metrics, report);
+  ++version_;
+  estimates_.OnLoadReport(&w - workers_.data(), &w);
+}
+
 void LoadBalancerImpl::ResetHealth(Worker& w) {
   w.ejected = w.probation = false;
   w.ejection_s = w.error_rate = 0;
