--- a/src/balancing/constants.h
+++ b/src/balancing/constants.h
@@ -26,7 +26,8 @@
 constexpr double kMaxHedgesPerAttempt = 1.0;
 constexpr std::uint64_t kReportTimer = 1, kOverdueTimer = 2, kPollTimer = 3;  // of timers
 
-constexpr double kOverdueFactor = 4.0;   // an attempt this many times its expected time is overdue
+constexpr double kOverdueFactor = 4.0;  // an attempt this many times its expected time is overdue
+constexpr int kProbeCheck = -1;
 constexpr int kCapacityWaitCheck = -2;   // a watch on the wait, not on an attempt
 constexpr double kProbeTimeoutS = 0.04;  // how long a job waits for them
 
--- a/src/balancing/fleet_rate_limiter.h
+++ b/src/balancing/fleet_rate_limiter.h
@@ -4,7 +4,7 @@
 
 #include <vector>
 
-#include "balancing/state.h"
+#include "balancing/support.h"
 #include "millethollow/balancing/load_balancer.h"
 
 namespace millethollow::balancing {
--- a/src/balancing/load_balancer_impl.h
+++ b/src/balancing/load_balancer_impl.h
@@ -13,9 +13,12 @@
 #include "balancing/agreed_share.h"
 #include "balancing/constants.h"
 #include "balancing/fleet_rate_limiter.h"
+#include "balancing/job.h"
 #include "balancing/load_estimates.h"
-#include "balancing/state.h"
+#include "balancing/peer_usage.h"
 #include "balancing/support.h"
+#include "balancing/token_bucket.h"
+#include "balancing/worker.h"
 #include "millethollow/balancing/load_balancer.h"
 
 namespace millethollow::balancing {
@@ -204,7 +207,7 @@
   // Workers.
   std::vector<Worker> workers_;
   TextMap<int> worker_index_;
-  Pools pools_;
+  WorkerPools pools_;
   CapacityReservations* reservations_ = nullptr;
   std::uint64_t version_ = 0;  // of all that Views tells
   int ready_count_ = 0, ejected_count_ = 0;
--- a/src/balancing/load_estimates.h
+++ b/src/balancing/load_estimates.h
@@ -6,8 +6,9 @@
 #include <utility>
 #include <vector>
 
-#include "balancing/state.h"
+#include "balancing/job.h"
 #include "balancing/support.h"
+#include "balancing/worker.h"
 #include "millethollow/balancing/load_balancer.h"
 
 namespace millethollow::balancing {
--- a/src/balancing/overdue_attempts.cpp
+++ b/src/balancing/overdue_attempts.cpp
@@ -20,7 +20,7 @@
 // An attempt has not started, or not ended, when it should have.
 void LoadBalancerImpl::OnOverdue(const OverdueCheck& check) {
   if (check.attempt == kCapacityWaitCheck) return OnCapacityWaitCheck(check);
-  if (check.attempt < 0) return OnProbesAnswered(check.job);
+  if (check.attempt == kProbeCheck) return OnProbesAnswered(check.job);
   Job* job = nullptr;
   Attempt* a = FindAttempt(check.job, check.attempt, &job);
   if (a == nullptr || !a->open) return;
--- a/src/balancing/probing.cpp
+++ b/src/balancing/probing.cpp
@@ -55,7 +55,7 @@
   job.probes_awaited = static_cast<int>(job.probed.size() - job.probe_round_begin);
   if (job.probes_awaited == 0) return false;
   jobs_awaiting_probes_.push_back(job.id);
-  CheckAt(now_ + kProbeTimeoutS, job.id, -1);
+  CheckAt(now_ + kProbeTimeoutS, job.id, kProbeCheck);
   return true;
 }
 
--- a/src/balancing/support.h
+++ b/src/balancing/support.h
@@ -7,6 +7,7 @@
 #include <cstddef>
 #include <cstdint>
 #include <functional>
+#include <limits>
 #include <string>
 #include <string_view>
 #include <type_traits>
@@ -15,6 +16,8 @@
 
 namespace millethollow::balancing {
 
+constexpr double kInf = std::numeric_limits<double>::infinity();
+
 class Random {  // SplitMix64
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
--- a/tests/load_balancer_test.cpp
+++ b/tests/load_balancer_test.cpp
@@ -13,7 +13,7 @@
 #include <tuple>
 #include <vector>
 
-#include "balancing/state.h"  // the module's state and helpers, not the tests' own support.h
+#include "balancing/worker.h"
 #include "balancing/support.h"
 
 namespace millethollow::balancing {
--- a/tests/usage_report_test.cpp
+++ b/tests/usage_report_test.cpp
@@ -15,7 +15,7 @@
 #include <string>
 #include <vector>
 
-#include "balancing/state.h"
+#include "balancing/peer_usage.h"
 #include "support/report_tier.h"
 
 namespace millethollow::balancing {
