--- a/src/balancing/admission.cpp
+++ b/src/balancing/admission.cpp
@@ -8,14 +8,12 @@
 
 namespace millethollow::balancing {
 
-// Depth absorbs chance: a Poisson stream strays by the root of its count.
-constexpr double kBurstS = 0.5;  // steady part of a bucket's depth, in seconds of its rate
-constexpr double kBurstDeviations =
-    2.0;                            // and this many standard deviations of a second's arrivals
-constexpr double kSparseRps = 1.0;  // jobs a second; below, depth outlasts an overload
-constexpr double kReturnWindowS =
-    0.3;  // a job refused this recently that comes again is the same one
-constexpr double kHedgeRiseStep = 0.01;  // added to the hedges per attempt with each rise
+// A bucket's depth absorbs chance: a Poisson stream varies by the square root of its count.
+constexpr double kBurstS = 0.5;           // of the bucket's rate
+constexpr double kBurstDeviations = 2.0;  // standard deviations of a second's arrivals
+constexpr double kSparseRps = 1.0;        // below it, the depth would last through an overload
+constexpr double kReturnWindowS = 0.3;    // a rejected job that returns within this is the same one
+constexpr double kHedgeRiseStep = 0.01;   // added to the hedges per attempt with each rise
 constexpr double kMaxReserveLoss = 0.2;  // of a class's work, for one that capacity is reserved for
 constexpr double kMinWork = 1e-9;
 constexpr double kUnlimitedShare = 0.999;  // a larger share is not limited
@@ -30,16 +28,16 @@
     bucket.tokens = BurstSize(bucket);
     bucket.tokens_at = now_;
     if (now_ - reported_at_ > report_interval_s_ / 2)
-      PublishUsage();  // a new bucket reports at once
+      PublishUsage();  // a new bucket is reported at once
   }
-  // Demand must not grow with our own refusals: what comes back is not counted again.
+  // Demand must not grow with rejections: a job that returns is not counted again.
   const bool returned = e.retry || recent_rejections_.Take(job.digest, now_ - kReturnWindowS);
   if (!returned) bucket.first_attempts += 1;
   const double more = bucket.rate_rps == kInf ? kInf : bucket.rate_rps * (now_ - bucket.tokens_at);
   bucket.tokens = std::min(BurstSize(bucket), bucket.tokens + more);
   bucket.tokens_at = now_;
-  // Exception: a bucket that sees less than a job a second would outlast any overload on its
-  // depth. Its jobs are drawn at the quota's share of demand, once each.
+  // A bucket with less than a job per second would last through any overload on its depth. Its
+  // jobs are admitted at random by the bucket's share, once each.
   const bool sparse = !full_mesh_ && bucket.rate_rps < kSparseRps;
   if (sparse) bucket.tokens = !returned && random_.Unit() < bucket.admit_share ? 1 : 0;
   if ((bucket.tokens < 1 && !job.MayHaveRun()) || job.expires_at_s <= now_) {
@@ -60,7 +58,7 @@
   return 2 + kBurstS * rate + kBurstDeviations * std::sqrt(rate);
 }
 
-// Within its aim a refused job that comes back finds the same quotas: advise to wait that long.
+// Within its latency objective a job that returns finds the same quotas: that long is the advice.
 void LoadBalancerImpl::Reject(const Job& job) {
   recent_rejections_.Put(job.digest, now_);
   const double wait =
@@ -79,7 +77,7 @@
     load.demand_rps += tier[Idx(t)];
     load.guaranteed_rps += std::min(tier[Idx(t)], settings_.tenants[Idx(t)].quota_rps);
   }
-  // Reports of a large tier come late; its rate must not rise the slower for it.
+  // Reports of a large tier come late; its rate must not rise more slowly for that.
   const RateChange change = fleet_rate_.Update(
       load, {.now_s = now_,
              .interval_s = report_interval_s_,
@@ -140,11 +138,11 @@
     if (bucket.rate_rps != kInf) {
       bucket.rate_rps *= agreed_share_.Factor(tenant);
     } else if (fleet_rate_.limits() && agreed_share_.Factor(tenant) < 1 && given < 1) {
-      // There was enough for all until now.
+      // Was not limited until now.
       bucket.admit_share = given;
       bucket.rate_rps = bucket.demand_rps * given;
     }
-    // What was saved up of a larger given rate goes with it: others may use that rate now.
+    // Tokens saved at a larger rate go with it: others may use that rate now.
     if (agreed_share_.HasTenantRate(tenant))
       bucket.tokens *= std::min(1.0, agreed_share_.Factor(tenant));
   }
--- a/src/balancing/agreed_share.h
+++ b/src/balancing/agreed_share.h
@@ -1,6 +1,7 @@
-// What a dispatcher may do of the whole where the tier agrees on parts (a cluster): its even part,
-// or by demand while all hear each other; of a tenant's quota the rate that it was given, where it
-// was given one. Off, until a part is set, nothing is other than without it.
+// The share of the fleet that a dispatcher may use where the tier agrees on shares (a cluster):
+// an even share, or one by demand while all members hear each other; of a tenant's quota the rate
+// allocated to it, if any. Invariant: the shares of all members never exceed 1 in sum. Off until
+// a share is set.
 #ifndef MILLETHOLLOW_BALANCING_AGREED_SHARE_H_
 #define MILLETHOLLOW_BALANCING_AGREED_SHARE_H_
 
@@ -17,18 +18,17 @@
  public:
   bool on() const { return share_ >= 0; }
   double share() const { return share_; }
-  // All others of the agreed view were heard of late: told to peers, who heed it.
+  // All other members of the agreed view were heard lately; part of the usage reports.
   bool hears_all() const { return hears_all_; }
 
-  // Nothing was done here for longer: others may have ceased to hear this one since, and taken up
-  // what it does not know of.
+  // After a stop of this length others may have ceased to hear this dispatcher, and use its
+  // share.
   static constexpr double kStoppedS = 1.0;
   void Set(const FleetShare& parts) {
     const bool by_demand = shares_follow_demand_ && parts.member_count > 0 && !parts.stopped;
     factors_ = shares_;
     for (std::size_t i = 0; i < shares_.size(); ++i) {
-      // By demand: newcomers of the view have their part from now on, whoever stays makes room for
-      // it.
+      // By demand: new members have their share from now on, the others make way for it.
       double share = std::min(shares_[i], parts.share);
       if (by_demand) share = shares_[i] * std::min(1.0, parts.share / computed_for_);
       factors_[i] = shares_[i] > 0 ? share / shares_[i] : 1;
@@ -45,16 +45,15 @@
     }
     ApplyTenantFactors(parts.tenant_rates_rps);
   }
-  // By how much a rate that was reckoned before the last Set is to fall: 0 to 1. A tenant's rate
-  // that was given may also rise, by more than 1: whoever gives them keeps their sum.
+  // The factor by which the last Set changed a rate: 0 to 1. A tenant's allocated rate may also
+  // rise: who allocates them bounds their sum.
   double Factor(std::size_t i) const { return i < factors_.size() ? factors_[i] : 1; }
   std::uint8_t view() const { return view_; }  // for the reports; 0: cut off
 
-  // The whole tier's rates, as this dispatcher has to take them so that its share of them is what
-  // it may have. `all`: own rates and those of the `heard` others that were heard of late;
-  // `others_hear`: each of these hears all. A share falls at once, but when the way to reckon
-  // changes it rises only after `hold_s`: by then others, who may reckon in the other way yet, have
-  // heard of it.
+  // The rates of the whole tier, scaled so that this dispatcher's part of them is its share.
+  // `all`: own rates and those of the `heard` others that were heard lately; `others_hear`: each
+  // of them hears all. A share falls at once, but after a change between even shares and shares
+  // by demand it rises only after `hold_s`: by then the others have changed too.
   std::vector<double> TierRates(double now, double hold_s, const std::vector<double>& own,
                                 const std::vector<double>& all, int heard, bool others_hear) {
     hears_all_ = member_count_ > 1 && heard >= member_count_ - 1;
@@ -75,14 +74,14 @@
   }
 
   bool HasTenantRate(std::size_t i) const { return HasRate(tenant_rates_, i); }
-  // Of `own` jobs per second of a tenant the share that its given rate lets in; 1 where there is
+  // The share of `own` jobs per second that the tenant's allocated rate admits; 1 where there is
   // none.
   double AdmitShare(std::size_t i, double own) const {
     return HasRate(tenant_rates_, i) && own > tenant_rates_[i] ? tenant_rates_[i] / own : 1;
   }
-  // Puts into `fleet`, for each tenant with a rate that was given, a rate of the whole tier: where
-  // more is asked for than was given, the one of which the quota lets in just the given rate here;
-  // else at most the quota, so that all is let in.
+  // Sets in `fleet`, for each tenant with an allocated rate, the tier's rate: where demand
+  // exceeds the allocated rate, the one of which the quota admits just that rate here; else at
+  // most the quota, so that all is admitted.
   void ApplyTenantRates(const std::vector<double>& own, const std::vector<TenantSettings>& tenants,
                         std::vector<double>* fleet) const {
     for (std::size_t i = 0; i < tenants.size(); ++i) {
@@ -95,8 +94,9 @@
     }
   }
 
-  // What a warm worker carries of this dispatcher's sends: `mine` by its own count, `all` by that
-  // of all that are heard. Cut off, not more than its share of what all had there before.
+  // What a warm worker carries of this dispatcher's attempts, per second: `mine` by its own
+  // count, `all` by that of all dispatchers heard. Cut off, no more than its share of what all
+  // sent before.
   double WorkerRate(double mine, double all, std::size_t sends) {
     if (!on()) return mine;
     if (shares_follow_demand_) {
@@ -126,8 +126,8 @@
   int member_count_ = 0;
   std::uint8_t view_ = 0;
   bool hears_all_ = false, shares_follow_demand_ = false, must_hold_ = false;
-  std::vector<double> shares_, factors_;  // by rate, as last reckoned
-  std::vector<double> tenant_rates_;      // as given; below 0: none
+  std::vector<double> shares_, factors_;  // by rate, as last computed
+  std::vector<double> tenant_rates_;      // per second; below 0: none
 };
 
 }  // namespace millethollow::balancing
--- a/src/balancing/attempts.cpp
+++ b/src/balancing/attempts.cpp
@@ -6,15 +6,15 @@
 
 namespace millethollow::balancing {
 
-constexpr double kSlotLimitStep = 0.1;  // a threshold's rise after a good send at the threshold
+constexpr double kSlotLimitStep = 0.1;  // rise of a worker's limit after a success at the limit
 constexpr double kDeduplicationWindowUse = 0.9;  // of the window: clocks and queues differ
 constexpr double kMaxHedgeBudget = 3.0;
 constexpr double kMinOverdueS = 0.02;
 constexpr double kStartOverdueShare = 0.6;  // of the latency objective, without notice of a start
 constexpr double kStartNoticeTicks = 4;     // a notice of a start takes so long at least
-constexpr double kRejectBeforeExpiryS = 0.15;  // before its time is over, one that waits is refused
-constexpr double kMaxShedBudget =
-    10.0;  // starts that earn the right to call off as much hopeless work
+constexpr double kRejectBeforeExpiryS =
+    0.15;                                // a job that waits is rejected so long before it expires
+constexpr double kMaxShedBudget = 10.0;  // queued jobs that may be cancelled, one for each start
 
 // Where a further attempt may go: at-most-once and deduplication rules of the job's class.
 LoadBalancerImpl::RetryScope LoadBalancerImpl::RetryScopeOf(const Job& job) const {
@@ -103,7 +103,7 @@
                   kStartNoticeTicks * settings_.tick_s);
 }
 
-// To wait for room is not to give up; it ends with the job's time.
+// Waiting ends with the job's time. Returns false: no attempt was started.
 bool LoadBalancerImpl::WaitForCapacity(Job& job) {
   job.awaiting_capacity = true;
   actions_->push_back(AwaitCapacity{job.id});
@@ -125,7 +125,7 @@
   FinishIfIdle(it->second);
 }
 
-// One that waits past its aim says of the fleet what a late start at a worker says.
+// A job that waits past its latency objective counts as a late start at a worker does.
 void LoadBalancerImpl::OnCapacityWaitCheck(const OverdueCheck& watch) {
   const auto it = jobs_.find(watch.job);
   if (it == jobs_.end()) return;
@@ -137,7 +137,7 @@
   if (now_ < last) CheckAt(last, watch.job, kCapacityWaitCheck);
 }
 
-// Ends a job that has no attempt under way, with the answer that its class allows.
+// Ends a job that has no attempt open, with the answer that its class allows.
 void LoadBalancerImpl::FinishIfIdle(Job& job) {
   if (job.AnyOpen() || job.awaiting_capacity) return;
   if (!job.ended) {
@@ -157,7 +157,7 @@
 void LoadBalancerImpl::On(const AttemptEnded& e) {
   Job* job = nullptr;
   Attempt* a = FindAttempt(e.id, e.attempt, &job);
-  if (a == nullptr || !a->open) return;  // a repeat, or forgotten
+  if (a == nullptr || !a->open) return;  // a duplicate event, or of a job that is over
   Worker& w = workers_[Idx(a->worker)];
   a->open = false;
   w.OnEnded(job->slots, job->memory, now_);
@@ -185,7 +185,7 @@
       w.heard_at = now_;
       estimates_.OnStartWait(ExpectedRun(job), now_, &w);
       double& success = estimates_.GroupSuccess(w);
-      success += (2 * kGroupSuccessMin - success) / 20;  // full is not lost
+      success += (2 * kGroupSuccessMin - success) / 20;  // full is not failed
       OnBlocked(job, a, true, false);
       break;
     }
@@ -193,7 +193,7 @@
       w.heard_at = now_;
       [[fallthrough]];
     case AttemptStatus::kConnectionLost:  // one may be chance; a worker that is gone refuses the
-                                          // next
+                                          // next connection
       w.error_rate = w.error_rate * 0.8 + (status == AttemptStatus::kServerError ? 0.2 : 0.3);
       if (w.error_rate > 0.45 || w.probation) Eject(a.worker);
       break;
@@ -201,7 +201,7 @@
     case AttemptStatus::kNoResponse:
       if (status == AttemptStatus::kConnectFailed || w.heard_at < a.sent_at) Eject(a.worker);
       break;
-    default:  // called off, not sent: nothing is learned
+    default:  // cancelled, not sent: nothing is learned
       break;
   }
 }
@@ -232,7 +232,7 @@
 }
 
 void LoadBalancerImpl::OnAttemptStarted(std::string_view id,
-                                        int attempt) {  // word from the worker that it runs
+                                        int attempt) {  // by notice of the worker
   Job* job = nullptr;
   Attempt* a = FindAttempt(id, attempt, &job);
   if (a == nullptr) return;
@@ -245,7 +245,7 @@
   if (a->had_free_slot) {
     estimates_.OnPromptStart(now_ - a->sent_at < kStartNoticeTicks * settings_.tick_s);
   }
-  // Second copies are sent to find a free slot: one runs, so those still waiting are dropped.
+  // Hedged requests look for a free slot: one runs, so those still queued are cancelled.
   CancelOpenAttempts(*job, true);
 }
 
@@ -264,8 +264,8 @@
   }
 }
 
-// No room for the job. Only a warm, ready worker of ordinary pace that could hold it speaks of the
-// fleet; one full worker says little while others have room, two say more.
+// The job found no capacity at a worker. Only a warm, ready worker that could hold the job says
+// something about the tier; one full worker says little while others have capacity, two say more.
 void LoadBalancerImpl::OnBlocked(Job& job, Attempt& a, bool full, bool late) {
   Worker& w = workers_[Idx(a.worker)];
   if (!a.blocked) w.slot_limit = std::max(1.0, (w.slot_limit + a.slots_before) / 2);
--- a/src/balancing/load_balancer_impl.cpp
+++ b/src/balancing/load_balancer_impl.cpp
@@ -6,8 +6,8 @@
 
 namespace millethollow::balancing {
 
-constexpr double kPeerMessageBudget = 0.003;  // of the result may go into messages
-constexpr double kGroupRecovery = 0.05;  // what went badly is forgiven with each report interval
+constexpr double kPeerMessageBudget = 0.003;  // share of a job's weight that messages may cost
+constexpr double kGroupRecovery = 0.05;       // of a group's failures, with each report interval
 
 LoadBalancerImpl::LoadBalancerImpl(const Settings& settings, std::uint64_t seed)
     : settings_(settings),
@@ -35,7 +35,8 @@
                                       : settings_.load_report_source == LoadReportSource::kOnProbe);
 }
 
-// To the settings, at the start and when they change. By class first, so that indices stay.
+// At the start and when settings change. Buckets are ordered by class first, so that indices
+// stay.
 void LoadBalancerImpl::SizeForSettings() {
   class_count_ = static_cast<int>(settings_.classes.size());
   if (settings_.tenants.empty()) settings_.tenants.push_back({.share = 1});
@@ -79,7 +80,7 @@
 void LoadBalancerImpl::On(const DispatcherStarted&) {
   reported_at_ = now_;
   fleet_rate_.AllowCutAt(
-      now_ + std::max(kDemandSmoothingS, 2 * report_interval_s_));  // demand is not known yet
+      now_ + std::max(kDemandSmoothingS, 2 * report_interval_s_));  // demand is not known before
   actions_->push_back(SetTimer{kReportTimer, report_interval_s_ * (0.2 + random_.Unit())});
   if (settings_.polls_discovery) PollEndpoints();
 }
@@ -89,15 +90,15 @@
     EndEjections();
     if (!full_mesh_) UpdateThroughputs();
     UpdatePeerSlots();
-    // Peers of a large tier don't tell what they have out where; they do as this one does.
+    // Peers of a large tier do not report slots in flight; they are taken to be as this one's.
     for (Worker& w : workers_)
       w.peer_slots_in_flight =
           full_mesh_ ? w.peer_slots_in_flight
                      : (settings_.dispatcher_count - 1) * w.TakeMeanSlotsInFlight(now_);
     estimates_.RecoverGroups(kGroupRecovery, report_interval_s_, kReportIntervalS);
     if (now_ - reported_at_ > report_interval_s_ / 4) PublishUsage();
-    // Jitter keeps dispatchers that started together from reporting in step.
-    // In large tiers of little traffic the price of messages, per job, sets the pace.
+    // Jitter keeps dispatchers that started together from reporting in step. In large tiers with
+    // little traffic the price of messages, per job, sets the interval.
     const double price =
         full_mesh_ ? 0 : settings_.price_peer * kGossipFanout * 100 / 256 / kPeerMessageBudget;
     const double even = price / std::max(own_rates_[Idx(tenant_count_)], 1e-3);
@@ -115,7 +116,7 @@
     if (check_timer_set_) actions_->push_back(SetTimer{kOverdueTimer, next});
   } else if (e.timer_id == kPollTimer) {
     if (!subscribed_ && now_ > poll_at_ - settings_.tick_s)
-      PollEndpoints();  // else set anew meanwhile
+      PollEndpoints();  // else the timer was set again meanwhile
   }
 }
 
--- a/src/balancing/load_balancer_impl.h
+++ b/src/balancing/load_balancer_impl.h
@@ -1,5 +1,5 @@
-// The decision module's one class: what it keeps and what it does. No decision stands here; they
-// are in src/policy/, a file for each part.
+// The coordinator of the decision module: it handles events and holds the parts that decide. Its
+// functions are defined in a file for each concern.
 #ifndef MILLETHOLLOW_BALANCING_LOAD_BALANCER_IMPL_H_
 #define MILLETHOLLOW_BALANCING_LOAD_BALANCER_IMPL_H_
 
@@ -53,9 +53,9 @@
   void SetFleetShare(const FleetShare& parts);
 
  private:
-  friend struct StateTransfer;  // hands what was learned to the process that replaces this one
+  friend struct StateTransfer;  // hands learned state over in a hot restart
 
-  // Buckets and quotas.
+  // Admission control (admission.cpp).
   void On(const RequestArrived& e);
   // By class first: classes may be added while the program runs.
   std::size_t BucketOf(const Job& job) const {
@@ -64,7 +64,7 @@
   static double BurstSize(const Bucket& b);
   void Reject(const Job& job);
 
-  // Peer reports.
+  // Usage exchange (usage_exchange.cpp).
   UsageReport MakeReport(bool fresh, bool to_mate) const;
   void SendReport(const std::vector<int>& whom, bool fresh, std::vector<UsageReport::Usage> counts);
   void NotifySibling();
@@ -82,27 +82,27 @@
   }
   void On(const SiblingProcess& e);
 
-  // Fleet rate.
+  // Fleet rate (admission.cpp, fleet_rate_limiter.h).
   void UpdateFleetRate(double sample_s);
   void LimitTenant(int tenant, double admit_share);
-  std::vector<double> TierRates();  // what the tier reports in all
-  // Sends that a warm worker carries, where `mine` are this dispatcher's own.
+  std::vector<double> TierRates();  // of all dispatchers
+  // Attempts per second that a warm worker carries; `mine` by this dispatcher's own count.
   double WorkerRate(double mine);
   const ClassSettings& ClassOf(int c) const { return settings_.classes[Idx(c)]; }
 
-  // Where the row has what all learn together in a large tier.
+  // Indices of the shared estimates in a large tier's row of rates.
   std::size_t ProbeIndex() const { return layout_.ProbeIndex(); }
   std::size_t SharedEstimateIndex(int cls, int kind) const {
     return kind < 0 ? layout_.ClassIndex(Idx(cls)) : layout_.KindIndex(Idx(kind));
   }
-  // The share of workers that have room, as the whole tier finds it.
+  // The share of probed workers that have capacity, over the whole tier.
   double ProbedFreeShare(double unasked) const {
     const double asked = full_mesh_ ? 0.0 : tier_mean_rates_[ProbeIndex()];
     return asked > 0 ? tier_mean_rates_[ProbeIndex() + 1] / asked : unasked;
   }
   void MergeSharedEstimates(const UsageReport& told);
 
-  // Placement.
+  // Placement (placement.cpp, forecast.cpp) and probing (probing.cpp).
   const std::vector<int>& Selectable(int kind, int zone) const {
     return pools_.Workers(kind, zone);
   }
@@ -125,7 +125,7 @@
   int PickWorker(const Job& job, int anchor);
   const std::vector<int>& PreferredWorkers(std::uint64_t key, int kind);
 
-  // Worker health and cold budget.
+  // Slow start (slow_start.cpp) and outlier detection (outlier_detection.cpp).
   bool WarmingUp(const Worker& w) const;
   double SlowStartShare(const Worker& w) const;
   bool SlowStartHasCapacity(const Worker& w) const;
@@ -139,7 +139,7 @@
   void ShareRunSample(const Job& job, const Worker& w, const RunSample& sample);
   void OnBlocked(Job& job, Attempt& a, bool full, bool late);
 
-  // Attempts and final answers.
+  // Attempts (attempts.cpp) and overdue attempts (overdue_attempts.cpp).
   bool PlaceJob(Job& job);
   void CheckAt(double at, const std::string& id, int attempt);
   struct RetryScope {
@@ -171,7 +171,7 @@
   void OnOverdue(const OverdueCheck& watch);
   void OnCapacityWaitCheck(const OverdueCheck& watch);
 
-  // Discovery and timers.
+  // Workers (worker_table.cpp), timers and settings (load_balancer_impl.cpp).
   void On(const DispatcherStarted&);
   void PollEndpoints();
   void PollIn(double span);
@@ -188,7 +188,7 @@
   double now_ = 0;
   Actions* actions_ = nullptr;
   int class_count_ = 1, tenant_count_ = 1;
-  // Buckets and refusals.
+  // Admission.
   std::vector<Bucket> buckets_;
   RecentDigests recent_rejections_;
   // Reports: `own_rates_` and, in a large tier, `tier_mean_rates_` are rows as `layout_` has them.
@@ -201,7 +201,7 @@
   std::uint64_t rejected_messages_ = 0;
   SiblingProcess sibling_;
   AgreedShare agreed_share_;
-  double heard_sends_rps_ = 0;  // of those heard, as of the last report
+  double heard_sends_rps_ = 0;  // of all dispatchers heard, at the last report
   // Fleet rate.
   FleetRateLimiter fleet_rate_;
   // Workers.
@@ -209,7 +209,7 @@
   TextMap<int> worker_index_;
   WorkerPools pools_;
   CapacityReservations* reservations_ = nullptr;
-  std::uint64_t version_ = 0;  // of all that Views tells
+  std::uint64_t version_ = 0;  // of all that WorkerViews returns
   int ready_count_ = 0, ejected_count_ = 0;
   double mean_slot_limit_ = 1, worker_rate_rps_ = 0, max_throughput_ = 1, mean_throughput_ = 1;
   std::uint64_t pool_version_ = 0, preferred_workers_version_ = 0;
@@ -223,11 +223,11 @@
   // Jobs.
   TextMap<Job> jobs_;
   std::priority_queue<OverdueCheck, std::vector<OverdueCheck>, std::greater<>> overdue_checks_;
-  std::vector<std::string> jobs_awaiting_probes_;  // jobs that wait for probed workers
+  std::vector<std::string> jobs_awaiting_probes_;
   std::uint64_t next_check_order_ = 0;
   double hedge_budget_ = 0, hedges_per_attempt_ = 0,
-         shed_budget_ = 0;                                  // rights to copies, and to calling off
-  bool may_shed_queued_ = false, load_unreported_ = false;  // load is never told, only starts are
+         shed_budget_ = 0;  // hedged requests and cancels that are allowed now
+  bool may_shed_queued_ = false, load_unreported_ = false;  // only starts are reported, never load
   bool check_timer_set_ = false, subscribed_ = false;
   double poll_at_ = kInf;
 };
--- a/src/balancing/outlier_detection.cpp
+++ b/src/balancing/outlier_detection.cpp
@@ -6,9 +6,9 @@
 namespace millethollow::balancing {
 
 constexpr double kBaseEjectionS = 2.0,
-                 kMaxEjectionS = 12.0;  // first ejection, doubled each time up to this
+                 kMaxEjectionS = 12.0;  // first ejection, doubled with each further one
 constexpr double kMaxEjectedShare =
-    0.7;  // never more of the fleet than this: a lost zone of two fits
+    0.7;  // of the ready workers: covers the loss of one zone of two
 // Samples go where attempts succeed, by kind and zone. Workers that fail one after the other there
 // are lost: no dispatcher could find each of them out by itself. Trials go on as it recovers.
 constexpr double kGroupFailureKeep = 0.75;
@@ -18,7 +18,7 @@
   estimates_.GroupSuccess(w) *= kGroupFailureKeep;
   if (w.ejected) return;
   w.ejection_s = std::clamp(w.ejection_s * 2, kBaseEjectionS, kMaxEjectionS);
-  // Never the whole fleet: then the list is the better guide.
+  // Never most of the fleet: then the endpoint list is the better guide.
   if (ejected_count_ + 1 > kMaxEjectedShare * ready_count_) return;
   w.ejected = true;
   w.probation = false;
@@ -26,7 +26,7 @@
   RebuildPools();
 }
 
-void LoadBalancerImpl::EndEjections() {  // ejected workers return with one repeatable job at a time
+void LoadBalancerImpl::EndEjections() {  // ejected workers return in probation
   bool changed = false;
   for (Worker& w : workers_) {
     if (!w.ejected || now_ < w.ejected_until) continue;
--- a/src/balancing/probing.cpp
+++ b/src/balancing/probing.cpp
@@ -5,26 +5,26 @@
 
 namespace millethollow::balancing {
 
-constexpr int kMinProbedFull = 3;  // so many without room say that there is none
+constexpr int kMinProbedFull = 3;  // probed workers without a free slot, for a tier to be full
 constexpr int kMaxProbes = 5,
-              kMaxProbesStale = 2;  // workers asked for a job; where reports prove old
-// Where probes have a price, so many points of the result may go into them: reports of a few jobs
-// tell what a kind can hold, and what is out there peers tell for less.
+              kMaxProbesStale = 2;  // probes for a job; where load reports prove out of date
+// Share of a job's weight that may be spent on probes, where they have a price.
 constexpr double kProbeBudget = 0.0025;
-// Large tiers: half of what is lost where a job has to wait for its start is lost by ending late.
+// Large tiers: the share of jobs that wait for their start which end late.
 constexpr double kLateShareOfWaiting = 0.5;
 
-// How many workers to ask now, so that what they are likely to save is worth the price.
+// How many workers to probe now, so that the likely gain is worth the price.
 int LoadBalancerImpl::ProbeCount(const Job& job) {
   const double price = settings_.price_probe;
   if (full_mesh_) {
     const int probes = estimates_.PromptStartShare() > 0.8 ? kMaxProbes : kMaxProbesStale;
     if (price <= 0) return probes;
-    const double most = kProbeBudget / price;  // a part of a probe is a chance of one
+    const double most = kProbeBudget / price;  // a fraction of a probe is a chance of one
     return std::min(probes, static_cast<int>(most + random_.Unit()));
   }
-  // Peers can't tell what is out at a worker: only the worker does. One is asked after the other
-  // until one has room; the first only where many have none, or now and then to see how many.
+  // Peers do not know what is in flight at a worker; only the worker does. One is probed after
+  // the other until one has a free slot; the first only where many have none, or at times as a
+  // sample of how many do.
   const double found = ProbedFreeShare(0.5);
   const double gain = kLateShareOfWaiting * (1 - ClassOf(job.class_index).late_weight) * found;
   const int asked = static_cast<int>(job.probed.size());
@@ -33,7 +33,8 @@
   return worth || look ? std::min(asked > 0 ? 2 : 1, kMaxProbes - asked) : 0;
 }
 
-// Exception: where load is told only on probes, a job waits a moment for a few workers' word.
+// Where load is reported on probes only, a job waits up to kProbeTimeoutS for the answers of a
+// few workers (power of d choices).
 bool LoadBalancerImpl::ProbeCandidates(Job& job) {
   const std::vector<int>& all = Selectable(ClassOf(job.class_index).kind, -1);
   const std::vector<int>& near = Selectable(ClassOf(job.class_index).kind, settings_.zone);
@@ -91,9 +92,9 @@
   }
   if (!full_mesh_ && std::none_of(job.probed.begin(), job.probed.end(), has_room)) {
     if (ProbeCandidates(job)) return;
-    // Where the whole tier is full it would end late, and so would all that wait behind it:
-    // workers' queues then stay full for long after. Refused unsent, it may find room when it
-    // returns.
+    // While the whole tier is full the job would end late, and so would all that wait behind it:
+    // queues at workers stay full for long afterwards. Rejected unsent, it may find capacity when
+    // it returns.
     const auto told = [&](int w) {
       return now_ - workers_[Idx(w)].reported_at < kLoadReportFreshS;
     };
--- a/src/balancing/slow_start.cpp
+++ b/src/balancing/slow_start.cpp
@@ -5,16 +5,16 @@
 
 namespace millethollow::balancing {
 
-constexpr double kSlowStartShare = 0.5;  // of what the guarantee allows to a cold worker
-// In a large tier a cold worker that is asked says itself when it has enough.
+constexpr double kSlowStartShare = 0.5;  // of what the guarantee allows
+// In a large tier the probed worker itself reports when it is full.
 constexpr double kSlowStartShareProbed = 0.8;
 
 bool LoadBalancerImpl::WarmingUp(const Worker& w) const {
   return w.started_at_s > 0 && now_ - w.started_at_s < settings_.slow_start_s;
 }
 
-// A cold worker gets what a warm one gets on average, times the part of the guarantee by the share
-// of capacity that is surely there. Rejected work counts too: every send is charged.
+// A worker in slow start gets the mean rate of a warm one, times the share that the guarantee
+// allows at its age. Rejected attempts count too: every attempt is charged.
 double LoadBalancerImpl::SlowStartShare(const Worker& w) const {
   const double age =
       std::clamp((now_ - w.started_at_s) / std::max(settings_.slow_start_s, 1e-9), 0.0, 1.0);
@@ -38,8 +38,9 @@
   return std::max(1.0, job.slots) * std::max(0.5, run / estimates_.MeanRunTime(run));
 }
 
-// In a large tier a node sends a cold worker less than a job: parts can't add up. Each job draws
-// one and, if cold, goes there by a chance that gives it its part by power, times the guarantee's.
+// In a large tier a dispatcher's rate for one worker is less than a job, so that tokens do not
+// add up. Instead each job draws a worker and, if that is in slow start, may go there with the
+// probability that gives the worker its share by throughput.
 void LoadBalancerImpl::DrawSlowStartWorker(Job& job) {
   const std::vector<int>& all = Selectable(ClassOf(job.class_index).kind, -1);
   job.slow_start_worker = -1;
--- a/src/balancing/state_transfer.h
+++ b/src/balancing/state_transfer.h
@@ -1,5 +1,6 @@
-// What the decision module has learned, on its way from a process to the one that replaces it: not
-// its jobs, nor their slots out, which the other tells of while it lives.
+// Hands learned state from a process to the one that replaces it in a hot restart. Jobs and slots
+// in flight are not included: the old process reports them while it runs. Order, types and layout
+// of all that is visited are fixed: builds before and after must read each other.
 #ifndef MILLETHOLLOW_BALANCING_STATE_TRANSFER_H_
 #define MILLETHOLLOW_BALANCING_STATE_TRANSFER_H_
 
@@ -31,7 +32,7 @@
     return std::move(saver.out);
   }
 
-  // Takes all of it or, where it is damaged or from settings of another form, nothing.
+  // Restores all of it or, where it is damaged or from settings of another form, nothing.
   template <typename LoadBalancerImpl>
   static bool In(std::string_view text, const std::vector<int>& classes, LoadBalancerImpl* brain) {
     LoadBalancerImpl other(*brain);
--- a/src/balancing/support.h
+++ b/src/balancing/support.h
@@ -48,9 +48,9 @@
   double Or(double otherwise) const { return n > 0 ? value : otherwise; }
 };
 
-// A line through the logs of pairs (a guess, what came), forgetting as Mean does. A rough guess
-// of a time says less than it seems: its mean ratio to the time is ruled by the smallest guesses,
-// and the line leans back to the mean time by as much as the guesses stray.
+// A least-squares line through the logarithms of pairs (hint, observed value), forgetting as Mean
+// does. Unlike a mean ratio it is not dominated by the smallest hints, and it falls back to the
+// mean value as far as hints are noisy.
 struct LogFit {
   Mean x, y, xx, xy, yy;
   void Add(double guess, double came, double most) {
@@ -73,7 +73,8 @@
   return values;
 }
 
-// Remembers the fingerprints of what was refused lately; newer ones may overwrite older ones.
+// The digests of jobs rejected lately, in a fixed number of slots; newer ones may overwrite older
+// ones.
 class RecentDigests {
  public:
   void Put(std::uint64_t print, double now) { slots_[print % slots_.size()] = {print, now}; }
--- a/src/balancing/usage_exchange.cpp
+++ b/src/balancing/usage_exchange.cpp
@@ -8,13 +8,10 @@
 
 namespace millethollow::balancing {
 
-constexpr double kSignalWeightJobs =
-    5;  // own word of what found no room weighs by jobs against these
-constexpr double kSignalSmoothingS =
-    0.5;                                 // sends and 'full' are smoothed over this or one interval
-constexpr double kPeerRateWeight = 0.3;  // of the way to peers' rates in a report interval
-constexpr double kWorkerRateDecayS =
-    20.0;  // what workers carried in good times is remembered this long
+constexpr double kSignalWeightJobs = 5;    // own signals weigh by jobs against so many
+constexpr double kSignalSmoothingS = 0.5;  // signals are smoothed over this or one interval
+constexpr double kPeerRateWeight = 0.3;    // of the way to peers' fleet rates, in a report interval
+constexpr double kWorkerRateDecayS = 20.0;  // the largest rate that workers carried fades over this
 
 // Measures this dispatcher's rates, sends them to peers and starts a control round.
 void LoadBalancerImpl::PublishUsage() {
@@ -104,13 +101,13 @@
                     e.sender != settings_.dispatcher_index;
   if (!settings_.peers || !peer || !readable) return void(++rejected_messages_);
   OnPeerUsage(e.sender, report);
-  if (!report.BeginsRow()) return;  // what follows counts once a report
+  if (!report.BeginsRow()) return;  // the rest applies once for each report
   has_heard_peers_ = true;
-  // Rates draw together, but slowly: else the many that have not cut yet undo each cut at once.
+  // Rates converge slowly: else the many peers that have not cut yet would undo each cut at once.
   const double weight =
       kPeerRateWeight / (full_mesh_ ? settings_.dispatcher_count - 1 : kGossipFanout);
   if (report.rate > 0) fleet_rate_.FollowPeer(report.rate, weight);
-  // A restarted dispatcher is told at once what the fleet does: not held to one Nth for long.
+  // A restarted dispatcher gets the state of the tier at once.
   if (report.fresh && has_measured_) SendReport({e.sender}, false, {});
 }
 
@@ -120,9 +117,9 @@
   if (report.BeginsRow()) UpdatePeerSlots();
 }
 
-// A node of a large tier ends too few jobs to tell kinds and classes apart by itself: it learns
-// from the sums of all, times and jobs each. The most slots that peers agree on are taken as they
-// are.
+// A dispatcher of a large tier ends too few jobs to tell kinds and classes apart by itself: it
+// learns from gossiped sums, of times and jobs. The largest slots that peers agree on are taken
+// as they are.
 void LoadBalancerImpl::MergeSharedEstimates(const UsageReport& told) {
   const std::size_t first = told.first, end = first + told.rates.size();
   for (std::size_t i = first; i < end; ++i)
@@ -156,7 +153,7 @@
   add(SharedEstimateIndex(-1, w.kind), sample.pace);
 }
 
-// Without the counts of buckets. Peers hear of both our processes.
+// Without the usage of buckets. What peers hear includes the sibling process.
 UsageReport LoadBalancerImpl::MakeReport(bool fresh, bool to_mate) const {
   UsageReport report;
   report.fresh = fresh;
@@ -165,7 +162,7 @@
   report.hears_all = agreed_share_.hears_all();
   report.view = agreed_share_.view();
   for (const Worker& w : workers_) {
-    if (!full_mesh_ && !to_mate) break;  // one of many can't say how much is out there
+    if (!full_mesh_ && !to_mate) break;  // a large tier gossips no slots
     const double held = reservations_ ? reservations_->ReservedSlots(w.name) : 0.0;
     const double slots = w.slots_in_flight + held + (to_mate ? 0.0 : w.sibling_slots_in_flight);
     if (slots > 0)
@@ -174,10 +171,9 @@
   return report;
 }
 
-// All datagrams of a report go out at once. One in turn with each report would cost less, but each
-// rate would then be as old as there are datagrams, times the interval; what is reckoned from them
-// (kPeerTimeoutReports, the hold of AgreedShare, the weights of a large tier's means) takes them
-// for no older than one. `counts` is empty where the counts have gone out already.
+// All datagrams of a report are sent at once: what is computed from the rates
+// (kPeerTimeoutReports, the hold of AgreedShare, the weights of a large tier's means) assumes
+// them to be no older than one interval. `counts` is empty where they have been sent already.
 void LoadBalancerImpl::SendReport(const std::vector<int>& whom, bool fresh,
                                   std::vector<UsageReport::Usage> counts) {
   UsageReport report = MakeReport(fresh, false);
@@ -189,7 +185,7 @@
   }
 }
 
-// Our other process heeds the slots out alone: they are where the row begins.
+// The sibling process uses the slots in flight only, which the first datagram has.
 void LoadBalancerImpl::NotifySibling() {
   actions_->push_back(SendPeerMessage{settings_.dispatcher_index,
                                       EncodeReport(MakeReport(false, true), layout_).front()});
--- a/src/balancing/usage_report.h
+++ b/src/balancing/usage_report.h
@@ -1,4 +1,5 @@
-// The messages in which dispatchers tell each other their usage, and their encoding in datagrams.
+// Usage reports between dispatchers, in the manner of RLQS usage reports (A77), and their
+// encoding in datagrams.
 #ifndef MILLETHOLLOW_BALANCING_USAGE_REPORT_H_
 #define MILLETHOLLOW_BALANCING_USAGE_REPORT_H_
 
@@ -11,15 +12,15 @@
 
 namespace millethollow::balancing {
 
-// Where each figure stands in the row of rates of a report: demand by tenant, then sends, jobs that
-// found all workers full, and late starts. In a large tier these follow: workers asked and those
-// that had room; time and jobs of each class; pace, jobs and slots of each worker kind.
+// Where each value stands in the row of rates of a report: demand by tenant, then first attempts,
+// jobs that found workers full, and late starts. In a large tier these follow: workers probed and
+// those with capacity; run time and jobs of each class; pace, jobs and slots of each worker kind.
 struct RowLayout {
   static constexpr std::size_t kSignals = 3, kProbeFigures = 2, kClassFigures = 2, kKindFigures = 3;
 
   std::size_t tenants = 1;
   bool large_tier = false;
-  std::size_t classes = 0, kinds = 0;  // as far as a large tier learns of them together
+  std::size_t classes = 0, kinds = 0;  // of the shared estimates of a large tier
 
   std::size_t ProbeIndex() const { return tenants + kSignals; }
   std::size_t ClassIndex(std::size_t cls) const {
@@ -37,16 +38,16 @@
 
 // A report, or the part of one that a datagram holds.
 struct UsageReport {
-  // Jobs of a bucket since the last report. Receivers decide nothing by it.
+  // Jobs of a bucket since the last report. Receivers do not use it.
   struct Usage {
     int bucket = 0;
     int allowed = 0, denied = 0;
   };
-  bool fresh = false;         // the sender has just started and asks to be told
-  double rate = 0;            // its fleet rate; 0: admits everything
+  bool fresh = false;         // the sender has just started and asks for a report
+  double rate = 0;            // the sender's fleet rate in jobs per second; 0: not limited
   std::vector<double> rates;  // per second, as RowLayout has them, from index `first` on
-  // Slots that the sender has out at each worker, named by 16 bits of its hash. Those it has none
-  // out at are left out. Only in the part that begins the row.
+  // Slots that the sender has in flight at each worker, by 16 bits of the worker's hash; 0 is
+  // omitted. Only in the part that begins the row.
   std::vector<std::pair<std::uint16_t, int>> slots_in_flight;
   std::vector<Usage> usage;  // as many as fit beside a whole row; none in parts
   // Where the tier agrees on shares (AgreedShare): the sender hears all members, and six bits of
--- a/src/balancing/worker_table.cpp
+++ b/src/balancing/worker_table.cpp
@@ -7,12 +7,12 @@
 
 namespace millethollow::balancing {
 
-// A worker off the list this long, with nothing of ours out and named by no open job, gives its
-// place to the next new one. Else every name that a list ever carried stays, and each list and
-// peer report costs more the longer the node runs while workers are replaced under new names.
+// A worker that is off the list for so long, with nothing in flight and named by no open job,
+// gives its index to the next new one. Else the table would grow with every name that a list ever
+// carried.
 constexpr double kForgetWorkerS = 300;
 constexpr double kMaxReportValue = 1e6;
-constexpr double kSlotResidue = 1e-6;  // below the least slots of a job: a residue of rounding
+constexpr double kSlotResidue = 1e-6;  // below the least slots of a job
 
 int LoadBalancerImpl::AddWorker(const std::string& name, std::vector<char>* listed) {
   Worker fresh{.name = name, .hash = HashText(name), .slot_limit = mean_slot_limit_};
@@ -41,7 +41,7 @@
   return static_cast<int>(workers_.size()) - 1;
 }
 
-void LoadBalancerImpl::RebuildPools() {  // only when the list or an ejection changes
+void LoadBalancerImpl::RebuildPools() {  // when the endpoint list or an ejection changes
   pools_.Rebuild(workers_);
   ready_count_ = ejected_count_ = 0;
   double limits = 0;
@@ -57,9 +57,7 @@
   ++version_;
 }
 
-void LoadBalancerImpl::UpdateThroughputs() {  // paces and slots are learned all the time, and what
-                                              // is drawn
-                                              // goes by them
+void LoadBalancerImpl::UpdateThroughputs() {  // weights of random choices, as learned so far
   max_throughput_ = 1e-9;
   double sum = 0;
   for (const Worker& w : workers_) {
@@ -72,7 +70,7 @@
 
 void LoadBalancerImpl::On(const EndpointsUpdated& e) {
   if (e.kind == EndpointListKind::kUnavailable) {
-    // Ask again soon, but not all at once: the list service has a fixed capacity.
+    // Poll again soon, with jitter: the discovery service has a fixed capacity.
     subscribed_ = false;
     if (settings_.polls_discovery)
       PollIn(std::min(0.3 * settings_.max_poll_interval_s, 0.4 + 1.2 * random_.Unit()));
@@ -111,7 +109,7 @@
   w.ejection_s = w.error_rate = 0;
   w.slot_limit = mean_slot_limit_;
   w.reported_at = w.start_wait_at = -kInf;
-  // Everyone hears of the start at once: a random first part keeps the first jobs apart.
+  // All dispatchers hear of the start at once: random first tokens spread the first jobs.
   w.slow_start_tokens = random_.Unit() * (agreed_share_.on() ? agreed_share_.share() : 1.0);
   w.slow_start_tokens_at = std::max(now_, w.started_at_s);
 }
@@ -131,7 +129,7 @@
 
 void LoadBalancerImpl::PollEndpoints() {
   actions_->push_back(Subscribe{true});
-  PollIn(std::max(0.5, 0.4 * settings_.max_poll_interval_s));  // in case no answer comes
+  PollIn(std::max(0.5, 0.4 * settings_.max_poll_interval_s));  // fallback if no answer comes
 }
 
 void LoadBalancerImpl::PollIn(double span) {
