--- a/src/balancing/load_balancer.cpp
+++ b/src/balancing/load_balancer.cpp
@@ -15,13 +15,13 @@
   impl_->Handle(now_s, event, actions);
 }
 
-std::string LoadBalancer::SaveState() const { return StateTransfer::Out(*impl_); }
+std::string LoadBalancer::SaveState() const { return StateTransfer::Save(*impl_); }
 bool LoadBalancer::RestoreState(std::string_view text, const std::vector<int>& classes) {
-  return StateTransfer::In(text, classes, impl_.get());
+  return StateTransfer::Restore(text, classes, impl_.get());
 }
 bool LoadBalancer::Excludes(std::string_view worker) const { return impl_->Excludes(worker); }
-void LoadBalancer::SetCapacityReservations(CapacityReservations* room) {
-  impl_->SetCapacityReservations(room);
+void LoadBalancer::SetCapacityReservations(CapacityReservations* reservations) {
+  impl_->SetCapacityReservations(reservations);
 }
 std::uint64_t LoadBalancer::version() const { return impl_->version(); }
 std::vector<WorkerView> LoadBalancer::Workers() const { return impl_->WorkerViews(); }
--- a/src/balancing/load_balancer_impl.cpp
+++ b/src/balancing/load_balancer_impl.cpp
@@ -41,7 +41,7 @@
   class_count_ = static_cast<int>(settings_.classes.size());
   if (settings_.tenants.empty()) settings_.tenants.push_back({.share = 1});
   tenant_count_ = static_cast<int>(settings_.tenants.size());
-  buckets_.resize(Idx(class_count_ * tenant_count_));
+  admission_.SetShape(class_count_, tenant_count_);
   estimates_.SetClassCount(settings_.classes.size());
 }
 
@@ -53,7 +53,7 @@
     for (int i = 0; c < shared_class_count_ && i < 2; ++i)
       own_rates_[SharedEstimateIndex(c, -1) + Idx(i)] =
           tier_mean_rates_[SharedEstimateIndex(c, -1) + Idx(i)] = 0;
-    std::fill_n(buckets_.begin() + c * tenant_count_, tenant_count_, Bucket{});
+    admission_.ResetClass(c);
   }
 }
 
--- a/src/balancing/load_balancer_impl.h
+++ b/src/balancing/load_balancer_impl.h
@@ -10,6 +10,7 @@
 #include <utility>
 #include <vector>
 
+#include "balancing/admission_controller.h"
 #include "balancing/agreed_share.h"
 #include "balancing/constants.h"
 #include "balancing/fleet_rate_limiter.h"
@@ -17,7 +18,6 @@
 #include "balancing/load_estimates.h"
 #include "balancing/peer_usage.h"
 #include "balancing/support.h"
-#include "balancing/token_bucket.h"
 #include "balancing/worker.h"
 #include "millethollow/balancing/load_balancer.h"
 
@@ -45,28 +45,24 @@
            workers_[Idx(it->second)].ejected;
   }
 
-  void SetCapacityReservations(CapacityReservations* room) { reservations_ = room; }
+  void SetCapacityReservations(CapacityReservations* reservations) { reservations_ = reservations; }
   std::uint64_t version() const { return version_; }
   std::uint64_t rejected_messages() const { return rejected_messages_; }
   std::vector<WorkerView> WorkerViews() const;
   double DemandShare() const;
-  void SetFleetShare(const FleetShare& parts);
+  void SetFleetShare(const FleetShare& share);
 
  private:
   friend struct StateTransfer;  // hands learned state over in a hot restart
 
   // Admission control (admission.cpp).
   void On(const RequestArrived& e);
-  // By class first: classes may be added while the program runs.
-  std::size_t BucketOf(const Job& job) const {
-    return Idx(job.class_index * tenant_count_ + job.tenant);
-  }
-  static double BurstSize(const Bucket& b);
   void Reject(const Job& job);
 
   // Usage exchange (usage_exchange.cpp).
-  UsageReport MakeReport(bool fresh, bool to_mate) const;
-  void SendReport(const std::vector<int>& whom, bool fresh, std::vector<UsageReport::Usage> counts);
+  UsageReport MakeReport(bool fresh, bool to_sibling) const;
+  void SendReport(const std::vector<int>& recipients, bool fresh,
+                  std::vector<UsageReport::Usage> counts);
   void NotifySibling();
   void OnPeerUsage(int sender, const UsageReport& report);
   std::vector<UsageReport::Usage> MeasureDemand(double sample_s);
@@ -96,11 +92,11 @@
     return kind < 0 ? layout_.ClassIndex(Idx(cls)) : layout_.KindIndex(Idx(kind));
   }
   // The share of probed workers that have capacity, over the whole tier.
-  double ProbedFreeShare(double unasked) const {
-    const double asked = full_mesh_ ? 0.0 : tier_mean_rates_[ProbeIndex()];
-    return asked > 0 ? tier_mean_rates_[ProbeIndex() + 1] / asked : unasked;
+  double ProbedFreeShare(double unknown) const {
+    const double probed = full_mesh_ ? 0.0 : tier_mean_rates_[ProbeIndex()];
+    return probed > 0 ? tier_mean_rates_[ProbeIndex() + 1] / probed : unknown;
   }
-  void MergeSharedEstimates(const UsageReport& told);
+  void MergeSharedEstimates(const UsageReport& report);
 
   // Placement (placement.cpp, forecast.cpp) and probing (probing.cpp).
   const std::vector<int>& Selectable(int kind, int zone) const {
@@ -189,8 +185,7 @@
   Actions* actions_ = nullptr;
   int class_count_ = 1, tenant_count_ = 1;
   // Admission.
-  std::vector<Bucket> buckets_;
-  RecentDigests recent_rejections_;
+  AdmissionController admission_;
   // Reports: `own_rates_` and, in a large tier, `tier_mean_rates_` are rows as `layout_` has them.
   RowLayout layout_;
   bool full_mesh_ = true, has_measured_ = false, has_heard_peers_ = false;
--- a/src/balancing/probing.cpp
+++ b/src/balancing/probing.cpp
@@ -1,4 +1,4 @@
-// Probing: where load is reported on probes only, candidates are asked before a job is placed.
+// Probing: where load is reported on probes only, candidates are probed before a job is placed.
 #include <algorithm>
 
 #include "balancing/load_balancer_impl.h"
@@ -27,10 +27,10 @@
   // sample of how many do.
   const double found = ProbedFreeShare(0.5);
   const double gain = kLateShareOfWaiting * (1 - ClassOf(job.class_index).late_weight) * found;
-  const int asked = static_cast<int>(job.probed.size());
-  const bool worth = price < (asked > 0 ? gain : gain * (1 - found));
-  const bool look = asked == 0 && random_.Unit() * price < kProbeBudget;
-  return worth || look ? std::min(asked > 0 ? 2 : 1, kMaxProbes - asked) : 0;
+  const int probed = static_cast<int>(job.probed.size());
+  const bool worth = price < (probed > 0 ? gain : gain * (1 - found));
+  const bool look = probed == 0 && random_.Unit() * price < kProbeBudget;
+  return worth || look ? std::min(probed > 0 ? 2 : 1, kMaxProbes - probed) : 0;
 }
 
 // Where load is reported on probes only, a job waits up to kProbeTimeoutS for the answers of a
@@ -95,10 +95,10 @@
     // While the whole tier is full the job would end late, and so would all that wait behind it:
     // queues at workers stay full for long afterwards. Rejected unsent, it may find capacity when
     // it returns.
-    const auto told = [&](int w) {
+    const auto is_fresh = [&](int w) {
       return now_ - workers_[Idx(w)].reported_at < kLoadReportFreshS;
     };
-    if (std::ranges::count_if(job.probed, told) >= kMinProbedFull &&
+    if (std::ranges::count_if(job.probed, is_fresh) >= kMinProbedFull &&
         ProbedFreeShare(1) < kFreeShareNotFull) {
       full_signals_ += 1;
       return FinishIfIdle(job);
--- a/src/balancing/state_transfer.h
+++ b/src/balancing/state_transfer.h
@@ -20,54 +20,55 @@
     v(b.fleet_rate_.rate_rps_, b.worker_rate_rps_, b.has_measured_, b.own_rates_,
       b.tier_mean_rates_, b.estimates_.memory_per_slot_, b.estimates_.all_run_,
       b.estimates_.class_hint_fit_, b.estimates_.prompt_starts_, b.estimates_.class_run_time_,
-      b.buckets_, b.estimates_.kind_pace_, b.estimates_.kind_slots_, b.estimates_.kind_max_slots_,
-      b.estimates_.group_wait_s_, b.estimates_.group_success_, b.mean_slot_limit_, b.hedge_budget_,
-      b.hedges_per_attempt_, b.shed_budget_, b.workers_);
+      b.admission_.buckets_, b.estimates_.kind_pace_, b.estimates_.kind_slots_,
+      b.estimates_.kind_max_slots_, b.estimates_.group_wait_s_, b.estimates_.group_success_,
+      b.mean_slot_limit_, b.hedge_budget_, b.hedges_per_attempt_, b.shed_budget_, b.workers_);
   }
 
   template <typename LoadBalancerImpl>
-  static std::string Out(LoadBalancerImpl& brain) {
+  static std::string Save(LoadBalancerImpl& balancer) {
     Saver saver;
-    Visit(brain, saver);
+    Visit(balancer, saver);
     return std::move(saver.out);
   }
 
   // Restores all of it or, where it is damaged or from settings of another form, nothing.
   template <typename LoadBalancerImpl>
-  static bool In(std::string_view text, const std::vector<int>& classes, LoadBalancerImpl* brain) {
-    LoadBalancerImpl other(*brain);
+  static bool Restore(std::string_view text, const std::vector<int>& classes,
+                      LoadBalancerImpl* balancer) {
+    LoadBalancerImpl other(*balancer);
     Loader loader{text};
     Visit(other, loader);
-    const auto tenants = static_cast<std::size_t>(brain->tenant_count_);
+    const auto tenants = static_cast<std::size_t>(balancer->tenant_count_);
     const std::size_t theirs = other.estimates_.class_run_time_.size();
-    if (!loader.ok || !loader.in.empty() || other.buckets_.size() != theirs * tenants ||
+    if (!loader.ok || !loader.in.empty() || other.admission_.buckets_.size() != theirs * tenants ||
         other.estimates_.class_hint_fit_.size() != theirs ||
-        other.own_rates_.size() != brain->own_rates_.size() ||
-        other.tier_mean_rates_.size() != brain->tier_mean_rates_.size() ||
-        other.estimates_.group_wait_s_.size() != brain->estimates_.group_wait_s_.size() ||
-        other.estimates_.group_success_.size() != brain->estimates_.group_success_.size() ||
-        other.estimates_.kind_pace_.size() != brain->estimates_.kind_pace_.size() ||
-        other.estimates_.kind_slots_.size() != brain->estimates_.kind_slots_.size() ||
-        other.estimates_.kind_max_slots_.size() != brain->estimates_.kind_max_slots_.size()) {
+        other.own_rates_.size() != balancer->own_rates_.size() ||
+        other.tier_mean_rates_.size() != balancer->tier_mean_rates_.size() ||
+        other.estimates_.group_wait_s_.size() != balancer->estimates_.group_wait_s_.size() ||
+        other.estimates_.group_success_.size() != balancer->estimates_.group_success_.size() ||
+        other.estimates_.kind_pace_.size() != balancer->estimates_.kind_pace_.size() ||
+        other.estimates_.kind_slots_.size() != balancer->estimates_.kind_slots_.size() ||
+        other.estimates_.kind_max_slots_.size() != balancer->estimates_.kind_max_slots_.size()) {
       return false;
     }
-    auto run = brain->estimates_.class_run_time_;
-    auto hinted = brain->estimates_.class_hint_fit_;
-    auto buckets = brain->buckets_;
+    auto run = balancer->estimates_.class_run_time_;
+    auto hinted = balancer->estimates_.class_hint_fit_;
+    auto buckets = balancer->admission_.buckets_;
     for (std::size_t c = 0; c < run.size() && c < classes.size(); ++c) {
       if (classes[c] < 0 || Idx(classes[c]) >= theirs) continue;
       run[c] = other.estimates_.class_run_time_[Idx(classes[c])];
       hinted[c] = other.estimates_.class_hint_fit_[Idx(classes[c])];
-      std::copy_n(other.buckets_.begin() + classes[c] * brain->tenant_count_, tenants,
+      std::copy_n(other.admission_.buckets_.begin() + classes[c] * balancer->tenant_count_, tenants,
                   buckets.begin() + static_cast<std::ptrdiff_t>(c * tenants));
     }
     other.estimates_.class_run_time_ = std::move(run);
     other.estimates_.class_hint_fit_ = std::move(hinted);
-    other.buckets_ = std::move(buckets);
+    other.admission_.buckets_ = std::move(buckets);
     for (std::size_t w = 0; w < other.workers_.size(); ++w) {
       other.worker_index_.emplace(other.workers_[w].name, static_cast<int>(w));
     }
-    *brain = std::move(other);
+    *balancer = std::move(other);
     return true;
   }
 };
--- a/src/balancing/usage_exchange.cpp
+++ b/src/balancing/usage_exchange.cpp
@@ -39,19 +39,7 @@
 std::vector<UsageReport::Usage> LoadBalancerImpl::MeasureDemand(double sample_s) {
   const double keep = std::exp(-sample_s / std::max(kDemandSmoothingS, 2 * report_interval_s_));
   std::fill_n(own_rates_.begin(), tenant_count_, 0.0);
-  std::vector<UsageReport::Usage> usage;
-  for (std::size_t b = 0; b < buckets_.size(); ++b) {
-    Bucket& bucket = buckets_[b];
-    if (bucket.admitted + bucket.rejected > 0) {
-      usage.push_back({static_cast<int>(b), bucket.admitted, bucket.rejected});
-    }
-    bucket.admitted = bucket.rejected = 0;
-    const double rate = bucket.first_attempts / sample_s;
-    bucket.demand_rps = has_measured_ ? bucket.demand_rps * keep + rate * (1 - keep) : rate;
-    bucket.first_attempts = 0;
-    own_rates_[b % Idx(tenant_count_)] += bucket.demand_rps;
-  }
-  return usage;
+  return admission_.Measure(sample_s, keep, !has_measured_, &own_rates_);
 }
 
 // Smooths the rates that follow the tenants' in the row, and resets their counts.
@@ -120,10 +108,10 @@
 // A dispatcher of a large tier ends too few jobs to tell kinds and classes apart by itself: it
 // learns from gossiped sums, of times and jobs. The largest slots that peers agree on are taken
 // as they are.
-void LoadBalancerImpl::MergeSharedEstimates(const UsageReport& told) {
-  const std::size_t first = told.first, end = first + told.rates.size();
+void LoadBalancerImpl::MergeSharedEstimates(const UsageReport& report) {
+  const std::size_t first = report.first, end = first + report.rates.size();
   for (std::size_t i = first; i < end; ++i)
-    tier_mean_rates_[i] = (tier_mean_rates_[i] + told.rates[i - first]) / 2;
+    tier_mean_rates_[i] = (tier_mean_rates_[i] + report.rates[i - first]) / 2;
   const auto holds = [&](std::size_t at) { return at >= first && at < end; };
   const auto mean = [&](std::size_t at) { return tier_mean_rates_[at] / tier_mean_rates_[at + 1]; };
   const auto known = [&](std::size_t at) { return holds(at) && tier_mean_rates_[at + 1] > 0; };
@@ -135,7 +123,7 @@
     const std::size_t at = SharedEstimateIndex(-1, k);
     if (!holds(at)) continue;
     if (known(at)) estimates_.AdoptKindPace(k, mean(at));
-    const double slots = estimates_.RaiseKindSlots(k, told.rates[at + 2 - first]);
+    const double slots = estimates_.RaiseKindSlots(k, report.rates[at + 2 - first]);
     own_rates_[at + 2] = tier_mean_rates_[at + 2] = slots;
   }
 }
@@ -154,7 +142,7 @@
 }
 
 // Without the usage of buckets. What peers hear includes the sibling process.
-UsageReport LoadBalancerImpl::MakeReport(bool fresh, bool to_mate) const {
+UsageReport LoadBalancerImpl::MakeReport(bool fresh, bool to_sibling) const {
   UsageReport report;
   report.fresh = fresh;
   report.rate = fleet_rate_.limits() ? fleet_rate_.rate_rps() : 0.0;
@@ -162,9 +150,9 @@
   report.hears_all = agreed_share_.hears_all();
   report.view = agreed_share_.view();
   for (const Worker& w : workers_) {
-    if (!full_mesh_ && !to_mate) break;  // a large tier gossips no slots
+    if (!full_mesh_ && !to_sibling) break;  // a large tier gossips no slots
     const double held = reservations_ ? reservations_->ReservedSlots(w.name) : 0.0;
-    const double slots = w.slots_in_flight + held + (to_mate ? 0.0 : w.sibling_slots_in_flight);
+    const double slots = w.slots_in_flight + held + (to_sibling ? 0.0 : w.sibling_slots_in_flight);
     if (slots > 0)
       report.slots_in_flight.emplace_back(Tag(w), static_cast<int>(std::lround(slots)));
   }
@@ -174,12 +162,12 @@
 // All datagrams of a report are sent at once: what is computed from the rates
 // (kPeerTimeoutReports, the hold of AgreedShare, the weights of a large tier's means) assumes
 // them to be no older than one interval. `counts` is empty where they have been sent already.
-void LoadBalancerImpl::SendReport(const std::vector<int>& whom, bool fresh,
+void LoadBalancerImpl::SendReport(const std::vector<int>& recipients, bool fresh,
                                   std::vector<UsageReport::Usage> counts) {
   UsageReport report = MakeReport(fresh, false);
   report.usage = std::move(counts);
   const std::vector<std::string> datagrams = EncodeReport(report, layout_);
-  for (const int peer : whom) {
+  for (const int peer : recipients) {
     for (const std::string& datagram : datagrams)
       actions_->push_back(SendPeerMessage{peer, datagram});
   }
