--- a/src/balancing/admission.cpp
+++ b/src/balancing/admission.cpp
@@ -12,7 +12,7 @@
 
 void LoadBalancerImpl::On(const RequestArrived& e) {
   if (e.cls < 0 || e.cls >= class_count_ || jobs_.contains(e.id)) return;
-  Job job = MakeJob(e, tenant_count_, worker_index_);
+  Job job = MakeJob(e, tenant_count_, workers_);
   job.max_attempts = settings_.max_attempts;
   estimates_.OnRequest(job);
   // A new bucket is reported at once.
--- a/src/balancing/attempts.cpp
+++ b/src/balancing/attempts.cpp
@@ -47,7 +47,7 @@
   const int index = PickWorker(job, scope.anchor);
   job.found_worker = -1;
   if (index < 0) return waits && WaitForCapacity(job);
-  const Forecast forecast = ForecastFor(job, workers_[Idx(index)]);
+  const Forecast forecast = ForecastFor(job, workers_[index]);
   // While the tier is full, a first attempt that must wait and end late even at the best worker
   // makes the queue longer for all behind it. Rejected unsent, it may find capacity on its return.
   if (fleet_rate_.tier_full() && job.attempts.empty() && forecast.no_capacity && !waits &&
@@ -65,12 +65,12 @@
   job.impossible = candidate.impossible;
   if (candidate.impossible) return false;
   if (candidate.worker.empty()) return WaitForCapacity(job);
-  job.found_worker = worker_index_.find(candidate.worker)->second;
+  job.found_worker = workers_.Find(candidate.worker);
   return true;
 }
 
 void LoadBalancerImpl::StartAttempt(Job& job, int index, const Forecast& forecast) {
-  Worker& w = workers_[Idx(index)];
+  Worker& w = workers_[index];
   if (WarmingUp(w)) {
     w.slow_start_tokens = std::min(1.0, SlowStartTokens(w) - SlowStartCost(job));
     w.slow_start_tokens_at = now_;
@@ -119,7 +119,7 @@
   const auto it = jobs_.find(e.id);
   if (it == jobs_.end() || !std::exchange(it->second.awaiting_capacity, false)) return;
   if (!e.worker.empty()) {
-    it->second.found_worker = worker_index_.find(e.worker)->second;
+    it->second.found_worker = workers_.Find(e.worker);
     PlaceJob(it->second);
   }
   FinishIfIdle(it->second);
@@ -158,7 +158,7 @@
   Job* job = nullptr;
   Attempt* a = FindAttempt(e.id, e.attempt, &job);
   if (a == nullptr || !a->open) return;  // a duplicate event, or of a job that is over
-  Worker& w = workers_[Idx(a->worker)];
+  Worker& w = workers_[a->worker];
   a->open = false;
   w.OnEnded(job->slots, job->memory, now_);
   if (e.has_report) OnLoadReport(w, e.report);
@@ -176,7 +176,7 @@
 }
 
 void LoadBalancerImpl::LearnFromOutcome(Job& job, Attempt& a, AttemptStatus status) {
-  Worker& w = workers_[Idx(a.worker)];
+  Worker& w = workers_[a.worker];
   switch (status) {
     case AttemptStatus::kSucceeded:
       OnAttemptSucceeded(job, a);
@@ -207,7 +207,7 @@
 }
 
 void LoadBalancerImpl::OnAttemptSucceeded(Job& job, const Attempt& a) {
-  Worker& w = workers_[Idx(a.worker)];
+  Worker& w = workers_[a.worker];
   w.heard_at = now_;
   w.probation = false;
   w.ejection_s = 0;
@@ -236,7 +236,7 @@
   Job* job = nullptr;
   Attempt* a = FindAttempt(id, attempt, &job);
   if (a == nullptr) return;
-  Worker& w = workers_[Idx(a->worker)];
+  Worker& w = workers_[a->worker];
   w.heard_at = now_;
   if (a->started_at >= 0 || !a->open) return;
   a->started_at = now_;
@@ -267,7 +267,7 @@
 // The job found no capacity at a worker. Only a warm, ready worker that could hold the job says
 // something about the tier; one full worker says little while others have capacity, two say more.
 void LoadBalancerImpl::OnBlocked(Job& job, Attempt& a, bool full, bool late) {
-  Worker& w = workers_[Idx(a.worker)];
+  Worker& w = workers_[a.worker];
   if (!a.blocked) w.slot_limit = std::max(1.0, (w.slot_limit + a.slots_before) / 2);
   a.blocked = true;
   const bool holds = SlotsOf(w) == 0 || job.slots <= SlotsOf(w);
--- a/src/balancing/job.h
+++ b/src/balancing/job.h
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "balancing/support.h"
+#include "balancing/worker_table.h"
 #include "millethollow/balancing/load_balancer.h"
 
 namespace millethollow::balancing {
@@ -57,6 +58,12 @@
   bool MayHaveRun() const {
     return Any([](const Attempt& a) { return a.may_have_run; });
   }
+  // The worker's index is in use by this job.
+  bool Names(int worker) const {
+    return slow_start_worker == worker || found_worker == worker ||
+           std::find(probed.begin(), probed.end(), worker) != probed.end() ||
+           Any([worker](const Attempt& a) { return a.worker == worker; });
+  }
   // Where `unless_rejected`, attempts that surely have not run do not count.
   bool WasTriedAt(int worker, bool unless_rejected) const {
     return Any([&](const Attempt& a) {
@@ -65,9 +72,8 @@
   }
 };
 
-// `workers` maps names to indices. The digest covers all that is known of a job but its id.
-template <typename Index>
-Job MakeJob(const RequestArrived& e, int tenants, const Index& workers) {
+// The digest covers all that is known of a job but its id.
+inline Job MakeJob(const RequestArrived& e, int tenants, const WorkerTable& workers) {
   Job job;
   job.id = e.id;
   job.class_index = e.cls;
@@ -81,9 +87,7 @@
                    Mix(std::bit_cast<std::uint64_t>(job.slots + 1e3 * job.size_hint_s),
                        static_cast<std::uint64_t>(job.tenant << 8 | job.class_index)));
   for (const PreviousAttempt& t : e.previous_attempts) {
-    const auto it = workers.find(t.worker);
-    const int worker = it == workers.end() ? -1 : it->second;
-    job.attempts.push_back({.worker = worker, .sent_at = t.sent_at, .open = false});
+    job.attempts.push_back({.worker = workers.Find(t.worker), .sent_at = t.sent_at, .open = false});
   }
   return job;
 }
--- a/src/balancing/load_balancer_impl.cpp
+++ b/src/balancing/load_balancer_impl.cpp
@@ -12,7 +12,7 @@
 LoadBalancerImpl::LoadBalancerImpl(const Settings& settings, std::uint64_t seed)
     : settings_(settings),
       random_(seed),
-      pools_(settings_.kinds, settings_.zones),
+      workers_(settings_.kinds, settings_.zones),
       estimates_(settings_.kinds, settings_.zones) {
   SizeForSettings();
   full_mesh_ = settings_.dispatcher_count - 1 <= kMaxFullMeshPeers;
@@ -59,7 +59,7 @@
 
 std::vector<WorkerView> LoadBalancerImpl::WorkerViews() const {
   std::vector<WorkerView> views;
-  views.reserve(workers_.size());
+  views.reserve(Idx(workers_.size()));
   for (const Worker& w : workers_) {
     views.push_back(
         {.worker = w.name,
--- a/src/balancing/load_balancer_impl.h
+++ b/src/balancing/load_balancer_impl.h
@@ -19,6 +19,7 @@
 #include "balancing/peer_usage.h"
 #include "balancing/support.h"
 #include "balancing/worker.h"
+#include "balancing/worker_table.h"
 #include "millethollow/balancing/load_balancer.h"
 
 namespace millethollow::balancing {
@@ -40,9 +41,8 @@
   }
 
   bool Excludes(std::string_view worker) const {
-    const auto it = worker_index_.find(worker);
-    return it == worker_index_.end() || !workers_[Idx(it->second)].ready ||
-           workers_[Idx(it->second)].ejected;
+    const int index = workers_.Find(worker);
+    return index < 0 || !workers_[index].ready || workers_[index].ejected;
   }
 
   void SetCapacityReservations(CapacityReservations* reservations) { reservations_ = reservations; }
@@ -73,7 +73,7 @@
   void On(const PeerMessage& e);
   static std::uint16_t Tag(const Worker& w) { return static_cast<std::uint16_t>(w.hash); }
   void UpdatePeerSlots() {
-    peers_.SumSlotsInFlight(&workers_, now_ - kPeerTimeoutReports * report_interval_s_);
+    peers_.SumSlotsInFlight(workers_.all(), now_ - kPeerTimeoutReports * report_interval_s_);
     ++version_;
   }
   void On(const SiblingProcess& e);
@@ -100,7 +100,7 @@
 
   // Placement (placement.cpp, forecast.cpp) and probing (probing.cpp).
   const std::vector<int>& Selectable(int kind, int zone) const {
-    return pools_.Workers(kind, zone);
+    return workers_.Selectable(kind, zone);
   }
   void RebuildPools();
   double ExpectedRun(const Job& job) const {
@@ -173,7 +173,7 @@
   void PollIn(double span);
   void On(const TimerFired& e);
   void On(const EndpointsUpdated& e);
-  int AddWorker(const std::string& name, std::vector<char>* listed);
+  int AddWorker(const std::string& name);
   void SizeForSettings();
   void On(const SettingsChanged& e);
   void ResetHealth(Worker& w);
@@ -200,14 +200,11 @@
   // Fleet rate.
   FleetRateLimiter fleet_rate_;
   // Workers.
-  std::vector<Worker> workers_;
-  TextMap<int> worker_index_;
-  WorkerPools pools_;
+  WorkerTable workers_;
   CapacityReservations* reservations_ = nullptr;
   std::uint64_t version_ = 0;  // of all that WorkerViews returns
-  int ready_count_ = 0, ejected_count_ = 0;
-  double mean_slot_limit_ = 1, worker_rate_rps_ = 0, max_throughput_ = 1, mean_throughput_ = 1;
-  std::uint64_t pool_version_ = 0, preferred_workers_version_ = 0;
+  double worker_rate_rps_ = 0, max_throughput_ = 1, mean_throughput_ = 1;
+  std::uint64_t preferred_workers_version_ = 0;
   std::unordered_map<std::uint64_t, std::vector<int>> preferred_workers_;
   std::vector<std::pair<std::uint64_t, int>>
       rank_scratch_;  // PreferredWorkers's, kept for its capacity
--- a/src/balancing/outlier_detection.cpp
+++ b/src/balancing/outlier_detection.cpp
@@ -14,12 +14,12 @@
 constexpr double kGroupFailureKeep = 0.75;
 
 void LoadBalancerImpl::Eject(int index) {
-  Worker& w = workers_[Idx(index)];
+  Worker& w = workers_[index];
   estimates_.GroupSuccess(w) *= kGroupFailureKeep;
   if (w.ejected) return;
   w.ejection_s = std::clamp(w.ejection_s * 2, kBaseEjectionS, kMaxEjectionS);
   // Never most of the fleet: then the endpoint list is the better guide.
-  if (ejected_count_ + 1 > kMaxEjectedShare * ready_count_) return;
+  if (workers_.ejected_count() + 1 > kMaxEjectedShare * workers_.ready_count()) return;
   w.ejected = true;
   w.probation = false;
   w.ejected_until = now_ + w.ejection_s * (0.8 + 0.4 * random_.Unit());
--- a/src/balancing/overdue_attempts.cpp
+++ b/src/balancing/overdue_attempts.cpp
@@ -30,7 +30,7 @@
     job->shed = true;
     return CancelOpenAttempts(*job, false);
   }
-  Worker& w = workers_[Idx(a->worker)];
+  Worker& w = workers_[a->worker];
   const double silence_s =
       std::max({kOverdueFactor * ExpectedRun(*job),
                 kProgressIntervals * settings_.progress_interval_s, kMinSilenceS});
@@ -42,7 +42,7 @@
 }
 
 void LoadBalancerImpl::OnStartOverdue(Job& job, Attempt& a, double age_s) {
-  Worker& w = workers_[Idx(a.worker)];
+  Worker& w = workers_[a.worker];
   estimates_.OnStartWait(std::max(age_s, StartWaitOf(w)), now_, &w);
   // An ejected or slow worker says nothing about the tier.
   const bool late = !w.ejected && age_s > ClassOf(job.class_index).latency_objective_s &&
@@ -59,7 +59,7 @@
 // it ends late too. No more of it than starts: where none start, cancelling ends nothing.
 bool LoadBalancerImpl::MayShed(const Job& job, const Attempt& a, double age_s) const {
   return fleet_rate_.tier_full() && may_shed_queued_ && !job.ended && !job.Running() &&
-         shed_budget_ >= 1 && WouldEndLate(job, workers_[Idx(a.worker)], age_s);
+         shed_budget_ >= 1 && WouldEndLate(job, workers_[a.worker], age_s);
 }
 
 // Sends a hedged request, beyond the budget only where the attempt's worker is lost. Where hedging
--- a/src/balancing/placement.cpp
+++ b/src/balancing/placement.cpp
@@ -21,15 +21,15 @@
 // Whether the job may go to the worker at all. `anchor` is a worker whose deduplication group it
 // has to stay in, -1: none.
 bool LoadBalancerImpl::Allowed(const Job& job, int index, int anchor) const {
-  const Worker& w = workers_[Idx(index)];
+  const Worker& w = workers_[index];
   if (!w.ready) return false;
   if (w.probation && (w.slots_in_flight > 0 ||
                       ClassOf(job.class_index).idempotency == Idempotency::kNotIdempotent))
     return false;
   // Where jobs wait for capacity, one may return to a worker that rejected it.
   if (job.WasTriedAt(index, reservations_ != nullptr)) return false;
-  if (anchor >= 0 && !InSameDeduplicationGroup(ClassOf(job.class_index).deduplication_scope,
-                                               workers_[Idx(anchor)], w))
+  if (anchor >= 0 &&
+      !InSameDeduplicationGroup(ClassOf(job.class_index).deduplication_scope, workers_[anchor], w))
     return false;
   if (!WarmingUp(w) || sibling_.draining) return !WarmingUp(w);
   return full_mesh_ ? SlowStartTokens(w) >= SlowStartCost(job)
@@ -61,8 +61,8 @@
   int w = -1;
   for (int i = 0; i < 4; ++i) {
     w = from[random_.Below(from.size())];
-    if (random_.Unit() < ThroughputOf(workers_[Idx(w)]) *
-                             estimates_.GroupSuccess(workers_[Idx(w)]) / max_throughput_)
+    if (random_.Unit() <
+        ThroughputOf(workers_[w]) * estimates_.GroupSuccess(workers_[w]) / max_throughput_)
       break;
   }
   return w;
@@ -76,11 +76,10 @@
   double best_score = kInf;
   const auto look = [&](int w, int rank) {
     if (!Allowed(job, w, anchor)) return;
-    if (reservations_ && anchor < 0 &&
-        !reservations_->HasCapacityFor(job.id, workers_[Idx(w)].name))
+    if (reservations_ && anchor < 0 && !reservations_->HasCapacityFor(job.id, workers_[w].name))
       return;
     ++looked;
-    const double score = Score(job, workers_[Idx(w)], rank);
+    const double score = Score(job, workers_[w], rank);
     if (score < best_score) std::tie(best, best_score) = std::pair(w, score);
   };
   if (job.found_worker >= 0) look(job.found_worker, kNotPreferredRank);
@@ -111,15 +110,15 @@
 // The workers that a key prefers, by rendezvous (highest random weight) hashing: the same at all
 // dispatchers without coordination. Cached until the pools change.
 const std::vector<int>& LoadBalancerImpl::PreferredWorkers(std::uint64_t key, int kind) {
-  if (preferred_workers_version_ != pool_version_ || preferred_workers_.size() > 20000)
+  if (preferred_workers_version_ != workers_.pool_version() || preferred_workers_.size() > 20000)
     preferred_workers_.clear();
-  preferred_workers_version_ = pool_version_;
+  preferred_workers_version_ = workers_.pool_version();
   auto [it, fresh] =
       preferred_workers_.try_emplace(key * 31 + static_cast<std::uint64_t>(kind + 1));
   if (fresh) {
     rank_scratch_.clear();  // reused: most keys are new, and each would allocate
     for (const int w : Selectable(kind, -1))
-      rank_scratch_.emplace_back(Mix(key, workers_[Idx(w)].hash), w);
+      rank_scratch_.emplace_back(Mix(key, workers_[w].hash), w);
     const auto n = std::min<std::size_t>(kPreferredWorkers, rank_scratch_.size());
     std::partial_sort(rank_scratch_.begin(), rank_scratch_.begin() + static_cast<std::ptrdiff_t>(n),
                       rank_scratch_.end());
--- a/src/balancing/probing.cpp
+++ b/src/balancing/probing.cpp
@@ -50,8 +50,8 @@
     const int w = drawn && i == 0 ? job.slow_start_worker : SampleWorker(home ? near : all);
     if (std::count(job.probed.begin(), job.probed.end(), w) > 0 || !Allowed(job, w, -1)) continue;
     job.probed.push_back(w);
-    workers_[Idx(w)].probed_at = now_;
-    actions_->push_back(Probe{workers_[Idx(w)].name});
+    workers_[w].probed_at = now_;
+    actions_->push_back(Probe{workers_[w].name});
   }
   job.probes_awaited = static_cast<int>(job.probed.size() - job.probe_round_begin);
   if (job.probes_awaited == 0) return false;
@@ -61,19 +61,19 @@
 }
 
 void LoadBalancerImpl::On(const ProbeAnswered& e) {
-  const auto it = worker_index_.find(e.worker);
-  if (it == worker_index_.end()) return;
-  Worker& w = workers_[Idx(it->second)];
+  const int index = workers_.Find(e.worker);
+  if (index < 0) return;
+  Worker& w = workers_[index];
   const bool silent = e.status == AttemptStatus::kNoResponse ||
                       e.status == AttemptStatus::kConnectFailed ||
                       e.status == AttemptStatus::kConnectionLost;
   if (!silent && e.status != AttemptStatus::kNotSent) w.heard_at = now_;
-  if (silent && w.heard_at < w.probed_at) Eject(it->second);
+  if (silent && w.heard_at < w.probed_at) Eject(index);
   if (e.has_report) OnLoadReport(w, e.report);
   for (const std::string& id : std::vector<std::string>(jobs_awaiting_probes_)) {
     Job& job = jobs_.find(id)->second;
     const auto now_asked = job.probed.begin() + static_cast<std::ptrdiff_t>(job.probe_round_begin);
-    if (std::count(now_asked, job.probed.end(), it->second) == 0) continue;
+    if (std::count(now_asked, job.probed.end(), index) == 0) continue;
     if (--job.probes_awaited == 0) OnProbesAnswered(id);
   }
 }
@@ -83,7 +83,7 @@
   if (std::erase(jobs_awaiting_probes_, id) == 0) return;
   Job& job = jobs_.find(id)->second;
   const auto has_room = [&](int w) {
-    const Worker& worker = workers_[Idx(w)];
+    const Worker& worker = workers_[w];
     return now_ - worker.reported_at < kLoadReportFreshS && !ForecastFor(job, worker).no_capacity;
   };
   if (!full_mesh_ && job.probe_round_begin == 0 && job.probed[0] != job.slow_start_worker) {
@@ -95,9 +95,7 @@
     // While the whole tier is full the job would end late, and so would all that wait behind it:
     // queues at workers stay full for long afterwards. Rejected unsent, it may find capacity when
     // it returns.
-    const auto is_fresh = [&](int w) {
-      return now_ - workers_[Idx(w)].reported_at < kLoadReportFreshS;
-    };
+    const auto is_fresh = [&](int w) { return now_ - workers_[w].reported_at < kLoadReportFreshS; };
     if (std::ranges::count_if(job.probed, is_fresh) >= kMinProbedFull &&
         ProbedFreeShare(1) < kFreeShareNotFull) {
       full_signals_ += 1;
--- a/src/balancing/slow_start.cpp
+++ b/src/balancing/slow_start.cpp
@@ -46,7 +46,7 @@
   job.slow_start_worker = -1;
   if (full_mesh_ || all.empty()) return;
   const int index = all[random_.Below(all.size())];
-  const Worker& w = workers_[Idx(index)];
+  const Worker& w = workers_[index];
   if (!WarmingUp(w)) return;
   if (random_.Unit() < SlowStartShare(w) * ThroughputOf(w) / mean_throughput_)
     job.slow_start_worker = index;
--- a/src/balancing/state_transfer.h
+++ b/src/balancing/state_transfer.h
@@ -22,7 +22,8 @@
       b.estimates_.class_hint_fit_, b.estimates_.prompt_starts_, b.estimates_.class_run_time_,
       b.admission_.buckets_, b.estimates_.kind_pace_, b.estimates_.kind_slots_,
       b.estimates_.kind_max_slots_, b.estimates_.group_wait_s_, b.estimates_.group_success_,
-      b.mean_slot_limit_, b.hedge_budget_, b.hedges_per_attempt_, b.shed_budget_, b.workers_);
+      b.workers_.mean_slot_limit_, b.hedge_budget_, b.hedges_per_attempt_, b.shed_budget_,
+      b.workers_.workers_);
   }
 
   template <typename LoadBalancerImpl>
@@ -65,8 +66,8 @@
     other.estimates_.class_run_time_ = std::move(run);
     other.estimates_.class_hint_fit_ = std::move(hinted);
     other.admission_.buckets_ = std::move(buckets);
-    for (std::size_t w = 0; w < other.workers_.size(); ++w) {
-      other.worker_index_.emplace(other.workers_[w].name, static_cast<int>(w));
+    for (int w = 0; w < other.workers_.size(); ++w) {
+      other.workers_.index_.emplace(other.workers_[w].name, w);
     }
     *balancer = std::move(other);
     return true;
--- a/src/balancing/usage_exchange.cpp
+++ b/src/balancing/usage_exchange.cpp
@@ -26,7 +26,7 @@
   const double sent = std::max(own_rates_[Idx(tenant_count_)],
                                full_mesh_ ? 0.0 : tier_mean_rates_[Idx(tenant_count_)]);
   worker_rate_rps_ = WorkerRate(std::max(worker_rate_rps_ * std::exp(-sample_s / kWorkerRateDecayS),
-                                         sent / std::max(1, ready_count_)));
+                                         sent / std::max(1, workers_.ready_count())));
   has_measured_ = true;
   if (sibling_.present) NotifySibling();
   if (settings_.peers && settings_.dispatcher_count > 1 && !sibling_.draining) {
@@ -209,7 +209,7 @@
 }
 
 double LoadBalancerImpl::WorkerRate(double mine) {
-  return agreed_share_.WorkerRate(mine, heard_sends_rps_ / std::max(1, ready_count_),
+  return agreed_share_.WorkerRate(mine, heard_sends_rps_ / std::max(1, workers_.ready_count()),
                                   Idx(tenant_count_));
 }
 
