--- a/src/balancing/admission.cpp
+++ b/src/balancing/admission.cpp
@@ -6,7 +6,6 @@
 
 namespace millethollow::balancing {
 
-constexpr double kHedgeRiseStep = 0.01;  // added to the hedges per attempt with each rise
 constexpr double kMaxReserveLoss = 0.2;  // of a class's work, for one that capacity is reserved for
 constexpr double kMinWork = 1e-9;
 
@@ -53,11 +52,8 @@
              .sample_s = sample_s,
              .sample_scale = full_mesh_ ? 1.0 : settings_.dispatcher_count * kOwnSampleWeight,
              .rise_s = full_mesh_ ? report_interval_s_ : sample_s});
-  if (change.cut) hedges_per_attempt_ /= 2;
-  if (!fleet_rate_.tier_full() && load_unreported_) {
-    hedges_per_attempt_ =
-        std::min((hedges_per_attempt_ + kHedgeRiseStep) * change.rise_factor, kMaxHedgesPerAttempt);
-  }
+  if (change.cut) hedge_budget_.OnRateCut();
+  if (!fleet_rate_.tier_full() && load_unreported_) hedge_budget_.OnRateRise(change.rise_factor);
   const std::vector<double> rates =
       DivideFleetRate(fleet_rate_.rate_rps(), load.guaranteed_rps, settings_.tenants, tier);
   for (int t = 0; t < tenant_count_; ++t) {
--- a/src/balancing/attempts.cpp
+++ b/src/balancing/attempts.cpp
@@ -8,13 +8,11 @@
 
 constexpr double kSlotLimitStep = 0.1;  // rise of a worker's limit after a success at the limit
 constexpr double kDeduplicationWindowUse = 0.9;  // of the window: clocks and queues differ
-constexpr double kMaxHedgeBudget = 3.0;
 constexpr double kMinOverdueS = 0.02;
 constexpr double kStartOverdueShare = 0.6;  // of the latency objective, without notice of a start
 constexpr double kStartNoticeTicks = 4;     // a notice of a start takes so long at least
 constexpr double kRejectBeforeExpiryS =
-    0.15;                                // a job that waits is rejected so long before it expires
-constexpr double kMaxShedBudget = 10.0;  // queued jobs that may be cancelled, one for each start
+    0.15;  // a job that waits is rejected so long before it expires
 
 // Where a further attempt may go: at-most-once and deduplication rules of the job's class.
 LoadBalancerImpl::RetryScope LoadBalancerImpl::RetryScopeOf(const Job& job) const {
@@ -87,7 +85,7 @@
     OnBlocked(job, attempt, false, true);
   }
   sends_since_report_ += job.attempts.size() == 1;
-  hedge_budget_ = std::min(kMaxHedgeBudget, hedge_budget_ + hedges_per_attempt_);
+  hedge_budget_.OnAttempt();
   actions_->push_back(SendAttempt{job.id, w.name, 0});
   CheckAt(now_ + std::max(OverdueAfter(job), kMinOverdueS), job.id,
           static_cast<int>(job.attempts.size()) - 1);
@@ -218,7 +216,7 @@
   if (!full_mesh_) ShareRunSample(job, w, sample);
   if (!a.blocked && a.slots_before + job.slots >= w.slot_limit) w.slot_limit += kSlotLimitStep;
   job.ended = true;
-  if (!settings_.workers_notify_start) shed_budget_ = std::min(shed_budget_ + 1, kMaxShedBudget);
+  if (!settings_.workers_notify_start) shed_budget_.OnStart();
 }
 
 void LoadBalancerImpl::On(const RequestCancelled& e) {
@@ -241,7 +239,7 @@
   if (a->started_at >= 0 || !a->open) return;
   a->started_at = now_;
   estimates_.OnStartWait(now_ - a->sent_at, now_, &w);
-  shed_budget_ = std::min(shed_budget_ + 1, kMaxShedBudget);
+  shed_budget_.OnStart();
   if (a->had_free_slot) {
     estimates_.OnPromptStart(now_ - a->sent_at < kStartNoticeTicks * settings_.tick_s);
   }
--- a/src/balancing/constants.h
+++ b/src/balancing/constants.h
@@ -21,9 +21,6 @@
     0.1;  // after this, usage reports and own attempts say more than a load report
 constexpr double kGroupSuccessMin = 0.3;  // below it, other groups are preferred
 constexpr double kOverdueCheckS = 0.1;    // longest time between two looks at overdue attempts
-// Hedged requests per attempt where load is never reported: there a hedge is the only way to a
-// free slot. Controlled by AIMD, since nothing says whether a cancel ends queued work.
-constexpr double kMaxHedgesPerAttempt = 1.0;
 constexpr std::uint64_t kReportTimer = 1, kOverdueTimer = 2,
                         kPollTimer = 3;  // identifiers of timers
 
--- a/src/balancing/load_balancer_impl.cpp
+++ b/src/balancing/load_balancer_impl.cpp
@@ -28,7 +28,7 @@
   peers_.rows.resize(full_mesh_ && settings_.peers ? Idx(settings_.dispatcher_count) : 0);
   load_unreported_ =
       settings_.workers_notify_start && settings_.load_report_source == LoadReportSource::kOff;
-  hedges_per_attempt_ = load_unreported_ ? kMaxHedgesPerAttempt : 0.0;
+  hedge_budget_.SetPerAttempt(load_unreported_ ? HedgeBudget::kMaxPerAttempt : 0.0);
   may_shed_queued_ =
       settings_.cancel &&
       (settings_.workers_notify_start ? load_unreported_
--- a/src/balancing/load_balancer_impl.h
+++ b/src/balancing/load_balancer_impl.h
@@ -14,6 +14,7 @@
 #include "balancing/agreed_share.h"
 #include "balancing/constants.h"
 #include "balancing/fleet_rate_limiter.h"
+#include "balancing/hedge_budget.h"
 #include "balancing/job.h"
 #include "balancing/load_estimates.h"
 #include "balancing/peer_usage.h"
@@ -217,8 +218,8 @@
   std::priority_queue<OverdueCheck, std::vector<OverdueCheck>, std::greater<>> overdue_checks_;
   std::vector<std::string> jobs_awaiting_probes_;
   std::uint64_t next_check_order_ = 0;
-  double hedge_budget_ = 0, hedges_per_attempt_ = 0,
-         shed_budget_ = 0;  // hedged requests and cancels that are allowed now
+  HedgeBudget hedge_budget_;
+  ShedBudget shed_budget_;
   bool may_shed_queued_ = false, load_unreported_ = false;  // only starts are reported, never load
   bool check_timer_set_ = false, subscribed_ = false;
   double poll_at_ = kInf;
--- a/src/balancing/overdue_attempts.cpp
+++ b/src/balancing/overdue_attempts.cpp
@@ -26,7 +26,7 @@
   const double age_s = now_ - a->sent_at;
   if (settings_.workers_notify_start && a->started_at < 0) OnStartOverdue(*job, *a, age_s);
   if (MayShed(*job, *a, age_s)) {
-    shed_budget_ -= 1;
+    shed_budget_.Spend();
     job->shed = true;
     return CancelOpenAttempts(*job, false);
   }
@@ -59,15 +59,15 @@
 // it ends late too. No more of it than starts: where none start, cancelling ends nothing.
 bool LoadBalancerImpl::MayShed(const Job& job, const Attempt& a, double age_s) const {
   return fleet_rate_.tier_full() && may_shed_queued_ && !job.ended && !job.Running() &&
-         shed_budget_ >= 1 && WouldEndLate(job, workers_[a.worker], age_s);
+         shed_budget_.Available() && WouldEndLate(job, workers_[a.worker], age_s);
 }
 
 // Sends a hedged request, beyond the budget only where the attempt's worker is lost. Where hedging
 // is off, a lost attempt is cancelled, so that it can be retried.
 void LoadBalancerImpl::HedgeOrCancel(Job& job, int attempt, bool lost) {
-  if (job.ended || job.shed || (!lost && hedge_budget_ < 1)) return;
+  if (job.ended || job.shed || (!lost && !hedge_budget_.Available())) return;
   if (settings_.allow_hedging) {
-    if (PlaceJob(job) && !lost) hedge_budget_ -= 1;
+    if (PlaceJob(job) && !lost) hedge_budget_.Spend();
   } else if (lost && settings_.cancel &&
              ClassOf(job.class_index).idempotency != Idempotency::kNotIdempotent) {
     actions_->push_back(CancelAttempt{job.id, attempt});
--- a/src/balancing/state_transfer.h
+++ b/src/balancing/state_transfer.h
@@ -22,8 +22,8 @@
       b.estimates_.class_hint_fit_, b.estimates_.prompt_starts_, b.estimates_.class_run_time_,
       b.admission_.buckets_, b.estimates_.kind_pace_, b.estimates_.kind_slots_,
       b.estimates_.kind_max_slots_, b.estimates_.group_wait_s_, b.estimates_.group_success_,
-      b.workers_.mean_slot_limit_, b.hedge_budget_, b.hedges_per_attempt_, b.shed_budget_,
-      b.workers_.workers_);
+      b.workers_.mean_slot_limit_, b.hedge_budget_.available_, b.hedge_budget_.per_attempt_,
+      b.shed_budget_.available_, b.workers_.workers_);
   }
 
   template <typename LoadBalancerImpl>
