--- a/tests/load_balancer_test.cpp
+++ b/tests/load_balancer_test.cpp
@@ -13,8 +13,8 @@
 #include <tuple>
 #include <vector>
 
-#include "balancing/worker.h"
 #include "balancing/support.h"
+#include "balancing/worker.h"
 
 namespace millethollow::balancing {
 namespace {
