--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -206,7 +206,7 @@
     }
   }
   EXPECT_EQ(whole.rates, sample.rates);
-  EXPECT_EQ(whole.out, sample.out);
+  EXPECT_EQ(whole.slots_in_flight, sample.slots_in_flight);
   for (std::size_t u = 0; u < whole.usage.size(); ++u) {
     EXPECT_EQ(whole.usage[u].bucket, sample.usage[u].bucket);
     EXPECT_EQ(whole.usage[u].allowed, sample.usage[u].allowed);
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -317,7 +317,7 @@
   report.view = 41;
   for (std::size_t i = 0; i < layout.size(); ++i)
     report.rates.push_back(0.5 + static_cast<double>(i));
-  report.out = {{0x1234, 3}, {0xfedc, 17}};
+  report.slots_in_flight = {{0x1234, 3}, {0xfedc, 17}};
   report.usage = {{.bucket = 1, .allowed = 4, .denied = 2},
                   {.bucket = 2, .allowed = 0, .denied = 9}};
   return report;
