--- a/src/copies/records.cpp
+++ b/src/copies/records.cpp
@@ -1,6 +1,6 @@
 #include "copies/records.h"
 
-#include "codec/fields.h"
+#include "encoding/fields.h"
 
 namespace millethollow::copies {
 namespace {
@@ -16,7 +16,9 @@
 
 std::string LogPrefix(LogId log) { return Digits(log) + "/"; }
 std::string HeadKey(LogId log) { return LogPrefix(log) + "h/"; }
-std::string OpKey(LogId log, Seq seq) { return LogPrefix(log) + "o/" + Digits(seq); }
+std::string OperationKey(LogId log, SequenceNumber seq) {
+  return LogPrefix(log) + "o/" + Digits(seq);
+}
 std::string EntryPrefix(LogId log, std::uint64_t filling) {
   return LogPrefix(log) + "e/" + Digits(filling) + "/";
 }
@@ -24,9 +26,9 @@
   return EntryPrefix(log, filling) + std::string(key);
 }
 
-std::optional<KeyParts> Split(std::string_view key) {
+std::optional<StoreKey> ParseStoreKey(std::string_view key) {
   if (key.size() < 19 || key[16] != '/' || key[18] != '/') return std::nullopt;
-  KeyParts parts{.log = 0, .what = key[17], .rest = key.substr(19)};
+  StoreKey parts{.log = 0, .type = key[17], .rest = key.substr(19)};
   for (const char c : key.substr(0, 16)) {
     const bool digit = c >= '0' && c <= '9';
     if (!digit && (c < 'a' || c > 'f')) return std::nullopt;
@@ -35,8 +37,8 @@
   return parts;
 }
 
-std::string Encode(const Head& h) {
-  codec::Writer w;
+std::string Encode(const LogHead& h) {
+  encoding::Writer w;
   w.Number(1, h.applied);
   w.Number(2, h.applied_epoch);
   w.Number(3, h.epoch);
@@ -44,9 +46,9 @@
   return w.Take();
 }
 
-std::optional<Head> DecodeHead(std::string_view bytes) {
-  Head h;
-  codec::Reader r(bytes);
+std::optional<LogHead> DecodeLogHead(std::string_view bytes) {
+  LogHead h;
+  encoding::Reader r(bytes);
   while (r.Next()) {
     if (r.field() == 1) h.applied = r.Raw<std::uint64_t>();
     if (r.field() == 2) h.applied_epoch = r.Raw<std::uint64_t>();
@@ -56,8 +58,8 @@
   return r.ok() ? std::optional(h) : std::nullopt;
 }
 
-std::string Encode(const Op& op) {
-  codec::Writer w;
+std::string Encode(const Operation& op) {
+  encoding::Writer w;
   w.Number(1, op.seq);
   w.Number(2, op.epoch);
   w.Text(3, op.key);
@@ -66,9 +68,9 @@
   return w.Take();
 }
 
-std::optional<Op> DecodeOp(std::string_view bytes) {
-  Op op;
-  codec::Reader r(bytes);
+std::optional<Operation> DecodeOperation(std::string_view bytes) {
+  Operation op;
+  encoding::Reader r(bytes);
   while (r.Next()) {
     if (r.field() == 1) op.seq = r.Raw<std::uint64_t>();
     if (r.field() == 2) op.epoch = r.Raw<std::uint64_t>();
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -19,7 +19,7 @@
 #include "config/config.h"
 #include "net/handover/handover.h"
 #include "net/handover/succession.h"
-#include "store/copy_store.h"
+#include "store/record_store.h"
 #include "store/vote_file.h"
 #include "support/compatibility_samples.h"
 #include "support/compatibility_settings.h"
@@ -234,12 +234,12 @@
   EXPECT_EQ(copies::Encode(SampleKey()), old.at("key"));
   EXPECT_EQ(codec::Encode(SampleVotes()), old.at("votes"));
   EXPECT_EQ(copies::HeadKey(0xabc01), old.at("store-key-head"));
-  EXPECT_EQ(copies::OpKey(0xabc01, 41), old.at("store-key-operation"));
+  EXPECT_EQ(copies::OperationKey(0xabc01, 41), old.at("store-key-operation"));
   EXPECT_EQ(copies::EntryKey(0xabc01, 2, "H:a:1"), old.at("store-key-entry"));
-  const auto head = copies::DecodeHead(old.at("head"));
-  const auto operation = copies::DecodeOp(old.at("operation"));
+  const auto head = copies::DecodeLogHead(old.at("head"));
+  const auto operation = copies::DecodeOperation(old.at("operation"));
   const auto job = copies::DecodeJob("H:a:1", old.at("job"));
-  const auto key = copies::DecodeKey(old.at("key"));
+  const auto key = copies::DecodeIdempotencyRecord(old.at("key"));
   const auto votes = codec::DecodeVoterState(old.at("votes"));
   ASSERT_TRUE(head && operation && job && key && votes);
   EXPECT_EQ(copies::Encode(*head), old.at("head"));
@@ -269,7 +269,7 @@
   EXPECT_GT(votes.writes, 0U);
   EXPECT_EQ(votes.accepted.members.size(), 3U);
   EXPECT_EQ(votes.accepted.logs.size(), 3U);
-  EXPECT_EQ(votes.storage_identities.size(), 2U);
+  EXPECT_EQ(votes.known_identities.size(), 2U);
   EXPECT_GT(votes.promised.round, 0U);
   const std::string before = Bytes("votes");
   file.Write(votes, 1);
@@ -278,29 +278,29 @@
 }
 
 TEST_F(MemberFolder, LogsAndWorkersOutByHandAreRead) {
-  store::CopyStore store;
+  store::RecordStore store;
   ASSERT_TRUE(store.Open(folder, {cluster, self, 1}, 16 << 20, Written(), &why)) << why;
   EXPECT_NE(store.disk(), 1U) << "the file was made anew";
-  store::CopyStore::Records records;
+  store::RecordStore::Records records;
   Lines damaged;
   ASSERT_TRUE(store.LoadLogs(&records, &damaged, &why)) << why;
   EXPECT_EQ(damaged, Lines{});
   std::size_t heads = 0, operations = 0;
-  std::map<copies::LogId, copies::Head> logs;
+  std::map<copies::LogId, copies::LogHead> logs;
   for (const auto& [key, value] : records) {
-    const auto parts = copies::Split(key);
+    const auto parts = copies::ParseStoreKey(key);
     ASSERT_TRUE(parts);
-    if (parts->what == 'h') {
-      const auto head = copies::DecodeHead(value);
+    if (parts->type == 'h') {
+      const auto head = copies::DecodeLogHead(value);
       ASSERT_TRUE(head);
       EXPECT_EQ(copies::Encode(*head), value);
       logs[parts->log] = *head;
       heads += 1;
     } else {
-      const auto operation = copies::DecodeOp(value);
+      const auto operation = copies::DecodeOperation(value);
       ASSERT_TRUE(operation);
       EXPECT_EQ(copies::Encode(*operation), value);
-      EXPECT_EQ(copies::OpKey(parts->log, operation->seq), key);
+      EXPECT_EQ(copies::OperationKey(parts->log, operation->seq), key);
       operations += 1;
     }
   }
@@ -312,7 +312,7 @@
     const std::string prefix = copies::EntryPrefix(log, head.filling);
     ASSERT_TRUE(store.Load(prefix, &records, &damaged, &why)) << why;
     for (const auto& [key, value] : records) {
-      const auto entry = copies::DecodeOp(value);
+      const auto entry = copies::DecodeOperation(value);
       ASSERT_TRUE(entry);
       EXPECT_EQ(copies::Encode(*entry), value);
       EXPECT_EQ(prefix + entry->key, key);
@@ -409,9 +409,9 @@
   EXPECT_EQ(claimed.classes, (Lines{"consulta-plan", "cobro-envio"}));
   ASSERT_EQ(claimed.known.size(), 2U);
   EXPECT_EQ(claimed.known[0].member.worker, "toy-0");
-  EXPECT_LT(claimed.known[0].out_since, 0);
+  EXPECT_LT(claimed.known[0].maintenance_since, 0);
   EXPECT_EQ(claimed.known[1].member.worker, "toy-1");
-  EXPECT_GT(claimed.known[1].out_since, 0);
+  EXPECT_GT(claimed.known[1].maintenance_since, 0);
   ASSERT_EQ(claimed.list.size(), 2U);
   EXPECT_EQ(claimed.list[0].address, "127.0.0.1:23405");
   EXPECT_EQ(claimed.ids.size(), 30U);
@@ -428,7 +428,7 @@
   config.admin.clear();
   config.handover = folder;
   Node node(config);
-  ASSERT_TRUE(node.Start(&why)) << why;
+  ASSERT_TRUE(IsOk(node.Start()));
   Loop loop;
   auto link =
       handover::Link::To(&loop, folder + "/millethollow-" + config.name + "-127.0.0.1:0.sock");
@@ -498,7 +498,7 @@
     replace("@WORKER1@", workers[1]->address());
     EXPECT_TRUE(ReadConfig(text, &config, &why)) << why;
     node = std::make_unique<Node>(config);
-    EXPECT_TRUE(node->Start(&why)) << why;
+    EXPECT_TRUE(IsOk(node->Start()));
   }
   ~OldNode() override { node.reset(); }
   template <typename Done>
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "balancing/usage_report.h"
-#include "copies/jobs.h"
-#include "copies/keys.h"
+#include "copies/durable_job_queue.h"
+#include "copies/idempotency_record.h"
 #include "copies/records.h"
 #include "core/request.h"
 #include "membership/membership_node.h"
@@ -57,106 +57,65 @@
 }
 
 // What every message of a voter carries.
-inline AgreementMessage FromVoter(AgreementMessage::Kind kind) {
-  AgreementMessage m;
-  m.kind = kind;
-  m.storage_identity = {.number = 2, .nonce = 0xfeed};
-  m.storage_identities = {{3, {.number = 2, .nonce = 0xfeed}}, {5, {.number = 1, .nonce = 0xbeef}}};
-  m.count = 12;
-  m.knows = membership::kKnowsLogs;
-  return m;
+inline membership::VoterHeader SampleVoter() {
+  return {.storage_identity = {.number = 2, .nonce = 0xfeed},
+          .known_identities = {{3, {.number = 2, .nonce = 0xfeed}},
+                               {5, {.number = 1, .nonce = 0xbeef}}},
+          .writes = 12,
+          .features = membership::kLogsFeature};
 }
 
 inline std::map<std::string, AgreementMessage> SampleMessages() {
-  using Kind = AgreementMessage::Kind;
+  using namespace membership;
+  const VoterHeader voter = SampleVoter();
   std::map<std::string, AgreementMessage> all;
-  AgreementMessage m = FromVoter(Kind::kWho);
-  m.number = 0xfeed;
-  all["membership-who"] = m;
-  m = FromVoter(Kind::kKnown);
-  m.number = 0xfeed;
-  m.yes = true;
-  all["membership-known"] = m;
-  m = FromVoter(Kind::kClaim);
-  all["membership-claim"] = m;
-  m = FromVoter(Kind::kClaimed);
-  m.ballot = {.round = 4, .proposer = 5};
-  m.accepted_by = {.round = 3, .proposer = 3};
-  m.view = SampleView();
-  all["membership-claimed"] = m;
-  m = FromVoter(Kind::kMiss);
-  m.number = 21;
-  all["membership-miss"] = m;
-  m = FromVoter(Kind::kMissed);
-  m.number = 21;
-  m.yes = true;
-  all["membership-missed"] = m;
-  m = FromVoter(Kind::kPrepare);
-  m.ballot = {.round = 6, .proposer = 3};
-  all["membership-prepare"] = m;
-  m = FromVoter(Kind::kPromise);
-  m.ballot = {.round = 6, .proposer = 3};
-  m.accepted_by = {.round = 5, .proposer = 5};
-  m.view = SampleView();
-  all["membership-promise"] = m;
-  m = FromVoter(Kind::kPropose);
-  m.ballot = {.round = 6, .proposer = 3};
-  m.view = SampleView();
-  m.quorum = {{3, {.number = 2, .nonce = 0xfeed}}, {5, {.number = 1, .nonce = 0xbeef}}};
-  all["membership-propose"] = m;
-  m = FromVoter(Kind::kAccepted);
-  m.ballot = {.round = 6, .proposer = 3};
-  m.number = 9;
-  all["membership-accepted"] = m;
-  m = FromVoter(Kind::kRefused);
-  m.ballot = {.round = 7, .proposer = 5};
-  all["membership-refused"] = m;
-  m = FromVoter(Kind::kBeat);
-  m.ballot = {.round = 6, .proposer = 3};
-  m.number = 4711;
-  m.quorum = {{3, {.number = 2, .nonce = 0xfeed}}};
-  all["membership-beat"] = m;
-  m = FromVoter(Kind::kBeaten);
-  m.ballot = {.round = 6, .proposer = 3};
-  m.number = 4711;
-  all["membership-beaten"] = m;
-  m = {};
-  m.kind = Kind::kDecided;
-  m.view = SampleView();
-  m.origin = 5;
-  all["membership-decided"] = m;
-  m = {};
-  m.kind = Kind::kRenew;
-  m.number = 9;
-  m.asked_at = 123.0625;
-  m.process_incarnation = 31;
-  m.store_id = 0xd15c;
-  m.logs = SampleView().logs;
-  m.origin = 5;
-  all["membership-renew"] = m;
-  m = {};
-  m.kind = Kind::kGrant;
-  m.number = 9;
-  m.asked_at = 123.0625;
-  m.span = 3.75;
-  m.process_incarnation = 31;
-  m.origin = 5;
-  all["membership-grant"] = m;
-  m = {};
-  m.kind = Kind::kElsewhere;
-  m.ballot = {.round = 6, .proposer = 3};
-  all["membership-elsewhere"] = m;
-  m = {};
-  m.kind = Kind::kTaken;
-  m.process_incarnation = 32;
-  m.yes = true;
-  m.origin = 5;
-  all["membership-taken"] = m;
-  m = {};
-  m.kind = Kind::kRelease;
-  m.process_incarnation = 31;
-  m.origin = 5;
-  all["membership-release"] = m;
+  all["membership-who"] = IdentityQuery{.voter = voter, .nonce = 0xfeed};
+  all["membership-known"] =
+      IdentityReply{.voter = voter, .nonce = 0xfeed, .writes_seen = 12, .never_promised = true};
+  all["membership-claim"] = IdentityClaim{.voter = voter};
+  all["membership-claimed"] = IdentityClaimAck{.voter = voter,
+                                               .promised = {.round = 4, .proposer = 5},
+                                               .accepted_by = {.round = 3, .proposer = 3},
+                                               .accepted = SampleView()};
+  all["membership-miss"] = LeaderLossQuery{.voter = voter, .query_number = 21};
+  all["membership-missed"] =
+      LeaderLossReply{.voter = voter, .promised = {}, .query_number = 21, .leader_lost = true};
+  all["membership-prepare"] = Prepare{.voter = voter, .ballot = {.round = 6, .proposer = 3}};
+  all["membership-promise"] = Promise{.voter = voter,
+                                      .ballot = {.round = 6, .proposer = 3},
+                                      .accepted_by = {.round = 5, .proposer = 5},
+                                      .accepted = SampleView()};
+  all["membership-propose"] =
+      Propose{.voter = voter,
+              .ballot = {.round = 6, .proposer = 3},
+              .view = SampleView(),
+              .quorum = {{3, {.number = 2, .nonce = 0xfeed}}, {5, {.number = 1, .nonce = 0xbeef}}}};
+  all["membership-accepted"] =
+      Accepted{.voter = voter, .ballot = {.round = 6, .proposer = 3}, .epoch = 9};
+  all["membership-refused"] = Rejection{.voter = voter, .promised = {.round = 7, .proposer = 5}};
+  all["membership-beat"] = Heartbeat{.voter = voter,
+                                     .ballot = {.round = 6, .proposer = 3},
+                                     .quorum = {{3, {.number = 2, .nonce = 0xfeed}}},
+                                     .sequence = 4711};
+  all["membership-beaten"] =
+      HeartbeatAck{.voter = voter, .ballot = {.round = 6, .proposer = 3}, .sequence = 4711};
+  all["membership-decided"] = ViewDecided{.view = SampleView(), .origin = 5};
+  all["membership-renew"] = LeaseRequest{.epoch = 9,
+                                         .process_incarnation = 31,
+                                         .requested_at_s = 123.0625,
+                                         .origin = 5,
+                                         .store_id = 0xd15c,
+                                         .wanted_logs = SampleView().logs};
+  all["membership-grant"] = LeaseGrant{.ballot = {},
+                                       .epoch = 9,
+                                       .process_incarnation = 31,
+                                       .requested_at_s = 123.0625,
+                                       .duration_s = 3.75,
+                                       .origin = 5};
+  all["membership-elsewhere"] = LeaderRedirect{.ballot = {.round = 6, .proposer = 3}};
+  all["membership-taken"] =
+      IdentityConflict{.process_incarnation = 32, .both_present = true, .origin = 5};
+  all["membership-release"] = LeaseRelease{.process_incarnation = 31, .origin = 5};
   return all;
 }
 
@@ -166,27 +125,35 @@
   std::map<std::string, membership::SwimMessage> all;
   all["detector-ping"] = {
       .kind = Kind::kPing,
-      .seq = 300,
-      .about = 0,
+      .sequence = 300,
+      .subject = 0,
       .incarnation = 2,
       .digest = 0xd1,
       .updates = {{.member = 3, .incarnation = 1, .health = Health::kAlive, .suspected_by = 0}}};
-  all["detector-ack"] = {
-      .kind = Kind::kAck, .seq = 300, .about = 5, .incarnation = 2, .digest = 0xd2, .updates = {}};
+  all["detector-ack"] = {.kind = Kind::kAck,
+                         .sequence = 300,
+                         .subject = 5,
+                         .incarnation = 2,
+                         .digest = 0xd2,
+                         .updates = {}};
   all["detector-ping-for"] = {
       .kind = Kind::kPingRequest,
-      .seq = 301,
-      .about = 5,
+      .sequence = 301,
+      .subject = 5,
       .incarnation = 0,
       .digest = 0xd3,
       .updates = {{.member = 5, .incarnation = 4, .health = Health::kSuspect, .suspected_by = 3},
                   {.member = 7, .incarnation = 4, .health = Health::kFailed, .suspected_by = 0}}};
-  all["detector-nack"] = {
-      .kind = Kind::kNack, .seq = 301, .about = 5, .incarnation = 1, .digest = 0xd4, .updates = {}};
+  all["detector-nack"] = {.kind = Kind::kNack,
+                          .sequence = 301,
+                          .subject = 5,
+                          .incarnation = 1,
+                          .digest = 0xd4,
+                          .updates = {}};
   all["detector-news"] = {
       .kind = Kind::kGossip,
-      .seq = 0,
-      .about = 0,
+      .sequence = 0,
+      .subject = 0,
       .incarnation = 1,
       .digest = 0xd5,
       .updates = {{.member = 9, .incarnation = 8, .health = Health::kLeft, .suspected_by = 0}}};
@@ -213,14 +180,14 @@
   return all;
 }
 
-inline std::map<std::string, copies::Frame> SampleCopies() {
-  using copies::Frame;
-  using Kind = Frame::Kind;
-  std::map<std::string, Frame> all;
-  Frame f{.kind = Kind::kWhere, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+inline std::map<std::string, copies::ReplicationMessage> SampleCopies() {
+  using copies::ReplicationMessage;
+  using Kind = ReplicationMessage::Kind;
+  std::map<std::string, ReplicationMessage> all;
+  ReplicationMessage f{.kind = Kind::kStatusQuery, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
   f.number = 5;
   all["copies-where"] = f;
-  f = {.kind = Kind::kAt, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  f = {.kind = Kind::kStatus, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
   f.seq = 40, f.commit = 38, f.end = 41;
   f.seq_epoch = 8, f.end_epoch = 7;
   f.number = 5;
@@ -228,18 +195,18 @@
   f.fill = 2, f.chunk = 3;
   f.matched = true;
   all["copies-at"] = f;
-  f = {.kind = Kind::kOps, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  f = {.kind = Kind::kAppend, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
   f.seq = 40, f.commit = 38, f.seq_epoch = 8;
   f.ops = {{.seq = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .gone = false},
            {.seq = 42, .epoch = 8, .key = "H:a:2", .value = "", .gone = true}};
   all["copies-ops"] = f;
-  f = {.kind = Kind::kFill, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  f = {.kind = Kind::kSnapshotChunk, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
   f.seq = 40, f.commit = 40, f.seq_epoch = 8;
   f.fill = 2, f.chunk = 3;
   f.last = true;
   f.ops = {{.seq = 7, .epoch = 6, .key = "H:a:1", .value = "entry", .gone = false}};
   all["copies-fill"] = f;
-  f = {.kind = Kind::kLied, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  f = {.kind = Kind::kStaleStore, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
   all["copies-lied"] = f;
   return all;
 }
@@ -270,10 +237,10 @@
 }
 
 // What lies in the store.
-inline copies::Head SampleHead() {
+inline copies::LogHead SampleHead() {
   return {.applied = 38, .applied_epoch = 7, .epoch = 8, .filling = 2};
 }
-inline copies::Op SampleOp() {
+inline copies::Operation SampleOp() {
   return {.seq = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .gone = true};
 }
 inline copies::JobRecord SampleJob() {
@@ -284,12 +251,12 @@
           .tenant = "andes",
           .body = std::string("b\0y", 3),
           .priority = 2,
-          .tried = {{.worker = "toy-1", .own = true, .seq = 41},
-                    {.worker = "toy-2", .own = false, .seq = 0}}};
+          .attempts = {{.worker = "toy-1", .local_worker = true, .seq = 41},
+                       {.worker = "toy-2", .local_worker = false, .seq = 0}}};
 }
-inline copies::KeyRecord SampleKey() {
-  return {.claimer = {.who = 3, .process_incarnation = 31, .number = 6},
-          .tried = {{.worker = "toy-1", .own = false, .seq = 44}},
+inline copies::IdempotencyRecord SampleKey() {
+  return {.claim = {.who = 3, .process_incarnation = 31, .number = 6},
+          .attempts = {{.worker = "toy-1", .local_worker = false, .seq = 44}},
           .window_s = 40,
           .answered = true,
           .result = "200 done"};
@@ -300,7 +267,7 @@
   votes.accepted_by = {.round = 5, .proposer = 5};
   votes.accepted = SampleView();
   votes.storage_identity = {.number = 2, .nonce = 0xfeed};
-  votes.storage_identities = {{5, {.number = 1, .nonce = 0xbeef}}};
+  votes.known_identities = {{5, {.number = 1, .nonce = 0xbeef}}};
   votes.writes = 12;
   return votes;
 }
