--- a/src/balancing/admission.cpp
+++ b/src/balancing/admission.cpp
@@ -1,134 +1,99 @@
-// Buckets, their quotas, and the reports between peers.
+// Arrival of requests, and the control round that sets what is admitted.
 #include <algorithm>
-#include <cmath>
+#include <utility>
 
 #include "balancing/load_balancer_impl.h"
 
 namespace millethollow::balancing {
 
-// Depth absorbs chance: a Poisson stream strays by the root of its count.
-constexpr double kDepthS = 0.5;      // steady part of a bucket's depth, in seconds of its rate
-constexpr double kDepthRoots = 2.0;  // and this many standard deviations of a second's arrivals
-constexpr double kSparse = 1.0;      // jobs a second; below, depth outlasts an overload
-constexpr double kReturnS = 0.3;     // a job refused this recently that comes again is the same one
-constexpr double kSignalJobs = 5;    // own word of what found no room weighs by jobs against these
-constexpr double kFullS = 0.5;       // sends and 'full' are smoothed over this or one interval
-constexpr double kFollow = 0.3;      // of the way to peers' rates in a report interval
-constexpr double kCarriedS = 20.0;   // what workers carried in good times is remembered this long
+constexpr double kMaxReserveLoss = 0.2;  // of a class's work, for one that capacity is reserved for
+constexpr double kMinWork = 1e-9;
 
 void LoadBalancerImpl::On(const RequestArrived& e) {
-  if (e.cls < 0 || e.cls >= classes_ || jobs_.contains(e.id)) return;
-  Job job = JobOf(e, tenants_, index_);
-  job.max_attempts = s_.max_attempts;
-  memory_.Add(job.memory / job.slots, 200);
-  Bucket& bucket = buckets_[BucketOf(job)];
-  if (!std::exchange(bucket.known, true)) {
-    bucket.tokens = Depth(bucket);
-    bucket.at = now_;
-    if (now_ - reported_at_ > interval_ / 2) Report();  // a new bucket reports at once
+  if (e.cls < 0 || e.cls >= class_count_ || jobs_.contains(e.id)) return;
+  Job job = MakeJob(e, tenant_count_, workers_);
+  job.max_attempts = settings_.max_attempts;
+  estimates_.OnRequest(job);
+  // A new bucket is reported at once.
+  if (admission_.OpenBucket(job, now_) && now_ - reported_at_ > report_interval_s_ / 2) {
+    PublishUsage();
   }
-  // Demand must not grow with our own refusals: what comes back is not counted again.
-  const bool returned = e.retry || refused_.Take(job.print, now_ - kReturnS);
-  if (!returned) bucket.seen += 1;
-  const double more = bucket.rate == kInf ? kInf : bucket.rate * (now_ - bucket.at);
-  bucket.tokens = std::min(Depth(bucket), bucket.tokens + more);
-  bucket.at = now_;
-  // Exception: a bucket that sees less than a job a second would outlast any overload on its
-  // depth. Its jobs are drawn at the quota's share of demand, once each.
-  const bool sparse = !direct_ && bucket.rate < kSparse;
-  if (sparse) bucket.tokens = !returned && random_.Unit() < bucket.share ? 1 : 0;
-  if ((bucket.tokens < 1 && !job.MayHaveRun()) || job.expires_at <= now_) {
-    if (!returned && bucket.denied < 0xffff) ++bucket.denied;
-    return Decline(job);
-  }
-  bucket.tokens -= 1;
-  DrawCold(job);
-  if (bucket.allowed < 0xffff) ++bucket.allowed;
+  if (!admission_.Admit(job, e.retry, !full_mesh_, now_, &random_)) return Reject(job);
+  DrawSlowStartWorker(job);
   auto [it, unused] = jobs_.emplace(job.id, std::move(job));
-  if (AskAround(it->second)) return;
-  Place(it->second);
-  Settle(it->second);
-}
-
-double LoadBalancerImpl::Depth(const Bucket& b) {
-  const double rate = b.rate == kInf ? b.demand : b.rate;
-  return 2 + kDepthS * rate + kDepthRoots * std::sqrt(rate);
+  if (ProbeCandidates(it->second)) return;
+  PlaceJob(it->second);
+  FinishIfIdle(it->second);
 }
 
-// Within its aim a refused job that comes back finds the same quotas: advise to wait that long.
-void LoadBalancerImpl::Decline(const Job& job) {
-  refused_.Put(job.print, now_);
-  const double wait = std::min(s_.max_retry_after_s, ClassOf(job.cls).latency_objective_s);
-  actions_->push_back(RejectRequest{job.id, s_.retry_after ? wait : 0.0});
+// Within its latency objective a job that returns finds the same quotas: that long is the advice.
+void LoadBalancerImpl::Reject(const Job& job) {
+  admission_.OnRejected(job, now_);
+  const double wait =
+      std::min(settings_.max_retry_after_s, ClassOf(job.class_index).latency_objective_s);
+  actions_->push_back(RejectRequest{job.id, settings_.retry_after ? wait : 0.0});
 }
 
-// Sends the counts to peers, resets them, and reckons quotas anew.
-void LoadBalancerImpl::Report() {
-  const double span = std::max(now_ - reported_at_, interval_ / 2);  // one early job is no rush
-  reported_at_ = now_;
-  const double keep = std::exp(-span / std::max(kDemandS, 2 * interval_));
-  const double quick = std::exp(-span / std::max(kFullS, interval_));
-  std::fill_n(own_.begin(), tenants_, 0.0);
-  std::vector<UsageReport::Usage> counts;
-  for (std::size_t b = 0; b < buckets_.size(); ++b) {
-    Bucket& bucket = buckets_[b];
-    if (bucket.allowed + bucket.denied > 0) {
-      counts.push_back({static_cast<int>(b), bucket.allowed, bucket.denied});
-    }
-    bucket.allowed = bucket.denied = 0;
-    const double rate = bucket.seen / span;
-    bucket.demand = measured_ ? bucket.demand * keep + rate * (1 - keep) : rate;
-    bucket.seen = 0;
-    own_[b % Idx(tenants_)] += bucket.demand;
+// One control round: the fleet rate, then the rate and share of each bucket.
+void LoadBalancerImpl::UpdateFleetRate(double sample_s) {
+  const std::vector<double> tier = TierRates();
+  TierLoad load{.sends_rps = tier[Idx(tenant_count_)],
+                .full_rps = tier[Idx(tenant_count_ + 1)],
+                .late_rps = tier[Idx(tenant_count_ + 2)],
+                .has_free_workers = !full_mesh_ && ProbedFreeShare(0) > kFreeShareNotFull};
+  for (int t = 0; t < tenant_count_; ++t) {
+    load.demand_rps += tier[Idx(t)];
+    load.guaranteed_rps += std::min(tier[Idx(t)], settings_.tenants[Idx(t)].quota_rps);
   }
-  std::vector<std::pair<int, double*>> signals{{0, &sends_}, {1, &fulls_}, {2, &lates_}};
-  if (!direct_) signals.insert(signals.end(), {{3, &asked_}, {4, &roomy_}});
-  for (const auto& [slot, count] : signals) {
-    double& rate = own_[Idx(tenants_ + slot)];
-    rate = measured_ ? rate * quick + *count / span * (1 - quick) : *count / span;
-    *count = 0;
+  // Reports of a large tier come late; its rate must not rise more slowly for that.
+  const RateChange change = fleet_rate_.Update(
+      load, {.now_s = now_,
+             .interval_s = report_interval_s_,
+             .sample_s = sample_s,
+             .sample_scale = full_mesh_ ? 1.0 : settings_.dispatcher_count * kOwnSampleWeight,
+             .rise_s = full_mesh_ ? report_interval_s_ : sample_s});
+  if (change.cut) hedge_budget_.OnRateCut();
+  if (!fleet_rate_.tier_full() && load_unreported_) hedge_budget_.OnRateRise(change.rise_factor);
+  const std::vector<double> rates =
+      DivideFleetRate(fleet_rate_.rate_rps(), load.guaranteed_rps, settings_.tenants, tier);
+  for (int t = 0; t < tenant_count_; ++t) {
+    const double demand = tier[Idx(t)];
+    const bool unlimited = !fleet_rate_.limits() || demand <= 0;
+    LimitTenant(t, unlimited ? 1 : std::min(1.0, rates[Idx(t)] / demand));
   }
-  const double jobs = own_[Idx(tenants_)] * span;
-  for (std::size_t i = 0; !direct_ && i < mean_.size(); ++i) {
-    const bool signal = i >= Idx(tenants_) && i < AskedAt() + 2;
-    const double weight = signal ? jobs / (jobs + kSignalJobs) : kOwnWeight;
-    mean_[i] = measured_ ? mean_[i] + weight * (own_[i] - mean_[i]) : own_[i];
+}
+
+// Sets the rates of a tenant's buckets so that `admit_share` of its demand is admitted.
+//
+// Each class gives up the same share. The worst-served class counts for itself, and work of less
+// weight is mostly short: shed first, it would free little capacity. Exception: capacity that is
+// reserved for a class is of no use if its jobs are rejected on arrival. The tenant's other classes
+// then give up more, by as much work and no more than kMaxReserveLoss of it.
+void LoadBalancerImpl::LimitTenant(int tenant, double admit_share) {
+  double work = 0, reserving_work = 0;  // seconds of run time per second
+  const auto reserves = [this](int c) { return reservations_ && reservations_->MayReserve(c); };
+  for (int c = 0; c < class_count_; ++c) {
+    const double class_work = admission_.DemandRps(c, tenant) *
+                              estimates_.ClassRunTime(c, ClassOf(c).latency_objective_s);
+    work += class_work;
+    reserving_work += reserves(c) ? class_work : 0;
   }
-  // What a worker carries in good times; low sends after a cut say nothing of capacity.
-  // In a large tier what all send on average says more: a node just back has sent nothing yet.
-  const double sent = std::max(own_[Idx(tenants_)], direct_ ? 0.0 : mean_[Idx(tenants_)]);
-  carried_ = Carried(std::max(carried_ * std::exp(-span / kCarriedS), sent / std::max(1, ready_)));
-  measured_ = true;
-  if (mate_.present) TellMate();
-  if (s_.peers && s_.dispatcher_count > 1 && !mate_.draining) {
-    std::vector<int> told;
-    for (int i = 0; i < (direct_ ? s_.dispatcher_count : kFanout); ++i) {
-      const int whom = direct_ ? i : random_.OtherThan(s_.dispatcher_index, s_.dispatcher_count);
-      if (whom != s_.dispatcher_index) told.push_back(whom);
-    }
-    TellPeers(told, !heard_peers_, std::move(counts));
+  const double other_work = work - reserving_work;
+  const double other_share =
+      std::clamp((admit_share * work - reserving_work) / std::max(other_work, kMinWork),
+                 admit_share * (1 - kMaxReserveLoss), admit_share);
+  const double reserving_share =
+      (admit_share * work - other_share * other_work) / std::max(reserving_work, kMinWork);
+  for (int c = 0; c < class_count_; ++c) {
+    const double limited_share =
+        reserves(c) ? std::clamp(reserving_share, admit_share, 1.0) : other_share;
+    admission_.SetAdmitShare(c, tenant, reserving_work <= 0 ? admit_share : limited_share);
   }
-  Control(span);
 }
 
-void LoadBalancerImpl::On(const PeerMessage& e) {
-  UsageReport report;
-  const bool readable = DecodeReport(e.body, layout_, &report);
-  if (e.sender == s_.dispatcher_index && readable && report.BeginsRow()) {
-    peers_.mate.TakeOut(report, now_);
-    return SumOthers();
-  }
-  const bool peer =
-      e.sender >= 0 && e.sender < s_.dispatcher_count && e.sender != s_.dispatcher_index;
-  if (!s_.peers || !peer || !readable) return void(++refused_messages_);
-  Take(e.sender, report);
-  if (!report.BeginsRow()) return;  // what follows counts once a report
-  heard_peers_ = true;
-  // Rates draw together, but slowly: else the many that have not cut yet undo each cut at once.
-  const double weight = rate_ == kInf ? 1 : kFollow / (direct_ ? s_.dispatcher_count - 1 : kFanout);
-  if (report.rate > 0) rate_ = std::min(rate_, 1e12) * (1 - weight) + report.rate * weight;
-  // A restarted dispatcher is told at once what the fleet does: not held to one Nth for long.
-  if (report.fresh && measured_) TellPeers({e.sender}, false, {});
+void LoadBalancerImpl::SetFleetShare(const FleetShare& share) {
+  agreed_share_.Set(share);
+  admission_.ApplyFleetShare(agreed_share_, own_rates_, fleet_rate_.limits());
 }
 
 }  // namespace millethollow::balancing
--- a/src/balancing/endpoint_discovery.cpp
+++ b/src/balancing/endpoint_discovery.cpp
@@ -1,108 +1,108 @@
-// Start, timers, the list of workers, settings that change.
+// The endpoint list, maintenance, and load reports of workers.
 #include <algorithm>
-#include <cmath>
+#include <tuple>
+#include <utility>
 
 #include "balancing/load_balancer_impl.h"
 
 namespace millethollow::balancing {
 
-constexpr double kPeerPoints = 0.003;  // of the result may go into messages
-constexpr double kGroupFade = 0.05;    // what went badly is forgiven with each report interval
+constexpr double kMaxReportValue = 1e6;
 
-void LoadBalancerImpl::On(const DispatcherStarted&) {
-  reported_at_ = now_;
-  next_cut_ = now_ + std::max(kDemandS, 2 * interval_);  // demand is not known yet
-  actions_->push_back(SetTimer{kReportMark, interval_ * (0.2 + random_.Unit())});
-  if (s_.polls_discovery) Ask();
+int LoadBalancerImpl::AddWorker(const std::string& name) {
+  const auto in_use = [this](int worker) {
+    return std::any_of(jobs_.begin(), jobs_.end(),
+                       [worker](const auto& entry) { return entry.second.Names(worker); });
+  };
+  const int replaced = workers_.FindForgettable(now_, in_use);
+  if (replaced >= 0) estimates_.OnWorkerForgotten(replaced);
+  return workers_.Add(name, replaced);
 }
 
-void LoadBalancerImpl::Ask() {
-  actions_->push_back(Subscribe{true});
-  AskIn(std::max(0.5, 0.4 * s_.max_poll_interval_s));  // in case no answer comes
-}
-
-void LoadBalancerImpl::AskIn(double span) {
-  ask_at_ = now_ + span;
-  actions_->push_back(SetTimer{kAskMark, span});
+void LoadBalancerImpl::RebuildPools() {
+  workers_.RebuildPools();
+  UpdateThroughputs();
+  ++version_;
 }
 
-void LoadBalancerImpl::On(const TimerFired& e) {
-  if (e.timer_id == kReportMark) {
-    LetBack();
-    if (!direct_) Weigh();
-    SumOthers();
-    // Peers of a large tier don't tell what they have out where; they do as this one does.
-    for (Worker& w : workers_)
-      w.others = direct_ ? w.others : (s_.dispatcher_count - 1) * w.MeanOut(now_);
-    for (double& room : room_) room += (1 - room) * kGroupFade * interval_ / kReportS;
-    if (now_ - reported_at_ > interval_ / 4) Report();
-    // Jitter keeps dispatchers that started together from reporting in step.
-    // In large tiers of little traffic the price of messages, per job, sets the pace.
-    const double price = direct_ ? 0 : s_.price_peer * kFanout * 100 / 256 / kPeerPoints;
-    const double even = price / std::max(own_[Idx(tenants_)], 1e-3);
-    const double span = std::clamp(even, interval_, 4 * interval_);
-    actions_->push_back(SetTimer{kReportMark, span * (0.75 + 0.5 * random_.Unit())});
-  } else if (e.timer_id == kWatchMark) {
-    while (!watch_.empty() && watch_.top().at <= now_) {
-      const Watch watch = watch_.top();
-      watch_.pop();
-      Overdue(watch);
-    }
-    watching_ = !watch_.empty();
-    const double next = watching_ ? std::clamp(watch_.top().at - now_, 0.005, kWatchS) : 0;
-    if (watching_) actions_->push_back(SetTimer{kWatchMark, next});
-  } else if (e.timer_id == kAskMark) {
-    if (!subscribed_ && now_ > ask_at_ - s_.tick_s) Ask();  // else set anew meanwhile
+void LoadBalancerImpl::UpdateThroughputs() {  // weights of random choices, as learned so far
+  max_throughput_ = 1e-9;
+  double sum = 0;
+  for (const Worker& w : workers_) {
+    if (!w.ready) continue;
+    sum += ThroughputOf(w);
+    max_throughput_ = std::max(max_throughput_, ThroughputOf(w));
   }
+  mean_throughput_ = sum > 0 ? sum / workers_.ready_count() : 1.0;
 }
 
 void LoadBalancerImpl::On(const EndpointsUpdated& e) {
   if (e.kind == EndpointListKind::kUnavailable) {
-    // Ask again soon, but not all at once: the list service has a fixed capacity.
+    // Poll again soon, with jitter: the discovery service has a fixed capacity.
     subscribed_ = false;
-    if (s_.polls_discovery)
-      AskIn(std::min(0.3 * s_.max_poll_interval_s, 0.4 + 1.2 * random_.Unit()));
+    if (settings_.polls_discovery)
+      PollIn(std::min(0.3 * settings_.max_poll_interval_s, 0.4 + 1.2 * random_.Unit()));
     return;
   }
   if (e.kind != EndpointListKind::kRestored) subscribed_ = true;
   if (e.endpoints == nullptr) return;
-  std::vector<char> listed(workers_.size(), e.kind == EndpointListKind::kIncremental);
-  for (const Endpoint& m : *e.endpoints) {
-    auto it = index_.find(m.worker);
-    if (it == index_.end()) it = index_.emplace(m.worker, SlotFor(m.worker, &listed)).first;
-    listed[Idx(it->second)] = 1;
-    Worker& w = workers_[Idx(it->second)];
-    const bool restarted = m.started_at_s > w.born && m.started_at_s > 0;
-    w.Follow(m, now_, static_cast<int>(kind_pace_.size()), zones());
-    if (restarted) StartAfresh(w);
+  std::vector<char> listed(Idx(workers_.size()), e.kind == EndpointListKind::kIncremental);
+  for (const Endpoint& endpoint : *e.endpoints) {
+    const int known = workers_.Find(endpoint.worker);
+    const int index = known >= 0 ? known : AddWorker(endpoint.worker);
+    listed.resize(Idx(workers_.size()), 1);
+    listed[Idx(index)] = 1;
+    Worker& w = workers_[index];
+    const bool restarted = endpoint.started_at_s > w.started_at_s && endpoint.started_at_s > 0;
+    w.ApplyEndpoint(endpoint, now_, estimates_.kinds(), estimates_.zones());
+    if (restarted) ResetHealth(w);
   }
-  for (std::size_t i = 0; i < workers_.size(); ++i) {
-    if (!listed[i]) workers_[i].ready = workers_[i].listed = false;
+  for (int i = 0; i < workers_.size(); ++i) {
+    if (!listed[Idx(i)]) workers_[i].ready = workers_[i].listed = false;
+  }
+  RebuildPools();
+}
+
+void LoadBalancerImpl::OnLoadReport(Worker& w, const double (&report)[4]) {
+  for (const double value : report) {  // negative or too large: unreadable
+    if (!(value >= 0 && value < kMaxReportValue)) return;
   }
-  RemakePools();
+  w.ApplyReport(now_, settings_.load_report_metrics, report);
+  ++version_;
+  estimates_.OnLoadReport(workers_.IndexOf(w), &w);
 }
 
-void LoadBalancerImpl::StartAfresh(Worker& w) {
+void LoadBalancerImpl::ResetHealth(Worker& w) {
   w.ejected = w.probation = false;
-  w.eject_s = w.errors = 0;
-  w.limit = mean_limit_;
-  w.report_at = w.wait_at = -kInf;
-  // Everyone hears of the start at once: a random first part keeps the first jobs apart.
-  w.cold_tokens = random_.Unit() * (agreed_.on() ? agreed_.part() : 1.0);
-  w.cold_at = std::max(now_, w.born);
+  w.ejection_s = w.error_rate = 0;
+  w.slot_limit = workers_.mean_slot_limit();
+  w.reported_at = w.start_wait_at = -kInf;
+  // All dispatchers hear of the start at once: random first tokens spread the first jobs.
+  w.slow_start_tokens = random_.Unit() * (agreed_share_.on() ? agreed_share_.share() : 1.0);
+  w.slow_start_tokens_at = std::max(now_, w.started_at_s);
 }
 
 void LoadBalancerImpl::On(const MaintenanceChanged& e) {
-  const auto it = index_.find(e.worker);
-  if (it == index_.end()) return;
-  Worker& w = workers_[Idx(it->second)];
-  if (!e.out_of_service && w.out_by_hand) {
-    w.born = w.back_at = now_;
-    StartAfresh(w);
+  const int index = workers_.Find(e.worker);
+  if (index < 0) return;
+  Worker& w = workers_[index];
+  if (!e.out_of_service && w.out_of_service) {
+    w.started_at_s = w.returned_at = now_;
+    ResetHealth(w);
   }
-  w.out_by_hand = e.out_of_service;
+  w.out_of_service = e.out_of_service;
   w.ready = w.listed && !e.out_of_service;
-  RemakePools();
+  RebuildPools();
+}
+
+void LoadBalancerImpl::PollEndpoints() {
+  actions_->push_back(Subscribe{true});
+  PollIn(std::max(0.5, 0.4 * settings_.max_poll_interval_s));  // fallback if no answer comes
+}
+
+void LoadBalancerImpl::PollIn(double span) {
+  poll_at_ = now_ + span;
+  actions_->push_back(SetTimer{kPollTimer, span});
 }
 
 }  // namespace millethollow::balancing
--- a/src/balancing/state_transfer.h
+++ b/src/balancing/state_transfer.h
@@ -1,5 +1,6 @@
-// What the decision module has learned, on its way from a process to the one that replaces it: not
-// its jobs, nor their slots out, which the other tells of while it lives.
+// Hands learned state from a process to the one that replaces it in a hot restart. Jobs and slots
+// in flight are not included: the old process reports them while it runs. Order, types and layout
+// of all that is visited are fixed: builds before and after must read each other.
 #ifndef MILLETHOLLOW_BALANCING_STATE_TRANSFER_H_
 #define MILLETHOLLOW_BALANCING_STATE_TRANSFER_H_
 
@@ -13,55 +14,62 @@
 
 namespace millethollow::balancing {
 
-struct Carry {
+struct StateTransfer {
   template <typename LoadBalancerImpl, typename Visitor>
   static void Visit(LoadBalancerImpl& b, Visitor& v) {
-    v(b.rate_, b.carried_, b.measured_, b.own_, b.mean_, b.memory_, b.all_run_, b.hinted_,
-      b.prompt_, b.run_, b.buckets_, b.kind_pace_, b.kind_slots_, b.kind_most_, b.wait_, b.room_,
-      b.mean_limit_, b.hedges_, b.copies_, b.drops_, b.workers_);
+    v(b.fleet_rate_.rate_rps_, b.worker_rate_rps_, b.has_measured_, b.own_rates_,
+      b.tier_mean_rates_, b.estimates_.memory_per_slot_, b.estimates_.all_run_,
+      b.estimates_.class_hint_fit_, b.estimates_.prompt_starts_, b.estimates_.class_run_time_,
+      b.admission_.buckets_, b.estimates_.kind_pace_, b.estimates_.kind_slots_,
+      b.estimates_.kind_max_slots_, b.estimates_.group_wait_s_, b.estimates_.group_success_,
+      b.workers_.mean_slot_limit_, b.hedge_budget_.available_, b.hedge_budget_.per_attempt_,
+      b.shed_budget_.available_, b.workers_.workers_);
   }
 
   template <typename LoadBalancerImpl>
-  static std::string Out(LoadBalancerImpl& brain) {
+  static std::string Save(LoadBalancerImpl& balancer) {
     Saver saver;
-    Visit(brain, saver);
+    Visit(balancer, saver);
     return std::move(saver.out);
   }
 
-  // Takes all of it or, where it is damaged or from settings of another form, nothing.
+  // Restores all of it or, where it is damaged or from settings of another form, nothing.
   template <typename LoadBalancerImpl>
-  static bool In(std::string_view text, const std::vector<int>& classes, LoadBalancerImpl* brain) {
-    LoadBalancerImpl other(*brain);
+  static bool Restore(std::string_view text, const std::vector<int>& classes,
+                      LoadBalancerImpl* balancer) {
+    LoadBalancerImpl other(*balancer);
     Loader loader{text};
     Visit(other, loader);
-    const auto tenants = static_cast<std::size_t>(brain->tenants_);
-    const std::size_t theirs = other.run_.size();
-    if (!loader.ok || !loader.in.empty() || other.buckets_.size() != theirs * tenants ||
-        other.hinted_.size() != theirs || other.own_.size() != brain->own_.size() ||
-        other.mean_.size() != brain->mean_.size() || other.wait_.size() != brain->wait_.size() ||
-        other.room_.size() != brain->room_.size() ||
-        other.kind_pace_.size() != brain->kind_pace_.size() ||
-        other.kind_slots_.size() != brain->kind_slots_.size() ||
-        other.kind_most_.size() != brain->kind_most_.size()) {
+    const auto tenants = static_cast<std::size_t>(balancer->tenant_count_);
+    const std::size_t theirs = other.estimates_.class_run_time_.size();
+    if (!loader.ok || !loader.in.empty() || other.admission_.buckets_.size() != theirs * tenants ||
+        other.estimates_.class_hint_fit_.size() != theirs ||
+        other.own_rates_.size() != balancer->own_rates_.size() ||
+        other.tier_mean_rates_.size() != balancer->tier_mean_rates_.size() ||
+        other.estimates_.group_wait_s_.size() != balancer->estimates_.group_wait_s_.size() ||
+        other.estimates_.group_success_.size() != balancer->estimates_.group_success_.size() ||
+        other.estimates_.kind_pace_.size() != balancer->estimates_.kind_pace_.size() ||
+        other.estimates_.kind_slots_.size() != balancer->estimates_.kind_slots_.size() ||
+        other.estimates_.kind_max_slots_.size() != balancer->estimates_.kind_max_slots_.size()) {
       return false;
     }
-    auto run = brain->run_;
-    auto hinted = brain->hinted_;
-    auto buckets = brain->buckets_;
+    auto run = balancer->estimates_.class_run_time_;
+    auto hinted = balancer->estimates_.class_hint_fit_;
+    auto buckets = balancer->admission_.buckets_;
     for (std::size_t c = 0; c < run.size() && c < classes.size(); ++c) {
       if (classes[c] < 0 || Idx(classes[c]) >= theirs) continue;
-      run[c] = other.run_[Idx(classes[c])];
-      hinted[c] = other.hinted_[Idx(classes[c])];
-      std::copy_n(other.buckets_.begin() + classes[c] * brain->tenants_, tenants,
+      run[c] = other.estimates_.class_run_time_[Idx(classes[c])];
+      hinted[c] = other.estimates_.class_hint_fit_[Idx(classes[c])];
+      std::copy_n(other.admission_.buckets_.begin() + classes[c] * balancer->tenant_count_, tenants,
                   buckets.begin() + static_cast<std::ptrdiff_t>(c * tenants));
     }
-    other.run_ = std::move(run);
-    other.hinted_ = std::move(hinted);
-    other.buckets_ = std::move(buckets);
-    for (std::size_t w = 0; w < other.workers_.size(); ++w) {
-      other.index_.emplace(other.workers_[w].name, static_cast<int>(w));
+    other.estimates_.class_run_time_ = std::move(run);
+    other.estimates_.class_hint_fit_ = std::move(hinted);
+    other.admission_.buckets_ = std::move(buckets);
+    for (int w = 0; w < other.workers_.size(); ++w) {
+      other.workers_.index_.emplace(other.workers_[w].name, w);
     }
-    *brain = std::move(other);
+    *balancer = std::move(other);
     return true;
   }
 };
