--- a/bench/scale/axis_dispatchers.cpp
+++ b/bench/scale/axis_dispatchers.cpp
@@ -66,7 +66,7 @@
 
   const std::size_t memory_before = AllocatedMemory();
   HollowTier tier(options);
-  const double memory = static_cast<double>(AllocatedMemory() - memory_before);
+  const auto memory = static_cast<double>(AllocatedMemory() - memory_before);
   const double moving = kMovingPart * demand;
   tier.SetDemand(0, DemandAt(moving, 0, dispatchers));
   Demand others = DemandAt(demand - moving, 0, dispatchers);
@@ -137,7 +137,7 @@
         [=] { return SizePoint(dispatchers); },
         [=] { return MeasureTier(dispatchers, kFewTenants, phases, options.seed); }};
     if (!options.is_short) {
-      measures.push_back(
+      measures.emplace_back(
           [=] { return MeasureTier(dispatchers, kManyTenants, phases, options.seed); });
     }
     AddPoint(measures, std::to_string(dispatchers) + " dispatchers", &result);
--- a/bench/scale/axis_starts.cpp
+++ b/bench/scale/axis_starts.cpp
@@ -33,7 +33,7 @@
   const double spent_before = ProcessorSeconds();
   ServeFor(&fixture, rate, seconds);
   const double spent = ProcessorSeconds() - spent_before;
-  const double served = static_cast<double>(fixture.answered() - before);
+  const auto served = static_cast<double>(fixture.answered() - before);
   Point point;
   point.Computed("starts", "start/s", rate);
   point.Computed("served", "job", served);
--- a/bench/scale/process.cpp
+++ b/bench/scale/process.cpp
@@ -1,11 +1,11 @@
 #include "scale/process.h"
 
 #include <malloc.h>
-#include <signal.h>
 #include <sys/prctl.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <csignal>
 #include <cstdio>
 #include <exception>
 #include <fstream>
--- a/bench/scale/statistics.cpp
+++ b/bench/scale/statistics.cpp
@@ -1,9 +1,8 @@
 #include "scale/statistics.h"
 
-#include <time.h>
-
 #include <algorithm>
 #include <cmath>
+#include <ctime>
 #include <numeric>
 
 namespace millethollow::scale {
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -100,7 +100,7 @@
                   [this, d, mark] { Do(d, millethollow::balancing::TimerFired{mark}); });
     } else if (const auto* s = std::get_if<millethollow::balancing::SendAttempt>(&a)) {
       const std::string id = s->id;
-      const int attempt = attempts_[id]++;
+      const int attempt = attempts[id]++;
       due.emplace(now + 0.002, [this, d, id, attempt] {
         Do(d, millethollow::balancing::AttemptProgress{
                   id, attempt, millethollow::balancing::ProgressKind::kStarted, 0});
@@ -113,14 +113,14 @@
         e.latency_s = kRunS;
         ++served;
         Do(d, e);
-        attempts_.erase(id);
+        attempts.erase(id);
       });
     } else if (const auto* r = std::get_if<millethollow::balancing::RejectRequest>(&a)) {
       ++refused;
-      attempts_.erase(r->id);
+      attempts.erase(r->id);
     } else if (const auto* f = std::get_if<millethollow::balancing::FailRequest>(&a)) {
       ++failed;
-      attempts_.erase(f->id);
+      attempts.erase(f->id);
     } else if (const auto* p = std::get_if<millethollow::balancing::SendPeerMessage>(&a)) {
       const int whom = p->recipient;
       const std::string body = p->body;
@@ -172,7 +172,7 @@
     arrive_each.push_back(ns);
   }
 
-  std::map<std::string, int> attempts_;
+  std::map<std::string, int> attempts;
 };
 
 }  // namespace
--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -78,8 +78,9 @@
     MDB_txn* t = nullptr;
     Must(mdb_txn_begin(env, nullptr, 0, &t) == 0, "lmdb begin");
     for (const Write& w : batch) {
-      MDB_val k{w.key.size(), const_cast<char*>(w.key.data())};
-      MDB_val v{w.value.size(), const_cast<char*>(w.value.data())};
+      // LMDB takes pointers to what it only reads.
+      MDB_val k{w.key.size(), const_cast<char*>(w.key.data())};      // NOLINT(*-const-cast)
+      MDB_val v{w.value.size(), const_cast<char*>(w.value.data())};  // NOLINT(*-const-cast)
       Must((w.value.empty() ? mdb_del(t, db, &k, nullptr) : mdb_put(t, db, &k, &v, 0)) == 0,
            "lmdb put");
     }
--- a/src/balancing/attempts.cpp
+++ b/src/balancing/attempts.cpp
@@ -6,6 +6,13 @@
 
 namespace millethollow::balancing {
 
+// A worker is ejected when its error rate, a mean that forgets, exceeds the limit. A lost
+// connection counts for more than a server error: the worker may be gone.
+constexpr double kErrorRateKeep = 0.8;
+constexpr double kServerErrorSample = 0.2;
+constexpr double kConnectionLostSample = 0.3;
+constexpr double kEjectErrorRate = 0.45;
+
 constexpr double kSlotLimitStep = 0.1;  // rise of a worker's limit after a success at the limit
 constexpr double kDeduplicationWindowUse = 0.9;  // of the window: clocks and queues differ
 constexpr double kMinOverdueS = 0.02;
@@ -192,8 +199,10 @@
       [[fallthrough]];
     case AttemptStatus::kConnectionLost:  // one may be chance; a worker that is gone refuses the
                                           // next connection
-      w.error_rate = w.error_rate * 0.8 + (status == AttemptStatus::kServerError ? 0.2 : 0.3);
-      if (w.error_rate > 0.45 || w.probation) Eject(a.worker);
+      w.error_rate =
+          w.error_rate * kErrorRateKeep +
+          (status == AttemptStatus::kServerError ? kServerErrorSample : kConnectionLostSample);
+      if (w.error_rate > kEjectErrorRate || w.probation) Eject(a.worker);
       break;
     case AttemptStatus::kConnectFailed:
     case AttemptStatus::kNoResponse:
@@ -211,7 +220,7 @@
   w.ejection_s = 0;
   double& success = estimates_.GroupSuccess(w);
   success += (1 - success) / 5;
-  w.error_rate *= 0.8;
+  w.error_rate *= kErrorRateKeep;
   const RunSample sample = estimates_.OnRunEnded(job, ClassOf(job.class_index), a, now_, &w);
   if (!full_mesh_) ShareRunSample(job, w, sample);
   if (!a.blocked && a.slots_before + job.slots >= w.slot_limit) w.slot_limit += kSlotLimitStep;
--- a/src/balancing/constants.h
+++ b/src/balancing/constants.h
@@ -6,7 +6,8 @@
 
 namespace millethollow::balancing {
 
-constexpr double kDemandSmoothingS = 1.5;  // demand is smoothed over this or two report intervals
+constexpr double kDemandSmoothingS =
+    1.5;  // demand is smoothed over the longer of this and two report intervals
 // Up to kMaxFullMeshPeers every dispatcher reports to all; in larger tiers to kGossipFanout
 // random peers.
 constexpr int kMaxFullMeshPeers = 24;
--- a/src/balancing/load_balancer_impl.cpp
+++ b/src/balancing/load_balancer_impl.cpp
@@ -9,8 +9,8 @@
 constexpr double kPeerMessageBudget = 0.003;  // share of a job's weight that messages may cost
 constexpr double kGroupRecovery = 0.05;       // of a group's failures, with each report interval
 
-LoadBalancerImpl::LoadBalancerImpl(const Settings& settings, std::uint64_t seed)
-    : settings_(settings),
+LoadBalancerImpl::LoadBalancerImpl(Settings settings, std::uint64_t seed)
+    : settings_(std::move(settings)),
       random_(seed),
       workers_(settings_.kinds, settings_.zones),
       estimates_(settings_.kinds, settings_.zones) {
--- a/src/balancing/load_balancer_impl.h
+++ b/src/balancing/load_balancer_impl.h
@@ -33,7 +33,7 @@
 
 class LoadBalancerImpl {
  public:
-  LoadBalancerImpl(const Settings& settings, std::uint64_t seed);
+  LoadBalancerImpl(Settings settings, std::uint64_t seed);
 
   void Handle(double now, const Event& event, Actions* actions) {
     now_ = std::max(now, now_);
--- a/src/balancing/overdue_attempts.cpp
+++ b/src/balancing/overdue_attempts.cpp
@@ -5,8 +5,9 @@
 
 namespace millethollow::balancing {
 
-constexpr double kSilentProbeS = 0.25;  // without a word since the attempt: a health check is sent
-constexpr double kMinSilenceS = 1.0;    // without a word since the send: the worker is ejected
+constexpr double kSilentProbeS =
+    0.25;  // no message from the worker since the attempt: a health check is sent
+constexpr double kMinSilenceS = 1.0;  // no message from the worker since the send: it is ejected
 constexpr double kProgressIntervals = 1.5;  // of silence where workers report progress
 constexpr double kOrdinaryPace = 2.0;       // a worker this much slower than expected is slow
 constexpr double kMinRecheckS = 0.25;
--- a/src/balancing/support.h
+++ b/src/balancing/support.h
@@ -116,7 +116,7 @@
     } else if constexpr (requires { v.first; }) {
       (*this)(v.first, v.second);
     } else if constexpr (requires(T & t) { t.Visit(*this); }) {
-      const_cast<T&>(v).Visit(*this);  // a Saver changes nothing
+      const_cast<T&>(v).Visit(*this);  // NOLINT(*-const-cast): a Saver changes nothing
     } else {                           // text, vectors
       Put(v.size());
       for (const auto& item : v) Put(item);
--- a/src/balancing/worker.h
+++ b/src/balancing/worker.h
@@ -150,7 +150,8 @@
 
  private:
   std::size_t PoolIndex(int kind, int zone) const {
-    return static_cast<std::size_t>((kind + 1) * (zones_ + 1) + zone + 1);
+    const int slot = (kind + 1) * (zones_ + 1) + zone + 1;
+    return static_cast<std::size_t>(slot);
   }
   int kinds_, zones_;
   std::vector<std::vector<int>> pools_;
--- a/src/config/haproxy.cpp
+++ b/src/config/haproxy.cpp
@@ -149,7 +149,7 @@
       for (const Server& s : p.servers) {
         if (s.name == server.name) return Bad("server '" + server.name + "' is there already");
       }
-      std::string address = words[2];
+      const std::string& address = words[2];
       if (!ParseAddress(address)) {
         Note("server address '" + address + "': only IPv4 address:port, names are not looked up");
         return ServerOptions(words, 3, &server);
--- a/src/config/scheduling.cpp
+++ b/src/config/scheduling.cpp
@@ -44,7 +44,7 @@
     };
   };
   o.on = true;  // who writes the section wants it
-  double jobs = static_cast<double>(o.max_queued_jobs);
+  auto jobs = static_cast<double>(o.max_queued_jobs);
   const KeyReaders readers{
       {"enabled", FlagKey(&o.on, why)},
       {"waiting", group({{"jobs", number(&jobs, 1, 1e6)},
--- a/src/copies/idempotency_key_client.cpp
+++ b/src/copies/idempotency_key_client.cpp
@@ -83,12 +83,12 @@
     result.attempts = grant->attempts;
     for (const double age_s : grant->ages_s) result.ages_s.push_back(age_s + kMaxTransitS);
     result.ages_s.resize(result.attempts.size(), kInfinity);
-    OnClaimResult(it, std::move(result));
+    OnClaimResult(it, result);
   } else if (const auto* answer = std::get_if<ClaimAnswered>(&message.body)) {
     Result result;
     result.kind = Result::Kind::kAnswered;
     result.result = answer->result;
-    OnClaimResult(it, std::move(result));
+    OnClaimResult(it, result);
   } else if (std::holds_alternative<ClaimRejected>(message.body)) {
     OnClaimResult(it, {});
   } else if (std::holds_alternative<ClaimPending>(message.body)) {
@@ -103,7 +103,7 @@
   }
 }
 
-void IdempotencyKeyClient::OnClaimResult(Claims::iterator it, Result result) {
+void IdempotencyKeyClient::OnClaimResult(Claims::iterator it, const Result& result) {
   OpenClaim& claim = it->second;
   if (!claim.unanswered || !std::holds_alternative<ClaimRequest>(claim.request.body)) return;
   const ClaimCallback on_result = std::move(claim.on_result);
--- a/src/copies/idempotency_key_client.h
+++ b/src/copies/idempotency_key_client.h
@@ -64,7 +64,7 @@
   using Claims = std::map<std::uint64_t, OpenClaim>;
 
   void Send(double now, OpenClaim* claim);
-  void OnClaimResult(Claims::iterator claim, Result result);
+  void OnClaimResult(Claims::iterator claim, const Result& result);
   static void OnAttemptDecision(OpenClaim* claim, std::uint64_t attempt, bool allowed);
   static double ResendAt(const OpenClaim& claim);
 
--- a/src/copies/replicated_logs.cpp
+++ b/src/copies/replicated_logs.cpp
@@ -15,7 +15,8 @@
   const auto it = logs_.find(id);
   if (it != logs_.end() && seq > it->second.late) {
     const auto& marks = it->second.marks;
-    for (auto mark = marks.rbegin(); mark != marks.rend(); ++mark) {
+    for (auto mark = marks.rbegin(); mark != marks.rend();
+         ++mark) {  // NOLINT(modernize-loop-convert)
       if (mark->second < seq) return now - mark->first;
     }
   }
--- a/src/core/planner_requests.cpp
+++ b/src/core/planner_requests.cpp
@@ -129,7 +129,7 @@
            {.kind = FinalAnswer::Kind::kCompleted, .attempt = static_cast<int>(attempt)});
   }
   // An error that is the request's own says nothing against the worker, and other workers would
-  // give the same: counted as failures, such answers once had every worker ejected.
+  // give the same. Counted as failures, such answers could eject every worker.
   const bool client_error = outcome.client_error && !NeverRan(outcome.status);
   const AttemptStatus status = client_error ? AttemptStatus::kCancelled : outcome.status;
   if (status != outcome.status && !entry->answered) Answer(id, entry, {});
--- a/src/membership/leader.cpp
+++ b/src/membership/leader.cpp
@@ -203,7 +203,7 @@
       member != nullptr && member->process_incarnation != request.process_incarnation;
   if (other_process && now < LeaseMayRunUntil(from)) {
     IdentityConflict conflict{.process_incarnation = member->process_incarnation};
-    return Reply(from, relay, std::move(conflict), send);
+    return Reply(from, relay, conflict, send);
   }
   if (holder.process_incarnation != request.process_incarnation) {
     holder.process_incarnation = request.process_incarnation;
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -1,10 +1,10 @@
 #include "net/cluster/member.h"
 
-#include <time.h>
 #include <unistd.h>
 
 #include <algorithm>
 #include <cmath>
+#include <ctime>
 #include <nlohmann/json.hpp>
 #include <sstream>
 #include <utility>
--- a/src/net/cluster/transport.cpp
+++ b/src/net/cluster/transport.cpp
@@ -37,7 +37,7 @@
   void Carry(const sockaddr_in& to, const std::string& frame) {
     if (!Connect(to)) return Finish("no-connection");
     // A machine that is gone acknowledges nothing and closes nothing.
-    const unsigned most_ms = static_cast<unsigned>(1000 * kStreamS);
+    const auto most_ms = static_cast<unsigned>(1000 * kStreamS);
     setsockopt(descriptor(), IPPROTO_TCP, TCP_USER_TIMEOUT, &most_ms, sizeof most_ms);
     Write(frame);
   }
--- a/src/net/http/worker_pool.cpp
+++ b/src/net/http/worker_pool.cpp
@@ -73,7 +73,7 @@
   if (const auto load = object.find("load"); load != object.end() && load->is_object()) {
     read.load = load->dump();
   }
-  const std::string& name = state->get_ref<const std::string&>();
+  const auto& name = state->get_ref<const std::string&>();
   using What = JobLine::What;
   if (name == "done") {
     const auto result = object.find("result");
--- a/src/net/link/frame.cpp
+++ b/src/net/link/frame.cpp
@@ -68,7 +68,7 @@
 }
 
 double Reader::Real() {
-  const double v = std::bit_cast<double>(U64());
+  const auto v = std::bit_cast<double>(U64());
   if (std::isfinite(v)) return v;
   ok_ = false;
   return 0;
--- a/src/quota/allocator.cpp
+++ b/src/quota/allocator.cpp
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-Allocator::Allocator(NodeId self, std::vector<NodeId> dispatchers, std::vector<TenantQuota> tenants,
-                     const LeaseTimings& timings, double now)
+Allocator::Allocator(NodeId self, const std::vector<NodeId>& dispatchers,
+                     std::vector<TenantQuota> tenants, const LeaseTimings& timings, double now)
     : timings_(timings), self_(self), ticked_at_(now) {
   for (const NodeId dispatcher : dispatchers) dispatchers_.try_emplace(dispatcher);
   if (tenants.size() > kMaxTenants) tenants.resize(kMaxTenants);
--- a/src/quota/allocator.h
+++ b/src/quota/allocator.h
@@ -31,7 +31,7 @@
  public:
   // `dispatchers`: every member of the cluster that may hold leases, in the view or not, with this
   // one. `now`: the start of this process, which knows no earlier leases.
-  Allocator(NodeId self, std::vector<NodeId> dispatchers, std::vector<TenantQuota> tenants,
+  Allocator(NodeId self, const std::vector<NodeId>& dispatchers, std::vector<TenantQuota> tenants,
             const LeaseTimings& timings, double now);
 
   // The agreed view has changed. Tenants that are new here are taken over: their whole quota counts
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -68,7 +68,7 @@
 
 class Scheduler {
  public:
-  Scheduler(const Options& options, std::uint64_t seed) : options_(options), seed_(seed) {}
+  Scheduler(Options options, std::uint64_t seed) : options_(std::move(options)), seed_(seed) {}
 
   void Configure(const Options& options);
   void SetTenants(std::vector<double> shares) { tenant_shares_ = std::move(shares); }
@@ -131,10 +131,10 @@
   static constexpr int kMaxHintedTries = 4;
 
   struct RunningJob {
-    JobHandle job;
+    JobHandle job = 0;
     Resources need;
-    int cls;
-    double hint_s, started_at;
+    int cls = 0;
+    double hint_s = 0, started_at = 0;
   };
   struct Worker {
     WorkerState state;
--- a/src/scheduling/scheduling_balancer.cpp
+++ b/src/scheduling/scheduling_balancer.cpp
@@ -7,7 +7,7 @@
 namespace millethollow::scheduling {
 namespace {
 
-constexpr std::uint64_t kTickTimer = 1ULL << 40;  // the balancer's own marks are small
+constexpr std::uint64_t kTickTimer = 1ULL << 40;  // the balancer's own timer ids are small
 constexpr double kReportMaxAgeS = 0.2;    // what has run for longer is included in any report
 constexpr double kStartByQuantile = 0.1;  // a job's time to start by assumes a short run
 constexpr double kUnlimitedMemory = 1e12;
--- a/tests/cluster/restart_test.cpp
+++ b/tests/cluster/restart_test.cpp
@@ -46,8 +46,8 @@
   void Drain() {
     drain_at = loop_->Now();
     version_ = 2;
-    for (std::size_t p = 0; p < told.size(); ++p) {
-      if (drain_at - told[p].last_answer_at <= 0.2) told[p].drain_at = drain_at;
+    for (auto& process : told) {
+      if (drain_at - process.last_answer_at <= 0.2) process.drain_at = drain_at;
     }
     for (Call& call : std::exchange(waiting_, {})) Answer(call);
   }
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -92,7 +92,7 @@
 std::string Again(const cluster::Body& frame) {
   cluster::Header header;
   cluster::Body read;
-  const std::string bytes =
+  std::string bytes =
       cluster::Encode({.cluster = 1, .from = 2, .process_incarnation = 3, .number = 4}, frame);
   EXPECT_EQ(cluster::Decode(bytes, &header, &read), cluster::Fault::kNone);
   EXPECT_EQ(header.process_incarnation, 3U);
@@ -105,7 +105,7 @@
   std::vector<cluster::Body> frames = {membership::Frame(AMessage()), AProbe(), SomeFacts(),
                                        SomeOperations()};
   for (const AgreementMessage& message : MoreMessages()) {
-    frames.push_back(membership::Frame(message));
+    frames.emplace_back(message);
   }
   for (const cluster::Body& frame : frames) {
     const std::string bytes = Again(frame);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -369,7 +369,7 @@
   told(hears, 105, balancing::TimerFired{1});
   const auto reports = told(tells, 105, balancing::TimerFired{1});
   ASSERT_FALSE(reports.empty());
-  const std::string good = reports[0];
+  const std::string& good = reports[0];
   ASSERT_LE(good.size(), 256u);
   const std::size_t fixed = 9 + 4 * static_cast<std::size_t>(static_cast<unsigned char>(good[3]));
   std::vector<std::pair<int, std::string>> bad{{100, good}, {1, good}};
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -1,8 +1,8 @@
 // The process replaced under load: nobody is turned away, and what was known goes on.
 #include <gtest/gtest.h>
-#include <stdlib.h>
 #include <unistd.h>
 
+#include <cstdlib>
 #include <filesystem>
 #include <random>
 
--- a/tests/idempotency_keys_test.cpp
+++ b/tests/idempotency_keys_test.cpp
@@ -236,7 +236,8 @@
   const std::uint64_t from = FromEnvironment("SEED", 1);
   for (std::uint64_t seed = from; seed <= std::max(from, FromEnvironment("SEEDS", 8)); ++seed) {
     const KeyDay day(seed);
-    ASSERT_TRUE(day.broken().empty()) << "seed " << seed << " " << day.broken()[0];
+    const auto broken = day.broken();
+    ASSERT_TRUE(broken.empty()) << "seed " << seed << " " << (broken.empty() ? "" : broken[0]);
     asked += day.asked, went += day.went, repeated += day.repeated, refused += day.refused;
     runs += day.runs, again += day.again, unsure += day.unsure;
   }
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -173,7 +173,7 @@
     expected.push_back(std::to_string(type) + data + "\0\0x"s.substr(0, 3));
     if (type % 5 == 0) {
       stream += "status\r\n";
-      expected.push_back("status");
+      expected.emplace_back("status");
     }
   }
   for (int round = 0; round < 100; ++round) {
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -522,7 +522,7 @@
   EXPECT_NE(why(good, R"("most_tries":4)", R"("most_tries":0)").find("most_tries"),
             std::string::npos);
   EXPECT_NE(why(good, R"("by_key")", R"("by_luck")").find("semantics"), std::string::npos);
-  EXPECT_NE(why(good, R"("name":"t")", R"("gearman":{"functions":{"f":{"class":"?"}}})").find("f"),
+  EXPECT_NE(why(good, R"("name":"t")", R"("gearman":{"functions":{"f":{"class":"?"}}})").find('f'),
             std::string::npos);
 }
 
--- a/tests/quota_quiet_test.cpp
+++ b/tests/quota_quiet_test.cpp
@@ -39,7 +39,7 @@
 }
 
 void DemandEverywhere(QuotaWorld* world, double part) {
-  const double dispatchers = static_cast<double>(world->size());
+  const auto dispatchers = static_cast<double>(world->size());
   for (std::size_t tenant = 0; tenant < world->tenants(); ++tenant) {
     const double each = part * world->quota(tenant) / dispatchers;
     SetDemandOf(world, tenant, std::vector<double>(world->size(), each));
--- a/tests/quota_refusals_test.cpp
+++ b/tests/quota_refusals_test.cpp
@@ -133,7 +133,7 @@
       holder.Tick(now_, &actions);
       for (const auto& [to, message] : actions.send) {
         said->push_back(message);
-        const UsageReport& report = std::get<UsageReport>(message);
+        const auto& report = std::get<UsageReport>(message);
         if (to != kSelf) continue;
         if (id == kDispatcher) last_report_ = report;
         EXPECT_EQ(allocator_.OnUsageReport(now_, id, LifeOf(id), report), RejectReason::kNone);
@@ -143,7 +143,7 @@
     allocator_.Tick(now_, true, &actions);
     for (const auto& [to, message] : actions.send) {
       said->push_back(message);
-      const Grant& grant = std::get<Grant>(message);
+      const auto& grant = std::get<Grant>(message);
       for (const Assignment& a : grant.assignments)
         last_number_ = std::max(last_number_, a.grant_number);
       if (to == kDispatcher) last_grant_ = grant;
--- a/tests/record_store_test.cpp
+++ b/tests/record_store_test.cpp
@@ -37,16 +37,17 @@
     damaged.clear();
     for (bool more = true; more;) {
       bool come = false;
-      store->Read(prefix, after, most,
-                  [&](RecordStore::Records records, bool last, std::vector<std::string> bad) {
-                    const std::lock_guard lock(mutex);
-                    for (auto& [key, value] : records) all[key] = value, after = key;
-                    damaged.insert(damaged.end(), bad.begin(), bad.end());
-                    if (!bad.empty() && bad.back() > after) after = bad.back();
-                    more = !last;
-                    come = true;
-                    changed.notify_all();
-                  });
+      store->Read(
+          prefix, after, most,
+          [&](const RecordStore::Records& records, bool last, std::vector<std::string> bad) {
+            const std::lock_guard lock(mutex);
+            for (auto& [key, value] : records) all[key] = value, after = key;
+            damaged.insert(damaged.end(), bad.begin(), bad.end());
+            if (!bad.empty() && bad.back() > after) after = bad.back();
+            more = !last;
+            come = true;
+            changed.notify_all();
+          });
       std::unique_lock lock(mutex);
       changed.wait(lock, [&] { return come; });
     }
--- a/tests/scale_rig_test.cpp
+++ b/tests/scale_rig_test.cpp
@@ -100,7 +100,7 @@
   std::string why;
   ASSERT_TRUE(WriteResult(result, {}, json_path, table_path, &why)) << why;
   AxisResult other = NewResult("other");
-  other.failures.push_back("it was not run");
+  other.failures.emplace_back("it was not run");
   ASSERT_TRUE(WriteResult(other, {}, json_path, table_path, &why)) << why;
   std::ifstream file(json_path);
   const auto json = nlohmann::json::parse(file);
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -91,7 +91,7 @@
 constexpr int kSmall = 0, kLarge = 1;
 
 struct Bench {
-  explicit Bench(Options options = {}) : scheduler(options, 1) {
+  explicit Bench(const Options& options = {}) : scheduler(options, 1) {
     scheduler.runtimes().SetPrior(kSmall, 0.5);
     scheduler.runtimes().SetPrior(kLarge, 3);
     scheduler.SetTenants({0.5, 0.5});
@@ -267,9 +267,9 @@
 }
 
 struct Binding {
-  const char* name;
+  const char* name = "";
   Resources taken, need;
-  bool starts;
+  bool starts = false;
 };
 TEST(Scheduler, SlotsAndMemoryBindEachForItself) {
   for (const Binding& c : {Binding{"memory fits, slots do not", {4, 1}, {1, 1}, false},
--- a/tests/scheduling_balancer_test.cpp
+++ b/tests/scheduling_balancer_test.cpp
@@ -1,8 +1,8 @@
 // Room for large jobs with the decision module behind it: days on the virtual floor, and the node
 // on loopback.
 #include <gtest/gtest.h>
-#include <stdlib.h>
 
+#include <cstdlib>
 #include <filesystem>
 
 #include "support/rig.h"
@@ -135,7 +135,7 @@
 
 // A fleet of `n` workers of `slots`, all taken by jobs of two seconds.
 struct Busy {
-  explicit Busy(int n, double slots = 1, Options options = On(), int nodes = 1)
+  explicit Busy(int n, double slots = 1, const Options& options = On(), int nodes = 1)
       : floor(nodes, Platform(), options) {
     for (int w = 0; w < n; ++w) floor.AddWorker({slots, slots}, 4);
     floor.Start();
@@ -161,23 +161,23 @@
 };
 TEST(Room, AReservationLeavesAWorkerThatIsLostAndItsJobIsNotLater) {
   using balancing::Readiness;
-  for (const Loss& loss : {
-           Loss{"drains", [](Busy&b, int w) { b.floor.List(w, Readiness::kDraining); }},
-           Loss{"is gone", [](Busy&b, int w) { b.floor.List(w, Readiness::kGone); }},
-           Loss{"is taken out by hand",
-                [](Busy&b, int w) {
-                  b.floor.Tell(0, balancing::MaintenanceChanged{SimulatedFleet::Name(w), true});
-                }},
-           Loss{"dies and is ejected",
-                [](Busy&b, int w) {
-                  for (const std::string& id : b.running) {
-                    if (b.floor.asked.at(id).sent_to.front() != w) continue;
-                    b.floor.Tell(0,
-                                 balancing::AttemptEnded{
-                                     .id = id, .status = balancing::AttemptStatus::kConnectFailed});
-                  }
-                }},
-       }) {
+  const Loss kLosses[] = {
+      Loss{"drains", [](Busy& b, int w) { b.floor.List(w, Readiness::kDraining); }},
+      Loss{"is gone", [](Busy& b, int w) { b.floor.List(w, Readiness::kGone); }},
+      Loss{"is taken out by hand",
+           [](Busy& b, int w) {
+             b.floor.Tell(0, balancing::MaintenanceChanged{SimulatedFleet::Name(w), true});
+           }},
+      Loss{"dies and is ejected",
+           [](Busy& b, int w) {
+             for (const std::string& id : b.running) {
+               if (b.floor.asked.at(id).sent_to.front() != w) continue;
+               b.floor.Tell(0, balancing::AttemptEnded{
+                                   .id = id, .status = balancing::AttemptStatus::kConnectFailed});
+             }
+           }},
+  };
+  for (const Loss& loss : kLosses) {
     Busy b(3);
     const std::string charge = b.floor.Ask(0, kCharge, {1, 1}, 1, 25);
     const int held = b.Holding();
--- a/tests/state_transfer_test.cpp
+++ b/tests/state_transfer_test.cpp
@@ -15,7 +15,7 @@
   LoadBalancer old(s, 1);
   Actions actions;
   const auto members = MakeEndpoints(2);
-  const auto Arrived = [](const std::string& id) {
+  const auto make_arrival = [](const std::string& id) {
     RequestArrived e;
     e.id = id;
     e.expires_s = 6;
@@ -26,7 +26,7 @@
   for (int i = 0; i < 20; ++i) {  // every send to w0 finds nobody there
     const std::string id = "j" + std::to_string(i);
     actions.clear();
-    old.Handle(1.0 + i * 0.01, Arrived(id), &actions);
+    old.Handle(1.0 + i * 0.01, make_arrival(id), &actions);
     for (const SendAttempt& send : ActionsOf<SendAttempt>(actions)) {
       AttemptEnded end;
       end.id = id;
--- a/tests/support/cluster_rig.h
+++ b/tests/support/cluster_rig.h
@@ -67,7 +67,7 @@
   Cluster& operator=(const Cluster&) = delete;
 
   std::size_t size() const { return nodes_.size(); }
-  static std::string Name(std::size_t i) { return std::string(1, static_cast<char>('a' + i)); }
+  static std::string Name(std::size_t i) { return {static_cast<char>('a' + i)}; }
 
   // Processes. `alias`: another process under the id of member i, with files and ports of its own.
   void Start(std::size_t i);
--- a/tests/support/copies_world.h
+++ b/tests/support/copies_world.h
@@ -34,14 +34,14 @@
 class CopyWorld {
  public:
   CopyWorld(std::uint64_t seed, std::size_t members, CopyFaults planted)
-      : faults_(planted),
-        random_(seed * 77 + 5),
+      : faults(planted),
+        random(seed * 77 + 5),
         world(seed, {.members = members,
                      .voters = 3,
                      .loss = seed % 3 == 0 ? 0.05 : 0.02,
                      .doubled = 0.03}),
         nodes_(members) {
-    for (Node& n : nodes_) n.disk_id = random_.NextUint64() | 1;
+    for (Node& n : nodes_) n.disk_id = random.NextUint64() | 1;
     world.on_start = [this](std::size_t i) { Run(i); };
     world.on_kill = [this](std::size_t i) {
       if (nodes_[i].copies) fillings += nodes_[i].copies->counters().fillings;
@@ -54,7 +54,7 @@
   void Wipe(std::size_t i) {
     world.Kill(i);
     nodes_[i].disk.clear();
-    nodes_[i].disk_id = random_.NextUint64() | 1;
+    nodes_[i].disk_id = random.NextUint64() | 1;
   }
   void KeepOld(std::size_t i) { nodes_[i].old = nodes_[i].disk; }
   void PutBackOld(std::size_t i) {
@@ -89,9 +89,9 @@
     for (const auto& [log, unused] : model_) {
       if (!Acts(i, log)) continue;
       ReplicatedLogs::AppendError why{};
-      const std::string key = "k" + std::to_string(random_.Below(40)),
+      const std::string key = "k" + std::to_string(random.Below(40)),
                         value = "v" + std::to_string(++values_);
-      const bool gone = random_.Below(3) == 0;
+      const bool gone = random.Below(3) == 0;
       Put(i, log, key, gone ? "" : value, gone, &why);
       refused += why == ReplicatedLogs::AppendError::kTooFewReplicas;
     }
@@ -131,7 +131,7 @@
                     nodes_[log.owner - 1].copies->MayAct(log.log);
            });
   }
-  void OpenLog(std::size_t i) { Open(i, random_.NextUint64() | 1); }
+  void OpenLog(std::size_t i) { Open(i, random.NextUint64() | 1); }
   std::string Told() {
     std::string all;
     const View* latest = Latest();
@@ -161,8 +161,8 @@
     std::function<void(std::size_t, LogId, SequenceNumber)> kept = [](std::size_t, LogId,
                                                                       SequenceNumber) {};
   } ledger;
-  const CopyFaults faults_;
-  Random random_;
+  const CopyFaults faults;
+  Random random;
   World world;
   std::size_t answered = 0, refused = 0, adopted = 0, fillings = 0,
               given_up = 0;  // given up: disks that lied
@@ -200,7 +200,7 @@
     if (!nodes_[i].copies) return;
     ReplicatedLogs::Actions look, then;
     nodes_[i].copies->OnView(world.now(), world.ViewOf(i),
-                             world.Leased(i) || faults_.acts_without_lease, &look);
+                             world.Leased(i) || faults.acts_without_lease, &look);
     CarryOut(i, &look);
     if (!nodes_[i].copies) return;
     event(nodes_[i].copies.get(), world.now(), &then);
@@ -230,7 +230,7 @@
     const double now = world.now();
     if (!a->write.empty()) {
       // What comes while the disk is busy is written together after it.
-      const double takes = n.write_s * (0.5 + random_.Unit());
+      const double takes = n.write_s * (0.5 + random.Unit());
       if (now >= n.written_at) {
         n.busy_until = n.written_at = now + takes;
       } else if (now >= n.busy_until || n.written_at <= n.busy_until) {
@@ -238,9 +238,9 @@
         n.written_at += takes;
       }
       const auto put = [this, i, batch = a->write] { WriteTo(&nodes_[i].disk, batch); };
-      if (faults_.answers_before_disk) world.At(n.written_at + 0.2, i, put);
+      if (faults.answers_before_disk) world.At(n.written_at + 0.2, i, put);
       world.At(n.written_at, i, [this, i, put, ticket = a->ticket] {
-        if (!faults_.answers_before_disk) put();
+        if (!faults.answers_before_disk) put();
         Do(i, [ticket](ReplicatedLogs* c, double at, ReplicatedLogs::Actions* more) {
           c->OnStored(at, ticket, more);
         });
@@ -253,7 +253,7 @@
         auto it = disk.upper_bound(r.after.empty() ? r.prefix : r.after);
         const auto more = [&] { return it != disk.end() && it->first.starts_with(r.prefix); };
         for (; more() && entries.size() < 4; ++it) entries.push_back(*DecodeOperation(it->second));
-        const bool last = !more() || faults_.loses_tail_of_filling;
+        const bool last = !more() || faults.loses_tail_of_filling;
         Do(i, [&](ReplicatedLogs* c, double at, ReplicatedLogs::Actions* then) {
           c->OnSnapshotChunkRead(at, r.log, r.fill, entries, last, then);
         });
@@ -274,7 +274,7 @@
     for (const auto& [log, seq] : a->committed) Kept(i, log, seq);
     for (const auto& [log, seq] : a->committed) ledger.kept(i, log, seq);
     if (!a->store_is_stale) return;  // else a new disk, and a new process on it
-    if (!put_back && !faults_.planted())
+    if (!put_back && !faults.planted())
       return Break(i, "gives its disk up, which was never put back");
     given_up += 1;
     world.At(now, i, [this, i] {
@@ -301,7 +301,7 @@
         // One that was lost since had it, or its owner would not have answered.
         disks += h != nullptr && (h->store_id != nodes_[d].disk_id || OnDisk(d, log, s, op->epoch));
       }
-      if (disks < 2 && !faults_.planted())
+      if (disks < 2 && !faults.planted())
         Break(i,
               "answers operation " + std::to_string(s) + " on " + std::to_string(disks) + " disks");
     }
@@ -368,7 +368,7 @@
       for (std::size_t i = 0; i < nodes_.size(); ++i) {
         // One that is stopped acts on nothing, and looks at its lease before it goes on.
         if (!world.Runs(i) || !nodes_[i].copies || !nodes_[i].copies->MayAct(log)) continue;
-        if (!world.Leased(i) && !faults_.acts_without_lease) continue;
+        if (!world.Leased(i) && !faults.acts_without_lease) continue;
         act += 1;
         who = i;
       }
--- a/tests/support/simulated_fleet.h
+++ b/tests/support/simulated_fleet.h
@@ -98,7 +98,7 @@
   }
   std::string Ask(std::size_t node, int cls, scheduling::Resources need, double run_s,
                   double wait_s, int tenant = 0) {
-    const std::string id = "j" + std::to_string(asked.size());
+    std::string id = "j" + std::to_string(asked.size());
     asked[id] = {.cls = cls, .tenant = tenant, .need = need, .run_s = run_s, .at = now};
     owner_[id] = node;
     AtNode(node, now + wait_s, [this, id, node] { Gone(node, id); });
--- a/tests/support/support.h
+++ b/tests/support/support.h
@@ -76,7 +76,7 @@
   struct Got {
     http::Head head;
     std::string body;
-    Raw* from;
+    Raw* from = nullptr;
   };
   explicit ToyWorker(Loop* loop);
   std::string address() const { return listener_.address(); }
--- a/tests/usage_report_test.cpp
+++ b/tests/usage_report_test.cpp
@@ -222,7 +222,7 @@
     table.rows[peer].Apply(report, layout.size(), now);
   };
   const std::vector<double> own(layout.size(), 2.0);
-  const double last = static_cast<double>(layout.size());  // of the row that peers tell: 1, 2, 3...
+  const auto last = static_cast<double>(layout.size());  // of the row that peers tell: 1, 2, 3...
   const auto fleet_is = [&](double since, double at_first, double at_last) {
     const std::vector<double> fleet = table.TierRates(own, 0, since);
     EXPECT_DOUBLE_EQ(fleet.front(), at_first);
