--- a/Makefile
+++ b/Makefile
@@ -35,7 +35,7 @@
 # Every source, the adapter and the tests too.
 SOURCES = $(shell find src include bench examples tests -name '*.cpp' -o -name '*.h' | sort)
 LINT_BUILD ?= build-lint
-LINT_JOBS ?= 4
+LINT_JOBS ?= $(shell nproc)
 lint:
 	clang-format --dry-run --Werror $(SOURCES)
 	cppcheck --quiet --std=c++20 --language=c++ --error-exitcode=1 --inline-suppr --library=googletest \
