--- a/src/membership/view_agreement.cpp
+++ b/src/membership/view_agreement.cpp
@@ -116,7 +116,8 @@
 void ViewAgreement::Dispatch(double now, NodeId from, ProcessIncarnation process_incarnation,
                              const AgreementMessage& message, std::vector<OutgoingMessage>* send,
                              Actions* actions) {
-  const auto handle = [&]<typename Message>(const Message& m) {
+  const auto handle = [&](const auto& m) {
+    using Message = std::decay_t<decltype(m)>;
     if constexpr (LeaseMessage<Message>) {
       Handle(now, from, process_incarnation, m, send);
     } else if constexpr (MemberReply<Message>) {
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -85,18 +85,16 @@
                                       .ballot = {.round = 6, .proposer = 3},
                                       .accepted_by = {.round = 5, .proposer = 5},
                                       .accepted = SampleView()};
-  all["membership-propose"] =
-      Propose{.voter = voter,
-              .ballot = {.round = 6, .proposer = 3},
-              .view = SampleView(),
-              .quorum = {{3, {.number = 2, .nonce = 0xfeed}}, {5, {.number = 1, .nonce = 0xbeef}}}};
+  Propose propose{.voter = voter, .ballot = {.round = 6, .proposer = 3}, .view = SampleView()};
+  propose.quorum.push_back({3, {.number = 2, .nonce = 0xfeed}});
+  propose.quorum.push_back({5, {.number = 1, .nonce = 0xbeef}});
+  all["membership-propose"] = propose;
   all["membership-accepted"] =
       Accepted{.voter = voter, .ballot = {.round = 6, .proposer = 3}, .epoch = 9};
   all["membership-refused"] = Rejection{.voter = voter, .promised = {.round = 7, .proposer = 5}};
-  all["membership-beat"] = Heartbeat{.voter = voter,
-                                     .ballot = {.round = 6, .proposer = 3},
-                                     .quorum = {{3, {.number = 2, .nonce = 0xfeed}}},
-                                     .sequence = 4711};
+  Heartbeat heartbeat{.voter = voter, .ballot = {.round = 6, .proposer = 3}, .sequence = 4711};
+  heartbeat.quorum.push_back({3, {.number = 2, .nonce = 0xfeed}});
+  all["membership-beat"] = heartbeat;
   all["membership-beaten"] =
       HeartbeatAck{.voter = voter, .ballot = {.round = 6, .proposer = 3}, .sequence = 4711};
   all["membership-decided"] = ViewDecided{.view = SampleView(), .origin = 5};
