--- a/src/copies/replicated_logs.cpp
+++ b/src/copies/replicated_logs.cpp
@@ -15,8 +15,9 @@
   const auto it = logs_.find(id);
   if (it != logs_.end() && seq > it->second.late) {
     const auto& marks = it->second.marks;
-    for (auto mark = marks.rbegin(); mark != marks.rend();
-         ++mark) {  // NOLINT(modernize-loop-convert)
+    // clang 14 does not compile std::views::reverse of this library.
+    // NOLINTNEXTLINE(modernize-loop-convert)
+    for (auto mark = marks.rbegin(); mark != marks.rend(); ++mark) {
       if (mark->second < seq) return now - mark->first;
     }
   }
