--- a/bench/scale/axis_dispatchers.cpp
+++ b/bench/scale/axis_dispatchers.cpp
@@ -143,9 +143,9 @@
     AddPoint(measures, std::to_string(dispatchers) + " dispatchers", &result);
   }
   for (const char* figure : {"bytes_each_13t", "peers_processor_each_13t", "memory_each_13t"}) {
-    result.trends.push_back(TrendOf(figure, result.points, {.least = 0, .most = kDirectTier}));
+    result.trends.push_back(TrendOf(figure, result.points, {.min = 0, .max = kDirectTier}));
     if (options.is_short) continue;
-    result.trends.push_back(TrendOf(figure, result.points, {.least = kDirectTier + 1}));
+    result.trends.push_back(TrendOf(figure, result.points, {.min = kDirectTier + 1}));
   }
   return result;
 }
--- a/bench/scale/axis_members.cpp
+++ b/bench/scale/axis_members.cpp
@@ -10,8 +10,8 @@
 
 using membership::World;
 
-constexpr double kJoinMostS = 60;  // for all to be in one view
-constexpr double kFactMostS = 30;
+constexpr double kMaxJoinS = 60;  // for all to be in one view
+constexpr double kMaxFactS = 30;
 constexpr double kFactStepS = 0.01;
 constexpr char kWorker[] = "worker-1";
 
@@ -42,11 +42,11 @@
   return cluster::Encode(cluster::Header{}, cluster::Body(frame)).size();
 }
 
-// Seconds until all hold the worker out; -1: not within kFactMostS.
+// Seconds until all hold the worker out; -1: not within kMaxFactS.
 double SpreadFact(World* world) {
   const double told_at = world->now();
   world->Say(0, kWorker, true);
-  while (world->now() < told_at + kFactMostS) {
+  while (world->now() < told_at + kMaxFactS) {
     world->RunUntil(world->now() + kFactStepS);
     std::size_t hold = 0;
     for (std::size_t i = 0; i < world->size(); ++i) hold += world->Out(i, kWorker);
@@ -63,7 +63,7 @@
   const std::size_t memory_before = AllocatedMemory();
   World world(seed, options);
   world.StartAll();
-  const double joined_by = world.now() + kJoinMostS;
+  const double joined_by = world.now() + kMaxJoinS;
   while (!world.Whole() && world.now() < joined_by) world.RunUntil(world.now() + 0.25);
   const bool whole = world.Whole();
   const double joined_at = world.now();
--- a/bench/scale/axis_quota.cpp
+++ b/bench/scale/axis_quota.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t kZones = 11;
 constexpr std::size_t kUsualDispatchers = 300, kUsualTenants = 130, kUsualAllocators = 5;
 constexpr std::size_t kIpAndUdpBytes = 28;
-constexpr std::size_t kDatagramBytes = cluster::kMostDatagram;  // longer frames go by TCP
+constexpr std::size_t kDatagramBytes = cluster::kMaxDatagramBytes;  // longer frames go by TCP
 constexpr double kFirstViewS = 0.5, kWarmUpS = 12;
 constexpr double kMovePeriodS = 1;
 
@@ -95,7 +95,7 @@
 
 // Half of a tenant's quota is asked for anew at one dispatcher: seconds until its rate rises.
 Samples MeasureShifts(QuotaWorld* world, int shifts) {
-  constexpr double kMostS = 5, kStepS = 0.05;
+  constexpr double kMaxWaitS = 5, kStepS = 0.05;
   Samples took;
   std::size_t watched = 0, tenant = 0;
   double rate = 0, granted_at = -1;
@@ -111,7 +111,7 @@
     const double shifted_at = world->now();
     const double before = world->demand(watched, tenant);
     world->SetDemand(watched, tenant, before + world->quota(tenant) / 2);
-    while (granted_at < 0 && world->now() < shifted_at + kMostS) {
+    while (granted_at < 0 && world->now() < shifted_at + kMaxWaitS) {
       world->RunUntil(world->now() + kStepS);
     }
     if (granted_at >= 0) took.Add(granted_at - shifted_at);
--- a/bench/scale/axis_workers.cpp
+++ b/bench/scale/axis_workers.cpp
@@ -16,7 +16,7 @@
 constexpr double kJobGapS = 0.0005;
 constexpr double kReportGapS = 0.5;
 constexpr std::uint64_t kReportTimer = 1;
-constexpr std::size_t kMostList = 4 * kMebibyte;  // a longer list is not read
+constexpr std::size_t kMaxListBytes = 4 * kMebibyte;  // a longer list is not read
 
 struct Effort {
   int decisions = 20000;
@@ -184,9 +184,9 @@
   point.Computed("list_bytes", "B", static_cast<double>(plain.size()));
   point.Computed("list_bytes_indented", "B", static_cast<double>(indented_bytes));
   point.Computed("list_of_bound", "share",
-                 static_cast<double>(plain.size()) / static_cast<double>(kMostList));
+                 static_cast<double>(plain.size()) / static_cast<double>(kMaxListBytes));
   point.Computed("list_indented_of_bound", "share",
-                 static_cast<double>(indented_bytes) / static_cast<double>(kMostList));
+                 static_cast<double>(indented_bytes) / static_cast<double>(kMaxListBytes));
   Samples readings;
   for (int i = 0; i < effort.list_readings; ++i) {
     ServerList list;
--- a/bench/scale/statistics.cpp
+++ b/bench/scale/statistics.cpp
@@ -75,7 +75,7 @@
     const Figure* value = point.Find(figure);
     if (value == nullptr || point.figures.empty()) continue;
     const Figure& size = point.figures.front();
-    if (size.value < range.least || size.value > range.most) continue;
+    if (size.value < range.min || size.value > range.max) continue;
     trend.over = size.name;
     trend.unit = value->unit + " per " + size.unit;
     x.push_back(size.value);
--- a/bench/scale/statistics.h
+++ b/bench/scale/statistics.h
@@ -47,7 +47,7 @@
 
 // Which sizes a line is fitted to, both ends among them.
 struct SizeRange {
-  double least = 0, most = std::numeric_limits<double>::infinity();
+  double min = 0, max = std::numeric_limits<double>::infinity();
 };
 
 // The line of one figure over the first figure of each point that has both.
--- a/src/config/cluster.cpp
+++ b/src/config/cluster.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 using Json = nlohmann::json;
-constexpr std::size_t kMostMembers = 1024, kMostWord = 64;
+constexpr std::size_t kMaxMembers = 1024, kMaxWordBytes = 64;
 constexpr std::size_t kLeast = 2;     // copies of a promise where the file says nothing
 constexpr double kLeastRenewals = 3;  // of a quota lease in its span: two may be lost
 constexpr double kGrantOnItsWayS =
     0.05;  // between the look at the membership lease and the sending
 
 bool Word(const std::string& text) {
-  return !text.empty() && text.size() <= kMostWord &&
+  return !text.empty() && text.size() <= kMaxWordBytes &&
          std::none_of(text.begin(), text.end(), [](char c) { return c <= ' ' || c >= 0x7f; });
 }
 
@@ -114,7 +114,7 @@
 KeyReader QuotaKey(QuotaOptions* quota, std::string* why) {
   return [quota, why](const Json& value, const std::string& path) {
     const KeyReaders readers{
-        {"allocators", NamesKey(&quota->allocators, kMostMembers, why)},
+        {"allocators", NamesKey(&quota->allocators, kMaxMembers, why)},
         {"span_s", NumberKey(&quota->timings.lease_duration_s, 0.3, 60, why)},
         {"renew_s", NumberKey(&quota->timings.renew_interval_s, 0.05, 20, why)},
         {"report_gap_s", NumberKey(&quota->timings.min_report_interval_s, 0.01, 5, why)},
@@ -144,11 +144,11 @@
   const auto section = root.find("cluster");
   if (section == root.end() || section->is_null()) return true;
   ClusterOptions o;
-  const auto number = [why](double* out, double least, double most) {
-    return NumberKey(out, least, most, why);
+  const auto number = [why](double* out, double min, double max) {
+    return NumberKey(out, min, max, why);
   };
   const auto members = [&](const Json& value, const std::string& path) {
-    if (!value.is_array() || value.size() > kMostMembers) {
+    if (!value.is_array() || value.size() > kMaxMembers) {
       return *why = "configuration: '" + path + "' is not a list of up to 1024 members", false;
     }
     for (const Json& item : value) {
@@ -185,10 +185,10 @@
   };
   auto store_bytes = static_cast<double>(o.store_bytes);
   auto copies = static_cast<double>(o.copies), least = 0.0;
-  auto most = static_cast<double>(o.jobs.jobs), bytes = static_cast<double>(o.jobs.bytes),
+  auto max_jobs = static_cast<double>(o.jobs.jobs), bytes = static_cast<double>(o.jobs.bytes),
        running = static_cast<double>(o.jobs.running);
   const KeyReaders jobs{
-      {"most", number(&most, 1, 1e6)},
+      {"most", number(&max_jobs, 1, 1e6)},
       {"bytes", number(&bytes, 1 << 16, 1e11)},
       {"running", number(&running, 1, 1e4)},
       {"tenant_share", number(&o.jobs.tenant_share, 0.001, 1)},
@@ -215,7 +215,7 @@
   o.store_bytes = static_cast<std::uint64_t>(store_bytes);
   o.copies = static_cast<std::size_t>(copies);
   o.min_replicas = static_cast<std::size_t>(least);
-  o.jobs.jobs = static_cast<std::size_t>(most);
+  o.jobs.jobs = static_cast<std::size_t>(max_jobs);
   o.jobs.bytes = static_cast<std::size_t>(bytes);
   o.jobs.running = static_cast<std::size_t>(running);
   CompleteQuota(&o);
--- a/src/config/haproxy.cpp
+++ b/src/config/haproxy.cpp
@@ -34,12 +34,11 @@
   Server server_defaults;
 };
 
-bool Integer(std::string_view text, int least, int most, int* value) {
+bool Integer(std::string_view text, int min, int max, int* value) {
   int read = 0;
   const char* end = text.data() + text.size();
   const auto [at, error] = std::from_chars(text.data(), end, read);
-  if (error != std::errc() || at != end || text.empty() || read < least || read > most)
-    return false;
+  if (error != std::errc() || at != end || text.empty() || read < min || read > max) return false;
   *value = read;
   return true;
 }
--- a/src/config/keys.h
+++ b/src/config/keys.h
@@ -27,11 +27,11 @@
   return true;
 }
 
-inline KeyReader NumberKey(double* out, double least, double most, std::string* why) {
+inline KeyReader NumberKey(double* out, double min, double max, std::string* why) {
   return [=](const nlohmann::json& value, const std::string& path) {
-    if (!value.is_number() || value.get<double>() < least || value.get<double>() > most) {
+    if (!value.is_number() || value.get<double>() < min || value.get<double>() > max) {
       std::ostringstream line;
-      line << "configuration: '" << path << "' is not a number from " << least << " to " << most;
+      line << "configuration: '" << path << "' is not a number from " << min << " to " << max;
       return *why = line.str(), false;
     }
     *out = value.get<double>();
@@ -48,13 +48,13 @@
 }
 
 // A list of up to `most` texts, at least one.
-inline KeyReader NamesKey(std::vector<std::string>* out, std::size_t most, std::string* why) {
+inline KeyReader NamesKey(std::vector<std::string>* out, std::size_t max, std::string* why) {
   return [=](const nlohmann::json& value, const std::string& path) {
     const auto is_text = [](const nlohmann::json& item) { return item.is_string(); };
-    if (!value.is_array() || value.empty() || value.size() > most ||
+    if (!value.is_array() || value.empty() || value.size() > max ||
         !std::all_of(value.begin(), value.end(), is_text)) {
       *why =
-          "configuration: '" + path + "' is not a list of 1 to " + std::to_string(most) + " texts";
+          "configuration: '" + path + "' is not a list of 1 to " + std::to_string(max) + " texts";
       return false;
     }
     *out = value.get<std::vector<std::string>>();
--- a/src/config/scheduling.cpp
+++ b/src/config/scheduling.cpp
@@ -21,8 +21,8 @@
   const auto section = root.find("scheduling");
   if (section == root.end() || section->is_null()) return true;
   scheduling::Options o = *options;
-  const auto number = [why](double* out, double least, double most) {
-    return NumberKey(out, least, most, why);
+  const auto number = [why](double* out, double min, double max) {
+    return NumberKey(out, min, max, why);
   };
   const auto names = [&](const Json& value, const std::string& path) {
     const auto text_only = [](const Json& item) { return item.is_string(); };
--- a/src/copies/durable_job_queue.h
+++ b/src/copies/durable_job_queue.h
@@ -80,7 +80,7 @@
         append;
     std::function<bool(LogId)> may_act;  // by a clock read now
     std::function<void(LogId)> open, close;
-    std::function<double(LogId, SequenceNumber)> age;  // as LogReplicator::AgeAtMost
+    std::function<double(LogId, SequenceNumber)> age;  // as LogReplicator::MaxAge
     std::function<void(const Round&)> run;
     std::function<void(const std::string& handle)> abort;  // it is another member's now
     std::function<void(const JobRecord&, JobOutcome)> ended = [](const JobRecord&, JobOutcome) {};
--- a/src/copies/log.cpp
+++ b/src/copies/log.cpp
@@ -8,8 +8,8 @@
 namespace millethollow::copies {
 namespace {
 
-constexpr double kMarkS = 0.5;            // between two marks of a log
-constexpr std::size_t kMostMarks = 2400;  // so that windows of 20 minutes are known
+constexpr double kMarkS = 0.5;           // between two marks of a log
+constexpr std::size_t kMaxMarks = 2400;  // so that windows of 20 minutes are known
 
 }  // namespace
 
@@ -28,7 +28,7 @@
 void ReplicatedLogs::Log::Mark(double since_s) {
   if (!marks.empty() && since_s - marks.back().first < kMarkS) return;
   marks.emplace_back(since_s, End());
-  if (marks.size() > kMostMarks) marks.pop_front();
+  if (marks.size() > kMaxMarks) marks.pop_front();
 }
 
 void ReplicatedLogs::Put(LogId id, const Operation& op) {
--- a/src/net/admin/admin_server.cpp
+++ b/src/net/admin/admin_server.cpp
@@ -13,8 +13,8 @@
 namespace millethollow::admin {
 namespace {
 
-constexpr double kCallS = 1.5;    // a caller waits 1 s: one that has sent no call by then won't
-constexpr int kMostAccepts = 16;  // in one turn
+constexpr double kCallS = 1.5;  // a caller waits 1 s: one that has sent no call by then won't
+constexpr int kMaxAcceptsPerTurn = 16;
 constexpr std::string_view kWorkers = "/workers/";
 
 const char* Reason(int status) {
@@ -146,7 +146,7 @@
 }
 
 void AdminServer::Accept() {
-  for (int i = 0; i < kMostAccepts; ++i) {
+  for (int i = 0; i < kMaxAcceptsPerTurn; ++i) {
     const int fd = accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
     auto caller = std::make_unique<AdminConnection>(this, loop_, fd);
@@ -159,7 +159,7 @@
       if (oldest == nullptr || other->began_at() < oldest->began_at()) oldest = other;
     }
     callers_.emplace(raw, std::move(caller));
-    if (open > kMostCallers && oldest != nullptr) oldest->Finish("made-room");
+    if (open > kMaxCallers && oldest != nullptr) oldest->Finish("made-room");
   }
 }
 
--- a/src/net/admin/admin_server.h
+++ b/src/net/admin/admin_server.h
@@ -25,7 +25,7 @@
   };
   // Part of the descriptors that the budget leaves aside. Whoever comes beyond it costs the caller
   // that has been here longest without a whole call its place: nobody is shut out.
-  static constexpr std::size_t kMostCallers = 24;
+  static constexpr std::size_t kMaxCallers = 24;
 
   AdminServer(Loop* loop, Hooks hooks);
   ~AdminServer();
--- a/src/net/cluster/async_record_store.cpp
+++ b/src/net/cluster/async_record_store.cpp
@@ -15,7 +15,7 @@
   const std::uint64_t file = ++file_;
   store_ = std::make_unique<store::RecordStore>();
   return store_->Open(
-      o_.folder, {o_.cluster, o_.member, new_disk}, o_.most_bytes,
+      o_.folder, {o_.cluster, o_.member, new_disk}, o_.max_bytes,
       [this, file](std::uint64_t ticket, bool ok) {
         mail_.Post([this, file, ticket, ok] { Written(file, ticket, ok); });
       },
@@ -80,10 +80,11 @@
   waiting_.push_back({ticket_, loop_->Now(), std::move(then)});
 }
 
-void AsyncRecordStore::Read(std::string prefix, std::string after, std::size_t most, Found found) {
+void AsyncRecordStore::Read(std::string prefix, std::string after, std::size_t max_records,
+                            Found found) {
   if (failed_) return found({}, true, true);
   const std::uint64_t file = file_;
-  store_->Read(std::move(prefix), std::move(after), most,
+  store_->Read(std::move(prefix), std::move(after), max_records,
                [this, file, found = std::move(found)](Records records, bool last,
                                                       const std::vector<std::string>& damaged) {
                  mail_.Post([this, file, found, records = std::move(records), last,
--- a/src/net/cluster/async_record_store.h
+++ b/src/net/cluster/async_record_store.h
@@ -25,7 +25,7 @@
   using Found = std::function<void(Records records, bool last, bool damaged)>;
   struct Options {
     std::string folder;
-    std::uint64_t cluster = 0, member = 0, most_bytes = 0;
+    std::uint64_t cluster = 0, member = 0, max_bytes = 0;
   };
   struct Figures {
     std::uint64_t commits = 0;   // writes that are on the disk
@@ -45,11 +45,11 @@
   // `then` once these and all that were given before are on the disk; none may be given.
   void Write(std::vector<copies::StoreWrite> batch, Then then);
   // Sees all that was given before.
-  void Read(std::string prefix, std::string after, std::size_t most, Found found);
+  void Read(std::string prefix, std::string after, std::size_t max_records, Found found);
 
   std::uint64_t disk() const { return failed_ || !store_ ? 0 : store_->disk(); }
   bool failed() const { return failed_; }
-  double used() const { return store_ ? store_->used() : 0; }  // of most_bytes, 0 to 1
+  double used() const { return store_ ? store_->used() : 0; }  // of max_bytes, 0 to 1
   const Figures& figures() const { return figures_; }
 
  private:
--- a/src/net/cluster/frame.cpp
+++ b/src/net/cluster/frame.cpp
@@ -63,7 +63,7 @@
 std::size_t LengthOf(std::string_view header) {
   if (header.size() < kHeaderBytes || header.substr(0, 2) != "mh") return 0;
   const std::size_t length = kHeaderBytes + Word(header, 4, 4) + kHashBytes;
-  return length <= kMostFrame ? length : 0;
+  return length <= kMaxFrameBytes ? length : 0;
 }
 
 Fault Decode(std::string_view bytes, Header* header, Body* body) {
--- a/src/net/cluster/frame.h
+++ b/src/net/cluster/frame.h
@@ -17,8 +17,8 @@
 namespace millethollow::cluster {
 
 constexpr std::size_t kHeaderBytes = 40, kHashBytes = 8;
-constexpr std::size_t kMostDatagram = 1200;     // what is longer goes by TCP
-constexpr std::size_t kMostFrame = 256 * 1024;  // and more than this not at all
+constexpr std::size_t kMaxDatagramBytes = 1200;     // what is longer goes by TCP
+constexpr std::size_t kMaxFrameBytes = 256 * 1024;  // and more than this not at all
 constexpr std::uint8_t kVersion = 1;
 
 struct Header {
--- a/src/net/cluster/log_replicator.cpp
+++ b/src/net/cluster/log_replicator.cpp
@@ -178,7 +178,7 @@
   return acts;
 }
 
-double LogReplicator::AgeAtMost(LogId log, SequenceNumber seq) const {
+double LogReplicator::MaxAge(LogId log, SequenceNumber seq) const {
   return copies_->MaxAge(hooks_.now(), log, seq);
 }
 
--- a/src/net/cluster/log_replicator.h
+++ b/src/net/cluster/log_replicator.h
@@ -54,7 +54,7 @@
   bool Acts(copies::LogId log);  // looked at with a clock read now
   // What has been stored of an operation was heard or made at most so long ago; infinite: not
   // known.
-  double AgeAtMost(copies::LogId log, copies::SequenceNumber seq) const;
+  double MaxAge(copies::LogId log, copies::SequenceNumber seq) const;
   const copies::ReplicatedLogs& decisions() const { return *copies_; }
 
  private:
--- a/src/net/cluster/quota_keeper.cpp
+++ b/src/net/cluster/quota_keeper.cpp
@@ -16,7 +16,7 @@
 constexpr double kDemandS = 0.1;       // between two looks at the demand
 constexpr double kLeastDemand = 0.01;  // jobs per second; what fades away below this counts as none
 constexpr double kLeastWaitS = 0.001;  // between two ticks
-constexpr std::size_t kMostNamed = 5;  // tenants in one line of the log
+constexpr std::size_t kMaxNamed = 5;   // tenants in one line of the log
 
 const char* NameOfRefusal(quota::RejectReason refusal) {
   switch (refusal) {
@@ -42,10 +42,10 @@
 // The first few of them, for a line of the log.
 std::string Some(const std::vector<std::string>& names) {
   std::string some;
-  for (std::size_t i = 0; i < std::min(names.size(), kMostNamed); ++i) {
+  for (std::size_t i = 0; i < std::min(names.size(), kMaxNamed); ++i) {
     some += (some.empty() ? "" : ",") + names[i];
   }
-  if (names.size() > kMostNamed) some += ",...";
+  if (names.size() > kMaxNamed) some += ",...";
   return some.empty() ? "-" : some;
 }
 
--- a/src/net/cluster/transport.cpp
+++ b/src/net/cluster/transport.cpp
@@ -13,11 +13,11 @@
 namespace millethollow::cluster {
 namespace {
 
-constexpr std::size_t kMostIncoming = 160, kMostOutgoing = 160;
-constexpr std::size_t kMostUnsent = 4 * 1024 * 1024;  // to one that does not read
-constexpr double kStreamS = 3.0;     // from connecting to the end of its first frame
-constexpr double kIdleS = 20.0;      // and to the next, on a line that stays
-constexpr int kMostInOneTurn = 256;  // datagrams: a flood must not hold up the turn
+constexpr std::size_t kMaxIncoming = 160, kMaxOutgoing = 160;
+constexpr std::size_t kMaxUnsentBytes = 4 * 1024 * 1024;  // to one that does not read
+constexpr double kStreamS = 3.0;           // from connecting to the end of its first frame
+constexpr double kIdleS = 20.0;            // and to the next, on a line that stays
+constexpr int kMaxDatagramsPerTurn = 256;  // datagrams: a flood must not hold up the turn
 
 }  // namespace
 
@@ -37,14 +37,14 @@
   void Carry(const sockaddr_in& to, const std::string& frame) {
     if (!Connect(to)) return Finish("no-connection");
     // A machine that is gone acknowledges nothing and closes nothing.
-    const auto most_ms = static_cast<unsigned>(1000 * kStreamS);
-    setsockopt(descriptor(), IPPROTO_TCP, TCP_USER_TIMEOUT, &most_ms, sizeof most_ms);
+    const auto max_ms = static_cast<unsigned>(1000 * kStreamS);
+    setsockopt(descriptor(), IPPROTO_TCP, TCP_USER_TIMEOUT, &max_ms, sizeof max_ms);
     Write(frame);
   }
   void End(const char* reason) { Finish(reason); }
   // False: what was sent before has not gone out yet, and there is no room for more behind it.
   bool Add(const std::string& frame) {
-    if (Unsent() + frame.size() > kMostUnsent) return false;
+    if (Unsent() + frame.size() > kMaxUnsentBytes) return false;
     if (Drained()) Limit(kStreamS);
     Write(frame);
     return true;
@@ -118,7 +118,7 @@
   return listener_.Open(
       loop_, address,
       [this](evutil_socket_t fd) {
-        if (incoming_ >= kMostIncoming) {
+        if (incoming_ >= kMaxIncoming) {
           close(fd);
           return;
         }
@@ -132,15 +132,15 @@
 
 void Transport::Send(membership::NodeId to, const std::string& frame, bool ordered) {
   const auto peer = peers_.find(to);
-  if (peer == peers_.end() || frame.size() > kMostFrame) {
+  if (peer == peers_.end() || frame.size() > kMaxFrameBytes) {
     counters_.dropped += 1;
     return;
   }
   counters_.frames_out += 1;
   counters_.bytes_out += frame.size();
   if (ordered) return SendOrdered(to, peer->second, frame);
-  if (frame.size() <= kMostDatagram) return SendTo(peer->second, frame);
-  if (outgoing_ >= kMostOutgoing) {
+  if (frame.size() <= kMaxDatagramBytes) return SendTo(peer->second, frame);
+  if (outgoing_ >= kMaxOutgoing) {
     counters_.dropped += 1;
     return;
   }
@@ -158,7 +158,7 @@
     if (!line->second->Add(frame)) counters_.dropped += 1;
     return;
   }
-  if (outgoing_ >= kMostOutgoing) {
+  if (outgoing_ >= kMaxOutgoing) {
     counters_.dropped += 1;
     return;
   }
@@ -182,8 +182,8 @@
 }
 
 void Transport::Receive() {
-  char bytes[kMostDatagram + 1];
-  for (int i = 0; i < kMostInOneTurn; ++i) {
+  char bytes[kMaxDatagramBytes + 1];
+  for (int i = 0; i < kMaxDatagramsPerTurn; ++i) {
     sockaddr_in from{};
     socklen_t size = sizeof from;
     const ssize_t n =
--- a/src/net/cluster/transport.h
+++ b/src/net/cluster/transport.h
@@ -1,4 +1,4 @@
-// Carries frames between members: datagrams up to kMostDatagram, longer ones each by a TCP
+// Carries frames between members: datagrams up to kMaxDatagramBytes, longer ones each by a TCP
 // connection of its own, at the same address and port; what is to come in order goes over one
 // connection that stays. Nothing is acknowledged or sent again here: who needs that says it again.
 // Bounded in connections, bytes and time.
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -17,7 +17,7 @@
 
 // No reader needs more at once than one message of the largest size; the kernel holds the rest
 // back.
-constexpr std::size_t kMostBuffered = 128 * 1024;
+constexpr std::size_t kMaxBufferedBytes = 128 * 1024;
 constexpr double kLookS = 0.05;  // how often a peer that is held back is looked at
 
 }  // namespace
@@ -49,7 +49,7 @@
         self->OnRead();
         // Held back by hand. With libevent's own high watermark and deferred callbacks, a reader
         // that leaves bytes over the mark is called again at once, for ever, and no turn ends.
-        if (self->Available() < kMostBuffered || self->held_back_) return;
+        if (self->Available() < kMaxBufferedBytes || self->held_back_) return;
         self->held_back_ = true;
         bufferevent_disable(self->bev_.get(), EV_READ);
         self->LookForEnd();
@@ -164,8 +164,8 @@
   return bev_ == nullptr ? 0 : evbuffer_get_length(bufferevent_get_input(bev_.get()));
 }
 
-std::string Connection::Peek(std::size_t most) const {
-  std::string bytes(std::min(most, Available()), '\0');
+std::string Connection::Peek(std::size_t max_bytes) const {
+  std::string bytes(std::min(max_bytes, Available()), '\0');
   if (!bytes.empty()) {
     evbuffer_copyout(bufferevent_get_input(bev_.get()), bytes.data(), bytes.size());
   }
@@ -175,7 +175,7 @@
 void Connection::Consume(std::size_t n) {
   in_ += n;
   evbuffer_drain(bufferevent_get_input(bev_.get()), n);
-  if (!held_back_ || Available() >= kMostBuffered) return;
+  if (!held_back_ || Available() >= kMaxBufferedBytes) return;
   held_back_ = false;
   bufferevent_enable(bev_.get(), EV_READ);
 }
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -44,7 +44,7 @@
   // True once every byte written so far has gone to the kernel.
   bool Drained() const { return Unsent() == 0; }
   std::size_t Unsent() const;
-  std::string Peek(std::size_t most) const;  // of what has come in
+  std::string Peek(std::size_t max_bytes) const;  // of what has come in
   void Consume(std::size_t n);
   std::size_t Available() const;
   // Something has come that no turn has read yet: bytes, an end, or an error.
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 
-constexpr std::size_t kMostList = 4 * 1024 * 1024;
+constexpr std::size_t kMaxListBytes = 4 * 1024 * 1024;
 constexpr double kConnectS = 1.0;
 constexpr double kCallS = 4.0;  // a call that does not wait is given up after this
 // What a watch had to tell counts as told this long after its wait: silence may not last longer.
 constexpr double kPastWaitS = 1.5;
 // Of one watch. A watch that falls silent is noticed only kPastWaitS after its wait, and until then
 // all that changes goes unheard: short waits cost discovery little and keep that short too.
-constexpr double kMostWaitS = 3;
+constexpr double kMaxWaitS = 3;
 // Discovery works through calls one after the other. Of a tier of this many nodes short watches
 // alone keep it busy, and each change ends all watches at once: most calls then waited until they
 // failed, and the nodes went on sending to workers long gone. Many nodes watch for longer, spread
@@ -38,7 +38,7 @@
 constexpr double kOverdueShare = 0.95;
 // Sends wait no longer than this for a call that is to come: beyond, discovery bears so few calls
 // that requests would end while they wait.
-constexpr double kMostHeldS = 1.0;
+constexpr double kMaxHeldS = 1.0;
 // After a move: what the new address has to tell counts as told this long after it, and until then
 // a call that fails is soon tried again.
 constexpr double kMoveS = 4.0;
@@ -55,10 +55,10 @@
 
 // Bounded, so that whatever stands there fits an integer.
 double Number(const Json& entry, const char* field, double otherwise) {
-  constexpr double kMost = 1e15;
+  constexpr double kMaxNumber = 1e15;
   const auto it = entry.find(field);
   if (it == entry.end() || !it->is_number()) return otherwise;
-  return std::clamp(it->get<double>(), -kMost, kMost);
+  return std::clamp(it->get<double>(), -kMaxNumber, kMaxNumber);
 }
 
 }  // namespace
@@ -85,7 +85,7 @@
     ListEntry entry;
     entry.member.worker = s["id"].get<std::string>();
     if (s.contains("addr") && s["addr"].is_string()) entry.address = s["addr"].get<std::string>();
-    entry.most_out = static_cast<std::size_t>(std::clamp(Number(s, "max_out", 0), 0.0, 1e6));
+    entry.max_in_flight = static_cast<std::size_t>(std::clamp(Number(s, "max_out", 0), 0.0, 1e6));
     const std::string state = s.contains("state") && s["state"].is_string()
                                   ? s["state"].get<std::string>()
                                   : std::string("in_service");
@@ -169,7 +169,7 @@
   Discovery* owner_;
   bool whole_, busy_ = false, waits_ = false, goes_on_ = false;
   double asked_at_ = 0;
-  http::Parser parser_{http::Parser::Side::kResponse, {.head = 16 * 1024, .body = kMostList}};
+  http::Parser parser_{http::Parser::Side::kResponse, {.head = 16 * 1024, .body = kMaxListBytes}};
   Deadlines::Ticket limit_ = Deadlines::kNone;
 };
 
@@ -208,10 +208,10 @@
 
 double Discovery::WaitS() {
   if (Crowd()) {
-    const double most = std::min(kCrowdWaitS, kMostWaitS * options_.nodes / kCrowd);
-    return most * (1 - kCrowdWaitSpread * Unit());
+    const double max_wait_s = std::min(kCrowdWaitS, kMaxWaitS * options_.nodes / kCrowd);
+    return max_wait_s * (1 - kCrowdWaitSpread * Unit());
   }
-  return std::min(kMostWaitS, std::max(1.0, options_.max_poll_interval_s * 0.8));
+  return std::min(kMaxWaitS, std::max(1.0, options_.max_poll_interval_s * 0.8));
 }
 
 double Discovery::Unit() {
@@ -303,8 +303,8 @@
     const double spread_s = Crowd() ? pace_.DelayAfterAnswer(Unit()) : 0;
     if (news && spread_s > 0) {
       // What changed right after the answer counts as told, since the watch might have gone on.
-      const double most = kOverdueShare * options_.drain_grace_s;
-      if (spread_s < most + kMostHeldS) overdue_from_ = loop_->Now() + most;
+      const double max_delay_s = kOverdueShare * options_.drain_grace_s;
+      if (spread_s < max_delay_s + kMaxHeldS) overdue_from_ = loop_->Now() + max_delay_s;
       CallIn(spread_s);
     } else if (!news && call->waits() && soon) {
       CallIn(kNoNewsS, true);
@@ -389,8 +389,8 @@
     // The module asks again in its own time; should it not, we do, later each time, and always
     // within the time that the list may be left unasked.
     const double unit = Unit();
-    const double most = 0.4 * options_.max_poll_interval_s;
-    double wait = std::min(most, 0.5 * (1 << failures_)) * (0.75 + 0.5 * unit) +
+    const double max_wait_s = 0.4 * options_.max_poll_interval_s;
+    double wait = std::min(max_wait_s, 0.5 * (1 << failures_)) * (0.75 + 0.5 * unit) +
                   0.1 * options_.max_poll_interval_s;
     if (loop_->Now() - moved_at_ < kMoveS) wait = kMoveRetryS * (0.75 + 0.5 * unit);
     loop_->deadlines().Drop(&retry_);
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -18,7 +18,7 @@
 struct ListEntry {
   balancing::Endpoint member;
   std::string address;
-  std::size_t most_out = 0;  // requests out at once that it may have of a forwarder; 0: any
+  std::size_t max_in_flight = 0;  // requests out at once that it may have of a forwarder; 0: any
 };
 
 struct ServerList {
--- a/src/net/gearman/front.cpp
+++ b/src/net/gearman/front.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr std::size_t kMostFinished = 256;  // results kept for late repeats
-constexpr std::size_t kMostTasks = 2;       // at a worker: one that runs and one that waits
-constexpr int kOwnCells = 1 << 20;          // cells from here on are no list's
+constexpr std::size_t kMaxFinished = 256;  // results kept for late repeats
+constexpr std::size_t kMaxTasks = 2;       // at a worker: one that runs and one that waits
+constexpr int kOwnCells = 1 << 20;         // cells from here on are no list's
 constexpr std::string_view kVersion = "0.1.0";
 
 }  // namespace
@@ -110,7 +110,7 @@
 void Front::MakeRoom() {
   const double now = forwarder_->loop()->Now();
   std::erase_if(finished_, [now](const auto& f) { return f.second.until < now; });
-  if (finished_.size() < kMostFinished) return;
+  if (finished_.size() < kMaxFinished) return;
   finished_.erase(std::min_element(
       finished_.begin(), finished_.end(),
       [](const auto& a, const auto& b) { return a.second.until < b.second.until; }));
@@ -150,7 +150,7 @@
   if (function.empty()) {
     return forwarder_->OnAttemptEnded(e.id, attempt, {.status = AttemptStatus::kNotSent});
   }
-  if (worker->tasks() >= kMostTasks || worker->drains()) {
+  if (worker->tasks() >= kMaxTasks || worker->drains()) {
     return forwarder_->OnAttemptEnded(e.id, attempt, {.status = AttemptStatus::kRejected});
   }
   const auto job = FindRequest(e.id);
--- a/src/net/gearman/jobs.cpp
+++ b/src/net/gearman/jobs.cpp
@@ -8,7 +8,7 @@
 namespace millethollow::gearman {
 namespace {
 
-constexpr std::size_t kMostHeldBytes = 24 * 1024 * 1024;  // of all jobs' bodies
+constexpr std::size_t kMaxHeldBytes = 24 * 1024 * 1024;  // of all jobs' bodies
 constexpr double kNotMappedS = 5.0;  // a promised job that this node can't run is looked at again
 constexpr double kSameRunsS = 0.5;   // and one of whose unique id another runs
 
@@ -45,8 +45,8 @@
   if (mapped == config_.gearman_functions.end()) {
     return error("unknown_function", "The configuration maps no such function");
   }
-  if (body.size() > kMostBody) return error("job_too_large", "A job holds 64 KiB at most");
-  if (body_bytes_ + body.size() > kMostHeldBytes) return error("queue_full", "Try again later");
+  if (body.size() > kMaxBodyBytes) return error("job_too_large", "A job holds 64 KiB at most");
+  if (body_bytes_ + body.size() > kMaxHeldBytes) return error("queue_full", "Try again later");
   const bool background =
       type == Type::kSubmitJobBg || type == Type::kSubmitJobHighBg || type == Type::kSubmitJobLowBg;
   // '-' asks that the work itself be the key.
--- a/src/net/gearman/packet.cpp
+++ b/src/net/gearman/packet.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::string_view_literals;
 constexpr std::string_view kRequest = "\0REQ"sv, kResponse = "\0RES"sv;
-constexpr std::size_t kHead = 12, kMostLine = 1024;
+constexpr std::size_t kHead = 12, kMaxLineBytes = 1024;
 
 std::uint32_t ReadNumber(std::string_view bytes) {
   std::uint32_t value = 0;
@@ -26,8 +26,8 @@
 
 std::size_t Parser::Feed(std::string_view bytes) {
   std::size_t used = 0;
-  const auto take = [&](std::size_t most) {
-    const std::size_t n = std::min(most, bytes.size() - used);
+  const auto take = [&](std::size_t max_bytes) {
+    const std::size_t n = std::min(max_bytes, bytes.size() - used);
     held_.append(bytes.substr(used, n));
     used += n;
   };
@@ -42,7 +42,7 @@
         if (!kRequest.starts_with(magic) && !kResponse.starts_with(magic)) error_ = "bad_magic";
         if (error_ != nullptr || held_.size() < kHead) continue;
         need_ = ReadNumber(std::string_view(held_).substr(8));
-        if (need_ > most_data_) {
+        if (need_ > max_data_bytes_) {
           error_ = "packet_too_large";
           continue;
         }
@@ -65,7 +65,7 @@
         held_.pop_back();
         if (!held_.empty() && held_.back() == '\r') held_.pop_back();
         ready_ = Message{Message::Form::kLine, Type::kNoop, std::exchange(held_, {})};
-      } else if (held_.size() > kMostLine) {
+      } else if (held_.size() > kMaxLineBytes) {
         error_ = "line_too_long";
       }
     }
--- a/src/net/gearman/packet.h
+++ b/src/net/gearman/packet.h
@@ -59,7 +59,7 @@
 
 class Parser {
  public:
-  explicit Parser(std::size_t most_data) : most_data_(most_data) {}
+  explicit Parser(std::size_t max_data_bytes) : max_data_bytes_(max_data_bytes) {}
   // Takes in bytes up to the end of one message; returns how many. After an error, none.
   std::size_t Feed(std::string_view bytes);
   std::optional<Message> Take();                          // the message that is complete, once
@@ -67,7 +67,7 @@
   const char* error() const { return error_; }            // null while all is well
 
  private:
-  std::size_t most_data_;
+  std::size_t max_data_bytes_;
   std::string held_;
   std::size_t need_ = 0;  // bytes of the packet under way, once its head is known
   std::optional<Message> ready_;
--- a/src/net/gearman/peer.h
+++ b/src/net/gearman/peer.h
@@ -18,11 +18,11 @@
 
 namespace millethollow::gearman {
 
-constexpr std::size_t kMostBody = 64 * 1024;          // of a job, as on the other front
-constexpr std::size_t kMostData = kMostBody + 4096;   // of a packet
-constexpr std::size_t kMostParts = 256 * 1024;        // of a job's data sent ahead
-constexpr std::size_t kMostUnsent = 2 * 1024 * 1024;  // to a peer that does not read
-constexpr std::size_t kMostName = 256;
+constexpr std::size_t kMaxBodyBytes = 64 * 1024;             // of a job, as on the other front
+constexpr std::size_t kMaxDataBytes = kMaxBodyBytes + 4096;  // of a packet
+constexpr std::size_t kMaxPartsBytes = 256 * 1024;           // of a job's data sent ahead
+constexpr std::size_t kMaxUnsentBytes = 2 * 1024 * 1024;     // to a peer that does not read
+constexpr std::size_t kMaxNameBytes = 256;
 
 inline std::string Response(Type type, std::initializer_list<std::string_view> arguments) {
   return Packet(Message::Form::kResponse, type, arguments);
@@ -66,7 +66,7 @@
   void Say(const std::string& packet) {
     if (closed()) return;
     Write(packet);
-    if (Unsent() > kMostUnsent) Finish("reads-too-slowly");
+    if (Unsent() > kMaxUnsentBytes) Finish("reads-too-slowly");
   }
 
   void Enqueue(Task task) {
@@ -182,7 +182,8 @@
       case Type::kSubmitJobLow:
       case Type::kSubmitJobLowBg: {
         const auto a = Arguments(data, 3);
-        if (!a || (*a)[0].empty() || (*a)[0].size() > kMostName || (*a)[1].size() > kMostName) {
+        if (!a || (*a)[0].empty() || (*a)[0].size() > kMaxNameBytes ||
+            (*a)[1].size() > kMaxNameBytes) {
           return false;
         }
         front_->Submit(this, m.type, (*a)[0], (*a)[1], (*a)[2]);
@@ -203,16 +204,16 @@
         Say(Response(Type::kEchoRes, {data}));
         return true;
       case Type::kSetClientId:
-        if (data.empty() || data.size() > kMostName) return false;
+        if (data.empty() || data.size() > kMaxNameBytes) return false;
         client_id_ = SpaceFree(std::string(data));
         return true;
       case Type::kCanDo:
-        if (data.empty() || data.size() > kMostName) return false;
+        if (data.empty() || data.size() > kMaxNameBytes) return false;
         return CanDo(data, 0);
       case Type::kCanDoTimeout: {
         const auto a = Arguments(data, 2, true);
         int seconds = 0;
-        if (!a || (*a)[0].empty() || (*a)[0].size() > kMostName) return false;
+        if (!a || (*a)[0].empty() || (*a)[0].size() > kMaxNameBytes) return false;
         const char* end = (*a)[1].data() + (*a)[1].size();
         if (std::from_chars((*a)[1].data(), end, seconds).ptr != end || seconds < 0) return false;
         return CanDo((*a)[0], seconds);
@@ -326,8 +327,8 @@
     if (it == assigned_.end()) return Stray();
     const auto job = front_->FindRequest(it->second.request);
     if (it->second.orphan || job == nullptr) return true;
-    job->numerator = num.substr(0, kMostName);
-    job->denominator = den.substr(0, kMostName);
+    job->numerator = num.substr(0, kMaxNameBytes);
+    job->denominator = den.substr(0, kMaxNameBytes);
     front_->Tell(*job,
                  Response(Type::kWorkStatus, {job->handle, job->numerator, job->denominator}));
     return true;
@@ -342,7 +343,7 @@
       // Held until the job is done: an attempt that fails after some data may be made again, and
       // the client must not receive the data of both.
       task.part_bytes += task.orphan ? 0 : data.size();
-      if (task.part_bytes > kMostParts) {
+      if (task.part_bytes > kMaxPartsBytes) {
         task.orphan = true;
         task.parts.clear();
         End(task, AttemptStatus::kServerError);
@@ -405,7 +406,7 @@
   Front* front_;
   std::string name_, client_id_ = "-", last_assigned_;
   int slot_, cell_;
-  Parser parser_{kMostData};
+  Parser parser_{kMaxDataBytes};
   std::map<std::string, int> abilities_;  // function and time limit in seconds, 0 for none
   std::deque<Task> queue_;
   std::map<std::string, Task, std::less<>> assigned_;
--- a/src/net/handover/handover.cpp
+++ b/src/net/handover/handover.cpp
@@ -16,8 +16,8 @@
 namespace millethollow::handover {
 namespace {
 
-constexpr std::size_t kMostQueued = 8192;  // packets to an end that does not read: it is lost
-constexpr int kMostInATurn = 64;
+constexpr std::size_t kMaxQueuedPackets = 8192;  // packets to an end that does not read: it is lost
+constexpr int kMaxPacketsPerTurn = 64;
 constexpr int kPollMs = 5;
 
 }  // namespace
@@ -57,7 +57,7 @@
 }
 
 Link::Got Link::ReceiveOne(const OnFrame& on_frame) {
-  std::vector<char> bytes(kMostPacket);
+  std::vector<char> bytes(kMaxPacketBytes);
   alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))];
   iovec part{.iov_base = bytes.data(), .iov_len = bytes.size()};
   msghdr message{};
@@ -96,7 +96,7 @@
 }
 
 void Link::Readable() {
-  for (int i = 0; i < kMostInATurn && !lost_; ++i) {
+  for (int i = 0; i < kMaxPacketsPerTurn && !lost_; ++i) {
     const Got got = ReceiveOne(on_frame_);
     if (got == Got::kNothing) return;
     if (got == Got::kEnd) return Lose();
@@ -104,7 +104,7 @@
 }
 
 void Link::Send(std::string frame, int fd) {
-  if (lost_ || queue_.size() > kMostQueued) {
+  if (lost_ || queue_.size() > kMaxQueuedPackets) {
     if (fd >= 0) close(fd);
     return Lose();
   }
--- a/src/net/handover/handover.h
+++ b/src/net/handover/handover.h
@@ -15,10 +15,10 @@
 
 namespace millethollow::handover {
 
-// One end. Packets keep their bounds and order; none is larger than kMostPacket.
+// One end. Packets keep their bounds and order; none is larger than kMaxPacketBytes.
 class Link {
  public:
-  static constexpr std::size_t kMostPacket = 48 * 1024;
+  static constexpr std::size_t kMaxPacketBytes = 48 * 1024;
   // `fd` is the descriptor that came with it, the callee's to close, or -1.
   using OnFrame = std::function<void(link::Reader& frame, int fd)>;
 
--- a/src/net/handover/succession.cpp
+++ b/src/net/handover/succession.cpp
@@ -21,7 +21,7 @@
 constexpr int kForm = 1;         // of what goes over the link: another's is not understood
 constexpr double kClaimS = 1.5;  // the new process is to serve within 6 s, with or without the old
 constexpr double kBeatS = 0.1;
-constexpr std::size_t kMostBytes = Link::kMostPacket - 1024;  // of one packet's text
+constexpr std::size_t kMaxTextBytes = Link::kMaxPacketBytes - 1024;  // of one packet's text
 
 enum Socket : std::uint8_t { kClients, kGearman, kPeers };
 
@@ -56,7 +56,7 @@
         k.member = f.GetMember();
         k.drain_notified_at = f.Real();
         k.maintenance_since = f.Real();
-        ListEntry e{.member = k.member, .address = f.Text(), .most_out = f.U64()};
+        ListEntry e{.member = k.member, .address = f.Text(), .max_in_flight = f.U64()};
         if (!f.Whole()) break;
         if (k.member.readiness != Readiness::kGone) got.list.push_back(std::move(e));
         got.known.push_back(std::move(k));
@@ -127,25 +127,26 @@
     link.Send(Writer(Kind::kClass).Text(name).Done());
   }
   for (const Planner::WorkerSnapshot& k : parts_.planner->ExportWorkers()) {
-    const auto [address, most] = parts_.pool->Address(k.member.worker);
+    const auto [address, max_in_flight] = parts_.pool->Address(k.member.worker);
     link.Send(Writer(Kind::kKnown)
                   .Put(k.member)
                   .Real(k.drain_notified_at)
                   .Real(k.maintenance_since)
                   .Text(address)
-                  .U64(most)
+                  .U64(max_in_flight)
                   .Done());
   }
   std::string ids;
   for (const std::string& id : parts_.planner->WireIds()) {
     const std::string one = Writer(Kind::kId).Text(id).Done().substr(5);  // its field alone
-    if (ids.size() + one.size() > kMostBytes) link.Send(Frame(Kind::kIds, std::exchange(ids, {})));
+    if (ids.size() + one.size() > kMaxTextBytes)
+      link.Send(Frame(Kind::kIds, std::exchange(ids, {})));
     ids += one;
   }
   link.Send(Frame(Kind::kIds, ids));
   const std::string learned = parts_.planner->SaveState();
-  for (std::size_t at = 0; at < learned.size(); at += kMostBytes) {
-    link.Send(Frame(Kind::kLearned, learned.substr(at, kMostBytes)));
+  for (std::size_t at = 0; at < learned.size(); at += kMaxTextBytes) {
+    link.Send(Frame(Kind::kLearned, learned.substr(at, kMaxTextBytes)));
   }
   const long long version = parts_.discovery != nullptr ? parts_.discovery->version() : 0;
   link.Send(Writer(Kind::kTold).U64(static_cast<std::uint64_t>(version)).Done());
--- a/src/net/http/client_front.cpp
+++ b/src/net/http/client_front.cpp
@@ -19,19 +19,19 @@
 // What a client may still send, and for how long, while it is to see why it was cut off. Beyond
 // that, its bytes cost more than its knowing is worth.
 constexpr double kLingerS = 0.3;
-constexpr std::size_t kMostLinger = 256 * 1024;
-constexpr std::size_t kMostId = 128;
+constexpr std::size_t kMaxLingerBytes = 256 * 1024;
+constexpr std::size_t kMaxIdBytes = 128;
 // Sent ahead of an answer, beyond this it is a flood: what is not read hides that its client has
 // left. It is dropped, up to so much, and the connection ends with the answer.
-constexpr std::size_t kMostAhead = 96 * 1024, kMostDropped = 1024 * 1024;
+constexpr std::size_t kMaxAheadBytes = 96 * 1024, kMaxDroppedBytes = 1024 * 1024;
 // After SIGTERM: what comes later than this might be cut off by the end of the process.
 constexpr double kTakesS = 0.65;
 // A connection this young has its first request on the way.
 constexpr double kYoungS = 0.2;
-constexpr std::size_t kMostTimeoutMs = 3'600'000;
+constexpr std::size_t kMaxTimeoutMs = 3'600'000;
 
 bool Plain(std::string_view text) {
-  return !text.empty() && text.size() <= kMostId &&
+  return !text.empty() && text.size() <= kMaxIdBytes &&
          std::all_of(text.begin(), text.end(), [](char c) { return c > 0x20 && c < 0x7f; });
 }
 
@@ -135,7 +135,7 @@
   if (e.tenant < 0) return bad("Tenant is missing or unknown");
   const std::string* timeout = head.Get("Request-Timeout-Ms");
   std::size_t ms = 0;
-  if (timeout == nullptr || !Digits(*timeout, &ms) || ms == 0 || ms > kMostTimeoutMs) {
+  if (timeout == nullptr || !Digits(*timeout, &ms) || ms == 0 || ms > kMaxTimeoutMs) {
     return bad("Request-Timeout-Ms is missing or out of range");
   }
   const std::string* key = head.Get("Idempotency-Key");
@@ -157,7 +157,7 @@
   if (const std::string* hint = head.Get("Work-Hint")) {
     double us = 0;
     const bool sane =
-        Digits(*hint, &us) && std::isfinite(us) && us > 0 && us <= kMostTimeoutMs * 1e3;
+        Digits(*hint, &us) && std::isfinite(us) && us > 0 && us <= kMaxTimeoutMs * 1e3;
     e.size_hint_s = sane ? us / 1e6 : 0;
   }
   if (const std::string* info = head.Get("Request-Info")) {
@@ -254,10 +254,10 @@
     if (state_ == State::kLingering) {
       lingered_ += Available();
       Consume(Available());
-      if (lingered_ > kMostLinger) Finish(ending_);
+      if (lingered_ > kMaxLingerBytes) Finish(ending_);
       return;
     }
-    if (state_ == State::kWaiting && Available() >= kMostAhead && dropped_ < kMostDropped) {
+    if (state_ == State::kWaiting && Available() >= kMaxAheadBytes && dropped_ < kMaxDroppedBytes) {
       keep_ = false;
       dropped_ += Available();
       Consume(Available());
--- a/src/net/http/worker_pool.cpp
+++ b/src/net/http/worker_pool.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 using Json = nlohmann::json;
-constexpr std::size_t kMostAnswer = 256 * 1024;  // of one worker's whole answer
-constexpr double kEndS = 1.0;                    // from an outcome to the end of its answer
+constexpr std::size_t kMaxAnswerBytes = 256 * 1024;  // of one worker's whole answer
+constexpr double kEndS = 1.0;                        // from an outcome to the end of its answer
 // A second answer may come some milliseconds after the first. One that names no request would be
 // taken for that of the next: 'never begun', of one that runs.
 constexpr double kEchoS = 0.1;
@@ -356,7 +356,7 @@
   WorkerPool* pool_;
   std::string worker_, wire_id_, line_;
   std::string pending_, promise_;  // a request that waits for the connection, and what it is for
-  Parser parser_{Parser::Side::kResponse, {.head = 16 * 1024, .body = kMostAnswer}};
+  Parser parser_{Parser::Side::kResponse, {.head = 16 * 1024, .body = kMaxAnswerBytes}};
   bool connected_ = false, busy_ = false, reported_ = true, written_ = false;
   RequestId id_ = 0;
   int attempt_ = 0;
@@ -369,9 +369,9 @@
 WorkerPool::~WorkerPool() = default;
 
 void WorkerPool::SetAddress(const std::string& worker, const std::string& address,
-                            std::size_t most_out) {
+                            std::size_t max_in_flight) {
   PooledWorker& pooled = workers_[worker];
-  pooled.most_out = most_out;
+  pooled.max_in_flight = max_in_flight;
   if (pooled.address_text == address) return;
   pooled.address_text = address;
   const auto parsed = ParseAddress(address);
@@ -428,8 +428,8 @@
 
 void WorkerPool::Send(const ClientRequest& held, int attempt, const std::string& worker) {
   const auto pooled = workers_.find(worker);
-  if (pooled != workers_.end() && pooled->second.most_out > 0 &&
-      pooled->second.out >= pooled->second.most_out) {
+  if (pooled != workers_.end() && pooled->second.max_in_flight > 0 &&
+      pooled->second.out >= pooled->second.max_in_flight) {
     return forwarder_->OnAttemptEnded(held.request.id, attempt,
                                       {.status = AttemptStatus::kRejected});
   }
@@ -479,7 +479,7 @@
 std::pair<std::string, std::size_t> WorkerPool::Address(const std::string& worker) const {
   const auto it = workers_.find(worker);
   if (it == workers_.end()) return {};
-  return {it->second.address_text, it->second.most_out};
+  return {it->second.address_text, it->second.max_in_flight};
 }
 
 void WorkerPool::HandOver(Taker taker) {
--- a/src/net/http/worker_pool.h
+++ b/src/net/http/worker_pool.h
@@ -32,7 +32,8 @@
   ~WorkerPool() override;
 
   // The server list: where each worker listens.
-  void SetAddress(const std::string& worker, const std::string& address, std::size_t most_out = 0);
+  void SetAddress(const std::string& worker, const std::string& address,
+                  std::size_t max_in_flight = 0);
 
   bool Owns(const std::string& worker) const override { return workers_.contains(worker); }
   void Send(const ClientRequest& held, int attempt, const std::string& worker) override;
@@ -53,8 +54,8 @@
     std::string address_text;
     sockaddr_in address{};
     bool reachable = false;
-    std::size_t most_out = 0, out = 0;    // attempts at once: allowed (0: any), and now
-    std::vector<WorkerConnection*> idle;  // the last is the one used last
+    std::size_t max_in_flight = 0, out = 0;  // attempts at once: allowed (0: any), and now
+    std::vector<WorkerConnection*> idle;     // the last is the one used last
   };
   // A connection, or why there is none. That we have no descriptor left says nothing of the next
   // worker.
--- a/src/net/link/frame.cpp
+++ b/src/net/link/frame.cpp
@@ -120,7 +120,7 @@
 std::optional<std::string> Cutter::Take() {
   if (bad_ || held_.size() < 4) return std::nullopt;
   const std::size_t size = Big(std::string_view(held_).substr(0, 4));
-  if (size == 0 || size > kMostFrame) {
+  if (size == 0 || size > kMaxFrameBytes) {
     bad_ = true;
     held_.clear();
     return std::nullopt;
--- a/src/net/link/frame.h
+++ b/src/net/link/frame.h
@@ -93,7 +93,7 @@
 // Cuts a stream into frames.
 class Cutter {
  public:
-  static constexpr std::size_t kMostFrame = 64 * 1024;
+  static constexpr std::size_t kMaxFrameBytes = 64 * 1024;
   void Feed(std::string_view bytes) { held_.append(bytes); }
   // The next frame's type and fields; none if it has not all come, or the stream is bad.
   std::optional<std::string> Take();
--- a/src/net/link/link.cpp
+++ b/src/net/link/link.cpp
@@ -9,7 +9,7 @@
 namespace millethollow::link {
 namespace {
 
-constexpr std::size_t kMostUnsent = 16 * 1024 * 1024;  // a peer that does not read is lost
+constexpr std::size_t kMaxUnsentBytes = 16 * 1024 * 1024;  // a peer that does not read is lost
 constexpr double kRetryS = 0.1;
 constexpr int kPatience = 4;
 
@@ -20,7 +20,7 @@
   void Send(const std::string& frame) {
     if (closed()) return;
     Write(frame);
-    if (Unsent() > kMostUnsent) Fail("reads-too-slowly");
+    if (Unsent() > kMaxUnsentBytes) Fail("reads-too-slowly");
   }
   void Fail(const char* reason) {
     if (closed()) return;
@@ -62,8 +62,8 @@
     Framed::Send(Writer(Kind::kWelcome).U64(number_).Done());
     for (const auto& [name, at] : server->addresses_) SetAddress(name, at.first, at.second);
   }
-  void SetAddress(const std::string& name, const std::string& address, std::size_t most) {
-    Framed::Send(Writer(Kind::kAddress).Text(name).Text(address).U64(most).Done());
+  void SetAddress(const std::string& name, const std::string& address, std::size_t max_in_flight) {
+    Framed::Send(Writer(Kind::kAddress).Text(name).Text(address).U64(max_in_flight).Done());
   }
 
   void Send(RequestId id, int attempt, const std::string& worker) override {
@@ -174,12 +174,12 @@
 }
 
 void PlannerServer::SetAddress(const std::string& worker, const std::string& address,
-                               std::size_t most_out) {
-  const auto at = std::pair{address, most_out};
+                               std::size_t max_in_flight) {
+  const auto at = std::pair{address, max_in_flight};
   auto [it, fresh] = addresses_.try_emplace(worker, at);
   if (!fresh && it->second == at) return;
   it->second = at;
-  for (const auto& [raw, channel] : channels_) raw->SetAddress(worker, address, most_out);
+  for (const auto& [raw, channel] : channels_) raw->SetAddress(worker, address, max_in_flight);
 }
 
 void PlannerServer::Drop(Channel* channel) {
@@ -209,9 +209,9 @@
       }
       case Kind::kAddress: {
         const std::string worker = f.Text(), address = f.Text();
-        const std::uint64_t most = f.U64();
+        const std::uint64_t max_in_flight = f.U64();
         if (!f.Whole()) return false;
-        client_->hooks_.address(worker, address, most);
+        client_->hooks_.address(worker, address, max_in_flight);
         return true;
       }
       case Kind::kSend: {
--- a/src/net/link/link.h
+++ b/src/net/link/link.h
@@ -24,7 +24,7 @@
   ~PlannerServer();
   bool Listen(const std::string& path, std::string* why);
   // Every forwarder must know where a worker is before the planner sends to it.
-  void SetAddress(const std::string& worker, const std::string& address, std::size_t most_out);
+  void SetAddress(const std::string& worker, const std::string& address, std::size_t max_in_flight);
   std::size_t forwarders() const { return channels_.size(); }
 
  private:
@@ -43,7 +43,8 @@
 class PlannerClient final : public PlannerLink {
  public:
   struct Hooks {
-    std::function<void(const std::string& worker, const std::string& address, std::size_t most)>
+    std::function<void(const std::string& worker, const std::string& address,
+                       std::size_t max_in_flight)>
         address;
     std::function<void(bool)> linked;  // a planner is there, or is lost
     std::function<std::string(int)> class_name;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -10,7 +10,7 @@
 namespace millethollow {
 namespace {
 
-constexpr double kMostTurnS = 0.02;
+constexpr double kMaxTurnS = 0.02;
 
 template <typename Clock>
 double Seconds() {
@@ -51,8 +51,8 @@
 }
 
 void Loop::Turn() {
-  double wait = kMostTurnS;
-  if (const auto next = deadlines_.Next()) wait = std::clamp(*next - Now(), 0.0, kMostTurnS);
+  double wait = kMaxTurnS;
+  if (const auto next = deadlines_.Next()) wait = std::clamp(*next - Now(), 0.0, kMaxTurnS);
   timeval tv{};
   tv.tv_sec = static_cast<time_t>(wait);
   tv.tv_usec = static_cast<suseconds_t>(std::ceil((wait - std::floor(wait)) * 1e6));
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -23,18 +23,18 @@
 
 // Who may hold how many sockets, under the one limit that the platform sets.
 struct DescriptorBudget {
-  std::size_t clients_most = 480, workers_most = 480;
+  std::size_t max_clients = 480, max_workers = 480;
   std::size_t clients = 0, workers = 0;
   std::size_t clients_elsewhere = 0, workers_elsewhere = 0;  // of the process that we replace
 
-  bool ClientsFull() const { return clients + clients_elsewhere >= clients_most; }
-  bool WorkersFull() const { return workers + workers_elsewhere >= workers_most; }
+  bool ClientsFull() const { return clients + clients_elsewhere >= max_clients; }
+  bool WorkersFull() const { return workers + workers_elsewhere >= max_workers; }
 
   static DescriptorBudget Of(std::size_t sockets) {
     // The rest is for the listener, discovery, peers, standard streams, and sockets that wait for
     // their accept or close.
     const std::size_t free = sockets > 80 ? sockets - 64 : 16;
-    return {.clients_most = free / 2, .workers_most = free / 2};
+    return {.max_clients = free / 2, .max_workers = free / 2};
   }
 };
 
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -12,7 +12,7 @@
 namespace millethollow {
 namespace {
 
-constexpr int kMostReceived = 64;  // a turn, so that a flood of messages can't hold it up
+constexpr int kMaxReceivedPerTurn = 64;  // a turn, so that a flood of messages can't hold it up
 
 }  // namespace
 
@@ -58,7 +58,7 @@
 }
 
 void Peers::Tell(int whom, const std::string& body) {
-  if (body.size() > kMostBytes) {
+  if (body.size() > kMaxMessageBytes) {
     counters_->too_long += 1;
   } else if (whom >= 0 && static_cast<std::size_t>(whom) < peers_.size()) {
     Send(peers_[static_cast<std::size_t>(whom)], body);
@@ -90,8 +90,8 @@
 }
 
 void Peers::Receive() {
-  for (int i = 0; i < kMostReceived; ++i) {
-    char bytes[kMostBytes + 1];
+  for (int i = 0; i < kMaxReceivedPerTurn; ++i) {
+    char bytes[kMaxMessageBytes + 1];
     sockaddr_in from{};
     socklen_t size = sizeof from;
     const ssize_t length =
@@ -104,7 +104,7 @@
     const int sender = SenderAt(from);
     if (sender < 0) {
       counters_->strangers += 1;
-    } else if (static_cast<std::size_t>(length) > kMostBytes) {
+    } else if (static_cast<std::size_t>(length) > kMaxMessageBytes) {
       counters_->unreadable += 1;
     } else {
       heard_(sender, std::string(bytes, static_cast<std::size_t>(length)));
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -16,7 +16,7 @@
 class Peers {
  public:
   using Heard = std::function<void(int sender, const std::string& body)>;
-  static constexpr std::size_t kMostBytes = balancing::kMaxPeerMessageBytes;
+  static constexpr std::size_t kMaxMessageBytes = balancing::kMaxPeerMessageBytes;
   Peers(Loop* loop, Heard heard, PeerCounters* counters)
       : loop_(loop), heard_(std::move(heard)), counters_(counters) {}
   ~Peers();
--- a/src/net/poll_backoff.h
+++ b/src/net/poll_backoff.h
@@ -20,18 +20,18 @@
 class PollBackoff {
  public:
   explicit PollBackoff(int nodes)
-      : start_(std::min(kMostStartS, kStartSpreadS * nodes)),
-        least_(std::min(kMostSpreadS, kSpreadS * nodes)),
-        window_(least_) {}
+      : start_(std::min(kMaxStartS, kStartSpreadS * nodes)),
+        min_window_(std::min(kMaxSpreadS, kSpreadS * nodes)),
+        window_(min_window_) {}
 
   // The wait before the next call; `unit` is random, from 0 to 1.
   double InitialDelay(double unit) const { return start_ * unit; }
   // 0: at once, so that the watch goes on.
   double DelayAfterAnswer(double unit) {
     waited_ = 0;
-    window_ = std::max(least_, std::min(kMostAnsweredS, window_ * kNarrower));
+    window_ = std::max(min_window_, std::min(kMaxAnsweredS, window_ * kNarrower));
     if (!refused_) return 0;
-    refused_ = window_ > least_;
+    refused_ = window_ > min_window_;
     return window_ * (kSure + (1 - kSure) * unit);
   }
   // A call that followed an answer at once was turned away: discovery bears no such calls now.
@@ -39,29 +39,31 @@
   double DelayAfterFailure(double unit) {
     const bool first = waited_ == 0;
     // Overbooked for so long, discovery may answer nobody: it comes back only once fewer call.
-    window_ = first ? kFirstS : waited_ < kHopefulS ? kNextS : std::min(kWider * window_, kMostS);
+    window_ = first                 ? kFirstS
+              : waited_ < kHopefulS ? kNextS
+                                    : std::min(kWider * window_, kMaxFailedS);
     const double wait = window_ * (kSoonest + (1 - kSoonest) * unit);
     waited_ += wait;
     return wait;
   }
   // A watch that fell silent says nothing of how busy discovery is, and what it missed is overdue.
-  double DelayAfterSilence(double unit) const { return std::min(least_, kSilenceS) * unit; }
+  double DelayAfterSilence(double unit) const { return std::min(min_window_, kSilenceS) * unit; }
 
  private:
   // For each node of the tier: after an answer, and where all may have been started at once and
   // none knows what discovery bears.
   static constexpr double kSpreadS = 0.03, kStartSpreadS = 0.045;
-  static constexpr double kMostSpreadS = 1.3, kMostStartS = 2.8;
+  static constexpr double kMaxSpreadS = 1.3, kMaxStartS = 2.8;
   static constexpr double kSure = 0.6;  // of a wait after an answer: it bounds the pace
   static constexpr double kFirstS = 2.0, kNextS = 4.0, kWider = 3.0,
-                          kMostS = 20.0;         // after failures
-  static constexpr double kHopefulS = 10.0;      // of waits after failures, without an answer
-  static constexpr double kMostAnsweredS = 7.0;  // well within the time that a list may be kept
+                          kMaxFailedS = 20.0;   // after failures
+  static constexpr double kHopefulS = 10.0;     // of waits after failures, without an answer
+  static constexpr double kMaxAnsweredS = 7.0;  // well within the time that a list may be kept
   static constexpr double kNarrower = 0.4;
   static constexpr double kSoonest = 0.25;  // of the window: a queue that is full must drain first
   static constexpr double kSilenceS = 0.8;
 
-  double start_, least_, window_;
+  double start_, min_window_, window_;
   bool refused_ = false;
   double waited_ = 0;  // in all, after failures since the last answer
 };
@@ -72,14 +74,14 @@
 class InitialListGate {
  public:
   // In a large tier a call that fails says little: discovery may have too many callers just then.
-  InitialListGate(bool crowd, double started_at) : crowd_(crowd), until_(started_at + kMostS) {}
+  InitialListGate(bool crowd, double started_at) : crowd_(crowd), until_(started_at + kMaxWaitS) {}
   void OnList() { ready_ = true; }
   void OnPollFailed() { ready_ |= !crowd_; }
   bool Ready(double now) const { return ready_ || now >= until_; }
   double until() const { return until_; }
 
  private:
-  static constexpr double kMostS = 7.0;  // nine in ten are to be ready within 10 s
+  static constexpr double kMaxWaitS = 7.0;  // nine in ten are to be ready within 10 s
   bool crowd_, ready_ = false;
   double until_;
 };
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -94,7 +94,7 @@
   void ImportClaimedState();
   void AwaitFirstList();
   void AcceptOnceListed();
-  void SetAddress(const std::string& worker, const std::string& address, std::size_t most_out);
+  void SetAddress(const std::string& worker, const std::string& address, std::size_t max_in_flight);
   void OnList(balancing::EndpointListKind kind, const ServerList& list);
   void ApplyPeersMaintenance(const ServerList& list);
 
--- a/src/node/node_planner.cpp
+++ b/src/node/node_planner.cpp
@@ -54,7 +54,7 @@
     known.version = claimed_.version;
   }
   if (claimed_.whole) ImportClaimedState();
-  for (const ListEntry& e : known.entries) SetAddress(e.member.worker, e.address, e.most_out);
+  for (const ListEntry& e : known.entries) SetAddress(e.member.worker, e.address, e.max_in_flight);
   if (discovery_) discovery_->SetVersion(known.version);
   // A process that replaces another has its list, which was kept current until now.
   if (discovery_ && forwarder_ && !claimed_.whole) AwaitFirstList();
@@ -155,15 +155,16 @@
   forwarder_->SetAccepting(true);
 }
 
-void Node::SetAddress(const std::string& worker, const std::string& address, std::size_t most_out) {
+void Node::SetAddress(const std::string& worker, const std::string& address,
+                      std::size_t max_in_flight) {
   if (address.empty()) return;
-  if (pool_) pool_->SetAddress(worker, address, most_out);
-  if (server_) server_->SetAddress(worker, address, most_out);
+  if (pool_) pool_->SetAddress(worker, address, max_in_flight);
+  if (server_) server_->SetAddress(worker, address, max_in_flight);
 }
 
 void Node::OnList(balancing::EndpointListKind kind, const ServerList& list) {
   counters_.endpoint_lists += 1;
-  for (const ListEntry& e : list.entries) SetAddress(e.member.worker, e.address, e.most_out);
+  for (const ListEntry& e : list.entries) SetAddress(e.member.worker, e.address, e.max_in_flight);
   if (member_) ApplyPeersMaintenance(list);
   planner_->OnEndpointsUpdated(kind, list.Members());
   for (const ListEntry& e : list.entries) {
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -268,9 +268,9 @@
 bool Scheduler::QueueHasRoom(const Job& job) const {
   const auto of_tenant = queued_by_tenant_.find(job.tenant);
   const std::size_t jobs = of_tenant == queued_by_tenant_.end() ? 0 : of_tenant->second;
-  const double most_jobs =
+  const double max_jobs =
       std::max(1.0, options_.max_tenant_share * static_cast<double>(options_.max_queued_jobs));
-  return queue_.size() < options_.max_queued_jobs && static_cast<double>(jobs) < most_jobs &&
+  return queue_.size() < options_.max_queued_jobs && static_cast<double>(jobs) < max_jobs &&
          queued_bytes_ + job.bytes <= options_.max_queued_bytes;
 }
 
--- a/src/scheduling/scheduler_reservations.cpp
+++ b/src/scheduling/scheduler_reservations.cpp
@@ -120,8 +120,8 @@
     if (!MayReserveAt(w) || !MatchesKind(job.kind, w)) continue;
     ++compared;
     const Resources need = EffectiveNeed(w, job.need);
-    const double most_slots = options_.max_reserved_worker_share * w.state.capacity.slots;
-    if (need.slots > most_slots + kRounding) continue;
+    const double max_slots = options_.max_reserved_worker_share * w.state.capacity.slots;
+    if (need.slots > max_slots + kRounding) continue;
     const double shadow = ShadowTime(w, need, now);
     if (shadow == kInf) continue;
     // Ties go by a rank of each node's own, so that nodes with the same view choose apart.
--- a/src/store/record_store.cpp
+++ b/src/store/record_store.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::uint64_t kPage = 4096;
-constexpr std::size_t kMostJobs = 256;  // in one commit
+constexpr std::size_t kMaxJobs = 256;  // in one commit
 constexpr std::size_t kHash = 8;
 
 std::uint64_t HashOf(std::string_view key, std::string_view value) {
@@ -97,11 +97,11 @@
   return code_ == SQLITE_FULL || code_ == SQLITE_IOERR || code_ == SQLITE_READONLY;
 }
 
-bool RecordStore::Open(const std::string& folder, const Identity& identity,
-                       std::uint64_t most_bytes, Written written, std::string* why) {
+bool RecordStore::Open(const std::string& folder, const Identity& identity, std::uint64_t max_bytes,
+                       Written written, std::string* why) {
   name_ = "copies' store " + folder + ": ";
   written_ = std::move(written);
-  most_pages_ = std::max<std::uint64_t>(most_bytes / kPage, 64);
+  max_pages_ = std::max<std::uint64_t>(max_bytes / kPage, 64);
   if (mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST) {
     return *why = name_ + std::strerror(errno), false;
   }
@@ -118,7 +118,7 @@
       Run("PRAGMA journal_mode=WAL") && Run("PRAGMA synchronous=FULL") &&
       Run("PRAGMA auto_vacuum=NONE") && Run("PRAGMA cell_size_check=ON") &&
       Run("PRAGMA wal_autocheckpoint=512") && Run("PRAGMA journal_size_limit=4194304") &&
-      Run(("PRAGMA max_page_count=" + std::to_string(most_pages_)).c_str()) &&
+      Run(("PRAGMA max_page_count=" + std::to_string(max_pages_)).c_str()) &&
       Run("BEGIN EXCLUSIVE") &&
       Run("CREATE TABLE IF NOT EXISTS about(what TEXT PRIMARY KEY, number INTEGER)") &&
       Run("CREATE TABLE IF NOT EXISTS records(key BLOB PRIMARY KEY, value BLOB) "
@@ -202,13 +202,14 @@
   wake_.notify_one();
 }
 
-void RecordStore::Read(std::string prefix, std::string after, std::size_t most, Found found) {
+void RecordStore::Read(std::string prefix, std::string after, std::size_t max_records,
+                       Found found) {
   {
     const std::lock_guard lock(mutex_);
     jobs_.push_back({.batch = {},
                      .prefix = std::move(prefix),
                      .after = std::move(after),
-                     .most = most,
+                     .max_records = max_records,
                      .found = std::move(found)});
   }
   wake_.notify_one();
@@ -237,16 +238,16 @@
   }
   if (!Run("COMMIT")) return false;
   const std::int64_t pages = Number("PRAGMA page_count"), free = Number("PRAGMA freelist_count");
-  used_ = static_cast<double>(pages - free) / static_cast<double>(most_pages_);
+  used_ = static_cast<double>(pages - free) / static_cast<double>(max_pages_);
   return true;
 }
 
-bool RecordStore::Scan(const std::string& prefix, const std::string& after, std::size_t most,
+bool RecordStore::Scan(const std::string& prefix, const std::string& after, std::size_t max_records,
                        Records* records, bool* last, std::vector<std::string>* damaged) {
   const std::string end = prefix.empty() ? std::string("\xff", 1) : After(prefix);
   Bind(scan_.get(), 1, after.empty() ? std::string_view(prefix) : std::string_view(after));
   Bind(scan_.get(), 2, end);
-  sqlite3_bind_int64(scan_.get(), 3, static_cast<std::int64_t>(most));
+  sqlite3_bind_int64(scan_.get(), 3, static_cast<std::int64_t>(max_records));
   std::size_t rows = 0;
   int step = SQLITE_ROW;
   while ((step = sqlite3_step(scan_.get())) == SQLITE_ROW) {
@@ -260,7 +261,7 @@
   }
   sqlite3_reset(scan_.get());
   sqlite3_clear_bindings(scan_.get());
-  *last = rows < most;
+  *last = rows < max_records;
   return step == SQLITE_DONE;
 }
 
@@ -272,7 +273,7 @@
       wake_.wait(lock, [this] { return stop_ || !jobs_.empty(); });
       if (jobs_.empty()) return;
       // Writes that wait go together; a read goes by itself, in its turn.
-      while (!jobs_.empty() && jobs.size() < kMostJobs) {
+      while (!jobs_.empty() && jobs.size() < kMaxJobs) {
         const bool read = static_cast<bool>(jobs_.front().found);
         if (read && !jobs.empty()) break;
         jobs.push_back(std::move(jobs_.front()));
@@ -284,7 +285,7 @@
       Records records;
       std::vector<std::string> damaged;
       bool last = true;
-      if (!Scan(jobs.front().prefix, jobs.front().after, jobs.front().most, &records, &last,
+      if (!Scan(jobs.front().prefix, jobs.front().after, jobs.front().max_records, &records, &last,
                 &damaged)) {
         damaged.push_back(jobs.front().prefix);
       }
--- a/src/store/record_store.h
+++ b/src/store/record_store.h
@@ -44,9 +44,9 @@
   RecordStore(const RecordStore&) = delete;
   RecordStore& operator=(const RecordStore&) = delete;
 
-  // Takes or makes `folder`/copies.db for this process alone, of at most `most_bytes`. False, with
+  // Takes or makes `folder`/copies.db for this process alone, of at most `max_bytes`. False, with
   // one clear line, if it can't be used, is another's, of a later build, or damaged as a whole.
-  bool Open(const std::string& folder, const Identity& identity, std::uint64_t most_bytes,
+  bool Open(const std::string& folder, const Identity& identity, std::uint64_t max_bytes,
             Written written, std::string* why);
   // Why Open or a Load failed: the file is not one of SQLite's any more; or the disk takes nothing.
   bool damaged() const;
@@ -61,8 +61,8 @@
   // After a failure nothing is written any more: the disk may hold either state.
   void Write(std::vector<copies::StoreWrite> batch, std::uint64_t ticket);
   // Sees all that was given to Write before.
-  void Read(std::string prefix, std::string after, std::size_t most, Found found);
-  // Of `most_bytes`, 0 to 1: as of the last commit. At 1 a write would fail.
+  void Read(std::string prefix, std::string after, std::size_t max_records, Found found);
+  // Of `max_bytes`, 0 to 1: as of the last commit. At 1 a write would fail.
   double used() const { return used_.load(); }
 
  private:
@@ -70,7 +70,7 @@
     std::vector<copies::StoreWrite> batch;
     std::uint64_t ticket = 0;
     std::string prefix, after;
-    std::size_t most = 0;
+    std::size_t max_records = 0;
     Found found;  // none: a write
   };
   struct CloseDb {
@@ -89,14 +89,14 @@
   bool Apply(const copies::StoreWrite& write);
   bool Commit(const std::vector<Job>& jobs);
   // Up to `most` records with this prefix after a key; false: the file is damaged.
-  bool Scan(const std::string& prefix, const std::string& after, std::size_t most, Records* records,
-            bool* last, std::vector<std::string>* damaged);
+  bool Scan(const std::string& prefix, const std::string& after, std::size_t max_records,
+            Records* records, bool* last, std::vector<std::string>* damaged);
   void Serve();
 
   std::unique_ptr<sqlite3, CloseDb> db_;
   Statement put_, erase_, erase_range_, scan_;
   std::string name_;
-  std::uint64_t disk_ = 0, most_pages_ = 0;
+  std::uint64_t disk_ = 0, max_pages_ = 0;
   Written written_;
   std::thread writer_;
   std::mutex mutex_;
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -47,7 +47,7 @@
 // Callers that finish no call once could have held every place, and so shut the staff out.
 TEST_F(Staff, CallersThatFinishNothingShutNobodyOut) {
   std::vector<std::unique_ptr<Raw>> idle;
-  for (std::size_t i = 0; i < 2 * admin::AdminServer::kMostCallers; ++i) {
+  for (std::size_t i = 0; i < 2 * admin::AdminServer::kMaxCallers; ++i) {
     idle.push_back(std::make_unique<Raw>(&rig.host, rig.node->admin_address()));
     idle.back()->Write("GET /st");
   }
--- a/tests/cluster/days_test.cpp
+++ b/tests/cluster/days_test.cpp
@@ -81,7 +81,7 @@
   void Say(const std::string& what) { script_ += std::to_string(rig_.now()) + " " + what + "\n"; }
   // Time passes, with clients.
   template <typename Done>
-  bool Serve(Done done, double most_s) {
+  bool Serve(Done done, double timeout_s) {
     return rig_.Until(
         [&] {
           if (asks_ && rig_.now() >= ask_at_) {
@@ -93,7 +93,7 @@
           jobs_.Gather();
           return done();
         },
-        most_s);
+        timeout_s);
   }
   bool SameOut() {
     for (std::size_t i = 0; i < members_; ++i) {
--- a/tests/cluster/jobs_test.cpp
+++ b/tests/cluster/jobs_test.cpp
@@ -65,7 +65,7 @@
     for (std::size_t n = 0; n < count; ++n) jobs->Submit(node, n % 2 == 0);
     EXPECT_TRUE(rig->Until([&] { return jobs->Gather(), jobs->AllTold(); }, 15));
   }
-  void AllDone(double most_s = 30) {
+  void AllDone(double timeout_s = 30) {
     double ask_at = 0;
     EXPECT_TRUE(rig->Until(
         [&] {
@@ -74,7 +74,7 @@
           ask_at = rig->now() + 0.3;
           return jobs->Held() == 0 && jobs->Wrong().empty();
         },
-        most_s));
+        timeout_s));
     EXPECT_EQ(jobs->Wrong(), std::vector<std::string>{});
   }
   std::size_t Deliveries() {
@@ -135,14 +135,14 @@
 TEST_F(PromisedJobs, AreNeitherLostNorDoubledWhileAllAreRestartedInTurn) {
   Begin();
   double next = 0;
-  const auto serve = [&](const std::function<bool()>& done, double most_s) {
+  const auto serve = [&](const std::function<bool()>& done, double timeout_s) {
     return rig->Until(
         [&] {
           if (rig->now() >= next) jobs->SubmitAny(), next = rig->now() + 0.04;
           jobs->Gather();
           return done();
         },
-        most_s);
+        timeout_s);
   };
   for (std::size_t i = 0; i < 3; ++i) {
     rig->Terminate(i);
--- a/tests/cluster/quota_test.cpp
+++ b/tests/cluster/quota_test.cpp
@@ -24,7 +24,7 @@
 // are cut off.
 constexpr double kQuota = 120, kAsked = 240;
 constexpr double kOtherAsked = 5;  // of the second, at each node
-constexpr double kWindowS = 5, kMostOver = 1.05, kLeastUse = 0.95;
+constexpr double kWindowS = 5, kMaxOver = 1.05, kLeastUse = 0.95;
 constexpr double kSettleS = 10;  // until each node has found that the fleet is full
 constexpr double kCutS = 60;
 constexpr double kChangedWithinS = 9;  // a changed quota is in force everywhere
@@ -56,18 +56,18 @@
   void Play(double span) {
     rig_->Until([this] { return Step(), false; }, span);
   }
-  bool PlayUntil(const std::function<bool()>& done, double most_s) {
-    return rig_->Until([&] { return Step(), done(); }, most_s);
+  bool PlayUntil(const std::function<bool()>& done, double timeout_s) {
+    return rig_->Until([&] { return Step(), done(); }, timeout_s);
   }
   // The most that was let in within any kWindowS that begins at `from` or later, against the quota.
-  double MostOver(double from, double quota = kQuota) const {
-    double most = 0;
+  double PeakOver(double from, double quota = kQuota) const {
+    double peak = 0;
     auto first = std::lower_bound(let_in_.begin(), let_in_.end(), from);
     for (auto last = first; last != let_in_.end(); ++last) {
       while (*last - *first > kWindowS) ++first;
-      most = std::max(most, static_cast<double>(last - first + 1) / (kWindowS * quota));
+      peak = std::max(peak, static_cast<double>(last - first + 1) / (kWindowS * quota));
     }
-    return most;
+    return peak;
   }
   // The part of the quota that was used from `from` to `until`.
   double Use(double from, double until) const {
@@ -89,9 +89,9 @@
     }
   }
   // How long after `from` the use of 2 s is first at kLeastUse; negative: it is not within `most`.
-  double UsedAgainAfter(double from, double most) const {
+  double UsedAgainAfter(double from, double peak) const {
     constexpr double kSpan = 2, kStep = 0.05;
-    for (double at = 0; at <= most; at += kStep) {
+    for (double at = 0; at <= peak; at += kStep) {
       if (Use(from + at, from + at + kSpan) >= kLeastUse) return at;
     }
     return -1;
@@ -212,14 +212,14 @@
     return kMembers;
   }
   void ExpectWithinQuota(double from, const char* what) {
-    const double most = load->MostOver(from);
+    const double peak = load->PeakOver(from);
     std::printf(
         "%s: most over any %.0f s %.3f of the quota, use %.3f, refused %zu, failed %zu; other "
         "tenant refused %zu\n",
-        what, kWindowS, most, load->Use(from, rig->now()), load->refused(), load->failed(),
+        what, kWindowS, peak, load->Use(from, rig->now()), load->refused(), load->failed(),
         load->other_refused());
     load->PrintUse(from);
-    EXPECT_LE(most, kMostOver) << what;
+    EXPECT_LE(peak, kMaxOver) << what;
     EXPECT_EQ(load->failed(), 0U) << what;
   }
   std::unique_ptr<Cluster> rig;
@@ -244,7 +244,7 @@
         "%s: 0.95 again after %.2f s, use from the 5th to the 10th second %.3f, most over any 5 s "
         "%.3f\n",
         leased ? "leased" : "not leased", again[leased], use[leased],
-        load->MostOver(moved - kWindowS));
+        load->PeakOver(moved - kWindowS));
     load->PrintUse(moved - 3);
     for (std::size_t i = 0; leased && i < kMembers; ++i) {
       std::printf("  %s holds %ld of both tenants\n", Cluster::Name(i).c_str(),
@@ -313,14 +313,14 @@
   };
   const double before = rig->now();
   change(kLowered);
-  EXPECT_LE(load->MostOver(before), kMostOver) << "never above the higher one";
+  EXPECT_LE(load->PeakOver(before), kMaxOver) << "never above the higher one";
   double from = rig->now();
   load->Play(kSettleS);
-  const double most = load->MostOver(from, kLowered),
+  const double peak = load->PeakOver(from, kLowered),
                used = load->Use(from, rig->now()) * kQuota / kLowered;
   std::printf("lowered to %.0f: most over any %.0f s %.3f, use %.3f of it\n", kLowered, kWindowS,
-              most, used);
-  EXPECT_LE(most, kMostOver);
+              peak, used);
+  EXPECT_LE(peak, kMaxOver);
   EXPECT_GE(used, kLeastUse);
   change(kQuota);
   from = rig->now();
--- a/tests/cluster/restart_test.cpp
+++ b/tests/cluster/restart_test.cpp
@@ -174,8 +174,8 @@
     closefrom(3);
     unsetenv("TMPDIR");
     if (descriptors > 0) {
-      const rlimit most{descriptors, descriptors};
-      setrlimit(RLIMIT_NOFILE, &most);
+      const rlimit limit{descriptors, descriptors};
+      setrlimit(RLIMIT_NOFILE, &limit);
     }
     execl(MILLETHOLLOW_BINARY, MILLETHOLLOW_BINARY, "--config", p->config.c_str(), nullptr);
     _exit(127);
@@ -205,8 +205,8 @@
   }
   template <typename Done>
   bool Until(
-      Done done, double most_s, const std::function<void()>& each = [] {}) {
-    const double until = loop.Now() + most_s;
+      Done done, double timeout_s, const std::function<void()>& each = [] {}) {
+    const double until = loop.Now() + timeout_s;
     while (!done() && loop.Now() < until) {
       loop.deadlines().At(loop.Now() + 0.005, [] {});
       loop.Turn();
@@ -300,13 +300,13 @@
   ASSERT_TRUE(Until([&] { return AllReady(); }, 10, [&] { PollHealth(); }))
       << "though discovery is down";
   std::vector<std::unique_ptr<Raw>> idle;
-  std::size_t most = 0;
+  std::size_t max_open = 0;
   const auto open = [&] {
     std::size_t n = 0;
     for ([[maybe_unused]] const auto& fd :
          std::filesystem::directory_iterator("/proc/" + std::to_string(processes[0].pid) + "/fd"))
       ++n;
-    most = std::max(most, n);
+    max_open = std::max(max_open, n);
   };
   for (int wave = 0; wave < 3; ++wave) {
     for (int i = 0; i < 150; ++i)
@@ -345,8 +345,8 @@
     EXPECT_TRUE(Until([&] { return client.in.ends_with("ok"); }, 4, open)) << client.in;
   }
   EXPECT_EQ(workers[0]->got.size(), 0u);
-  EXPECT_GE(most, 20u);
-  EXPECT_LE(most, 120u);
+  EXPECT_GE(max_open, 20u);
+  EXPECT_LE(max_open, 120u);
 }
 
 }  // namespace
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -502,8 +502,8 @@
   }
   ~OldNode() override { node.reset(); }
   template <typename Done>
-  bool Until(Done done, double most_s) {
-    const double until = host.Now() + most_s;
+  bool Until(Done done, double timeout_s) {
+    const double until = host.Now() + timeout_s;
     while (!done() && host.Now() < until) {
       for (Loop* loop : {&host, &node->loop()}) {
         loop->deadlines().At(loop->Now() + 0.001, [] {});
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -273,8 +273,8 @@
       ASSERT_TRUE(ReadConfig(text, &config, &why)) << why;
       Node node(config);
       ASSERT_TRUE(IsOk(node.Start()));
-      const auto until = [&](auto done, double most_s) {
-        const double end = host.Now() + most_s;
+      const auto until = [&](auto done, double timeout_s) {
+        const double end = host.Now() + timeout_s;
         while (!done() && host.Now() < end) {
           for (Loop* loop : {&host, &node.loop()}) {
             loop->deadlines().At(loop->Now() + 0.001, [] {});
--- a/tests/crowded_discovery_test.cpp
+++ b/tests/crowded_discovery_test.cpp
@@ -20,8 +20,8 @@
 // calls that find too many before them, and answers at once what goes on.
 class SerialDiscovery {
  public:
-  SerialDiscovery(Loop* loop, double service_s, std::size_t most_waiting)
-      : loop_(loop), service_s_(service_s), most_waiting_(most_waiting) {
+  SerialDiscovery(Loop* loop, double service_s, std::size_t max_waiting)
+      : loop_(loop), service_s_(service_s), max_waiting_(max_waiting) {
     server_.act = [this](const ToyWorker::Got& call) { Take(call); };
   }
   std::string address() const { return server_.address(); }
@@ -48,7 +48,7 @@
                     Number(got.head.target, "wait_ms") > 0};
     const auto last = answered_.find(call.from);
     if (last != answered_.end() && loop_->Now() - last->second <= kWatchGoesOnS) return Serve(call);
-    if (queue_.size() >= most_waiting_) {
+    if (queue_.size() >= max_waiting_) {
       ++turned_away_;
       call.from->Write("HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
       return;
@@ -80,7 +80,7 @@
 
   Loop* loop_;
   double service_s_;
-  std::size_t most_waiting_;
+  std::size_t max_waiting_;
   ToyWorker server_{loop_};
   int version_ = 1;
   std::size_t turned_away_ = 0;
@@ -91,8 +91,8 @@
 
 // A tier and its discovery; for each change, when each node heard of it.
 struct CrowdedTier {
-  CrowdedTier(std::size_t nodes, double service_s, std::size_t most_waiting)
-      : discovery(&loop, service_s, most_waiting), heard(nodes) {
+  CrowdedTier(std::size_t nodes, double service_s, std::size_t max_waiting)
+      : discovery(&loop, service_s, max_waiting), heard(nodes) {
     LogLevel() = Level::kError;
     for (std::size_t node = 0; node < nodes; ++node) {
       Discovery::Options options{
--- a/tests/haproxy_test.cpp
+++ b/tests/haproxy_test.cpp
@@ -56,7 +56,7 @@
   ASSERT_TRUE(ReadServerList(c.known, c.zones, c.kinds, &list, &why));
   ASSERT_EQ(list.entries.size(), 3u);
   EXPECT_EQ(list.entries[0].member.capacity_hint, 3);
-  EXPECT_EQ(list.entries[0].most_out, 4u);
+  EXPECT_EQ(list.entries[0].max_in_flight, 4u);
   EXPECT_EQ(list.entries[1].member.readiness, balancing::Readiness::kDraining);
   EXPECT_EQ(list.entries[2].member.readiness, balancing::Readiness::kDraining);
   std::string notes;
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -96,8 +96,8 @@
     EXPECT_TRUE(IsOk(planner->Start()));
   }
   template <typename Done>
-  bool Until(Done done, double most_s = 5) {
-    const double until = host.Now() + most_s;
+  bool Until(Done done, double timeout_s = 5) {
+    const double until = host.Now() + timeout_s;
     while (!done() && host.Now() < until) {
       for (Loop* loop : {&host, &forwarder->loop(), planner ? &planner->loop() : &host}) {
         loop->deadlines().At(loop->Now() + 0.001, [] {});
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -30,8 +30,8 @@
     ASSERT_TRUE(IsOk(node->Start()));
   }
   template <typename Done>
-  bool Until(Done done, double most_s = 5) {
-    const double until = host.Now() + most_s;
+  bool Until(Done done, double timeout_s = 5) {
+    const double until = host.Now() + timeout_s;
     while (!done() && host.Now() < until) {
       for (Loop* loop : {&host, &node->loop()}) {
         loop->deadlines().At(loop->Now() + 0.001, [] {});
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -338,7 +338,7 @@
 // That we have no descriptor left for one more connection says nothing of the worker.
 TEST(HttpFront, ItsOwnShortageLeavesNoWorkerOut) {
   Rig rig;
-  rig.node->loop().budget().workers_most = 1;
+  rig.node->loop().budget().max_workers = 1;
   for (auto& w : rig.workers) w->act = [](const ToyWorker::Got&) {};
   std::vector<std::unique_ptr<Raw>> clients;
   for (int i = 0; i < 4; ++i) {
@@ -350,7 +350,7 @@
                        [](const auto& c) { return !c->in.empty(); });
   }));
   EXPECT_EQ(rig.Got(), 1u);
-  rig.node->loop().budget().workers_most = 9;
+  rig.node->loop().budget().max_workers = 9;
   // The one that kept its request past its time is left out, and no other: two at once find two.
   for (auto& w : rig.workers) w->got.clear();
   for (const char* id : {"b1", "b2"}) {
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -336,9 +336,9 @@
     g.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                   body);
   }
-  bool Asked(std::size_t n, double most_s = 5) {
+  bool Asked(std::size_t n, double timeout_s = 5) {
     return TurnUntil(
-        loop, [&] { return asked.size() >= n; }, most_s);
+        loop, [&] { return asked.size() >= n; }, timeout_s);
   }
 };
 
--- a/tests/record_store_test.cpp
+++ b/tests/record_store_test.cpp
@@ -20,25 +20,25 @@
 
 struct CopyFolder : Folder {
   ~CopyFolder() override { store.reset(); }
-  bool Open(const std::string& at, std::uint64_t most = 16 << 20,
+  bool Open(const std::string& at, std::uint64_t max_bytes = 16 << 20,
             RecordStore::Identity who = {1, 2, 77}) {
     store.reset();
     store = std::make_unique<RecordStore>();
     why.clear();
-    return store->Open(at, who, most, Written(), &why);
+    return store->Open(at, who, max_bytes, Written(), &why);
   }
   bool Put(std::vector<StoreWrite> batch) {  // waits until it is there
     store->Write(std::move(batch), ++tickets);
     return Waits(tickets);
   }
-  Model All(const std::string& prefix, std::size_t most = 3) {
+  Model All(const std::string& prefix, std::size_t max_records = 3) {
     Model all;
     std::string after;
     damaged.clear();
     for (bool more = true; more;) {
       bool come = false;
       store->Read(
-          prefix, after, most,
+          prefix, after, max_records,
           [&](const RecordStore::Records& records, bool last, std::vector<std::string> bad) {
             const std::lock_guard lock(mutex);
             for (auto& [key, value] : records) all[key] = value, after = key;
--- a/tests/scale_rig_test.cpp
+++ b/tests/scale_rig_test.cpp
@@ -141,14 +141,14 @@
 // A job without a key is placed by a sample of the workers: thirty times the workers may not make
 // it many times as slow. Both are medians of one run.
 TEST(ScaleWorkers, ADecisionHardlyGrowsWithTheFleet) {
-  constexpr double kMostTimes = 6;
+  constexpr double kMaxTimes = 6;
   const AxisResult result = RunWorkers(Short());
   ExpectWhole(result, 4);
-  const Point& least = result.points.front();
-  const Point& most = result.points.back();
-  ASSERT_EQ(Value(most, "workers"), 30 * Value(least, "workers"));
+  const Point& smallest = result.points.front();
+  const Point& largest = result.points.back();
+  ASSERT_EQ(Value(largest, "workers"), 30 * Value(smallest, "workers"));
   for (const char* figure : {"planner_decision_p50", "balancer_decision_p50"}) {
-    EXPECT_LE(Value(most, figure), kMostTimes * Value(least, figure)) << figure;
+    EXPECT_LE(Value(largest, figure), kMaxTimes * Value(smallest, figure)) << figure;
   }
   for (const Point& point : result.points) {
     EXPECT_LT(Value(point, "list_indented_of_bound"), 1) << Value(point, "workers");
@@ -207,25 +207,25 @@
   struct Case {
     AxisResult (*run)(const AxisOptions&);
     const char* size;
-    double most_times;  // the bytes of a dispatcher at eight times the size, against those at the
-                        // least
+    double max_times;  // the bytes of a dispatcher at eight times the size, against those at the
+                       // smallest
   };
-  constexpr double kMostShiftS = 1;
+  constexpr double kMaxShiftS = 1;
   for (const Case& c :
        {Case{RunQuotaDispatchers, "dispatchers", 1.5}, Case{RunQuotaTenants, "tenants", 4}}) {
     const AxisResult result = c.run(Short());
     ExpectWhole(result, 4);
-    const Point& least = result.points.front();
-    const Point& most = result.points.back();
-    ASSERT_EQ(Value(most, c.size), 8 * Value(least, c.size));
+    const Point& smallest = result.points.front();
+    const Point& largest = result.points.back();
+    ASSERT_EQ(Value(largest, c.size), 8 * Value(smallest, c.size));
     for (const char* figure : {"dispatcher_bytes_steady", "dispatcher_bytes_moving"}) {
-      EXPECT_GT(Value(least, figure), 0) << c.size;
-      EXPECT_LE(Value(most, figure), c.most_times * Value(least, figure))
+      EXPECT_GT(Value(smallest, figure), 0) << c.size;
+      EXPECT_LE(Value(largest, figure), c.max_times * Value(smallest, figure))
           << c.size << " " << figure;
     }
     for (const Point& point : result.points) {
       EXPECT_EQ(Value(point, "shifts_granted"), 1) << c.size << " " << Value(point, c.size);
-      EXPECT_LT(Value(point, "shift_to_grant_p99"), kMostShiftS)
+      EXPECT_LT(Value(point, "shift_to_grant_p99"), kMaxShiftS)
           << c.size << " " << Value(point, c.size);
     }
   }
@@ -236,13 +236,14 @@
   constexpr double kOff = 0.2;
   const AxisResult result = RunQuotaAllocators(Short());
   ExpectWhole(result, 4);
-  const Point& least = result.points.front();
-  const Point& most = result.points.back();
-  const double links = Value(most, "allocators") / Value(least, "allocators");
+  const Point& smallest = result.points.front();
+  const Point& largest = result.points.back();
+  const double links = Value(largest, "allocators") / Value(smallest, "allocators");
   const double times =
-      Value(most, "dispatcher_bytes_steady") / Value(least, "dispatcher_bytes_steady");
+      Value(largest, "dispatcher_bytes_steady") / Value(smallest, "dispatcher_bytes_steady");
   EXPECT_NEAR(times / links, 1, kOff);
-  EXPECT_LT(Value(most, "allocator_bytes_moving"), 0.7 * Value(least, "allocator_bytes_moving"));
+  EXPECT_LT(Value(largest, "allocator_bytes_moving"),
+            0.7 * Value(smallest, "allocator_bytes_moving"));
 }
 
 }  // namespace
--- a/tests/scheduling_balancer_test.cpp
+++ b/tests/scheduling_balancer_test.cpp
@@ -130,7 +130,7 @@
             << ", lookups " << off[kLook].share() << " -> " << on[kLook].share() << "\n";
   EXPECT_GE(on[kCharge].share(), off[kCharge].share());
   EXPECT_GE(on[kLook].share(), 0.9 * off[kLook].share());
-  for (const WorkerModel& w : floor->workers) EXPECT_EQ(w.most_used(), 4) << "all were used";
+  for (const WorkerModel& w : floor->workers) EXPECT_EQ(w.max_used(), 4) << "all were used";
 }
 
 // A fleet of `n` workers of `slots`, all taken by jobs of two seconds.
@@ -243,7 +243,7 @@
 
 // What waited for a worker that comes back cold must not reach it in one burst.
 TEST(Room, AReleaseAtAColdWorkerStaysWithinItsBudget) {
-  const auto most_in_a_second = [](const Options& options) {
+  const auto max_in_a_second = [](const Options& options) {
     SimulatedFleet floor(1, Platform(), options);
     for (int w = 0; w < 3; ++w) floor.AddWorker({4, 4}, 16);
     floor.Start();
@@ -269,7 +269,7 @@
     EXPECT_EQ(floor.faults, std::vector<std::string>{});
     return sent;
   };
-  const int off = most_in_a_second({}), on = most_in_a_second(On());
+  const int off = max_in_a_second({}), on = max_in_a_second(On());
   EXPECT_LE(on, off + 1) << "the module's budget binds what is released, too";
   EXPECT_GT(on, 0);
 }
@@ -382,8 +382,8 @@
     EXPECT_TRUE(IsOk(node->Start()));
   }
   template <typename Done>
-  bool Until(Done done, double most_s = 10) {
-    const double until = host.Now() + most_s;
+  bool Until(Done done, double timeout_s = 10) {
+    const double until = host.Now() + timeout_s;
     while (!done() && host.Now() < until) {
       for (Loop* loop : {&host, &node->loop(), next ? &next->loop() : nullptr}) {
         if (loop == nullptr) continue;
--- a/tests/support/cluster_rig.cpp
+++ b/tests/support/cluster_rig.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr double kPollS = 0.05, kPollGiveUpS = 0.5;
-constexpr std::size_t kMostOverheard = 64;
+constexpr std::size_t kMaxOverheardDatagrams = 64;
 
 }  // namespace
 
@@ -110,7 +110,7 @@
       }
       source_ = source;
       std::string datagram(bytes, static_cast<std::size_t>(n));
-      if (rig_->overheard_.size() < kMostOverheard) rig_->overheard_.push_back(datagram);
+      if (rig_->overheard_.size() < kMaxOverheardDatagrams) rig_->overheard_.push_back(datagram);
       membership::Random& random = rig_->random_;
       if (faults.cut || random.Unit() < faults.loss || datagram.empty()) continue;
       if (random.Unit() < faults.garbled) {
@@ -154,11 +154,12 @@
       return;
     }
     if (faults.cut || p->near->in.empty()) return;
-    std::size_t most = p->near->in.size();
+    std::size_t max_bytes = p->near->in.size();
     if (faults.bytes_per_s > 0)
-      most = std::min<std::size_t>(most, static_cast<std::size_t>(faults.bytes_per_s / 50) + 1);
-    p->far->Write(p->near->in.substr(0, most));
-    p->near->in.erase(0, most);
+      max_bytes =
+          std::min<std::size_t>(max_bytes, static_cast<std::size_t>(faults.bytes_per_s / 50) + 1);
+    p->far->Write(p->near->in.substr(0, max_bytes));
+    p->near->in.erase(0, max_bytes);
     if (!p->near->in.empty()) loop_->deadlines().At(loop_->Now() + 0.02, [this, p] { Pump(p); });
   }
 
@@ -363,8 +364,8 @@
     dup2(out, 2);
     if (file_bytes > 0) {
       std::signal(SIGXFSZ, SIG_IGN);
-      const rlimit most{file_bytes, file_bytes};
-      setrlimit(RLIMIT_FSIZE, &most);
+      const rlimit limit{file_bytes, file_bytes};
+      setrlimit(RLIMIT_FSIZE, &limit);
     }
     closefrom(3);
     unsetenv("TMPDIR");
@@ -482,8 +483,8 @@
 std::string Cluster::http_address(std::size_t i) const { return At(nodes_[i].http); }
 std::string Cluster::gearman_address(std::size_t i) const { return At(nodes_[i].gearman); }
 
-bool Cluster::Until(const std::function<bool()>& done, double most_s) {
-  const double until = now() + most_s;
+bool Cluster::Until(const std::function<bool()>& done, double timeout_s) {
+  const double until = now() + timeout_s;
   while (true) {
     if (done()) return true;
     if (now() >= until) return false;
--- a/tests/support/cluster_rig.h
+++ b/tests/support/cluster_rig.h
@@ -107,7 +107,7 @@
 
   // Time and what is seen.
   double now() const { return loop_.Now(); }
-  bool Until(const std::function<bool()>& done, double most_s);
+  bool Until(const std::function<bool()>& done, double timeout_s);
   void For(double s) {
     Until([] { return false; }, s);
   }
--- a/tests/support/rig.h
+++ b/tests/support/rig.h
@@ -20,8 +20,8 @@
   }
   // Node and stand-ins have a loop each; they take turns.
   template <typename Done>
-  bool Until(Done done, double most_s = 5) {
-    const double until = host.Now() + most_s;
+  bool Until(Done done, double timeout_s = 5) {
+    const double until = host.Now() + timeout_s;
     while (!done() && host.Now() < until) TurnAll();
     return done();
   }
--- a/tests/support/support.h
+++ b/tests/support/support.h
@@ -30,8 +30,8 @@
 }
 
 template <typename Done>
-bool TurnUntil(Loop& loop, Done done, double most_s = 5) {
-  const double until = loop.Now() + most_s;
+bool TurnUntil(Loop& loop, Done done, double timeout_s = 5) {
+  const double until = loop.Now() + timeout_s;
   loop.deadlines().At(until, [] {});
   while (!done() && loop.Now() < until) loop.Turn();
   return done();
--- a/tests/support/worker_model.h
+++ b/tests/support/worker_model.h
@@ -21,12 +21,13 @@
     double ends_at = 0;
   };
   WorkerModel(scheduling::Resources capacity, std::size_t queue)
-      : capacity_(capacity), most_(queue) {}
+      : capacity_(capacity), max_queue_(queue) {}
 
   // False: rejected, since the queue is full or no such worker could run it.
   bool Submit(Job job) {
     if (!job.need.Within(capacity_)) return false;
-    if (waiting_.size() >= most_ && !(waiting_.empty() && job.need.Within(Free()))) return false;
+    if (waiting_.size() >= max_queue_ && !(waiting_.empty() && job.need.Within(Free())))
+      return false;
     waiting_.push_back(std::move(job));
     return true;
   }
@@ -40,7 +41,7 @@
       running_.push_back(job);
       begun.push_back(std::move(job));
     }
-    most_used_ = std::max(most_used_, capacity_.slots - Free().slots);
+    max_used_ = std::max(max_used_, capacity_.slots - Free().slots);
     return begun;
   }
   std::vector<Job> End(double now) {
@@ -67,12 +68,12 @@
   }
   std::size_t waiting() const { return waiting_.size(); }
   std::size_t running() const { return running_.size(); }
-  double most_used() const { return most_used_; }
+  double max_used() const { return max_used_; }
 
  private:
   scheduling::Resources capacity_;
-  std::size_t most_;
-  double most_used_ = 0;
+  std::size_t max_queue_;
+  double max_used_ = 0;
   std::deque<Job> waiting_;
   std::vector<Job> running_;
 };
