--- a/bench/scale/axis_workers.cpp
+++ b/bench/scale/axis_workers.cpp
@@ -190,12 +190,12 @@
   Samples readings;
   for (int i = 0; i < effort.list_readings; ++i) {
     ServerList list;
-    std::string why;
+    std::string error;
     const Stopwatch watch;
-    const bool read = ReadServerList(plain, ZoneNames(), KindNames(), &list, &why);
+    const bool read = ReadServerList(plain, ZoneNames(), KindNames(), &list, &error);
     readings.Add(watch.Nanoseconds());
     if (!read || list.entries.size() != static_cast<std::size_t>(workers)) {
-      throw std::runtime_error("the list can't be read: " + why);
+      throw std::runtime_error("the list can't be read: " + error);
     }
   }
   point.Measured("list_read_p50", "ms", readings.Quantile(0.5) / 1e6);
--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -34,10 +34,10 @@
   const AxisResult result = axis.run(arguments.options);
   std::fputs(TableOf(result).c_str(), stdout);
   std::fflush(stdout);
-  std::string why;
+  std::string error;
   const RunNotes notes{arguments.options.seed, arguments.options.is_short};
-  if (!WriteResult(result, notes, arguments.json_path, arguments.table_path, &why)) {
-    std::fprintf(stderr, "%s\n", why.c_str());
+  if (!WriteResult(result, notes, arguments.json_path, arguments.table_path, &error)) {
+    std::fprintf(stderr, "%s\n", error.c_str());
     return false;
   }
   return result.failures.empty() && !result.points.empty();
--- a/bench/scale/report.cpp
+++ b/bench/scale/report.cpp
@@ -80,12 +80,12 @@
   return json;
 }
 
-bool WriteFile(const std::string& path, const std::string& text, std::string* why) {
+bool WriteFile(const std::string& path, const std::string& text, std::string* error) {
   std::ofstream file(path, std::ios::trunc);
   file << text;
   file.close();
   if (file) return true;
-  *why = "scale: can't write " + path;
+  *error = "scale: can't write " + path;
   return false;
 }
 
@@ -155,14 +155,14 @@
 }
 
 bool WriteResult(const AxisResult& result, const RunNotes& notes, const std::string& json_path,
-                 const std::string& table_path, std::string* why) {
+                 const std::string& table_path, std::string* error) {
   Json root = ReadObject(json_path);
   root["axes"][result.name] = AxisToJson(result, notes);
   std::string table;
   for (const auto& [name, axis] : root["axes"].items()) {
     table += axis.value("table", std::string()) + "\n";
   }
-  return WriteFile(json_path, root.dump(1) + "\n", why) && WriteFile(table_path, table, why);
+  return WriteFile(json_path, root.dump(1) + "\n", error) && WriteFile(table_path, table, error);
 }
 
 }  // namespace millethollow::scale
--- a/bench/scale/report.h
+++ b/bench/scale/report.h
@@ -22,9 +22,9 @@
 };
 
 // Puts the axis into the JSON file and writes the table of all axes in it. Axes that the file held
-// before and that are not this one stay. False, with `why`, where a file can't be written.
+// before and that are not this one stay. False, with `error`, where a file can't be written.
 bool WriteResult(const AxisResult& result, const RunNotes& notes, const std::string& json_path,
-                 const std::string& table_path, std::string* why);
+                 const std::string& table_path, std::string* error);
 
 // The table of one axis.
 std::string TableOf(const AxisResult& result);
--- a/examples/toy_worker.cpp
+++ b/examples/toy_worker.cpp
@@ -83,7 +83,7 @@
   const double work_s = argc > 2 ? std::atof(argv[2]) / 1000 : 0.2;
   Loop loop;
   Listener listener;
-  std::string why;
+  std::string error;
   const bool open = listener.Open(
       &loop, argv[1],
       [&](evutil_socket_t fd) {
@@ -91,9 +91,9 @@
         Client* raw = client.get();
         clients.emplace(raw, std::move(client));
       },
-      &why);
+      &error);
   if (!open) {
-    std::cerr << why << "\n";
+    std::cerr << error << "\n";
     return 1;
   }
   std::cout << "working on " << listener.address() << std::endl;
--- a/src/config/cluster.cpp
+++ b/src/config/cluster.cpp
@@ -21,37 +21,37 @@
          std::none_of(text.begin(), text.end(), [](char c) { return c <= ' ' || c >= 0x7f; });
 }
 
-bool Refuse(const std::string& what, std::string* why) {
-  *why = "configuration: cluster: " + what;
+bool Refuse(const std::string& what, std::string* error) {
+  *error = "configuration: cluster: " + what;
   return false;
 }
 
-bool CheckAllocators(const ClusterOptions& o, std::string* why) {
+bool CheckAllocators(const ClusterOptions& o, std::string* error) {
   std::set<std::string> seen;
   for (const std::string& id : o.quota.allocators) {
     if (o.Find(id) == nullptr) {
-      return Refuse("'quota.allocators' names no member: '" + id + "'", why);
+      return Refuse("'quota.allocators' names no member: '" + id + "'", error);
     }
     if (!seen.insert(id).second) {
-      return Refuse("'quota.allocators' names '" + id + "' twice", why);
+      return Refuse("'quota.allocators' names '" + id + "' twice", error);
     }
   }
   return true;
 }
 
-bool CheckQuota(const ClusterOptions& o, std::string* why) {
+bool CheckQuota(const ClusterOptions& o, std::string* error) {
   if (!o.quota.on) return true;
-  if (!CheckAllocators(o, why)) return false;
+  if (!CheckAllocators(o, error)) return false;
   const quota::LeaseTimings& t = o.quota.timings;
   if (t.renew_interval_s * kLeastRenewals > t.lease_duration_s) {
-    return Refuse("'quota.span_s' must be at least three times 'quota.renew_s'", why);
+    return Refuse("'quota.span_s' must be at least three times 'quota.renew_s'", error);
   }
   if (t.min_report_interval_s > t.renew_interval_s) {
-    return Refuse("'quota.report_gap_s' must not be over 'quota.renew_s'", why);
+    return Refuse("'quota.report_gap_s' must not be over 'quota.renew_s'", error);
   }
   if (LongestOldLease(t) + t.renew_interval_s > kQuotaInForceS) {
     return Refuse("'timings.lease_s' and 'quota.span_s' are too long for a quota in force in 9 s",
-                  why);
+                  error);
   }
   return true;
 }
@@ -69,8 +69,8 @@
   }
 }
 
-bool Check(const ClusterOptions& o, std::string* why) {
-  const auto wrong = [why](const std::string& what) { return Refuse(what, why); };
+bool Check(const ClusterOptions& o, std::string* error) {
+  const auto wrong = [error](const std::string& what) { return Refuse(what, error); };
   if (!Word(o.name)) return wrong("'name' must be one plain word");
   if (o.members.empty()) return wrong("no members");
   std::set<std::string> ids, addresses;
@@ -108,21 +108,21 @@
   if (d.probe_timeout_s >= d.probe_interval_s) return wrong("'timeout_s' must be under 'probe_s'");
   if (d.suspicion_min_s > d.suspicion_max_s)
     return wrong("'suspect_s' must not be over 'suspect_most_s'");
-  return CheckQuota(o, why);
+  return CheckQuota(o, error);
 }
 
-KeyReader QuotaKey(QuotaOptions* quota, std::string* why) {
-  return [quota, why](const Json& value, const std::string& path) {
+KeyReader QuotaKey(QuotaOptions* quota, std::string* error) {
+  return [quota, error](const Json& value, const std::string& path) {
     const KeyReaders readers{
-        {"allocators", NamesKey(&quota->allocators, kMaxMembers, why)},
-        {"span_s", NumberKey(&quota->timings.lease_duration_s, 0.3, 60, why)},
-        {"renew_s", NumberKey(&quota->timings.renew_interval_s, 0.05, 20, why)},
-        {"report_gap_s", NumberKey(&quota->timings.min_report_interval_s, 0.01, 5, why)},
-        {"floor_part", NumberKey(&quota->timings.floor_fraction, 0, 0.5, why)},
-        {"hysteresis", NumberKey(&quota->timings.hysteresis, 0, 0.5, why)},
+        {"allocators", NamesKey(&quota->allocators, kMaxMembers, error)},
+        {"span_s", NumberKey(&quota->timings.lease_duration_s, 0.3, 60, error)},
+        {"renew_s", NumberKey(&quota->timings.renew_interval_s, 0.05, 20, error)},
+        {"report_gap_s", NumberKey(&quota->timings.min_report_interval_s, 0.01, 5, error)},
+        {"floor_part", NumberKey(&quota->timings.floor_fraction, 0, 0.5, error)},
+        {"hysteresis", NumberKey(&quota->timings.hysteresis, 0, 0.5, error)},
     };
     quota->on = true;
-    return ReadKeys(value, path, readers, why);
+    return ReadKeys(value, path, readers, error);
   };
 }
 
@@ -138,28 +138,28 @@
   return timings.superseded_grant_s + timings.lease_duration_s * (1 + 3 * timings.max_clock_drift);
 }
 
-bool ReadCluster(std::string_view text, ClusterOptions* options, std::string* why) {
+bool ReadCluster(std::string_view text, ClusterOptions* options, std::string* error) {
   const Json root = Json::parse(text, nullptr, false, true);
-  if (!root.is_object()) return *why = "configuration: not a JSON object", false;
+  if (!root.is_object()) return *error = "configuration: not a JSON object", false;
   const auto section = root.find("cluster");
   if (section == root.end() || section->is_null()) return true;
   ClusterOptions o;
-  const auto number = [why](double* out, double min, double max) {
-    return NumberKey(out, min, max, why);
+  const auto number = [error](double* out, double min, double max) {
+    return NumberKey(out, min, max, error);
   };
   const auto members = [&](const Json& value, const std::string& path) {
     if (!value.is_array() || value.size() > kMaxMembers) {
-      return *why = "configuration: '" + path + "' is not a list of up to 1024 members", false;
+      return *error = "configuration: '" + path + "' is not a list of up to 1024 members", false;
     }
     for (const Json& item : value) {
       ClusterMember m;
       const std::string at = path + "." + std::to_string(o.members.size());
       if (!ReadKeys(item, at,
-                    {{"id", TextKey(&m.id, why)},
-                     {"address", TextKey(&m.address, why)},
-                     {"place", TextKey(&m.failure_domain, why)},
-                     {"voter", FlagKey(&m.voter, why)}},
-                    why)) {
+                    {{"id", TextKey(&m.id, error)},
+                     {"address", TextKey(&m.address, error)},
+                     {"place", TextKey(&m.failure_domain, error)},
+                     {"voter", FlagKey(&m.voter, error)}},
+                    error)) {
         return false;
       }
       o.members.push_back(std::move(m));
@@ -196,22 +196,22 @@
       {"again_most_s", number(&o.jobs.retry_max_s, 0.01, 3600)},
   };
   const KeyReaders readers{
-      {"name", TextKey(&o.name, why)},
-      {"self", TextKey(&o.self, why)},
-      {"listen", TextKey(&o.listen, why)},
-      {"store", TextKey(&o.store, why)},
+      {"name", TextKey(&o.name, error)},
+      {"self", TextKey(&o.self, error)},
+      {"listen", TextKey(&o.listen, error)},
+      {"store", TextKey(&o.store, error)},
       {"members", members},
       {"cut_off_part", number(&o.isolated_share, 0, 1)},
       {"store_bytes", number(&store_bytes, 1 << 20, 1e12)},
       {"copies", number(&copies, 1, 8)},
       {"copies_least", number(&least, 1, 8)},
       {"jobs", [&](const Json& value,
-                   const std::string& path) { return ReadKeys(value, path, jobs, why); }},
-      {"quota", QuotaKey(&o.quota, why)},
+                   const std::string& path) { return ReadKeys(value, path, jobs, error); }},
+      {"quota", QuotaKey(&o.quota, error)},
       {"timings", [&](const Json& value,
-                      const std::string& path) { return ReadKeys(value, path, timings, why); }},
+                      const std::string& path) { return ReadKeys(value, path, timings, error); }},
   };
-  if (!ReadKeys(*section, "cluster", readers, why)) return false;
+  if (!ReadKeys(*section, "cluster", readers, error)) return false;
   o.store_bytes = static_cast<std::uint64_t>(store_bytes);
   o.copies = static_cast<std::size_t>(copies);
   o.min_replicas = static_cast<std::size_t>(least);
@@ -219,7 +219,7 @@
   o.jobs.bytes = static_cast<std::size_t>(bytes);
   o.jobs.running = static_cast<std::size_t>(running);
   CompleteQuota(&o);
-  if (!Check(o, why)) return false;
+  if (!Check(o, error)) return false;
   if (o.min_replicas == 0) o.min_replicas = std::min({o.copies, o.members.size(), kLeast});
   if (o.listen.empty()) o.listen = o.Self()->address;
   *options = std::move(o);
--- a/src/config/cluster.h
+++ b/src/config/cluster.h
@@ -55,7 +55,7 @@
 
 // Reads the section from a file's text; where there is none, `options` stays as it is. False, with
 // one clear line, for a key that is not known, a value out of its range, or members that don't fit.
-bool ReadCluster(std::string_view text, ClusterOptions* options, std::string* why);
+bool ReadCluster(std::string_view text, ClusterOptions* options, std::string* error);
 
 }  // namespace millethollow
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -48,7 +48,7 @@
 
 // Reads a member of the type that `out` has; leaves it alone where there is none.
 template <typename T>
-bool Read(const Json& object, const char* key, T* out, std::string* why) {
+bool Read(const Json& object, const char* key, T* out, std::string* error) {
   const auto it = object.find(key);
   if (it == object.end() || it->is_null()) return true;
   try {
@@ -58,7 +58,7 @@
     *out = it->get<T>();
     return true;
   } catch (const std::exception&) {
-    *why = std::string("configuration: '") + key + "' has the wrong type";
+    *error = std::string("configuration: '") + key + "' has the wrong type";
     return false;
   }
 }
@@ -84,27 +84,28 @@
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
 }
 
-bool ReadGearman(const Json& gearman, Config* c, std::string* why) {
+bool ReadGearman(const Json& gearman, Config* c, std::string* error) {
   std::string zone, kind;
-  if (!Read(gearman, "listen", &c->gearman_listen, why) ||
-      !Read(gearman, "cell", &c->gearman_cell, why) || !Read(gearman, "zone", &zone, why) ||
-      !Read(gearman, "kind", &kind, why) || !Read(gearman, "path", &c->gearman_path, why)) {
+  if (!Read(gearman, "listen", &c->gearman_listen, error) ||
+      !Read(gearman, "cell", &c->gearman_cell, error) || !Read(gearman, "zone", &zone, error) ||
+      !Read(gearman, "kind", &kind, error) || !Read(gearman, "path", &c->gearman_path, error)) {
     return false;
   }
   for (const auto& [name, names, out] :
        {std::tuple{&zone, &c->zones, &c->gearman_zone}, {&kind, &c->kinds, &c->gearman_kind}}) {
     if (name->empty()) continue;
     *out = Find(*names, *name);
-    if (*out < 0) return *why = "configuration: gearman names an unknown '" + *name + "'", false;
+    if (*out < 0) return *error = "configuration: gearman names an unknown '" + *name + "'", false;
   }
   const Json functions = Child(gearman, "functions");
   for (const auto& [name, mapping] : functions.items()) {
     std::string cls, tenant;
-    if (!mapping.is_object()) return *why = "configuration: gearman function " + name, false;
-    if (!Read(mapping, "class", &cls, why) || !Read(mapping, "tenant", &tenant, why)) return false;
+    if (!mapping.is_object()) return *error = "configuration: gearman function " + name, false;
+    if (!Read(mapping, "class", &cls, error) || !Read(mapping, "tenant", &tenant, error))
+      return false;
     const GearmanFunction f{Find(c->classes, cls), tenant.empty() ? 0 : Find(c->tenants, tenant)};
-    if (f.cls < 0) return *why = "configuration: gearman function " + name + ": no class", false;
-    if (f.tenant < 0) return *why = "configuration: gearman function " + name + ": tenant", false;
+    if (f.cls < 0) return *error = "configuration: gearman function " + name + ": no class", false;
+    if (f.tenant < 0) return *error = "configuration: gearman function " + name + ": tenant", false;
     c->gearman_functions[name] = f;
   }
   return true;
@@ -112,9 +113,9 @@
 
 }  // namespace
 
-bool ReadConfig(std::string_view text, Config* c, std::string* why) {
+bool ReadConfig(std::string_view text, Config* c, std::string* error) {
   const Json root = Json::parse(text, nullptr, false, true);
-  if (!root.is_object()) return *why = "configuration: not a JSON object", false;
+  if (!root.is_object()) return *error = "configuration: not a JSON object", false;
   const Json settings = Child(root, "settings"), limits = Child(settings, "limits");
   std::string seed;
   if (root.contains("seed") && root["seed"].is_string()) {
@@ -122,14 +123,14 @@
     c->seed = std::strtoull(seed.c_str(), nullptr, 16);
   }
   const Json own_limits = Child(root, "limits");
-  if (!Read(root, "name", &c->name, why) || !Read(root, "listen", &c->listen, why) ||
-      !Read(root, "admin", &c->admin, why) || !Read(root, "discovery", &c->discovery, why) ||
-      !Read(root, "peer_listen", &c->peer_listen, why) || !Read(root, "peers", &c->peers, why) ||
-      !Read(root, "peers_all", &c->peers_all, why) ||
-      !Read(root, "log_level", &c->log_level, why) ||
-      !Read(own_limits, "sockets", &c->sockets, why) ||
-      !Read(limits, "conn_idle_s", &c->conn_idle_s, why) ||
-      !Read(limits, "connect_timeout_s", &c->connect_timeout_s, why)) {
+  if (!Read(root, "name", &c->name, error) || !Read(root, "listen", &c->listen, error) ||
+      !Read(root, "admin", &c->admin, error) || !Read(root, "discovery", &c->discovery, error) ||
+      !Read(root, "peer_listen", &c->peer_listen, error) ||
+      !Read(root, "peers", &c->peers, error) || !Read(root, "peers_all", &c->peers_all, error) ||
+      !Read(root, "log_level", &c->log_level, error) ||
+      !Read(own_limits, "sockets", &c->sockets, error) ||
+      !Read(limits, "conn_idle_s", &c->conn_idle_s, error) ||
+      !Read(limits, "connect_timeout_s", &c->connect_timeout_s, error)) {
     return false;
   }
   c->text = text;
@@ -137,7 +138,7 @@
   const auto above_zero = [&](const Json& object, const char* key) {
     const auto it = object.find(key);
     if (it == object.end() || (it->is_number() && it->get<double>() > 0)) return true;
-    *why = std::string("configuration: '") + key + "' is not a number above 0";
+    *error = std::string("configuration: '") + key + "' is not a number above 0";
     return false;
   };
   if (!above_zero(limits, "most_tries")) return false;
@@ -157,44 +158,44 @@
   Flatten("", settings, &flat);
   const simulator_adapter::Fields fields(flat.begin(), flat.end());
   Result<balancing::Settings> parsed = simulator_adapter::ParseSettings(fields);
-  if (!parsed) return *why = "configuration: settings: " + parsed.error().message, false;
+  if (!parsed) return *error = "configuration: settings: " + parsed.error().message, false;
   c->settings = *std::move(parsed);
-  if (!ReadScheduling(text, c->classes, &c->scheduling, why) ||
-      !ReadCluster(text, &c->cluster, why)) {
+  if (!ReadScheduling(text, c->classes, &c->scheduling, error) ||
+      !ReadCluster(text, &c->cluster, error)) {
     return false;
   }
   const Json link = Child(root, "levels");
-  if (!ReadGearman(Child(root, "gearman"), c, why) || !Read(link, "link", &c->link, why) ||
-      !Read(link, "planners", &c->planners, why) ||
-      !Read(link, "forwarders", &c->forwarders, why)) {
+  if (!ReadGearman(Child(root, "gearman"), c, error) || !Read(link, "link", &c->link, error) ||
+      !Read(link, "planners", &c->planners, error) ||
+      !Read(link, "forwarders", &c->forwarders, error)) {
     return false;
   }
   // It goes into handles and lines of both protocols.
   const auto odd = [](char ch) { return ch <= ' ' || ch >= 0x7f; };
   if (std::any_of(c->name.begin(), c->name.end(), odd) || c->name.size() > 64) {
-    return *why = "configuration: 'name' must be one plain word", false;
+    return *error = "configuration: 'name' must be one plain word", false;
   }
-  if (c->sockets < 32) return *why = "configuration: fewer than 32 sockets allowed", false;
+  if (c->sockets < 32) return *error = "configuration: fewer than 32 sockets allowed", false;
   if (c->planners < 1 || c->forwarders < 1 || c->planners > 64 || c->forwarders > 64) {
-    return *why = "configuration: levels: 1 to 64 planners and forwarders", false;
+    return *error = "configuration: levels: 1 to 64 planners and forwarders", false;
   }
   return true;
 }
 
-bool LoadConfig(const std::string& path, Config* config, std::string* why) {
+bool LoadConfig(const std::string& path, Config* config, std::string* error) {
   const auto env = [](const char* name) {
     const char* value = std::getenv(name);
     return std::string(value == nullptr ? "" : value);
   };
   const std::string file = path.empty() ? env("LB_CONFIG") : path;
-  if (file.empty()) return *why = "configuration: give --config FILE or set LB_CONFIG", false;
+  if (file.empty()) return *error = "configuration: give --config FILE or set LB_CONFIG", false;
   std::ifstream in(file);
   std::stringstream text;
-  if (!in) return *why = "configuration: cannot read " + file, false;
-  if (!(text << in.rdbuf())) return *why = "configuration: nothing to be read in " + file, false;
-  if (!ReadConfig(text.str(), config, why)) return false;
+  if (!in) return *error = "configuration: cannot read " + file, false;
+  if (!(text << in.rdbuf())) return *error = "configuration: nothing to be read in " + file, false;
+  if (!ReadConfig(text.str(), config, error)) return false;
   // Its classes are named for all sites: one that this file has not yet is no fault.
-  if (!config->also.empty() && !LoadScheduling(config->also, {}, &config->scheduling, why)) {
+  if (!config->also.empty() && !LoadScheduling(config->also, {}, &config->scheduling, error)) {
     return false;
   }
   if (config->name.empty()) config->name = env("LB_NAME");
@@ -202,19 +203,19 @@
   if (config->discovery.empty()) config->discovery = env("LB_DISCOVERY");
   if (config->link.empty()) config->handover = env("TMPDIR");
   if (config->admin.empty()) config->admin = env("LB_ADMIN");
-  const auto check = [why](const std::string& address, const char* what) {
+  const auto check = [error](const std::string& address, const char* what) {
     if (address.empty() || ParseAddress(address)) return true;
-    *why = std::string("configuration: ") + what + " is not an IPv4 address:port: " + address;
+    *error = std::string("configuration: ") + what + " is not an IPv4 address:port: " + address;
     return false;
   };
   if (config->listen.empty() && config->gearman_listen.empty()) {
-    return *why = "configuration: nothing to listen on", false;
+    return *error = "configuration: nothing to listen on", false;
   }
   if (!config->admin.empty() && !config->link.empty()) {
-    return *why = "configuration: 'admin' is for a node of one process, not for 'levels'", false;
+    return *error = "configuration: 'admin' is for a node of one process, not for 'levels'", false;
   }
   if (config->cluster.on() && !config->link.empty()) {
-    return *why = "configuration: 'cluster' is for a node of one process, not yet for 'levels'",
+    return *error = "configuration: 'cluster' is for a node of one process, not yet for 'levels'",
            false;
   }
   for (const ClusterMember& m : config->cluster.members) {
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -49,9 +49,9 @@
 };
 
 // Reads a file's text. Unknown keys are ignored; false, with one clear line, if it can't be used.
-bool ReadConfig(std::string_view text, Config* config, std::string* why);
+bool ReadConfig(std::string_view text, Config* config, std::string* error);
 // From `path`, or else from $LB_CONFIG, with the other LB_* variables where the file is silent.
-bool LoadConfig(const std::string& path, Config* config, std::string* why);
+bool LoadConfig(const std::string& path, Config* config, std::string* error);
 
 }  // namespace millethollow
 
--- a/src/config/haproxy.cpp
+++ b/src/config/haproxy.cpp
@@ -45,7 +45,7 @@
 
 class Reader {
  public:
-  Reader(Import* import, std::string* why) : import_(import), why_(why) {}
+  Reader(Import* import, std::string* error) : import_(import), error_(error) {}
 
   bool Line(int number, const std::vector<std::string>& words) {
     number_ = number;
@@ -72,7 +72,7 @@
 
  private:
   bool Bad(const std::string& what) {
-    *why_ = "line " + std::to_string(number_) + ": " + what;
+    *error_ = "line " + std::to_string(number_) + ": " + what;
     return false;
   }
   void Note(const std::string& what) { NoteAt(number_, what); }
@@ -249,7 +249,7 @@
   }
 
   Import* import_;
-  std::string* why_;
+  std::string* error_;
   int number_ = 0, maxconn_ = 0;
   std::string section_, defaults_name_;
   Proxy defaults_;
@@ -278,7 +278,7 @@
   for (const auto& [line, bind] : bind_lines_) {
     if (bind != listen) NoteAt(line, "bind " + bind + ": the program listens on " + listen);
   }
-  if (listen.empty()) return *why_ = "no section binds an IPv4 address:port", false;
+  if (listen.empty()) return *error_ = "no section binds an IPv4 address:port", false;
 
   Json kinds = Json::array(), classes = Json::array(), servers = Json::array();
   Json class_kind = Json::array();
@@ -331,7 +331,7 @@
       servers.push_back(std::move(entry));
     }
   }
-  if (classes.empty()) return *why_ = "no backend or listen section is in use", false;
+  if (classes.empty()) return *error_ = "no backend or listen section is in use", false;
   Json root = {{"name", "imported"},
                {"listen", listen},
                {"limits", {{"sockets", maxconn_ > 0 ? std::max(128, 2 * maxconn_ + 64) : 1024}}},
@@ -419,12 +419,12 @@
   return value * unit->second;
 }
 
-bool ImportHaproxy(std::string_view text, Import* import, std::string* why) {
-  Reader reader(import, why);
+bool ImportHaproxy(std::string_view text, Import* import, std::string* error) {
+  Reader reader(import, error);
   for (int number = 1; !text.empty(); ++number) {
     const std::size_t end = std::min(text.find('\n'), text.size());
     const auto words = HaproxyWords(text.substr(0, end));
-    if (!words) return *why = "line " + std::to_string(number) + ": a quote is left open", false;
+    if (!words) return *error = "line " + std::to_string(number) + ": a quote is left open", false;
     if (!words->empty() && !reader.Line(number, *words)) return false;
     text.remove_prefix(std::min(end + 1, text.size()));
   }
--- a/src/config/haproxy.h
+++ b/src/config/haproxy.h
@@ -14,8 +14,8 @@
   std::vector<std::string> notes;  // "line N: ...": what the file asks for and we can't honour
 };
 
-// False, with "line N: ..." in `why`, where the text can't be read at all.
-bool ImportHaproxy(std::string_view text, Import* import, std::string* why);
+// False, with "line N: ..." in `error`, where the text can't be read at all.
+bool ImportHaproxy(std::string_view text, Import* import, std::string* error);
 
 // Words of one line: quotes, escapes and comments as HAProxy reads them. Empty optional: an open
 // quote.
--- a/src/config/keys.h
+++ b/src/config/keys.h
@@ -16,44 +16,44 @@
 using KeyReaders = std::map<std::string, KeyReader>;
 
 inline bool ReadKeys(const nlohmann::json& object, const std::string& at, const KeyReaders& readers,
-                     std::string* why) {
-  if (!object.is_object()) return *why = "configuration: '" + at + "' is not an object", false;
+                     std::string* error) {
+  if (!object.is_object()) return *error = "configuration: '" + at + "' is not an object", false;
   for (const auto& [key, value] : object.items()) {
     const std::string path = at + "." + key;
     const auto reader = readers.find(key);
-    if (reader == readers.end()) return *why = "configuration: unknown key '" + path + "'", false;
+    if (reader == readers.end()) return *error = "configuration: unknown key '" + path + "'", false;
     if (!reader->second(value, path)) return false;
   }
   return true;
 }
 
-inline KeyReader NumberKey(double* out, double min, double max, std::string* why) {
+inline KeyReader NumberKey(double* out, double min, double max, std::string* error) {
   return [=](const nlohmann::json& value, const std::string& path) {
     if (!value.is_number() || value.get<double>() < min || value.get<double>() > max) {
       std::ostringstream line;
       line << "configuration: '" << path << "' is not a number from " << min << " to " << max;
-      return *why = line.str(), false;
+      return *error = line.str(), false;
     }
     *out = value.get<double>();
     return true;
   };
 }
 
-inline KeyReader FlagKey(bool* out, std::string* why) {
+inline KeyReader FlagKey(bool* out, std::string* error) {
   return [=](const nlohmann::json& value, const std::string& path) {
-    if (!value.is_boolean()) return *why = "configuration: '" + path + "' is not a flag", false;
+    if (!value.is_boolean()) return *error = "configuration: '" + path + "' is not a flag", false;
     *out = value.get<bool>();
     return true;
   };
 }
 
 // A list of up to `most` texts, at least one.
-inline KeyReader NamesKey(std::vector<std::string>* out, std::size_t max, std::string* why) {
+inline KeyReader NamesKey(std::vector<std::string>* out, std::size_t max, std::string* error) {
   return [=](const nlohmann::json& value, const std::string& path) {
     const auto is_text = [](const nlohmann::json& item) { return item.is_string(); };
     if (!value.is_array() || value.empty() || value.size() > max ||
         !std::all_of(value.begin(), value.end(), is_text)) {
-      *why =
+      *error =
           "configuration: '" + path + "' is not a list of 1 to " + std::to_string(max) + " texts";
       return false;
     }
@@ -62,9 +62,9 @@
   };
 }
 
-inline KeyReader TextKey(std::string* out, std::string* why) {
+inline KeyReader TextKey(std::string* out, std::string* error) {
   return [=](const nlohmann::json& value, const std::string& path) {
-    if (!value.is_string()) return *why = "configuration: '" + path + "' is not a text", false;
+    if (!value.is_string()) return *error = "configuration: '" + path + "' is not a text", false;
     *out = value.get<std::string>();
     return true;
   };
--- a/src/config/reload.cpp
+++ b/src/config/reload.cpp
@@ -35,7 +35,7 @@
   return it != item.end() && it->is_string() ? it->get<std::string>() : std::string();
 }
 
-bool CheckItems(const Json& used, const Json& fresh, const std::string& at, std::string* why) {
+bool CheckItems(const Json& used, const Json& fresh, const std::string& at, std::string* error) {
   std::map<std::string, std::vector<const Json*>> sorts;
   std::vector<const Json*> all;
   for (const Json& item : used) {
@@ -44,33 +44,33 @@
     all.push_back(&item);
   }
   if (all.empty()) return true;
-  if (fresh.empty()) return *why = "configuration: " + at + " is empty", false;
+  if (fresh.empty()) return *error = "configuration: " + at + " is empty", false;
   for (const Json& item : fresh) {
-    if (!item.is_object()) return *why = "configuration: " + at + " has the wrong type", false;
+    if (!item.is_object()) return *error = "configuration: " + at + " has the wrong type", false;
     const auto like = sorts.find(Sort(item));
     for (const std::string& key : Common(like == sorts.end() ? all : like->second)) {
       const auto it = item.find(key);
       if (it != item.end() && !it->is_null()) continue;
-      return *why = "configuration: " + at + " misses '" + key + "'", false;
+      return *error = "configuration: " + at + " misses '" + key + "'", false;
     }
   }
   return true;
 }
 
-bool CheckKeys(const Json& used, const Json& fresh, const std::string& at, std::string* why) {
+bool CheckKeys(const Json& used, const Json& fresh, const std::string& at, std::string* error) {
   for (const auto& [key, value] : used.items()) {
     if (value.is_null() || (at.empty() && Optional(key))) continue;
     const std::string path = at.empty() ? key : at + "." + key;
     const auto it = fresh.find(key);
     if (it == fresh.end() || it->is_null()) {
-      return *why = "configuration: '" + path + "' is missing", false;
+      return *error = "configuration: '" + path + "' is missing", false;
     }
     const bool numbers = value.is_number() && it->is_number();
     if (!numbers && it->type() != value.type()) {
-      return *why = "configuration: '" + path + "' has the wrong type", false;
+      return *error = "configuration: '" + path + "' has the wrong type", false;
     }
-    if (value.is_object() && !CheckKeys(value, *it, path, why)) return false;
-    if (value.is_array() && at != "known" && !CheckItems(value, *it, path, why)) return false;
+    if (value.is_object() && !CheckKeys(value, *it, path, error)) return false;
+    if (value.is_array() && at != "known" && !CheckItems(value, *it, path, error)) return false;
   }
   return true;
 }
@@ -87,11 +87,11 @@
 
 }  // namespace
 
-bool CheckWhole(std::string_view used, std::string_view fresh, std::string* why) {
+bool CheckWhole(std::string_view used, std::string_view fresh, std::string* error) {
   const Json before = Json::parse(used, nullptr, false, true);
   const Json after = Json::parse(fresh, nullptr, false, true);
-  if (!after.is_object()) return *why = "configuration: not a JSON object", false;
-  return !before.is_object() || CheckKeys(before, after, "", why);
+  if (!after.is_object()) return *error = "configuration: not a JSON object", false;
+  return !before.is_object() || CheckKeys(before, after, "", error);
 }
 
 ClassChanges MergeClasses(const Config& fresh, const std::function<bool(int)>& in_use,
@@ -135,12 +135,13 @@
 }
 
 bool ReloadConfig(const std::string& path, const std::function<bool(int)>& in_use, Config* config,
-                  ClassChanges* changes, std::string* why) {
+                  ClassChanges* changes, std::string* error) {
   Config fresh;
   fresh.also = config->also;
-  if (!LoadConfig(path, &fresh, why) || !CheckWhole(config->text, fresh.text, why)) return false;
+  if (!LoadConfig(path, &fresh, error) || !CheckWhole(config->text, fresh.text, error))
+    return false;
   if (fresh.discovery.empty() != config->discovery.empty()) {
-    *why = "configuration: discovery can't be begun or ended without a restart";
+    *error = "configuration: discovery can't be begun or ended without a restart";
     return false;
   }
   config->text = fresh.text;
--- a/src/config/reload.h
+++ b/src/config/reload.h
@@ -13,7 +13,7 @@
 
 // Is the text whole, by the one that is in use? Each key that this has must be there, in each class
 // and tenant too. An operator's own conveniences (log level, Gearman) may be left out.
-bool CheckWhole(std::string_view used, std::string_view fresh, std::string* why);
+bool CheckWhole(std::string_view used, std::string_view fresh, std::string* error);
 
 // A class has a stable index. One of a new name or of other rules gets an index of its own: the
 // first that no open job holds, or a further one. What has no class any more is not `live`.
@@ -27,7 +27,7 @@
 // log level and Gearman's functions; all else waits for a restart. False, with one clear line, if
 // the new file can't be used: then `config` stays as it was.
 bool ReloadConfig(const std::string& path, const std::function<bool(int)>& in_use, Config* config,
-                  ClassChanges* changes, std::string* why);
+                  ClassChanges* changes, std::string* error);
 
 }  // namespace millethollow
 
--- a/src/config/scheduling.h
+++ b/src/config/scheduling.h
@@ -14,11 +14,11 @@
 // one clear line, for a key that is not known or a value out of its range. `classes`: the names
 // that `hold.classes` may have; empty: any.
 bool ReadScheduling(std::string_view text, const std::vector<std::string>& classes,
-                    scheduling::Options* options, std::string* why);
+                    scheduling::Options* options, std::string* error);
 
 // The same from a file of which the section is the only one.
 bool LoadScheduling(const std::string& path, const std::vector<std::string>& classes,
-                    scheduling::Options* options, std::string* why);
+                    scheduling::Options* options, std::string* error);
 
 }  // namespace millethollow
 
--- a/src/copies/durable_job_queue.cpp
+++ b/src/copies/durable_job_queue.cpp
@@ -154,11 +154,11 @@
   return many || much ? RejectReason::kTenantFull : RejectReason::kNone;
 }
 
-DurableJobQueue::RejectReason DurableJobQueue::RejectReasonOf(ReplicatedLogs::AppendError why) {
-  return why == ReplicatedLogs::AppendError::kTooFewReplicas ? RejectReason::kTooFewReplicas
-         : why == ReplicatedLogs::AppendError::kFull         ? RejectReason::kFull
-         : why == ReplicatedLogs::AppendError::kStoreFailed  ? RejectReason::kStore
-                                                             : RejectReason::kNoLog;
+DurableJobQueue::RejectReason DurableJobQueue::RejectReasonOf(ReplicatedLogs::AppendError reason) {
+  return reason == ReplicatedLogs::AppendError::kTooFewReplicas ? RejectReason::kTooFewReplicas
+         : reason == ReplicatedLogs::AppendError::kFull         ? RejectReason::kFull
+         : reason == ReplicatedLogs::AppendError::kStoreFailed  ? RejectReason::kStore
+                                                                : RejectReason::kNoLog;
 }
 
 void DurableJobQueue::Submit(double now, JobRecord record, Then then) {
@@ -177,10 +177,10 @@
   }
   if (const RejectReason reason = CheckCapacity(record); reason != RejectReason::kNone)
     return refuse(reason);
-  ReplicatedLogs::AppendError why{};
+  ReplicatedLogs::AppendError reason{};
   const LogId log = main_;
-  const SequenceNumber seq = hooks_.append(log, record.handle, Encode(record), false, &why);
-  if (seq == 0) return refuse(RejectReasonOf(why));
+  const SequenceNumber seq = hooks_.append(log, record.handle, Encode(record), false, &reason);
+  if (seq == 0) return refuse(RejectReasonOf(reason));
   Job* job = Put(std::move(record), log);
   job->put = seq;
   job->at = now;
@@ -274,8 +274,8 @@
   if (!next.attempts.empty() && next.attempts.back().seq == 0) next.attempts.back().seq = job.put;
   if (next.attempts.size() >= kMaxAttempts) return then(false);
   next.attempts.push_back({worker, local_worker, 0});
-  ReplicatedLogs::AppendError why{};
-  const SequenceNumber seq = hooks_.append(job.log, handle, Encode(next), false, &why);
+  ReplicatedLogs::AppendError reason{};
+  const SequenceNumber seq = hooks_.append(job.log, handle, Encode(next), false, &reason);
   if (seq == 0) return then(false);
   job.record.attempts = std::move(next.attempts);
   job.put = seq;
@@ -309,10 +309,10 @@
 
 // Written down; where that can't be done now it is said again, until another has the log.
 void DurableJobQueue::End(double now, Job* job) {
-  ReplicatedLogs::AppendError why{};
+  ReplicatedLogs::AppendError reason{};
   const LogId log = job->log;
   const std::string handle = job->record.handle;
-  const SequenceNumber seq = hooks_.append(log, handle, "", true, &why);
+  const SequenceNumber seq = hooks_.append(log, handle, "", true, &reason);
   if (seq != 0) {
     logs_[log].pending_commits.emplace(
         seq, PendingCommit{.handle = handle, .then = {}, .sent = {}, .end = true});
--- a/src/copies/durable_job_queue.h
+++ b/src/copies/durable_job_queue.h
@@ -164,7 +164,7 @@
   void Tidy();
   double OpensAt() const;
   RejectReason CheckCapacity(const JobRecord& job) const;
-  static RejectReason RejectReasonOf(ReplicatedLogs::AppendError why);
+  static RejectReason RejectReasonOf(ReplicatedLogs::AppendError reason);
 
   Limits limits_;
   std::uint64_t number_;
--- a/src/copies/idempotency_key_registry.cpp
+++ b/src/copies/idempotency_key_registry.cpp
@@ -51,8 +51,9 @@
 
 // False: it can't be written now.
 bool IdempotencyKeyRegistry::Write(const std::string& key, Record* record) {
-  ReplicatedLogs::AppendError why{};
-  const SequenceNumber seq = hooks_.append(record->log, key, Encode(record->stored), false, &why);
+  ReplicatedLogs::AppendError reason{};
+  const SequenceNumber seq =
+      hooks_.append(record->log, key, Encode(record->stored), false, &reason);
   if (seq == 0) return false;
   record->last_write = seq;
   record->committed = false;
@@ -61,8 +62,8 @@
 }
 
 bool IdempotencyKeyRegistry::Erase(const std::string& key, Record* record) {
-  ReplicatedLogs::AppendError why{};
-  const SequenceNumber seq = hooks_.append(record->log, key, "", true, &why);
+  ReplicatedLogs::AppendError reason{};
+  const SequenceNumber seq = hooks_.append(record->log, key, "", true, &reason);
   if (seq == 0) return false;
   record->last_write = seq;
   record->committed = false;
--- a/src/copies/replicated_logs.cpp
+++ b/src/copies/replicated_logs.cpp
@@ -130,20 +130,20 @@
 }
 
 SequenceNumber ReplicatedLogs::Append(double now, LogId id, std::string key, std::string value,
-                                      bool gone, AppendError* why, Actions* actions) {
+                                      bool gone, AppendError* reason, Actions* actions) {
   const auto it = logs_.find(id);
-  *why = AppendError::kNone;
+  *reason = AppendError::kNone;
   const LogAssignment* place = view_.Log(id);
   if (failed_) {
-    *why = AppendError::kStoreFailed;
+    *reason = AppendError::kStoreFailed;
   } else if (!MayAct(id) || place == nullptr || it->second.closing) {
-    *why = AppendError::kNotOwner;
+    *reason = AppendError::kNotOwner;
   } else if (ReachableReplicas(now, it->second, *place) < o_.min_replicas) {
-    *why = AppendError::kTooFewReplicas;
+    *reason = AppendError::kTooFewReplicas;
   } else if (it->second.End() - it->second.commit >= o_.max_uncommitted_operations) {
-    *why = AppendError::kFull;
+    *reason = AppendError::kFull;
   }
-  if (*why != AppendError::kNone) {
+  if (*reason != AppendError::kNone) {
     counters_.refusals += 1;
     return 0;
   }
--- a/src/copies/replicated_logs.h
+++ b/src/copies/replicated_logs.h
@@ -75,9 +75,9 @@
   void Open(LogId log) { opened_.insert(log); }
   // An empty log that this member acts on is to end; nothing more is taken into it.
   void Close(LogId log);
-  // An operation on a log that this member acts on. Its number; 0: refused, `why` says it.
+  // An operation on a log that this member acts on. Its number; 0: refused; `reason` says why.
   SequenceNumber Append(double now, LogId log, std::string key, std::string value, bool gone,
-                        AppendError* why, Actions* actions);
+                        AppendError* reason, Actions* actions);
   void OnMessage(double now, NodeId from, const ReplicationMessage& frame, Actions* actions);
   void OnStored(double now, std::uint64_t ticket, Actions* actions);
   void OnStoreFailed() { failed_ = true; }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -26,8 +26,8 @@
     "       millethollow import-haproxy FILE    writes an operator's file to standard output";
 
 // Prints an error for the operator. Returns the exit status.
-int Complain(const std::string& why) {
-  std::cerr << "millethollow: " << why << std::endl;
+int Complain(const std::string& error) {
+  std::cerr << "millethollow: " << error << std::endl;
   return 1;
 }
 
@@ -37,8 +37,9 @@
   std::stringstream text;
   if (!in || !(text << in.rdbuf())) return Complain("cannot read " + path);
   millethollow::Import import;
-  std::string why;
-  if (!millethollow::ImportHaproxy(text.str(), &import, &why)) return Complain(path + ": " + why);
+  std::string error;
+  if (!millethollow::ImportHaproxy(text.str(), &import, &error))
+    return Complain(path + ": " + error);
   for (const std::string& note : import.notes) std::cerr << path << ": " << note << "\n";
   std::cout << import.config;
   return 0;
--- a/src/net/admin/admin_server.cpp
+++ b/src/net/admin/admin_server.cpp
@@ -120,15 +120,15 @@
 }
 
 // An event of our own instead of a listener: it must go before all that clients and workers bring.
-bool AdminServer::Listen(const std::string& address, std::string* why) {
+bool AdminServer::Listen(const std::string& address, std::string* error) {
   const auto at = ParseAddress(address);
-  if (!at) return *why = "not an address to listen on: '" + address + "'", false;
+  if (!at) return *error = "not an address to listen on: '" + address + "'", false;
   fd_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   const int on = 1;
   if (fd_ >= 0) setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (fd_ < 0 || bind(fd_, reinterpret_cast<const sockaddr*>(&*at), sizeof *at) != 0 ||
       listen(fd_, 128) != 0) {
-    return *why = "cannot listen on " + address + ": " + std::strerror(errno), false;
+    return *error = "cannot listen on " + address + ": " + std::strerror(errno), false;
   }
   readable_.reset(event_new(
       loop_->base(), fd_, EV_READ | EV_PERSIST,
--- a/src/net/admin/admin_server.h
+++ b/src/net/admin/admin_server.h
@@ -31,7 +31,7 @@
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
-  bool Listen(const std::string& address, std::string* why);
+  bool Listen(const std::string& address, std::string* error);
   std::string address() const;  // as bound
 
  private:
--- a/src/net/cluster/async_record_store.cpp
+++ b/src/net/cluster/async_record_store.cpp
@@ -11,7 +11,7 @@
 
 namespace millethollow::cluster {
 
-bool AsyncRecordStore::OpenFile(std::uint64_t new_disk, std::string* why) {
+bool AsyncRecordStore::OpenFile(std::uint64_t new_disk, std::string* error) {
   const std::uint64_t file = ++file_;
   store_ = std::make_unique<store::RecordStore>();
   return store_->Open(
@@ -19,7 +19,7 @@
       [this, file](std::uint64_t ticket, bool ok) {
         mail_.Post([this, file, ticket, ok] { Written(file, ticket, ok); });
       },
-      why);
+      error);
 }
 
 void AsyncRecordStore::PutAside() {
@@ -30,19 +30,19 @@
 }
 
 bool AsyncRecordStore::Open(Loop* loop, const Options& options, std::uint64_t new_disk,
-                            std::string* why) {
+                            std::string* error) {
   loop_ = loop;
   o_ = options;
-  if (!mail_.Open(loop, why)) return false;
-  bool opened = OpenFile(new_disk, why);
+  if (!mail_.Open(loop, error)) return false;
+  bool opened = OpenFile(new_disk, error);
   if (!opened && store_->damaged()) {  // others have what was in it
-    Events().error("cluster store-damaged {} kept=copies.db.damaged", *why);
+    Events().error("cluster store-damaged {} kept=copies.db.damaged", *error);
     PutAside();
-    why->clear();
-    opened = OpenFile(new_disk, why);
+    error->clear();
+    opened = OpenFile(new_disk, error);
   }
   if (!opened && store_->unwritable()) {  // it serves, and says that it keeps nothing
-    Events().error("cluster store-failed {}: nothing is kept on it", *why);
+    Events().error("cluster store-failed {}: nothing is kept on it", *error);
     return failed_ = true;
   }
   return opened;
@@ -50,16 +50,16 @@
 
 bool AsyncRecordStore::LoadLogs(Records* records, bool* damaged) {
   std::vector<std::string> keys;
-  std::string why;
-  if (failed_ || !store_->LoadLogs(records, &keys, &why)) return false;
+  std::string error;
+  if (failed_ || !store_->LoadLogs(records, &keys, &error)) return false;
   *damaged = !keys.empty();
   return true;
 }
 
 bool AsyncRecordStore::Load(const std::string& prefix, Records* records, std::size_t* damaged) {
   std::vector<std::string> keys;
-  std::string why;
-  if (failed_ || !store_->Load(prefix, records, &keys, &why)) return false;
+  std::string error;
+  if (failed_ || !store_->Load(prefix, records, &keys, &error)) return false;
   *damaged = keys.size();
   return true;
 }
@@ -67,9 +67,9 @@
 bool AsyncRecordStore::Renew(std::uint64_t new_disk) {
   if (failed_) return false;
   PutAside();  // the last writes are on it, and nobody hears of them any more
-  std::string why;
-  failed_ = !OpenFile(new_disk, &why);
-  if (failed_) Events().error("cluster store-failed {}: nothing is kept on it", why);
+  std::string error;
+  failed_ = !OpenFile(new_disk, &error);
+  if (failed_) Events().error("cluster store-failed {}: nothing is kept on it", error);
   for (const Waiting& w : std::exchange(waiting_, {})) w.then(false);
   return !failed_;
 }
--- a/src/net/cluster/async_record_store.h
+++ b/src/net/cluster/async_record_store.h
@@ -34,7 +34,7 @@
 
   // `new_disk` numbers the store where it is made now. One that can't be read is put aside.
   // False, with one clear line: it is another's, or in use. One whose disk takes nothing is failed.
-  bool Open(Loop* loop, const Options& options, std::uint64_t new_disk, std::string* why);
+  bool Open(Loop* loop, const Options& options, std::uint64_t new_disk, std::string* error);
   // The heads and operations of all logs; `damaged`: some are not what was written.
   bool LoadLogs(Records* records, bool* damaged);
   // All under a prefix, but for what is damaged.
@@ -58,7 +58,7 @@
     double asked_at = 0;
     Then then;
   };
-  bool OpenFile(std::uint64_t new_disk, std::string* why);
+  bool OpenFile(std::uint64_t new_disk, std::string* error);
   void PutAside();
   void Written(std::uint64_t file, std::uint64_t ticket, bool ok);
   void Answer(std::uint64_t ticket);
--- a/src/net/cluster/log_replicator.cpp
+++ b/src/net/cluster/log_replicator.cpp
@@ -164,10 +164,10 @@
 }
 
 SequenceNumber LogReplicator::Append(LogId log, std::string key, std::string value, bool gone,
-                                     ReplicatedLogs::AppendError* why) {
+                                     ReplicatedLogs::AppendError* reason) {
   SequenceNumber seq = 0;
   Do([&](ReplicatedLogs* c, double now, Actions* a) {
-    seq = c->Append(now, log, std::move(key), std::move(value), gone, why, a);
+    seq = c->Append(now, log, std::move(key), std::move(value), gone, reason, a);
   });
   return seq;
 }
--- a/src/net/cluster/log_replicator.h
+++ b/src/net/cluster/log_replicator.h
@@ -50,7 +50,7 @@
   void Open(copies::LogId log);
   void Close(copies::LogId log);
   copies::SequenceNumber Append(copies::LogId log, std::string key, std::string value, bool gone,
-                                copies::ReplicatedLogs::AppendError* why);
+                                copies::ReplicatedLogs::AppendError* reason);
   bool Acts(copies::LogId log);  // looked at with a clock read now
   // What has been stored of an operation was heard or made at most so long ago; infinite: not
   // known.
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -94,7 +94,7 @@
   return it == names_.end() ? nobody : it->second;
 }
 
-bool Member::Start(std::string* why) {
+bool Member::Start(std::string* error) {
   membership::Random random(seed_);
   membership::MembershipNode::Options o;
   o.self = self_;
@@ -106,20 +106,20 @@
     const NodeId id = codec::Hash(m.id);
     o.members.push_back({id, m.failure_domain, m.voter});
     if (!names_.emplace(id, m.id).second) {
-      return *why = "cluster: '" + m.id + "' and '" + NameOf(id) + "' have one hash", false;
+      return *error = "cluster: '" + m.id + "' and '" + NameOf(id) + "' have one hash", false;
     }
     if (const auto address = ParseAddress(m.address)) transport_.SetPeer(id, *address);
   }
-  if (options_.quota.on && !QuotaKeeper::Check(tenants_, why)) return false;
+  if (options_.quota.on && !QuotaKeeper::Check(tenants_, error)) return false;
   membership::PersistentVoterState votes;
   if (!options_.store.empty()) {
-    if (!mail_.Open(loop_, why)) return false;
+    if (!mail_.Open(loop_, error)) return false;
     votes_ = std::make_unique<store::VoteFile>();
     bool damaged = false;
     const auto written = [this](std::uint64_t ticket, bool ok) {
       mail_.Post([this, ticket, ok] { Written(ticket, ok); });
     };
-    if (!votes_->Open(options_.store, hash_, self_, written, &votes, &damaged, why)) return false;
+    if (!votes_->Open(options_.store, hash_, self_, written, &votes, &damaged, error)) return false;
     if (damaged) {
       Events().error("cluster votes-damaged store={} kept=votes.damaged", options_.store);
     }
@@ -128,11 +128,11 @@
   if (!options_.store.empty()) {
     store_ = std::make_unique<AsyncRecordStore>();
     const AsyncRecordStore::Options kept{options_.store, hash_, self_, options_.store_bytes};
-    if (!store_->Open(loop_, kept, random.NextUint64() | 1, why)) return false;
+    if (!store_->Open(loop_, kept, random.NextUint64() | 1, error)) return false;
     keeper_ = std::make_unique<FactKeeper>(store_.get());
     facts = keeper_->Load();
   }
-  if (!transport_.Open(options_.listen, why)) return false;
+  if (!transport_.Open(options_.listen, error)) return false;
   cluster_ =
       std::make_unique<membership::MembershipNode>(o, std::move(votes), random.NextUint64(), Now());
   for (const membership::MaintenanceRecord& f : facts) {
--- a/src/net/cluster/member.h
+++ b/src/net/cluster/member.h
@@ -54,7 +54,7 @@
   Member(const Member&) = delete;
   Member& operator=(const Member&) = delete;
 
-  bool Start(std::string* why);
+  bool Start(std::string* error);
   // Says that this process goes and gives its lease back.
   void Leave();
   // An operator took a worker out at this node, or put it back: so it is at all.
@@ -96,7 +96,7 @@
     bool elsewhere = false, kept = false;
     Deadlines::Ticket limit = Deadlines::kNone;
   };
-  bool OpenStore(std::uint64_t new_disk, std::string* why);
+  bool OpenStore(std::uint64_t new_disk, std::string* error);
   void StartCopies();
   void StartQuota();
   void Send(membership::NodeId to, const Body& body);
--- a/src/net/cluster/promised_jobs.cpp
+++ b/src/net/cluster/promised_jobs.cpp
@@ -46,9 +46,9 @@
       jobs_(limits, number,
             {.append =
                  [this](copies::LogId log, std::string key, std::string value, bool gone,
-                        copies::ReplicatedLogs::AppendError* why) {
+                        copies::ReplicatedLogs::AppendError* reason) {
                    return member_->copies()->Append(log, std::move(key), std::move(value), gone,
-                                                    why);
+                                                    reason);
                  },
              .may_act = [this](copies::LogId log) { return member_->copies()->Acts(log); },
              .open = [this](copies::LogId log) { member_->copies()->Open(log); },
--- a/src/net/cluster/quota_keeper.cpp
+++ b/src/net/cluster/quota_keeper.cpp
@@ -75,16 +75,16 @@
   loop_->deadlines().Drop(&demand_tick_);
 }
 
-bool QuotaKeeper::Check(const std::vector<NamedQuota>& tenants, std::string* why) {
+bool QuotaKeeper::Check(const std::vector<NamedQuota>& tenants, std::string* error) {
   if (tenants.size() > quota::kMaxTenants) {
-    *why = "cluster: quota: more than " + std::to_string(quota::kMaxTenants) + " tenants";
+    *error = "cluster: quota: more than " + std::to_string(quota::kMaxTenants) + " tenants";
     return false;
   }
   std::map<quota::TenantId, std::string> names;
   for (const NamedQuota& tenant : tenants) {
     const auto [it, fresh] = names.emplace(codec::Hash(tenant.name), tenant.name);
     if (fresh) continue;
-    *why = "cluster: quota: tenants '" + it->second + "' and '" + tenant.name + "' have one hash";
+    *error = "cluster: quota: tenants '" + it->second + "' and '" + tenant.name + "' have one hash";
     return false;
   }
   return true;
--- a/src/net/cluster/quota_keeper.h
+++ b/src/net/cluster/quota_keeper.h
@@ -54,7 +54,7 @@
   QuotaKeeper& operator=(const QuotaKeeper&) = delete;
 
   // False, with one clear line, for tenants that can't be told apart or are too many.
-  static bool Check(const std::vector<NamedQuota>& tenants, std::string* why);
+  static bool Check(const std::vector<NamedQuota>& tenants, std::string* error);
 
   void Start();
   // The view may have changed.
--- a/src/net/cluster/transport.cpp
+++ b/src/net/cluster/transport.cpp
@@ -104,12 +104,12 @@
   if (fd_ >= 0) close(fd_);
 }
 
-bool Transport::Open(const std::string& address, std::string* why) {
+bool Transport::Open(const std::string& address, std::string* error) {
   const auto at = ParseAddress(address);
-  if (!at) return *why = "cluster: not an address: '" + address + "'", false;
+  if (!at) return *error = "cluster: not an address: '" + address + "'", false;
   fd_ = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd_ < 0 || bind(fd_, reinterpret_cast<const sockaddr*>(&*at), sizeof *at) != 0) {
-    return *why = "cluster: cannot bind " + address + ": " + std::strerror(errno), false;
+    return *error = "cluster: cannot bind " + address + ": " + std::strerror(errno), false;
   }
   readable_.reset(event_new(
       loop_->base(), fd_, EV_READ | EV_PERSIST,
@@ -127,7 +127,7 @@
         streams_.emplace(raw, std::move(stream));
         raw->Take(fd);
       },
-      why);
+      error);
 }
 
 void Transport::Send(membership::NodeId to, const std::string& frame, bool ordered) {
--- a/src/net/cluster/transport.h
+++ b/src/net/cluster/transport.h
@@ -36,7 +36,7 @@
   Transport(const Transport&) = delete;
   Transport& operator=(const Transport&) = delete;
 
-  bool Open(const std::string& address, std::string* why);
+  bool Open(const std::string& address, std::string* error);
   void SetPeer(membership::NodeId id, const sockaddr_in& address) { peers_[id] = address; }
   // `ordered`: after what was sent so before it, as long as no connection breaks.
   void Send(membership::NodeId to, const std::string& frame, bool ordered = false);
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -70,12 +70,12 @@
 }
 
 bool ReadServerList(std::string_view text, const std::vector<std::string>& zones,
-                    const std::vector<std::string>& kinds, ServerList* list, std::string* why) {
+                    const std::vector<std::string>& kinds, ServerList* list, std::string* error) {
   const Json object = Json::parse(text, nullptr, false);
-  if (!object.is_object()) return *why = "the list is not a JSON object", false;
+  if (!object.is_object()) return *error = "the list is not a JSON object", false;
   const auto servers = object.find("servers");
   if (servers == object.end() || !servers->is_array()) {
-    return *why = "the list has no array 'servers'", false;
+    return *error = "the list has no array 'servers'", false;
   }
   list->version = static_cast<long long>(Number(object, "version", 0));
   const auto full = object.find("full");
@@ -276,9 +276,9 @@
     return Drop(call);
   }
   ServerList list;
-  std::string why;
-  if (status != 200 || !ReadServerList(body, options_.zones, options_.kinds, &list, &why)) {
-    return Failed(call, status != 200 ? "status" : why.c_str(), whole);
+  std::string error;
+  if (status != 200 || !ReadServerList(body, options_.zones, options_.kinds, &list, &error)) {
+    return Failed(call, status != 200 ? "status" : error.c_str(), whole);
   }
   failures_ = 0;
   if (whole && list.version > 0 && list.version < version_) {
@@ -320,8 +320,8 @@
 // old one told has been told to us all the same, and counts.
 void Discovery::HeardFromOld(const std::string& body) {
   ServerList list;
-  std::string why;
-  if (!ReadServerList(body, options_.zones, options_.kinds, &list, &why)) return;
+  std::string error;
+  if (!ReadServerList(body, options_.zones, options_.kinds, &list, &error)) return;
   std::erase_if(list.entries,
                 [](const ListEntry& e) { return e.member.readiness == Readiness::kReady; });
   if (list.entries.empty()) return;
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -28,10 +28,10 @@
   std::vector<balancing::Endpoint> Members() const;
 };
 
-// Reads a list in discovery's form. False, with `why`, where the whole is unusable; single bad
+// Reads a list in discovery's form. False, with `error`, where the whole is unusable; single bad
 // entries are left out.
 bool ReadServerList(std::string_view text, const std::vector<std::string>& zones,
-                    const std::vector<std::string>& kinds, ServerList* list, std::string* why);
+                    const std::vector<std::string>& kinds, ServerList* list, std::string* error);
 
 class DiscoveryCall;
 
--- a/src/net/gearman/front.cpp
+++ b/src/net/gearman/front.cpp
@@ -37,10 +37,10 @@
   }
 }
 
-bool Front::Listen(const std::string& address, std::string* why) {
+bool Front::Listen(const std::string& address, std::string* error) {
   forwarder_->loop()->OnClientFreed([this] { SetAccepting(accepting_); });
   return listener_.Open(
-      forwarder_->loop(), address, [this](evutil_socket_t fd) { Accept(fd); }, why);
+      forwarder_->loop(), address, [this](evutil_socket_t fd) { Accept(fd); }, error);
 }
 
 void Front::Accept(evutil_socket_t fd) {
--- a/src/net/gearman/front.h
+++ b/src/net/gearman/front.h
@@ -48,7 +48,7 @@
  public:
   Front(Forwarder* forwarder, const Config& config, Counters* counters);
   ~Front() override;
-  bool Listen(const std::string& address, std::string* why);
+  bool Listen(const std::string& address, std::string* error);
   bool AdoptListener(int fd);  // of the process that went before
   int listener() const { return listener_.descriptor(); }
   void SetAccepting(bool on);  // not while another process serves at our address
--- a/src/net/http/client_front.cpp
+++ b/src/net/http/client_front.cpp
@@ -115,9 +115,9 @@
 }  // namespace
 
 int ReadRequest(const Head& head, const Names& names, ClientRequest* held, double* timeout_s,
-                std::string* why) {
-  const auto bad = [why](const char* text) {
-    *why = text;
+                std::string* error) {
+  const auto bad = [error](const char* text) {
+    *error = text;
     return 400;
   };
   Request& e = held->request;
@@ -303,9 +303,9 @@
     if (path != "/api") return Respond(404, "no such path\n");
     if (head.method != "POST") return Respond(405, "", "Allow: POST\r\n");
     double timeout_s = 0;
-    std::string why;
-    if (const int status = ReadRequest(head, front_->names_, &held, &timeout_s, &why)) {
-      return Refuse(status, why.c_str());
+    std::string error;
+    if (const int status = ReadRequest(head, front_->names_, &held, &timeout_s, &error)) {
+      return Refuse(status, error.c_str());
     }
     if (front_->stopping_ && !front_->taker_ && loop_->Now() - front_->stopped_at_ > kTakesS) {
       return Respond(503, "stopping\n", RetryAfter(front_->names_.retry_after_s));
@@ -325,11 +325,11 @@
 
   // An answer to what cannot be read: the connection ends with it, but not before the client can
   // have read why. A close with bytes unread would reset the answer away.
-  void Refuse(int status, const char* why) {
+  void Refuse(int status, const char* error) {
     front_->counters_->bad_input += 1;
     keep_ = false;
     ending_ = "bad-request";
-    Respond(status, std::string(why) + "\n");
+    Respond(status, std::string(error) + "\n");
   }
 
   void Respond(int status, const std::string& body, const std::string& headers = {}) {
@@ -406,10 +406,10 @@
     : forwarder_(forwarder), names_(std::move(names)), counters_(counters) {}
 ClientFront::~ClientFront() = default;
 
-bool ClientFront::Listen(const std::string& address, bool shared, std::string* why) {
+bool ClientFront::Listen(const std::string& address, bool shared, std::string* error) {
   forwarder_->loop()->OnClientFreed([this] { Resume(); });
   return listener_.Open(
-      forwarder_->loop(), address, [this](evutil_socket_t fd) { Accept(fd); }, why, shared);
+      forwarder_->loop(), address, [this](evutil_socket_t fd) { Accept(fd); }, error, shared);
 }
 
 bool ClientFront::AdoptListener(int fd) {
--- a/src/net/http/client_front.h
+++ b/src/net/http/client_front.h
@@ -23,9 +23,9 @@
 };
 
 // Fills `held` from a whole request, apart from its expiry. Returns 0, or the status of its fault
-// with `why`.
+// with `error`.
 int ReadRequest(const Head& head, const Names& names, ClientRequest* held, double* timeout_s,
-                std::string* why);
+                std::string* error);
 
 class ClientConnection;
 
@@ -34,7 +34,7 @@
   ClientFront(Forwarder* forwarder, Names names, Counters* counters);
   ~ClientFront();
   // `shared`: other processes listen on the same address too.
-  bool Listen(const std::string& address, bool shared, std::string* why);
+  bool Listen(const std::string& address, bool shared, std::string* error);
   std::string address() const { return listener_.address(); }
   void SetNames(Names names) { names_ = std::move(names); }
   void SetServing(bool serving) { serving_ = serving; }
--- a/src/net/http/worker_pool.cpp
+++ b/src/net/http/worker_pool.cpp
@@ -433,9 +433,9 @@
     return forwarder_->OnAttemptEnded(held.request.id, attempt,
                                       {.status = AttemptStatus::kRejected});
   }
-  const auto [connection, why] = Get(worker);
+  const auto [connection, reason] = Get(worker);
   if (connection == nullptr) {
-    return forwarder_->OnAttemptEnded(held.request.id, attempt, {.status = why});
+    return forwarder_->OnAttemptEnded(held.request.id, attempt, {.status = reason});
   }
   out_[{held.request.id, attempt}] = connection;
   pooled->second.out += 1;
@@ -443,8 +443,8 @@
 }
 
 void WorkerPool::Probe(const std::string& worker) {
-  const auto [connection, why] = Get(worker);
-  if (connection == nullptr) return forwarder_->OnProbeAnswered(worker, {.status = why});
+  const auto [connection, reason] = Get(worker);
+  if (connection == nullptr) return forwarder_->OnProbeAnswered(worker, {.status = reason});
 
   connection->SendProbe();
 }
--- a/src/net/link/link.cpp
+++ b/src/net/link/link.cpp
@@ -162,7 +162,7 @@
 PlannerServer::PlannerServer(Loop* loop, Planner* planner) : loop_(loop), planner_(planner) {}
 PlannerServer::~PlannerServer() = default;
 
-bool PlannerServer::Listen(const std::string& path, std::string* why) {
+bool PlannerServer::Listen(const std::string& path, std::string* error) {
   return listener_.OpenUnix(
       loop_, path,
       [this](evutil_socket_t fd) {
@@ -170,7 +170,7 @@
         Channel* raw = channel.get();
         if (!raw->closed()) channels_.emplace(raw, std::move(channel));
       },
-      why);
+      error);
 }
 
 void PlannerServer::SetAddress(const std::string& worker, const std::string& address,
--- a/src/net/link/link.h
+++ b/src/net/link/link.h
@@ -22,7 +22,7 @@
  public:
   PlannerServer(Loop* loop, Planner* planner);
   ~PlannerServer();
-  bool Listen(const std::string& path, std::string* why);
+  bool Listen(const std::string& path, std::string* error);
   // Every forwarder must know where a worker is before the planner sends to it.
   void SetAddress(const std::string& worker, const std::string& address, std::size_t max_in_flight);
   std::size_t forwarders() const { return channels_.size(); }
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -13,33 +13,34 @@
 
 namespace millethollow {
 
-bool Listener::Open(Loop* loop, const std::string& address, Accepted accepted, std::string* why,
+bool Listener::Open(Loop* loop, const std::string& address, Accepted accepted, std::string* error,
                     bool shared) {
   const auto parsed = ParseAddress(address);
   if (!parsed) {
-    *why = "not an address to listen on: '" + address + "'";
+    *error = "not an address to listen on: '" + address + "'";
     return false;
   }
   loop_ = loop;
   accepted_ = std::move(accepted);
   return Bind(reinterpret_cast<const sockaddr*>(&*parsed), sizeof *parsed,
-              shared ? LEV_OPT_REUSEABLE_PORT : 0u, address, why);
+              shared ? LEV_OPT_REUSEABLE_PORT : 0u, address, error);
 }
 
-bool Listener::OpenUnix(Loop* loop, const std::string& path, Accepted accepted, std::string* why) {
+bool Listener::OpenUnix(Loop* loop, const std::string& path, Accepted accepted,
+                        std::string* error) {
   const auto address = UnixAddress(path);
-  if (!address) return *why = "not a socket path: '" + path + "'", false;
+  if (!address) return *error = "not a socket path: '" + path + "'", false;
   loop_ = loop;
   accepted_ = std::move(accepted);
   unlink(path.c_str());  // left there by a process that died
   const bool bound =
-      Bind(reinterpret_cast<const sockaddr*>(&*address), sizeof *address, 0, path, why);
+      Bind(reinterpret_cast<const sockaddr*>(&*address), sizeof *address, 0, path, error);
   if (bound) chmod(path.c_str(), 0600);  // forwarders are of the same user
   return bound;
 }
 
 bool Listener::Bind(const sockaddr* address, int size, unsigned flags, const std::string& name,
-                    std::string* why) {
+                    std::string* error) {
   listener_.reset(evconnlistener_new_bind(
       loop_->base(),
       [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
@@ -48,7 +49,7 @@
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC | flags, 512, address,
       size));
   if (listener_ == nullptr) {
-    *why = "cannot listen on " + name + ": " + std::strerror(errno);
+    *error = "cannot listen on " + name + ": " + std::strerror(errno);
     return false;
   }
   Watch();
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -15,9 +15,9 @@
 class Listener {
  public:
   using Accepted = std::function<void(evutil_socket_t)>;
-  bool Open(Loop* loop, const std::string& address, Accepted accepted, std::string* why,
+  bool Open(Loop* loop, const std::string& address, Accepted accepted, std::string* error,
             bool shared = false);
-  bool OpenUnix(Loop* loop, const std::string& path, Accepted accepted, std::string* why);
+  bool OpenUnix(Loop* loop, const std::string& path, Accepted accepted, std::string* error);
   // Goes on with a socket that listens already, from another process.
   bool Adopt(Loop* loop, evutil_socket_t fd, Accepted accepted);
   int descriptor() const { return listener_ ? evconnlistener_get_fd(listener_.get()) : -1; }
@@ -34,7 +34,7 @@
 
  private:
   bool Bind(const sockaddr* address, int size, unsigned flags, const std::string& name,
-            std::string* why);
+            std::string* error);
   void Watch();
   struct Free {
     void operator()(evconnlistener* l) const { evconnlistener_free(l); }
--- a/src/net/mailbox.cpp
+++ b/src/net/mailbox.cpp
@@ -12,9 +12,9 @@
   if (wake_ >= 0) close(wake_);
 }
 
-bool Mailbox::Open(Loop* loop, std::string* why) {
+bool Mailbox::Open(Loop* loop, std::string* error) {
   wake_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-  if (wake_ < 0) return *why = "no descriptor to be had", false;
+  if (wake_ < 0) return *error = "no descriptor to be had", false;
   woken_.reset(event_new(
       loop->base(), wake_, EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) { static_cast<Mailbox*>(self)->Turn(); }, this));
--- a/src/net/mailbox.h
+++ b/src/net/mailbox.h
@@ -20,8 +20,8 @@
   Mailbox(const Mailbox&) = delete;
   Mailbox& operator=(const Mailbox&) = delete;
 
-  bool Open(Loop* loop, std::string* why);  // false: no descriptor to be had
-  void Post(Letter letter);                 // on any thread
+  bool Open(Loop* loop, std::string* error);  // false: no descriptor to be had
+  void Post(Letter letter);                   // on any thread
 
  private:
   void Turn();
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -31,12 +31,12 @@
 }
 
 bool Peers::Open(int fd, const std::string& listen, const std::vector<std::string>& peers,
-                 const std::string& all, std::string* why) {
+                 const std::string& all, std::string* error) {
   const auto own = ParseAddress(listen);
-  if (!own) return *why = "not a peer address: '" + listen + "'", false;
+  if (!own) return *error = "not a peer address: '" + listen + "'", false;
   for (const std::string& peer : peers) {
     const auto address = ParseAddress(peer);
-    if (!address) return *why = "not a peer address: '" + peer + "'", false;
+    if (!address) return *error = "not a peer address: '" + peer + "'", false;
     peers_.push_back(*address);
   }
   if (const auto address = ParseAddress(all)) {
@@ -48,7 +48,7 @@
   if (fd < 0 && fd_ >= 0) setsockopt(fd_, SOL_SOCKET, SO_REUSEPORT, &on, sizeof on);
   if (fd_ < 0 ||
       (fd < 0 && bind(fd_, reinterpret_cast<const sockaddr*>(&*own), sizeof *own) != 0)) {
-    return *why = "cannot bind " + listen + ": " + std::strerror(errno), false;
+    return *error = "cannot bind " + listen + ": " + std::strerror(errno), false;
   }
   readable_.reset(event_new(
       loop_->base(), fd_, EV_READ | EV_PERSIST,
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -25,7 +25,7 @@
 
   // `fd`: the socket of the process that went before, or -1 for one of our own.
   bool Open(int fd, const std::string& listen, const std::vector<std::string>& peers,
-            const std::string& all, std::string* why);
+            const std::string& all, std::string* error);
   int descriptor() const { return fd_; }
   void Listen(bool on);  // off while another process reads the same socket
   // To everyone where `whom` is -1. Best effort: what can't be sent is dropped and counted.
--- a/src/simulator_adapter/action_writer.cpp
+++ b/src/simulator_adapter/action_writer.cpp
@@ -113,8 +113,8 @@
   std::visit([&line](const auto& typed_action) { Write(typed_action, &line); }, action);
 }
 
-void AppendInstanceFailure(std::int64_t instance, std::string_view why, std::string* reply) {
-  LineWriter(instance, reply).Begin("DIE").Field("line", why).End();
+void AppendInstanceFailure(std::int64_t instance, std::string_view error, std::string* reply) {
+  LineWriter(instance, reply).Begin("DIE").Field("line", error).End();
 }
 
 }  // namespace millethollow::simulator_adapter
--- a/src/simulator_adapter/action_writer.h
+++ b/src/simulator_adapter/action_writer.h
@@ -16,7 +16,7 @@
 void AppendAction(std::int64_t instance, const balancing::Action& action, std::string* reply);
 
 // Appends the line that says that `instance` can't run, and why.
-void AppendInstanceFailure(std::int64_t instance, std::string_view why, std::string* reply);
+void AppendInstanceFailure(std::int64_t instance, std::string_view error, std::string* reply);
 
 }  // namespace millethollow::simulator_adapter
 
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -81,12 +81,12 @@
 
 int main(int argc, char** argv) {
   millethollow::scheduling::Options options;
-  std::string why;
+  std::string error;
   const bool also = argc == 3 && std::string_view(argv[1]) == "--also";
-  if (argc != 1 && !also) why = "usage: simulator_adapter [--also FILE]";
-  if (also) millethollow::LoadScheduling(argv[2], {}, &options, &why);
-  if (!why.empty()) {
-    std::cerr << "simulator_adapter: " << why << "\n";
+  if (argc != 1 && !also) error = "usage: simulator_adapter [--also FILE]";
+  if (also) millethollow::LoadScheduling(argv[2], {}, &options, &error);
+  if (!error.empty()) {
+    std::cerr << "simulator_adapter: " << error << "\n";
     return kIoFailure;
   }
   Adapter adapter(&std::cerr, options);
--- a/src/store/record_store.cpp
+++ b/src/store/record_store.cpp
@@ -98,19 +98,19 @@
 }
 
 bool RecordStore::Open(const std::string& folder, const Identity& identity, std::uint64_t max_bytes,
-                       Written written, std::string* why) {
+                       Written written, std::string* error) {
   name_ = "copies' store " + folder + ": ";
   written_ = std::move(written);
   max_pages_ = std::max<std::uint64_t>(max_bytes / kPage, 64);
   if (mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST) {
-    return *why = name_ + std::strerror(errno), false;
+    return *error = name_ + std::strerror(errno), false;
   }
   sqlite3* db = nullptr;
   const int opened =
       sqlite3_open_v2((folder + "/copies.db").c_str(), &db,
                       SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX, nullptr);
   db_.reset(db);
-  if (opened != SQLITE_OK) return *why = name_ + Problem(), false;
+  if (opened != SQLITE_OK) return *error = name_ + Problem(), false;
   sqlite3_extended_result_codes(db, 0);
   // Exclusive: one process, and no shared memory beside the file.
   const bool ready =
@@ -123,9 +123,9 @@
       Run("CREATE TABLE IF NOT EXISTS about(what TEXT PRIMARY KEY, number INTEGER)") &&
       Run("CREATE TABLE IF NOT EXISTS records(key BLOB PRIMARY KEY, value BLOB) "
           "WITHOUT ROWID") &&
-      Check(identity, why) && Run("COMMIT");
+      Check(identity, error) && Run("COMMIT");
   if (!ready) {
-    if (why->empty()) *why = name_ + Problem();
+    if (error->empty()) *error = name_ + Problem();
     db_.reset();
     return false;
   }
@@ -133,13 +133,13 @@
   erase_ = Prepare("DELETE FROM records WHERE key=?");
   erase_range_ = Prepare("DELETE FROM records WHERE key>=? AND key<?");
   scan_ = Prepare("SELECT key, value FROM records WHERE key>? AND key<? ORDER BY key LIMIT ?");
-  if (!put_ || !erase_ || !erase_range_ || !scan_) return *why = name_ + Problem(), false;
+  if (!put_ || !erase_ || !erase_range_ || !scan_) return *error = name_ + Problem(), false;
   writer_ = std::thread([this] { Serve(); });
   return true;
 }
 
 // Whose the file is; in a new one that is written down.
-bool RecordStore::Check(const Identity& identity, std::string* why) {
+bool RecordStore::Check(const Identity& identity, std::string* error) {
   const std::int64_t schema = Number("SELECT number FROM about WHERE what='schema'");
   if (schema < 0) {
     const auto put = [this](const char* what, std::uint64_t number) {
@@ -155,24 +155,25 @@
   }
   const auto number = [this](const char* sql) { return static_cast<std::uint64_t>(Number(sql)); };
   if (schema > kSchema) {
-    *why = name_ + "of schema " + std::to_string(schema) + ", this build reads up to " +
-           std::to_string(kSchema);
+    *error = name_ + "of schema " + std::to_string(schema) + ", this build reads up to " +
+             std::to_string(kSchema);
   } else if (number("SELECT number FROM about WHERE what='cluster'") != identity.cluster) {
-    *why = name_ + "of another cluster";
+    *error = name_ + "of another cluster";
   } else if (number("SELECT number FROM about WHERE what='member'") != identity.member) {
-    *why = name_ + "of another member";
+    *error = name_ + "of another member";
   }
   disk_ = number("SELECT number FROM about WHERE what='disk'");
-  return why->empty();
+  return error->empty();
 }
 
-bool RecordStore::LoadLogs(Records* records, std::vector<std::string>* damaged, std::string* why) {
+bool RecordStore::LoadLogs(Records* records, std::vector<std::string>* damaged,
+                           std::string* error) {
   // Entries are passed over by their prefix: there may be many.
   std::string after;
   while (true) {
     Records some;
     bool last = false;
-    if (!Scan("", after, 256, &some, &last, damaged)) return *why = name_ + Problem(), false;
+    if (!Scan("", after, 256, &some, &last, damaged)) return *error = name_ + Problem(), false;
     for (auto& [key, value] : some) {
       after = key;
       const auto parts = copies::ParseStoreKey(key);
@@ -187,10 +188,10 @@
 }
 
 bool RecordStore::Load(const std::string& prefix, Records* records,
-                       std::vector<std::string>* damaged, std::string* why) {
+                       std::vector<std::string>* damaged, std::string* error) {
   bool last = false;
   if (Scan(prefix, "", 1U << 30, records, &last, damaged)) return true;
-  return *why = name_ + Problem(), false;
+  return *error = name_ + Problem(), false;
 }
 
 void RecordStore::Write(std::vector<copies::StoreWrite> batch, std::uint64_t ticket) {
--- a/src/store/record_store.h
+++ b/src/store/record_store.h
@@ -47,15 +47,15 @@
   // Takes or makes `folder`/copies.db for this process alone, of at most `max_bytes`. False, with
   // one clear line, if it can't be used, is another's, of a later build, or damaged as a whole.
   bool Open(const std::string& folder, const Identity& identity, std::uint64_t max_bytes,
-            Written written, std::string* why);
+            Written written, std::string* error);
   // Why Open or a Load failed: the file is not one of SQLite's any more; or the disk takes nothing.
   bool damaged() const;
   bool unwritable() const;
   // Before the first Write: the heads and operations of all logs (not their entries).
-  bool LoadLogs(Records* records, std::vector<std::string>* damaged, std::string* why);
+  bool LoadLogs(Records* records, std::vector<std::string>* damaged, std::string* error);
   // And likewise all under a prefix.
   bool Load(const std::string& prefix, Records* records, std::vector<std::string>* damaged,
-            std::string* why);
+            std::string* error);
   std::uint64_t disk() const { return disk_; }
 
   // After a failure nothing is written any more: the disk may hold either state.
@@ -85,7 +85,7 @@
   std::int64_t Number(const char* sql);
   Statement Prepare(const char* sql);
   std::string Problem();
-  bool Check(const Identity& identity, std::string* why);
+  bool Check(const Identity& identity, std::string* error);
   bool Apply(const copies::StoreWrite& write);
   bool Commit(const std::vector<Job>& jobs);
   // Up to `most` records with this prefix after a key; false: the file is damaged.
--- a/src/store/vote_file.cpp
+++ b/src/store/vote_file.cpp
@@ -56,7 +56,7 @@
 
 bool VoteFile::Open(const std::string& folder, std::uint64_t cluster, membership::NodeId self,
                     Written written, membership::PersistentVoterState* votes, bool* damaged,
-                    std::string* why) {
+                    std::string* error) {
   folder_ = folder;
   cluster_ = cluster;
   self_ = self;
@@ -64,12 +64,12 @@
   *damaged = false;
   const std::string store = "cluster store " + folder + ": ";
   if (mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST) {
-    return *why = store + std::strerror(errno), false;
+    return *error = store + std::strerror(errno), false;
   }
   lock_ = open((folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (lock_ < 0) return *why = store + std::strerror(errno), false;
+  if (lock_ < 0) return *error = store + std::strerror(errno), false;
   if (flock(lock_, LOCK_EX | LOCK_NB) != 0)
-    return *why = store + "in use by another process", false;
+    return *error = store + "in use by another process", false;
   const std::string path = folder + "/votes";
   std::ifstream in(path, std::ios::binary);
   if (in) {
@@ -83,12 +83,12 @@
       // Only a whole file says whose it is; then it is not to be overwritten.
       const std::uint64_t schema = Word(bytes, 7, 4);
       if (schema > kSchema) {
-        return *why = store + "of schema " + std::to_string(schema) + ", this build reads up to " +
-                      std::to_string(kSchema),
+        return *error = store + "of schema " + std::to_string(schema) +
+                        ", this build reads up to " + std::to_string(kSchema),
                false;
       }
-      if (Word(bytes, 11, 8) != cluster) return *why = store + "of another cluster", false;
-      if (Word(bytes, 19, 8) != self) return *why = store + "of another member", false;
+      if (Word(bytes, 11, 8) != cluster) return *error = store + "of another cluster", false;
+      if (Word(bytes, 19, 8) != self) return *error = store + "of another member", false;
     }
     const auto read = whole ? codec::DecodeVoterState(std::string_view(bytes).substr(
                                   kHead, bytes.size() - kHead - kTail))
@@ -98,7 +98,7 @@
     } else {
       *damaged = true;
       if (rename(path.c_str(), (path + ".damaged").c_str()) != 0) {
-        return *why = store + "damaged, and can't be put aside: " + std::strerror(errno), false;
+        return *error = store + "damaged, and can't be put aside: " + std::strerror(errno), false;
       }
     }
   }
--- a/src/store/vote_file.h
+++ b/src/store/vote_file.h
@@ -32,7 +32,7 @@
   // A damaged file is put aside, as `votes.damaged`, and counts as none: `damaged` says so.
   bool Open(const std::string& folder, std::uint64_t cluster, membership::NodeId self,
             Written written, membership::PersistentVoterState* votes, bool* damaged,
-            std::string* why);
+            std::string* error);
   // Writes; a later write takes the place of one that has not begun. After a failure nothing is
   // written any more: the disk may hold either state, and a second try would not tell.
   void Write(const membership::PersistentVoterState& votes, std::uint64_t ticket);
--- a/tests/cluster/restart_test.cpp
+++ b/tests/cluster/restart_test.cpp
@@ -34,10 +34,10 @@
   Discovery(Loop* loop, std::size_t processes) : told(processes), loop_(loop), lines_(processes) {
     for (std::size_t p = 0; p < processes; ++p) {
       lines_[p].port = FreePort();
-      std::string why;
+      std::string error;
       EXPECT_TRUE(lines_[p].listener.Open(
-          loop, At(lines_[p].port), [this, p](evutil_socket_t fd) { Accept(p, fd); }, &why))
-          << why;
+          loop, At(lines_[p].port), [this, p](evutil_socket_t fd) { Accept(p, fd); }, &error))
+          << error;
     }
     Work();
   }
@@ -317,7 +317,7 @@
   const double back = loop.Now();
   Listener listener;
   std::vector<std::unique_ptr<Raw>> callers;
-  std::string why;
+  std::string error;
   ASSERT_TRUE(listener.Open(
       &loop, At(port),
       [&](evutil_socket_t fd) {
@@ -335,8 +335,8 @@
                      "\r\n\r\n" + body);
         };
       },
-      &why))
-      << why;
+      &error))
+      << error;
   ASSERT_TRUE(Until([&] { return calls > 0; }, 6, open));
   EXPECT_LT(loop.Now() - back, 6);
   for (int i = 0; i < 5; ++i) {
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -159,7 +159,7 @@
   bool Open(std::uint64_t cluster = 1, membership::NodeId self = 2) {
     file = std::make_unique<store::VoteFile>();
     votes = {};
-    return file->Open(folder, cluster, self, Written(), &votes, &damaged, &why);
+    return file->Open(folder, cluster, self, Written(), &votes, &damaged, &error);
   }
   bool Write(const membership::PersistentVoterState& v) {
     file->Write(v, 7);
@@ -179,16 +179,16 @@
 };
 
 TEST_F(VoteFolder, KeepsWhatWasWrittenAndIsTakenByOneProcess) {
-  ASSERT_TRUE(Open()) << why;
+  ASSERT_TRUE(Open()) << error;
   EXPECT_TRUE(Write(Some()));
   store::VoteFile second;
   membership::PersistentVoterState unused;
   bool bad = false;
   EXPECT_FALSE(second.Open(
-      folder, 1, 2, [](std::uint64_t, bool) {}, &unused, &bad, &why));
-  EXPECT_NE(why.find("in use"), std::string::npos) << why;
+      folder, 1, 2, [](std::uint64_t, bool) {}, &unused, &bad, &error));
+  EXPECT_NE(error.find("in use"), std::string::npos) << error;
   file.reset();
-  ASSERT_TRUE(Open()) << why;
+  ASSERT_TRUE(Open()) << error;
   EXPECT_EQ(codec::Encode(votes), codec::Encode(Some()));
   EXPECT_FALSE(damaged);
 }
@@ -200,7 +200,7 @@
   const std::string whole = Bytes("votes");
   for (std::size_t n = 0; n < whole.size(); ++n) {
     Put("votes", whole.substr(0, n));
-    ASSERT_TRUE(Open()) << why;
+    ASSERT_TRUE(Open()) << error;
     EXPECT_TRUE(damaged) << n;
     EXPECT_EQ(votes.storage_identity.number, 0U) << n;
     file.reset();
@@ -214,16 +214,16 @@
   file.reset();
   const std::string whole = Bytes("votes");
   EXPECT_FALSE(Open(5, 2));
-  EXPECT_NE(why.find("another cluster"), std::string::npos) << why;
+  EXPECT_NE(error.find("another cluster"), std::string::npos) << error;
   EXPECT_FALSE(Open(1, 5));
-  EXPECT_NE(why.find("another member"), std::string::npos) << why;
+  EXPECT_NE(error.find("another member"), std::string::npos) << error;
   std::string later = whole.substr(0, whole.size() - 8);
   later[7] = 9;
   encoding::Writer hash;
   hash.Raw(codec::Hash(later));
   Put("votes", later + hash.bytes());
   EXPECT_FALSE(Open());
-  EXPECT_NE(why.find("of schema 9"), std::string::npos) << why;
+  EXPECT_NE(error.find("of schema 9"), std::string::npos) << error;
   EXPECT_EQ(Bytes("votes"), later + hash.bytes()) << "nothing was overwritten";
 }
 
@@ -270,10 +270,10 @@
   };
   for (const auto& [text, wanted] : cases) {
     ClusterOptions options;
-    std::string why;
-    EXPECT_EQ(ReadCluster("{\"cluster\":" + text + "}", &options, &why), wanted.empty()) << text;
-    EXPECT_NE(why.find(wanted), std::string::npos) << why << " for " << text;
-    EXPECT_EQ(why.find('\n'), std::string::npos);
+    std::string error;
+    EXPECT_EQ(ReadCluster("{\"cluster\":" + text + "}", &options, &error), wanted.empty()) << text;
+    EXPECT_NE(error.find(wanted), std::string::npos) << error << " for " << text;
+    EXPECT_EQ(error.find('\n'), std::string::npos);
     EXPECT_EQ(options.on(), wanted.empty()) << "nothing is taken in part";
   }
 }
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -264,7 +264,7 @@
   store::VoteFile file;
   membership::PersistentVoterState votes;
   bool damaged = true;
-  ASSERT_TRUE(file.Open(folder, cluster, self, Written(), &votes, &damaged, &why)) << why;
+  ASSERT_TRUE(file.Open(folder, cluster, self, Written(), &votes, &damaged, &error)) << error;
   EXPECT_FALSE(damaged);
   EXPECT_GT(votes.writes, 0U);
   EXPECT_EQ(votes.accepted.members.size(), 3U);
@@ -279,11 +279,11 @@
 
 TEST_F(MemberFolder, LogsAndWorkersOutByHandAreRead) {
   store::RecordStore store;
-  ASSERT_TRUE(store.Open(folder, {cluster, self, 1}, 16 << 20, Written(), &why)) << why;
+  ASSERT_TRUE(store.Open(folder, {cluster, self, 1}, 16 << 20, Written(), &error)) << error;
   EXPECT_NE(store.disk(), 1U) << "the file was made anew";
   store::RecordStore::Records records;
   Lines damaged;
-  ASSERT_TRUE(store.LoadLogs(&records, &damaged, &why)) << why;
+  ASSERT_TRUE(store.LoadLogs(&records, &damaged, &error)) << error;
   EXPECT_EQ(damaged, Lines{});
   std::size_t heads = 0, operations = 0;
   std::map<copies::LogId, copies::LogHead> logs;
@@ -310,7 +310,7 @@
   for (const auto& [log, head] : logs) {
     records.clear();
     const std::string prefix = copies::EntryPrefix(log, head.filling);
-    ASSERT_TRUE(store.Load(prefix, &records, &damaged, &why)) << why;
+    ASSERT_TRUE(store.Load(prefix, &records, &damaged, &error)) << error;
     for (const auto& [key, value] : records) {
       const auto entry = copies::DecodeOperation(value);
       ASSERT_TRUE(entry);
@@ -326,7 +326,7 @@
   }
   EXPECT_EQ(jobs, 8U);
   records.clear();
-  ASSERT_TRUE(store.Load(copies::EntryPrefix(0, 0), &records, &damaged, &why)) << why;
+  ASSERT_TRUE(store.Load(copies::EntryPrefix(0, 0), &records, &damaged, &error)) << error;
   std::map<std::string, bool> out;
   for (const auto& [key, value] : records) {
     const auto news = codec::DecodeMaintenanceGossip(value);
@@ -370,8 +370,8 @@
 
 Config HandoverConfig() {
   Config config;
-  std::string why;
-  EXPECT_TRUE(ReadConfig(ReadFile(kData + "/handover-node.json"), &config, &why)) << why;
+  std::string error;
+  EXPECT_TRUE(ReadConfig(ReadFile(kData + "/handover-node.json"), &config, &error)) << error;
   return config;
 }
 
@@ -468,8 +468,8 @@
 
 TEST(SettingsFile, EachKeyIsReadAsBefore) {
   Config config;
-  std::string why;
-  ASSERT_TRUE(ReadConfig(ReadFile(kData + "/settings.json"), &config, &why)) << why;
+  std::string error;
+  ASSERT_TRUE(ReadConfig(ReadFile(kData + "/settings.json"), &config, &error)) << error;
   EXPECT_EQ(LinesOf(ValuesOf(config)), LinesOf(ReadFile(kData + "/settings-values.txt")));
 }
 
@@ -496,7 +496,7 @@
     replace("@STORE@", folder + "/store");
     replace("@WORKER0@", workers[0]->address());
     replace("@WORKER1@", workers[1]->address());
-    EXPECT_TRUE(ReadConfig(text, &config, &why)) << why;
+    EXPECT_TRUE(ReadConfig(text, &config, &error)) << error;
     node = std::make_unique<Node>(config);
     EXPECT_TRUE(IsOk(node->Start()));
   }
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -263,14 +263,14 @@
       LogLevel() = Level::kError;
       LateWorker worker;
       Loop host;
-      std::string text = TestConfig({AddressText(worker.at)}), why;
+      std::string text = TestConfig({AddressText(worker.at)}), error;
       const auto put = [&](const std::string& from, const std::string& to) {
         text.replace(text.find(from), from.size(), to);
       };
       put(R"("connect_timeout_s":0.25)", R"("connect_timeout_s":5)");
       if (!cancel) put(R"("cancel":true)", R"("cancel":false)");
       Config config;
-      ASSERT_TRUE(ReadConfig(text, &config, &why)) << why;
+      ASSERT_TRUE(ReadConfig(text, &config, &error)) << error;
       Node node(config);
       ASSERT_TRUE(IsOk(node.Start()));
       const auto until = [&](auto done, double timeout_s) {
--- a/tests/durable_job_queue_test.cpp
+++ b/tests/durable_job_queue_test.cpp
@@ -96,10 +96,10 @@
         DurableJobQueue::Hooks{
             .append =
                 [this, i](LogId log, const std::string& key, const std::string& value, bool gone,
-                          ReplicatedLogs::AppendError* why) {
+                          ReplicatedLogs::AppendError* error) {
                   if (gone && planted_.end_not_written)
-                    return copies_.Put(i, log, "none", "", true, why);
-                  const SequenceNumber seq = copies_.Put(i, log, key, value, gone, why);
+                    return copies_.Put(i, log, "none", "", true, error);
+                  const SequenceNumber seq = copies_.Put(i, log, key, value, gone, error);
                   if (gone && seq != 0) truth_[key].end_made = true;
                   if (planted_.told_before_kept && !gone && seq != 0) truth_[key].promised = true;
                   return seq;
--- a/tests/haproxy_test.cpp
+++ b/tests/haproxy_test.cpp
@@ -39,10 +39,10 @@
 
 TEST(Haproxy, TakesOverProxiesAndNamesTheRest) {
   Import import;
-  std::string why;
-  ASSERT_TRUE(ImportHaproxy(kFile, &import, &why)) << why;
+  std::string error;
+  ASSERT_TRUE(ImportHaproxy(kFile, &import, &error)) << error;
   Config c;
-  ASSERT_TRUE(ReadConfig(import.config, &c, &why)) << why;
+  ASSERT_TRUE(ReadConfig(import.config, &c, &error)) << error;
   EXPECT_EQ(c.listen, "0.0.0.0:8080");
   EXPECT_EQ(c.classes, (std::vector<std::string>{"roast", "ship"}));
   EXPECT_EQ(c.settings.classes[0].client_timeout_s, 6);
@@ -53,7 +53,7 @@
   EXPECT_EQ(c.settings.max_attempts, 3);  // ship takes over the defaults above it
   EXPECT_EQ(c.sockets, 464u);
   ServerList list;
-  ASSERT_TRUE(ReadServerList(c.known, c.zones, c.kinds, &list, &why));
+  ASSERT_TRUE(ReadServerList(c.known, c.zones, c.kinds, &list, &error));
   ASSERT_EQ(list.entries.size(), 3u);
   EXPECT_EQ(list.entries[0].member.capacity_hint, 3);
   EXPECT_EQ(list.entries[0].max_in_flight, 4u);
@@ -85,9 +85,9 @@
   };
   for (const auto& [text, wanted] : cases) {
     Import import;
-    std::string why;
-    EXPECT_FALSE(ImportHaproxy(text, &import, &why)) << text;
-    EXPECT_TRUE(why.starts_with(wanted)) << why;
+    std::string error;
+    EXPECT_FALSE(ImportHaproxy(text, &import, &error)) << text;
+    EXPECT_TRUE(error.starts_with(wanted)) << error;
   }
 }
 
@@ -107,12 +107,12 @@
       text[random() % text.size()] = "\n \"'\\#9a:s"[random() % 11];
     }
     Import import;
-    std::string why;
+    std::string error;
     Config config;
-    if (ImportHaproxy(text, &import, &why)) {
-      EXPECT_TRUE(ReadConfig(import.config, &config, &why)) << why << "\n" << text;
+    if (ImportHaproxy(text, &import, &error)) {
+      EXPECT_TRUE(ReadConfig(import.config, &config, &error)) << error << "\n" << text;
     } else {
-      EXPECT_FALSE(why.empty());
+      EXPECT_FALSE(error.empty());
     }
   }
 }
--- a/tests/idempotency_keys_test.cpp
+++ b/tests/idempotency_keys_test.cpp
@@ -94,8 +94,8 @@
         IdempotencyKeyRegistry::Hooks{
             .append =
                 [this, i](LogId log, const std::string& key, const std::string& value, bool gone,
-                          ReplicatedLogs::AppendError* why) {
-                  return copies_.Put(i, log, key, value, gone, why);
+                          ReplicatedLogs::AppendError* error) {
+                  return copies_.Put(i, log, key, value, gone, error);
                 },
             .max_age_s =
                 [this, i](LogId log, SequenceNumber seq) {
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -78,10 +78,10 @@
     LogLevel() = Level::kError;
     char folder[] = "/tmp/millethollow-test-XXXXXX";
     path = mkdtemp(folder);
-    std::string why;
+    std::string error;
     EXPECT_TRUE(ReadConfig(TestConfig({worker.address()}, R"("levels":{"link":")" + path + "\"},"),
-                           &config, &why))
-        << why;
+                           &config, &error))
+        << error;
     StartPlanner();
     forwarder = std::make_unique<Node>(config, Role{Role::Kind::kForwarder, 0});
     EXPECT_TRUE(IsOk(forwarder->Start()));
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -24,8 +24,8 @@
     const std::string one = R"("balancers":1)";
     text.replace(text.find(one), one.size(), R"("balancers":)" + std::to_string(nodes));
     Config config;
-    std::string why;
-    ASSERT_TRUE(ReadConfig(text, &config, &why)) << why;
+    std::string error;
+    ASSERT_TRUE(ReadConfig(text, &config, &error)) << error;
     node = std::make_unique<Node>(config);
     ASSERT_TRUE(IsOk(node->Start()));
   }
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -83,8 +83,9 @@
                     {"Work-Hint", std::string(text)}};
     ClientRequest held;
     double timeout_s = 0;
-    std::string why;
-    EXPECT_EQ(http::ReadRequest(head, names, &held, &timeout_s, &why), 0) << text << ": " << why;
+    std::string error;
+    EXPECT_EQ(http::ReadRequest(head, names, &held, &timeout_s, &error), 0)
+        << text << ": " << error;
     EXPECT_DOUBLE_EQ(held.request.size_hint_s, seconds) << text;
   }
 }
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -52,8 +52,8 @@
             [this](int sender, const std::string& body) { heard.emplace_back(sender, body); },
             &counters) {}
   void Open(const std::vector<std::string>& addresses) {
-    std::string why;
-    ASSERT_TRUE(peers.Open(-1, "127.0.0.1:0", addresses, "", &why)) << why;
+    std::string error;
+    ASSERT_TRUE(peers.Open(-1, "127.0.0.1:0", addresses, "", &error)) << error;
   }
   std::string address() const { return Datagrams::AddressOf(peers.descriptor()); }
   Loop loop;
@@ -114,8 +114,8 @@
   text = Replaced(text, R"("balancers":1)", R"("balancers":2)");
   text = Replaced(text, R"("limits":{)", R"("limits":{"peers":true,)");
   Config config;
-  std::string why;
-  ASSERT_TRUE(ReadConfig(text, &config, &why)) << why;
+  std::string error;
+  ASSERT_TRUE(ReadConfig(text, &config, &error)) << error;
   Node node(config);
   ASSERT_TRUE(IsOk(node.Start()));
   const auto has = [&](const std::string& line) {
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -65,11 +65,11 @@
 
 struct World : PlannerEnvironment {
   World() {
-    std::string why;
+    std::string error;
     EXPECT_TRUE(
-        ReadConfig(TestConfig({"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}), &config, &why));
+        ReadConfig(TestConfig({"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}), &config, &error));
     ServerList list;
-    EXPECT_TRUE(ReadServerList(config.known, config.zones, config.kinds, &list, &why));
+    EXPECT_TRUE(ReadServerList(config.known, config.zones, config.kinds, &list, &error));
     planner = std::make_unique<Planner>(config.settings, 1, &deadlines, this, &counters);
     number = planner->AddForwarder(&port, true);
     planner->Start(list.Members());
@@ -492,24 +492,24 @@
 // Indented lists are read, cut ones and numbers that fit nowhere do no harm.
 TEST(Discovery, ReadsIndentedListsAndOutlivesBadOnes) {
   ServerList list;
-  std::string why;
+  std::string error;
   EXPECT_TRUE(
       ReadServerList("{\n  \"version\": 4,\n  \"full\": true,\n  \"servers\": [\n    {\n \"id\": "
                      "\"s\"\n}\n  ]\n}\n",
-                     {}, {}, &list, &why));
+                     {}, {}, &list, &error));
   EXPECT_EQ(list.entries.size(), 1u);
   for (const char* bad :
        {"{\"version\":4,\"servers\":[{\"id\":\"s\"", "", "[]", "{\"servers\":{}}"}) {
-    EXPECT_FALSE(ReadServerList(bad, {}, {}, &list, &why)) << bad;
+    EXPECT_FALSE(ReadServerList(bad, {}, {}, &list, &error)) << bad;
   }
   EXPECT_TRUE(
       ReadServerList(R"({"version":1e300,"servers":[{"id":"s","cell":-1e300,"started_ms":1e308}]})",
-                     {}, {}, &list, &why));
+                     {}, {}, &list, &error));
 }
 
 TEST(Config, SaysInOneLineWhatIsWrong) {
   const std::string good = TestConfig({});
-  const auto why = [](std::string text, const std::string& from, const std::string& to) {
+  const auto error_of = [](std::string text, const std::string& from, const std::string& to) {
     if (!from.empty()) text.replace(text.find(from), from.size(), to);
     Config config;
     std::string line;
@@ -517,28 +517,29 @@
     EXPECT_EQ(line.find('\n'), std::string::npos);
     return line;
   };
-  EXPECT_NE(why("[]", "", "").find("JSON"), std::string::npos);
-  EXPECT_NE(why(good, R"("name":"t")", R"("name":7)").find("name"), std::string::npos);
-  EXPECT_NE(why(good, R"("most_tries":4)", R"("most_tries":0)").find("most_tries"),
-            std::string::npos);
-  EXPECT_NE(why(good, R"("by_key")", R"("by_luck")").find("semantics"), std::string::npos);
-  EXPECT_NE(why(good, R"("name":"t")", R"("gearman":{"functions":{"f":{"class":"?"}}})").find('f'),
+  EXPECT_NE(error_of("[]", "", "").find("JSON"), std::string::npos);
+  EXPECT_NE(error_of(good, R"("name":"t")", R"("name":7)").find("name"), std::string::npos);
+  EXPECT_NE(error_of(good, R"("most_tries":4)", R"("most_tries":0)").find("most_tries"),
             std::string::npos);
+  EXPECT_NE(error_of(good, R"("by_key")", R"("by_luck")").find("semantics"), std::string::npos);
+  EXPECT_NE(
+      error_of(good, R"("name":"t")", R"("gearman":{"functions":{"f":{"class":"?"}}})").find('f'),
+      std::string::npos);
 }
 
 TEST(ServerList, ReadsStatesAndStarts) {
   ServerList list;
-  std::string why;
+  std::string error;
   ASSERT_TRUE(ReadServerList(R"({"version":43,"full":false,"servers":[{"id":"s","addr":"1.2.3.4:5",
       "zone":"b","kind":"m2","cell":3,"state":"terminating","started_ms":1500},{"nameless":1},
       {"id":"t","state":"odd"}]})",
-                             {"a", "b"}, {"m1", "m2"}, &list, &why));
+                             {"a", "b"}, {"m1", "m2"}, &list, &error));
   ASSERT_EQ(list.entries.size(), 2u);
   EXPECT_EQ(list.entries[0].member.zone, 1);
   EXPECT_EQ(list.entries[0].member.kind, 1);
   EXPECT_EQ(list.entries[0].member.started_at_s, 1.5);
   EXPECT_EQ(list.entries[1].member.readiness, balancing::Readiness::kDraining);
-  EXPECT_FALSE(ReadServerList("{}", {}, {}, &list, &why));
+  EXPECT_FALSE(ReadServerList("{}", {}, {}, &list, &error));
 }
 
 }  // namespace
--- a/tests/record_store_test.cpp
+++ b/tests/record_store_test.cpp
@@ -24,8 +24,8 @@
             RecordStore::Identity who = {1, 2, 77}) {
     store.reset();
     store = std::make_unique<RecordStore>();
-    why.clear();
-    return store->Open(at, who, max_bytes, Written(), &why);
+    error.clear();
+    return store->Open(at, who, max_bytes, Written(), &error);
   }
   bool Put(std::vector<StoreWrite> batch) {  // waits until it is there
     store->Write(std::move(batch), ++tickets);
@@ -93,7 +93,7 @@
   membership::Random random(5);
   Model model;
   for (int round = 0; round < 5; ++round) {
-    ASSERT_TRUE(Open(folder)) << why;
+    ASSERT_TRUE(Open(folder)) << error;
     EXPECT_EQ(store->disk(), 77U);
     EXPECT_EQ(All(copies::LogPrefix(kLog)), model);
     for (int n = 0; n < 60; ++n) ASSERT_TRUE(Put(Some(&random, &model)));
@@ -103,7 +103,7 @@
 }
 
 TEST_F(CopyFolder, LoadsHeadsAndOperationsAndPassesEntriesBy) {
-  ASSERT_TRUE(Open(folder)) << why;
+  ASSERT_TRUE(Open(folder)) << error;
   std::vector<StoreWrite> batch;
   for (const copies::LogId log : {3U, 4U}) {
     batch.push_back(PutOf(copies::HeadKey(log), "h"));
@@ -113,9 +113,9 @@
       batch.push_back(PutOf(copies::EntryKey(log, 0, std::to_string(e)), "e"));
   }
   ASSERT_TRUE(Put(batch));
-  ASSERT_TRUE(Open(folder)) << why;
+  ASSERT_TRUE(Open(folder)) << error;
   RecordStore::Records records;
-  ASSERT_TRUE(store->LoadLogs(&records, &damaged, &why)) << why;
+  ASSERT_TRUE(store->LoadLogs(&records, &damaged, &error)) << error;
   EXPECT_EQ(records.size(), 602U);
   for (const auto& [key, value] : records) EXPECT_NE(copies::ParseStoreKey(key)->type, 'e');
 }
@@ -123,7 +123,7 @@
 // Power is lost while the last commits are on their way: the log beside the file ends at any byte.
 // What was said to be there before that byte is there, whole batches only.
 TEST_F(CopyFolder, CutAtAnyByteOfTheLastRecordsKeepsWholeBatches) {
-  ASSERT_TRUE(Open(folder)) << why;
+  ASSERT_TRUE(Open(folder)) << error;
   membership::Random random(9);
   Model model;
   std::vector<std::pair<std::uintmax_t, Model>> after;  // size of the log, and what is there then
@@ -145,7 +145,7 @@
     std::filesystem::remove_all(at);
     std::filesystem::copy(saved, at);
     std::filesystem::resize_file(at + "/copies.db-wal", size);
-    ASSERT_TRUE(Open(at)) << why << " at " << size;
+    ASSERT_TRUE(Open(at)) << error << " at " << size;
     const Model* wanted = nullptr;
     for (const auto& [bytes, then] : after) wanted = bytes <= size ? &then : wanted;
     ASSERT_EQ(All(copies::LogPrefix(kLog), 100), *wanted) << "cut at " << size;
@@ -156,7 +156,7 @@
 
 // A disk flips a bit anywhere: never a wrong value, never a crash.
 TEST_F(CopyFolder, ABitThatFlippedIsNoticed) {
-  ASSERT_TRUE(Open(folder)) << why;
+  ASSERT_TRUE(Open(folder)) << error;
   Model model;
   std::vector<StoreWrite> batch;
   for (int n = 0; n < 200; ++n) {
@@ -174,8 +174,8 @@
     off[random.Below(off.size())] ^= static_cast<char>(1 << random.Below(8));
     Folder::Put("copies.db", off);
     if (!Open(folder)) {
-      EXPECT_NE(why.find("copies' store"), std::string::npos) << why;
-      EXPECT_EQ(why.find('\n'), std::string::npos);
+      EXPECT_NE(error.find("copies' store"), std::string::npos) << error;
+      EXPECT_EQ(error.find('\n'), std::string::npos);
       ++refused;
     } else {
       const Model found = All(copies::LogPrefix(kLog), 1000);
@@ -196,14 +196,14 @@
 }
 
 TEST_F(CopyFolder, OfAnotherOrInUseOrNoStoreIsOneClearLine) {
-  ASSERT_TRUE(Open(folder)) << why;
+  ASSERT_TRUE(Open(folder)) << error;
   const auto refuses = [this](RecordStore::Identity who, const std::string& line) {
     RecordStore other;
-    why.clear();
+    error.clear();
     EXPECT_FALSE(other.Open(
-        folder, who, 1 << 20, [](std::uint64_t, bool) {}, &why));
-    EXPECT_NE(why.find(line), std::string::npos) << why;
-    EXPECT_EQ(why.find('\n'), std::string::npos);
+        folder, who, 1 << 20, [](std::uint64_t, bool) {}, &error));
+    EXPECT_NE(error.find(line), std::string::npos) << error;
+    EXPECT_EQ(error.find('\n'), std::string::npos);
   };
   refuses({1, 2, 5}, "in use by another process");
   store.reset();
@@ -216,7 +216,7 @@
 }
 
 TEST_F(CopyFolder, AFullStoreFailsOnceAndWritesNoMore) {
-  ASSERT_TRUE(Open(folder, 512 * 1024)) << why;
+  ASSERT_TRUE(Open(folder, 512 * 1024)) << error;
   int n = 0;
   while (n < 5000 &&
          Put({PutOf(copies::EntryKey(kLog, 0, std::to_string(n)), std::string(300, 'v'))}))
@@ -226,7 +226,7 @@
   EXPECT_GT(store->used(), 0.9);
   EXPECT_FALSE(Put({PutOf(copies::EntryKey(kLog, 0, "0"), "")}))
       << "after a failure the disk may hold either state";
-  ASSERT_TRUE(Open(folder)) << why;
+  ASSERT_TRUE(Open(folder)) << error;
   EXPECT_EQ(All(copies::LogPrefix(kLog), 5000).size(), static_cast<std::size_t>(n))
       << "all that was said to be there, and no more";
 }
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -129,8 +129,8 @@
   };
   write(with(one.address()));
   Config config;
-  std::string why;
-  ASSERT_TRUE(LoadConfig(path, &config, &why)) << why;
+  std::string error;
+  ASSERT_TRUE(LoadConfig(path, &config, &error)) << error;
   Node node(config);
   ASSERT_TRUE(IsOk(node.Start()));
   node.CatchSignals(path);
@@ -173,10 +173,10 @@
   const std::string good = TestConfig({"127.0.0.1:9"});
   const auto fine = [&](const std::string& text) {
     Config config;
-    std::string why;
-    const bool ok = ReadConfig(text, &config, &why) && CheckWhole(good, text, &why);
-    EXPECT_EQ(ok, why.empty());
-    EXPECT_EQ(why.find('\n'), std::string::npos);
+    std::string error;
+    const bool ok = ReadConfig(text, &config, &error) && CheckWhole(good, text, &error);
+    EXPECT_EQ(ok, error.empty());
+    EXPECT_EQ(error.find('\n'), std::string::npos);
     return ok;
   };
   EXPECT_TRUE(fine(good));
@@ -202,8 +202,8 @@
   const std::string text = TestConfig({});
   const auto read = [](const std::string& from) {
     Config config;
-    std::string why;
-    EXPECT_TRUE(ReadConfig(from, &config, &why)) << why;
+    std::string error;
+    EXPECT_TRUE(ReadConfig(from, &config, &error)) << error;
     return config;
   };
   Config config = read(text);
--- a/tests/replicated_logs_test.cpp
+++ b/tests/replicated_logs_test.cpp
@@ -199,8 +199,9 @@
     }
     for (const char* key : {"k1", "k2"}) {
       On(&s, 0, [&](ReplicatedLogs* c, ReplicatedLogs::Actions* a) {
-        ReplicatedLogs::AppendError why{};
-        EXPECT_GT(c->Append(s.now, kLog, key, "v", false, &why, a), 0U) << static_cast<int>(why);
+        ReplicatedLogs::AppendError reason{};
+        EXPECT_GT(c->Append(s.now, kLog, key, "v", false, &reason, a), 0U)
+            << static_cast<int>(reason);
       });
     }
     return s;
--- a/tests/scale_rig_test.cpp
+++ b/tests/scale_rig_test.cpp
@@ -97,11 +97,11 @@
   Point point;
   point.Computed("size", "thing", 3);
   result.points.push_back(point);
-  std::string why;
-  ASSERT_TRUE(WriteResult(result, {}, json_path, table_path, &why)) << why;
+  std::string error;
+  ASSERT_TRUE(WriteResult(result, {}, json_path, table_path, &error)) << error;
   AxisResult other = NewResult("other");
   other.failures.emplace_back("it was not run");
-  ASSERT_TRUE(WriteResult(other, {}, json_path, table_path, &why)) << why;
+  ASSERT_TRUE(WriteResult(other, {}, json_path, table_path, &error)) << error;
   std::ifstream file(json_path);
   const auto json = nlohmann::json::parse(file);
   EXPECT_EQ(json["axes"]["one"]["points"][0]["size"], 3);
@@ -111,7 +111,7 @@
   std::stringstream text;
   text << table.rdbuf();
   EXPECT_NE(text.str().find("FAILED: it was not run"), std::string::npos);
-  EXPECT_FALSE(WriteResult(result, {}, folder + "no/such/folder.json", table_path, &why));
+  EXPECT_FALSE(WriteResult(result, {}, folder + "no/such/folder.json", table_path, &error));
 }
 
 // A report that is too long is dropped, and quotas then don't follow demand.
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -507,7 +507,7 @@
 
 struct Section {
   const char* text;
-  const char* why;  // empty: it is accepted
+  const char* error;  // empty: it is accepted
 };
 TEST(SchedulingSection, IsCheckedAsAWhole) {
   const std::vector<std::string> classes{"look", "charge"};
@@ -534,18 +534,19 @@
                    "configuration: 'scheduling.enabled' is not a flag"},
        }) {
     Options options;
-    std::string why;
-    const bool read = ReadScheduling(c.text, classes, &options, &why);
-    EXPECT_EQ(read, why.empty()) << c.text;
-    EXPECT_EQ(why, c.why);
-    if (!why.empty()) EXPECT_FALSE(options.on) << "nothing is taken in part";
+    std::string error;
+    const bool read = ReadScheduling(c.text, classes, &options, &error);
+    EXPECT_EQ(read, error.empty()) << c.text;
+    EXPECT_EQ(error, c.error);
+    if (!error.empty()) EXPECT_FALSE(options.on) << "nothing is taken in part";
   }
   Options options;
-  std::string why;
-  EXPECT_TRUE(ReadScheduling(R"({"scheduling":{"hold":{"seconds":7}}})", classes, &options, &why));
+  std::string error;
+  EXPECT_TRUE(
+      ReadScheduling(R"({"scheduling":{"hold":{"seconds":7}}})", classes, &options, &error));
   EXPECT_TRUE(options.on);
   EXPECT_EQ(options.reservation_timeout_s, 7);
-  EXPECT_TRUE(ReadScheduling(R"({"scheduling":{"enabled":false}})", classes, &options, &why));
+  EXPECT_TRUE(ReadScheduling(R"({"scheduling":{"enabled":false}})", classes, &options, &error));
   EXPECT_FALSE(options.on);
 }
 
--- a/tests/scheduling_balancer_test.cpp
+++ b/tests/scheduling_balancer_test.cpp
@@ -375,8 +375,8 @@
          at = text.find(plain, at + sized.size())) {
       text.replace(at, plain.size(), sized);
     }
-    std::string why;
-    EXPECT_TRUE(ReadConfig(text, &config, &why)) << why;
+    std::string error;
+    EXPECT_TRUE(ReadConfig(text, &config, &error)) << error;
     config.handover = handover;
     node = std::make_unique<Node>(config);
     EXPECT_TRUE(IsOk(node->Start()));
--- a/tests/support/cluster_rig.cpp
+++ b/tests/support/cluster_rig.cpp
@@ -77,10 +77,10 @@
         loop_->base(), fd_, EV_READ | EV_PERSIST,
         [](evutil_socket_t, short, void* self) { static_cast<Link*>(self)->Receive(); }, this));
     event_add(readable_.get(), nullptr);
-    std::string why;
+    std::string error;
     EXPECT_TRUE(listener_.Open(
-        loop_, At(port_), [this](evutil_socket_t fd) { Stream(fd); }, &why))
-        << why;
+        loop_, At(port_), [this](evutil_socket_t fd) { Stream(fd); }, &error))
+        << error;
   }
   ~Link() {
     readable_.reset();
--- a/tests/support/copies_world.h
+++ b/tests/support/copies_world.h
@@ -88,12 +88,12 @@
     if (!world.Runs(i) || !nodes_[i].copies) return;
     for (const auto& [log, unused] : model_) {
       if (!Acts(i, log)) continue;
-      ReplicatedLogs::AppendError why{};
+      ReplicatedLogs::AppendError reason{};
       const std::string key = "k" + std::to_string(random.Below(40)),
                         value = "v" + std::to_string(++values_);
       const bool gone = random.Below(3) == 0;
-      Put(i, log, key, gone ? "" : value, gone, &why);
-      refused += why == ReplicatedLogs::AppendError::kTooFewReplicas;
+      Put(i, log, key, gone ? "" : value, gone, &reason);
+      refused += reason == ReplicatedLogs::AppendError::kTooFewReplicas;
     }
   }
   bool Acts(std::size_t i, LogId log) {
@@ -102,10 +102,10 @@
     return acts;
   }
   SequenceNumber Put(std::size_t i, LogId log, const std::string& key, const std::string& value,
-                     bool gone, ReplicatedLogs::AppendError* why) {
+                     bool gone, ReplicatedLogs::AppendError* reason) {
     Operation op{.key = key, .value = value, .gone = gone};
     Do(i, [&](ReplicatedLogs* c, double now, ReplicatedLogs::Actions* a) {
-      op.seq = c->Append(now, log, key, value, gone, why, a);
+      op.seq = c->Append(now, log, key, value, gone, reason, a);
       if (op.seq == 0) return;
       op.epoch = world.ViewOf(i).Log(log)->owner_epoch;
       made_[log][{op.seq, op.epoch}] = op;
--- a/tests/support/folder.h
+++ b/tests/support/folder.h
@@ -44,7 +44,7 @@
   void Put(const std::string& file, const std::string& bytes) const {
     std::ofstream(folder + "/" + file, std::ios::binary) << bytes;
   }
-  std::string folder, why;
+  std::string folder, error;
   std::mutex mutex;
   std::condition_variable changed;
   std::uint64_t done = 0;
--- a/tests/support/rig.h
+++ b/tests/support/rig.h
@@ -12,8 +12,8 @@
     for (int i = 0; i < workers; ++i) this->workers.push_back(std::make_unique<ToyWorker>(&host));
     std::vector<std::string> addresses;
     for (const auto& w : this->workers) addresses.push_back(w->address());
-    std::string why;
-    EXPECT_TRUE(ReadConfig(TestConfig(addresses, extra), &config, &why)) << why;
+    std::string error;
+    EXPECT_TRUE(ReadConfig(TestConfig(addresses, extra), &config, &error)) << error;
     config.handover = handover;
     node = std::make_unique<Node>(config);
     EXPECT_TRUE(IsOk(node->Start()));
--- a/tests/support/support.cpp
+++ b/tests/support/support.cpp
@@ -27,7 +27,7 @@
 }
 
 ToyWorker::ToyWorker(Loop* loop) : loop_(loop) {
-  std::string why;
+  std::string error;
   const bool open = listener_.Open(
       loop, "127.0.0.1:0",
       [this](evutil_socket_t fd) {
@@ -46,8 +46,8 @@
         };
         clients_.push_back(std::move(client));
       },
-      &why);
-  EXPECT_TRUE(open) << why;
+      &error);
+  EXPECT_TRUE(open) << error;
 }
 
 void ToyWorker::Lines(const Got& got, const std::vector<std::string>& lines) {
