--- a/src/net/handover/succession.cpp
+++ b/src/net/handover/hot_restart.cpp
@@ -1,4 +1,4 @@
-#include "net/handover/succession.h"
+#include "net/handover/hot_restart.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -18,8 +18,9 @@
 
 namespace {
 
-constexpr int kForm = 1;         // of what goes over the link: another's is not understood
-constexpr double kClaimS = 1.5;  // the new process is to serve within 6 s, with or without the old
+constexpr int kForm = 1;  // of what goes over the link: another's is not understood
+// The new process is to serve within 6 s, with or without the old one.
+constexpr double kRequestStateS = 1.5;
 constexpr double kBeatS = 0.1;
 constexpr std::size_t kMaxTextBytes = Link::kMaxPacketBytes - 1024;  // of one packet's text
 
@@ -29,12 +30,12 @@
 
 }  // namespace
 
-Succession::~Succession() { loop_->deadlines().Drop(&beat_); }
+HotRestart::~HotRestart() { loop_->deadlines().Drop(&beat_); }
 
 // ---- the new process ----
 
-Claimed Succession::Claim(const std::function<void()>& while_waiting) {
-  Claimed got;
+InheritedState HotRestart::RequestState(const std::function<void()>& while_waiting) {
+  InheritedState got;
   auto link = Link::To(loop_, path_);
   if (link == nullptr) return got;
   link->Send(Writer(Kind::kHello).I32(kForm).Done());
@@ -72,50 +73,50 @@
         got.version = static_cast<long long>(f.U64());
         got.whole = f.Whole();
         break;
-      default:  // word for a mate: it says all that counts again
+      default:  // other kinds are for a sibling that serves: what counts is sent again
         break;
     }
     if (fd >= 0) close(fd);
   };
   if (!link->Receive(
-          take, [&got] { return got.whole; }, loop_->Now() + kClaimS, while_waiting)) {
+          take, [&got] { return got.whole; }, loop_->Now() + kRequestStateS, while_waiting)) {
     LogLine(Level::kWarn) << "the process that serves tells us nothing: starting alone";
     for (const int fd : {got.client_listener, got.gearman_listener, got.peer_socket}) {
       if (fd >= 0) close(fd);
     }
     return {};
   }
-  before_ = std::make_unique<Mate>();
-  before_->link = std::move(link);
+  predecessor_ = std::make_unique<Sibling>();
+  predecessor_->link = std::move(link);
   return got;
 }
 
-void Succession::Serve(Parts parts) {
+void HotRestart::Serve(Parts parts) {
   parts_ = std::move(parts);
-  if (before_ != nullptr) {
-    Watch(&before_);
-    before_->link->Send(Writer(Kind::kServing).Done());
-    MatesChanged();
+  if (predecessor_ != nullptr) {
+    Watch(&predecessor_);
+    predecessor_->link->Send(Writer(Kind::kServing).Done());
+    OnSiblingsChanged();
     LogLine(Level::kInfo) << "serving in place of the process before";
   }
   AwaitNext();
 }
 
-void Succession::AwaitNext() {
+void HotRestart::AwaitNext() {
   server_ = std::make_unique<Server>(loop_, [this](std::unique_ptr<Link> link) {
     // One at a time: whoever comes while another is on its way starts alone.
-    if (after_ != nullptr) return;
-    after_ = std::make_unique<Mate>();
-    after_->link = std::move(link);
-    Watch(&after_);
+    if (successor_ != nullptr) return;
+    successor_ = std::make_unique<Sibling>();
+    successor_->link = std::move(link);
+    Watch(&successor_);
   });
   if (!server_->Listen(path_)) LogLine(Level::kWarn) << "no handover: cannot listen at " << path_;
 }
 
 // ---- the old process ----
 
-void Succession::TellAll(Mate* mate) {
-  Link& link = *mate->link;
+void HotRestart::SendState(Sibling* sibling) {
+  Link& link = *sibling->link;
   const auto socket = [&link](Socket which, int fd) {
     const int copy = fd >= 0 ? fcntl(fd, F_DUPFD_CLOEXEC, 0) : -1;
     if (copy >= 0) link.Send(Writer(Kind::kSocket).U8(which).Done(), copy);
@@ -153,7 +154,7 @@
 }
 
 // The new one serves. What it now accepts we would only share with it.
-void Succession::Leave() {
+void HotRestart::Leave() {
   leaving_ = true;
   server_.reset();  // its place is taken already
   LogLine(Level::kInfo) << "another process serves: taking nothing new";
@@ -161,30 +162,30 @@
   if (parts_.gearman != nullptr) parts_.gearman->SetAccepting(false);
   parts_.front->HandOver([this](int fd, bool served, const std::string& unread) {
     const std::string frame = Writer(Kind::kClient).U8(served).Raw(unread).Done();
-    after_->link->Send(frame, fd);
+    successor_->link->Send(frame, fd);
   });
   parts_.pool->HandOver([this](const std::string& worker, double since, int fd) {
-    after_->link->Send(Writer(Kind::kIdleWorker).Text(worker).Real(since).Done(), fd);
+    successor_->link->Send(Writer(Kind::kIdleWorker).Text(worker).Real(since).Done(), fd);
   });
-  MatesChanged();
+  OnSiblingsChanged();
 }
 
 // ---- both ----
 
-void Succession::Watch(MatePtr* mate) {
-  Mate* raw = mate->get();
+void HotRestart::Watch(SiblingPtr* sibling) {
+  Sibling* raw = sibling->get();
   raw->link->Start([this, raw](Reader& f, int fd) { Heard(raw, f, fd); },
                    [this, raw] { Lost(raw); });
 }
 
-void Succession::Heard(Mate* mate, Reader& f, int fd) {
+void HotRestart::Heard(Sibling* sibling, Reader& f, int fd) {
   int unused = fd;
   switch (f.kind()) {
     case Kind::kHello:
-      if (mate == after_.get() && f.I32() == kForm && f.Whole()) TellAll(mate);
+      if (sibling == successor_.get() && f.I32() == kForm && f.Whole()) SendState(sibling);
       break;
     case Kind::kServing:
-      if (mate == after_.get() && !leaving_) Leave();
+      if (sibling == successor_.get() && !leaving_) Leave();
       break;
     case Kind::kClient: {
       const bool served = f.U8() != 0;
@@ -200,18 +201,18 @@
       parts_.pool->AdoptIdle(worker, since, std::exchange(unused, -1));
       break;
     }
-    case Kind::kMate:
+    case Kind::kPeerMessage:
       parts_.planner->OnPeerMessage(parts_.planner->settings().dispatcher_index, f.Rest());
       break;
     case Kind::kUse:
-      mate->clients = f.U64();
-      mate->workers = f.U64();
-      MatesChanged();
+      sibling->clients = f.U64();
+      sibling->workers = f.U64();
+      OnSiblingsChanged();
       break;
-    case Kind::kBan: {
+    case Kind::kMaintenance: {
       const std::string worker = f.Text();
       const bool out = f.U8() != 0;
-      if (f.Whole()) Ban(worker, out, mate);
+      if (f.Whole()) ForwardMaintenance(worker, out, sibling);
       break;
     }
     case Kind::kDown: {
@@ -230,10 +231,10 @@
   if (unused >= 0) close(unused);
 }
 
-void Succession::Lost(Mate* mate) {
-  MatePtr& slot = mate == after_.get() ? after_ : before_;
-  if (slot.get() != mate) return;
-  const bool replaced = mate == after_.get() && leaving_;
+void HotRestart::Lost(Sibling* sibling) {
+  SiblingPtr& slot = sibling == successor_.get() ? successor_ : predecessor_;
+  if (slot.get() != sibling) return;
+  const bool replaced = sibling == successor_.get() && leaving_;
   slot.reset();
   if (replaced) {  // it died before we did: we go on
     leaving_ = false;
@@ -245,58 +246,60 @@
     parts_.deserted();
     AwaitNext();
   }
-  MatesChanged();
+  OnSiblingsChanged();
 }
 
-void Succession::MatesChanged() {
+void HotRestart::OnSiblingsChanged() {
   DescriptorBudget& budget = loop_->budget();
   budget.clients_elsewhere = budget.workers_elsewhere = 0;
-  for (const Mate* m : {before_.get(), after_.get()}) {
+  for (const Sibling* m : {predecessor_.get(), successor_.get()}) {
     if (m == nullptr) continue;
     budget.clients_elsewhere += m->clients;
     budget.workers_elsewhere += m->workers;
   }
   loop_->RoomForClients();
-  const bool present = before_ != nullptr || leaving_;
-  if (std::exchange(present_, present) != present ||
-      std::exchange(told_leaving_, leaving_) != leaving_) {
+  const bool present = predecessor_ != nullptr || leaving_;
+  if (std::exchange(reported_present_, present) != present ||
+      std::exchange(reported_leaving_, leaving_) != leaving_) {
     parts_.planner->OnSiblingProcess(present, leaving_);
   }
   if (present && beat_ == Deadlines::kNone) Beat();
 }
 
 // The budget of descriptors is one for both: each says what it holds.
-void Succession::Beat() {
+void HotRestart::Beat() {
   beat_ = Deadlines::kNone;
-  if (before_ == nullptr && after_ == nullptr) return;
+  if (predecessor_ == nullptr && successor_ == nullptr) return;
   const DescriptorBudget& budget = loop_->budget();
   const std::string frame = Writer(Kind::kUse).U64(budget.clients).U64(budget.workers).Done();
-  if (frame != std::exchange(use_told_, frame)) Send(frame);
+  if (frame != std::exchange(last_use_frame_, frame)) Send(frame);
   beat_ = loop_->deadlines().At(loop_->Now() + kBeatS, [this] { Beat(); });
 }
 
-void Succession::Send(const std::string& frame, const Mate* but) {
-  if (before_ != nullptr && before_.get() != but) before_->link->Send(frame);
-  if (after_ != nullptr && after_.get() != but) after_->link->Send(frame);
+void HotRestart::Send(const std::string& frame, const Sibling* but) {
+  if (predecessor_ != nullptr && predecessor_.get() != but) predecessor_->link->Send(frame);
+  if (successor_ != nullptr && successor_.get() != but) successor_->link->Send(frame);
 }
 
-void Succession::TellMates(const std::string& body) { Send(Frame(Kind::kMate, body)); }
-void Succession::TellId(const std::string& wire_id) {
-  if (before_ != nullptr || after_ != nullptr) Send(Writer(Kind::kId).Text(wire_id).Done());
+void HotRestart::SendPeerMessage(const std::string& body) { Send(Frame(Kind::kPeerMessage, body)); }
+void HotRestart::SendWireId(const std::string& wire_id) {
+  if (predecessor_ != nullptr || successor_ != nullptr)
+    Send(Writer(Kind::kId).Text(wire_id).Done());
 }
 
-void Succession::Ban(const std::string& worker, bool out, const Mate* from) {
+void HotRestart::ForwardMaintenance(const std::string& worker, bool out, const Sibling* from) {
   if (from != nullptr) parts_.planner->SetMaintenance(worker, out);
-  Send(Writer(Kind::kBan).Text(worker).U8(out).Done(), from);
+  Send(Writer(Kind::kMaintenance).Text(worker).U8(out).Done(), from);
 }
 
-void Succession::TellDown() {
-  if (before_ == nullptr && after_ == nullptr) return;
+void HotRestart::SendWorkersDown() {
+  if (predecessor_ == nullptr && successor_ == nullptr) return;
   for (const Planner::WorkerSnapshot& k : parts_.planner->ExportWorkers()) {
-    if (k.member.readiness == Readiness::kReady || k.drain_notified_at < told_down_until_) continue;
+    if (k.member.readiness == Readiness::kReady || k.drain_notified_at < workers_down_sent_at_)
+      continue;
     Send(Writer(Kind::kDown).Put(k.member).Done());
   }
-  told_down_until_ = loop_->Now();
+  workers_down_sent_at_ = loop_->Now();
 }
 
 }  // namespace millethollow::handover
--- a/src/net/handover/succession.h
+++ b/src/net/handover/hot_restart.h
@@ -1,8 +1,8 @@
-// One node in two processes, while one replaces the other. The new process claims what the old one
-// has; once it serves, the old one takes nothing new, hands over each connection as it comes to
-// rest, and finishes what it took. Both tell each other of all that must hold for the sum.
-#ifndef MILLETHOLLOW_NET_HANDOVER_SUCCESSION_H_
-#define MILLETHOLLOW_NET_HANDOVER_SUCCESSION_H_
+// One node in two processes, while one replaces the other. The new process requests the state of
+// the old one; once it serves, the old one takes nothing new, hands over each connection as it
+// comes to rest, and finishes what it took. Both tell each other of all that must hold for the sum.
+#ifndef MILLETHOLLOW_NET_HANDOVER_HOT_RESTART_H_
+#define MILLETHOLLOW_NET_HANDOVER_HOT_RESTART_H_
 
 #include <array>
 #include <functional>
@@ -21,7 +21,7 @@
 namespace millethollow::handover {
 
 // What the new process gets before it starts.
-struct Claimed {
+struct InheritedState {
   int client_listener = -1, gearman_listener = -1, peer_socket = -1;
   std::vector<std::string> classes;
   std::vector<Planner::WorkerSnapshot> known;
@@ -32,7 +32,7 @@
   bool whole = false;
 };
 
-class Succession {
+class HotRestart {
  public:
   // The parts of this process. All but the planner, the front and the pool may be missing.
   struct Parts {
@@ -46,52 +46,54 @@
     std::function<void()> deserted;                     // the process that replaced us is gone
   };
 
-  Succession(Loop* loop, std::string path) : loop_(loop), path_(std::move(path)) {}
-  ~Succession();
-  Succession(const Succession&) = delete;
-  Succession& operator=(const Succession&) = delete;
+  HotRestart(Loop* loop, std::string path) : loop_(loop), path_(std::move(path)) {}
+  ~HotRestart();
+  HotRestart(const HotRestart&) = delete;
+  HotRestart& operator=(const HotRestart&) = delete;
 
   // From the process that serves now. Not `whole` where there is none, or it is silent or foreign:
   // then we start alone.
-  Claimed Claim(const std::function<void()>& while_waiting);
+  InheritedState RequestState(const std::function<void()>& while_waiting);
   // This process serves: the old one may leave, and the next one may come.
   void Serve(Parts parts);
 
   bool leaving() const { return leaving_; }
-  bool Flushed() const { return after_ == nullptr || after_->link->Flushed(); }
-  void TellMates(const std::string& body);
-  void TellBan(const std::string& worker, bool out) { Ban(worker, out, nullptr); }
-  void TellId(const std::string& wire_id);
-  void TellDown();  // whatever the list has brought
+  bool Flushed() const { return successor_ == nullptr || successor_->link->Flushed(); }
+  void SendPeerMessage(const std::string& body);
+  void SendMaintenance(const std::string& worker, bool out) {
+    ForwardMaintenance(worker, out, nullptr);
+  }
+  void SendWireId(const std::string& wire_id);
+  void SendWorkersDown();  // whatever the list has brought
 
  private:
-  struct Mate {
+  struct Sibling {
     std::unique_ptr<Link> link;
     std::size_t clients = 0, workers = 0;
   };
-  using MatePtr = std::unique_ptr<Mate>;
-  void Heard(Mate* mate, link::Reader& frame, int fd);
-  void Lost(Mate* mate);
-  void TellAll(Mate* mate);
+  using SiblingPtr = std::unique_ptr<Sibling>;
+  void Heard(Sibling* sibling, link::Reader& frame, int fd);
+  void Lost(Sibling* sibling);
+  void SendState(Sibling* sibling);
   void AwaitNext();
   void Leave();
-  void Ban(const std::string& worker, bool out, const Mate* from);
-  void Send(const std::string& frame, const Mate* but = nullptr);
-  void Watch(MatePtr* mate);
+  void ForwardMaintenance(const std::string& worker, bool out, const Sibling* from);
+  void Send(const std::string& frame, const Sibling* but = nullptr);
+  void Watch(SiblingPtr* sibling);
   void Beat();
-  void MatesChanged();
+  void OnSiblingsChanged();
 
   Loop* loop_;
   std::string path_;
   Parts parts_;
-  MatePtr before_, after_;
+  SiblingPtr predecessor_, successor_;
   std::unique_ptr<Server> server_;
-  std::string use_told_;
-  double told_down_until_ = 0;
-  bool leaving_ = false, present_ = false, told_leaving_ = false;
+  std::string last_use_frame_;
+  double workers_down_sent_at_ = 0;
+  bool leaving_ = false, reported_present_ = false, reported_leaving_ = false;
   Deadlines::Ticket beat_ = Deadlines::kNone;
 };
 
 }  // namespace millethollow::handover
 
-#endif  // MILLETHOLLOW_NET_HANDOVER_SUCCESSION_H_
+#endif  // MILLETHOLLOW_NET_HANDOVER_HOT_RESTART_H_
--- a/src/net/link/frame.h
+++ b/src/net/link/frame.h
@@ -34,16 +34,16 @@
   kHello = 64,  // new to old: I am here, tell me
   kSocket,      // a listening or peer socket goes with it
   kClass,
-  kKnown,  // a worker with its address, drain and ban
+  kKnown,  // a worker with its address, drain and maintenance
   kIds,
   kLearned,
-  kTold,        // that was all; the list's version
-  kServing,     // new to old: I serve
-  kClient,      // a resting connection of a client, or
-  kIdleWorker,  // of a worker, goes with it
-  kMate,        // the module's word to its other half
-  kUse,         // descriptors in use
-  kBan,
+  kTold,         // that was all; the list's version
+  kServing,      // new to old: I serve
+  kClient,       // a resting connection of a client, or
+  kIdleWorker,   // of a worker, goes with it
+  kPeerMessage,  // a planner's message to the planner of the sibling process
+  kUse,          // descriptors in use
+  kMaintenance,
   kDown,
   kId,
 };
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -31,7 +31,7 @@
   loop_.budget() = DescriptorBudget::Of(config_.sockets);
   std::uint64_t seed = config_.seed;
   if (seed == 0) seed = std::random_device{}();
-  ClaimFromPredecessor();
+  RequestStateFromPredecessor();
   if (role_.kind != Role::Kind::kPlanner) {
     if (Status started = StartForwarder(); !started) return started;
   }
@@ -52,29 +52,29 @@
 
 // ---- hot restart ----
 
-void Node::ClaimFromPredecessor() {
+void Node::RequestStateFromPredecessor() {
   // A member of a cluster is one process at a time.
   if (config_.handover.empty() || config_.cluster.on()) return;
   if (role_.kind != Role::Kind::kCombined) return;
   std::string name = config_.name + "-" + config_.listen;
   std::replace(name.begin(), name.end(), '/', '_');
-  succession_ = std::make_unique<handover::Succession>(
+  hot_restart_ = std::make_unique<handover::HotRestart>(
       &loop_, config_.handover + "/millethollow-" + name + ".sock");
-  claimed_ = succession_->Claim(while_waiting);
+  inherited_ = hot_restart_->RequestState(while_waiting);
 }
 
 void Node::ServeSuccessor() {
-  if (!succession_) return;
-  succession_->Serve({.planner = planner_.get(),
-                      .front = front_.get(),
-                      .pool = pool_.get(),
-                      .gearman = gearman_.get(),
-                      .peers = peers_.get(),
-                      .discovery = discovery_.get(),
-                      .classes = &config_.classes,
-                      .deserted = [this] {
-                        if (stopping_) front_->CloseIdle();
-                      }});
+  if (!hot_restart_) return;
+  hot_restart_->Serve({.planner = planner_.get(),
+                       .front = front_.get(),
+                       .pool = pool_.get(),
+                       .gearman = gearman_.get(),
+                       .peers = peers_.get(),
+                       .discovery = discovery_.get(),
+                       .classes = &config_.classes,
+                       .deserted = [this] {
+                         if (stopping_) front_->CloseIdle();
+                       }});
 }
 
 // ---- admin address ----
@@ -98,7 +98,7 @@
 
 bool Node::SetMaintenance(const std::string& worker, bool out) {
   if (!planner_->SetMaintenance(worker, out)) return false;
-  if (succession_) succession_->TellBan(worker, out);
+  if (hot_restart_) hot_restart_->SendMaintenance(worker, out);
   return true;
 }
 
@@ -156,10 +156,10 @@
 
 void Node::CheckStopped() {
   // With the process that replaces this one at the same address, idle connections may stay.
-  if (front_ && !(succession_ && succession_->leaving())) front_->CloseIdle();
+  if (front_ && !(hot_restart_ && hot_restart_->leaving())) front_->CloseIdle();
   const bool done = forwarder_ ? forwarder_->open() == 0 && front_->connections() == 0
                                : planner_->open_requests() == 0;
-  const bool handed_over = !succession_ || succession_->Flushed();
+  const bool handed_over = !hot_restart_ || hot_restart_->Flushed();
   const bool flushed =
       handed_over && (!gearman_ || gearman_->Flushed() || loop_.Now() > flush_until_);
   if (done && flushed) return loop_.Stop();
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -19,7 +19,7 @@
 #include "net/discovery.h"
 #include "net/forwarder.h"
 #include "net/gearman/front.h"
-#include "net/handover/succession.h"
+#include "net/handover/hot_restart.h"
 #include "net/http/client_front.h"
 #include "net/http/worker_pool.h"
 #include "net/link/link.h"
@@ -77,7 +77,7 @@
 
  private:
   // Hot restart and admin address (node.cpp).
-  void ClaimFromPredecessor();
+  void RequestStateFromPredecessor();
   void ServeSuccessor();
   Status StartAdmin();
   void SetMaintenanceEverywhere(const std::string& worker, bool out,
@@ -91,7 +91,7 @@
   Status ConnectForwarders();
   Status OpenPeers();
   void MakeDiscovery(std::uint64_t seed);
-  void ImportClaimedState();
+  void ImportInheritedState();
   void AwaitFirstList();
   void AcceptOnceListed();
   void SetAddress(const std::string& worker, const std::string& address, std::size_t max_in_flight);
@@ -136,10 +136,10 @@
   std::unique_ptr<link::PlannerClient> client_;  // to planners in other processes
 
   std::unique_ptr<admin::AdminServer> admin_;
-  std::unique_ptr<handover::Succession> succession_;
+  std::unique_ptr<handover::HotRestart> hot_restart_;
   std::unique_ptr<cluster::Member> member_;
   std::unique_ptr<cluster::PromisedJobs> promised_;  // where the member has a store
-  handover::Claimed claimed_;                        // from the process that this one replaces
+  handover::InheritedState inherited_;               // from the process that this one replaces
 
   EventPtr term_, interrupt_, usr1_, hangup_;
   std::string config_path_;
--- a/src/node/node_environment.cpp
+++ b/src/node/node_environment.cpp
@@ -20,7 +20,7 @@
 
 void NodeEnvironment::SendPeerMessage(int recipient, const std::string& body) {
   if (recipient == parts_.dispatcher_index) {  // the sibling process of a hot restart
-    if (parts_.succession != nullptr) parts_.succession->TellMates(body);
+    if (parts_.hot_restart != nullptr) parts_.hot_restart->SendPeerMessage(body);
   } else if (parts_.peers != nullptr) {
     parts_.peers->Tell(recipient, body);
   }
@@ -32,7 +32,7 @@
 }
 
 void NodeEnvironment::OnWireIdTaken(const std::string& wire_id) {
-  if (parts_.succession != nullptr) parts_.succession->TellId(wire_id);
+  if (parts_.hot_restart != nullptr) parts_.hot_restart->SendWireId(wire_id);
 }
 
 void NodeEnvironment::Log(const std::string& line) { LogLine(Level::kWarn) << line; }
--- a/src/node/node_environment.h
+++ b/src/node/node_environment.h
@@ -9,7 +9,7 @@
 #include "net/cluster/member.h"
 #include "net/cluster/promised_jobs.h"
 #include "net/discovery.h"
-#include "net/handover/succession.h"
+#include "net/handover/hot_restart.h"
 #include "net/loop.h"
 #include "net/peers.h"
 
@@ -24,7 +24,7 @@
     bool in_cluster = false;
     Discovery* discovery = nullptr;
     Peers* peers = nullptr;
-    handover::Succession* succession = nullptr;
+    handover::HotRestart* hot_restart = nullptr;
     cluster::Member* member = nullptr;
     cluster::PromisedJobs* durable_jobs = nullptr;
   };
--- a/src/node/node_forwarder.cpp
+++ b/src/node/node_forwarder.cpp
@@ -37,15 +37,15 @@
 
 Status Node::ListenForClients() {
   front_ = std::make_unique<http::ClientFront>(forwarder_.get(), ActiveNames(), &counters_);
-  if (claimed_.client_listener >= 0) {
-    if (front_->AdoptListener(claimed_.client_listener)) return {};
+  if (inherited_.client_listener >= 0) {
+    if (front_->AdoptListener(inherited_.client_listener)) return {};
     return MakeError(ErrorCode::kUnavailable, "cannot listen");
   }
   if (config_.listen.empty()) return {};
   // The address is shared with other forwarders, or with a process that this one replaces and that
   // does not respond.
   const bool shared =
-      succession_ || (role_.kind == Role::Kind::kForwarder && config_.forwarders > 1);
+      hot_restart_ || (role_.kind == Role::Kind::kForwarder && config_.forwarders > 1);
   std::string reason;
   if (!front_->Listen(config_.listen, shared, &reason)) {
     return MakeError(ErrorCode::kUnavailable, reason);
@@ -56,8 +56,8 @@
 Status Node::ListenForGearman() {
   gearman_ = std::make_unique<gearman::Front>(forwarder_.get(), config_, &counters_);
   forwarder_->AddDriver(gearman_.get());
-  if (claimed_.gearman_listener >= 0) {
-    if (gearman_->AdoptListener(claimed_.gearman_listener)) return {};
+  if (inherited_.gearman_listener >= 0) {
+    if (gearman_->AdoptListener(inherited_.gearman_listener)) return {};
     return MakeError(ErrorCode::kUnavailable, "cannot listen");
   }
   std::string reason;
--- a/src/node/node_planner.cpp
+++ b/src/node/node_planner.cpp
@@ -49,15 +49,15 @@
       !ReadServerList(config_.known, config_.zones, config_.kinds, &known, &reason)) {
     return MakeError(ErrorCode::kInvalidArgument, reason);
   }
-  if (claimed_.whole && !claimed_.list.empty()) {
-    known.entries = claimed_.list;
-    known.version = claimed_.version;
+  if (inherited_.whole && !inherited_.list.empty()) {
+    known.entries = inherited_.list;
+    known.version = inherited_.version;
   }
-  if (claimed_.whole) ImportClaimedState();
+  if (inherited_.whole) ImportInheritedState();
   for (const ListEntry& e : known.entries) SetAddress(e.member.worker, e.address, e.max_in_flight);
   if (discovery_) discovery_->SetVersion(known.version);
   // A process that replaces another has its list, which was kept current until now.
-  if (discovery_ && forwarder_ && !claimed_.whole) AwaitFirstList();
+  if (discovery_ && forwarder_ && !inherited_.whole) AwaitFirstList();
   planner_->Start(known.Members());
   if (front_) front_->SetServing(true);
   return {};
@@ -78,7 +78,7 @@
   parts.loop = &loop_;
   parts.dispatcher_index = config_.settings.dispatcher_index;
   parts.in_cluster = config_.cluster.on();
-  parts.succession = succession_.get();
+  parts.hot_restart = hot_restart_.get();
   planner_ = std::make_unique<Planner>(config_.settings, seed, &loop_.deadlines(), &environment_,
                                        &counters_, config_.scheduling);
   planner_->NameClasses(config_.classes, config_.live);
@@ -106,7 +106,7 @@
       [this](int sender, const std::string& body) { planner_->OnPeerMessage(sender, body); },
       &counters_.peers);
   std::string reason;
-  if (!peers_->Open(claimed_.peer_socket, config_.peer_listen, config_.peers, config_.peers_all,
+  if (!peers_->Open(inherited_.peer_socket, config_.peer_listen, config_.peers, config_.peers_all,
                     &reason)) {
     return MakeError(ErrorCode::kUnavailable, reason);
   }
@@ -135,10 +135,10 @@
       std::move(hooks));
 }
 
-void Node::ImportClaimedState() {
-  planner_->ImportState(claimed_.known, claimed_.learned,
-                        MapClasses(config_.classes, claimed_.classes));
-  for (const std::string& id : claimed_.ids) planner_->MarkWireIdUsed(id);
+void Node::ImportInheritedState() {
+  planner_->ImportState(inherited_.known, inherited_.learned,
+                        MapClasses(config_.classes, inherited_.classes));
+  for (const std::string& id : inherited_.ids) planner_->MarkWireIdUsed(id);
 }
 
 // ---- endpoint lists ----
@@ -172,7 +172,7 @@
     if (!member_ || e.member.readiness == balancing::Readiness::kReady) continue;
     member_->Told(e.member.worker, e.member.started_at_s, gone);
   }
-  if (succession_) succession_->TellDown();
+  if (hot_restart_) hot_restart_->SendWorkersDown();
   if (initial_list_gate_) initial_list_gate_->OnList();
   AcceptOnceListed();
 }
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -18,7 +18,7 @@
 #include "codec/quota.h"
 #include "config/config.h"
 #include "net/handover/handover.h"
-#include "net/handover/succession.h"
+#include "net/handover/hot_restart.h"
 #include "store/record_store.h"
 #include "store/vote_file.h"
 #include "support/compatibility_samples.h"
@@ -396,30 +396,30 @@
   const std::string path = folder + "/handover.sock";
   ASSERT_TRUE(server.Listen(path));
   Loop loop;
-  handover::Succession succession(&loop, path);
-  const handover::Claimed claimed = succession.Claim([&] {
+  handover::HotRestart hot_restart(&loop, path);
+  const handover::InheritedState inherited = hot_restart.RequestState([&] {
     host.deadlines().At(host.Now() + 0.001, [] {});
     host.Turn();
   });
-  ASSERT_TRUE(claimed.whole);
-  EXPECT_GE(claimed.client_listener, 0);
-  EXPECT_GE(claimed.peer_socket, 0);
-  EXPECT_EQ(claimed.gearman_listener, -1);
-  for (const int fd : {claimed.client_listener, claimed.peer_socket}) close(fd);
-  EXPECT_EQ(claimed.classes, (Lines{"consulta-plan", "cobro-envio"}));
-  ASSERT_EQ(claimed.known.size(), 2U);
-  EXPECT_EQ(claimed.known[0].member.worker, "toy-0");
-  EXPECT_LT(claimed.known[0].maintenance_since, 0);
-  EXPECT_EQ(claimed.known[1].member.worker, "toy-1");
-  EXPECT_GT(claimed.known[1].maintenance_since, 0);
-  ASSERT_EQ(claimed.list.size(), 2U);
-  EXPECT_EQ(claimed.list[0].address, "127.0.0.1:23405");
-  EXPECT_EQ(claimed.ids.size(), 30U);
-  EXPECT_EQ(claimed.version, 0);
+  ASSERT_TRUE(inherited.whole);
+  EXPECT_GE(inherited.client_listener, 0);
+  EXPECT_GE(inherited.peer_socket, 0);
+  EXPECT_EQ(inherited.gearman_listener, -1);
+  for (const int fd : {inherited.client_listener, inherited.peer_socket}) close(fd);
+  EXPECT_EQ(inherited.classes, (Lines{"consulta-plan", "cobro-envio"}));
+  ASSERT_EQ(inherited.known.size(), 2U);
+  EXPECT_EQ(inherited.known[0].member.worker, "toy-0");
+  EXPECT_LT(inherited.known[0].maintenance_since, 0);
+  EXPECT_EQ(inherited.known[1].member.worker, "toy-1");
+  EXPECT_GT(inherited.known[1].maintenance_since, 0);
+  ASSERT_EQ(inherited.list.size(), 2U);
+  EXPECT_EQ(inherited.list[0].address, "127.0.0.1:23405");
+  EXPECT_EQ(inherited.ids.size(), 30U);
+  EXPECT_EQ(inherited.version, 0);
   const Config config = HandoverConfig();
   balancing::LoadBalancer balancer(config.settings, 5);
-  ASSERT_TRUE(balancer.RestoreState(claimed.learned, {0, 1}));
-  EXPECT_EQ(balancer.SaveState(), claimed.learned);
+  ASSERT_TRUE(balancer.RestoreState(inherited.learned, {0, 1}));
+  EXPECT_EQ(balancer.SaveState(), inherited.learned);
 }
 
 TEST_F(Handover, TheOldProcessSendsWhatTheOldProgramSent) {
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -355,9 +355,9 @@
   all["handover-serving"] = Writer(Kind::kServing).Done();
   all["handover-client"] = Writer(Kind::kClient).U8(1).Raw("GET / HT").Done();
   all["handover-idle-worker"] = Writer(Kind::kIdleWorker).Text("toy-1").Real(3.5).Done();
-  all["handover-mate"] = Writer(Kind::kMate).Raw("datagram").Done();
+  all["handover-mate"] = Writer(Kind::kPeerMessage).Raw("datagram").Done();
   all["handover-use"] = Writer(Kind::kUse).U64(10).U64(20).Done();
-  all["handover-ban"] = Writer(Kind::kBan).Text("toy-1").U8(1).Done();
+  all["handover-ban"] = Writer(Kind::kMaintenance).Text("toy-1").U8(1).Done();
   all["handover-down"] = Writer(Kind::kDown).Put(SampleMember()).Done();
   all["handover-id"] = Writer(Kind::kId).Text("id-7").Done();
   return all;
