--- a/bench/scale/axis_members.cpp
+++ b/bench/scale/axis_members.cpp
@@ -44,13 +44,13 @@
 
 // Seconds until all hold the worker out; -1: not within kMaxFactS.
 double SpreadFact(World* world) {
-  const double told_at = world->now();
+  const double set_at = world->now();
   world->Say(0, kWorker, true);
-  while (world->now() < told_at + kMaxFactS) {
+  while (world->now() < set_at + kMaxFactS) {
     world->RunUntil(world->now() + kFactStepS);
     std::size_t hold = 0;
     for (std::size_t i = 0; i < world->size(); ++i) hold += world->Out(i, kWorker);
-    if (hold == world->size()) return world->now() - told_at;
+    if (hold == world->size()) return world->now() - set_at;
   }
   return -1;
 }
--- a/bench/scale/axis_tenants.cpp
+++ b/bench/scale/axis_tenants.cpp
@@ -145,7 +145,7 @@
   Reporting world(tenants, seed);
   Samples decisions, reports, hearings;
   Report loaded;
-  bool heard = false;
+  bool received = false;
   for (int round = 0; round < rounds; ++round) {
     world.TakeJobs(&decisions);
     loaded = world.MakeReport();
@@ -155,9 +155,9 @@
     const double before = world.ListenerDemandPart();
     hearings.Add(world.Hear(loaded));
     // One that hears of a peer's demand no longer takes all peers for such as itself.
-    heard = heard || Differs(world.ListenerDemandPart(), before);
+    received = received || Differs(world.ListenerDemandPart(), before);
   }
-  const bool taken = heard || world.TakesAnyLength(loaded);
+  const bool taken = received || world.TakesAnyLength(loaded);
   const Report quiet = world.MakeReport();
   const auto fits = [](const Report& report) { return report.Largest() <= kMaxPeerMessageBytes; };
   Point point;
@@ -168,7 +168,7 @@
   point.Computed("largest_datagram", "B", static_cast<double>(loaded.Largest()));
   point.Computed("fits", "yes=1", fits(loaded) ? 1 : 0);
   point.Computed("fits_quiet", "yes=1", fits(quiet) ? 1 : 0);
-  point.Computed("heard_by_peer", "yes=1", heard ? 1 : 0);
+  point.Computed("heard_by_peer", "yes=1", received ? 1 : 0);
   point.Computed("taken_if_delivered", "yes=1", taken ? 1 : 0);
   AddQuantiles("report", reports, &point);
   AddQuantiles("hear", hearings, &point);
--- a/bench/scale/axis_workers.cpp
+++ b/bench/scale/axis_workers.cpp
@@ -11,8 +11,8 @@
 namespace millethollow::scale {
 namespace {
 
-constexpr int kDirectTier = 24;   // the largest tier whose dispatchers all hear each other
-constexpr int kToldWorkers = 40;  // workers that a report names at most
+constexpr int kDirectTier = 24;       // the largest tier whose dispatchers all hear each other
+constexpr int kReportedWorkers = 40;  // workers that a report names at most
 constexpr double kJobGapS = 0.0005;
 constexpr double kReportGapS = 0.5;
 constexpr std::uint64_t kReportTimer = 1;
@@ -134,7 +134,7 @@
   std::vector<Report> reports;
   for (int peer = 1; peer < kDirectTier; ++peer) {
     BalancerFixture other(workers, peer, seed + static_cast<std::uint64_t>(peer));
-    for (int i = 0; i < kToldWorkers; ++i) other.Take();
+    for (int i = 0; i < kReportedWorkers; ++i) other.Take();
     other.Advance(kReportGapS);
     reports.push_back(other.MakeReport());
   }
@@ -143,7 +143,7 @@
 
 Point MeasureBalancer(int workers, const Effort& effort, std::uint64_t seed) {
   Point point;
-  const std::vector<Report> heard = ReportsOfPeers(workers, seed);
+  const std::vector<Report> peer_reports = ReportsOfPeers(workers, seed);
   BalancerFixture fixture(workers, 0, seed);
   Samples decisions;
   for (int i = 0; i < effort.decisions; ++i) {
@@ -156,9 +156,9 @@
   AddQuantiles("balancer_decision", decisions, &point);
   Samples reports, hearings, gaps;
   for (int i = 0; i < effort.reports; ++i) {
-    for (std::size_t peer = 0; peer < heard.size(); ++peer) {
+    for (std::size_t peer = 0; peer < peer_reports.size(); ++peer) {
       const Stopwatch watch;
-      for (const std::string& body : heard[peer].to_first_peer) {
+      for (const std::string& body : peer_reports[peer].to_first_peer) {
         fixture.Handle(balancing::PeerMessage{static_cast<int>(peer) + 1, body});
       }
       hearings.Add(watch.Nanoseconds());
--- a/src/config/haproxy.cpp
+++ b/src/config/haproxy.cpp
@@ -283,7 +283,7 @@
   Json kinds = Json::array(), classes = Json::array(), servers = Json::array();
   Json class_kind = Json::array();
   double connect_s = 5, idle_s = 60;
-  bool connect_told = false, idle_told = false;
+  bool connect_set = false, idle_set = false;
   int tries = 1;
   for (const Proxy& p : proxies_) {
     if (p.disabled || p.type == "frontend") continue;
@@ -304,16 +304,16 @@
                        {"semantics", "once"}});
     if (p.timeouts.contains("connect")) {
       const double own = time("connect", 5);
-      if (connect_told && own != connect_s) {
+      if (connect_set && own != connect_s) {
         NoteAt(p.line, "timeout connect of '" + p.name + "': the shortest of all is used");
       }
-      connect_s = connect_told ? std::min(connect_s, own) : own;
-      connect_told = true;
+      connect_s = connect_set ? std::min(connect_s, own) : own;
+      connect_set = true;
     }
     if (p.timeouts.contains("http-keep-alive")) {
       idle_s =
-          idle_told ? std::min(idle_s, time("http-keep-alive", 60)) : time("http-keep-alive", 60);
-      idle_told = true;
+          idle_set ? std::min(idle_s, time("http-keep-alive", 60)) : time("http-keep-alive", 60);
+      idle_set = true;
     }
     tries = std::max(tries, std::min(p.retries + 1, 16));
     if (p.retries + 1 > 16) NoteAt(p.line, "retries over 15");
--- a/src/copies/replicated_logs.cpp
+++ b/src/copies/replicated_logs.cpp
@@ -96,17 +96,17 @@
   const auto it = logs_.find(id);
   if (it == logs_.end()) return "none";
   const Log& log = it->second;
-  std::string told = "since=" + std::to_string(log.since) + " end=" + std::to_string(log.End()) +
+  std::string text = "since=" + std::to_string(log.since) + " end=" + std::to_string(log.End()) +
                      " stored=" + std::to_string(log.stored) + " base=" + std::to_string(log.base) +
                      " commit=" + std::to_string(log.commit);
   for (const auto& [who, peer] : log.peers) {
-    told += " " + std::to_string(who) + (peer.holder ? ":holder" : ":candidate") +
+    text += " " + std::to_string(who) + (peer.holder ? ":holder" : ":candidate") +
             (peer.met ? "" : ",not-met") + (peer.fill != 0 ? ",filling" : "") +
             ",acked=" + std::to_string(peer.acked) + ",next=" + std::to_string(peer.next);
   }
-  for (const LogReplica& h : log.wanted) told += " wants=" + std::to_string(h.id);
-  if (log.pass_to != 0) told += " pass_to=" + std::to_string(log.pass_to);
-  return told;
+  for (const LogReplica& h : log.wanted) text += " wants=" + std::to_string(h.id);
+  if (log.pass_to != 0) text += " pass_to=" + std::to_string(log.pass_to);
+  return text;
 }
 
 std::string ReplicatedLogs::EntryPrefixOf(LogId id) const {
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -341,16 +341,16 @@
   Arm();
 }
 
-void Member::Say(const std::string& worker, bool out, Heard heard) {
+void Member::SetMaintenance(const std::string& worker, bool out, ReplicatedCallback on_replicated) {
   membership::MembershipNode::Actions actions;
   const std::uint64_t number = cluster_->SetMaintenance(Now(), worker, out, &actions);
   const bool anybody = !actions.send.empty();
   Events().info("cluster worker={} out={} said-here", worker, out);
   if (number != 0 && anybody) {
     Waiting& waiting = waiting_[number];
-    waiting.heard = std::move(heard);
+    waiting.on_replicated = std::move(on_replicated);
     waiting.kept = !keeper_;
-    waiting.limit = loop_->deadlines().At(loop_->Now() + kHeardS, [this, number] {
+    waiting.limit = loop_->deadlines().At(loop_->Now() + kReplicationTimeoutS, [this, number] {
       waiting_[number].limit = Deadlines::kNone;
       GiveUp(number);
     });
@@ -365,25 +365,25 @@
     return CarryOut(&actions);
   }
   CarryOut(&actions);
-  heard(false);
+  on_replicated(false);
 }
 
 void Member::Answer(std::uint64_t number) {
   const auto it = waiting_.find(number);
   if (it == waiting_.end() || !it->second.elsewhere || !it->second.kept) return;
   loop_->deadlines().Drop(&it->second.limit);
-  const Heard heard = std::move(it->second.heard);
+  const ReplicatedCallback on_replicated = std::move(it->second.on_replicated);
   waiting_.erase(it);
-  heard(true);
+  on_replicated(true);
 }
 
 void Member::GiveUp(std::uint64_t number) {
-  const Heard heard = std::move(waiting_[number].heard);
+  const ReplicatedCallback on_replicated = std::move(waiting_[number].on_replicated);
   waiting_.erase(number);
-  heard(false);
+  on_replicated(false);
 }
 
-void Member::Told(const std::string& worker, double started_at_s, bool gone) {
+void Member::OnWorkerDown(const std::string& worker, double started_at_s, bool gone) {
   cluster_->OnDrainNotice(Now(), worker, started_at_s, gone);
   Arm();
 }
--- a/src/net/cluster/member.h
+++ b/src/net/cluster/member.h
@@ -42,10 +42,10 @@
     // By tenant, where quotas are leased: jobs per second that came in lately.
     std::function<std::vector<double>()> tenant_demand = {};
   };
-  // Of Say: whether another member has it now, and this one's disk where there is a store. False
-  // comes when nobody is there, or after kHeardS.
-  using Heard = std::function<void(bool elsewhere)>;
-  static constexpr double kHeardS = 0.7;  // a caller at the admin address waits 1 s
+  // Of SetMaintenance: whether another member has it now, and this one's disk where there is a
+  // store. False comes when nobody is there, or after kReplicationTimeoutS.
+  using ReplicatedCallback = std::function<void(bool elsewhere)>;
+  static constexpr double kReplicationTimeoutS = 0.7;  // a caller at the admin address waits 1 s
 
   // `tenants`: with their quotas, in the order of all that goes by tenant.
   Member(Loop* loop, const ClusterOptions& options, std::vector<NamedQuota> tenants,
@@ -58,9 +58,9 @@
   // Says that this process goes and gives its lease back.
   void Leave();
   // An operator took a worker out at this node, or put it back: so it is at all.
-  void Say(const std::string& worker, bool out, Heard heard);
+  void SetMaintenance(const std::string& worker, bool out, ReplicatedCallback on_replicated);
   // Discovery told this node that a worker drains or is gone.
-  void Told(const std::string& worker, double started_at_s, bool gone);
+  void OnWorkerDown(const std::string& worker, double started_at_s, bool gone);
   bool Out(const std::string& worker) const {
     return cluster_->maintenance().InMaintenance(worker);
   }
@@ -92,7 +92,7 @@
   };
 
   struct Waiting {
-    Heard heard;
+    ReplicatedCallback on_replicated;
     bool elsewhere = false, kept = false;
     Deadlines::Ticket limit = Deadlines::kNone;
   };
--- a/src/net/cluster/transport.cpp
+++ b/src/net/cluster/transport.cpp
@@ -71,7 +71,7 @@
       Limit(kIdleS);
       transport_->counters_.frames_in += 1;
       transport_->counters_.bytes_in += length;
-      transport_->heard_(rest.substr(0, length), nullptr);
+      transport_->on_frame_(rest.substr(0, length), nullptr);
       at += length;
     }
     in_.erase(0, at);
@@ -96,7 +96,8 @@
   Deadlines::Ticket limit_ = Deadlines::kNone;
 };
 
-Transport::Transport(Loop* loop, Heard heard) : loop_(loop), heard_(std::move(heard)) {}
+Transport::Transport(Loop* loop, FrameHandler on_frame)
+    : loop_(loop), on_frame_(std::move(on_frame)) {}
 
 Transport::~Transport() {
   readable_.reset();
@@ -191,7 +192,7 @@
     if (n < 0) return;
     counters_.frames_in += 1;
     counters_.bytes_in += static_cast<std::uint64_t>(n);
-    heard_({bytes, static_cast<std::size_t>(n)}, &from);
+    on_frame_({bytes, static_cast<std::size_t>(n)}, &from);
   }
 }
 
--- a/src/net/cluster/transport.h
+++ b/src/net/cluster/transport.h
@@ -30,8 +30,8 @@
 class Transport {
  public:
   // `source`: where a datagram came from; null for a stream.
-  using Heard = std::function<void(std::string_view frame, const sockaddr_in* source)>;
-  Transport(Loop* loop, Heard heard);
+  using FrameHandler = std::function<void(std::string_view frame, const sockaddr_in* source)>;
+  Transport(Loop* loop, FrameHandler on_frame);
   ~Transport();
   Transport(const Transport&) = delete;
   Transport& operator=(const Transport&) = delete;
@@ -52,7 +52,7 @@
   void Drop(Stream* stream);
 
   Loop* loop_;
-  Heard heard_;
+  FrameHandler on_frame_;
   int fd_ = -1;
   EventPtr readable_;
   Listener listener_;
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -272,7 +272,7 @@
 
 void Discovery::Answered(DiscoveryCall* call, int status, const std::string& body, bool whole) {
   if (call == old_.get()) {
-    if (status == 200) HeardFromOld(body);
+    if (status == 200) OnOldAddressAnswer(body);
     return Drop(call);
   }
   ServerList list;
@@ -318,7 +318,7 @@
 
 // From here on the new address has the last word on who is in service. But a drain that only the
 // old one told has been told to us all the same, and counts.
-void Discovery::HeardFromOld(const std::string& body) {
+void Discovery::OnOldAddressAnswer(const std::string& body) {
   ServerList list;
   std::string error;
   if (!ReadServerList(body, options_.zones, options_.kinds, &list, &error)) return;
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -75,7 +75,7 @@
   void Silent(DiscoveryCall* call);
   void Lost(DiscoveryCall* call, const char* reason);
   void Drop(DiscoveryCall* call);
-  void HeardFromOld(const std::string& body);
+  void OnOldAddressAnswer(const std::string& body);
   void KeepDown(ServerList* list);
   void RememberDown(const ServerList& list);
 
--- a/src/net/gearman/front.cpp
+++ b/src/net/gearman/front.cpp
@@ -250,7 +250,7 @@
     counters_->bad_input += 1;
     out = "ERR unknown_command Unknown+server+command\n";
   }
-  peer->Say(out);
+  peer->Send(out);
 }
 
 }  // namespace millethollow::gearman
--- a/src/net/gearman/jobs.cpp
+++ b/src/net/gearman/jobs.cpp
@@ -40,7 +40,7 @@
   const auto mapped = config_.gearman_functions.find(std::string(function));
   const auto error = [&](std::string_view code, std::string_view text) {
     counters_->bad_input += 1;
-    peer->Say(Response(Type::kError, {code, text}));
+    peer->Send(Response(Type::kError, {code, text}));
   };
   if (mapped == config_.gearman_functions.end()) {
     return error("unknown_function", "The configuration maps no such function");
@@ -65,16 +65,16 @@
     if (joins) {
       const std::shared_ptr<Job> job = same->second;
       if (!background) job->waiting.push_back(peer);
-      return peer->Say(Response(Type::kJobCreated, {job->handle}));
+      return peer->Send(Response(Type::kJobCreated, {job->handle}));
     }
     MakeRoom();
     const auto ended = finished_.find(key);
     if (ended != finished_.end()) {
       const Finished& f = ended->second;
-      peer->Say(Response(Type::kJobCreated, {f.handle}));
+      peer->Send(Response(Type::kJobCreated, {f.handle}));
       if (background) return;
-      for (const auto& [kind, part] : f.parts) peer->Say(Response(kind, {f.handle, part}));
-      return peer->Say(Response(Type::kWorkComplete, {f.handle, f.result}));
+      for (const auto& [kind, part] : f.parts) peer->Send(Response(kind, {f.handle, part}));
+      return peer->Send(Response(Type::kWorkComplete, {f.handle, f.result}));
     }
   }
   if (background && promises_ != nullptr) return SubmitPromised(peer, type, key, body);
@@ -89,16 +89,16 @@
                      ? 0
                      : forwarder_->Submit(Prepare(*job, mapped->second, body), this);
   if (job->request == 0) {
-    peer->Say(Response(Type::kJobCreated, {job->handle}));
+    peer->Send(Response(Type::kJobCreated, {job->handle}));
     if (background) return;
     if (peer->exceptions()) {
-      peer->Say(Response(Type::kWorkException, {job->handle, "refused: not taking jobs"}));
+      peer->Send(Response(Type::kWorkException, {job->handle, "refused: not taking jobs"}));
     }
-    return peer->Say(Response(Type::kWorkFail, {job->handle}));
+    return peer->Send(Response(Type::kWorkFail, {job->handle}));
   }
   Add(job, body.size());
   // Only now: a peer that takes no more bytes is closed here, and must find its job to leave it.
-  peer->Say(Response(Type::kJobCreated, {job->handle}));
+  peer->Send(Response(Type::kJobCreated, {job->handle}));
 }
 
 void Front::Add(const std::shared_ptr<Job>& job, std::size_t bytes) {
@@ -155,11 +155,11 @@
                                          double retry_after_s) {
         const auto there = peers_.find(peer);
         if (there == peers_.end() || peer->cell() != cell || peer->closed()) return;
-        if (refusal.empty()) return peer->Say(Response(Type::kJobCreated, {handle}));
+        if (refusal.empty()) return peer->Send(Response(Type::kJobCreated, {handle}));
         char text[96];
         std::snprintf(text, sizeof text, "%.*s: try again after %.1f s",
                       static_cast<int>(refusal.size()), refusal.data(), retry_after_s);
-        peer->Say(Response(Type::kError, {"not_promised", text}));
+        peer->Send(Response(Type::kError, {"not_promised", text}));
       });
 }
 
@@ -200,7 +200,7 @@
   const auto job = FindHandle(handle);
   if (job == nullptr || job->promise.empty()) return;
   for (Peer* peer : std::vector<Peer*>(job->waiting)) {
-    peer->Say(Response(Type::kWorkFail, {job->handle}));
+    peer->Send(Response(Type::kWorkFail, {job->handle}));
   }
   const RequestId id = job->request;
   Forget(job);
@@ -240,7 +240,7 @@
 }
 
 void Front::Tell(const Job& job, const std::string& packet) {
-  for (Peer* peer : std::vector<Peer*>(job.waiting)) peer->Say(packet);
+  for (Peer* peer : std::vector<Peer*>(job.waiting)) peer->Send(packet);
 }
 
 void Front::OnAttemptStarted(RequestId id) {
@@ -275,8 +275,8 @@
       exception = text;
     }
     for (Peer* peer : std::vector<Peer*>(job->waiting)) {
-      if (peer->exceptions()) peer->Say(Response(Type::kWorkException, {job->handle, exception}));
-      peer->Say(Response(Type::kWorkFail, {job->handle}));
+      if (peer->exceptions()) peer->Send(Response(Type::kWorkException, {job->handle, exception}));
+      peer->Send(Response(Type::kWorkFail, {job->handle}));
     }
   }
   if (job->background) LogLine(Level::kInfo) << "background job " << job->handle << ' ' << how;
--- a/src/net/gearman/peer.h
+++ b/src/net/gearman/peer.h
@@ -63,7 +63,7 @@
   const std::deque<Task>& queue() const { return queue_; }
   const std::map<std::string, Task, std::less<>>& running() const { return assigned_; }
 
-  void Say(const std::string& packet) {
+  void Send(const std::string& packet) {
     if (closed()) return;
     Write(packet);
     if (Unsent() > kMaxUnsentBytes) Finish("reads-too-slowly");
@@ -76,7 +76,7 @@
     queue_.insert(at, std::move(task));
     if (sleeping_) {
       sleeping_ = false;
-      Say(Response(Type::kNoop, {}));
+      Send(Response(Type::kNoop, {}));
     }
   }
 
@@ -168,7 +168,7 @@
   void OnEnd(const char* reason) override { Finish(reason); }
 
   void Error(std::string_view code, std::string_view text) {
-    Say(Response(Type::kError, {code, text}));
+    Send(Response(Type::kError, {code, text}));
   }
 
   bool Handle(const Message& m) {
@@ -197,11 +197,11 @@
           Error("unknown_option", "Only 'exceptions' is known");
         } else {
           exceptions_ = true;
-          Say(Response(Type::kOptionRes, {data}));
+          Send(Response(Type::kOptionRes, {data}));
         }
         return true;
       case Type::kEchoReq:
-        Say(Response(Type::kEchoRes, {data}));
+        Send(Response(Type::kEchoRes, {data}));
         return true;
       case Type::kSetClientId:
         if (data.empty() || data.size() > kMaxNameBytes) return false;
@@ -231,7 +231,7 @@
         return true;
       case Type::kPreSleep:
         sleeping_ = queue_.empty();
-        if (!sleeping_) Say(Response(Type::kNoop, {}));
+        if (!sleeping_) Send(Response(Type::kNoop, {}));
         return true;
       case Type::kGrabJob:
       case Type::kGrabJobUniq:
@@ -269,9 +269,9 @@
     const std::string_view den = job ? std::string_view(job->denominator) : "0";
     if (by_unique) {
       const std::string count = std::to_string(job ? job->waiting.size() : 0);
-      Say(Response(Type::kStatusResUnique, {data, known, runs, num, den, count}));
+      Send(Response(Type::kStatusResUnique, {data, known, runs, num, den, count}));
     } else {
-      Say(Response(Type::kStatusRes, {data, known, runs, num, den}));
+      Send(Response(Type::kStatusRes, {data, known, runs, num, den}));
     }
     return true;
   }
@@ -283,22 +283,22 @@
   }
 
   void Grab(Type how) {
-    if (queue_.empty()) return Say(Response(Type::kNoJob, {}));
+    if (queue_.empty()) return Send(Response(Type::kNoJob, {}));
     Task task = std::move(queue_.front());
     queue_.pop_front();
     // Another process may act for what it was promised to by now: this one does not know, or not
     // yet.
     if (!task.promise.empty() && !front_->promises_->MayAct(task.promise)) {
-      Say(Response(Type::kNoJob, {}));
+      Send(Response(Type::kNoJob, {}));
       return End(task, AttemptStatus::kNotSent);
     }
     const std::string handle = task.handle;
     assign_unsent_ = true;
     last_assigned_ = handle;
     if (how == Type::kGrabJobUniq) {
-      Say(Response(Type::kJobAssignUniq, {handle, task.function, task.unique, task.body}));
+      Send(Response(Type::kJobAssignUniq, {handle, task.function, task.unique, task.body}));
     } else {
-      Say(Response(Type::kJobAssign, {handle, task.function, task.body}));
+      Send(Response(Type::kJobAssign, {handle, task.function, task.body}));
     }
     if (closed()) {  // it could not take any more bytes: this one was never sent
       return front_->forwarder_->OnAttemptEnded(task.request, task.attempt,
--- a/src/net/handover/hot_restart.cpp
+++ b/src/net/handover/hot_restart.cpp
@@ -69,7 +69,7 @@
       case Kind::kLearned:
         got.learned += f.Rest();
         break;
-      case Kind::kTold:
+      case Kind::kStateEnd:
         got.version = static_cast<long long>(f.U64());
         got.whole = f.Whole();
         break;
@@ -150,7 +150,7 @@
     link.Send(Frame(Kind::kLearned, learned.substr(at, kMaxTextBytes)));
   }
   const long long version = parts_.discovery != nullptr ? parts_.discovery->version() : 0;
-  link.Send(Writer(Kind::kTold).U64(static_cast<std::uint64_t>(version)).Done());
+  link.Send(Writer(Kind::kStateEnd).U64(static_cast<std::uint64_t>(version)).Done());
 }
 
 // The new one serves. What it now accepts we would only share with it.
@@ -174,11 +174,11 @@
 
 void HotRestart::Watch(SiblingPtr* sibling) {
   Sibling* raw = sibling->get();
-  raw->link->Start([this, raw](Reader& f, int fd) { Heard(raw, f, fd); },
+  raw->link->Start([this, raw](Reader& f, int fd) { OnFrame(raw, f, fd); },
                    [this, raw] { Lost(raw); });
 }
 
-void HotRestart::Heard(Sibling* sibling, Reader& f, int fd) {
+void HotRestart::OnFrame(Sibling* sibling, Reader& f, int fd) {
   int unused = fd;
   switch (f.kind()) {
     case Kind::kHello:
--- a/src/net/handover/hot_restart.h
+++ b/src/net/handover/hot_restart.h
@@ -72,7 +72,7 @@
     std::size_t clients = 0, workers = 0;
   };
   using SiblingPtr = std::unique_ptr<Sibling>;
-  void Heard(Sibling* sibling, link::Reader& frame, int fd);
+  void OnFrame(Sibling* sibling, link::Reader& frame, int fd);
   void Lost(Sibling* sibling);
   void SendState(Sibling* sibling);
   void AwaitNext();
--- a/src/net/link/frame.h
+++ b/src/net/link/frame.h
@@ -37,7 +37,7 @@
   kKnown,  // a worker with its address, drain and maintenance
   kIds,
   kLearned,
-  kTold,         // that was all; the list's version
+  kStateEnd,     // end of the state; the list's version
   kServing,      // new to old: I serve
   kClient,       // a resting connection of a client, or
   kIdleWorker,   // of a worker, goes with it
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -107,7 +107,7 @@
     } else if (static_cast<std::size_t>(length) > kMaxMessageBytes) {
       counters_->unreadable += 1;
     } else {
-      heard_(sender, std::string(bytes, static_cast<std::size_t>(length)));
+      on_message_(sender, std::string(bytes, static_cast<std::size_t>(length)));
     }
   }
 }
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -15,10 +15,10 @@
 
 class Peers {
  public:
-  using Heard = std::function<void(int sender, const std::string& body)>;
+  using MessageHandler = std::function<void(int sender, const std::string& body)>;
   static constexpr std::size_t kMaxMessageBytes = balancing::kMaxPeerMessageBytes;
-  Peers(Loop* loop, Heard heard, PeerCounters* counters)
-      : loop_(loop), heard_(std::move(heard)), counters_(counters) {}
+  Peers(Loop* loop, MessageHandler on_message, PeerCounters* counters)
+      : loop_(loop), on_message_(std::move(on_message)), counters_(counters) {}
   ~Peers();
   Peers(const Peers&) = delete;
   Peers& operator=(const Peers&) = delete;
@@ -36,7 +36,7 @@
   void Receive();
   int SenderAt(const sockaddr_in& address) const;  // -1: none of the peers
   Loop* loop_;
-  Heard heard_;
+  MessageHandler on_message_;
   PeerCounters* counters_;
   int fd_ = -1;
   EventPtr readable_;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -106,7 +106,7 @@
                                     admin::AdminServer::Hooks::Answer answer) {
   if (!SetMaintenance(worker, out)) return answer(404, "no such worker\n");
   if (!member_) return answer(200, "done\n");
-  member_->Say(worker, out, [answer = std::move(answer)](bool elsewhere) {
+  member_->SetMaintenance(worker, out, [answer = std::move(answer)](bool elsewhere) {
     answer(200, elsewhere ? "done\n" : "done here; not yet on disk here and at another member\n");
   });
 }
--- a/src/node/node_planner.cpp
+++ b/src/node/node_planner.cpp
@@ -170,7 +170,7 @@
   for (const ListEntry& e : list.entries) {
     const bool gone = e.member.readiness == balancing::Readiness::kGone;
     if (!member_ || e.member.readiness == balancing::Readiness::kReady) continue;
-    member_->Told(e.member.worker, e.member.started_at_s, gone);
+    member_->OnWorkerDown(e.member.worker, e.member.started_at_s, gone);
   }
   if (hot_restart_) hot_restart_->SendWorkersDown();
   if (initial_list_gate_) initial_list_gate_->OnList();
--- a/tests/cluster/days_test.cpp
+++ b/tests/cluster/days_test.cpp
@@ -36,7 +36,7 @@
       Fault();
       Serve([] { return false; }, 0.2 + 1.3 * faults_.Unit());
     }
-    Say("heal all");
+    Record("heal all");
     rig_.Heal();
     for (std::size_t i = 0; i < members_; ++i) {
       rig_.Continue(i);
@@ -48,7 +48,7 @@
     };
     if (!Serve(together, 60)) Wrong("they don't come together");
     asks_ = false;
-    if (!Serve([this] { return history_.AllTold() && jobs_.AllTold(); }, 15))
+    if (!Serve([this] { return history_.AllTold() && jobs_.AllAnswered(); }, 15))
       Wrong("a client was told nothing");
     double look_at = 0;
     const auto done = [&] {
@@ -65,7 +65,7 @@
   const std::string& script() const { return script_; }
   std::size_t asked() const { return history_.asked(); }
   std::size_t promised() const { return jobs_.promised(); }
-  std::string Told() {
+  std::string Describe() {
     std::string all;
     for (std::size_t i = 0; i < members_; ++i) {
       all += Cluster::Name(i) + ": " + rig_.polled(i).told.dump() + "\n" + rig_.LogOf(i);
@@ -78,7 +78,9 @@
   static constexpr double kAskS = 0.04;
 
   void Wrong(const std::string& what) { wrong_ += "\n" + what; }
-  void Say(const std::string& what) { script_ += std::to_string(rig_.now()) + " " + what + "\n"; }
+  void Record(const std::string& what) {
+    script_ += std::to_string(rig_.now()) + " " + what + "\n";
+  }
   // Time passes, with clients.
   template <typename Done>
   bool Serve(Done done, double timeout_s) {
@@ -128,41 +130,41 @@
     const std::string one = Cluster::Name(a), pair = one + Cluster::Name(b);
     switch (faults_.Below(14)) {
       case 0:
-        Say("kill " + one);
+        Record("kill " + one);
         return rig_.Kill(a);
       case 1:
         if (!OthersRemember(a) || !CopiesElsewhere()) return;
         taken_at_ = rig_.now();
-        Say("kill, without its folder " + one);
+        Record("kill, without its folder " + one);
         rig_.Kill(a);
         return rig_.TakeFolder(a);
       case 2:
-        Say("terminate " + one);
+        Record("terminate " + one);
         return rig_.Terminate(a);
       case 3:
-        Say("stop " + one);
+        Record("stop " + one);
         return rig_.Stop(a);
       case 4: {
         std::vector<int> group;
-        std::string told;
+        std::string members;
         for (std::size_t i = 0; i < members_; ++i) {
           group.push_back(static_cast<int>(faults_.Below(2)));
-          told += std::to_string(group.back());
+          members += std::to_string(group.back());
         }
-        Say("split " + told);
+        Record("split " + members);
         return rig_.Split(group);
       }
       case 5:
-        Say("cut one way " + pair);
+        Record("cut one way " + pair);
         rig_.link(a, b).cut = true;
         return;
       case 6:
-        Say("lose, double, reorder, garble");
+        Record("lose, double, reorder, garble");
         return rig_.EachLink([](LinkFaults* l) {
           l->loss = 0.15, l->doubled = 0.1, l->jitter_s = 0.02, l->garbled = 0.02;
         });
       case 7:
-        Say("late, throttled, reset " + pair);
+        Record("late, throttled, reset " + pair);
         rig_.link(a, b).delay_s = 0.15;
         rig_.link(a, b).bytes_per_s = 2000;
         rig_.link(b, a).reset_streams = true;
@@ -171,20 +173,20 @@
         const std::string w = "w" + std::to_string(1 + faults_.Below(kWorkers - 1));
         const bool out = faults_.Below(2) == 0;
         if (!rig_.Serves(a)) return;
-        Say(w + (out ? " out at " : " back at ") + one);
+        Record(w + (out ? " out at " : " back at ") + one);
         rig_.Ask(a, "PUT /workers/" + w + (out ? "/maint" : "/ready"));
         return;
       }
       case 9:
       case 10:
-        Say("continue and start");
+        Record("continue and start");
         for (std::size_t i = 0; i < members_; ++i) {
           rig_.Continue(i);
           rig_.Start(i);
         }
         return;
       default:
-        Say("heal");
+        Record("heal");
         rig_.Heal();
     }
   }
@@ -205,7 +207,7 @@
   std::size_t asked = 0, promised = 0;
   for (std::uint64_t seed = from; seed < from + count; ++seed) {
     ProcessDay day(seed, days == 0 ? 6 : 25);
-    EXPECT_EQ(day.wrong(), "") << "seed " << seed << "\n" << day.script() << day.Told();
+    EXPECT_EQ(day.wrong(), "") << "seed " << seed << "\n" << day.script() << day.Describe();
     asked += day.asked();
     promised += day.promised();
   }
--- a/tests/cluster/jobs_test.cpp
+++ b/tests/cluster/jobs_test.cpp
@@ -28,16 +28,16 @@
       };
     }
     rig->StartAll();
-    ASSERT_TRUE(rig->Until([&] { return rig->Whole() && Ready(copies); }, 30)) << Told();
+    ASSERT_TRUE(rig->Until([&] { return rig->Whole() && Ready(copies); }, 30)) << Describe();
   }
   void TearDown() override {
     if (!rig) return;
     EXPECT_EQ(rig->broken(), std::vector<std::string>{});
-    if (HasFailure()) std::printf("%s\n", Told().c_str());
+    if (HasFailure()) std::printf("%s\n", Describe().c_str());
     jobs.reset();
     rig.reset();
   }
-  std::string Told() {
+  std::string Describe() {
     std::string all;
     for (std::size_t i = 0; i < rig->size(); ++i) {
       all += Cluster::Name(i) + ": " + rig->polled(i).told.dump() + "\n" + rig->LogOf(i);
@@ -63,14 +63,14 @@
   // So many jobs to one node, and what it says to them.
   void Submit(std::size_t node, std::size_t count) {
     for (std::size_t n = 0; n < count; ++n) jobs->Submit(node, n % 2 == 0);
-    EXPECT_TRUE(rig->Until([&] { return jobs->Gather(), jobs->AllTold(); }, 15));
+    EXPECT_TRUE(rig->Until([&] { return jobs->Gather(), jobs->AllAnswered(); }, 15));
   }
   void AllDone(double timeout_s = 30) {
     double ask_at = 0;
     EXPECT_TRUE(rig->Until(
         [&] {
           jobs->Gather();
-          if (!jobs->AllTold() || rig->now() < ask_at) return false;
+          if (!jobs->AllAnswered() || rig->now() < ask_at) return false;
           ask_at = rig->now() + 0.3;
           return jobs->Held() == 0 && jobs->Wrong().empty();
         },
@@ -168,7 +168,7 @@
   Submit(0, 2);
   EXPECT_EQ(jobs->promised(), 0U);
   EXPECT_EQ(jobs->refusal(0), "no majority, or not ready yet: try again after 1.0 s");
-  EXPECT_LT(jobs->told_s(0), 0.5);
+  EXPECT_LT(jobs->latency_s(0), 0.5);
   rig->StartAll();
   ASSERT_TRUE(rig->Until([&] { return rig->Whole() && Ready(3); }, 30));
   Submit(0, 2);
@@ -181,7 +181,7 @@
   rig->shim(1).slow_syncs_ms = 200;
   Submit(0, 6);
   EXPECT_EQ(jobs->promised(), 6U);
-  EXPECT_GT(jobs->told_s(0), 0.15) << "answered before the slow disk had it";
+  EXPECT_GT(jobs->latency_s(0), 0.15) << "answered before the slow disk had it";
   rig->shim(1).slow_syncs_ms = 0;
   hold = true;
   Submit(0, 10);
@@ -243,7 +243,7 @@
         while (asked.size() < open && sent < count) {
           ++sent;
           asked.push_back(rig->now());
-          peer.Say(gearman::Type::kSubmitJobBg, {"look", "", std::string(200, 'x')});
+          peer.Send(gearman::Type::kSubmitJobBg, {"look", "", std::string(200, 'x')});
         }
       };
       peer.act = [&](const gearman::Message& m) {
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -19,22 +19,22 @@
   void Begin(const Cluster::Options& options = {}) {
     rig = std::make_unique<Cluster>(options);
     rig->StartAll();
-    ASSERT_TRUE(rig->Until([&] { return rig->Whole(); }, 20)) << Told();
+    ASSERT_TRUE(rig->Until([&] { return rig->Whole(); }, 20)) << Describe();
   }
   void TearDown() override {
     if (!rig) return;
     EXPECT_EQ(rig->broken(), std::vector<std::string>{});
-    if (HasFailure()) std::printf("%s\n", Told().c_str());
+    if (HasFailure()) std::printf("%s\n", Describe().c_str());
     rig.reset();
   }
-  std::string Told() {
+  std::string Describe() {
     std::string all;
     for (std::size_t i = 0; i < rig->size(); ++i) {
       all += Cluster::Name(i) + ": " + rig->polled(i).told.dump() + "\n" + rig->LogOf(i);
     }
     return all;
   }
-  bool AllSay(std::size_t of, const std::string& state, const std::vector<std::size_t>& at) {
+  bool AllReport(std::size_t of, const std::string& state, const std::vector<std::size_t>& at) {
     return std::all_of(at.begin(), at.end(),
                        [&](std::size_t i) { return rig->StateAt(i, of) == state; });
   }
@@ -50,7 +50,7 @@
   Begin();
   rig->Kill(4);
   const double at = rig->now();
-  EXPECT_TRUE(rig->Until([&] { return AllSay(4, "failed", {0, 1, 2, 3}); }, 5));
+  EXPECT_TRUE(rig->Until([&] { return AllReport(4, "failed", {0, 1, 2, 3}); }, 5));
   EXPECT_LT(rig->now() - at, 3.0);
   EXPECT_TRUE(rig->Until([&] { return rig->Whole(); }, 10)) << "a view without it";
   rig->Start(4);
@@ -105,7 +105,7 @@
 TEST_F(Nodes, OneThatHearsButCannotSpeakLosesItsLeaseAndItsPlace) {
   Begin({.members = 4, .voters = 3, .seed = 6});
   for (std::size_t to = 0; to < 3; ++to) rig->link(3, to).cut = true;
-  EXPECT_TRUE(rig->Until([&] { return AllSay(3, "failed", {0, 1, 2}); }, 5));
+  EXPECT_TRUE(rig->Until([&] { return AllReport(3, "failed", {0, 1, 2}); }, 5));
   EXPECT_TRUE(rig->Until([&] { return !rig->Leased(3); }, 6));
   EXPECT_TRUE(rig->Until([&] { return !rig->polled(0).told["members"][3]["in_view"]; }, 10));
   rig->Heal();
@@ -115,7 +115,7 @@
 TEST_F(Nodes, OneThatSpeaksButCannotHearLosesItsLeaseAndItsPlace) {
   Begin({.members = 4, .voters = 3, .seed = 17});
   for (std::size_t from = 0; from < 3; ++from) rig->link(from, 3).cut = true;
-  EXPECT_TRUE(rig->Until([&] { return AllSay(3, "failed", {0, 1, 2}); }, 5));
+  EXPECT_TRUE(rig->Until([&] { return AllReport(3, "failed", {0, 1, 2}); }, 5));
   EXPECT_TRUE(rig->Until([&] { return !rig->Leased(3); }, 6));
   EXPECT_TRUE(rig->Until([&] { return !rig->polled(0).told["members"][3]["in_view"]; }, 10))
       << "its renewals come, and no answer reaches it";
@@ -265,7 +265,7 @@
     rig->Inject(0, noise);
     if (i % 50 == 0) rig->For(0.005);
   }
-  for (const std::string& old : rig->Overheard()) rig->Inject(0, old);
+  for (const std::string& old : rig->Captured()) rig->Inject(0, old);
   rig->Inject(0, cluster::Encode({.cluster = 7, .from = 7, .process_incarnation = 7, .number = 1},
                                  membership::SwimMessage{}));
   rig->For(Span(3, 30));
@@ -280,7 +280,7 @@
 TEST_F(Nodes, OneThatLeavesIsNotSuspected) {
   Begin({.members = 4, .voters = 3, .seed = 14});
   rig->Terminate(3);
-  EXPECT_TRUE(rig->Until([&] { return AllSay(3, "left", {0, 1, 2}); }, 3));
+  EXPECT_TRUE(rig->Until([&] { return AllReport(3, "left", {0, 1, 2}); }, 3));
   EXPECT_TRUE(rig->Until([&] { return !rig->Running(3); }, 5));
   EXPECT_EQ(rig->ExitCode(3), 0);
   EXPECT_EQ(AllFailedCalls(), 0U);
--- a/tests/cluster/quota_test.cpp
+++ b/tests/cluster/quota_test.cpp
@@ -173,7 +173,7 @@
       rig->worker(w).act = [this](const ToyWorker::Got& got) { Serve(got); };
     }
     rig->StartAll();
-    ASSERT_TRUE(rig->Until([&] { return rig->Whole(); }, 20)) << Told();
+    ASSERT_TRUE(rig->Until([&] { return rig->Whole(); }, 20)) << Describe();
     load = std::make_unique<Load>(rig.get());
   }
   // Each request finds its first worker full, so that the fleet counts as full, and is served by
@@ -187,11 +187,11 @@
   void TearDown() override {
     if (!rig) return;
     EXPECT_EQ(rig->broken(), std::vector<std::string>{});
-    if (HasFailure()) std::printf("%s\n", Told().c_str());
+    if (HasFailure()) std::printf("%s\n", Describe().c_str());
     load.reset();
     rig.reset();
   }
-  std::string Told() {
+  std::string Describe() {
     std::string all;
     for (std::size_t i = 0; i < rig->size(); ++i) {
       all += Cluster::Name(i) + ": " + rig->polled(i).told.dump() + "\n" + rig->LogOf(i);
--- a/tests/cluster/restart_test.cpp
+++ b/tests/cluster/restart_test.cpp
@@ -24,14 +24,15 @@
  public:
   double down_until = 0, service_s = 0.1;
   static constexpr double kPatienceS = 2.0;
-  struct Told {
+  struct ProcessRecord {
     double first_list_at = -1, last_answer_at = -1, drain_at = -1;  // the drain: told, by any rule
   };
-  std::vector<Told> told;
+  std::vector<ProcessRecord> records;
   double drain_at = -1;
   int calls = 0, failed = 0;
 
-  Discovery(Loop* loop, std::size_t processes) : told(processes), loop_(loop), lines_(processes) {
+  Discovery(Loop* loop, std::size_t processes)
+      : records(processes), loop_(loop), lines_(processes) {
     for (std::size_t p = 0; p < processes; ++p) {
       lines_[p].port = FreePort();
       std::string error;
@@ -46,12 +47,12 @@
   void Drain() {
     drain_at = loop_->Now();
     version_ = 2;
-    for (auto& process : told) {
+    for (auto& process : records) {
       if (drain_at - process.last_answer_at <= 0.2) process.drain_at = drain_at;
     }
     for (Call& call : std::exchange(waiting_, {})) Answer(call);
   }
-  void Restarted(std::size_t p) { told[p] = {}; }
+  void Restarted(std::size_t p) { records[p] = {}; }
 
  private:
   struct Client {
@@ -107,7 +108,7 @@
   }
   void Answer(const Call& call) {
     if (call.client->raw->ended) return;
-    Told& t = told[call.process];
+    ProcessRecord& t = records[call.process];
     t.last_answer_at = loop_->Now();
     if (t.first_list_at < 0) t.first_list_at = loop_->Now();
     if (version_ == 2 && t.drain_at < 0) t.drain_at = loop_->Now();
@@ -275,11 +276,11 @@
   EXPECT_LT(took[kProcesses * 9 / 10], 10.0);
   std::size_t before = 0;
   for (const auto& [at, process] : reached) {
-    const Discovery::Told& t = discovery.told[process];
-    double told = discovery.drain_at + 6;
-    if (t.drain_at >= 0) told = std::min(told, t.drain_at);
-    if (t.first_list_at < 0) told = std::max(discovery.drain_at, again);
-    EXPECT_LT(at - discovery.drain_at, told - discovery.drain_at + 2.05)
+    const Discovery::ProcessRecord& t = discovery.records[process];
+    double notified_by = discovery.drain_at + 6;
+    if (t.drain_at >= 0) notified_by = std::min(notified_by, t.drain_at);
+    if (t.first_list_at < 0) notified_by = std::max(discovery.drain_at, again);
+    EXPECT_LT(at - discovery.drain_at, notified_by - discovery.drain_at + 2.05)
         << "process " << process << ", its first list " << t.first_list_at - discovery.drain_at
         << " and word of the drain " << t.drain_at - discovery.drain_at
         << " after the drain, started " << processes[process].started_at - discovery.drain_at;
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -440,7 +440,7 @@
         if (fd >= 0) close(fd);
         sent.emplace_back(frame.kind(), frame.Rest());
       },
-      [&] { return !sent.empty() && sent.back().first == link::Kind::kTold; }, loop.Now() + 5,
+      [&] { return !sent.empty() && sent.back().first == link::Kind::kStateEnd; }, loop.Now() + 5,
       [&] {
         node.loop().deadlines().At(node.loop().Now() + 0.001, [] {});
         node.loop().Turn();
--- a/tests/crowded_discovery_test.cpp
+++ b/tests/crowded_discovery_test.cpp
@@ -92,7 +92,7 @@
 // A tier and its discovery; for each change, when each node heard of it.
 struct CrowdedTier {
   CrowdedTier(std::size_t nodes, double service_s, std::size_t max_waiting)
-      : discovery(&loop, service_s, max_waiting), heard(nodes) {
+      : discovery(&loop, service_s, max_waiting), versions(nodes) {
     LogLevel() = Level::kError;
     for (std::size_t node = 0; node < nodes; ++node) {
       Discovery::Options options{
@@ -100,7 +100,7 @@
       options.seed = 7919 * (node + 1);
       options.nodes = static_cast<int>(nodes);
       const auto known = [this, node](balancing::EndpointListKind, const ServerList& list) {
-        heard[node] = std::max(heard[node], list.version);
+        versions[node] = std::max(versions[node], list.version);
       };
       clients.push_back(std::make_unique<Discovery>(
           &loop, options, Discovery::Hooks{.known = known, .unavailable = [] {}}));
@@ -108,13 +108,14 @@
       clients.back()->Subscribe(true);
     }
   }
-  bool AllHeard(long long version) const {
-    return std::all_of(heard.begin(), heard.end(), [&](long long had) { return had >= version; });
+  bool AllReceived(long long version) const {
+    return std::all_of(versions.begin(), versions.end(),
+                       [&](long long had) { return had >= version; });
   }
 
   Loop loop;
   SerialDiscovery discovery;
-  std::vector<long long> heard;  // by node: the newest version
+  std::vector<long long> versions;  // by node: the newest version
   std::vector<std::unique_ptr<Discovery>> clients;
 };
 
@@ -122,7 +123,7 @@
 // change once cost every node a new watch: discovery turned away most calls, and a node went on by
 // a list of 24 s before, sending to servers that had ended.
 TEST(CrowdedDiscovery, EachNodeHearsOfEachChangeInTime) {
-  constexpr double kToldS = 6, kGraceS = 2;
+  constexpr double kNotifiedS = 6, kGraceS = 2;
   CrowdedTier tier(32, 0.23, 13);
   const double began = tier.loop.Now();
   double changed_at = 0;
@@ -133,19 +134,20 @@
     changed_at = tier.loop.Now();
   }
   ASSERT_TRUE(TurnUntil(
-      tier.loop, [&] { return tier.AllHeard(4); }, kToldS + kGraceS))
-      << std::count_if(tier.heard.begin(), tier.heard.end(), [](long long had) { return had < 4; })
+      tier.loop, [&] { return tier.AllReceived(4); }, kNotifiedS + kGraceS))
+      << std::count_if(tier.versions.begin(), tier.versions.end(),
+                       [](long long had) { return had < 4; })
       << " nodes have not heard of it";
   // All have a watch now. What changes next all hear at once, and nobody is turned away.
   const std::size_t turned_away = tier.discovery.turned_away();
   for (long long version = 5; version <= 7; ++version) {
     tier.discovery.Change();
     ASSERT_TRUE(TurnUntil(
-        tier.loop, [&] { return tier.AllHeard(version); }, 1.0))
+        tier.loop, [&] { return tier.AllReceived(version); }, 1.0))
         << version;
   }
   EXPECT_EQ(tier.discovery.turned_away(), turned_away);
-  EXPECT_LT(tier.loop.Now() - changed_at, kToldS + kGraceS);
+  EXPECT_LT(tier.loop.Now() - changed_at, kNotifiedS + kGraceS);
 }
 
 }  // namespace
--- a/tests/durable_job_queue_test.cpp
+++ b/tests/durable_job_queue_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 struct JobFaults {  // planted
-  bool told_before_kept = false, sent_before_written = false, end_not_written = false;
+  bool answered_before_kept = false, sent_before_written = false, end_not_written = false;
 };
 
 class JobDay {
@@ -101,7 +101,8 @@
                     return copies_.Put(i, log, "none", "", true, error);
                   const SequenceNumber seq = copies_.Put(i, log, key, value, gone, error);
                   if (gone && seq != 0) truth_[key].end_made = true;
-                  if (planted_.told_before_kept && !gone && seq != 0) truth_[key].promised = true;
+                  if (planted_.answered_before_kept && !gone && seq != 0)
+                    truth_[key].promised = true;
                   return seq;
                 },
             .may_act = [this, i](LogId log) { return copies_.Acts(i, log); },
@@ -232,7 +233,7 @@
 
 TEST(JobDays, FindPlantedFaults) {
   const JobFaults planted[] = {
-      {.told_before_kept = true}, {.sent_before_written = true}, {.end_not_written = true}};
+      {.answered_before_kept = true}, {.sent_before_written = true}, {.end_not_written = true}};
   for (const JobFaults& fault : planted) {
     EXPECT_NE(FirstSeed(200, [&](std::uint64_t seed) { return JobDay(seed, fault).broken(); }), 0U);
   }
--- a/tests/idempotency_keys_test.cpp
+++ b/tests/idempotency_keys_test.cpp
@@ -83,7 +83,7 @@
   struct Truth {
     std::string worker;
     std::set<std::string> answers;
-    double first_at = -1, told_at = -1;
+    double first_at = -1, answered_at = -1;
   };
 
   void Start(std::size_t i) {
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -112,7 +112,7 @@
   rests->Write(Post("a1", "look"));
   half->Write("POST /api HTTP/1.1\r\nRequest-Id: a2\r\n");
   part->Write(std::string("\0RE", 3));
-  worker->Say(Type::kCanDo, {"charge"});
+  worker->Send(Type::kCanDo, {"charge"});
   ASSERT_TRUE(
       rig.Until([&] { return silent->ended && half->ended && mute->ended && part->ended; }, 3));
   EXPECT_TRUE(half->in.starts_with("HTTP/1.1 408")) << half->in;
@@ -366,25 +366,25 @@
   Rig rig(0, kGearman);
   auto worker = rig.Gearman(), client = rig.Gearman();
   worker->WorkOn("look", "done!");
-  client->Say(Type::kEchoReq, {"hi"});
+  client->Send(Type::kEchoReq, {"hi"});
   ASSERT_TRUE(rig.Until([&] { return client->Of(Type::kEchoRes).size() == 1; }));
-  client->Say(Type::kSubmitJobHigh, {"look", "u1", "body"});
+  client->Send(Type::kSubmitJobHigh, {"look", "u1", "body"});
   ASSERT_TRUE(rig.Until([&] { return client->Of(Type::kWorkComplete).size() == 1; }));
   const std::string handle = client->Of(Type::kJobCreated).at(0);
   EXPECT_EQ(client->Of(Type::kWorkComplete)[0], handle + '\0' + "done!");
   EXPECT_EQ(worker->Of(Type::kJobAssign).at(0), handle + '\0' + "look" + '\0' + "body");
-  client->Say(Type::kGetStatus, {handle});
+  client->Send(Type::kGetStatus, {handle});
   ASSERT_TRUE(rig.Until([&] { return client->Of(Type::kStatusRes).size() == 1; }));
 }
 
 TEST(Gearman, TellsFaultsOfPacketsApart) {
   Rig rig(0, kGearman);
   auto peer = rig.Gearman();
-  peer->Say(Type::kSubmitJob, {"nonesuch", "", ""});
-  peer->Say(Type::kSubmitJob, {"look"});
-  peer->Say(Type::kWorkComplete, {"H:x:1", "r"});
-  peer->Say(static_cast<Type>(99), {});
-  peer->Say(Type::kOptionReq, {"exceptions"});
+  peer->Send(Type::kSubmitJob, {"nonesuch", "", ""});
+  peer->Send(Type::kSubmitJob, {"look"});
+  peer->Send(Type::kWorkComplete, {"H:x:1", "r"});
+  peer->Send(static_cast<Type>(99), {});
+  peer->Send(Type::kOptionReq, {"exceptions"});
   ASSERT_TRUE(rig.Until([&] { return peer->Of(Type::kOptionRes).size() == 1; }));
   ASSERT_EQ(peer->Of(Type::kError).size(), 4u);
   EXPECT_TRUE(peer->Of(Type::kError)[0].starts_with("unknown_function"));
@@ -398,8 +398,8 @@
 TEST(Gearman, RefusesAtOnceWithTheTimeToComeBack) {
   Rig rig(0, kGearman);  // no worker at all
   auto client = rig.Gearman();
-  client->Say(Type::kOptionReq, {"exceptions"});
-  client->Say(Type::kSubmitJob, {"charge", "u1", "b"});
+  client->Send(Type::kOptionReq, {"exceptions"});
+  client->Send(Type::kSubmitJob, {"charge", "u1", "b"});
   ASSERT_TRUE(rig.Until([&] { return client->Of(Type::kWorkFail).size() == 1; }, 1));
   ASSERT_EQ(client->Of(Type::kWorkException).size(), 1u);
   EXPECT_NE(client->Of(Type::kWorkException)[0].find("retry after"), std::string::npos);
@@ -413,18 +413,18 @@
   for (auto* w : {one.get(), two.get()}) {
     w->WorkOn("look", "unused");
     w->act = [&assigned, w](const gearman::Message& m) {
-      if (m.type == Type::kNoop) w->Say(Type::kGrabJob, {});
+      if (m.type == Type::kNoop) w->Send(Type::kGrabJob, {});
       if (m.type != Type::kJobAssign) return;
       const std::string handle = m.data.substr(0, m.data.find('\0'));
       const std::string part = ++assigned == 1 ? "lost" : "kept";
-      w->Say(Type::kWorkStatus, {handle, "1", "2"});
-      w->Say(Type::kWorkData, {handle, part});
-      if (part == "lost") return w->Say(Type::kWorkFail, {handle});
-      w->Say(Type::kWorkWarning, {handle, "w"});
-      w->Say(Type::kWorkComplete, {handle, "end"});
+      w->Send(Type::kWorkStatus, {handle, "1", "2"});
+      w->Send(Type::kWorkData, {handle, part});
+      if (part == "lost") return w->Send(Type::kWorkFail, {handle});
+      w->Send(Type::kWorkWarning, {handle, "w"});
+      w->Send(Type::kWorkComplete, {handle, "end"});
     };
   }
-  client->Say(Type::kSubmitJob, {"look", "u", "b"});
+  client->Send(Type::kSubmitJob, {"look", "u", "b"});
   ASSERT_TRUE(rig.Until([&] { return client->Of(Type::kWorkComplete).size() == 1; }));
   EXPECT_EQ(assigned, 2);
   ASSERT_EQ(client->Of(Type::kWorkData).size(), 1u);
@@ -439,17 +439,17 @@
   std::string handle;
   worker->WorkOn("look", "unused");
   worker->act = [&](const gearman::Message& m) {
-    if (m.type == Type::kNoop) worker->Say(Type::kGrabJob, {});
+    if (m.type == Type::kNoop) worker->Send(Type::kGrabJob, {});
     if (m.type == Type::kJobAssign) handle = m.data.substr(0, m.data.find('\0'));
   };
-  client->Say(Type::kSubmitJobLowBg, {"look", "u", "b"});
+  client->Send(Type::kSubmitJobLowBg, {"look", "u", "b"});
   ASSERT_TRUE(rig.Until([&] { return !handle.empty(); }));
   client->Close("test");
   rig.Until([] { return false; }, 0.05);
-  other->Say(Type::kGetStatus, {handle});
+  other->Send(Type::kGetStatus, {handle});
   ASSERT_TRUE(rig.Until([&] { return other->Of(Type::kStatusRes).size() == 1; }));
   EXPECT_EQ(other->Of(Type::kStatusRes)[0].substr(handle.size() + 1, 3), std::string("1\0001", 3));
-  worker->Say(Type::kWorkComplete, {handle, "r"});
+  worker->Send(Type::kWorkComplete, {handle, "r"});
   EXPECT_TRUE(rig.Until([&] { return rig.node->counters().completed == 1; }));
 }
 
@@ -461,21 +461,21 @@
   for (auto* w : {one.get(), two.get()}) {
     w->WorkOn("charge", "unused");
     w->act = [&handle, w](const gearman::Message& m) {
-      if (m.type == Type::kNoop) w->Say(Type::kGrabJobUniq, {});
+      if (m.type == Type::kNoop) w->Send(Type::kGrabJobUniq, {});
       if (m.type == Type::kJobAssignUniq) handle = m.data.substr(0, m.data.find('\0'));
     };
   }
-  client->Say(Type::kSubmitJob, {"charge", "sub-7", "b"});
+  client->Send(Type::kSubmitJob, {"charge", "sub-7", "b"});
   ASSERT_TRUE(rig.Until([&] { return !handle.empty(); }));
   client->Close("test");
   auto again = rig.Gearman();
   rig.Until([] { return false; }, 0.05);  // the node must have seen it go
-  again->Say(Type::kSubmitJob, {"charge", "sub-7", "b"});
+  again->Send(Type::kSubmitJob, {"charge", "sub-7", "b"});
   ASSERT_TRUE(rig.Until([&] { return again->Of(Type::kJobCreated).size() == 1; }));
-  for (auto* w : {one.get(), two.get()}) w->Say(Type::kWorkComplete, {handle, "paid"});
+  for (auto* w : {one.get(), two.get()}) w->Send(Type::kWorkComplete, {handle, "paid"});
   ASSERT_TRUE(rig.Until([&] { return again->Of(Type::kWorkComplete).size() == 1; }));
   auto late = rig.Gearman();  // and a repeat after the end still finds it
-  late->Say(Type::kSubmitJob, {"charge", "sub-7", "b"});
+  late->Send(Type::kSubmitJob, {"charge", "sub-7", "b"});
   ASSERT_TRUE(rig.Until([&] { return late->Of(Type::kWorkComplete).size() == 1; }));
   EXPECT_EQ(one->Of(Type::kJobAssignUniq).size() + two->Of(Type::kJobAssignUniq).size(), 1u);
 }
@@ -486,12 +486,12 @@
   for (auto* w : {one.get(), two.get()}) {
     w->WorkOn("charge", "unused");
     w->act = [w](const gearman::Message& m) {
-      if (m.type == Type::kNoop) w->Say(Type::kGrabJob, {});
+      if (m.type == Type::kNoop) w->Send(Type::kGrabJob, {});
       if (m.type == Type::kJobAssign) w->Close("test");
     };
   }
-  client->Say(Type::kOptionReq, {"exceptions"});
-  client->Say(Type::kSubmitJob, {"charge", "u", "b"});
+  client->Send(Type::kOptionReq, {"exceptions"});
+  client->Send(Type::kSubmitJob, {"charge", "u", "b"});
   ASSERT_TRUE(rig.Until([&] { return client->Of(Type::kWorkFail).size() == 1; }));
   EXPECT_EQ(client->Of(Type::kWorkException).at(0).find("retry after"), std::string::npos);
   EXPECT_EQ(one->Of(Type::kJobAssign).size() + two->Of(Type::kJobAssign).size(), 1u);
@@ -504,29 +504,29 @@
   auto old = rig.Gearman(), client = rig.Gearman(), admin = rig.Gearman();
   std::string running;
   old->act = [&](const gearman::Message& m) {
-    if (m.type == Type::kNoop) old->Say(Type::kGrabJob, {});
+    if (m.type == Type::kNoop) old->Send(Type::kGrabJob, {});
     if (m.type == Type::kJobAssign) running = m.data.substr(0, m.data.find('\0'));
   };
-  old->Say(Type::kSetClientId, {"old-roaster"});
-  old->Say(Type::kCanDo, {"charge"});
-  old->Say(Type::kPreSleep, {});
+  old->Send(Type::kSetClientId, {"old-roaster"});
+  old->Send(Type::kCanDo, {"charge"});
+  old->Send(Type::kPreSleep, {});
   ASSERT_TRUE(rig.Until([&] {
-    client->Say(Type::kSubmitJob, {"charge", "first", "b"});
+    client->Send(Type::kSubmitJob, {"charge", "first", "b"});
     rig.Until([] { return false; }, 0.02);
     return !running.empty();
   }));
-  client->Say(Type::kSubmitJob, {"charge", "second", "b"});
+  client->Send(Type::kSubmitJob, {"charge", "second", "b"});
   ASSERT_TRUE(rig.Until([&] { return client->Of(Type::kJobCreated).size() >= 2; }));
   auto fresh = rig.Gearman();
   fresh->WorkOn("charge", "fresh");
   rig.Until([] { return false; }, 0.05);
   admin->Write("drain old-roaster\n");
   ASSERT_TRUE(rig.Until([&] { return fresh->Of(Type::kJobAssign).size() == 1; }));
-  old->Say(Type::kWorkComplete, {running, "old"});
+  old->Send(Type::kWorkComplete, {running, "old"});
   const auto completed = [&] { return client->Of(Type::kWorkComplete).size(); };
   ASSERT_TRUE(rig.Until([&] { return completed() >= 2; }));
   const std::size_t before = old->Of(Type::kJobAssign).size();
-  client->Say(Type::kSubmitJob, {"charge", "third", "b"});
+  client->Send(Type::kSubmitJob, {"charge", "third", "b"});
   ASSERT_TRUE(rig.Until([&] { return completed() >= 3; }));
   EXPECT_EQ(old->Of(Type::kJobAssign).size(), before);
 }
@@ -573,7 +573,7 @@
     clients.push_back(rig.Client());
     clients.back()->Write(i % 2 ? Post(id, "look")
                                 : Post(id, "charge", "Idempotency-Key: " + id + "\r\n"));
-    submitter->Say(Type::kSubmitJob, {i % 2 ? "look" : "charge", id, "b"});
+    submitter->Send(Type::kSubmitJob, {i % 2 ? "look" : "charge", id, "b"});
     rig.Until([] { return false; }, 0.004);
   }
   const auto ends = [&] {
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -49,7 +49,7 @@
   PeersTest()
       : peers(
             &loop,
-            [this](int sender, const std::string& body) { heard.emplace_back(sender, body); },
+            [this](int sender, const std::string& body) { received.emplace_back(sender, body); },
             &counters) {}
   void Open(const std::vector<std::string>& addresses) {
     std::string error;
@@ -58,7 +58,7 @@
   std::string address() const { return Datagrams::AddressOf(peers.descriptor()); }
   Loop loop;
   PeerCounters counters;
-  std::vector<std::pair<int, std::string>> heard;
+  std::vector<std::pair<int, std::string>> received;
   Peers peers;
 };
 
@@ -92,9 +92,9 @@
   stranger.SendTo(address(), std::string(300, 's'));
   peer.SendTo(address(), std::string(257, 'a'));
   peer.SendTo(address(), std::string(256, 'b'));
-  EXPECT_TRUE(TurnUntil(loop, [&] { return !heard.empty(); }));
-  ASSERT_EQ(heard.size(), 1u);
-  EXPECT_EQ(heard[0], std::pair(1, std::string(256, 'b')));
+  EXPECT_TRUE(TurnUntil(loop, [&] { return !received.empty(); }));
+  ASSERT_EQ(received.size(), 1u);
+  EXPECT_EQ(received[0], std::pair(1, std::string(256, 'b')));
   EXPECT_EQ(counters.strangers, 2u);
   EXPECT_EQ(counters.unreadable, 1u);
 }
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -103,14 +103,14 @@
   for (const int nodes : {1, 100}) {
     Make(nodes);
     after.got.clear();
-    const std::size_t told = known.size();
+    const std::size_t known_before = known.size();
     after.act = [&](const ToyWorker::Got& g) {
       if (after.got.size() < 4) return g.from->Close("test");
       Tell(g, 3, true, Entry("w1", "in_service"));
     };
     discovery->Move(after.address());
     EXPECT_TRUE(TurnUntil(
-        loop, [&] { return known.size() > told; }, 1.5))
+        loop, [&] { return known.size() > known_before; }, 1.5))
         << nodes;
   }
 }
@@ -272,7 +272,7 @@
   sigprocmask(SIG_BLOCK, &held, &before);
   int ends[2];
   ASSERT_EQ(pipe(ends), 0);
-  const auto heard = [&](Role) {
+  const auto run_role = [&](Role) {
     siginfo_t info;
     sigset_t both = held;
     while (sigwaitinfo(&both, &info) == SIGHUP) {
@@ -281,7 +281,7 @@
     return 0;
   };
   const pid_t pid = fork();
-  if (pid == 0) _exit(Supervise(1, 2, heard, [&] { return write(ends[1], "r", 1) == 1; }));
+  if (pid == 0) _exit(Supervise(1, 2, run_role, [&] { return write(ends[1], "r", 1) == 1; }));
   kill(pid, SIGHUP);
   std::string all;
   for (char c = 0; all.size() < 4 && read(ends[0], &c, 1) == 1;) all += c;
--- a/tests/replicated_logs_test.cpp
+++ b/tests/replicated_logs_test.cpp
@@ -60,8 +60,8 @@
   for (std::uint64_t seed = from; seed <= std::max(from, FromEnvironment("SEEDS", 40)); ++seed) {
     CopyDay day(seed);
     ASSERT_TRUE(day.world.broken().empty())
-        << "seed " << seed << " " << day.world.broken()[0] << day.copies.Told();
-    ASSERT_TRUE(day.whole) << "seed " << seed << " does not come together" << day.copies.Told()
+        << "seed " << seed << " " << day.world.broken()[0] << day.copies.Describe();
+    ASSERT_TRUE(day.whole) << "seed " << seed << " does not come together" << day.copies.Describe()
                            << day.world.Told();
     answered += day.copies.answered;
     refused += day.copies.refused;
@@ -281,7 +281,7 @@
     serve(20);
     w.world.RunUntil(25);
     EXPECT_EQ(w.world.broken(), std::vector<std::string>{}) << seed;
-    EXPECT_TRUE(w.Whole(3)) << seed << w.Told();
+    EXPECT_TRUE(w.Whole(3)) << seed << w.Describe();
     EXPECT_GT(w.given_up, 0U) << seed;
   }
 }
--- a/tests/scheduling_balancer_test.cpp
+++ b/tests/scheduling_balancer_test.cpp
@@ -542,7 +542,7 @@
   rig.Until([&] { return rig.node->Figures().find("app.members:2") != std::string::npos; });
   const auto client = rig.Gearman();
   for (int i = 0; i < 200; ++i) {
-    client->Say(gearman::Type::kSubmitJob, {"f", "u" + std::to_string(i), "x"});
+    client->Send(gearman::Type::kSubmitJob, {"f", "u" + std::to_string(i), "x"});
   }
   rig.Until(
       [&] {
--- a/tests/support/cluster_rig.cpp
+++ b/tests/support/cluster_rig.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr double kPollS = 0.05, kPollGiveUpS = 0.5;
-constexpr std::size_t kMaxOverheardDatagrams = 64;
+constexpr std::size_t kMaxCapturedDatagrams = 64;
 
 }  // namespace
 
@@ -110,7 +110,7 @@
       }
       source_ = source;
       std::string datagram(bytes, static_cast<std::size_t>(n));
-      if (rig_->overheard_.size() < kMaxOverheardDatagrams) rig_->overheard_.push_back(datagram);
+      if (rig_->captured_.size() < kMaxCapturedDatagrams) rig_->captured_.push_back(datagram);
       membership::Random& random = rig_->random_;
       if (faults.cut || random.Unit() < faults.loss || datagram.empty()) continue;
       if (random.Unit() < faults.garbled) {
--- a/tests/support/cluster_rig.h
+++ b/tests/support/cluster_rig.h
@@ -103,7 +103,7 @@
   void Heal();
   // Sends bytes of ours to a member, as a stranger might, or again what went over a link before.
   void Inject(std::size_t to, const std::string& datagram);
-  const std::vector<std::string>& Overheard() const { return overheard_; }
+  const std::vector<std::string>& Captured() const { return captured_; }
 
   // Time and what is seen.
   double now() const { return loop_.Now(); }
@@ -162,7 +162,7 @@
   Node twin_;
   std::vector<std::unique_ptr<Link>> links_;
   std::vector<std::unique_ptr<PeerRelay>> peer_relays_;
-  std::vector<std::string> overheard_;
+  std::vector<std::string> captured_;
   std::map<std::uint64_t, std::string> contents_;  // of epochs
   std::map<std::string, std::uint64_t> failed_calls_;
   std::uint64_t highest_epoch_ = 0;
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -351,7 +351,7 @@
   all["handover-ids"] =
       Writer(Kind::kIds).Raw(Writer(Kind::kId).Text("id-7").Done().substr(5)).Done();
   all["handover-learned"] = Writer(Kind::kLearned).Raw("bytes").Done();
-  all["handover-told"] = Writer(Kind::kTold).U64(44).Done();
+  all["handover-told"] = Writer(Kind::kStateEnd).U64(44).Done();
   all["handover-serving"] = Writer(Kind::kServing).Done();
   all["handover-client"] = Writer(Kind::kClient).U8(1).Raw("GET / HT").Done();
   all["handover-idle-worker"] = Writer(Kind::kIdleWorker).Text("toy-1").Real(3.5).Done();
--- a/tests/support/copies_world.h
+++ b/tests/support/copies_world.h
@@ -132,7 +132,7 @@
            });
   }
   void OpenLog(std::size_t i) { Open(i, random.NextUint64() | 1); }
-  std::string Told() {
+  std::string Describe() {
     std::string all;
     const View* latest = Latest();
     for (const LogAssignment& log : latest ? latest->logs : std::vector<LogAssignment>{}) {
--- a/tests/support/job_history.h
+++ b/tests/support/job_history.h
@@ -28,7 +28,7 @@
     a.node = node;
     a.at = rig_->now();
     a.peer = std::make_unique<GearmanPeer>(&rig_->loop(), rig_->gearman_address(node));
-    a.peer->Say(gearman::Type::kSubmitJobBg, {charge ? "charge" : "look", "", a.body});
+    a.peer->Send(gearman::Type::kSubmitJobBg, {charge ? "charge" : "look", "", a.body});
     return true;
   }
   bool SubmitAny() {
@@ -44,11 +44,11 @@
       if (created.empty() && refused.empty() && !over) continue;
       if (!created.empty()) a.handle = created[0];
       if (!refused.empty()) a.refusal = refused[0].substr(refused[0].find('\0') + 1);
-      a.told_s = rig_->now() - a.at;
+      a.latency_s = rig_->now() - a.at;
       a.peer.reset();
     }
   }
-  bool AllTold() const {
+  bool AllAnswered() const {
     return std::none_of(asked_.begin(), asked_.end(),
                         [](const Asked& a) { return a.peer != nullptr; });
   }
@@ -59,7 +59,7 @@
   }
   const std::string& refusal(std::size_t n) const { return asked_[n].refusal; }
   const std::string& handle(std::size_t n) const { return asked_[n].handle; }
-  double told_s(std::size_t n) const { return asked_[n].told_s; }
+  double latency_s(std::size_t n) const { return asked_[n].latency_s; }
   // Jobs that the nodes which run still hold; -1 where one does not say.
   long Held() {
     long held = 0;
@@ -103,7 +103,7 @@
     std::string body, handle, refusal;
     std::size_t node = 0;
     bool charge = false;
-    double at = 0, told_s = 0;
+    double at = 0, latency_s = 0;
     std::unique_ptr<GearmanPeer> peer;
   };
   Cluster* rig_;
--- a/tests/support/support.cpp
+++ b/tests/support/support.cpp
@@ -90,7 +90,7 @@
   };
 }
 
-void GearmanPeer::Say(gearman::Type type, std::initializer_list<std::string_view> arguments) {
+void GearmanPeer::Send(gearman::Type type, std::initializer_list<std::string_view> arguments) {
   Write(gearman::Packet(gearman::Message::Form::kRequest, type, arguments));
 }
 
@@ -104,15 +104,15 @@
 
 void GearmanPeer::WorkOn(const std::string& function, const std::string& result) {
   act = [this, result](const gearman::Message& m) {
-    if (m.type == gearman::Type::kNoop) Say(gearman::Type::kGrabJob, {});
+    if (m.type == gearman::Type::kNoop) Send(gearman::Type::kGrabJob, {});
     if (m.type == gearman::Type::kJobAssign) {
       const std::string handle = m.data.substr(0, m.data.find('\0'));
-      Say(gearman::Type::kWorkComplete, {handle, result});
-      Say(gearman::Type::kPreSleep, {});
+      Send(gearman::Type::kWorkComplete, {handle, result});
+      Send(gearman::Type::kPreSleep, {});
     }
   };
-  Say(gearman::Type::kCanDo, {function});
-  Say(gearman::Type::kPreSleep, {});
+  Send(gearman::Type::kCanDo, {function});
+  Send(gearman::Type::kPreSleep, {});
 }
 
 std::string Post(const std::string& id, const std::string& cls, const std::string& more,
--- a/tests/support/support.h
+++ b/tests/support/support.h
@@ -101,7 +101,7 @@
 class GearmanPeer : public Raw {
  public:
   GearmanPeer(Loop* loop, const std::string& address);
-  void Say(gearman::Type type, std::initializer_list<std::string_view> arguments);
+  void Send(gearman::Type type, std::initializer_list<std::string_view> arguments);
   // The packets of this type that came, as their data.
   std::vector<std::string> Of(gearman::Type type) const;
   std::vector<gearman::Message> got;
