--- a/src/net/link/frame.cpp
+++ b/src/net/link/frame.cpp
@@ -117,7 +117,7 @@
   return m;
 }
 
-std::optional<std::string> Cutter::Take() {
+std::optional<std::string> FrameDecoder::Next() {
   if (bad_ || held_.size() < 4) return std::nullopt;
   const std::size_t size = Big(std::string_view(held_).substr(0, 4));
   if (size == 0 || size > kMaxFrameBytes) {
--- a/src/net/link/frame.h
+++ b/src/net/link/frame.h
@@ -90,13 +90,13 @@
   bool ok_ = true;
 };
 
-// Cuts a stream into frames.
-class Cutter {
+// Splits a byte stream into frames.
+class FrameDecoder {
  public:
   static constexpr std::size_t kMaxFrameBytes = 64 * 1024;
   void Feed(std::string_view bytes) { held_.append(bytes); }
   // The next frame's type and fields; none if it has not all come, or the stream is bad.
-  std::optional<std::string> Take();
+  std::optional<std::string> Next();
   bool bad() const { return bad_; }
 
  private:
--- a/src/net/link/link.cpp
+++ b/src/net/link/link.cpp
@@ -37,16 +37,16 @@
     while (!closed() && Available() > 0) {
       const std::string bytes = Peek(64 * 1024);
       Consume(bytes.size());
-      cutter_.Feed(bytes);
-      for (auto frame = cutter_.Take(); frame && !closed(); frame = cutter_.Take()) {
+      decoder_.Feed(bytes);
+      for (auto frame = decoder_.Next(); frame && !closed(); frame = decoder_.Next()) {
         Reader reader(*frame);
         if (!OnFrame(reader)) return Fail("bad-frame");
       }
-      if (cutter_.bad()) return Fail("bad-frame");
+      if (decoder_.bad()) return Fail("bad-frame");
     }
   }
   void OnEnd(const char* reason) override { Fail(reason); }
-  Cutter cutter_;
+  FrameDecoder decoder_;
 };
 
 }  // namespace
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -137,9 +137,9 @@
 
 // Reads a frame's fields, of the types that `shape` names, and writes them again.
 std::string Again(const std::string& bytes, std::string_view shape) {
-  link::Cutter cutter;
-  cutter.Feed(bytes);
-  const std::optional<std::string> frame = cutter.Take();
+  link::FrameDecoder decoder;
+  decoder.Feed(bytes);
+  const std::optional<std::string> frame = decoder.Next();
   EXPECT_TRUE(frame);
   if (!frame) return {};
   link::Reader reader(*frame);
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -10,7 +10,7 @@
 namespace millethollow {
 namespace {
 
-using link::Cutter;
+using link::FrameDecoder;
 using link::Kind;
 using link::Reader;
 using link::Writer;
@@ -29,13 +29,13 @@
   const std::string stream = Writer(Kind::kEnded).U64(1ull << 60).I32(-4).Put(outcome).Done() +
                              Writer(Kind::kWorker).Put(member).Text(std::string(300, 'x')).Done();
   for (int round = 0; round < 200; ++round) {
-    Cutter cutter;
+    FrameDecoder decoder;
     std::vector<std::string> frames;
     for (std::size_t at = 0; at < stream.size();) {
       const std::string_view part = std::string_view(stream).substr(at, 1 + random() % 30);
-      cutter.Feed(part);
+      decoder.Feed(part);
       at += part.size();
-      while (const auto frame = cutter.Take()) frames.push_back(*frame);
+      while (const auto frame = decoder.Next()) frames.push_back(*frame);
     }
     ASSERT_EQ(frames.size(), 2u);
     Reader ended(frames[0]), worker(frames[1]);
@@ -62,9 +62,9 @@
     for (int hits = 1 + static_cast<int>(random() % 4); hits > 0; --hits) {
       text[random() % text.size()] = static_cast<char>(random());
     }
-    Cutter cutter;
-    cutter.Feed(text);
-    while (const auto frame = cutter.Take()) {
+    FrameDecoder decoder;
+    decoder.Feed(text);
+    while (const auto frame = decoder.Next()) {
       Reader reader(*frame);
       reader.GetMember();
       reader.GetOutcome();
