--- a/src/codec/copies.cpp
+++ b/src/codec/copies.cpp
@@ -27,7 +27,7 @@
   w.Number(8, f.end_epoch);
   w.Number(9, f.number);
   w.Number(10, f.process_incarnation);
-  w.Number(11, f.fill);
+  w.Number(11, f.snapshot_id);
   w.Number(12, f.chunk);
   w.Number(13, static_cast<std::uint8_t>(f.last));
   w.Number(14, static_cast<std::uint8_t>(f.matched));
@@ -60,7 +60,7 @@
                                   &f.end_epoch,
                                   &f.number,
                                   &f.process_incarnation,
-                                  &f.fill,
+                                  &f.snapshot_id,
                                   &f.chunk};
   Reader r(bytes.substr(1));
   while (r.Next()) {
--- a/src/copies/log.cpp
+++ b/src/copies/log.cpp
@@ -47,10 +47,11 @@
     const Operation& op = *log->At(seq);
     batch_.push_back({StoreWrite::Kind::kErase, OperationKey(id, seq), ""});
     if (op.gone) {
-      batch_.push_back({StoreWrite::Kind::kErase, EntryKey(id, log->head.filling, op.key), ""});
-    } else {
       batch_.push_back(
-          {StoreWrite::Kind::kPut, EntryKey(id, log->head.filling, op.key), Encode(op)});
+          {StoreWrite::Kind::kErase, EntryKey(id, log->head.snapshot_generation, op.key), ""});
+    } else {
+      batch_.push_back({StoreWrite::Kind::kPut, EntryKey(id, log->head.snapshot_generation, op.key),
+                        Encode(op)});
     }
     log->head.applied = seq;
     log->head.applied_epoch = op.epoch;
@@ -81,7 +82,7 @@
   if (batch_.empty()) return;
   Flight flight{.ticket = ++ticket_, .reaches = {}};
   for (const auto& [id, log] : logs_)
-    flight.reaches[id] = {log.End(), log.head.applied, log.fill, log.chunk};
+    flight.reaches[id] = {log.End(), log.head.applied, log.snapshot_id, log.chunk};
   flights_.push_back(std::move(flight));
   std::move(batch_.begin(), batch_.end(), std::back_inserter(actions->write));
   batch_.clear();
@@ -97,7 +98,7 @@
       Log& log = it->second;
       log.stored = std::max(log.stored, std::min(reach.end, log.End()));
       log.head_stored = std::max(log.head_stored, reach.applied);
-      if (reach.fill != 0 && reach.fill == log.fill)
+      if (reach.snapshot_id != 0 && reach.snapshot_id == log.snapshot_id)
         log.chunk_stored = std::max(log.chunk_stored, reach.chunk);
     }
     flights_.pop_front();
--- a/src/copies/records.cpp
+++ b/src/copies/records.cpp
@@ -19,11 +19,11 @@
 std::string OperationKey(LogId log, SequenceNumber seq) {
   return LogPrefix(log) + "o/" + Digits(seq);
 }
-std::string EntryPrefix(LogId log, std::uint64_t filling) {
-  return LogPrefix(log) + "e/" + Digits(filling) + "/";
+std::string EntryPrefix(LogId log, std::uint64_t snapshot_generation) {
+  return LogPrefix(log) + "e/" + Digits(snapshot_generation) + "/";
 }
-std::string EntryKey(LogId log, std::uint64_t filling, std::string_view key) {
-  return EntryPrefix(log, filling) + std::string(key);
+std::string EntryKey(LogId log, std::uint64_t snapshot_generation, std::string_view key) {
+  return EntryPrefix(log, snapshot_generation) + std::string(key);
 }
 
 std::optional<StoreKey> ParseStoreKey(std::string_view key) {
@@ -42,7 +42,7 @@
   w.Number(1, h.applied);
   w.Number(2, h.applied_epoch);
   w.Number(3, h.epoch);
-  w.Number(4, h.filling);
+  w.Number(4, h.snapshot_generation);
   return w.Take();
 }
 
@@ -53,7 +53,7 @@
     if (r.field() == 1) h.applied = r.Raw<std::uint64_t>();
     if (r.field() == 2) h.applied_epoch = r.Raw<std::uint64_t>();
     if (r.field() == 3) h.epoch = r.Raw<std::uint64_t>();
-    if (r.field() == 4) h.filling = r.Raw<std::uint64_t>();
+    if (r.field() == 4) h.snapshot_generation = r.Raw<std::uint64_t>();
   }
   return r.ok() ? std::optional(h) : std::nullopt;
 }
--- a/src/copies/records.h
+++ b/src/copies/records.h
@@ -37,8 +37,8 @@
   SequenceNumber applied = 0;  // operations up to this are in the entries and no more apart
   std::uint64_t applied_epoch = 0;
   std::uint64_t epoch = 0;  // of the latest owner that it heard
-  std::uint64_t filling =
-      0;  // how often it was filled: entries of a filling lie apart until it ends
+  // Snapshots that it took. The entries of one have a key prefix of their own until it is whole.
+  std::uint64_t snapshot_generation = 0;
 };
 
 struct ReplicationMessage {
@@ -57,8 +57,8 @@
   std::uint64_t seq_epoch = 0, end_epoch = 0;
   std::uint64_t number = 0;  // of a kStatusQuery, and of the kStatus that answers it
   membership::ProcessIncarnation process_incarnation = 0;  // of the process that says kStatus
-  std::uint64_t fill = 0,
-                chunk = 0;  // which filling, and which part; kStatus: how many parts it has
+  // Which snapshot, and which part; kStatus: how many parts it has.
+  std::uint64_t snapshot_id = 0, chunk = 0;
   bool last = false, matched = false;
   std::vector<Operation> ops = {};
 };
@@ -66,8 +66,8 @@
 std::string HeadKey(LogId log);
 std::string OperationKey(LogId log, SequenceNumber seq);
 std::string LogPrefix(LogId log);
-std::string EntryPrefix(LogId log, std::uint64_t filling);
-std::string EntryKey(LogId log, std::uint64_t filling, std::string_view key);
+std::string EntryPrefix(LogId log, std::uint64_t snapshot_generation);
+std::string EntryKey(LogId log, std::uint64_t snapshot_generation, std::string_view key);
 // Of a key as above: whose it is, and what.
 struct StoreKey {
   LogId log = 0;
--- a/src/copies/replicated_logs.cpp
+++ b/src/copies/replicated_logs.cpp
@@ -101,7 +101,7 @@
                      " commit=" + std::to_string(log.commit);
   for (const auto& [who, peer] : log.peers) {
     text += " " + std::to_string(who) + (peer.holder ? ":holder" : ":candidate") +
-            (peer.met ? "" : ",not-met") + (peer.fill != 0 ? ",filling" : "") +
+            (peer.met ? "" : ",not-met") + (peer.snapshot_id != 0 ? ",filling" : "") +
             ",acked=" + std::to_string(peer.acked) + ",next=" + std::to_string(peer.next);
   }
   for (const LogReplica& h : log.wanted) text += " wants=" + std::to_string(h.id);
@@ -111,7 +111,7 @@
 
 std::string ReplicatedLogs::EntryPrefixOf(LogId id) const {
   const auto it = logs_.find(id);
-  return EntryPrefix(id, it == logs_.end() ? 0 : it->second.head.filling);
+  return EntryPrefix(id, it == logs_.end() ? 0 : it->second.head.snapshot_generation);
 }
 
 bool ReplicatedLogs::MayAct(LogId id) const {
@@ -170,7 +170,7 @@
     LogStatus held{.log = id, .own = log.own};
     for (const auto& [who, peer] : log.peers) {
       held.holders += peer.holder;
-      held.filling += peer.fill != 0;
+      held.receiving_snapshot += peer.snapshot_id != 0;
       if (peer.holder)
         held.behind = std::max(held.behind, log.End() - std::min(peer.acked, log.End()));
     }
@@ -203,15 +203,15 @@
         it = log.peers.erase(it);
         continue;
       }
-      if (peer.fill != 0) {
-        const bool trimmed = !log.ops.empty() && log.ops.front().seq > peer.fill_from + 1;
+      if (peer.snapshot_id != 0) {
+        const bool trimmed = !log.ops.empty() && log.ops.front().seq > peer.snapshot_seq + 1;
         if (trimmed || now - peer.heard_at > o_.replica_timeout_s) {
           peer.Forget();
         } else if (!peer.reading && peer.chunk > peer.part.chunk && now >= peer.chunk_at) {
           peer.reading = true;
           actions->read.push_back(
-              {id, peer.fill, EntryPrefix(id, log.head.filling),
-               peer.after.empty() ? "" : EntryKey(id, log.head.filling, peer.after)});
+              {id, peer.snapshot_id, EntryPrefix(id, log.head.snapshot_generation),
+               peer.after.empty() ? "" : EntryKey(id, log.head.snapshot_generation, peer.after)});
         } else if (!peer.reading && peer.chunk == peer.part.chunk &&
                    now - peer.sent_at > o_.resend_interval_s) {
           peer.sent_at = now;
--- a/src/copies/replicated_logs.h
+++ b/src/copies/replicated_logs.h
@@ -31,7 +31,7 @@
   std::size_t copies = 3, min_replicas = 2;
   double replica_timeout_s = 1.0;             // a holder silent for so long is to be put out
   double resend_interval_s = 0.25;            // what is not answered goes out again
-  double snapshot_chunk_interval_s = 0.01;    // between two chunks of a filling
+  double snapshot_chunk_interval_s = 0.01;    // between two chunks of a snapshot
   std::size_t snapshot_chunk_entries = 64;    // in a chunk
   std::size_t max_message_operations = 64;    // in a frame
   std::size_t max_message_bytes = 96 * 1024;  // of their keys and values; one may be over it alone
@@ -40,14 +40,14 @@
 };
 
 struct Counters {
-  std::uint64_t promises = 0, adoptions = 0, refusals = 0, fillings = 0, lies = 0;
+  std::uint64_t promises = 0, adoptions = 0, refusals = 0, snapshot_transfers = 0, stale_stores = 0;
 };
 
 class ReplicatedLogs {
  public:
   struct Read {  // entries after a key, up to Options::snapshot_chunk_entries of them; then Chunk()
     LogId log = 0;
-    std::uint64_t fill = 0;
+    std::uint64_t snapshot_id = 0;
     std::string prefix, after;  // keys with this prefix, after this one; empty: from the first
   };
   struct Actions {
@@ -82,7 +82,7 @@
   void OnStored(double now, std::uint64_t ticket, Actions* actions);
   void OnStoreFailed() { failed_ = true; }
   // What a Read found, by rising keys; `last`: there is no more.
-  void OnSnapshotChunkRead(double now, LogId log, std::uint64_t fill,
+  void OnSnapshotChunkRead(double now, LogId log, std::uint64_t snapshot_id,
                            std::vector<Operation> entries, bool last, Actions* actions);
   void Tick(double now, Actions* actions);
   double NextAt() const { return tick_at_; }
@@ -100,7 +100,7 @@
   struct LogStatus {                             // of one log, for figures
     LogId log = 0;
     bool own = false;
-    std::size_t holders = 0, filling = 0;
+    std::size_t holders = 0, receiving_snapshot = 0;
     SequenceNumber behind = 0;  // operations that some holder lacks
   };
   std::vector<LogStatus> LogStatuses() const;
@@ -117,17 +117,17 @@
         end;  // its last operation as it first told: epoch and number
     SequenceNumber acked = 0, next = 1, first = 1;  // first: after what it had when it was met
     double heard_at = 0, sent_at = -1;
-    // A filling: which, how far, and what it began with.
-    std::uint64_t fill = 0, chunk = 0;
+    // A snapshot transfer: which, how far, and what it began with.
+    std::uint64_t snapshot_id = 0, chunk = 0;
     bool reading = false;
-    SequenceNumber fill_from = 0;
+    SequenceNumber snapshot_seq = 0;
     std::string after;
     double chunk_at = 0;
     ReplicationMessage part;  // the chunk that waits for its answer
     // It is to be asked anew how far it is; answers to what it was asked before don't count.
     void Forget() {
       met = false;
-      asked = fill = 0;
+      asked = snapshot_id = 0;
     }
   };
   struct Log {
@@ -141,7 +141,7 @@
     SequenceNumber stored = 0;       // on this disk
     SequenceNumber head_stored = 0;  // applied, as the disk has it
     SequenceNumber matched = 0;      // as a holder: as the owner has it, in head.epoch
-    std::uint64_t fill = 0, chunk = 0, chunk_stored = 0;
+    std::uint64_t snapshot_id = 0, chunk = 0, chunk_stored = 0;
     // When this was the last number here: what follows it was made later. Up to `late` it is not
     // known when.
     std::deque<std::pair<double, SequenceNumber>> marks;
@@ -164,7 +164,7 @@
   };
   struct Reach {  // what is there once a write is
     SequenceNumber end = 0, applied = 0;
-    std::uint64_t fill = 0, chunk = 0;
+    std::uint64_t snapshot_id = 0, chunk = 0;
   };
   struct Flight {  // a write under way
     std::uint64_t ticket = 0;
@@ -200,7 +200,7 @@
   std::map<LogId, NodeId> answer_to_;  // owners that wait for what is on its way to disk
   std::vector<StoreWrite> batch_;
   std::deque<Flight> flights_;
-  std::uint64_t ticket_ = 0, fills_ = 0, numbers_ = 0;
+  std::uint64_t ticket_ = 0, last_snapshot_id_ = 0, numbers_ = 0;
   double tick_at_ = 0, looked_at_ = 0, before_ = 0;  // before: of the event before this one
   Counters counters_;
 };
--- a/src/copies/replication.cpp
+++ b/src/copies/replication.cpp
@@ -1,4 +1,4 @@
-// Operations from the owner of a log to its holders: sending, filling, acknowledging, committing.
+// Operations from the owner of a log to its holders: sending, snapshots, acknowledging, committing.
 #include <algorithm>
 #include <iterator>
 #include <utility>
@@ -52,7 +52,7 @@
   f.end = log.End();
   f.end_epoch = log.EpochAt(f.end);
   f.process_incarnation = o_.process_incarnation;
-  f.fill = log.fill;
+  f.snapshot_id = log.snapshot_id;
   f.chunk = log.chunk_stored;
   actions->send.emplace_back(to, std::move(f));
 }
@@ -72,7 +72,7 @@
 void ReplicatedLogs::SendAppend(double now, LogId id, Log* log, NodeId to, Peer* peer,
                                 Actions* actions) {
   if (!peer->met) return SendStatusQuery(id, *log, to, peer, actions);
-  if (peer->fill != 0) return;
+  if (peer->snapshot_id != 0) return;
   const SequenceNumber first = log->ops.empty() ? log->head.applied + 1 : log->ops.front().seq;
   if (peer->next < first) return StartSnapshot(now, id, log, peer, actions);
   ReplicationMessage f{.kind = ReplicationMessage::Kind::kAppend,
@@ -95,39 +95,40 @@
 }
 
 void ReplicatedLogs::StartSnapshot(double now, LogId id, Log* log, Peer* peer, Actions* actions) {
-  // What it is filled with must not be less than what it has.
+  // The snapshot must not hold less than what the replica has.
   const SequenceNumber from = std::min(log->head_stored, log->head.applied);
   if (from + 1 < peer->next) return;
-  counters_.fillings += 1;
-  peer->fill = ++fills_;
+  counters_.snapshot_transfers += 1;
+  peer->snapshot_id = ++last_snapshot_id_;
   peer->chunk = 0;
   peer->after.clear();
-  peer->fill_from = from;
+  peer->snapshot_seq = from;
   peer->acked = 0;
   peer->reading = true;
   peer->chunk_at = now;
   peer->part = {};
-  actions->read.push_back({id, peer->fill, EntryPrefix(id, log->head.filling), ""});
+  actions->read.push_back(
+      {id, peer->snapshot_id, EntryPrefix(id, log->head.snapshot_generation), ""});
 }
 
-void ReplicatedLogs::OnSnapshotChunkRead(double now, LogId id, std::uint64_t fill,
+void ReplicatedLogs::OnSnapshotChunkRead(double now, LogId id, std::uint64_t snapshot_id,
                                          std::vector<Operation> entries, bool last,
                                          Actions* actions) {
   const auto it = logs_.find(id);
   if (it == logs_.end() || !it->second.own) return;
   for (auto& [who, peer] : it->second.peers) {
-    if (peer.fill != fill || !peer.reading) continue;
+    if (peer.snapshot_id != snapshot_id || !peer.reading) continue;
     peer.reading = false;
     ReplicationMessage& f = peer.part;
     f = {.kind = ReplicationMessage::Kind::kSnapshotChunk,
          .log = id,
          .epoch = it->second.since,
          .disk = peer.disk};
-    f.fill = fill;
+    f.snapshot_id = snapshot_id;
     f.chunk = peer.chunk;
     f.last = last;
-    f.seq = peer.fill_from;
-    f.seq_epoch = it->second.EpochAt(peer.fill_from);
+    f.seq = peer.snapshot_seq;
+    f.seq_epoch = it->second.EpochAt(peer.snapshot_seq);
     if (!entries.empty()) peer.after = entries.back().key;
     f.ops = std::move(entries);
     peer.sent_at = now;
@@ -136,17 +137,17 @@
   }
 }
 
-// Entries of a filling lie apart until all are there: what this disk has counts until then.
+// Entries of a snapshot are kept apart until all are there: what this disk has counts until then.
 void ReplicatedLogs::OnSnapshotChunk(NodeId from, const ReplicationMessage& f, Actions* actions) {
   Log& log = logs_[f.log];
-  const std::uint64_t next = log.head.filling + 1;
-  if (f.fill < log.fill) return;  // late
-  if (f.chunk == 0 && log.fill != f.fill) {
+  const std::uint64_t next = log.head.snapshot_generation + 1;
+  if (f.snapshot_id < log.snapshot_id) return;  // late
+  if (f.chunk == 0 && log.snapshot_id != f.snapshot_id) {
     batch_.push_back({StoreWrite::Kind::kErasePrefix, EntryPrefix(f.log, next), ""});
-    log.fill = f.fill;
+    log.snapshot_id = f.snapshot_id;
     log.chunk = log.chunk_stored = 0;
   }
-  if (log.fill != f.fill || f.chunk != log.chunk || f.seq < log.head.applied) {
+  if (log.snapshot_id != f.snapshot_id || f.chunk != log.chunk || f.seq < log.head.applied) {
     return SendStatus(from, f.log, log, false, actions);
   }
   for (const Operation& op : f.ops) {
@@ -154,13 +155,14 @@
   }
   log.chunk += 1;
   if (f.last) {
-    batch_.push_back({StoreWrite::Kind::kErasePrefix, EntryPrefix(f.log, log.head.filling), ""});
+    batch_.push_back(
+        {StoreWrite::Kind::kErasePrefix, EntryPrefix(f.log, log.head.snapshot_generation), ""});
     // Later ones stay: they may have been answered.
     while (!log.ops.empty() && log.ops.front().seq <= f.seq) {
       batch_.push_back({StoreWrite::Kind::kErase, OperationKey(f.log, log.ops.front().seq), ""});
       log.Drop();
     }
-    log.head.filling = next;
+    log.head.snapshot_generation = next;
     log.late = std::max(log.late, log.End());
     log.head.applied = f.seq;
     log.head.applied_epoch = log.before = f.seq_epoch;
@@ -223,8 +225,8 @@
   if (log.own) StepDown(f.log, &log, actions);
   if (f.epoch > log.head.epoch) {
     log.head.epoch = f.epoch;
-    log.matched = log.fill = log.chunk = log.chunk_stored = 0;
-    for (Flight& flight : flights_) flight.reaches[f.log].fill = 0;  // numbered by another
+    log.matched = log.snapshot_id = log.chunk = log.chunk_stored = 0;
+    for (Flight& flight : flights_) flight.reaches[f.log].snapshot_id = 0;  // numbered by another
     PutHead(f.log, log);
   }
   switch (f.kind) {
@@ -272,18 +274,18 @@
     }
   }
   if (f.commit > log.End()) return AbandonStore(actions);
-  if (peer.fill != 0) {
-    if (f.commit > peer.fill_from) {  // it has more than it would be filled with
+  if (peer.snapshot_id != 0) {
+    if (f.commit > peer.snapshot_seq) {  // it has more than the snapshot holds
       peer.Forget();
       return;
     }
-    if (f.fill != peer.fill || f.chunk != peer.chunk + 1 || peer.reading) return;
+    if (f.snapshot_id != peer.snapshot_id || f.chunk != peer.chunk + 1 || peer.reading) return;
     peer.chunk += 1;
     peer.chunk_at = now + o_.snapshot_chunk_interval_s;
     if (!peer.part.last) return;
-    peer.fill = 0;  // it has all of it
-    peer.acked = peer.fill_from;
-    peer.next = peer.first = peer.fill_from + 1;
+    peer.snapshot_id = 0;  // it has all of it
+    peer.acked = peer.snapshot_seq;
+    peer.next = peer.first = peer.snapshot_seq + 1;
   } else if (f.number == 0 && !f.matched) {
     peer.Forget();  // ours did not fit to what it has; this word of it may be late itself
     return;
@@ -303,7 +305,7 @@
 void ReplicatedLogs::AbandonStore(Actions* actions) {
   actions->store_is_stale = true;
   failed_ = true;
-  counters_.lies += 1;
+  counters_.stale_stores += 1;
 }
 
 }  // namespace millethollow::copies
--- a/src/net/cluster/log_replicator.cpp
+++ b/src/net/cluster/log_replicator.cpp
@@ -22,7 +22,7 @@
   bool damaged = false;
   if (!store_->LoadLogs(&records, &damaged) && !store_->failed()) damaged = true;
   if (damaged) {
-    // What is left of the logs is not what was told of them: others fill it anew.
+    // What is left of the logs is not what was told of them: others send a snapshot.
     Events().error("cluster copies-damaged kept=copies.db.damaged");
     records.clear();
     store_->Renew(hooks_.draw());
@@ -122,7 +122,7 @@
 void LogReplicator::ReadChunk(const ReplicatedLogs::Read& read) {
   const std::uint64_t run = run_;
   store_->Read(read.prefix, read.after, options_.snapshot_chunk_entries,
-               [this, run, log = read.log, fill = read.fill](
+               [this, run, log = read.log, snapshot_id = read.snapshot_id](
                    const AsyncRecordStore::Records& records, bool last, bool damaged) {
                  if (run != run_) return;
                  std::vector<Operation> entries;
@@ -142,7 +142,7 @@
                    return Renew();
                  }
                  Do([&](ReplicatedLogs* c, double now, Actions* a) {
-                   c->OnSnapshotChunkRead(now, log, fill, std::move(entries), last, a);
+                   c->OnSnapshotChunkRead(now, log, snapshot_id, std::move(entries), last, a);
                  });
                });
 }
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -451,8 +451,8 @@
     count("copies.promises", c.counters().promises);
     count("copies.adoptions", c.counters().adoptions);
     count("copies.refusals", c.counters().refusals);
-    count("copies.fillings", c.counters().fillings);
-    count("copies.lies", c.counters().lies);
+    count("copies.fillings", c.counters().snapshot_transfers);
+    count("copies.lies", c.counters().stale_stores);
     count("copies.store_failed", store_->failed() ? 1 : 0, 'g');
     count("copies.store_permille", static_cast<std::uint64_t>(1000 * store_->used()), 'g');
     count("copies.commits", store_->figures().commits);
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -309,7 +309,7 @@
   std::size_t jobs = 0;
   for (const auto& [log, head] : logs) {
     records.clear();
-    const std::string prefix = copies::EntryPrefix(log, head.filling);
+    const std::string prefix = copies::EntryPrefix(log, head.snapshot_generation);
     ASSERT_TRUE(store.Load(prefix, &records, &damaged, &error)) << error;
     for (const auto& [key, value] : records) {
       const auto entry = copies::DecodeOperation(value);
--- a/tests/replicated_logs_test.cpp
+++ b/tests/replicated_logs_test.cpp
@@ -55,7 +55,7 @@
 };
 
 TEST(CopyDays, LoseNothingThatWasAnsweredAndComeTogetherAgain) {
-  std::size_t answered = 0, refused = 0, adopted = 0, fillings = 0;
+  std::size_t answered = 0, refused = 0, adopted = 0, snapshot_transfers = 0;
   const std::uint64_t from = FromEnvironment("SEED", 1);
   for (std::uint64_t seed = from; seed <= std::max(from, FromEnvironment("SEEDS", 40)); ++seed) {
     CopyDay day(seed);
@@ -67,18 +67,19 @@
     refused += day.copies.refused;
     adopted += day.copies.adopted;
     for (std::size_t i = 0; i < day.world.size(); ++i)
-      day.world.Kill(i);  // fillings are counted at their end
-    fillings += day.copies.fillings;
+      day.world.Kill(i);  // snapshot transfers are counted at the end of a process
+    snapshot_transfers += day.copies.snapshot_transfers;
   }
-  std::printf("%zu answered, %zu refused for want of copies, %zu takeovers, %zu fillings\n",
-              answered, refused, adopted, fillings);
+  std::printf("%zu answered, %zu refused for want of copies, %zu takeovers, %zu snapshots\n",
+              answered, refused, adopted, snapshot_transfers);
   EXPECT_GT(answered, 100U);
   EXPECT_GT(refused + adopted, 2U);
 }
 
 TEST(CopyDays, FindPlantedFaults) {
-  const CopyFaults planted[] = {
-      {.answers_before_disk = true}, {.acts_without_lease = true}, {.loses_tail_of_filling = true}};
+  const CopyFaults planted[] = {{.answers_before_disk = true},
+                                {.acts_without_lease = true},
+                                {.loses_tail_of_snapshot = true}};
   for (const CopyFaults& fault : planted) {
     EXPECT_NE(
         FirstSeed(200, [&](std::uint64_t seed) { return CopyDay(seed, fault).world.broken(); }),
@@ -260,8 +261,8 @@
 }
 
 // An hour-old copy of a folder is put back under a process that was down: it is noticed, and its
-// disk is no holder any more until it is filled anew.
-TEST(Copies, AFolderThatWasPutBackIsNoticedAndFilledAnew) {
+// disk is no holder any more until it has a new snapshot.
+TEST(Copies, AFolderThatWasPutBackIsNoticedAndGetsASnapshot) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CopyWorld w(seed, 3, {});
     w.world.StartAll();
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -190,7 +190,7 @@
   f.seq_epoch = 8, f.end_epoch = 7;
   f.number = 5;
   f.process_incarnation = 31;
-  f.fill = 2, f.chunk = 3;
+  f.snapshot_id = 2, f.chunk = 3;
   f.matched = true;
   all["copies-at"] = f;
   f = {.kind = Kind::kAppend, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
@@ -200,7 +200,7 @@
   all["copies-ops"] = f;
   f = {.kind = Kind::kSnapshotChunk, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
   f.seq = 40, f.commit = 40, f.seq_epoch = 8;
-  f.fill = 2, f.chunk = 3;
+  f.snapshot_id = 2, f.chunk = 3;
   f.last = true;
   f.ops = {{.seq = 7, .epoch = 6, .key = "H:a:1", .value = "entry", .gone = false}};
   all["copies-fill"] = f;
@@ -236,7 +236,7 @@
 
 // What lies in the store.
 inline copies::LogHead SampleHead() {
-  return {.applied = 38, .applied_epoch = 7, .epoch = 8, .filling = 2};
+  return {.applied = 38, .applied_epoch = 7, .epoch = 8, .snapshot_generation = 2};
 }
 inline copies::Operation SampleOp() {
   return {.seq = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .gone = true};
--- a/tests/support/copies_world.h
+++ b/tests/support/copies_world.h
@@ -25,9 +25,9 @@
 }
 
 struct CopyFaults {  // planted: a check that does not find them proves nothing
-  bool answers_before_disk = false, acts_without_lease = false, loses_tail_of_filling = false;
+  bool answers_before_disk = false, acts_without_lease = false, loses_tail_of_snapshot = false;
   bool planted() const {
-    return answers_before_disk || acts_without_lease || loses_tail_of_filling;
+    return answers_before_disk || acts_without_lease || loses_tail_of_snapshot;
   }
 };
 
@@ -44,7 +44,7 @@
     for (Node& n : nodes_) n.disk_id = random.NextUint64() | 1;
     world.on_start = [this](std::size_t i) { Run(i); };
     world.on_kill = [this](std::size_t i) {
-      if (nodes_[i].copies) fillings += nodes_[i].copies->counters().fillings;
+      if (nodes_[i].copies) snapshot_transfers += nodes_[i].copies->counters().snapshot_transfers;
       ledger.kill(i);
       nodes_[i].copies.reset();
     };
@@ -164,7 +164,7 @@
   const CopyFaults faults;
   Random random;
   World world;
-  std::size_t answered = 0, refused = 0, adopted = 0, fillings = 0,
+  std::size_t answered = 0, refused = 0, adopted = 0, snapshot_transfers = 0,
               given_up = 0;  // given up: disks that lied
   bool put_back = false;     // some disk was
 
@@ -253,9 +253,9 @@
         auto it = disk.upper_bound(r.after.empty() ? r.prefix : r.after);
         const auto more = [&] { return it != disk.end() && it->first.starts_with(r.prefix); };
         for (; more() && entries.size() < 4; ++it) entries.push_back(*DecodeOperation(it->second));
-        const bool last = !more() || faults.loses_tail_of_filling;
+        const bool last = !more() || faults.loses_tail_of_snapshot;
         Do(i, [&](ReplicatedLogs* c, double at, ReplicatedLogs::Actions* then) {
-          c->OnSnapshotChunkRead(at, r.log, r.fill, entries, last, then);
+          c->OnSnapshotChunkRead(at, r.log, r.snapshot_id, entries, last, then);
         });
       });
     }
