--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -1,19 +1,19 @@
 // The second address: its calls, its figures, and workers taken out by hand.
 #include <gtest/gtest.h>
 
-#include "support/rig.h"
+#include "support/node_harness.h"
 
 namespace millethollow {
 namespace {
 
 const std::string kAdmin = R"("admin":"127.0.0.1:0",)";
 
-struct Staff : testing::Test {
-  Staff() : rig(3, kAdmin) {}
+struct AdminServerTest : testing::Test {
+  AdminServerTest() : harness(3, kAdmin) {}
   std::string Call(const std::string& method, const std::string& path) {
-    Raw caller(&rig.host, rig.node->admin_address());
+    RawClient caller(&harness.host, harness.node->admin_address());
     caller.Write(method + " " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
-    EXPECT_TRUE(rig.Until([&] { return caller.ended; })) << path;
+    EXPECT_TRUE(harness.Until([&] { return caller.ended; })) << path;
     return caller.in;
   }
   std::string Status(const std::string& method, const std::string& path) {
@@ -24,12 +24,12 @@
   }
   std::string Job(const std::string& id, const std::string& cls = "look",
                   const std::string& more = "") {
-    return rig.Ask(Post(id, cls, more), "HTTP/1.1 ");
+    return harness.Ask(Post(id, cls, more), "HTTP/1.1 ");
   }
-  Rig rig;
+  NodeHarness harness;
 };
 
-TEST_F(Staff, AnswersEachCallAndSaysNoToWhatItDoesNotKnow) {
+TEST_F(AdminServerTest, AnswersEachCallAndSaysNoToWhatItDoesNotKnow) {
   EXPECT_EQ(Status("GET", "/healthcheck"), "HTTP/1.1 200");
   EXPECT_EQ(Status("GET", "/stats"), "HTTP/1.1 200");
   EXPECT_EQ(Status("PUT", "/workers/w1/maint"), "HTTP/1.1 200");
@@ -40,60 +40,59 @@
   }
   EXPECT_EQ(Status("POST", "/stats"), "HTTP/1.1 405");
   EXPECT_EQ(Status("GET", "/workers/w1/maint"), "HTTP/1.1 405");
-  rig.node->BeginStop();
+  harness.node->BeginStop();
   EXPECT_EQ(Status("GET", "/healthcheck"), "HTTP/1.1 503");
 }
 
 // Callers that finish no call once could have held every place, and so shut the staff out.
-TEST_F(Staff, CallersThatFinishNothingShutNobodyOut) {
-  std::vector<std::unique_ptr<Raw>> idle;
+TEST_F(AdminServerTest, CallersThatFinishNothingShutNobodyOut) {
+  std::vector<std::unique_ptr<RawClient>> idle;
   for (std::size_t i = 0; i < 2 * admin::AdminServer::kMaxCallers; ++i) {
-    idle.push_back(std::make_unique<Raw>(&rig.host, rig.node->admin_address()));
+    idle.push_back(std::make_unique<RawClient>(&harness.host, harness.node->admin_address()));
     idle.back()->Write("GET /st");
   }
-  const double before = rig.host.Now();
+  const double before = harness.host.Now();
   EXPECT_EQ(Status("GET", "/healthcheck"), "HTTP/1.1 200");
-  EXPECT_LT(rig.host.Now() - before, 1.0);
+  EXPECT_LT(harness.host.Now() - before, 1.0);
   const auto ended = [&] {
     return std::count_if(idle.begin(), idle.end(), [](const auto& r) { return r->ended; });
   };
-  EXPECT_TRUE(rig.Until([&] { return ended() == std::ssize(idle); }, 4));
+  EXPECT_TRUE(harness.Until([&] { return ended() == std::ssize(idle); }, 4));
 }
 
-TEST_F(Staff, CountsEachEndOnceAndEveryClassFromTheStart) {
+TEST_F(AdminServerTest, CountsEachEndOnceAndEveryClassFromTheStart) {
   EXPECT_TRUE(Has("app.downstream_requests.charge.rejected:0|c"));
   Job("a");
   Job("b");
-  rig.workers[0]->act = rig.workers[1]->act = rig.workers[2]->act = [](const ToyWorker::Got& g) {
-    ToyWorker::Lines(g, {ToyWorker::Line(g, "failed")});
-  };
+  harness.workers[0]->act = harness.workers[1]->act = harness.workers[2]->act =
+      [](const ToyWorker::Got& g) { ToyWorker::Lines(g, {ToyWorker::Line(g, "failed")}); };
   Job("c", "charge", "Idempotency-Key: k\r\n");
   EXPECT_TRUE(Has("app.downstream_requests.look.completed:2|c"));
   EXPECT_TRUE(Has("app.downstream_requests.charge.failed:1|c"));
-  EXPECT_TRUE(Has("app.upstream_requests:" + std::to_string(rig.Got()) + "|c"));
+  EXPECT_TRUE(Has("app.upstream_requests:" + std::to_string(harness.Got()) + "|c"));
   EXPECT_TRUE(Has("app.pending:0|g"));
   EXPECT_TRUE(Has("app.members:3|g"));
-  for (auto& w : rig.workers) w->act = [](const ToyWorker::Got&) {};
-  auto waits = rig.Client();
+  for (auto& w : harness.workers) w->act = [](const ToyWorker::Got&) {};
+  auto waits = harness.Client();
   waits->Write(Post("d", "look"));
-  EXPECT_TRUE(rig.Until([&] { return Has("app.pending:1|g"); }));
+  EXPECT_TRUE(harness.Until([&] { return Has("app.pending:1|g"); }));
 }
 
-TEST_F(Staff, AWorkerOutByHandGetsNothingUntilOneCallBack) {
+TEST_F(AdminServerTest, AWorkerOutByHandGetsNothingUntilOneCallBack) {
   for (const char* w : {"w0", "w1", "w1", "w0"})
     Status("PUT", std::string("/workers/") + w + "/maint");
   EXPECT_TRUE(Has("app.members_unavailable:2|g"));
   for (int i = 0; i < 6; ++i) Job("a" + std::to_string(i));
-  EXPECT_EQ(rig.workers[2]->got.size(), 6u);
+  EXPECT_EQ(harness.workers[2]->got.size(), 6u);
   EXPECT_EQ(Status("PUT", "/workers/w1/ready"), "HTTP/1.1 200");
   EXPECT_TRUE(Has("app.members_unavailable:1|g"));
-  const double back = rig.host.Now();  // it is cold, but must be in use again within 5 s
-  for (int i = 0; rig.workers[1]->got.empty() && rig.host.Now() < back + 5; ++i) {
+  const double back = harness.host.Now();  // it is cold, but must be in use again within 5 s
+  for (int i = 0; harness.workers[1]->got.empty() && harness.host.Now() < back + 5; ++i) {
     Job("b" + std::to_string(i));
-    rig.Until([] { return false; }, 0.02);
+    harness.Until([] { return false; }, 0.02);
   }
-  EXPECT_TRUE(rig.workers[0]->got.empty());
-  EXPECT_FALSE(rig.workers[1]->got.empty());
+  EXPECT_TRUE(harness.workers[0]->got.empty());
+  EXPECT_FALSE(harness.workers[1]->got.empty());
 }
 
 }  // namespace
--- a/tests/cluster/days_test.cpp
+++ b/tests/cluster/days_test.cpp
@@ -16,35 +16,36 @@
   ProcessDay(std::uint64_t seed, double length_s)
       : members_(3 + seed % 3),
         faults_(seed * 7919 + 1),
-        rig_(
+        harness_(
             {.members = members_, .voters = 3, .seed = seed, .workers = kWorkers, .gearman = true}),
-        history_(&rig_, kWorkers),
-        jobs_(&rig_, kWorkers) {
+        history_(&harness_, kWorkers),
+        jobs_(&harness_, kWorkers) {
     for (std::size_t w = 0; w < kWorkers; ++w) {
-      rig_.worker(w).act = [this](const ToyWorker::Got& got) {
+      harness_.worker(w).act = [this](const ToyWorker::Got& got) {
         jobs_.served.insert(got.body);
         ToyWorker::Done(got, "ok");
       };
     }
-    rig_.StartAll();
-    if (!Serve([this] { return rig_.Whole(); }, 25)) {
+    harness_.StartAll();
+    if (!Serve([this] { return harness_.Whole(); }, 25)) {
       Wrong("no first view");
       return;
     }
-    const double until = rig_.now() + length_s;
-    while (rig_.now() < until) {
+    const double until = harness_.now() + length_s;
+    while (harness_.now() < until) {
       Fault();
       Serve([] { return false; }, 0.2 + 1.3 * faults_.Unit());
     }
     Record("heal all");
-    rig_.Heal();
+    harness_.Heal();
     for (std::size_t i = 0; i < members_; ++i) {
-      rig_.Continue(i);
-      rig_.Start(i);
+      harness_.Continue(i);
+      harness_.Start(i);
     }
     const auto together = [this] {
-      for (std::size_t i = 0; i < members_; ++i) rig_.Start(i);  // one may have been on its way out
-      return rig_.Whole() && SameOut();
+      for (std::size_t i = 0; i < members_; ++i)
+        harness_.Start(i);  // one may have been on its way out
+      return harness_.Whole() && SameOut();
     };
     if (!Serve(together, 60)) Wrong("they don't come together");
     asks_ = false;
@@ -52,14 +53,14 @@
       Wrong("a client was told nothing");
     double look_at = 0;
     const auto done = [&] {
-      if (rig_.now() < look_at) return false;
-      look_at = rig_.now() + 0.5;
+      if (harness_.now() < look_at) return false;
+      look_at = harness_.now() + 0.5;
       return jobs_.Held() == 0 && jobs_.Wrong().empty();
     };
-    if (!rig_.Until(done, 30)) Wrong("promised jobs are left");
+    if (!harness_.Until(done, 30)) Wrong("promised jobs are left");
     for (const std::string& w : jobs_.Wrong()) Wrong(w);
     for (const std::string& w : history_.Wrong()) Wrong(w);
-    for (const std::string& w : rig_.broken()) Wrong(w);
+    for (const std::string& w : harness_.broken()) Wrong(w);
   }
   const std::string& wrong() const { return wrong_; }
   const std::string& script() const { return script_; }
@@ -68,7 +69,8 @@
   std::string Describe() {
     std::string all;
     for (std::size_t i = 0; i < members_; ++i) {
-      all += Cluster::Name(i) + ": " + rig_.polled(i).told.dump() + "\n" + rig_.LogOf(i);
+      all += ClusterHarness::Name(i) + ": " + harness_.polled(i).told.dump() + "\n" +
+             harness_.LogOf(i);
     }
     return all;
   }
@@ -79,15 +81,15 @@
 
   void Wrong(const std::string& what) { wrong_ += "\n" + what; }
   void Record(const std::string& what) {
-    script_ += std::to_string(rig_.now()) + " " + what + "\n";
+    script_ += std::to_string(harness_.now()) + " " + what + "\n";
   }
   // Time passes, with clients.
   template <typename Done>
   bool Serve(Done done, double timeout_s) {
-    return rig_.Until(
+    return harness_.Until(
         [&] {
-          if (asks_ && rig_.now() >= ask_at_) {
-            ask_at_ = rig_.now() + kAskS;
+          if (asks_ && harness_.now() >= ask_at_) {
+            ask_at_ = harness_.now() + kAskS;
             history_.Ask();
             if (history_.asked() % 2 == 0) jobs_.SubmitAny();
           }
@@ -99,8 +101,9 @@
   }
   bool SameOut() {
     for (std::size_t i = 0; i < members_; ++i) {
-      if (!rig_.polled(i).told.is_object()) return false;
-      if (rig_.polled(i).told["workers_out"] != rig_.polled(0).told["workers_out"]) return false;
+      if (!harness_.polled(i).told.is_object()) return false;
+      if (harness_.polled(i).told["workers_out"] != harness_.polled(0).told["workers_out"])
+        return false;
     }
     return true;
   }
@@ -111,39 +114,39 @@
   // A majority of voters must remember: one at most is without its folder.
   bool OthersRemember(std::size_t i) {
     for (std::size_t v = 0; v < 3; ++v) {
-      const auto& told = rig_.polled(v).told;
-      if (v != i && (!rig_.Running(v) || !told.is_object() || told["vote"] != "voting"))
+      const auto& told = harness_.polled(v).told;
+      if (v != i && (!harness_.Running(v) || !told.is_object() || told["vote"] != "voting"))
         return false;
     }
     return true;
   }
   // One disk less than `copies_least` is lost at a time: what was lost before is on another again.
   bool CopiesElsewhere() {
-    if (!rig_.Whole() || rig_.now() - taken_at_ < 8) return false;
-    for (const auto& log : rig_.polled(0).told["logs"]) {
+    if (!harness_.Whole() || harness_.now() - taken_at_ < 8) return false;
+    for (const auto& log : harness_.polled(0).told["logs"]) {
       if (log["holders"].size() < 2 || log["owner"] == "-") return false;
     }
     return true;
   }
   void Fault() {
     const std::size_t a = Any(), b = Other(a);
-    const std::string one = Cluster::Name(a), pair = one + Cluster::Name(b);
+    const std::string one = ClusterHarness::Name(a), pair = one + ClusterHarness::Name(b);
     switch (faults_.Below(14)) {
       case 0:
         Record("kill " + one);
-        return rig_.Kill(a);
+        return harness_.Kill(a);
       case 1:
         if (!OthersRemember(a) || !CopiesElsewhere()) return;
-        taken_at_ = rig_.now();
+        taken_at_ = harness_.now();
         Record("kill, without its folder " + one);
-        rig_.Kill(a);
-        return rig_.TakeFolder(a);
+        harness_.Kill(a);
+        return harness_.TakeFolder(a);
       case 2:
         Record("terminate " + one);
-        return rig_.Terminate(a);
+        return harness_.Terminate(a);
       case 3:
         Record("stop " + one);
-        return rig_.Stop(a);
+        return harness_.Stop(a);
       case 4: {
         std::vector<int> group;
         std::string members;
@@ -152,48 +155,48 @@
           members += std::to_string(group.back());
         }
         Record("split " + members);
-        return rig_.Split(group);
+        return harness_.Split(group);
       }
       case 5:
         Record("cut one way " + pair);
-        rig_.link(a, b).cut = true;
+        harness_.link(a, b).cut = true;
         return;
       case 6:
         Record("lose, double, reorder, garble");
-        return rig_.EachLink([](LinkFaults* l) {
+        return harness_.EachLink([](LinkFaults* l) {
           l->loss = 0.15, l->doubled = 0.1, l->jitter_s = 0.02, l->garbled = 0.02;
         });
       case 7:
         Record("late, throttled, reset " + pair);
-        rig_.link(a, b).delay_s = 0.15;
-        rig_.link(a, b).bytes_per_s = 2000;
-        rig_.link(b, a).reset_streams = true;
+        harness_.link(a, b).delay_s = 0.15;
+        harness_.link(a, b).bytes_per_s = 2000;
+        harness_.link(b, a).reset_streams = true;
         return;
       case 8: {
         const std::string w = "w" + std::to_string(1 + faults_.Below(kWorkers - 1));
         const bool out = faults_.Below(2) == 0;
-        if (!rig_.Serves(a)) return;
+        if (!harness_.Serves(a)) return;
         Record(w + (out ? " out at " : " back at ") + one);
-        rig_.Ask(a, "PUT /workers/" + w + (out ? "/maint" : "/ready"));
+        harness_.Ask(a, "PUT /workers/" + w + (out ? "/maint" : "/ready"));
         return;
       }
       case 9:
       case 10:
         Record("continue and start");
         for (std::size_t i = 0; i < members_; ++i) {
-          rig_.Continue(i);
-          rig_.Start(i);
+          harness_.Continue(i);
+          harness_.Start(i);
         }
         return;
       default:
         Record("heal");
-        rig_.Heal();
+        harness_.Heal();
     }
   }
 
   std::size_t members_;
   membership::Random faults_;
-  Cluster rig_;
+  ClusterHarness harness_;
   History history_;
   JobHistory jobs_;
   std::string script_, wrong_;
--- a/tests/cluster/quota_test.cpp
+++ b/tests/cluster/quota_test.cpp
@@ -14,7 +14,7 @@
 #include <map>
 #include <set>
 
-#include "support/cluster_rig.h"
+#include "support/cluster_harness.h"
 
 namespace millethollow::rig {
 namespace {
@@ -41,12 +41,12 @@
 // Requests at a steady pace for each node, and when each was answered.
 class Load {
  public:
-  explicit Load(Cluster* rig)
-      : rig_(rig),
-        rates_(rig->size(), 0.0),
-        due_(rig->size(), 0.0),
-        other_due_(rig->size(), 0.0),
-        last_(rig->now()) {}
+  explicit Load(ClusterHarness* harness)
+      : harness_(harness),
+        rates_(harness->size(), 0.0),
+        due_(harness->size(), 0.0),
+        other_due_(harness->size(), 0.0),
+        last_(harness->now()) {}
 
   // Requests a second for each of these nodes, none for the others.
   void Ask(const std::vector<std::size_t>& nodes, double all) {
@@ -54,10 +54,10 @@
     for (const std::size_t node : nodes) rates_[node] = all / static_cast<double>(nodes.size());
   }
   void Play(double span) {
-    rig_->Until([this] { return Step(), false; }, span);
+    harness_->Until([this] { return Step(), false; }, span);
   }
   bool PlayUntil(const std::function<bool()>& done, double timeout_s) {
-    return rig_->Until([&] { return Step(), done(); }, timeout_s);
+    return harness_->Until([&] { return Step(), done(); }, timeout_s);
   }
   // The most that was let in within any kWindowS that begins at `from` or later, against the quota.
   double PeakOver(double from, double quota = kQuota) const {
@@ -77,11 +77,11 @@
   }
   void PrintUse(double from) const {
     std::printf("  use by the second:");
-    for (double at = from; at < rig_->now(); at += 1) std::printf(" %.2f", Use(at, at + 1));
+    for (double at = from; at < harness_->now(); at += 1) std::printf(" %.2f", Use(at, at + 1));
     std::printf("\n");
     for (const auto& [node, times] : by_node_) {
-      std::printf("  %s:", Cluster::Name(node).c_str());
-      for (double at = from; at < rig_->now(); at += 1) {
+      std::printf("  %s:", ClusterHarness::Name(node).c_str());
+      for (double at = from; at < harness_->now(); at += 1) {
         const auto first = std::lower_bound(times.begin(), times.end(), at);
         std::printf(" %ld", std::lower_bound(first, times.end(), at + 1) - first);
       }
@@ -104,13 +104,13 @@
 
  private:
   struct Open {
-    std::unique_ptr<Raw> raw;
+    std::unique_ptr<RawClient> raw;
     double at = 0;
     bool other = false;  // of the second tenant
     std::size_t node = 0;
   };
   void Step() {
-    const double now = rig_->now();
+    const double now = harness_->now();
     for (std::size_t node = 0; node < rates_.size(); ++node) {
       due_[node] += rates_[node] * (now - last_);
       other_due_[node] += kOtherAsked * (now - last_);
@@ -121,14 +121,14 @@
     std::erase_if(open_, [&](Open& open) { return Answered(open, now); });
   }
   void Send(std::size_t node, double now, bool other) {
-    if (!rig_->Serves(node)) return;
+    if (!harness_->Serves(node)) return;
     // The hint tells one request from another: the same one again counts once as demand.
     const std::string id = std::to_string(++asked_);
     Open& open = open_.emplace_back();
     open.at = now;
     open.other = other;
     open.node = node;
-    open.raw = std::make_unique<Raw>(&rig_->loop(), rig_->http_address(node));
+    open.raw = std::make_unique<RawClient>(&harness_->loop(), harness_->http_address(node));
     std::string request =
         Post("q" + id, "look", "Work-Hint: " + std::to_string(1000 + asked_) + "\r\n");
     const std::string first = "Tenant: andes";
@@ -151,7 +151,7 @@
     return true;
   }
 
-  Cluster* rig_;
+  ClusterHarness* harness_;
   std::vector<double> rates_, due_, other_due_;
   double last_;
   std::size_t asked_ = 0, refused_ = 0, failed_ = 0, other_refused_ = 0;
@@ -163,18 +163,19 @@
 struct QuotaNodes : ::testing::Test {
   void Begin(const std::string& cluster, bool peers = false) {
     load.reset();
-    rig.reset();
-    Cluster::Options options{.members = kMembers, .voters = 3, .seed = 7, .workers = kWorkers};
+    harness.reset();
+    ClusterHarness::Options options{
+        .members = kMembers, .voters = 3, .seed = 7, .workers = kWorkers};
     options.peers = peers;
     options.cluster = cluster;
     options.settings = SettingsWith(kQuota);
-    rig = std::make_unique<Cluster>(options);
+    harness = std::make_unique<ClusterHarness>(options);
     for (std::size_t w = 0; w < kWorkers; ++w) {
-      rig->worker(w).act = [this](const ToyWorker::Got& got) { Serve(got); };
+      harness->worker(w).act = [this](const ToyWorker::Got& got) { Serve(got); };
     }
-    rig->StartAll();
-    ASSERT_TRUE(rig->Until([&] { return rig->Whole(); }, 20)) << Describe();
-    load = std::make_unique<Load>(rig.get());
+    harness->StartAll();
+    ASSERT_TRUE(harness->Until([&] { return harness->Whole(); }, 20)) << Describe();
+    load = std::make_unique<Load>(harness.get());
   }
   // Each request finds its first worker full, so that the fleet counts as full, and is served by
   // the second.
@@ -185,16 +186,17 @@
     ToyWorker::Done(got, "ok");
   }
   void TearDown() override {
-    if (!rig) return;
-    EXPECT_EQ(rig->broken(), std::vector<std::string>{});
+    if (!harness) return;
+    EXPECT_EQ(harness->broken(), std::vector<std::string>{});
     if (HasFailure()) std::printf("%s\n", Describe().c_str());
     load.reset();
-    rig.reset();
+    harness.reset();
   }
   std::string Describe() {
     std::string all;
-    for (std::size_t i = 0; i < rig->size(); ++i) {
-      all += Cluster::Name(i) + ": " + rig->polled(i).told.dump() + "\n" + rig->LogOf(i);
+    for (std::size_t i = 0; i < harness->size(); ++i) {
+      all += ClusterHarness::Name(i) + ": " + harness->polled(i).told.dump() + "\n" +
+             harness->LogOf(i);
     }
     return all;
   }
@@ -202,9 +204,9 @@
   static std::vector<std::size_t> All() { return {0, 1, 2, 3, 4, 5}; }
   // The member that says that it allocates the tenant, and is not taking it over; none: kMembers.
   std::size_t AllocatorNow() {
-    for (std::size_t i = 0; i < rig->size(); ++i) {
-      const auto& told = rig->polled(i).told;
-      if (!rig->Serves(i) || !told.is_object() || !told.contains("quota")) continue;
+    for (std::size_t i = 0; i < harness->size(); ++i) {
+      const auto& told = harness->polled(i).told;
+      if (!harness->Serves(i) || !told.is_object() || !told.contains("quota")) continue;
       const auto& names = told["quota"]["allocates"];
       if (std::find(names.begin(), names.end(), "andes") == names.end()) continue;
       if (told["quota"]["taking_over"].empty()) return i;
@@ -216,13 +218,13 @@
     std::printf(
         "%s: most over any %.0f s %.3f of the quota, use %.3f, refused %zu, failed %zu; other "
         "tenant refused %zu\n",
-        what, kWindowS, peak, load->Use(from, rig->now()), load->refused(), load->failed(),
+        what, kWindowS, peak, load->Use(from, harness->now()), load->refused(), load->failed(),
         load->other_refused());
     load->PrintUse(from);
     EXPECT_LE(peak, kMaxOver) << what;
     EXPECT_EQ(load->failed(), 0U) << what;
   }
-  std::unique_ptr<Cluster> rig;
+  std::unique_ptr<ClusterHarness> harness;
   std::unique_ptr<Load> load;
   std::set<std::string> tried;
 };
@@ -235,7 +237,7 @@
     load->Play(kSettleS);
     load->Ask(Place(0), kAsked);
     load->Play(kSettleS);
-    const double moved = rig->now();
+    const double moved = harness->now();
     load->Ask(Place(1), kAsked);
     load->Play(10);
     again[leased] = load->UsedAgainAfter(moved, 8);
@@ -247,8 +249,8 @@
         load->PeakOver(moved - kWindowS));
     load->PrintUse(moved - 3);
     for (std::size_t i = 0; leased && i < kMembers; ++i) {
-      std::printf("  %s holds %ld of both tenants\n", Cluster::Name(i).c_str(),
-                  rig->Figure(i, "app.cluster.quota.rate_held"));
+      std::printf("  %s holds %ld of both tenants\n", ClusterHarness::Name(i).c_str(),
+                  harness->Figure(i, "app.cluster.quota.rate_held"));
     }
   }
   EXPECT_GE(again[true], 0);
@@ -261,15 +263,15 @@
   Begin(kQuotaOn);
   load->Ask(All(), kAsked);
   load->Play(kSettleS);
-  const double from = rig->now();
-  rig->Split({1, 0, 0, 1, 0, 0});
+  const double from = harness->now();
+  harness->Split({1, 0, 0, 1, 0, 0});
   load->Play(kCutS);
-  rig->Heal();
+  harness->Heal();
   load->Play(8);
   ExpectWithinQuota(from, "cut");
-  EXPECT_TRUE(load->PlayUntil([&] { return rig->Whole() && AllocatorNow() != kMembers; }, 20));
+  EXPECT_TRUE(load->PlayUntil([&] { return harness->Whole() && AllocatorNow() != kMembers; }, 20));
   load->Play(5);
-  EXPECT_GE(load->Use(rig->now() - 4, rig->now()), kLeastUse)
+  EXPECT_GE(load->Use(harness->now() - 4, harness->now()), kLeastUse)
       << "and all is used once it is healed";
 }
 
@@ -282,18 +284,19 @@
   load->Ask(All(), kAsked);
   ASSERT_TRUE(load->PlayUntil([&] { return AllocatorNow() != kMembers; }, 15));
   load->Play(kSettleS);
-  const double from = rig->now();
+  const double from = harness->now();
   for (std::size_t i = 0; i < kMembers; ++i) {
-    rig->Terminate(i);
-    ASSERT_TRUE(load->PlayUntil([&] { return !rig->Running(i); }, 15)) << Cluster::Name(i);
-    EXPECT_EQ(rig->ExitCode(i), 0) << Cluster::Name(i);
-    rig->Start(i);
-    ASSERT_TRUE(load->PlayUntil([&] { return rig->Whole() && AllocatorNow() != kMembers; }, 25))
-        << Cluster::Name(i);
+    harness->Terminate(i);
+    ASSERT_TRUE(load->PlayUntil([&] { return !harness->Running(i); }, 15))
+        << ClusterHarness::Name(i);
+    EXPECT_EQ(harness->ExitCode(i), 0) << ClusterHarness::Name(i);
+    harness->Start(i);
+    ASSERT_TRUE(load->PlayUntil([&] { return harness->Whole() && AllocatorNow() != kMembers; }, 25))
+        << ClusterHarness::Name(i);
   }
   load->Play(kSettleS);
   ExpectWithinQuota(from, "rolling restart");
-  EXPECT_GE(load->Use(rig->now() - 4, rig->now()), kLeastUse) << "and all is used after it";
+  EXPECT_GE(load->Use(harness->now() - 4, harness->now()), kLeastUse) << "and all is used after it";
 }
 
 // The file of one node after the other is changed and read again, half a second apart.
@@ -304,29 +307,29 @@
   ASSERT_TRUE(load->PlayUntil([&] { return AllocatorNow() != kMembers; }, 15));
   load->Play(kSettleS);
   const auto change = [&](double quota) {
-    const double changed = rig->now();
+    const double changed = harness->now();
     for (std::size_t i = 0; i < kMembers; ++i) {
-      rig->Reload(i, SettingsWith(quota));
+      harness->Reload(i, SettingsWith(quota));
       load->Play(kApartS);
     }
-    load->Play(changed + kChangedWithinS - rig->now());
+    load->Play(changed + kChangedWithinS - harness->now());
   };
-  const double before = rig->now();
+  const double before = harness->now();
   change(kLowered);
   EXPECT_LE(load->PeakOver(before), kMaxOver) << "never above the higher one";
-  double from = rig->now();
+  double from = harness->now();
   load->Play(kSettleS);
   const double peak = load->PeakOver(from, kLowered),
-               used = load->Use(from, rig->now()) * kQuota / kLowered;
+               used = load->Use(from, harness->now()) * kQuota / kLowered;
   std::printf("lowered to %.0f: most over any %.0f s %.3f, use %.3f of it\n", kLowered, kWindowS,
               peak, used);
   EXPECT_LE(peak, kMaxOver);
   EXPECT_GE(used, kLeastUse);
   change(kQuota);
-  from = rig->now();
+  from = harness->now();
   load->Play(kSettleS);
   ExpectWithinQuota(from, "raised again");
-  EXPECT_GE(load->Use(from, rig->now()), kLeastUse);
+  EXPECT_GE(load->Use(from, harness->now()), kLeastUse);
 }
 
 TEST_F(QuotaNodes, TheSumIsKeptWhileTheAllocatorIsKilledOrStopped) {
@@ -334,31 +337,31 @@
   load->Ask(All(), kAsked);
   ASSERT_TRUE(load->PlayUntil([&] { return AllocatorNow() != kMembers; }, 15));
   load->Play(kSettleS);
-  double from = rig->now();
+  double from = harness->now();
   const std::size_t killed = AllocatorNow();
   ASSERT_LT(killed, kMembers);
   std::vector<std::size_t> others = All();
   std::erase(others, killed);
   load->Ask(others, kAsked);
-  rig->Kill(killed);
+  harness->Kill(killed);
   load->Play(15);
   const std::size_t next = AllocatorNow();
   ASSERT_LT(next, kMembers) << "another has taken over";
   EXPECT_NE(next, killed);
-  EXPECT_GE(load->Use(rig->now() - 4, rig->now()), kLeastUse);
+  EXPECT_GE(load->Use(harness->now() - 4, harness->now()), kLeastUse);
   ExpectWithinQuota(from, "killed");
-  rig->Start(killed);
-  ASSERT_TRUE(load->PlayUntil([&] { return rig->Whole() && AllocatorNow() != kMembers; }, 20));
+  harness->Start(killed);
+  ASSERT_TRUE(load->PlayUntil([&] { return harness->Whole() && AllocatorNow() != kMembers; }, 20));
   load->Play(5);
 
-  from = rig->now();
+  from = harness->now();
   const std::size_t stopped = AllocatorNow();
-  rig->Stop(stopped);
+  harness->Stop(stopped);
   load->Play(10);
-  rig->Continue(stopped);
+  harness->Continue(stopped);
   load->Play(10);
   ExpectWithinQuota(from, "stopped and continued");
-  EXPECT_TRUE(load->PlayUntil([&] { return rig->Whole() && AllocatorNow() != kMembers; }, 20));
+  EXPECT_TRUE(load->PlayUntil([&] { return harness->Whole() && AllocatorNow() != kMembers; }, 20));
 }
 
 }  // namespace
--- a/tests/cluster/restart_test.cpp
+++ b/tests/cluster/restart_test.cpp
@@ -12,7 +12,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "support/cluster_rig.h"
+#include "support/cluster_harness.h"
 
 namespace millethollow::rig {
 namespace {
@@ -56,7 +56,7 @@
 
  private:
   struct Client {
-    std::unique_ptr<Raw> raw;
+    std::unique_ptr<RawClient> raw;
     http::Parser parser{http::Parser::Side::kRequest, {}};
   };
   struct Line {
@@ -74,7 +74,7 @@
   void Accept(std::size_t p, evutil_socket_t fd) {
     lines_[p].clients.push_back(std::make_unique<Client>());
     Client* c = lines_[p].clients.back().get();
-    c->raw = std::make_unique<Raw>(loop_, fd);
+    c->raw = std::make_unique<RawClient>(loop_, fd);
     c->raw->on_read = [this, p, c] {
       c->raw->in.erase(0, c->parser.Feed(c->raw->in));
       if (!c->parser.done()) return;
@@ -133,7 +133,7 @@
     int port = 0;
     std::string config, log;
     double started_at = 0, ready_at = -1;
-    std::unique_ptr<Raw> health, client;
+    std::unique_ptr<RawClient> health, client;
   };
   Tier() {
     LogLevel() = Level::kError;
@@ -199,7 +199,7 @@
       } else if (p.health && p.health->ended) {
         p.health.reset();
       } else if (!p.health) {
-        p.health = std::make_unique<Raw>(&loop, At(p.port));
+        p.health = std::make_unique<RawClient>(&loop, At(p.port));
         p.health->Write("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n");
       }
     }
@@ -251,7 +251,7 @@
     next = loop.Now() + 0.005;
     Process& p = processes[turn++ % kProcesses];
     if (p.ready_at < 0) return;
-    if (!p.client || p.client->ended) p.client = std::make_unique<Raw>(&loop, At(p.port));
+    if (!p.client || p.client->ended) p.client = std::make_unique<RawClient>(&loop, At(p.port));
     const auto of = static_cast<std::size_t>(&p - processes.data());
     p.client->Write(
         Post(std::to_string(of) + "-" + std::to_string(++sent), "look", "", "{}", 2000));
@@ -300,7 +300,7 @@
   Start(&processes[0], 120);
   ASSERT_TRUE(Until([&] { return AllReady(); }, 10, [&] { PollHealth(); }))
       << "though discovery is down";
-  std::vector<std::unique_ptr<Raw>> idle;
+  std::vector<std::unique_ptr<RawClient>> idle;
   std::size_t max_open = 0;
   const auto open = [&] {
     std::size_t n = 0;
@@ -311,19 +311,19 @@
   };
   for (int wave = 0; wave < 3; ++wave) {
     for (int i = 0; i < 150; ++i)
-      idle.push_back(std::make_unique<Raw>(&loop, At(processes[0].port)));
+      idle.push_back(std::make_unique<RawClient>(&loop, At(processes[0].port)));
     Until([] { return false; }, 0.4, open);
   }
   int calls = 0;
   const double back = loop.Now();
   Listener listener;
-  std::vector<std::unique_ptr<Raw>> callers;
+  std::vector<std::unique_ptr<RawClient>> callers;
   std::string error;
   ASSERT_TRUE(listener.Open(
       &loop, At(port),
       [&](evutil_socket_t fd) {
-        callers.push_back(std::make_unique<Raw>(&loop, fd));
-        Raw* c = callers.back().get();
+        callers.push_back(std::make_unique<RawClient>(&loop, fd));
+        RawClient* c = callers.back().get();
         c->on_read = [c, &calls] {
           if (c->in.find("\r\n\r\n") == std::string::npos) return;
           const bool waits = !c->in.ends_with("wait_ms=0 HTTP/1.1\r\nHost: discovery\r\n\r\n");
@@ -341,7 +341,7 @@
   ASSERT_TRUE(Until([&] { return calls > 0; }, 6, open));
   EXPECT_LT(loop.Now() - back, 6);
   for (int i = 0; i < 5; ++i) {
-    Raw client(&loop, At(processes[0].port));
+    RawClient client(&loop, At(processes[0].port));
     client.Write(Post("a" + std::to_string(i), "look"));
     EXPECT_TRUE(Until([&] { return client.in.ends_with("ok"); }, 4, open)) << client.in;
   }
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -513,7 +513,7 @@
     return done();
   }
   std::string Get(const std::string& path) {
-    Raw caller(&host, node->admin_address());
+    RawClient caller(&host, node->admin_address());
     caller.Write("GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
     EXPECT_TRUE(Until([&] { return caller.ended; }, 5)) << path;
     return caller.in.substr(caller.in.find("\r\n\r\n") + 4);
@@ -586,10 +586,10 @@
   // The times of commits are told once there have been enough of them.
   EXPECT_TRUE(Until(
       [&] {
-        std::vector<std::unique_ptr<Raw>> calls;
+        std::vector<std::unique_ptr<RawClient>> calls;
         for (int i = 0; i < 16; ++i) {
           const std::string verb = i % 2 == 0 ? "maint" : "ready";
-          calls.push_back(std::make_unique<Raw>(&host, node->admin_address()));
+          calls.push_back(std::make_unique<RawClient>(&host, node->admin_address()));
           calls.back()->Write("PUT /workers/toy-0/" + verb + " HTTP/1.1\r\nHost: a\r\n\r\n");
         }
         Until([&] { return std::ranges::all_of(calls, [](const auto& c) { return c->ended; }); },
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -4,7 +4,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#include "support/rig.h"
+#include "support/node_harness.h"
 
 namespace millethollow {
 namespace {
@@ -12,24 +12,24 @@
 struct Crossing : testing::Test {
   // The stand-ins have their turns, the node has none: what they send waits in the system.
   void HostOnly(double s) {
-    const double until = rig.host.Now() + s;
-    while (rig.host.Now() < until) {
-      rig.host.deadlines().At(rig.host.Now() + 0.001, [] {});
-      rig.host.Turn();
+    const double until = harness.host.Now() + s;
+    while (harness.host.Now() < until) {
+      harness.host.deadlines().At(harness.host.Now() + 0.001, [] {});
+      harness.host.Turn();
     }
   }
   // The node's deadlines fall due before it has read anything.
-  void SweepOnly() { rig.node->loop().deadlines().Sweep(rig.node->loop().Now()); }
-  std::unique_ptr<Raw> Resting() {
-    auto client = rig.Client();
+  void SweepOnly() { harness.node->loop().deadlines().Sweep(harness.node->loop().Now()); }
+  std::unique_ptr<RawClient> Resting() {
+    auto client = harness.Client();
     client->Write(Post("rest" + std::to_string(++rested), "look"));
-    EXPECT_TRUE(rig.Until([&] { return client->in.ends_with("ok"); }));
+    EXPECT_TRUE(harness.Until([&] { return client->in.ends_with("ok"); }));
     client->in.clear();
     return client;
   }
   // A connection that takes in little at a time, so that an answer stays with the node's system.
   int Narrow() {
-    const sockaddr_in to = *ParseAddress(rig.node->http_address());
+    const sockaddr_in to = *ParseAddress(harness.node->http_address());
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), bytes = 4096;
     setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
     EXPECT_EQ(connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to), 0);
@@ -37,43 +37,43 @@
     return fd;
   }
   int rested = 0;
-  Rig rig{1};
+  NodeHarness harness{1};
 };
 
 TEST_F(Crossing, ARequestThatCameBeforeTheStopClosedItsConnectionIsServed) {
   auto client = Resting();
-  rig.node->BeginStop();
+  harness.node->BeginStop();
   HostOnly(0.52);
   client->Write(Post("a1", "look"));
   HostOnly(0.02);
   SweepOnly();  // the connection rests, for all that the node has read
-  ASSERT_TRUE(rig.Until([&] { return client->ended; }));
+  ASSERT_TRUE(harness.Until([&] { return client->ended; }));
   EXPECT_TRUE(client->in.starts_with("HTTP/1.1 200")) << client->in;
   EXPECT_NE(client->in.find("Connection: close"), std::string::npos);
 }
 
 TEST_F(Crossing, ARequestAfterTheEndOfItsConnectionIsNotSentOn) {
   auto client = Resting();
-  const std::size_t before = rig.Got();
-  rig.node->BeginStop();
+  const std::size_t before = harness.Got();
+  harness.node->BeginStop();
   HostOnly(0.52);
   SweepOnly();                        // our side has ended
   client->Write(Post("a1", "look"));  // and the client has not seen it
   HostOnly(0.02);
   ASSERT_TRUE(client->ended);
-  rig.Until([] { return false; }, 0.2);
-  EXPECT_EQ(rig.Got(), before);
+  harness.Until([] { return false; }, 0.2);
+  EXPECT_EQ(harness.Got(), before);
   EXPECT_EQ(client->in, "");
 }
 
 TEST_F(Crossing, AConnectionThatWaitedForItsAcceptWhenTheStopCameIsServed) {
-  rig.node->BeginStop();
+  harness.node->BeginStop();
   HostOnly(0.45);
-  auto client = rig.Client();
+  auto client = harness.Client();
   client->Write(Post("a1", "look"));
   HostOnly(0.07);
   SweepOnly();  // the listener closes
-  ASSERT_TRUE(rig.Until([&] { return client->ended; }));
+  ASSERT_TRUE(harness.Until([&] { return client->ended; }));
   EXPECT_TRUE(client->in.starts_with("HTTP/1.1 200")) << client->in;
 }
 
@@ -81,23 +81,23 @@
 // nowhere.
 TEST_F(Crossing, ARequestThatIsWholeOnlyLateAfterTheStopIsRefused) {
   auto client = Resting();
-  const std::size_t before = rig.Got();
+  const std::size_t before = harness.Got();
   const std::string request = Post("a1", "look");
   client->Write(request.substr(0, 30));
-  rig.Until([] { return false; }, 0.02);
-  rig.node->BeginStop();
-  rig.Until([] { return false; }, 0.7);
+  harness.Until([] { return false; }, 0.02);
+  harness.node->BeginStop();
+  harness.Until([] { return false; }, 0.7);
   client->Write(request.substr(30));
-  ASSERT_TRUE(rig.Until([&] { return client->ended; }));
+  ASSERT_TRUE(harness.Until([&] { return client->ended; }));
   EXPECT_TRUE(client->in.starts_with("HTTP/1.1 503")) << client->in;
-  EXPECT_EQ(rig.Got(), before);
+  EXPECT_EQ(harness.Got(), before);
 }
 
 // The last answer of a connection on which more has come: a close over bytes unread would reset the
 // connection, and what the client has not taken in yet would be gone.
 TEST_F(Crossing, ALastAnswerOutlivesTheBytesBehindItsRequest) {
   const std::string large(60000, 'x');
-  rig.workers[0]->act = [&](const ToyWorker::Got& g) { ToyWorker::Done(g, large); };
+  harness.workers[0]->act = [&](const ToyWorker::Got& g) { ToyWorker::Done(g, large); };
   const int client = Narrow();
   std::string request = Post("a1", "look");
   request.insert(request.find("\r\n\r\n"), "\r\nConnection: close");
@@ -112,29 +112,29 @@
   };
   const std::string more = Post("a2", "look");
   int end = 0;
-  rig.Until([&] {
-    if (rig.node->counters().completed == 1 && in.size() < 40000)
+  harness.Until([&] {
+    if (harness.node->counters().completed == 1 && in.size() < 40000)
       (void)send(client, more.data(), more.size(), MSG_NOSIGNAL);
     end = take();
     return end != 0;
   });
   EXPECT_EQ(end, 1) << "reset";
   EXPECT_TRUE(in.ends_with(large)) << in.size();
-  EXPECT_EQ(rig.Got(), 1u);
+  EXPECT_EQ(harness.Got(), 1u);
   close(client);
 }
 
 // Of a client that has sent more than is read ahead, the end stands behind bytes that nobody reads.
 TEST_F(Crossing, AClientThatFloodsAndLeavesHasLeft) {
   std::vector<ToyWorker::Got> held;
-  rig.workers[0]->act = [&](const ToyWorker::Got& g) { held.push_back(g); };
-  auto client = rig.Client();
+  harness.workers[0]->act = [&](const ToyWorker::Got& g) { held.push_back(g); };
+  auto client = harness.Client();
   client->Write(Post("a1", "look", "", "{}", 60000) + std::string(300000, 'x'));
-  ASSERT_TRUE(rig.Until([&] { return rig.Got() == 1 && client->Drained(); }));
-  rig.Until([] { return false; }, 0.3);  // it is all with the node's system, or read
+  ASSERT_TRUE(harness.Until([&] { return harness.Got() == 1 && client->Drained(); }));
+  harness.Until([] { return false; }, 0.3);  // it is all with the node's system, or read
   client->Close("test");
-  EXPECT_TRUE(rig.Until([&] { return rig.node->counters().cancelled == 1; }, 0.1));
-  EXPECT_TRUE(rig.Until([&] { return rig.workers[0]->AllGone(); }, 0.2));
+  EXPECT_TRUE(harness.Until([&] { return harness.node->counters().cancelled == 1; }, 0.1));
+  EXPECT_TRUE(harness.Until([&] { return harness.workers[0]->AllGone(); }, 0.2));
 }
 
 // A second 'never begun' for one request, late, must not be taken for the answer to the next, which
@@ -142,7 +142,7 @@
 TEST_F(Crossing, ASecondAnswerIsNotTakenForThatOfTheNextRequest) {
   const std::string away = "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
   ToyWorker::Got first{}, second{};
-  rig.workers[0]->act = [&](const ToyWorker::Got& g) {
+  harness.workers[0]->act = [&](const ToyWorker::Got& g) {
     if (first.from == nullptr) {
       first = g;
       g.from->Write(away);
@@ -151,15 +151,15 @@
       first.from->Write(away);
     }
   };
-  auto one = rig.Client(), two = rig.Client();
+  auto one = harness.Client(), two = harness.Client();
   one->Write(Post("a1", "charge", "Idempotency-Key: k1\r\n"));
-  ASSERT_TRUE(rig.Until([&] { return one->in.starts_with("HTTP/1.1 503"); }));
+  ASSERT_TRUE(harness.Until([&] { return one->in.starts_with("HTTP/1.1 503"); }));
   two->Write(Post("a2", "charge", "Idempotency-Key: k2\r\n"));
-  ASSERT_TRUE(rig.Until([&] { return second.from != nullptr; }));
-  rig.Until([&] { return !two->in.empty(); }, 0.1);
+  ASSERT_TRUE(harness.Until([&] { return second.from != nullptr; }));
+  harness.Until([&] { return !two->in.empty(); }, 0.1);
   EXPECT_EQ(two->in, "") << "it runs";
   ToyWorker::Done(second, "ok");
-  ASSERT_TRUE(rig.Until([&] { return two->in.ends_with("ok"); }));
+  ASSERT_TRUE(harness.Until([&] { return two->in.ends_with("ok"); }));
 }
 
 // The worker has closed a resting connection, and no turn has seen it yet: the request goes out on
@@ -283,9 +283,9 @@
         }
         return done();
       };
-      std::vector<std::unique_ptr<Raw>> all;
+      std::vector<std::unique_ptr<RawClient>> all;
       for (int i = 0; i < clients; ++i) {
-        all.push_back(std::make_unique<Raw>(&host, node.http_address()));
+        all.push_back(std::make_unique<RawClient>(&host, node.http_address()));
         all.back()->Write(Post("a" + std::to_string(i), "look"));
       }
       const auto count = static_cast<std::uint64_t>(clients);
@@ -306,23 +306,23 @@
   const std::string error = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
   for (const std::string& answer : {away, error, std::string()}) {
     for (const bool client_first : {true, false}) {
-      Rig rig(3);
+      NodeHarness harness(3);
       std::vector<ToyWorker::Got> got;
-      for (auto& w : rig.workers) w->act = [&](const ToyWorker::Got& g) { got.push_back(g); };
-      auto client = rig.Client();
+      for (auto& w : harness.workers) w->act = [&](const ToyWorker::Got& g) { got.push_back(g); };
+      auto client = harness.Client();
       client->Write(Post("a1", "look"));
-      ASSERT_TRUE(rig.Until([&] { return got.size() == 1; }));
+      ASSERT_TRUE(harness.Until([&] { return got.size() == 1; }));
       const auto leave = [&] { client->Close("test"); };
       if (client_first) leave();
       answer.empty() ? got[0].from->Close("test") : got[0].from->Write(answer);
-      rig.host.deadlines().At(rig.host.Now() + 0.001, [] {});
-      rig.host.Turn();  // the node finds both in the same turn
+      harness.host.deadlines().At(harness.host.Now() + 0.001, [] {});
+      harness.host.Turn();  // the node finds both in the same turn
       if (!client_first) leave();
-      rig.Until([&] { return rig.node->counters().cancelled == 1; }, 1);
-      const double left = rig.host.Now();
-      const std::size_t then = rig.Got();
-      rig.Until([&] { return rig.host.Now() - left > 0.5; }, 1);
-      EXPECT_EQ(rig.Got(), then) << answer << client_first;
+      harness.Until([&] { return harness.node->counters().cancelled == 1; }, 1);
+      const double left = harness.host.Now();
+      const std::size_t then = harness.Got();
+      harness.Until([&] { return harness.host.Now() - left > 0.5; }, 1);
+      EXPECT_EQ(harness.Got(), then) << answer << client_first;
       EXPECT_LE(then, 2u);
     }
   }
@@ -375,42 +375,43 @@
        "503"},
   };
   for (const Case& c : cases) {
-    Rig rig(1);
-    rig.workers[0]->act = [&](const ToyWorker::Got& g) {
-      rig.Got() == 1 ? c.act(g) : ToyWorker::Done(g, "ok");
+    NodeHarness harness(1);
+    harness.workers[0]->act = [&](const ToyWorker::Got& g) {
+      harness.Got() == 1 ? c.act(g) : ToyWorker::Done(g, "ok");
     };
-    const std::string in = rig.Ask(Post("a1", "look", "", "{}", 1000), "\r\n\r\n");
+    const std::string in = harness.Ask(Post("a1", "look", "", "{}", 1000), "\r\n\r\n");
     EXPECT_TRUE(in.starts_with(std::string("HTTP/1.1 ") + c.status)) << c.name << ": " << in;
-    const std::string next = rig.Ask(Post("a2", "look"), "\r\n\r\n");
+    const std::string next = harness.Ask(Post("a2", "look"), "\r\n\r\n");
     EXPECT_TRUE(next.starts_with("HTTP/1.1 200") || next.starts_with("HTTP/1.1 503"))
         << c.name << ": " << next;
-    EXPECT_LE(rig.node->counters().completed + rig.node->counters().rejected +
-                  rig.node->counters().failed,
+    EXPECT_LE(harness.node->counters().completed + harness.node->counters().rejected +
+                  harness.node->counters().failed,
               2u);
   }
 }
 
 // One byte at a time, from the client and from the worker, is slow but no fault.
 TEST(BadAnswers, OneByteAtATimeIsRead) {
-  Rig rig(1);
+  NodeHarness harness(1);
   std::string answer;
-  rig.workers[0]->act = [&](const ToyWorker::Got& g) {
+  harness.workers[0]->act = [&](const ToyWorker::Got& g) {
     std::string line = ToyWorker::Line(g, "done");
     line.insert(line.size() - 1, R"(,"result":"ok")");
     answer = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(line.size() + 1) + "\r\n\r\n" +
              line + "\n";
     for (std::size_t i = 0; i < answer.size(); ++i) {
-      rig.host.deadlines().At(rig.host.Now() + 0.002 * static_cast<double>(i),
-                              [from = g.from, c = answer[i]] { from->Write(std::string(1, c)); });
+      harness.host.deadlines().At(
+          harness.host.Now() + 0.002 * static_cast<double>(i),
+          [from = g.from, c = answer[i]] { from->Write(std::string(1, c)); });
     }
   };
-  auto client = rig.Client();
+  auto client = harness.Client();
   const std::string request = Post("a1", "look");
   for (std::size_t i = 0; i < request.size(); ++i) {
-    rig.host.deadlines().At(rig.host.Now() + 0.002 * static_cast<double>(i),
-                            [&client, c = request[i]] { client->Write(std::string(1, c)); });
+    harness.host.deadlines().At(harness.host.Now() + 0.002 * static_cast<double>(i),
+                                [&client, c = request[i]] { client->Write(std::string(1, c)); });
   }
-  EXPECT_TRUE(rig.Until([&] { return client->in.ends_with("ok"); }));
+  EXPECT_TRUE(harness.Until([&] { return client->in.ends_with("ok"); }));
 }
 
 }  // namespace
--- a/tests/crowded_discovery_test.cpp
+++ b/tests/crowded_discovery_test.cpp
@@ -35,7 +35,7 @@
 
  private:
   struct Call {
-    Raw* from;
+    RawClient* from;
     int after = 0;
     bool waits = false;
   };
@@ -86,7 +86,7 @@
   std::size_t turned_away_ = 0;
   std::deque<Call> queue_;
   std::vector<Call> watches_;
-  std::map<Raw*, double> answered_;
+  std::map<RawClient*, double> answered_;
 };
 
 // A tier and its discovery; for each change, when each node heard of it.
--- a/tests/descriptor_limit_test.cpp
+++ b/tests/descriptor_limit_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
-#include "support/rig.h"
+#include "support/node_harness.h"
 
 namespace {
 
@@ -26,17 +26,17 @@
 // system for each idle one, for each that came, kept nodes so busy that they heard of drains 5 s
 // late.
 TEST(MakeRoom, LooksAtTheConnectionToBeClosedOnly) {
-  Rig rig(1, R"("limits":{"sockets":264},)");  // room for 100 clients
-  const auto rests = rig.Client();
+  NodeHarness harness(1, R"("limits":{"sockets":264},)");  // room for 100 clients
+  const auto rests = harness.Client();
   rests->Write(Post("a1", "look"));
-  ASSERT_TRUE(rig.Until([&] { return rests->in.ends_with("ok"); }));
-  std::vector<std::unique_ptr<Raw>> silent;
+  ASSERT_TRUE(harness.Until([&] { return rests->in.ends_with("ok"); }));
+  std::vector<std::unique_ptr<RawClient>> silent;
   const auto flood = [&](std::size_t connections) {
     for (std::size_t i = 0; i < connections; ++i) {
-      silent.push_back(rig.Client());
-      if (i % 20 == 19) rig.TurnAll();
+      silent.push_back(harness.Client());
+      if (i % 20 == 19) harness.TurnAll();
     }
-    rig.Until([&] { return false; }, 0.2);
+    harness.Until([&] { return false; }, 0.2);
   };
   flood(150);
   const std::size_t before = looks;
@@ -46,25 +46,25 @@
   // The one that was served still rests.
   rests->in.clear();
   rests->Write(Post("a2", "look"));
-  EXPECT_TRUE(rig.Until([&] { return rests->in.ends_with("ok"); }));
+  EXPECT_TRUE(harness.Until([&] { return rests->in.ends_with("ok"); }));
 }
 
 // A request that waits in the system is not closed over, whoever is the longest idle.
 TEST(MakeRoom, ClosesNoRestingConnectionWithARequestUnread) {
-  Rig rig(1, R"("limits":{"sockets":96},)");  // room for 16 clients
-  std::vector<std::unique_ptr<Raw>> resting;
+  NodeHarness harness(1, R"("limits":{"sockets":96},)");  // room for 16 clients
+  std::vector<std::unique_ptr<RawClient>> resting;
   for (int i = 0; i < 14; ++i) {
-    resting.push_back(rig.Client());
+    resting.push_back(harness.Client());
     resting.back()->Write(Post("a" + std::to_string(i), "look"));
-    ASSERT_TRUE(rig.Until([&] { return resting.back()->in.ends_with("ok"); })) << i;
+    ASSERT_TRUE(harness.Until([&] { return resting.back()->in.ends_with("ok"); })) << i;
   }
   // The longest idle one asks again while others come, all within one turn of the node.
   resting[0]->in.clear();
   resting[0]->Write(Post("b0", "look"));
-  std::vector<std::unique_ptr<Raw>> fresh;
-  for (int i = 0; i < 4; ++i) fresh.push_back(rig.Client());
-  for (int i = 0; i < 20; ++i) rig.host.Turn();
-  EXPECT_TRUE(rig.Until([&] { return resting[0]->in.ends_with("ok"); }));
+  std::vector<std::unique_ptr<RawClient>> fresh;
+  for (int i = 0; i < 4; ++i) fresh.push_back(harness.Client());
+  for (int i = 0; i < 20; ++i) harness.host.Turn();
+  EXPECT_TRUE(harness.Until([&] { return resting[0]->in.ends_with("ok"); }));
   EXPECT_FALSE(resting[0]->ended);
 }
 
--- a/tests/durable_job_queue_test.cpp
+++ b/tests/durable_job_queue_test.cpp
@@ -4,8 +4,8 @@
 
 #include <gtest/gtest.h>
 
-#include "support/copies_world.h"
 #include "support/days.h"
+#include "support/replication_simulation.h"
 
 namespace millethollow::copies {
 namespace {
@@ -208,7 +208,7 @@
 
   const JobFaults planted_;
   Random random_, faults_;
-  CopyWorld copies_;
+  ReplicationSimulation copies_;
   World& world_;
   std::vector<Node> nodes_;
   std::map<std::string, Truth> truth_;
--- a/tests/idempotency_keys_test.cpp
+++ b/tests/idempotency_keys_test.cpp
@@ -4,8 +4,8 @@
 
 #include "copies/idempotency_key_client.h"
 #include "copies/idempotency_key_registry.h"
-#include "support/copies_world.h"
 #include "support/days.h"
+#include "support/replication_simulation.h"
 
 namespace millethollow::copies {
 namespace {
@@ -224,7 +224,7 @@
 
   const KeyFaults planted_;
   Random random_, faults_;
-  CopyWorld copies_;
+  ReplicationSimulation copies_;
   World& world_;
   std::vector<Node> nodes_;
   std::map<std::string, Truth> truth_;
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -85,7 +85,7 @@
     StartPlanner();
     forwarder = std::make_unique<Node>(config, Role{Role::Kind::kForwarder, 0});
     EXPECT_TRUE(IsOk(forwarder->Start()));
-    client = std::make_unique<Raw>(&host, forwarder->http_address());
+    client = std::make_unique<RawClient>(&host, forwarder->http_address());
   }
   ~Levels() {
     unlink(PlannerSocketPath(config, 0).c_str());
@@ -121,7 +121,7 @@
   std::string path;
   Config config;
   std::unique_ptr<Node> planner, forwarder;
-  std::unique_ptr<Raw> client;
+  std::unique_ptr<RawClient> client;
 };
 
 TEST(TwoLevels, ServeAcrossTheLink) {
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -4,7 +4,7 @@
 
 #include <map>
 
-#include "support/rig.h"
+#include "support/node_harness.h"
 
 namespace millethollow {
 namespace {
@@ -41,7 +41,7 @@
     return done();
   }
   std::string Ask(const std::string& bytes, const std::string& at = "") {
-    Raw client(&host, at.empty() ? node->http_address() : at);
+    RawClient client(&host, at.empty() ? node->http_address() : at);
     client.Write(bytes);
     Until([&] { return client.in.find("\r\n\r\n") != std::string::npos || client.ended; });
     return client.in.substr(0, 12);
@@ -129,9 +129,9 @@
   const std::size_t before = Got(0) + Got(1), before0 = Got(0);
   Until([&] { return host.Now() - answered > 1.95; });
   ASSERT_EQ(held.size(), 1u);
-  std::vector<std::unique_ptr<Raw>> clients;
+  std::vector<std::unique_ptr<RawClient>> clients;
   for (int i = 0; i < 6; ++i) {
-    clients.push_back(std::make_unique<Raw>(&host, node->http_address()));
+    clients.push_back(std::make_unique<RawClient>(&host, node->http_address()));
     clients.back()->Write(Post("c" + std::to_string(i), "look"));
   }
   EXPECT_FALSE(Until([&] { return Got(0) + Got(1) > before; }, 0.2));
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -5,7 +5,7 @@
 #include <random>
 
 #include "net/http/worker_pool.h"
-#include "support/rig.h"
+#include "support/node_harness.h"
 
 namespace millethollow {
 namespace {
@@ -17,13 +17,13 @@
        "look":{"class":"look","tenant":"andes"},"charge":{"class":"charge","tenant":"andes"}}},)";
 
 TEST(HttpFront, ServesWhatTheWorkerMadeAndPassesItOnUnchanged) {
-  Rig rig;
+  NodeHarness harness;
   const std::string in =
-      rig.Ask(Post("a1", "charge", "Idempotency-Key: k9\r\n", "{\"n\":1}"), "ok");
+      harness.Ask(Post("a1", "charge", "Idempotency-Key: k9\r\n", "{\"n\":1}"), "ok");
   EXPECT_TRUE(in.starts_with("HTTP/1.1 200 OK\r\n")) << in;
   EXPECT_TRUE(in.ends_with("\r\n\r\nok")) << in;
-  ASSERT_EQ(rig.Got(), 1u);
-  for (const auto& w : rig.workers) {
+  ASSERT_EQ(harness.Got(), 1u);
+  for (const auto& w : harness.workers) {
     for (const auto& g : w->got) {
       EXPECT_EQ(g.head.target, "/api?x=1");
       EXPECT_EQ(g.body, "{\"n\":1}");
@@ -35,7 +35,7 @@
 }
 
 TEST(HttpFront, BadInputReachesNoWorker) {
-  Rig rig;
+  NodeHarness harness;
   const std::string good = Post("a1", "look");
   const auto without = [&](const std::string& line) {
     std::string text = good;
@@ -59,45 +59,45 @@
       {"nonsense\r\n", "400"},
   };
   for (const auto& [bytes, status] : cases) {
-    const std::string in = rig.Ask(bytes, "\r\n\r\n");
+    const std::string in = harness.Ask(bytes, "\r\n\r\n");
     EXPECT_TRUE(in.starts_with("HTTP/1.1 " + status)) << bytes.substr(0, 300) << "\n" << in;
   }
-  EXPECT_EQ(rig.Got(), 0u);
-  EXPECT_TRUE(rig.Ask("GET /_health HTTP/1.1\r\n\r\n", "serving").starts_with("HTTP/1.1 200"));
+  EXPECT_EQ(harness.Got(), 0u);
+  EXPECT_TRUE(harness.Ask("GET /_health HTTP/1.1\r\n\r\n", "serving").starts_with("HTTP/1.1 200"));
 }
 
 // A worker's 4xx speaks of the request: no other is asked, and no worker is left out for it.
 TEST(HttpFront, BlamesNoWorkerForABadRequest) {
-  Rig rig;
-  for (auto& w : rig.workers) {
+  NodeHarness harness;
+  for (auto& w : harness.workers) {
     w->act = [](const ToyWorker::Got& g) {
       g.from->Write("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
     };
   }
   for (int i = 1; i <= 20; ++i) {
-    const std::string in = rig.Ask(Post("a" + std::to_string(i), "look"), "\r\n\r\n");
+    const std::string in = harness.Ask(Post("a" + std::to_string(i), "look"), "\r\n\r\n");
     EXPECT_TRUE(in.starts_with("HTTP/1.1 502")) << in;
-    EXPECT_EQ(rig.Got(), static_cast<std::size_t>(i));
+    EXPECT_EQ(harness.Got(), static_cast<std::size_t>(i));
   }
-  for (const auto& w : rig.workers) EXPECT_FALSE(w->got.empty());
+  for (const auto& w : harness.workers) EXPECT_FALSE(w->got.empty());
 }
 
 // A client that asks again and again and reads nothing is held back, not stored.
 TEST(HttpFront, HoldsBackAClientThatReadsNothing) {
-  Rig rig(1);
+  NodeHarness harness(1);
   const std::string large(60000, 'x');
-  rig.workers[0]->act = [&](const ToyWorker::Got& g) { ToyWorker::Done(g, large); };
-  auto client = rig.Client();
+  harness.workers[0]->act = [&](const ToyWorker::Got& g) { ToyWorker::Done(g, large); };
+  auto client = harness.Client();
   client->StopReading();
   std::string many;
   for (int i = 0; i < 400; ++i) many += Post("a" + std::to_string(i), "look", "", "{}", 60000);
   client->Write(many);
   std::uint64_t before = 0;
-  rig.Until(
+  harness.Until(
       [&] {
-        rig.Until([] { return false; }, 0.2);
-        return std::exchange(before, rig.node->counters().received) ==
-               rig.node->counters().received;
+        harness.Until([] { return false; }, 0.2);
+        return std::exchange(before, harness.node->counters().received) ==
+               harness.node->counters().received;
       },
       30);
   EXPECT_GT(before, 0u);
@@ -106,90 +106,90 @@
 
 // A close or an error within 3 s of connecting, on both fronts; but who was served and rests stays.
 TEST(BothFronts, CloseOnWhoSendsNothingOrHalfARequest) {
-  Rig rig(1, kGearman);
-  auto rests = rig.Client(), silent = rig.Client(), half = rig.Client();
-  auto mute = rig.Gearman(), part = rig.Gearman(), worker = rig.Gearman();
+  NodeHarness harness(1, kGearman);
+  auto rests = harness.Client(), silent = harness.Client(), half = harness.Client();
+  auto mute = harness.Gearman(), part = harness.Gearman(), worker = harness.Gearman();
   rests->Write(Post("a1", "look"));
   half->Write("POST /api HTTP/1.1\r\nRequest-Id: a2\r\n");
   part->Write(std::string("\0RE", 3));
   worker->Send(Type::kCanDo, {"charge"});
   ASSERT_TRUE(
-      rig.Until([&] { return silent->ended && half->ended && mute->ended && part->ended; }, 3));
+      harness.Until([&] { return silent->ended && half->ended && mute->ended && part->ended; }, 3));
   EXPECT_TRUE(half->in.starts_with("HTTP/1.1 408")) << half->in;
   EXPECT_FALSE(rests->ended || worker->ended);
   rests->in.clear();
   rests->Write(Post("a3", "look"));
-  EXPECT_TRUE(rig.Until([&] { return rests->in.ends_with("ok"); }));
+  EXPECT_TRUE(harness.Until([&] { return rests->in.ends_with("ok"); }));
 }
 
 // Hundreds that connect and say nothing must shut nobody out, nor cost a usual client the
 // connection that it rests on.
 TEST(HttpFront, SilentConnectionsMakeRoomForThoseThatAsk) {
-  Rig rig(1, R"("limits":{"sockets":96},)");
-  auto rests = rig.Client();
+  NodeHarness harness(1, R"("limits":{"sockets":96},)");
+  auto rests = harness.Client();
   for (const char* id : {"a1", "a2"}) {
     rests->in.clear();
     rests->Write(Post(id, "look"));
-    ASSERT_TRUE(rig.Until([&] { return rests->in.ends_with("ok"); }));
+    ASSERT_TRUE(harness.Until([&] { return rests->in.ends_with("ok"); }));
   }
-  std::vector<std::unique_ptr<Raw>> silent;
-  for (int i = 0; i < 60; ++i) silent.push_back(rig.Client());
-  const double began = rig.host.Now();
-  EXPECT_TRUE(rig.Ask(Post("a3", "look"), "ok").ends_with("ok"));
-  EXPECT_LT(rig.host.Now() - began, 1.0);
+  std::vector<std::unique_ptr<RawClient>> silent;
+  for (int i = 0; i < 60; ++i) silent.push_back(harness.Client());
+  const double began = harness.host.Now();
+  EXPECT_TRUE(harness.Ask(Post("a3", "look"), "ok").ends_with("ok"));
+  EXPECT_LT(harness.host.Now() - began, 1.0);
   rests->in.clear();
   rests->Write(Post("a4", "look"));
-  EXPECT_TRUE(rig.Until([&] { return rests->in.ends_with("ok"); }));
+  EXPECT_TRUE(harness.Until([&] { return rests->in.ends_with("ok"); }));
 }
 
 TEST(HttpFront, RefusesTheIdOfAnOpenRequestAndReadsNoFurtherFromABadClient) {
-  Rig rig(1);
+  NodeHarness harness(1);
   ToyWorker::Got held;
-  rig.workers[0]->act = [&](const ToyWorker::Got& g) { held = g; };
-  auto first = rig.Client(), second = rig.Client();
+  harness.workers[0]->act = [&](const ToyWorker::Got& g) { held = g; };
+  auto first = harness.Client(), second = harness.Client();
   first->Write(Post("a1", "look"));
-  ASSERT_TRUE(rig.Until([&] { return rig.Got() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return harness.Got() == 1; }));
   second->Write(Post("a1", "look") + Post("a2", "look"));
-  ASSERT_TRUE(rig.Until([&] { return second->ended; }));
+  ASSERT_TRUE(harness.Until([&] { return second->ended; }));
   EXPECT_TRUE(second->in.starts_with("HTTP/1.1 409")) << second->in;
   EXPECT_EQ(second->in.find("HTTP/1.1", 1), std::string::npos);
   ToyWorker::Done(held, "mine");
-  EXPECT_TRUE(rig.Until([&] { return first->in.ends_with("mine"); }));
-  EXPECT_EQ(rig.Got(), 1u);
+  EXPECT_TRUE(harness.Until([&] { return first->in.ends_with("mine"); }));
+  EXPECT_EQ(harness.Got(), 1u);
 }
 
 // 60 MB at full speed: the answer comes at the head, and what follows is not read to its end.
 TEST(HttpFront, CutsOffABodyThatIsFarTooLarge) {
-  Rig rig(1);
-  auto client = rig.Client();
+  NodeHarness harness(1);
+  auto client = harness.Client();
   client->Write("POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" +
                 std::string(8000000, 'x'));
-  ASSERT_TRUE(rig.Until([&] { return client->ended; }, 2));
+  ASSERT_TRUE(harness.Until([&] { return client->ended; }, 2));
   EXPECT_GT(client->Unsent(), 0u);
 }
 
 TEST(HttpFront, EndsTheAttemptWhenTheClientLeaves) {
-  Rig rig;
-  for (auto& w : rig.workers) w->act = [](const ToyWorker::Got&) {};
-  auto client = rig.Client();
+  NodeHarness harness;
+  for (auto& w : harness.workers) w->act = [](const ToyWorker::Got&) {};
+  auto client = harness.Client();
   client->Write(Post("a1", "charge", "Idempotency-Key: k\r\n"));
-  ASSERT_TRUE(rig.Until([&] { return rig.Got() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return harness.Got() == 1; }));
   client->Close("test");
-  EXPECT_TRUE(rig.Until([&] {
-    return std::all_of(rig.workers.begin(), rig.workers.end(),
+  EXPECT_TRUE(harness.Until([&] {
+    return std::all_of(harness.workers.begin(), harness.workers.end(),
                        [](const auto& w) { return w->AllGone(); });
   }));
-  EXPECT_EQ(rig.node->counters().cancelled, 1u);
+  EXPECT_EQ(harness.node->counters().cancelled, 1u);
 }
 
 TEST(HttpFront, AnswersAtExpiryAndFailsAChargeThatMayHaveRun) {
-  Rig rig;
-  for (auto& w : rig.workers) w->act = [](const ToyWorker::Got&) {};
-  const double began = rig.host.Now();
+  NodeHarness harness;
+  for (auto& w : harness.workers) w->act = [](const ToyWorker::Got&) {};
+  const double began = harness.host.Now();
   const std::string in =
-      rig.Ask(Post("a1", "charge", "Idempotency-Key: k\r\n", "{}", 150), "\r\n\r\n");
+      harness.Ask(Post("a1", "charge", "Idempotency-Key: k\r\n", "{}", 150), "\r\n\r\n");
   EXPECT_TRUE(in.starts_with("HTTP/1.1 504")) << in;
-  EXPECT_LT(rig.host.Now() - began, 1.0);
+  EXPECT_LT(harness.host.Now() - began, 1.0);
 }
 
 // The load report of Karachi's workers comes in the object that ends an attempt. It was never read
@@ -198,18 +198,18 @@
 // whole charge is at the worker. Taken for never sent, it was sent to another group as well.
 TEST(Worker, AChargeThatIsOutWhenItsConnectionTimesOutMayHaveRun) {
   for (int round = 0; round < 5; ++round) {
-    Rig rig(3);
-    rig.node.reset();
-    rig.config.connect_timeout_s = 1e-9;
-    rig.node = std::make_unique<Node>(rig.config);
-    ASSERT_TRUE(IsOk(rig.node->Start()));
-    for (const auto& w : rig.workers) w->act = [](const ToyWorker::Got&) {};  // runs on and on
-    const auto client = rig.Client();
+    NodeHarness harness(3);
+    harness.node.reset();
+    harness.config.connect_timeout_s = 1e-9;
+    harness.node = std::make_unique<Node>(harness.config);
+    ASSERT_TRUE(IsOk(harness.node->Start()));
+    for (const auto& w : harness.workers) w->act = [](const ToyWorker::Got&) {};  // runs on and on
+    const auto client = harness.Client();
     client->Write(Post("c", "charge", "Idempotency-Key: k\r\n", "{}", 200));
-    rig.Until([&] { return client->in.find("\r\n\r\n") != std::string::npos; });
-    const std::size_t first = rig.workers[0]->got.size() + rig.workers[1]->got.size();
-    EXPECT_TRUE(first == 0 || rig.workers[2]->got.empty()) << "in two groups";
-    EXPECT_EQ(rig.Got() > 0, !client->in.starts_with("HTTP/1.1 503")) << client->in;
+    harness.Until([&] { return client->in.find("\r\n\r\n") != std::string::npos; });
+    const std::size_t first = harness.workers[0]->got.size() + harness.workers[1]->got.size();
+    EXPECT_TRUE(first == 0 || harness.workers[2]->got.empty()) << "in two groups";
+    EXPECT_EQ(harness.Got() > 0, !client->in.starts_with("HTTP/1.1 503")) << client->in;
   }
 }
 
@@ -280,9 +280,9 @@
 // A worker's nonsense, another's answer, or a broken line is an error, never an answer.
 TEST(HttpFront, ServesNothingThatNoWorkerMadeForIt) {
   for (const std::string line : {R"({"id":"zz","state":"done","result":"x"})", "}{", "[1]"}) {
-    Rig rig(1);
-    rig.workers[0]->act = [&](const ToyWorker::Got& g) { ToyWorker::Lines(g, {line}); };
-    const std::string in = rig.Ask(Post("a1", "charge", "Idempotency-Key: k\r\n"), "\r\n\r\n");
+    NodeHarness harness(1);
+    harness.workers[0]->act = [&](const ToyWorker::Got& g) { ToyWorker::Lines(g, {line}); };
+    const std::string in = harness.Ask(Post("a1", "charge", "Idempotency-Key: k\r\n"), "\r\n\r\n");
     EXPECT_TRUE(in.starts_with("HTTP/1.1 502")) << in;
   }
 }
@@ -290,16 +290,16 @@
 // The group of a charge that may have run is one rack: the third worker, in another, never sees it.
 TEST(HttpFront, KeepsAChargeThatMayHaveRunInItsGroup) {
   for (int round = 0; round < 12; ++round) {
-    Rig rig;
+    NodeHarness harness;
     std::vector<int> order;
     for (int i = 0; i < 3; ++i) {
-      rig.workers[static_cast<std::size_t>(i)]->act = [&order, i](const ToyWorker::Got& g) {
+      harness.workers[static_cast<std::size_t>(i)]->act = [&order, i](const ToyWorker::Got& g) {
         order.push_back(i);
         g.from->Close("test");
       };
     }
     const std::string id = "a" + std::to_string(round);
-    const std::string in = rig.Ask(Post(id, "charge", "Idempotency-Key: k\r\n"), "\r\n\r\n");
+    const std::string in = harness.Ask(Post(id, "charge", "Idempotency-Key: k\r\n"), "\r\n\r\n");
     EXPECT_TRUE(in.starts_with("HTTP/1.1 502")) << in;
     ASSERT_FALSE(order.empty());
     for (const int i : order) EXPECT_EQ(i / 2, order[0] / 2);
@@ -307,108 +307,109 @@
 }
 
 TEST(HttpFront, TurnedAwayEverywhereIsRefusedWithATime) {
-  Rig rig;
-  for (auto& w : rig.workers) {
+  NodeHarness harness;
+  for (auto& w : harness.workers) {
     w->act = [](const ToyWorker::Got& g) {
       g.from->Write("HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
     };
   }
-  const std::string in = rig.Ask(Post("a1", "charge", "Idempotency-Key: k\r\n"), "\r\n\r\n");
+  const std::string in = harness.Ask(Post("a1", "charge", "Idempotency-Key: k\r\n"), "\r\n\r\n");
   EXPECT_TRUE(in.starts_with("HTTP/1.1 503")) << in;
   EXPECT_NE(in.find("Retry-After: "), std::string::npos) << in;
-  EXPECT_EQ(rig.Got(), 3u);
+  EXPECT_EQ(harness.Got(), 3u);
 }
 
 TEST(HttpFront, StopsOnlyWhenWhatItTookIsAnswered) {
-  Rig rig(1);
+  NodeHarness harness(1);
   ToyWorker::Got held;
-  rig.workers[0]->act = [&](const ToyWorker::Got& g) { held = g; };
-  auto busy = rig.Client(), idle = rig.Client();
+  harness.workers[0]->act = [&](const ToyWorker::Got& g) { held = g; };
+  auto busy = harness.Client(), idle = harness.Client();
   busy->Write(Post("a1", "look"));
-  ASSERT_TRUE(rig.Until([&] { return rig.Got() == 1; }));
-  rig.node->BeginStop();
-  ASSERT_TRUE(rig.Until([&] { return idle->ended; }));
+  ASSERT_TRUE(harness.Until([&] { return harness.Got() == 1; }));
+  harness.node->BeginStop();
+  ASSERT_TRUE(harness.Until([&] { return idle->ended; }));
   EXPECT_FALSE(busy->ended);
   ToyWorker::Done(held, "late");
-  ASSERT_TRUE(rig.Until([&] { return busy->ended; }));
+  ASSERT_TRUE(harness.Until([&] { return busy->ended; }));
   EXPECT_NE(busy->in.find("Connection: close"), std::string::npos);
   EXPECT_TRUE(busy->in.ends_with("late"));
 }
 
 // That we have no descriptor left for one more connection says nothing of the worker.
 TEST(HttpFront, ItsOwnShortageLeavesNoWorkerOut) {
-  Rig rig;
-  rig.node->loop().budget().max_workers = 1;
-  for (auto& w : rig.workers) w->act = [](const ToyWorker::Got&) {};
-  std::vector<std::unique_ptr<Raw>> clients;
+  NodeHarness harness;
+  harness.node->loop().budget().max_workers = 1;
+  for (auto& w : harness.workers) w->act = [](const ToyWorker::Got&) {};
+  std::vector<std::unique_ptr<RawClient>> clients;
   for (int i = 0; i < 4; ++i) {
-    clients.push_back(rig.Client());
+    clients.push_back(harness.Client());
     clients.back()->Write(Post("a" + std::to_string(i), "look", "", "{}", 300));
   }
-  ASSERT_TRUE(rig.Until([&] {
+  ASSERT_TRUE(harness.Until([&] {
     return std::all_of(clients.begin(), clients.end(),
                        [](const auto& c) { return !c->in.empty(); });
   }));
-  EXPECT_EQ(rig.Got(), 1u);
-  rig.node->loop().budget().max_workers = 9;
+  EXPECT_EQ(harness.Got(), 1u);
+  harness.node->loop().budget().max_workers = 9;
   // The one that kept its request past its time is left out, and no other: two at once find two.
-  for (auto& w : rig.workers) w->got.clear();
+  for (auto& w : harness.workers) w->got.clear();
   for (const char* id : {"b1", "b2"}) {
-    clients.push_back(rig.Client());
+    clients.push_back(harness.Client());
     clients.back()->Write(Post(id, "look"));
   }
-  ASSERT_TRUE(rig.Until([&] { return rig.Got() == 2; }));
+  ASSERT_TRUE(harness.Until([&] { return harness.Got() == 2; }));
   const auto asked = [](const auto& w) { return !w->got.empty(); };
-  EXPECT_EQ(std::count_if(rig.workers.begin(), rig.workers.end(), asked), 2);
+  EXPECT_EQ(std::count_if(harness.workers.begin(), harness.workers.end(), asked), 2);
 }
 
 TEST(Gearman, ServesAJobFromSubmitToComplete) {
-  Rig rig(0, kGearman);
-  auto worker = rig.Gearman(), client = rig.Gearman();
+  NodeHarness harness(0, kGearman);
+  auto worker = harness.Gearman(), client = harness.Gearman();
   worker->WorkOn("look", "done!");
   client->Send(Type::kEchoReq, {"hi"});
-  ASSERT_TRUE(rig.Until([&] { return client->Of(Type::kEchoRes).size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return client->Of(Type::kEchoRes).size() == 1; }));
   client->Send(Type::kSubmitJobHigh, {"look", "u1", "body"});
-  ASSERT_TRUE(rig.Until([&] { return client->Of(Type::kWorkComplete).size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return client->Of(Type::kWorkComplete).size() == 1; }));
   const std::string handle = client->Of(Type::kJobCreated).at(0);
   EXPECT_EQ(client->Of(Type::kWorkComplete)[0], handle + '\0' + "done!");
   EXPECT_EQ(worker->Of(Type::kJobAssign).at(0), handle + '\0' + "look" + '\0' + "body");
   client->Send(Type::kGetStatus, {handle});
-  ASSERT_TRUE(rig.Until([&] { return client->Of(Type::kStatusRes).size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return client->Of(Type::kStatusRes).size() == 1; }));
 }
 
 TEST(Gearman, TellsFaultsOfPacketsApart) {
-  Rig rig(0, kGearman);
-  auto peer = rig.Gearman();
+  NodeHarness harness(0, kGearman);
+  auto peer = harness.Gearman();
   peer->Send(Type::kSubmitJob, {"nonesuch", "", ""});
   peer->Send(Type::kSubmitJob, {"look"});
   peer->Send(Type::kWorkComplete, {"H:x:1", "r"});
   peer->Send(static_cast<Type>(99), {});
   peer->Send(Type::kOptionReq, {"exceptions"});
-  ASSERT_TRUE(rig.Until([&] { return peer->Of(Type::kOptionRes).size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return peer->Of(Type::kOptionRes).size() == 1; }));
   ASSERT_EQ(peer->Of(Type::kError).size(), 4u);
   EXPECT_TRUE(peer->Of(Type::kError)[0].starts_with("unknown_function"));
   EXPECT_TRUE(peer->Of(Type::kError)[1].starts_with("bad_packet"));
   EXPECT_TRUE(peer->Of(Type::kError)[2].starts_with("unknown_job"));
   peer->Write("GARBAGE THAT NO GEARMAN KNOWS\n");
-  ASSERT_TRUE(rig.Until([&] { return peer->got.back().form == gearman::Message::Form::kLine; }));
+  ASSERT_TRUE(
+      harness.Until([&] { return peer->got.back().form == gearman::Message::Form::kLine; }));
   EXPECT_TRUE(peer->got.back().data.starts_with("ERR unknown_command"));
 }
 
 TEST(Gearman, RefusesAtOnceWithTheTimeToComeBack) {
-  Rig rig(0, kGearman);  // no worker at all
-  auto client = rig.Gearman();
+  NodeHarness harness(0, kGearman);  // no worker at all
+  auto client = harness.Gearman();
   client->Send(Type::kOptionReq, {"exceptions"});
   client->Send(Type::kSubmitJob, {"charge", "u1", "b"});
-  ASSERT_TRUE(rig.Until([&] { return client->Of(Type::kWorkFail).size() == 1; }, 1));
+  ASSERT_TRUE(harness.Until([&] { return client->Of(Type::kWorkFail).size() == 1; }, 1));
   ASSERT_EQ(client->Of(Type::kWorkException).size(), 1u);
   EXPECT_NE(client->Of(Type::kWorkException)[0].find("retry after"), std::string::npos);
 }
 
 // What an attempt sent ahead before it failed must not mix with the answer of the next.
 TEST(Gearman, PassesOnTheDataOfTheAttemptThatSucceeded) {
-  Rig rig(0, kGearman);
-  auto one = rig.Gearman(), two = rig.Gearman(), client = rig.Gearman();
+  NodeHarness harness(0, kGearman);
+  auto one = harness.Gearman(), two = harness.Gearman(), client = harness.Gearman();
   int assigned = 0;
   for (auto* w : {one.get(), two.get()}) {
     w->WorkOn("look", "unused");
@@ -425,7 +426,7 @@
     };
   }
   client->Send(Type::kSubmitJob, {"look", "u", "b"});
-  ASSERT_TRUE(rig.Until([&] { return client->Of(Type::kWorkComplete).size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return client->Of(Type::kWorkComplete).size() == 1; }));
   EXPECT_EQ(assigned, 2);
   ASSERT_EQ(client->Of(Type::kWorkData).size(), 1u);
   EXPECT_TRUE(client->Of(Type::kWorkData)[0].ends_with("kept"));
@@ -434,8 +435,8 @@
 }
 
 TEST(Gearman, KeepsABackgroundJobWhoseClientLeft) {
-  Rig rig(0, kGearman);
-  auto worker = rig.Gearman(), client = rig.Gearman(), other = rig.Gearman();
+  NodeHarness harness(0, kGearman);
+  auto worker = harness.Gearman(), client = harness.Gearman(), other = harness.Gearman();
   std::string handle;
   worker->WorkOn("look", "unused");
   worker->act = [&](const gearman::Message& m) {
@@ -443,20 +444,20 @@
     if (m.type == Type::kJobAssign) handle = m.data.substr(0, m.data.find('\0'));
   };
   client->Send(Type::kSubmitJobLowBg, {"look", "u", "b"});
-  ASSERT_TRUE(rig.Until([&] { return !handle.empty(); }));
+  ASSERT_TRUE(harness.Until([&] { return !handle.empty(); }));
   client->Close("test");
-  rig.Until([] { return false; }, 0.05);
+  harness.Until([] { return false; }, 0.05);
   other->Send(Type::kGetStatus, {handle});
-  ASSERT_TRUE(rig.Until([&] { return other->Of(Type::kStatusRes).size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return other->Of(Type::kStatusRes).size() == 1; }));
   EXPECT_EQ(other->Of(Type::kStatusRes)[0].substr(handle.size() + 1, 3), std::string("1\0001", 3));
   worker->Send(Type::kWorkComplete, {handle, "r"});
-  EXPECT_TRUE(rig.Until([&] { return rig.node->counters().completed == 1; }));
+  EXPECT_TRUE(harness.Until([&] { return harness.node->counters().completed == 1; }));
 }
 
 // The client of a running charge leaves and comes back: it finds the same charge, made once.
 TEST(Gearman, AChargeWhoseClientLeavesMidRunIsMadeOnce) {
-  Rig rig(0, kGearman);
-  auto one = rig.Gearman(), two = rig.Gearman(), client = rig.Gearman();
+  NodeHarness harness(0, kGearman);
+  auto one = harness.Gearman(), two = harness.Gearman(), client = harness.Gearman();
   std::string handle;
   for (auto* w : {one.get(), two.get()}) {
     w->WorkOn("charge", "unused");
@@ -466,23 +467,23 @@
     };
   }
   client->Send(Type::kSubmitJob, {"charge", "sub-7", "b"});
-  ASSERT_TRUE(rig.Until([&] { return !handle.empty(); }));
+  ASSERT_TRUE(harness.Until([&] { return !handle.empty(); }));
   client->Close("test");
-  auto again = rig.Gearman();
-  rig.Until([] { return false; }, 0.05);  // the node must have seen it go
+  auto again = harness.Gearman();
+  harness.Until([] { return false; }, 0.05);  // the node must have seen it go
   again->Send(Type::kSubmitJob, {"charge", "sub-7", "b"});
-  ASSERT_TRUE(rig.Until([&] { return again->Of(Type::kJobCreated).size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return again->Of(Type::kJobCreated).size() == 1; }));
   for (auto* w : {one.get(), two.get()}) w->Send(Type::kWorkComplete, {handle, "paid"});
-  ASSERT_TRUE(rig.Until([&] { return again->Of(Type::kWorkComplete).size() == 1; }));
-  auto late = rig.Gearman();  // and a repeat after the end still finds it
+  ASSERT_TRUE(harness.Until([&] { return again->Of(Type::kWorkComplete).size() == 1; }));
+  auto late = harness.Gearman();  // and a repeat after the end still finds it
   late->Send(Type::kSubmitJob, {"charge", "sub-7", "b"});
-  ASSERT_TRUE(rig.Until([&] { return late->Of(Type::kWorkComplete).size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return late->Of(Type::kWorkComplete).size() == 1; }));
   EXPECT_EQ(one->Of(Type::kJobAssignUniq).size() + two->Of(Type::kJobAssignUniq).size(), 1u);
 }
 
 TEST(Gearman, AWorkerThatDiesMidChargeEndsItAndNoOtherGetsIt) {
-  Rig rig(0, kGearman);
-  auto one = rig.Gearman(), two = rig.Gearman(), client = rig.Gearman();
+  NodeHarness harness(0, kGearman);
+  auto one = harness.Gearman(), two = harness.Gearman(), client = harness.Gearman();
   for (auto* w : {one.get(), two.get()}) {
     w->WorkOn("charge", "unused");
     w->act = [w](const gearman::Message& m) {
@@ -492,7 +493,7 @@
   }
   client->Send(Type::kOptionReq, {"exceptions"});
   client->Send(Type::kSubmitJob, {"charge", "u", "b"});
-  ASSERT_TRUE(rig.Until([&] { return client->Of(Type::kWorkFail).size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return client->Of(Type::kWorkFail).size() == 1; }));
   EXPECT_EQ(client->Of(Type::kWorkException).at(0).find("retry after"), std::string::npos);
   EXPECT_EQ(one->Of(Type::kJobAssign).size() + two->Of(Type::kJobAssign).size(), 1u);
 }
@@ -500,8 +501,8 @@
 // Jobs that wait at a worker that drains were never sent: another takes them, and the one that
 // runs is finished where it is.
 TEST(Gearman, ADrainingWorkerHandsOnWhatWaits) {
-  Rig rig(0, kGearman);
-  auto old = rig.Gearman(), client = rig.Gearman(), admin = rig.Gearman();
+  NodeHarness harness(0, kGearman);
+  auto old = harness.Gearman(), client = harness.Gearman(), admin = harness.Gearman();
   std::string running;
   old->act = [&](const gearman::Message& m) {
     if (m.type == Type::kNoop) old->Send(Type::kGrabJob, {});
@@ -510,35 +511,35 @@
   old->Send(Type::kSetClientId, {"old-roaster"});
   old->Send(Type::kCanDo, {"charge"});
   old->Send(Type::kPreSleep, {});
-  ASSERT_TRUE(rig.Until([&] {
+  ASSERT_TRUE(harness.Until([&] {
     client->Send(Type::kSubmitJob, {"charge", "first", "b"});
-    rig.Until([] { return false; }, 0.02);
+    harness.Until([] { return false; }, 0.02);
     return !running.empty();
   }));
   client->Send(Type::kSubmitJob, {"charge", "second", "b"});
-  ASSERT_TRUE(rig.Until([&] { return client->Of(Type::kJobCreated).size() >= 2; }));
-  auto fresh = rig.Gearman();
+  ASSERT_TRUE(harness.Until([&] { return client->Of(Type::kJobCreated).size() >= 2; }));
+  auto fresh = harness.Gearman();
   fresh->WorkOn("charge", "fresh");
-  rig.Until([] { return false; }, 0.05);
+  harness.Until([] { return false; }, 0.05);
   admin->Write("drain old-roaster\n");
-  ASSERT_TRUE(rig.Until([&] { return fresh->Of(Type::kJobAssign).size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return fresh->Of(Type::kJobAssign).size() == 1; }));
   old->Send(Type::kWorkComplete, {running, "old"});
   const auto completed = [&] { return client->Of(Type::kWorkComplete).size(); };
-  ASSERT_TRUE(rig.Until([&] { return completed() >= 2; }));
+  ASSERT_TRUE(harness.Until([&] { return completed() >= 2; }));
   const std::size_t before = old->Of(Type::kJobAssign).size();
   client->Send(Type::kSubmitJob, {"charge", "third", "b"});
-  ASSERT_TRUE(rig.Until([&] { return completed() >= 3; }));
+  ASSERT_TRUE(harness.Until([&] { return completed() >= 3; }));
   EXPECT_EQ(old->Of(Type::kJobAssign).size(), before);
 }
 
 // Both protocols at once, workers with random fates: whatever happens, the rules hold.
 TEST(BothFronts, KeepTheRulesUnderMixedLoad) {
-  Rig rig(3, kGearman);
+  NodeHarness harness(3, kGearman);
   std::mt19937 random(7);
   std::map<std::string, std::vector<std::size_t>> sent;  // by key or id: cells it may have run in
   std::map<std::string, int> tries;
-  for (std::size_t i = 0; i < rig.workers.size(); ++i) {
-    rig.workers[i]->act = [&, i](const ToyWorker::Got& g) {
+  for (std::size_t i = 0; i < harness.workers.size(); ++i) {
+    harness.workers[i]->act = [&, i](const ToyWorker::Got& g) {
       const std::string id = *g.head.Get("Request-Id");
       // A look-up over Gearman has a key as well, and may be made again anywhere.
       const std::string* key =
@@ -561,28 +562,28 @@
   }
   std::vector<std::unique_ptr<GearmanPeer>> gearman;
   for (int i = 0; i < 2; ++i) {
-    gearman.push_back(rig.Gearman());
+    gearman.push_back(harness.Gearman());
     gearman.back()->WorkOn("look", "g");
     gearman.back()->WorkOn("charge", "g");
   }
-  auto submitter = rig.Gearman();
-  std::vector<std::unique_ptr<Raw>> clients;
+  auto submitter = harness.Gearman();
+  std::vector<std::unique_ptr<RawClient>> clients;
   constexpr std::size_t kEach = 60;
   for (std::size_t i = 0; i < kEach; ++i) {
     const std::string id = "h" + std::to_string(i);
-    clients.push_back(rig.Client());
+    clients.push_back(harness.Client());
     clients.back()->Write(i % 2 ? Post(id, "look")
                                 : Post(id, "charge", "Idempotency-Key: " + id + "\r\n"));
     submitter->Send(Type::kSubmitJob, {i % 2 ? "look" : "charge", id, "b"});
-    rig.Until([] { return false; }, 0.004);
+    harness.Until([] { return false; }, 0.004);
   }
   const auto ends = [&] {
     return submitter->Of(Type::kWorkComplete).size() + submitter->Of(Type::kWorkFail).size();
   };
   const auto answered = [](const auto& c) { return c->in.find("\r\n\r\n") != std::string::npos; };
-  EXPECT_TRUE(rig.Until(
+  EXPECT_TRUE(harness.Until(
       [&] { return ends() == kEach && std::all_of(clients.begin(), clients.end(), answered); }));
-  rig.Until([] { return false; }, 0.05);  // time for a second answer, if there were one
+  harness.Until([] { return false; }, 0.05);  // time for a second answer, if there were one
   EXPECT_EQ(submitter->Of(Type::kJobCreated).size(), kEach);
   EXPECT_EQ(ends(), kEach);
   for (std::size_t i = 0; i < kEach; ++i) {
@@ -598,7 +599,7 @@
     for (const std::size_t cell : cells) EXPECT_EQ(cell, cells[0]) << key;
   }
   for (const auto& [id, n] : tries) EXPECT_LE(n, 4) << id;
-  const Counters& c = rig.node->counters();
+  const Counters& c = harness.node->counters();
   EXPECT_EQ(c.received, 2 * kEach);
   EXPECT_EQ(c.completed + c.rejected + c.failed, 2 * kEach);
 }
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "support/rig.h"
+#include "support/node_harness.h"
 
 namespace millethollow {
 namespace {
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -63,8 +63,8 @@
   int cancelled = 0;
 };
 
-struct World : PlannerEnvironment {
-  World() {
+struct PlannerHarness : PlannerEnvironment {
+  PlannerHarness() {
     std::string error;
     EXPECT_TRUE(
         ReadConfig(TestConfig({"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}), &config, &error));
@@ -97,7 +97,7 @@
 // Sends by a list that is overdue wait for the next word of it, and go to no server that it ends.
 // Who left meanwhile, or ran out of time, was never sent.
 TEST(Planner, SendsWaitForAListThatIsOverdue) {
-  World w;
+  PlannerHarness w;
   w.overdue = true;
   const RequestId stays = w.Take(0), leaves = w.Take(0);
   w.Take(1, 0.5);
@@ -122,7 +122,7 @@
 }
 
 TEST(Planner, GivesExactlyOneFinalAnswer) {
-  World w;
+  PlannerHarness w;
   const RequestId id = w.Take(0);
   ASSERT_EQ(w.port.sent.size(), 1u);
   w.planner->OnAttemptEnded(id, 0, {.status = AttemptStatus::kSucceeded});
@@ -137,7 +137,7 @@
 
 // Two requests of one name could not be told apart at a worker, whichever forwarder has them.
 TEST(Planner, RejectsTheNameOfAnotherRequest) {
-  World w;
+  PlannerHarness w;
   Port other;
   const std::uint64_t second = w.planner->AddForwarder(&other, false);
   Request e;
@@ -161,7 +161,7 @@
 
 TEST(Planner, EndsTheAttemptAndAnswersAtExpiry) {
   for (const int cls : {0, 1}) {
-    World w;
+    PlannerHarness w;
     w.Take(cls, 0.5);
     w.now += 0.5;
     w.deadlines.Sweep(w.now);
@@ -174,7 +174,7 @@
 }
 
 TEST(Planner, SendsNothingWhereAllAreToldToDrainOrMissingFromAFullList) {
-  World w;
+  PlannerHarness w;
   w.planner->OnEndpointsUpdated(balancing::EndpointListKind::kSnapshot, {});
   w.now += 3;
   w.Take(0);
@@ -187,7 +187,7 @@
 // Workers replaced under new names, as each deploy does: the planner forgets with the module, and
 // keeps the one with a request out and the one out by hand.
 TEST(Planner, ForgetsWorkersGoneLongAgoButNotOneInUseOrOutByHand) {
-  World w;
+  PlannerHarness w;
   const RequestId id = w.Take(0, 1e6);
   ASSERT_EQ(w.port.sent.size(), 1u);
   const std::string busy = w.port.sent[0].worker;
@@ -224,7 +224,7 @@
 // Names of ended requests are remembered 4,096 at most: the last 4,096 are refused, the one before
 // them may come again.
 TEST(Planner, RemembersTheLast4096NamesAndNoMore) {
-  World w;
+  PlannerHarness w;
   const auto take = [&](int n) {
     Request e;
     e.id = w.number << kForwarderShift | ++w.last;
@@ -247,7 +247,7 @@
 }
 
 TEST(Planner, ALostForwardersRequestsAreClosed) {
-  World w;
+  PlannerHarness w;
   w.Take(1);
   w.planner->OnForwarderLost(w.number);
   EXPECT_EQ(w.planner->open_requests(), 0u);
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -10,7 +10,7 @@
 
 #include "net/discovery.h"
 #include "node/supervisor.h"
-#include "support/rig.h"
+#include "support/node_harness.h"
 
 namespace millethollow {
 namespace {
@@ -224,42 +224,44 @@
 
 // Under load: a class more, one fewer, and fewer attempts. Jobs that are open keep their rules.
 TEST(Reload, ChangesClassesUnderOpenJobs) {
-  Rig rig;
+  NodeHarness harness;
   const std::string path = testing::TempDir() + "classes" + std::to_string(getpid()) + ".json";
-  const std::string text = rig.config.text;
+  const std::string text = harness.config.text;
   const auto reload = [&](const std::string& fresh) {
     std::ofstream(path) << fresh;
-    const Counters& c = rig.node->counters();
+    const Counters& c = harness.node->counters();
     const std::uint64_t before = c.reloads + c.reload_errors;
     raise(SIGHUP);
-    return rig.Until([&] { return c.reloads + c.reload_errors > before; });
+    return harness.Until([&] { return c.reloads + c.reload_errors > before; });
   };
-  rig.node->CatchSignals(path);
+  harness.node->CatchSignals(path);
   std::vector<ToyWorker::Got> held;
-  for (auto& w : rig.workers) w->act = [&](const ToyWorker::Got& g) { held.push_back(g); };
-  auto open = rig.Client();
+  for (auto& w : harness.workers) w->act = [&](const ToyWorker::Got& g) { held.push_back(g); };
+  auto open = harness.Client();
   open->Write(Post("a", "look"));
-  ASSERT_TRUE(rig.Until([&] { return !held.empty(); }));
-  EXPECT_EQ(rig.Ask(Post("b", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
+  ASSERT_TRUE(harness.Until([&] { return !held.empty(); }));
+  EXPECT_EQ(harness.Ask(Post("b", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
   std::string fresh = Changed(text, kLook, Changed(kLook, "look", "new"));
   fresh = Changed(fresh, R"("most_tries":4)", R"("most_tries":1)");
   ASSERT_TRUE(reload(fresh));
   for (const ToyWorker::Got& g : held) ToyWorker::Lines(g, {ToyWorker::Line(g, "failed")});
   const std::size_t first = held.size();
-  ASSERT_TRUE(rig.Until([&] { return held.size() > first; }));  // the old job may try again
-  for (auto& w : rig.workers) {
+  ASSERT_TRUE(harness.Until([&] { return held.size() > first; }));  // the old job may try again
+  for (auto& w : harness.workers) {
     w->act = [](const ToyWorker::Got& g) { ToyWorker::Lines(g, {ToyWorker::Line(g, "failed")}); };
   }
-  EXPECT_EQ(rig.Ask(Post("c", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 503");
-  EXPECT_EQ(rig.AttemptsOf("c"), 1u);  // a new one may not
-  for (auto& w : rig.workers) w->act = [](const ToyWorker::Got& g) { ToyWorker::Done(g, "ok"); };
-  EXPECT_EQ(rig.Ask(Post("d", "look"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 200");  // was under way
-  rig.Until([] { return false; }, 1.3);
-  EXPECT_EQ(rig.Ask(Post("e", "look"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
+  EXPECT_EQ(harness.Ask(Post("c", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 503");
+  EXPECT_EQ(harness.AttemptsOf("c"), 1u);  // a new one may not
+  for (auto& w : harness.workers)
+    w->act = [](const ToyWorker::Got& g) { ToyWorker::Done(g, "ok"); };
+  EXPECT_EQ(harness.Ask(Post("d", "look"), "\r\n\r\n").substr(0, 12),
+            "HTTP/1.1 200");  // was under way
+  harness.Until([] { return false; }, 1.3);
+  EXPECT_EQ(harness.Ask(Post("e", "look"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
   ASSERT_TRUE(reload(""));
-  EXPECT_EQ(rig.node->counters().reload_errors, 1u);
-  EXPECT_EQ(rig.Ask(Post("f", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 200");
-  EXPECT_NE(rig.node->Figures().find("new.completed:1|c"), std::string::npos);
+  EXPECT_EQ(harness.node->counters().reload_errors, 1u);
+  EXPECT_EQ(harness.Ask(Post("f", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 200");
+  EXPECT_NE(harness.node->Figures().find("new.completed:1|c"), std::string::npos);
   unlink(path.c_str());
 }
 
--- a/tests/replicated_logs_test.cpp
+++ b/tests/replicated_logs_test.cpp
@@ -3,8 +3,8 @@
 
 #include <deque>
 
-#include "support/copies_world.h"
 #include "support/days.h"
+#include "support/replication_simulation.h"
 
 namespace millethollow::copies {
 namespace {
@@ -49,7 +49,7 @@
     }
   }
   Random faults;
-  CopyWorld copies;
+  ReplicationSimulation copies;
   World& world;
   bool whole = false;
 };
@@ -264,7 +264,7 @@
 // disk is no holder any more until it has a new snapshot.
 TEST(Copies, AFolderThatWasPutBackIsNoticedAndGetsASnapshot) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    CopyWorld w(seed, 3, {});
+    ReplicationSimulation w(seed, 3, {});
     w.world.StartAll();
     w.world.RunUntil(3);
     w.OpenLog(0);
--- a/tests/scheduling_balancer_test.cpp
+++ b/tests/scheduling_balancer_test.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <filesystem>
 
-#include "support/rig.h"
+#include "support/node_harness.h"
 #include "support/simulated_fleet.h"
 
 namespace millethollow {
@@ -358,9 +358,9 @@
   std::map<std::string, ToyWorker::Got> asked;
 };
 
-struct SlotRig {
-  SlotRig(int n, Resources capacity, const std::string& scheduling,
-          const std::string& handover = "") {
+struct SlotHarness {
+  SlotHarness(int n, Resources capacity, const std::string& scheduling,
+              const std::string& handover = "") {
     LogLevel() = Level::kError;
     std::vector<std::string> addresses;
     for (int i = 0; i < n; ++i) {
@@ -402,7 +402,7 @@
     return next->Start().has_value();
   }
   struct Call {
-    std::unique_ptr<Raw> raw;
+    std::unique_ptr<RawClient> raw;
     int cls = 0;
     double run = 0, at = 0, took = -1;
     int status() const { return raw->in.size() > 12 ? std::atoi(raw->in.c_str() + 9) : 0; }
@@ -413,7 +413,7 @@
     c->cls = cls;
     c->run = run;
     c->at = host.Now();
-    c->raw = std::make_unique<Raw>(&host, node->http_address());
+    c->raw = std::make_unique<RawClient>(&host, node->http_address());
     c->raw->on_read = [this, c] {
       if (c->took < 0 && c->raw->in.find("\r\n\r\n") != std::string::npos) {
         c->took = host.Now() - c->at;
@@ -448,30 +448,30 @@
 TEST(RoomOnLoopback, ChargesKeepTheirTimeUnderAFlood) {
   double in_time[2][2] = {}, asked[2][2] = {};
   for (const int on : {0, 1}) {
-    SlotRig rig(2, {3, 3}, on == 1 ? kOn : "");
+    SlotHarness harness(2, {3, 3}, on == 1 ? kOn : "");
     std::mt19937 random(21);
     std::exponential_distribution<double> gap(1);
-    const double start = rig.host.Now();
+    const double start = harness.host.Now();
     // Six slots; lookups of 90 ms at 1.6 times all of them, charges of 240 ms at a fifth.
     for (const auto& [cls, rate] : {std::pair{kLook, 1.6 * 6 / 0.09}, {kCharge, 0.2 * 6 / 0.24}}) {
       for (double at = gap(random) / rate; at < 3; at += gap(random) / rate) {
         const double run = (cls == kLook ? 0.09 : 0.24) * (0.7 + 0.6 * (random() % 100) / 100.0);
-        rig.host.deadlines().At(start + at, [&rig, cls = cls, run] {
-          rig.Ask(cls, run, cls == kLook ? 0.5 : 1, cls == kLook ? 1200 : 4000);
+        harness.host.deadlines().At(start + at, [&harness, cls = cls, run] {
+          harness.Ask(cls, run, cls == kLook ? 0.5 : 1, cls == kLook ? 1200 : 4000);
         });
       }
     }
-    ASSERT_TRUE(rig.Until([&] { return rig.host.Now() > start + 3; }));
-    ASSERT_TRUE(rig.Until([&] {
-      return std::all_of(rig.calls.begin(), rig.calls.end(),
+    ASSERT_TRUE(harness.Until([&] { return harness.host.Now() > start + 3; }));
+    ASSERT_TRUE(harness.Until([&] {
+      return std::all_of(harness.calls.begin(), harness.calls.end(),
                          [](const auto& c) { return c->took >= 0; });
     }));
-    for (const auto& c : rig.calls) {
+    for (const auto& c : harness.calls) {
       asked[on][c->cls] += 1;
       in_time[on][c->cls] +=
           c->status() == 200 && c->took < (c->cls == kLook ? 0.35 : 1.0) + c->run;
     }
-    EXPECT_EQ(rig.node->counters().blocked, 0u);
+    EXPECT_EQ(harness.node->counters().blocked, 0u);
   }
   const auto share = [&](int on, int cls) { return in_time[on][cls] / asked[on][cls]; };
   std::cout << "loopback: charges " << share(0, kCharge) << " -> " << share(1, kCharge)
@@ -481,70 +481,72 @@
 }
 
 TEST(RoomOnLoopback, AClientThatLeavesFreesItsRoomWithinATurn) {
-  SlotRig rig(1, {2, 2}, kOn);
-  for (int i = 0; i < 2; ++i) rig.Ask(kLook, 5, 0.5, 9000);
-  ASSERT_TRUE(rig.Until([&] { return rig.workers[0]->model.running() == 2; }));
-  SlotRig::Call* charge = rig.Ask(kCharge, 1, 2, 9000);
-  ASSERT_TRUE(rig.Until([&] { return rig.Figure("app.scheduling.reservations") == "1"; }));
-  EXPECT_EQ(rig.Figure("app.scheduling.charge.waiting"), "1");
+  SlotHarness harness(1, {2, 2}, kOn);
+  for (int i = 0; i < 2; ++i) harness.Ask(kLook, 5, 0.5, 9000);
+  ASSERT_TRUE(harness.Until([&] { return harness.workers[0]->model.running() == 2; }));
+  SlotHarness::Call* charge = harness.Ask(kCharge, 1, 2, 9000);
+  ASSERT_TRUE(harness.Until([&] { return harness.Figure("app.scheduling.reservations") == "1"; }));
+  EXPECT_EQ(harness.Figure("app.scheduling.charge.waiting"), "1");
   charge->raw.reset();
-  ASSERT_TRUE(rig.Until([&] { return rig.Figure("app.scheduling.reservations") == "0"; }, 1));
-  EXPECT_EQ(rig.Figure("app.scheduling.waiting"), "0");
-  EXPECT_EQ(rig.workers[0]->asked.size(), 2u) << "it never reached a worker";
+  ASSERT_TRUE(
+      harness.Until([&] { return harness.Figure("app.scheduling.reservations") == "0"; }, 1));
+  EXPECT_EQ(harness.Figure("app.scheduling.waiting"), "0");
+  EXPECT_EQ(harness.workers[0]->asked.size(), 2u) << "it never reached a worker";
 }
 
 TEST(RoomOnLoopback, SigtermServesWhatWaitsAndEndsOnce) {
-  SlotRig rig(1, {1, 1}, kOn);
-  rig.Ask(kLook, 0.2, 0.5, 5000);
-  ASSERT_TRUE(rig.Until([&] { return rig.workers[0]->model.running() == 1; }));
-  for (int i = 0; i < 3; ++i) rig.Ask(i == 0 ? kCharge : kLook, 0.1, 0.5, 5000);
-  ASSERT_TRUE(rig.Until([&] { return rig.Figure("app.scheduling.waiting") == "3"; }));
-  rig.node->BeginStop();
-  ASSERT_TRUE(rig.Until([&] {
-    return std::all_of(rig.calls.begin(), rig.calls.end(),
+  SlotHarness harness(1, {1, 1}, kOn);
+  harness.Ask(kLook, 0.2, 0.5, 5000);
+  ASSERT_TRUE(harness.Until([&] { return harness.workers[0]->model.running() == 1; }));
+  for (int i = 0; i < 3; ++i) harness.Ask(i == 0 ? kCharge : kLook, 0.1, 0.5, 5000);
+  ASSERT_TRUE(harness.Until([&] { return harness.Figure("app.scheduling.waiting") == "3"; }));
+  harness.node->BeginStop();
+  ASSERT_TRUE(harness.Until([&] {
+    return std::all_of(harness.calls.begin(), harness.calls.end(),
                        [](const auto& c) { return c->took >= 0; });
   }));
-  for (const auto& c : rig.calls) EXPECT_EQ(c->status(), 200);
-  EXPECT_EQ(rig.node->counters().completed, 4u);
+  for (const auto& c : harness.calls) EXPECT_EQ(c->status(), 200);
+  EXPECT_EQ(harness.node->counters().completed, 4u);
 }
 
 // The old process keeps what waits with it; the new one hears what is out and held there.
 TEST(RoomOnLoopback, AReplacedProcessEndsWhatWaitsWithIt) {
   char folder[] = "/tmp/room-XXXXXX";
   ASSERT_NE(mkdtemp(folder), nullptr);
-  SlotRig rig(1, {1, 1}, kOn, folder);
-  rig.Ask(kLook, 0.3, 0.5, 5000);
-  ASSERT_TRUE(rig.Until([&] { return rig.workers[0]->model.running() == 1; }));
-  for (int i = 0; i < 3; ++i) rig.Ask(i == 0 ? kCharge : kLook, 0.1, 0.5, 5000);
-  ASSERT_TRUE(rig.Until([&] { return rig.Figure("app.scheduling.waiting") == "3"; }));
-  ASSERT_TRUE(rig.StartNext());
-  rig.node->BeginStop();
-  ASSERT_TRUE(rig.Until([&] {
-    return std::all_of(rig.calls.begin(), rig.calls.end(),
+  SlotHarness harness(1, {1, 1}, kOn, folder);
+  harness.Ask(kLook, 0.3, 0.5, 5000);
+  ASSERT_TRUE(harness.Until([&] { return harness.workers[0]->model.running() == 1; }));
+  for (int i = 0; i < 3; ++i) harness.Ask(i == 0 ? kCharge : kLook, 0.1, 0.5, 5000);
+  ASSERT_TRUE(harness.Until([&] { return harness.Figure("app.scheduling.waiting") == "3"; }));
+  ASSERT_TRUE(harness.StartNext());
+  harness.node->BeginStop();
+  ASSERT_TRUE(harness.Until([&] {
+    return std::all_of(harness.calls.begin(), harness.calls.end(),
                        [](const auto& c) { return c->took >= 0; });
   }));
-  for (const auto& c : rig.calls) {
+  for (const auto& c : harness.calls) {
     EXPECT_EQ(c->status(), 200);
     EXPECT_EQ(c->raw->in.find("HTTP/1.1", 1), std::string::npos) << "one answer";
   }
-  EXPECT_EQ(rig.node->counters().completed, 4u);
+  EXPECT_EQ(harness.node->counters().completed, 4u);
   std::filesystem::remove_all(folder);
 }
 
 // 200 jobs at once for two workers: all could run within their time, and all do.
 TEST(RoomOnLoopback, GearmanJobsWaitForAWorkerInPlaceOfAFailure) {
-  Rig rig(0, kOn + R"("gearman":{"listen":"127.0.0.1:0","functions":{"f":{"class":"charge"}}},)");
+  NodeHarness harness(
+      0, kOn + R"("gearman":{"listen":"127.0.0.1:0","functions":{"f":{"class":"charge"}}},)");
   std::vector<std::unique_ptr<GearmanPeer>> workers;
   for (int i = 0; i < 2; ++i) {
-    workers.push_back(rig.Gearman());
+    workers.push_back(harness.Gearman());
     workers.back()->WorkOn("f", "done");
   }
-  rig.Until([&] { return rig.node->Figures().find("app.members:2") != std::string::npos; });
-  const auto client = rig.Gearman();
+  harness.Until([&] { return harness.node->Figures().find("app.members:2") != std::string::npos; });
+  const auto client = harness.Gearman();
   for (int i = 0; i < 200; ++i) {
     client->Send(gearman::Type::kSubmitJob, {"f", "u" + std::to_string(i), "x"});
   }
-  rig.Until(
+  harness.Until(
       [&] {
         return client->Of(gearman::Type::kWorkComplete).size() +
                    client->Of(gearman::Type::kWorkFail).size() ==
--- a/tests/support/cluster_rig.cpp
+++ b/tests/support/cluster_harness.cpp
@@ -1,4 +1,4 @@
-#include "support/cluster_rig.h"
+#include "support/cluster_harness.h"
 
 #include <fcntl.h>
 #include <netinet/in.h>
@@ -63,11 +63,11 @@
  public:
   LinkFaults faults;
 
-  Link(Cluster* rig, std::size_t from, std::size_t to, int to_port)
+  Link(ClusterHarness* harness, std::size_t from, std::size_t to, int to_port)
       : from(from),
         to(to),
-        rig_(rig),
-        loop_(&rig->loop_),
+        harness_(harness),
+        loop_(&harness->loop_),
         port_(FreePort()),
         target_(*ParseAddress(At(to_port))) {
     const sockaddr_in at = *ParseAddress(At(port_));
@@ -91,7 +91,7 @@
 
  private:
   struct Pair {
-    std::unique_ptr<Raw> near, far;
+    std::unique_ptr<RawClient> near, far;
     double credit_at = 0;
   };
 
@@ -110,8 +110,9 @@
       }
       source_ = source;
       std::string datagram(bytes, static_cast<std::size_t>(n));
-      if (rig_->captured_.size() < kMaxCapturedDatagrams) rig_->captured_.push_back(datagram);
-      membership::Random& random = rig_->random_;
+      if (harness_->captured_.size() < kMaxCapturedDatagrams)
+        harness_->captured_.push_back(datagram);
+      membership::Random& random = harness_->random_;
       if (faults.cut || random.Unit() < faults.loss || datagram.empty()) continue;
       if (random.Unit() < faults.garbled) {
         datagram[random.Below(datagram.size())] ^= static_cast<char>(1 + random.Below(255));
@@ -138,8 +139,8 @@
     std::erase_if(pairs_, [](const auto& p) { return p->near->ended && p->far->ended; });
     auto pair = std::make_unique<Pair>();
     Pair* p = pair.get();
-    p->near = std::make_unique<Raw>(loop_, fd);
-    p->far = std::make_unique<Raw>(loop_, AddressText(target_));
+    p->near = std::make_unique<RawClient>(loop_, fd);
+    p->far = std::make_unique<RawClient>(loop_, AddressText(target_));
     p->near->on_read = [this, p] { Pump(p); };
     p->far->on_read = [p] { p->near->Write(std::exchange(p->far->in, {})); };
     p->near->on_end = [p] { p->far->Close("passed-on"), p->far->ended = true; };
@@ -163,7 +164,7 @@
     if (!p->near->in.empty()) loop_->deadlines().At(loop_->Now() + 0.02, [this, p] { Pump(p); });
   }
 
-  Cluster* rig_;
+  ClusterHarness* harness_;
   Loop* loop_;
   int port_, fd_ = -1;
   sockaddr_in target_, source_{};
@@ -176,13 +177,13 @@
 // send from, so both know the other by this one.
 class PeerRelay {
  public:
-  PeerRelay(Cluster* rig, std::size_t one, std::size_t other)
-      : one_(one), other_(other), rig_(rig), port_(FreePort()) {
+  PeerRelay(ClusterHarness* harness, std::size_t one, std::size_t other)
+      : one_(one), other_(other), harness_(harness), port_(FreePort()) {
     const sockaddr_in at = *ParseAddress(At(port_));
     fd_ = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     EXPECT_EQ(bind(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at), 0) << port_;
     readable_.reset(event_new(
-        rig->loop_.base(), fd_, EV_READ | EV_PERSIST,
+        harness->loop_.base(), fd_, EV_READ | EV_PERSIST,
         [](evutil_socket_t, short, void* self) { static_cast<PeerRelay*>(self)->Receive(); },
         this));
     event_add(readable_.get(), nullptr);
@@ -206,23 +207,23 @@
     ssize_t length = 0;
     while ((length = recvfrom(fd_, bytes, sizeof bytes, 0, reinterpret_cast<sockaddr*>(&source),
                               &size)) >= 0) {
-      const bool by_one = ntohs(source.sin_port) == rig_->nodes_[one_].peer;
+      const bool by_one = ntohs(source.sin_port) == harness_->nodes_[one_].peer;
       const std::size_t from = by_one ? one_ : other_, to = by_one ? other_ : one_;
-      const LinkFaults& faults = rig_->link(from, to);
-      if (faults.cut || rig_->random_.Unit() < faults.loss) continue;
-      const sockaddr_in target = *ParseAddress(At(rig_->nodes_[to].peer));
+      const LinkFaults& faults = harness_->link(from, to);
+      if (faults.cut || harness_->random_.Unit() < faults.loss) continue;
+      const sockaddr_in target = *ParseAddress(At(harness_->nodes_[to].peer));
       (void)sendto(fd_, bytes, static_cast<std::size_t>(length), MSG_DONTWAIT,
                    reinterpret_cast<const sockaddr*>(&target), sizeof target);
     }
   }
 
   const std::size_t one_, other_;
-  Cluster* rig_;
+  ClusterHarness* harness_;
   int port_, fd_ = -1;
   EventPtr readable_;
 };
 
-Cluster::Cluster(const Options& options) : options_(options), random_(options.seed) {
+ClusterHarness::ClusterHarness(const Options& options) : options_(options), random_(options.seed) {
   LogLevel() = Level::kError;
   char name[] = "/tmp/millethollow-rig-XXXXXX";
   folder_ = mkdtemp(name);
@@ -252,7 +253,7 @@
   }
 }
 
-Cluster::~Cluster() {
+ClusterHarness::~ClusterHarness() {
   for (Node* n : {&twin_}) {
     if (n->pid > 0) kill(n->pid, SIGKILL);
     Reap(n);
@@ -268,25 +269,25 @@
   }
 }
 
-LinkFaults& Cluster::link(std::size_t from, std::size_t to) {
+LinkFaults& ClusterHarness::link(std::size_t from, std::size_t to) {
   return (*std::find_if(links_.begin(), links_.end(),
                         [&](const auto& l) { return l->from == from && l->to == to; }))
       ->faults;
 }
 
-void Cluster::EachLink(const std::function<void(LinkFaults*)>& what) {
+void ClusterHarness::EachLink(const std::function<void(LinkFaults*)>& what) {
   for (const auto& l : links_) what(&l->faults);
 }
 
-void Cluster::Split(const std::vector<int>& group) {
+void ClusterHarness::Split(const std::vector<int>& group) {
   for (const auto& l : links_) l->faults.cut = group[l->from] != group[l->to];
 }
 
-void Cluster::Heal() {
+void ClusterHarness::Heal() {
   for (const auto& l : links_) l->faults = {};
 }
 
-void Cluster::Inject(std::size_t to, const std::string& datagram) {
+void ClusterHarness::Inject(std::size_t to, const std::string& datagram) {
   const sockaddr_in at = *ParseAddress(At(nodes_[to].cluster));
   const int fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
   (void)sendto(fd, datagram.data(), datagram.size(), 0, reinterpret_cast<const sockaddr*>(&at),
@@ -294,7 +295,7 @@
   close(fd);
 }
 
-void Cluster::AddPeers(std::size_t i, nlohmann::json* config) const {
+void ClusterHarness::AddPeers(std::size_t i, nlohmann::json* config) const {
   std::vector<std::string> addresses;
   for (std::size_t m = 0; m < nodes_.size(); ++m) {
     int port = nodes_[m].peer;
@@ -310,7 +311,7 @@
   (*config)["settings"]["limits"]["peers"] = true;
 }
 
-void Cluster::WriteConfig(std::size_t i, const std::string& path, const Node& node) {
+void ClusterHarness::WriteConfig(std::size_t i, const std::string& path, const Node& node) {
   std::vector<std::string> addresses;
   for (const auto& w : workers_) addresses.push_back(w->address());
   nlohmann::json config = nlohmann::json::parse(TestConfig(addresses, options_.more));
@@ -348,7 +349,7 @@
   std::ofstream(path) << config.dump(1);
 }
 
-void Cluster::Launch(Node* node, const std::string& config) {
+void ClusterHarness::Launch(Node* node, const std::string& config) {
   const std::string log = node->folder + "/log";
   const std::uint64_t file_bytes = node->file_bytes;
   node->exit_code = -1;
@@ -379,18 +380,18 @@
   }
 }
 
-void Cluster::Start(std::size_t i) {
+void ClusterHarness::Start(std::size_t i) {
   if (Running(i)) return;
   const std::string path = nodes_[i].folder + "/config.json";
   WriteConfig(i, path, nodes_[i]);
   Launch(&nodes_[i], path);
 }
 
-void Cluster::StartAll() {
+void ClusterHarness::StartAll() {
   for (std::size_t i = 0; i < nodes_.size(); ++i) Start(i);
 }
 
-void Cluster::StartTwin(std::size_t i) {
+void ClusterHarness::StartTwin(std::size_t i) {
   twin_.folder = folder_ + "/twin";
   std::filesystem::create_directory(twin_.folder);
   twin_.http = FreePort();
@@ -401,7 +402,7 @@
   Launch(&twin_, twin_.folder + "/config.json");
 }
 
-void Cluster::Reap(Node* node) {
+void ClusterHarness::Reap(Node* node) {
   int status = 0;
   if (node->pid > 0 && waitpid(node->pid, &status, 0) == node->pid) {
     node->exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
@@ -411,7 +412,7 @@
   node->polled.told = nullptr;
 }
 
-bool Cluster::Running(std::size_t i) {
+bool ClusterHarness::Running(std::size_t i) {
   Node& n = nodes_[i];
   int status = 0;
   if (n.pid > 0 && waitpid(n.pid, &status, WNOHANG) == n.pid) {
@@ -422,20 +423,20 @@
   return n.pid > 0;
 }
 
-void Cluster::Kill(std::size_t i) {
+void ClusterHarness::Kill(std::size_t i) {
   if (!Running(i)) return;
   nodes_[i].disturbed += 1;
   kill(nodes_[i].pid, SIGKILL);
   Reap(&nodes_[i]);
 }
 
-void Cluster::Terminate(std::size_t i) {
+void ClusterHarness::Terminate(std::size_t i) {
   nodes_[i].disturbed += 1;
   nodes_[i].going = true;
   if (Running(i)) kill(nodes_[i].pid, SIGTERM);
 }
 
-void Cluster::Stop(std::size_t i) {
+void ClusterHarness::Stop(std::size_t i) {
   nodes_[i].disturbed += 1;
   if (Running(i)) kill(nodes_[i].pid, SIGSTOP);
   nodes_[i].stopped = true;
@@ -443,47 +444,47 @@
   nodes_[i].polled.told = nullptr;
 }
 
-void Cluster::Continue(std::size_t i) {
+void ClusterHarness::Continue(std::size_t i) {
   if (Running(i)) kill(nodes_[i].pid, SIGCONT);
   nodes_[i].stopped = false;
 }
 
-void Cluster::Reload(std::size_t i, const std::string& settings) {
+void ClusterHarness::Reload(std::size_t i, const std::string& settings) {
   options_.settings = settings;
   WriteConfig(i, nodes_[i].folder + "/config.json", nodes_[i]);
   if (Running(i)) kill(nodes_[i].pid, SIGHUP);
 }
 
-void Cluster::TakeFolder(std::size_t i) {
+void ClusterHarness::TakeFolder(std::size_t i) {
   std::filesystem::remove_all(nodes_[i].folder + "/store");
 }
 
-void Cluster::KeepFolder(std::size_t i) {
+void ClusterHarness::KeepFolder(std::size_t i) {
   std::filesystem::remove_all(nodes_[i].folder + "/kept");
   std::filesystem::copy(nodes_[i].folder + "/store", nodes_[i].folder + "/kept");
 }
 
-void Cluster::PutBackFolder(std::size_t i) {
+void ClusterHarness::PutBackFolder(std::size_t i) {
   TakeFolder(i);
   std::filesystem::rename(nodes_[i].folder + "/kept", nodes_[i].folder + "/store");
 }
 
-std::string Cluster::LogOf(std::size_t i) const {
+std::string ClusterHarness::LogOf(std::size_t i) const {
   std::stringstream text;
   text << std::ifstream(nodes_[i].folder + "/log").rdbuf();
   return text.str();
 }
 
-std::string Cluster::TwinLog() const {
+std::string ClusterHarness::TwinLog() const {
   std::stringstream text;
   text << std::ifstream(twin_.folder + "/log").rdbuf();
   return text.str();
 }
 
-std::string Cluster::http_address(std::size_t i) const { return At(nodes_[i].http); }
-std::string Cluster::gearman_address(std::size_t i) const { return At(nodes_[i].gearman); }
+std::string ClusterHarness::http_address(std::size_t i) const { return At(nodes_[i].http); }
+std::string ClusterHarness::gearman_address(std::size_t i) const { return At(nodes_[i].gearman); }
 
-bool Cluster::Until(const std::function<bool()>& done, double timeout_s) {
+bool ClusterHarness::Until(const std::function<bool()>& done, double timeout_s) {
   const double until = now() + timeout_s;
   while (true) {
     if (done()) return true;
@@ -494,7 +495,7 @@
   }
 }
 
-void Cluster::Poll() {
+void ClusterHarness::Poll() {
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     Node& n = nodes_[i];
     if (n.pid <= 0 || n.stopped) continue;
@@ -507,14 +508,14 @@
     }
     if (now() - n.poll_at < kPollS) continue;
     n.poll_at = now();
-    n.poll = std::make_unique<Raw>(&loop_, At(n.admin));
+    n.poll = std::make_unique<RawClient>(&loop_, At(n.admin));
     n.poll->Write("GET /members HTTP/1.1\r\nHost: a\r\n\r\n");
   }
 }
 
 // Each answer is checked as it comes: an epoch has one content, and none falls while a process
 // lives.
-void Cluster::Take(std::size_t i, const std::string& answer) {
+void ClusterHarness::Take(std::size_t i, const std::string& answer) {
   Node& n = nodes_[i];
   const auto told =
       nlohmann::json::parse(answer.substr(answer.find("\r\n\r\n") + 4), nullptr, false);
@@ -542,22 +543,22 @@
   n.polled = {now(), told};
 }
 
-std::uint64_t Cluster::Epoch(std::size_t i) const {
+std::uint64_t ClusterHarness::Epoch(std::size_t i) const {
   const auto& told = nodes_[i].polled.told;
   return told.is_object() ? told["epoch"].get<std::uint64_t>() : 0;
 }
 
-bool Cluster::Leased(std::size_t i) const {
+bool ClusterHarness::Leased(std::size_t i) const {
   const auto& told = nodes_[i].polled.told;
   return told.is_object() && told["majority"].get<bool>();
 }
 
-std::string Cluster::StateAt(std::size_t at, std::size_t of) const {
+std::string ClusterHarness::StateAt(std::size_t at, std::size_t of) const {
   const auto& told = nodes_[at].polled.told;
   return told.is_object() ? told["members"][of]["state"].get<std::string>() : "";
 }
 
-bool Cluster::Whole() {
+bool ClusterHarness::Whole() {
   std::uint64_t epoch = 0;
   for (std::size_t i = 0; i < size(); ++i) {
     if (!Running(i) || nodes_[i].stopped) continue;
@@ -572,19 +573,19 @@
   return epoch > 0;
 }
 
-std::uint64_t Cluster::FailedCalls(std::size_t of) const {
+std::uint64_t ClusterHarness::FailedCalls(std::size_t of) const {
   const auto it = failed_calls_.find(Name(of));
   return it == failed_calls_.end() ? 0 : it->second;
 }
 
-std::string Cluster::Ask(std::size_t i, const std::string& call) {
-  Raw raw(&loop_, At(nodes_[i].admin));
+std::string ClusterHarness::Ask(std::size_t i, const std::string& call) {
+  RawClient raw(&loop_, At(nodes_[i].admin));
   raw.Write(call + " HTTP/1.1\r\nHost: a\r\n\r\n");
   Until([&] { return raw.ended; }, 2);
   return raw.in;
 }
 
-long Cluster::Figure(std::size_t i, const std::string& name) {
+long ClusterHarness::Figure(std::size_t i, const std::string& name) {
   const std::string answer = Ask(i, "GET /stats");
   const std::size_t at = answer.find(name + ":");
   return at == std::string::npos ? -1
--- a/tests/support/job_history.h
+++ b/tests/support/job_history.h
@@ -9,30 +9,30 @@
 #include <string>
 #include <vector>
 
-#include "support/cluster_rig.h"
+#include "support/cluster_harness.h"
 
 namespace millethollow::rig {
 
 class JobHistory {
  public:
-  JobHistory(Cluster* rig, std::size_t workers) : rig_(rig), workers_(workers) {}
+  JobHistory(ClusterHarness* harness, std::size_t workers) : harness_(harness), workers_(workers) {}
 
   std::set<std::string> served;  // bodies that a worker was done with
 
   // A background job to a node that runs. Its body names it.
   bool Submit(std::size_t node, bool charge) {
-    if (!rig_->Serves(node)) return false;
+    if (!harness_->Serves(node)) return false;
     Asked& a = asked_.emplace_back();
     a.body = "job-" + std::to_string(asked_.size());
     a.charge = charge;
     a.node = node;
-    a.at = rig_->now();
-    a.peer = std::make_unique<GearmanPeer>(&rig_->loop(), rig_->gearman_address(node));
+    a.at = harness_->now();
+    a.peer = std::make_unique<GearmanPeer>(&harness_->loop(), harness_->gearman_address(node));
     a.peer->Send(gearman::Type::kSubmitJobBg, {charge ? "charge" : "look", "", a.body});
     return true;
   }
   bool SubmitAny() {
-    return Submit(rig_->random().Below(rig_->size()), rig_->random().Below(2) == 0);
+    return Submit(harness_->random().Below(harness_->size()), harness_->random().Below(2) == 0);
   }
   // Takes in what was answered.
   void Gather() {
@@ -40,11 +40,11 @@
       if (!a.peer) continue;
       const auto created = a.peer->Of(gearman::Type::kJobCreated),
                  refused = a.peer->Of(gearman::Type::kError);
-      const bool over = a.peer->ended || rig_->now() - a.at > kAnswerS;
+      const bool over = a.peer->ended || harness_->now() - a.at > kAnswerS;
       if (created.empty() && refused.empty() && !over) continue;
       if (!created.empty()) a.handle = created[0];
       if (!refused.empty()) a.refusal = refused[0].substr(refused[0].find('\0') + 1);
-      a.latency_s = rig_->now() - a.at;
+      a.latency_s = harness_->now() - a.at;
       a.peer.reset();
     }
   }
@@ -63,9 +63,9 @@
   // Jobs that the nodes which run still hold; -1 where one does not say.
   long Held() {
     long held = 0;
-    for (std::size_t i = 0; i < rig_->size(); ++i) {
-      if (!rig_->Serves(i)) continue;
-      const long here = rig_->Figure(i, "app.cluster.jobs.held");
+    for (std::size_t i = 0; i < harness_->size(); ++i) {
+      if (!harness_->Serves(i)) continue;
+      const long here = harness_->Figure(i, "app.cluster.jobs.held");
       if (here < 0) return -1;
       held += here;
     }
@@ -75,14 +75,15 @@
   std::vector<std::string> Wrong() const {
     std::map<std::string, std::set<std::size_t>> cells;  // in which a job ran
     for (std::size_t w = 0; w < workers_; ++w) {
-      for (const auto& got : rig_->worker(w).got) cells[got.body].insert(w / 2);
+      for (const auto& got : harness_->worker(w).got) cells[got.body].insert(w / 2);
     }
     std::string logs;
-    for (std::size_t i = 0; i < rig_->size(); ++i) logs += rig_->LogOf(i);
+    for (std::size_t i = 0; i < harness_->size(); ++i) logs += harness_->LogOf(i);
     std::vector<std::string> wrong;
     for (const Asked& a : asked_) {
       const auto ran = cells.find(a.body);
-      const std::string which = a.body + " (" + a.handle + ") at " + Cluster::Name(a.node) + ": ";
+      const std::string which =
+          a.body + " (" + a.handle + ") at " + ClusterHarness::Name(a.node) + ": ";
       const bool failed =
           logs.find("job=" + a.handle + " function=" + (a.charge ? "charge" : "look") +
                     " tenant=andes ended=failed") != std::string::npos;
@@ -106,7 +107,7 @@
     double at = 0, latency_s = 0;
     std::unique_ptr<GearmanPeer> peer;
   };
-  Cluster* rig_;
+  ClusterHarness* harness_;
   std::size_t workers_;
   std::deque<Asked> asked_;
 };
--- a/tests/support/network_shim.cpp
+++ b/tests/support/network_shim.cpp
@@ -1,5 +1,5 @@
 // Loaded before the system's library: a wall clock that can be set and a disk that can fail, as a
-// page of the rig's says. Everything else passes through; nothing is allocated.
+// page of the harness's says. Everything else passes through; nothing is allocated.
 #include "support/network_shim.h"
 
 #include <fcntl.h>
--- a/tests/support/network_shim.h
+++ b/tests/support/network_shim.h
@@ -1,4 +1,4 @@
-// What the rig breaks inside a process without its knowing: the page that it shares with the
+// What the harness breaks inside a process without its knowing: the page that it shares with the
 // library that stands before the system's (shim.cpp).
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_NETWORK_SHIM_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_NETWORK_SHIM_H_
--- a/tests/support/rig.h
+++ b/tests/support/node_harness.h
@@ -1,13 +1,14 @@
 // A node on loopback with toy workers around it, each on a loop of its own that take turns.
-#ifndef MILLETHOLLOW_TESTS_SUPPORT_RIG_H_
-#define MILLETHOLLOW_TESTS_SUPPORT_RIG_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_NODE_HARNESS_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_NODE_HARNESS_H_
 
 #include "support/support.h"
 
 namespace millethollow {
 
-struct Rig {
-  explicit Rig(int workers = 3, const std::string& extra = "", const std::string& handover = "") {
+struct NodeHarness {
+  explicit NodeHarness(int workers = 3, const std::string& extra = "",
+                       const std::string& handover = "") {
     LogLevel() = Level::kError;
     for (int i = 0; i < workers; ++i) this->workers.push_back(std::make_unique<ToyWorker>(&host));
     std::vector<std::string> addresses;
@@ -44,7 +45,9 @@
     EXPECT_TRUE(IsOk(started));
     return started.has_value();
   }
-  std::unique_ptr<Raw> Client() { return std::make_unique<Raw>(&host, node->http_address()); }
+  std::unique_ptr<RawClient> Client() {
+    return std::make_unique<RawClient>(&host, node->http_address());
+  }
   std::unique_ptr<GearmanPeer> Gearman() {
     return std::make_unique<GearmanPeer>(&host, node->gearman_address());
   }
@@ -75,4 +78,4 @@
 
 }  // namespace millethollow
 
-#endif  // MILLETHOLLOW_TESTS_SUPPORT_RIG_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_NODE_HARNESS_H_
--- a/tests/support/copies_world.h
+++ b/tests/support/replication_simulation.h
@@ -1,7 +1,7 @@
 // Copies of promises on a virtual clock: real members agree on views and logs, real logs are kept
 // on disks that a seed wipes, puts back and slows. After every step each promise is checked.
-#ifndef MILLETHOLLOW_TESTS_SUPPORT_COPIES_WORLD_H_
-#define MILLETHOLLOW_TESTS_SUPPORT_COPIES_WORLD_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_REPLICATION_SIMULATION_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_REPLICATION_SIMULATION_H_
 
 #include <functional>
 
@@ -31,9 +31,9 @@
   }
 };
 
-class CopyWorld {
+class ReplicationSimulation {
  public:
-  CopyWorld(std::uint64_t seed, std::size_t members, CopyFaults planted)
+  ReplicationSimulation(std::uint64_t seed, std::size_t members, CopyFaults planted)
       : faults(planted),
         random(seed * 77 + 5),
         world(seed, {.members = members,
@@ -387,4 +387,4 @@
 
 }  // namespace millethollow::copies
 
-#endif  // MILLETHOLLOW_TESTS_SUPPORT_COPIES_WORLD_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_REPLICATION_SIMULATION_H_
--- a/tests/support/support.cpp
+++ b/tests/support/support.cpp
@@ -33,7 +33,7 @@
       [this](evutil_socket_t fd) {
         auto client = std::make_unique<Client>();
         Client* c = client.get();
-        c->raw = std::make_unique<Raw>(loop_, fd);
+        c->raw = std::make_unique<RawClient>(loop_, fd);
         c->raw->on_read = [this, c] {
           while (!c->raw->in.empty()) {
             c->raw->in.erase(0, c->parser.Feed(c->raw->in));
@@ -77,7 +77,7 @@
   return true;
 }
 
-GearmanPeer::GearmanPeer(Loop* loop, const std::string& address) : Raw(loop, address) {
+GearmanPeer::GearmanPeer(Loop* loop, const std::string& address) : RawClient(loop, address) {
   on_read = [this] {
     while (!in.empty()) {
       in.erase(0, parser_.Feed(in));
--- a/tests/support/support.h
+++ b/tests/support/support.h
@@ -38,12 +38,12 @@
 }
 
 // A peer that sends bytes and keeps what comes back.
-class Raw : public Connection {
+class RawClient : public Connection {
  public:
-  Raw(Loop* loop, const std::string& address) : Connection(loop, "test") {
+  RawClient(Loop* loop, const std::string& address) : Connection(loop, "test") {
     Connect(*ParseAddress(address));
   }
-  Raw(Loop* loop, evutil_socket_t fd) : Connection(loop, "test") { Adopt(fd); }
+  RawClient(Loop* loop, evutil_socket_t fd) : Connection(loop, "test") { Adopt(fd); }
   std::string in;
   bool ended = false;
   std::function<void()> on_read = [] {}, on_end = [] {};
@@ -76,7 +76,7 @@
   struct Got {
     http::Head head;
     std::string body;
-    Raw* from = nullptr;
+    RawClient* from = nullptr;
   };
   explicit ToyWorker(Loop* loop);
   std::string address() const { return listener_.address(); }
@@ -89,7 +89,7 @@
 
  private:
   struct Client {
-    std::unique_ptr<Raw> raw;
+    std::unique_ptr<RawClient> raw;
     http::Parser parser{http::Parser::Side::kRequest, {}};
   };
   Loop* loop_;
@@ -98,7 +98,7 @@
 };
 
 // A Gearman peer: client, worker or both.
-class GearmanPeer : public Raw {
+class GearmanPeer : public RawClient {
  public:
   GearmanPeer(Loop* loop, const std::string& address);
   void Send(gearman::Type type, std::initializer_list<std::string_view> arguments);
