--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -125,12 +125,14 @@
   workers_.EraseGone([&known](std::string_view worker) { return known.contains(worker); });
 }
 
-bool Planner::SetMaintenance(const std::string& worker, bool out) {
+bool Planner::SetMaintenance(const std::string& worker, bool in_maintenance) {
   bool changed = false;
-  if (!workers_.SetMaintenance(worker, out, environment_->Now(), &changed)) return false;
+  if (!workers_.SetMaintenance(worker, in_maintenance, environment_->Now(), &changed)) return false;
   if (!changed) return true;
-  environment_->Log("maintenance worker=" + worker + " state=" + (out ? "out" : "in"));
-  queue_.Post([this, worker, out] { Deliver(balancing::MaintenanceChanged{worker, out}); });
+  environment_->Log("maintenance worker=" + worker + " state=" + (in_maintenance ? "out" : "in"));
+  queue_.Post([this, worker, in_maintenance] {
+    Deliver(balancing::MaintenanceChanged{worker, in_maintenance});
+  });
   return true;
 }
 
--- a/src/core/planner.h
+++ b/src/core/planner.h
@@ -71,7 +71,7 @@
 
   // An operator takes a worker out of service or puts it back, whatever lists say. False: no such
   // worker was ever listed.
-  bool SetMaintenance(const std::string& worker, bool out);
+  bool SetMaintenance(const std::string& worker, bool in_maintenance);
 
   // Configuration. The names of the classes, by index; those that are not live are only those of
   // open requests.
--- a/src/core/worker_registry.cpp
+++ b/src/core/worker_registry.cpp
@@ -50,12 +50,12 @@
   return all;
 }
 
-bool WorkerRegistry::SetMaintenance(const std::string& worker, bool out, double now,
+bool WorkerRegistry::SetMaintenance(const std::string& worker, bool in_maintenance, double now,
                                     bool* changed) {
   const auto it = workers_.find(worker);
   if (it == workers_.end()) return false;
-  *changed = out != it->second.in_maintenance();
-  if (*changed) it->second.maintenance_since = out ? now : -1;
+  *changed = in_maintenance != it->second.in_maintenance();
+  if (*changed) it->second.maintenance_since = in_maintenance ? now : -1;
   return true;
 }
 
--- a/src/core/worker_registry.h
+++ b/src/core/worker_registry.h
@@ -51,7 +51,7 @@
   std::vector<balancing::Endpoint> ApplySnapshot(const std::vector<balancing::Endpoint>& listed,
                                                  double now);
   // False: no such worker was ever listed. `*changed`: it was not in that state already.
-  bool SetMaintenance(const std::string& worker, bool out, double now, bool* changed);
+  bool SetMaintenance(const std::string& worker, bool in_maintenance, double now, bool* changed);
   // Drops gone workers that `keep` does not name, except for local ones and those in maintenance.
   void EraseGone(const std::function<bool(std::string_view worker)>& keep);
 
--- a/src/net/admin/admin_server.h
+++ b/src/net/admin/admin_server.h
@@ -20,7 +20,7 @@
     std::function<std::string()> figures;
     // Takes a worker out, or puts it back, and says what to answer: at once, or later.
     using Answer = std::function<void(int status, const std::string& body)>;
-    std::function<void(const std::string& worker, bool out, Answer answer)> maintain;
+    std::function<void(const std::string& worker, bool in_maintenance, Answer answer)> maintain;
     std::function<std::string()> members;  // of the cluster, as JSON; none: there is no cluster
   };
   // Part of the descriptors that the budget leaves aside. Whoever comes beyond it costs the caller
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -341,11 +341,12 @@
   Arm();
 }
 
-void Member::SetMaintenance(const std::string& worker, bool out, ReplicatedCallback on_replicated) {
+void Member::SetMaintenance(const std::string& worker, bool in_maintenance,
+                            ReplicatedCallback on_replicated) {
   membership::MembershipNode::Actions actions;
-  const std::uint64_t number = cluster_->SetMaintenance(Now(), worker, out, &actions);
+  const std::uint64_t number = cluster_->SetMaintenance(Now(), worker, in_maintenance, &actions);
   const bool anybody = !actions.send.empty();
-  Events().info("cluster worker={} out={} said-here", worker, out);
+  Events().info("cluster worker={} out={} said-here", worker, in_maintenance);
   if (number != 0 && anybody) {
     Waiting& waiting = waiting_[number];
     waiting.on_replicated = std::move(on_replicated);
--- a/src/net/cluster/member.h
+++ b/src/net/cluster/member.h
@@ -37,7 +37,7 @@
  public:
   // What others said, to be done here too.
   struct Hooks {
-    std::function<void(const std::string& worker, bool out)> maintain;
+    std::function<void(const std::string& worker, bool in_maintenance)> maintain;
     std::function<void(const std::string& worker, double started_at_s, bool gone)> down;
     // By tenant, where quotas are leased: jobs per second that came in lately.
     std::function<std::vector<double>()> tenant_demand = {};
@@ -58,10 +58,11 @@
   // Says that this process goes and gives its lease back.
   void Leave();
   // An operator took a worker out at this node, or put it back: so it is at all.
-  void SetMaintenance(const std::string& worker, bool out, ReplicatedCallback on_replicated);
+  void SetMaintenance(const std::string& worker, bool in_maintenance,
+                      ReplicatedCallback on_replicated);
   // Discovery told this node that a worker drains or is gone.
   void OnWorkerDown(const std::string& worker, double started_at_s, bool gone);
-  bool Out(const std::string& worker) const {
+  bool InMaintenance(const std::string& worker) const {
     return cluster_->maintenance().InMaintenance(worker);
   }
   // Does it know what the others know, or that nobody is there?
--- a/src/net/handover/hot_restart.cpp
+++ b/src/net/handover/hot_restart.cpp
@@ -211,8 +211,8 @@
       break;
     case Kind::kMaintenance: {
       const std::string worker = f.Text();
-      const bool out = f.U8() != 0;
-      if (f.Whole()) ForwardMaintenance(worker, out, sibling);
+      const bool in_maintenance = f.U8() != 0;
+      if (f.Whole()) ForwardMaintenance(worker, in_maintenance, sibling);
       break;
     }
     case Kind::kDown: {
@@ -257,7 +257,7 @@
     budget.clients_elsewhere += m->clients;
     budget.workers_elsewhere += m->workers;
   }
-  loop_->RoomForClients();
+  loop_->NotifyClientCapacity();
   const bool present = predecessor_ != nullptr || leaving_;
   if (std::exchange(reported_present_, present) != present ||
       std::exchange(reported_leaving_, leaving_) != leaving_) {
@@ -287,9 +287,10 @@
     Send(Writer(Kind::kId).Text(wire_id).Done());
 }
 
-void HotRestart::ForwardMaintenance(const std::string& worker, bool out, const Sibling* from) {
-  if (from != nullptr) parts_.planner->SetMaintenance(worker, out);
-  Send(Writer(Kind::kMaintenance).Text(worker).U8(out).Done(), from);
+void HotRestart::ForwardMaintenance(const std::string& worker, bool in_maintenance,
+                                    const Sibling* from) {
+  if (from != nullptr) parts_.planner->SetMaintenance(worker, in_maintenance);
+  Send(Writer(Kind::kMaintenance).Text(worker).U8(in_maintenance).Done(), from);
 }
 
 void HotRestart::SendWorkersDown() {
--- a/src/net/handover/hot_restart.h
+++ b/src/net/handover/hot_restart.h
@@ -60,8 +60,8 @@
   bool leaving() const { return leaving_; }
   bool Flushed() const { return successor_ == nullptr || successor_->link->Flushed(); }
   void SendPeerMessage(const std::string& body);
-  void SendMaintenance(const std::string& worker, bool out) {
-    ForwardMaintenance(worker, out, nullptr);
+  void SendMaintenance(const std::string& worker, bool in_maintenance) {
+    ForwardMaintenance(worker, in_maintenance, nullptr);
   }
   void SendWireId(const std::string& wire_id);
   void SendWorkersDown();  // whatever the list has brought
@@ -77,7 +77,7 @@
   void SendState(Sibling* sibling);
   void AwaitNext();
   void Leave();
-  void ForwardMaintenance(const std::string& worker, bool out, const Sibling* from);
+  void ForwardMaintenance(const std::string& worker, bool in_maintenance, const Sibling* from);
   void Send(const std::string& frame, const Sibling* but = nullptr);
   void Watch(SiblingPtr* sibling);
   void Beat();
--- a/src/net/http/worker_pool.cpp
+++ b/src/net/http/worker_pool.cpp
@@ -429,7 +429,7 @@
 void WorkerPool::Send(const ClientRequest& held, int attempt, const std::string& worker) {
   const auto pooled = workers_.find(worker);
   if (pooled != workers_.end() && pooled->second.max_in_flight > 0 &&
-      pooled->second.out >= pooled->second.max_in_flight) {
+      pooled->second.in_flight >= pooled->second.max_in_flight) {
     return forwarder_->OnAttemptEnded(held.request.id, attempt,
                                       {.status = AttemptStatus::kRejected});
   }
@@ -437,8 +437,8 @@
   if (connection == nullptr) {
     return forwarder_->OnAttemptEnded(held.request.id, attempt, {.status = reason});
   }
-  out_[{held.request.id, attempt}] = connection;
-  pooled->second.out += 1;
+  in_flight_[{held.request.id, attempt}] = connection;
+  pooled->second.in_flight += 1;
   connection->SendRequest(held, attempt);
 }
 
@@ -450,8 +450,8 @@
 }
 
 void WorkerPool::Cancel(RequestId id, int attempt) {
-  const auto it = out_.find({id, attempt});
-  if (it == out_.end()) return;
+  const auto it = in_flight_.find({id, attempt});
+  if (it == in_flight_.end()) return;
   WorkerConnection* connection = it->second;
   NoLongerOut(id, attempt);
   connection->Forget();
@@ -459,15 +459,15 @@
 }
 
 void WorkerPool::CancelUnsent(RequestId id, int attempt) {
-  const auto it = out_.find({id, attempt});
-  if (it != out_.end()) it->second->CancelUnsent();
+  const auto it = in_flight_.find({id, attempt});
+  if (it != in_flight_.end()) it->second->CancelUnsent();
 }
 
 void WorkerPool::NoLongerOut(RequestId id, int attempt) {
-  const auto it = out_.find({id, attempt});
-  if (it == out_.end()) return;
-  workers_[it->second->worker()].out -= 1;
-  out_.erase(it);
+  const auto it = in_flight_.find({id, attempt});
+  if (it == in_flight_.end()) return;
+  workers_[it->second->worker()].in_flight -= 1;
+  in_flight_.erase(it);
 }
 
 void WorkerPool::Release(WorkerConnection* connection) {
--- a/src/net/http/worker_pool.h
+++ b/src/net/http/worker_pool.h
@@ -54,8 +54,8 @@
     std::string address_text;
     sockaddr_in address{};
     bool reachable = false;
-    std::size_t max_in_flight = 0, out = 0;  // attempts at once: allowed (0: any), and now
-    std::vector<WorkerConnection*> idle;     // the last is the one used last
+    std::size_t max_in_flight = 0, in_flight = 0;  // attempts at once: allowed (0: any), and now
+    std::vector<WorkerConnection*> idle;           // the last is the one used last
   };
   // A connection, or why there is none. That we have no descriptor left says nothing of the next
   // worker.
@@ -72,7 +72,7 @@
   Taker taker_;
   std::map<std::string, PooledWorker> workers_;
   std::map<WorkerConnection*, std::unique_ptr<WorkerConnection>> connections_;
-  std::map<std::pair<RequestId, int>, WorkerConnection*> out_;
+  std::map<std::pair<RequestId, int>, WorkerConnection*> in_flight_;
 };
 
 // Reads name=value,... or a JSON object into `outcome`'s report, by the columns' names.
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -43,10 +43,10 @@
 
 void Loop::ClientFreed() {
   budget_.clients -= 1;
-  RoomForClients();
+  NotifyClientCapacity();
 }
 
-void Loop::RoomForClients() {
+void Loop::NotifyClientCapacity() {
   for (const auto& what : client_freed_) what();
 }
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -55,7 +55,7 @@
   // Every front counts its clients here: one that gives a descriptor back may let another accept.
   void OnClientFreed(std::function<void()> what) { client_freed_.push_back(std::move(what)); }
   void ClientFreed();
-  void RoomForClients();  // there may be some again
+  void NotifyClientCapacity();  // more clients may be accepted again
 
   // Runs at the end of this turn: where connections are destroyed, never within a callback of
   // theirs.
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -85,9 +85,9 @@
     return planner_ != nullptr && !stopping_ && (!forwarder_ || forwarder_->accepting());
   };
   hooks.figures = [this] { return Figures(); };
-  hooks.maintain = [this](const std::string& worker, bool out,
+  hooks.maintain = [this](const std::string& worker, bool in_maintenance,
                           admin::AdminServer::Hooks::Answer answer) {
-    SetMaintenanceEverywhere(worker, out, std::move(answer));
+    SetMaintenanceEverywhere(worker, in_maintenance, std::move(answer));
   };
   if (member_) hooks.members = [this] { return member_->Json(); };
   admin_ = std::make_unique<admin::AdminServer>(&loop_, std::move(hooks));
@@ -96,17 +96,17 @@
   return {};
 }
 
-bool Node::SetMaintenance(const std::string& worker, bool out) {
-  if (!planner_->SetMaintenance(worker, out)) return false;
-  if (hot_restart_) hot_restart_->SendMaintenance(worker, out);
+bool Node::SetMaintenance(const std::string& worker, bool in_maintenance) {
+  if (!planner_->SetMaintenance(worker, in_maintenance)) return false;
+  if (hot_restart_) hot_restart_->SendMaintenance(worker, in_maintenance);
   return true;
 }
 
-void Node::SetMaintenanceEverywhere(const std::string& worker, bool out,
+void Node::SetMaintenanceEverywhere(const std::string& worker, bool in_maintenance,
                                     admin::AdminServer::Hooks::Answer answer) {
-  if (!SetMaintenance(worker, out)) return answer(404, "no such worker\n");
+  if (!SetMaintenance(worker, in_maintenance)) return answer(404, "no such worker\n");
   if (!member_) return answer(200, "done\n");
-  member_->SetMaintenance(worker, out, [answer = std::move(answer)](bool elsewhere) {
+  member_->SetMaintenance(worker, in_maintenance, [answer = std::move(answer)](bool elsewhere) {
     answer(200, elsewhere ? "done\n" : "done here; not yet on disk here and at another member\n");
   });
 }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -61,7 +61,7 @@
   // Applies the configuration file as it is now. One that can't be used changes nothing.
   void Reload();
   // Takes a worker out of service or puts it back. False: no such worker is known.
-  bool SetMaintenance(const std::string& worker, bool out);
+  bool SetMaintenance(const std::string& worker, bool in_maintenance);
 
   void PrintCounters(std::ostream& out) const;
   std::string Figures() const;  // see MetricsText
@@ -80,7 +80,7 @@
   void RequestStateFromPredecessor();
   void ServeSuccessor();
   Status StartAdmin();
-  void SetMaintenanceEverywhere(const std::string& worker, bool out,
+  void SetMaintenanceEverywhere(const std::string& worker, bool in_maintenance,
                                 admin::AdminServer::Hooks::Answer answer);
   void CheckStopped();
 
--- a/src/node/node_cluster.cpp
+++ b/src/node/node_cluster.cpp
@@ -14,7 +14,9 @@
 
 Status Node::StartMember() {
   cluster::Member::Hooks hooks;
-  hooks.maintain = [this](const std::string& worker, bool out) { SetMaintenance(worker, out); };
+  hooks.maintain = [this](const std::string& worker, bool in_maintenance) {
+    SetMaintenance(worker, in_maintenance);
+  };
   hooks.down = [this](const std::string& worker, double started_at_s, bool gone) {
     planner_->OnPeerWorkerDown(worker, started_at_s, gone);
   };
--- a/src/node/node_planner.cpp
+++ b/src/node/node_planner.cpp
@@ -181,7 +181,7 @@
 // they are in maintenance here too: they come in as draining.
 void Node::ApplyPeersMaintenance(const ServerList& list) {
   for (const ListEntry& e : list.entries) {
-    if (!member_->Out(e.member.worker) || planner_->HasWorker(e.member.worker)) continue;
+    if (!member_->InMaintenance(e.member.worker) || planner_->HasWorker(e.member.worker)) continue;
     balancing::Endpoint draining = e.member;
     draining.readiness = balancing::Readiness::kDraining;
     planner_->OnEndpointsUpdated(balancing::EndpointListKind::kIncremental, {draining});
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -244,7 +244,7 @@
 
 bool Scheduler::Enqueue(const Job& job, double now) {
   if (queue_.contains(job.handle)) return true;
-  if (!QueueHasRoom(job)) {
+  if (!QueueHasCapacity(job)) {
     stats_.rejected += 1;
     return false;
   }
@@ -265,7 +265,7 @@
 }
 
 // Whatever its share, a tenant may have one job in the queue.
-bool Scheduler::QueueHasRoom(const Job& job) const {
+bool Scheduler::QueueHasCapacity(const Job& job) const {
   const auto of_tenant = queued_by_tenant_.find(job.tenant);
   const std::size_t jobs = of_tenant == queued_by_tenant_.end() ? 0 : of_tenant->second;
   const double max_jobs =
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -180,7 +180,7 @@
   void TouchRemoteWorkers();
 
   // The queue.
-  bool QueueHasRoom(const Job& job) const;
+  bool QueueHasCapacity(const Job& job) const;
   void AddToShape(QueuedJob* queued);
   void RemoveFromShape(QueuedJob* queued);
   JobHandle PickJob(Worker& w, std::size_t number, double now);
--- a/tests/support/worker_model.h
+++ b/tests/support/worker_model.h
@@ -62,9 +62,9 @@
     std::erase_if(running_, same);
   }
   scheduling::Resources Free() const {
-    scheduling::Resources room = capacity_;
-    for (const Job& j : running_) room = room - j.need;
-    return room;
+    scheduling::Resources free = capacity_;
+    for (const Job& j : running_) free = free - j.need;
+    return free;
   }
   std::size_t waiting() const { return waiting_.size(); }
   std::size_t running() const { return running_.size(); }
