--- a/bench/scale/axis_workers.cpp
+++ b/bench/scale/axis_workers.cpp
@@ -11,12 +11,12 @@
 namespace millethollow::scale {
 namespace {
 
-constexpr int kDirectTier = 24;   // the largest tier whose dispatchers all hear each other
-constexpr int kToldWorkers = 40;  // workers that a report names at most
+constexpr int kDirectTier = 24;       // the largest tier whose dispatchers all hear each other
+constexpr int kReportedWorkers = 40;  // workers that a report names at most
 constexpr double kJobGapS = 0.0005;
 constexpr double kReportGapS = 0.5;
 constexpr std::uint64_t kReportTimer = 1;
-constexpr std::size_t kMostList = 4 * kMebibyte;  // a longer list is not read
+constexpr std::size_t kMaxListBytes = 4 * kMebibyte;  // a longer list is not read
 
 struct Effort {
   int decisions = 20000;
@@ -134,7 +134,7 @@
   std::vector<Report> reports;
   for (int peer = 1; peer < kDirectTier; ++peer) {
     BalancerFixture other(workers, peer, seed + static_cast<std::uint64_t>(peer));
-    for (int i = 0; i < kToldWorkers; ++i) other.Take();
+    for (int i = 0; i < kReportedWorkers; ++i) other.Take();
     other.Advance(kReportGapS);
     reports.push_back(other.MakeReport());
   }
@@ -143,7 +143,7 @@
 
 Point MeasureBalancer(int workers, const Effort& effort, std::uint64_t seed) {
   Point point;
-  const std::vector<Report> heard = ReportsOfPeers(workers, seed);
+  const std::vector<Report> peer_reports = ReportsOfPeers(workers, seed);
   BalancerFixture fixture(workers, 0, seed);
   Samples decisions;
   for (int i = 0; i < effort.decisions; ++i) {
@@ -156,9 +156,9 @@
   AddQuantiles("balancer_decision", decisions, &point);
   Samples reports, hearings, gaps;
   for (int i = 0; i < effort.reports; ++i) {
-    for (std::size_t peer = 0; peer < heard.size(); ++peer) {
+    for (std::size_t peer = 0; peer < peer_reports.size(); ++peer) {
       const Stopwatch watch;
-      for (const std::string& body : heard[peer].to_first_peer) {
+      for (const std::string& body : peer_reports[peer].to_first_peer) {
         fixture.Handle(balancing::PeerMessage{static_cast<int>(peer) + 1, body});
       }
       hearings.Add(watch.Nanoseconds());
@@ -184,18 +184,18 @@
   point.Computed("list_bytes", "B", static_cast<double>(plain.size()));
   point.Computed("list_bytes_indented", "B", static_cast<double>(indented_bytes));
   point.Computed("list_of_bound", "share",
-                 static_cast<double>(plain.size()) / static_cast<double>(kMostList));
+                 static_cast<double>(plain.size()) / static_cast<double>(kMaxListBytes));
   point.Computed("list_indented_of_bound", "share",
-                 static_cast<double>(indented_bytes) / static_cast<double>(kMostList));
+                 static_cast<double>(indented_bytes) / static_cast<double>(kMaxListBytes));
   Samples readings;
   for (int i = 0; i < effort.list_readings; ++i) {
     ServerList list;
-    std::string why;
+    std::string error;
     const Stopwatch watch;
-    const bool read = ReadServerList(plain, ZoneNames(), KindNames(), &list, &why);
+    const bool read = ReadServerList(plain, ZoneNames(), KindNames(), &list, &error);
     readings.Add(watch.Nanoseconds());
     if (!read || list.entries.size() != static_cast<std::size_t>(workers)) {
-      throw std::runtime_error("the list can't be read: " + why);
+      throw std::runtime_error("the list can't be read: " + error);
     }
   }
   point.Measured("list_read_p50", "ms", readings.Quantile(0.5) / 1e6);
--- a/src/config/haproxy.cpp
+++ b/src/config/haproxy.cpp
@@ -34,19 +34,18 @@
   Server server_defaults;
 };
 
-bool Integer(std::string_view text, int least, int most, int* value) {
+bool Integer(std::string_view text, int min, int max, int* value) {
   int read = 0;
   const char* end = text.data() + text.size();
   const auto [at, error] = std::from_chars(text.data(), end, read);
-  if (error != std::errc() || at != end || text.empty() || read < least || read > most)
-    return false;
+  if (error != std::errc() || at != end || text.empty() || read < min || read > max) return false;
   *value = read;
   return true;
 }
 
 class Reader {
  public:
-  Reader(Import* import, std::string* why) : import_(import), why_(why) {}
+  Reader(Import* import, std::string* error) : import_(import), error_(error) {}
 
   bool Line(int number, const std::vector<std::string>& words) {
     number_ = number;
@@ -73,7 +72,7 @@
 
  private:
   bool Bad(const std::string& what) {
-    *why_ = "line " + std::to_string(number_) + ": " + what;
+    *error_ = "line " + std::to_string(number_) + ": " + what;
     return false;
   }
   void Note(const std::string& what) { NoteAt(number_, what); }
@@ -250,7 +249,7 @@
   }
 
   Import* import_;
-  std::string* why_;
+  std::string* error_;
   int number_ = 0, maxconn_ = 0;
   std::string section_, defaults_name_;
   Proxy defaults_;
@@ -279,12 +278,12 @@
   for (const auto& [line, bind] : bind_lines_) {
     if (bind != listen) NoteAt(line, "bind " + bind + ": the program listens on " + listen);
   }
-  if (listen.empty()) return *why_ = "no section binds an IPv4 address:port", false;
+  if (listen.empty()) return *error_ = "no section binds an IPv4 address:port", false;
 
   Json kinds = Json::array(), classes = Json::array(), servers = Json::array();
   Json class_kind = Json::array();
   double connect_s = 5, idle_s = 60;
-  bool connect_told = false, idle_told = false;
+  bool connect_set = false, idle_set = false;
   int tries = 1;
   for (const Proxy& p : proxies_) {
     if (p.disabled || p.type == "frontend") continue;
@@ -305,16 +304,16 @@
                        {"semantics", "once"}});
     if (p.timeouts.contains("connect")) {
       const double own = time("connect", 5);
-      if (connect_told && own != connect_s) {
+      if (connect_set && own != connect_s) {
         NoteAt(p.line, "timeout connect of '" + p.name + "': the shortest of all is used");
       }
-      connect_s = connect_told ? std::min(connect_s, own) : own;
-      connect_told = true;
+      connect_s = connect_set ? std::min(connect_s, own) : own;
+      connect_set = true;
     }
     if (p.timeouts.contains("http-keep-alive")) {
       idle_s =
-          idle_told ? std::min(idle_s, time("http-keep-alive", 60)) : time("http-keep-alive", 60);
-      idle_told = true;
+          idle_set ? std::min(idle_s, time("http-keep-alive", 60)) : time("http-keep-alive", 60);
+      idle_set = true;
     }
     tries = std::max(tries, std::min(p.retries + 1, 16));
     if (p.retries + 1 > 16) NoteAt(p.line, "retries over 15");
@@ -332,7 +331,7 @@
       servers.push_back(std::move(entry));
     }
   }
-  if (classes.empty()) return *why_ = "no backend or listen section is in use", false;
+  if (classes.empty()) return *error_ = "no backend or listen section is in use", false;
   Json root = {{"name", "imported"},
                {"listen", listen},
                {"limits", {{"sockets", maxconn_ > 0 ? std::max(128, 2 * maxconn_ + 64) : 1024}}},
@@ -420,12 +419,12 @@
   return value * unit->second;
 }
 
-bool ImportHaproxy(std::string_view text, Import* import, std::string* why) {
-  Reader reader(import, why);
+bool ImportHaproxy(std::string_view text, Import* import, std::string* error) {
+  Reader reader(import, error);
   for (int number = 1; !text.empty(); ++number) {
     const std::size_t end = std::min(text.find('\n'), text.size());
     const auto words = HaproxyWords(text.substr(0, end));
-    if (!words) return *why = "line " + std::to_string(number) + ": a quote is left open", false;
+    if (!words) return *error = "line " + std::to_string(number) + ": a quote is left open", false;
     if (!words->empty() && !reader.Line(number, *words)) return false;
     text.remove_prefix(std::min(end + 1, text.size()));
   }
--- a/src/copies/replicated_logs.cpp
+++ b/src/copies/replicated_logs.cpp
@@ -96,22 +96,22 @@
   const auto it = logs_.find(id);
   if (it == logs_.end()) return "none";
   const Log& log = it->second;
-  std::string told = "since=" + std::to_string(log.since) + " end=" + std::to_string(log.End()) +
+  std::string text = "since=" + std::to_string(log.since) + " end=" + std::to_string(log.End()) +
                      " stored=" + std::to_string(log.stored) + " base=" + std::to_string(log.base) +
                      " commit=" + std::to_string(log.commit);
   for (const auto& [who, peer] : log.peers) {
-    told += " " + std::to_string(who) + (peer.holder ? ":holder" : ":candidate") +
-            (peer.met ? "" : ",not-met") + (peer.fill != 0 ? ",filling" : "") +
+    text += " " + std::to_string(who) + (peer.holder ? ":holder" : ":candidate") +
+            (peer.met ? "" : ",not-met") + (peer.snapshot_id != 0 ? ",filling" : "") +
             ",acked=" + std::to_string(peer.acked) + ",next=" + std::to_string(peer.next);
   }
-  for (const LogReplica& h : log.wanted) told += " wants=" + std::to_string(h.id);
-  if (log.pass_to != 0) told += " pass_to=" + std::to_string(log.pass_to);
-  return told;
+  for (const LogReplica& h : log.wanted) text += " wants=" + std::to_string(h.id);
+  if (log.pass_to != 0) text += " pass_to=" + std::to_string(log.pass_to);
+  return text;
 }
 
 std::string ReplicatedLogs::EntryPrefixOf(LogId id) const {
   const auto it = logs_.find(id);
-  return EntryPrefix(id, it == logs_.end() ? 0 : it->second.head.filling);
+  return EntryPrefix(id, it == logs_.end() ? 0 : it->second.head.snapshot_generation);
 }
 
 bool ReplicatedLogs::MayAct(LogId id) const {
@@ -130,20 +130,20 @@
 }
 
 SequenceNumber ReplicatedLogs::Append(double now, LogId id, std::string key, std::string value,
-                                      bool gone, AppendError* why, Actions* actions) {
+                                      bool gone, AppendError* reason, Actions* actions) {
   const auto it = logs_.find(id);
-  *why = AppendError::kNone;
+  *reason = AppendError::kNone;
   const LogAssignment* place = view_.Log(id);
   if (failed_) {
-    *why = AppendError::kStoreFailed;
+    *reason = AppendError::kStoreFailed;
   } else if (!MayAct(id) || place == nullptr || it->second.closing) {
-    *why = AppendError::kNotOwner;
+    *reason = AppendError::kNotOwner;
   } else if (ReachableReplicas(now, it->second, *place) < o_.min_replicas) {
-    *why = AppendError::kTooFewReplicas;
+    *reason = AppendError::kTooFewReplicas;
   } else if (it->second.End() - it->second.commit >= o_.max_uncommitted_operations) {
-    *why = AppendError::kFull;
+    *reason = AppendError::kFull;
   }
-  if (*why != AppendError::kNone) {
+  if (*reason != AppendError::kNone) {
     counters_.refusals += 1;
     return 0;
   }
@@ -170,7 +170,7 @@
     LogStatus held{.log = id, .own = log.own};
     for (const auto& [who, peer] : log.peers) {
       held.holders += peer.holder;
-      held.filling += peer.fill != 0;
+      held.receiving_snapshot += peer.snapshot_id != 0;
       if (peer.holder)
         held.behind = std::max(held.behind, log.End() - std::min(peer.acked, log.End()));
     }
@@ -203,15 +203,15 @@
         it = log.peers.erase(it);
         continue;
       }
-      if (peer.fill != 0) {
-        const bool trimmed = !log.ops.empty() && log.ops.front().seq > peer.fill_from + 1;
+      if (peer.snapshot_id != 0) {
+        const bool trimmed = !log.ops.empty() && log.ops.front().seq > peer.snapshot_seq + 1;
         if (trimmed || now - peer.heard_at > o_.replica_timeout_s) {
           peer.Forget();
         } else if (!peer.reading && peer.chunk > peer.part.chunk && now >= peer.chunk_at) {
           peer.reading = true;
           actions->read.push_back(
-              {id, peer.fill, EntryPrefix(id, log.head.filling),
-               peer.after.empty() ? "" : EntryKey(id, log.head.filling, peer.after)});
+              {id, peer.snapshot_id, EntryPrefix(id, log.head.snapshot_generation),
+               peer.after.empty() ? "" : EntryKey(id, log.head.snapshot_generation, peer.after)});
         } else if (!peer.reading && peer.chunk == peer.part.chunk &&
                    now - peer.sent_at > o_.resend_interval_s) {
           peer.sent_at = now;
--- a/src/net/admin/admin_server.cpp
+++ b/src/net/admin/admin_server.cpp
@@ -13,8 +13,8 @@
 namespace millethollow::admin {
 namespace {
 
-constexpr double kCallS = 1.5;    // a caller waits 1 s: one that has sent no call by then won't
-constexpr int kMostAccepts = 16;  // in one turn
+constexpr double kCallS = 1.5;  // a caller waits 1 s: one that has sent no call by then won't
+constexpr int kMaxAcceptsPerTurn = 16;
 constexpr std::string_view kWorkers = "/workers/";
 
 const char* Reason(int status) {
@@ -120,15 +120,15 @@
 }
 
 // An event of our own instead of a listener: it must go before all that clients and workers bring.
-bool AdminServer::Listen(const std::string& address, std::string* why) {
+bool AdminServer::Listen(const std::string& address, std::string* error) {
   const auto at = ParseAddress(address);
-  if (!at) return *why = "not an address to listen on: '" + address + "'", false;
+  if (!at) return *error = "not an address to listen on: '" + address + "'", false;
   fd_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   const int on = 1;
   if (fd_ >= 0) setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (fd_ < 0 || bind(fd_, reinterpret_cast<const sockaddr*>(&*at), sizeof *at) != 0 ||
       listen(fd_, 128) != 0) {
-    return *why = "cannot listen on " + address + ": " + std::strerror(errno), false;
+    return *error = "cannot listen on " + address + ": " + std::strerror(errno), false;
   }
   readable_.reset(event_new(
       loop_->base(), fd_, EV_READ | EV_PERSIST,
@@ -146,7 +146,7 @@
 }
 
 void AdminServer::Accept() {
-  for (int i = 0; i < kMostAccepts; ++i) {
+  for (int i = 0; i < kMaxAcceptsPerTurn; ++i) {
     const int fd = accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
     auto caller = std::make_unique<AdminConnection>(this, loop_, fd);
@@ -159,7 +159,7 @@
       if (oldest == nullptr || other->began_at() < oldest->began_at()) oldest = other;
     }
     callers_.emplace(raw, std::move(caller));
-    if (open > kMostCallers && oldest != nullptr) oldest->Finish("made-room");
+    if (open > kMaxCallers && oldest != nullptr) oldest->Finish("made-room");
   }
 }
 
--- a/src/net/admin/admin_server.h
+++ b/src/net/admin/admin_server.h
@@ -20,18 +20,18 @@
     std::function<std::string()> figures;
     // Takes a worker out, or puts it back, and says what to answer: at once, or later.
     using Answer = std::function<void(int status, const std::string& body)>;
-    std::function<void(const std::string& worker, bool out, Answer answer)> maintain;
+    std::function<void(const std::string& worker, bool in_maintenance, Answer answer)> maintain;
     std::function<std::string()> members;  // of the cluster, as JSON; none: there is no cluster
   };
   // Part of the descriptors that the budget leaves aside. Whoever comes beyond it costs the caller
   // that has been here longest without a whole call its place: nobody is shut out.
-  static constexpr std::size_t kMostCallers = 24;
+  static constexpr std::size_t kMaxCallers = 24;
 
   AdminServer(Loop* loop, Hooks hooks);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
-  bool Listen(const std::string& address, std::string* why);
+  bool Listen(const std::string& address, std::string* error);
   std::string address() const;  // as bound
 
  private:
--- a/src/net/cluster/async_record_store.h
+++ b/src/net/cluster/async_record_store.h
@@ -25,7 +25,7 @@
   using Found = std::function<void(Records records, bool last, bool damaged)>;
   struct Options {
     std::string folder;
-    std::uint64_t cluster = 0, member = 0, most_bytes = 0;
+    std::uint64_t cluster = 0, member = 0, max_bytes = 0;
   };
   struct Figures {
     std::uint64_t commits = 0;   // writes that are on the disk
@@ -34,7 +34,7 @@
 
   // `new_disk` numbers the store where it is made now. One that can't be read is put aside.
   // False, with one clear line: it is another's, or in use. One whose disk takes nothing is failed.
-  bool Open(Loop* loop, const Options& options, std::uint64_t new_disk, std::string* why);
+  bool Open(Loop* loop, const Options& options, std::uint64_t new_disk, std::string* error);
   // The heads and operations of all logs; `damaged`: some are not what was written.
   bool LoadLogs(Records* records, bool* damaged);
   // All under a prefix, but for what is damaged.
@@ -45,11 +45,11 @@
   // `then` once these and all that were given before are on the disk; none may be given.
   void Write(std::vector<copies::StoreWrite> batch, Then then);
   // Sees all that was given before.
-  void Read(std::string prefix, std::string after, std::size_t most, Found found);
+  void Read(std::string prefix, std::string after, std::size_t max_records, Found found);
 
   std::uint64_t disk() const { return failed_ || !store_ ? 0 : store_->disk(); }
   bool failed() const { return failed_; }
-  double used() const { return store_ ? store_->used() : 0; }  // of most_bytes, 0 to 1
+  double used() const { return store_ ? store_->used() : 0; }  // of max_bytes, 0 to 1
   const Figures& figures() const { return figures_; }
 
  private:
@@ -58,7 +58,7 @@
     double asked_at = 0;
     Then then;
   };
-  bool OpenFile(std::uint64_t new_disk, std::string* why);
+  bool OpenFile(std::uint64_t new_disk, std::string* error);
   void PutAside();
   void Written(std::uint64_t file, std::uint64_t ticket, bool ok);
   void Answer(std::uint64_t ticket);
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -94,7 +94,7 @@
   return it == names_.end() ? nobody : it->second;
 }
 
-bool Member::Start(std::string* why) {
+bool Member::Start(std::string* error) {
   membership::Random random(seed_);
   membership::MembershipNode::Options o;
   o.self = self_;
@@ -106,20 +106,20 @@
     const NodeId id = codec::Hash(m.id);
     o.members.push_back({id, m.failure_domain, m.voter});
     if (!names_.emplace(id, m.id).second) {
-      return *why = "cluster: '" + m.id + "' and '" + NameOf(id) + "' have one hash", false;
+      return *error = "cluster: '" + m.id + "' and '" + NameOf(id) + "' have one hash", false;
     }
     if (const auto address = ParseAddress(m.address)) transport_.SetPeer(id, *address);
   }
-  if (options_.quota.on && !QuotaKeeper::Check(tenants_, why)) return false;
+  if (options_.quota.on && !QuotaKeeper::Check(tenants_, error)) return false;
   membership::PersistentVoterState votes;
   if (!options_.store.empty()) {
-    if (!mail_.Open(loop_, why)) return false;
+    if (!mail_.Open(loop_, error)) return false;
     votes_ = std::make_unique<store::VoteFile>();
     bool damaged = false;
     const auto written = [this](std::uint64_t ticket, bool ok) {
       mail_.Post([this, ticket, ok] { Written(ticket, ok); });
     };
-    if (!votes_->Open(options_.store, hash_, self_, written, &votes, &damaged, why)) return false;
+    if (!votes_->Open(options_.store, hash_, self_, written, &votes, &damaged, error)) return false;
     if (damaged) {
       Events().error("cluster votes-damaged store={} kept=votes.damaged", options_.store);
     }
@@ -128,11 +128,11 @@
   if (!options_.store.empty()) {
     store_ = std::make_unique<AsyncRecordStore>();
     const AsyncRecordStore::Options kept{options_.store, hash_, self_, options_.store_bytes};
-    if (!store_->Open(loop_, kept, random.NextUint64() | 1, why)) return false;
+    if (!store_->Open(loop_, kept, random.NextUint64() | 1, error)) return false;
     keeper_ = std::make_unique<FactKeeper>(store_.get());
     facts = keeper_->Load();
   }
-  if (!transport_.Open(options_.listen, why)) return false;
+  if (!transport_.Open(options_.listen, error)) return false;
   cluster_ =
       std::make_unique<membership::MembershipNode>(o, std::move(votes), random.NextUint64(), Now());
   for (const membership::MaintenanceRecord& f : facts) {
@@ -341,16 +341,17 @@
   Arm();
 }
 
-void Member::Say(const std::string& worker, bool out, Heard heard) {
+void Member::SetMaintenance(const std::string& worker, bool in_maintenance,
+                            ReplicatedCallback on_replicated) {
   membership::MembershipNode::Actions actions;
-  const std::uint64_t number = cluster_->SetMaintenance(Now(), worker, out, &actions);
+  const std::uint64_t number = cluster_->SetMaintenance(Now(), worker, in_maintenance, &actions);
   const bool anybody = !actions.send.empty();
-  Events().info("cluster worker={} out={} said-here", worker, out);
+  Events().info("cluster worker={} out={} said-here", worker, in_maintenance);
   if (number != 0 && anybody) {
     Waiting& waiting = waiting_[number];
-    waiting.heard = std::move(heard);
+    waiting.on_replicated = std::move(on_replicated);
     waiting.kept = !keeper_;
-    waiting.limit = loop_->deadlines().At(loop_->Now() + kHeardS, [this, number] {
+    waiting.limit = loop_->deadlines().At(loop_->Now() + kReplicationTimeoutS, [this, number] {
       waiting_[number].limit = Deadlines::kNone;
       GiveUp(number);
     });
@@ -365,25 +366,25 @@
     return CarryOut(&actions);
   }
   CarryOut(&actions);
-  heard(false);
+  on_replicated(false);
 }
 
 void Member::Answer(std::uint64_t number) {
   const auto it = waiting_.find(number);
   if (it == waiting_.end() || !it->second.elsewhere || !it->second.kept) return;
   loop_->deadlines().Drop(&it->second.limit);
-  const Heard heard = std::move(it->second.heard);
+  const ReplicatedCallback on_replicated = std::move(it->second.on_replicated);
   waiting_.erase(it);
-  heard(true);
+  on_replicated(true);
 }
 
 void Member::GiveUp(std::uint64_t number) {
-  const Heard heard = std::move(waiting_[number].heard);
+  const ReplicatedCallback on_replicated = std::move(waiting_[number].on_replicated);
   waiting_.erase(number);
-  heard(false);
+  on_replicated(false);
 }
 
-void Member::Told(const std::string& worker, double started_at_s, bool gone) {
+void Member::OnWorkerDown(const std::string& worker, double started_at_s, bool gone) {
   cluster_->OnDrainNotice(Now(), worker, started_at_s, gone);
   Arm();
 }
@@ -451,8 +452,8 @@
     count("copies.promises", c.counters().promises);
     count("copies.adoptions", c.counters().adoptions);
     count("copies.refusals", c.counters().refusals);
-    count("copies.fillings", c.counters().fillings);
-    count("copies.lies", c.counters().lies);
+    count("copies.fillings", c.counters().snapshot_transfers);
+    count("copies.lies", c.counters().stale_stores);
     count("copies.store_failed", store_->failed() ? 1 : 0, 'g');
     count("copies.store_permille", static_cast<std::uint64_t>(1000 * store_->used()), 'g');
     count("copies.commits", store_->figures().commits);
--- a/src/net/cluster/quota_keeper.cpp
+++ b/src/net/cluster/quota_keeper.cpp
@@ -16,7 +16,7 @@
 constexpr double kDemandS = 0.1;       // between two looks at the demand
 constexpr double kLeastDemand = 0.01;  // jobs per second; what fades away below this counts as none
 constexpr double kLeastWaitS = 0.001;  // between two ticks
-constexpr std::size_t kMostNamed = 5;  // tenants in one line of the log
+constexpr std::size_t kMaxNamed = 5;   // tenants in one line of the log
 
 const char* NameOfRefusal(quota::RejectReason refusal) {
   switch (refusal) {
@@ -42,10 +42,10 @@
 // The first few of them, for a line of the log.
 std::string Some(const std::vector<std::string>& names) {
   std::string some;
-  for (std::size_t i = 0; i < std::min(names.size(), kMostNamed); ++i) {
+  for (std::size_t i = 0; i < std::min(names.size(), kMaxNamed); ++i) {
     some += (some.empty() ? "" : ",") + names[i];
   }
-  if (names.size() > kMostNamed) some += ",...";
+  if (names.size() > kMaxNamed) some += ",...";
   return some.empty() ? "-" : some;
 }
 
@@ -75,16 +75,16 @@
   loop_->deadlines().Drop(&demand_tick_);
 }
 
-bool QuotaKeeper::Check(const std::vector<NamedQuota>& tenants, std::string* why) {
+bool QuotaKeeper::Check(const std::vector<NamedQuota>& tenants, std::string* error) {
   if (tenants.size() > quota::kMaxTenants) {
-    *why = "cluster: quota: more than " + std::to_string(quota::kMaxTenants) + " tenants";
+    *error = "cluster: quota: more than " + std::to_string(quota::kMaxTenants) + " tenants";
     return false;
   }
   std::map<quota::TenantId, std::string> names;
   for (const NamedQuota& tenant : tenants) {
     const auto [it, fresh] = names.emplace(codec::Hash(tenant.name), tenant.name);
     if (fresh) continue;
-    *why = "cluster: quota: tenants '" + it->second + "' and '" + tenant.name + "' have one hash";
+    *error = "cluster: quota: tenants '" + it->second + "' and '" + tenant.name + "' have one hash";
     return false;
   }
   return true;
--- a/src/net/cluster/transport.cpp
+++ b/src/net/cluster/transport.cpp
@@ -13,11 +13,11 @@
 namespace millethollow::cluster {
 namespace {
 
-constexpr std::size_t kMostIncoming = 160, kMostOutgoing = 160;
-constexpr std::size_t kMostUnsent = 4 * 1024 * 1024;  // to one that does not read
-constexpr double kStreamS = 3.0;     // from connecting to the end of its first frame
-constexpr double kIdleS = 20.0;      // and to the next, on a line that stays
-constexpr int kMostInOneTurn = 256;  // datagrams: a flood must not hold up the turn
+constexpr std::size_t kMaxIncoming = 160, kMaxOutgoing = 160;
+constexpr std::size_t kMaxUnsentBytes = 4 * 1024 * 1024;  // to one that does not read
+constexpr double kStreamS = 3.0;           // from connecting to the end of its first frame
+constexpr double kIdleS = 20.0;            // and to the next, on a line that stays
+constexpr int kMaxDatagramsPerTurn = 256;  // datagrams: a flood must not hold up the turn
 
 }  // namespace
 
@@ -37,14 +37,14 @@
   void Carry(const sockaddr_in& to, const std::string& frame) {
     if (!Connect(to)) return Finish("no-connection");
     // A machine that is gone acknowledges nothing and closes nothing.
-    const auto most_ms = static_cast<unsigned>(1000 * kStreamS);
-    setsockopt(descriptor(), IPPROTO_TCP, TCP_USER_TIMEOUT, &most_ms, sizeof most_ms);
+    const auto max_ms = static_cast<unsigned>(1000 * kStreamS);
+    setsockopt(descriptor(), IPPROTO_TCP, TCP_USER_TIMEOUT, &max_ms, sizeof max_ms);
     Write(frame);
   }
   void End(const char* reason) { Finish(reason); }
   // False: what was sent before has not gone out yet, and there is no room for more behind it.
   bool Add(const std::string& frame) {
-    if (Unsent() + frame.size() > kMostUnsent) return false;
+    if (Unsent() + frame.size() > kMaxUnsentBytes) return false;
     if (Drained()) Limit(kStreamS);
     Write(frame);
     return true;
@@ -71,7 +71,7 @@
       Limit(kIdleS);
       transport_->counters_.frames_in += 1;
       transport_->counters_.bytes_in += length;
-      transport_->heard_(rest.substr(0, length), nullptr);
+      transport_->on_frame_(rest.substr(0, length), nullptr);
       at += length;
     }
     in_.erase(0, at);
@@ -96,7 +96,8 @@
   Deadlines::Ticket limit_ = Deadlines::kNone;
 };
 
-Transport::Transport(Loop* loop, Heard heard) : loop_(loop), heard_(std::move(heard)) {}
+Transport::Transport(Loop* loop, FrameHandler on_frame)
+    : loop_(loop), on_frame_(std::move(on_frame)) {}
 
 Transport::~Transport() {
   readable_.reset();
@@ -104,12 +105,12 @@
   if (fd_ >= 0) close(fd_);
 }
 
-bool Transport::Open(const std::string& address, std::string* why) {
+bool Transport::Open(const std::string& address, std::string* error) {
   const auto at = ParseAddress(address);
-  if (!at) return *why = "cluster: not an address: '" + address + "'", false;
+  if (!at) return *error = "cluster: not an address: '" + address + "'", false;
   fd_ = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd_ < 0 || bind(fd_, reinterpret_cast<const sockaddr*>(&*at), sizeof *at) != 0) {
-    return *why = "cluster: cannot bind " + address + ": " + std::strerror(errno), false;
+    return *error = "cluster: cannot bind " + address + ": " + std::strerror(errno), false;
   }
   readable_.reset(event_new(
       loop_->base(), fd_, EV_READ | EV_PERSIST,
@@ -118,7 +119,7 @@
   return listener_.Open(
       loop_, address,
       [this](evutil_socket_t fd) {
-        if (incoming_ >= kMostIncoming) {
+        if (incoming_ >= kMaxIncoming) {
           close(fd);
           return;
         }
@@ -127,20 +128,20 @@
         streams_.emplace(raw, std::move(stream));
         raw->Take(fd);
       },
-      why);
+      error);
 }
 
 void Transport::Send(membership::NodeId to, const std::string& frame, bool ordered) {
   const auto peer = peers_.find(to);
-  if (peer == peers_.end() || frame.size() > kMostFrame) {
+  if (peer == peers_.end() || frame.size() > kMaxFrameBytes) {
     counters_.dropped += 1;
     return;
   }
   counters_.frames_out += 1;
   counters_.bytes_out += frame.size();
   if (ordered) return SendOrdered(to, peer->second, frame);
-  if (frame.size() <= kMostDatagram) return SendTo(peer->second, frame);
-  if (outgoing_ >= kMostOutgoing) {
+  if (frame.size() <= kMaxDatagramBytes) return SendTo(peer->second, frame);
+  if (outgoing_ >= kMaxOutgoing) {
     counters_.dropped += 1;
     return;
   }
@@ -158,7 +159,7 @@
     if (!line->second->Add(frame)) counters_.dropped += 1;
     return;
   }
-  if (outgoing_ >= kMostOutgoing) {
+  if (outgoing_ >= kMaxOutgoing) {
     counters_.dropped += 1;
     return;
   }
@@ -182,8 +183,8 @@
 }
 
 void Transport::Receive() {
-  char bytes[kMostDatagram + 1];
-  for (int i = 0; i < kMostInOneTurn; ++i) {
+  char bytes[kMaxDatagramBytes + 1];
+  for (int i = 0; i < kMaxDatagramsPerTurn; ++i) {
     sockaddr_in from{};
     socklen_t size = sizeof from;
     const ssize_t n =
@@ -191,7 +192,7 @@
     if (n < 0) return;
     counters_.frames_in += 1;
     counters_.bytes_in += static_cast<std::uint64_t>(n);
-    heard_({bytes, static_cast<std::size_t>(n)}, &from);
+    on_frame_({bytes, static_cast<std::size_t>(n)}, &from);
   }
 }
 
--- a/src/net/cluster/transport.h
+++ b/src/net/cluster/transport.h
@@ -1,4 +1,4 @@
-// Carries frames between members: datagrams up to kMostDatagram, longer ones each by a TCP
+// Carries frames between members: datagrams up to kMaxDatagramBytes, longer ones each by a TCP
 // connection of its own, at the same address and port; what is to come in order goes over one
 // connection that stays. Nothing is acknowledged or sent again here: who needs that says it again.
 // Bounded in connections, bytes and time.
@@ -30,13 +30,13 @@
 class Transport {
  public:
   // `source`: where a datagram came from; null for a stream.
-  using Heard = std::function<void(std::string_view frame, const sockaddr_in* source)>;
-  Transport(Loop* loop, Heard heard);
+  using FrameHandler = std::function<void(std::string_view frame, const sockaddr_in* source)>;
+  Transport(Loop* loop, FrameHandler on_frame);
   ~Transport();
   Transport(const Transport&) = delete;
   Transport& operator=(const Transport&) = delete;
 
-  bool Open(const std::string& address, std::string* why);
+  bool Open(const std::string& address, std::string* error);
   void SetPeer(membership::NodeId id, const sockaddr_in& address) { peers_[id] = address; }
   // `ordered`: after what was sent so before it, as long as no connection breaks.
   void Send(membership::NodeId to, const std::string& frame, bool ordered = false);
@@ -52,7 +52,7 @@
   void Drop(Stream* stream);
 
   Loop* loop_;
-  Heard heard_;
+  FrameHandler on_frame_;
   int fd_ = -1;
   EventPtr readable_;
   Listener listener_;
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -18,7 +18,7 @@
 struct ListEntry {
   balancing::Endpoint member;
   std::string address;
-  std::size_t most_out = 0;  // requests out at once that it may have of a forwarder; 0: any
+  std::size_t max_in_flight = 0;  // requests out at once that it may have of a forwarder; 0: any
 };
 
 struct ServerList {
@@ -28,10 +28,10 @@
   std::vector<balancing::Endpoint> Members() const;
 };
 
-// Reads a list in discovery's form. False, with `why`, where the whole is unusable; single bad
+// Reads a list in discovery's form. False, with `error`, where the whole is unusable; single bad
 // entries are left out.
 bool ReadServerList(std::string_view text, const std::vector<std::string>& zones,
-                    const std::vector<std::string>& kinds, ServerList* list, std::string* why);
+                    const std::vector<std::string>& kinds, ServerList* list, std::string* error);
 
 class DiscoveryCall;
 
@@ -75,7 +75,7 @@
   void Silent(DiscoveryCall* call);
   void Lost(DiscoveryCall* call, const char* reason);
   void Drop(DiscoveryCall* call);
-  void HeardFromOld(const std::string& body);
+  void OnOldAddressAnswer(const std::string& body);
   void KeepDown(ServerList* list);
   void RememberDown(const ServerList& list);
 
--- a/src/net/gearman/peer.h
+++ b/src/net/gearman/peer.h
@@ -18,11 +18,11 @@
 
 namespace millethollow::gearman {
 
-constexpr std::size_t kMostBody = 64 * 1024;          // of a job, as on the other front
-constexpr std::size_t kMostData = kMostBody + 4096;   // of a packet
-constexpr std::size_t kMostParts = 256 * 1024;        // of a job's data sent ahead
-constexpr std::size_t kMostUnsent = 2 * 1024 * 1024;  // to a peer that does not read
-constexpr std::size_t kMostName = 256;
+constexpr std::size_t kMaxBodyBytes = 64 * 1024;             // of a job, as on the other front
+constexpr std::size_t kMaxDataBytes = kMaxBodyBytes + 4096;  // of a packet
+constexpr std::size_t kMaxPartsBytes = 256 * 1024;           // of a job's data sent ahead
+constexpr std::size_t kMaxUnsentBytes = 2 * 1024 * 1024;     // to a peer that does not read
+constexpr std::size_t kMaxNameBytes = 256;
 
 inline std::string Response(Type type, std::initializer_list<std::string_view> arguments) {
   return Packet(Message::Form::kResponse, type, arguments);
@@ -63,10 +63,10 @@
   const std::deque<Task>& queue() const { return queue_; }
   const std::map<std::string, Task, std::less<>>& running() const { return assigned_; }
 
-  void Say(const std::string& packet) {
+  void Send(const std::string& packet) {
     if (closed()) return;
     Write(packet);
-    if (Unsent() > kMostUnsent) Finish("reads-too-slowly");
+    if (Unsent() > kMaxUnsentBytes) Finish("reads-too-slowly");
   }
 
   void Enqueue(Task task) {
@@ -76,7 +76,7 @@
     queue_.insert(at, std::move(task));
     if (sleeping_) {
       sleeping_ = false;
-      Say(Response(Type::kNoop, {}));
+      Send(Response(Type::kNoop, {}));
     }
   }
 
@@ -168,7 +168,7 @@
   void OnEnd(const char* reason) override { Finish(reason); }
 
   void Error(std::string_view code, std::string_view text) {
-    Say(Response(Type::kError, {code, text}));
+    Send(Response(Type::kError, {code, text}));
   }
 
   bool Handle(const Message& m) {
@@ -182,7 +182,8 @@
       case Type::kSubmitJobLow:
       case Type::kSubmitJobLowBg: {
         const auto a = Arguments(data, 3);
-        if (!a || (*a)[0].empty() || (*a)[0].size() > kMostName || (*a)[1].size() > kMostName) {
+        if (!a || (*a)[0].empty() || (*a)[0].size() > kMaxNameBytes ||
+            (*a)[1].size() > kMaxNameBytes) {
           return false;
         }
         front_->Submit(this, m.type, (*a)[0], (*a)[1], (*a)[2]);
@@ -196,23 +197,23 @@
           Error("unknown_option", "Only 'exceptions' is known");
         } else {
           exceptions_ = true;
-          Say(Response(Type::kOptionRes, {data}));
+          Send(Response(Type::kOptionRes, {data}));
         }
         return true;
       case Type::kEchoReq:
-        Say(Response(Type::kEchoRes, {data}));
+        Send(Response(Type::kEchoRes, {data}));
         return true;
       case Type::kSetClientId:
-        if (data.empty() || data.size() > kMostName) return false;
+        if (data.empty() || data.size() > kMaxNameBytes) return false;
         client_id_ = SpaceFree(std::string(data));
         return true;
       case Type::kCanDo:
-        if (data.empty() || data.size() > kMostName) return false;
+        if (data.empty() || data.size() > kMaxNameBytes) return false;
         return CanDo(data, 0);
       case Type::kCanDoTimeout: {
         const auto a = Arguments(data, 2, true);
         int seconds = 0;
-        if (!a || (*a)[0].empty() || (*a)[0].size() > kMostName) return false;
+        if (!a || (*a)[0].empty() || (*a)[0].size() > kMaxNameBytes) return false;
         const char* end = (*a)[1].data() + (*a)[1].size();
         if (std::from_chars((*a)[1].data(), end, seconds).ptr != end || seconds < 0) return false;
         return CanDo((*a)[0], seconds);
@@ -230,7 +231,7 @@
         return true;
       case Type::kPreSleep:
         sleeping_ = queue_.empty();
-        if (!sleeping_) Say(Response(Type::kNoop, {}));
+        if (!sleeping_) Send(Response(Type::kNoop, {}));
         return true;
       case Type::kGrabJob:
       case Type::kGrabJobUniq:
@@ -268,9 +269,9 @@
     const std::string_view den = job ? std::string_view(job->denominator) : "0";
     if (by_unique) {
       const std::string count = std::to_string(job ? job->waiting.size() : 0);
-      Say(Response(Type::kStatusResUnique, {data, known, runs, num, den, count}));
+      Send(Response(Type::kStatusResUnique, {data, known, runs, num, den, count}));
     } else {
-      Say(Response(Type::kStatusRes, {data, known, runs, num, den}));
+      Send(Response(Type::kStatusRes, {data, known, runs, num, den}));
     }
     return true;
   }
@@ -282,22 +283,22 @@
   }
 
   void Grab(Type how) {
-    if (queue_.empty()) return Say(Response(Type::kNoJob, {}));
+    if (queue_.empty()) return Send(Response(Type::kNoJob, {}));
     Task task = std::move(queue_.front());
     queue_.pop_front();
     // Another process may act for what it was promised to by now: this one does not know, or not
     // yet.
     if (!task.promise.empty() && !front_->promises_->MayAct(task.promise)) {
-      Say(Response(Type::kNoJob, {}));
+      Send(Response(Type::kNoJob, {}));
       return End(task, AttemptStatus::kNotSent);
     }
     const std::string handle = task.handle;
     assign_unsent_ = true;
     last_assigned_ = handle;
     if (how == Type::kGrabJobUniq) {
-      Say(Response(Type::kJobAssignUniq, {handle, task.function, task.unique, task.body}));
+      Send(Response(Type::kJobAssignUniq, {handle, task.function, task.unique, task.body}));
     } else {
-      Say(Response(Type::kJobAssign, {handle, task.function, task.body}));
+      Send(Response(Type::kJobAssign, {handle, task.function, task.body}));
     }
     if (closed()) {  // it could not take any more bytes: this one was never sent
       return front_->forwarder_->OnAttemptEnded(task.request, task.attempt,
@@ -326,8 +327,8 @@
     if (it == assigned_.end()) return Stray();
     const auto job = front_->FindRequest(it->second.request);
     if (it->second.orphan || job == nullptr) return true;
-    job->numerator = num.substr(0, kMostName);
-    job->denominator = den.substr(0, kMostName);
+    job->numerator = num.substr(0, kMaxNameBytes);
+    job->denominator = den.substr(0, kMaxNameBytes);
     front_->Tell(*job,
                  Response(Type::kWorkStatus, {job->handle, job->numerator, job->denominator}));
     return true;
@@ -342,7 +343,7 @@
       // Held until the job is done: an attempt that fails after some data may be made again, and
       // the client must not receive the data of both.
       task.part_bytes += task.orphan ? 0 : data.size();
-      if (task.part_bytes > kMostParts) {
+      if (task.part_bytes > kMaxPartsBytes) {
         task.orphan = true;
         task.parts.clear();
         End(task, AttemptStatus::kServerError);
@@ -405,7 +406,7 @@
   Front* front_;
   std::string name_, client_id_ = "-", last_assigned_;
   int slot_, cell_;
-  Parser parser_{kMostData};
+  Parser parser_{kMaxDataBytes};
   std::map<std::string, int> abilities_;  // function and time limit in seconds, 0 for none
   std::deque<Task> queue_;
   std::map<std::string, Task, std::less<>> assigned_;
--- a/src/net/http/worker_pool.cpp
+++ b/src/net/http/worker_pool.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 using Json = nlohmann::json;
-constexpr std::size_t kMostAnswer = 256 * 1024;  // of one worker's whole answer
-constexpr double kEndS = 1.0;                    // from an outcome to the end of its answer
+constexpr std::size_t kMaxAnswerBytes = 256 * 1024;  // of one worker's whole answer
+constexpr double kEndS = 1.0;                        // from an outcome to the end of its answer
 // A second answer may come some milliseconds after the first. One that names no request would be
 // taken for that of the next: 'never begun', of one that runs.
 constexpr double kEchoS = 0.1;
@@ -356,7 +356,7 @@
   WorkerPool* pool_;
   std::string worker_, wire_id_, line_;
   std::string pending_, promise_;  // a request that waits for the connection, and what it is for
-  Parser parser_{Parser::Side::kResponse, {.head = 16 * 1024, .body = kMostAnswer}};
+  Parser parser_{Parser::Side::kResponse, {.head = 16 * 1024, .body = kMaxAnswerBytes}};
   bool connected_ = false, busy_ = false, reported_ = true, written_ = false;
   RequestId id_ = 0;
   int attempt_ = 0;
@@ -369,9 +369,9 @@
 WorkerPool::~WorkerPool() = default;
 
 void WorkerPool::SetAddress(const std::string& worker, const std::string& address,
-                            std::size_t most_out) {
+                            std::size_t max_in_flight) {
   PooledWorker& pooled = workers_[worker];
-  pooled.most_out = most_out;
+  pooled.max_in_flight = max_in_flight;
   if (pooled.address_text == address) return;
   pooled.address_text = address;
   const auto parsed = ParseAddress(address);
@@ -428,30 +428,30 @@
 
 void WorkerPool::Send(const ClientRequest& held, int attempt, const std::string& worker) {
   const auto pooled = workers_.find(worker);
-  if (pooled != workers_.end() && pooled->second.most_out > 0 &&
-      pooled->second.out >= pooled->second.most_out) {
+  if (pooled != workers_.end() && pooled->second.max_in_flight > 0 &&
+      pooled->second.in_flight >= pooled->second.max_in_flight) {
     return forwarder_->OnAttemptEnded(held.request.id, attempt,
                                       {.status = AttemptStatus::kRejected});
   }
-  const auto [connection, why] = Get(worker);
+  const auto [connection, reason] = Get(worker);
   if (connection == nullptr) {
-    return forwarder_->OnAttemptEnded(held.request.id, attempt, {.status = why});
+    return forwarder_->OnAttemptEnded(held.request.id, attempt, {.status = reason});
   }
-  out_[{held.request.id, attempt}] = connection;
-  pooled->second.out += 1;
+  in_flight_[{held.request.id, attempt}] = connection;
+  pooled->second.in_flight += 1;
   connection->SendRequest(held, attempt);
 }
 
 void WorkerPool::Probe(const std::string& worker) {
-  const auto [connection, why] = Get(worker);
-  if (connection == nullptr) return forwarder_->OnProbeAnswered(worker, {.status = why});
+  const auto [connection, reason] = Get(worker);
+  if (connection == nullptr) return forwarder_->OnProbeAnswered(worker, {.status = reason});
 
   connection->SendProbe();
 }
 
 void WorkerPool::Cancel(RequestId id, int attempt) {
-  const auto it = out_.find({id, attempt});
-  if (it == out_.end()) return;
+  const auto it = in_flight_.find({id, attempt});
+  if (it == in_flight_.end()) return;
   WorkerConnection* connection = it->second;
   NoLongerOut(id, attempt);
   connection->Forget();
@@ -459,15 +459,15 @@
 }
 
 void WorkerPool::CancelUnsent(RequestId id, int attempt) {
-  const auto it = out_.find({id, attempt});
-  if (it != out_.end()) it->second->CancelUnsent();
+  const auto it = in_flight_.find({id, attempt});
+  if (it != in_flight_.end()) it->second->CancelUnsent();
 }
 
 void WorkerPool::NoLongerOut(RequestId id, int attempt) {
-  const auto it = out_.find({id, attempt});
-  if (it == out_.end()) return;
-  workers_[it->second->worker()].out -= 1;
-  out_.erase(it);
+  const auto it = in_flight_.find({id, attempt});
+  if (it == in_flight_.end()) return;
+  workers_[it->second->worker()].in_flight -= 1;
+  in_flight_.erase(it);
 }
 
 void WorkerPool::Release(WorkerConnection* connection) {
@@ -479,7 +479,7 @@
 std::pair<std::string, std::size_t> WorkerPool::Address(const std::string& worker) const {
   const auto it = workers_.find(worker);
   if (it == workers_.end()) return {};
-  return {it->second.address_text, it->second.most_out};
+  return {it->second.address_text, it->second.max_in_flight};
 }
 
 void WorkerPool::HandOver(Taker taker) {
--- a/src/net/link/frame.h
+++ b/src/net/link/frame.h
@@ -34,16 +34,16 @@
   kHello = 64,  // new to old: I am here, tell me
   kSocket,      // a listening or peer socket goes with it
   kClass,
-  kKnown,  // a worker with its address, drain and ban
+  kKnown,  // a worker with its address, drain and maintenance
   kIds,
   kLearned,
-  kTold,        // that was all; the list's version
-  kServing,     // new to old: I serve
-  kClient,      // a resting connection of a client, or
-  kIdleWorker,  // of a worker, goes with it
-  kMate,        // the module's word to its other half
-  kUse,         // descriptors in use
-  kBan,
+  kStateEnd,     // end of the state; the list's version
+  kServing,      // new to old: I serve
+  kClient,       // a resting connection of a client, or
+  kIdleWorker,   // of a worker, goes with it
+  kPeerMessage,  // a planner's message to the planner of the sibling process
+  kUse,          // descriptors in use
+  kMaintenance,
   kDown,
   kId,
 };
@@ -90,13 +90,13 @@
   bool ok_ = true;
 };
 
-// Cuts a stream into frames.
-class Cutter {
+// Splits a byte stream into frames.
+class FrameDecoder {
  public:
-  static constexpr std::size_t kMostFrame = 64 * 1024;
+  static constexpr std::size_t kMaxFrameBytes = 64 * 1024;
   void Feed(std::string_view bytes) { held_.append(bytes); }
   // The next frame's type and fields; none if it has not all come, or the stream is bad.
-  std::optional<std::string> Take();
+  std::optional<std::string> Next();
   bool bad() const { return bad_; }
 
  private:
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -12,7 +12,7 @@
 namespace millethollow {
 namespace {
 
-constexpr int kMostReceived = 64;  // a turn, so that a flood of messages can't hold it up
+constexpr int kMaxReceivedPerTurn = 64;  // a turn, so that a flood of messages can't hold it up
 
 }  // namespace
 
@@ -31,12 +31,12 @@
 }
 
 bool Peers::Open(int fd, const std::string& listen, const std::vector<std::string>& peers,
-                 const std::string& all, std::string* why) {
+                 const std::string& all, std::string* error) {
   const auto own = ParseAddress(listen);
-  if (!own) return *why = "not a peer address: '" + listen + "'", false;
+  if (!own) return *error = "not a peer address: '" + listen + "'", false;
   for (const std::string& peer : peers) {
     const auto address = ParseAddress(peer);
-    if (!address) return *why = "not a peer address: '" + peer + "'", false;
+    if (!address) return *error = "not a peer address: '" + peer + "'", false;
     peers_.push_back(*address);
   }
   if (const auto address = ParseAddress(all)) {
@@ -48,7 +48,7 @@
   if (fd < 0 && fd_ >= 0) setsockopt(fd_, SOL_SOCKET, SO_REUSEPORT, &on, sizeof on);
   if (fd_ < 0 ||
       (fd < 0 && bind(fd_, reinterpret_cast<const sockaddr*>(&*own), sizeof *own) != 0)) {
-    return *why = "cannot bind " + listen + ": " + std::strerror(errno), false;
+    return *error = "cannot bind " + listen + ": " + std::strerror(errno), false;
   }
   readable_.reset(event_new(
       loop_->base(), fd_, EV_READ | EV_PERSIST,
@@ -58,7 +58,7 @@
 }
 
 void Peers::Tell(int whom, const std::string& body) {
-  if (body.size() > kMostBytes) {
+  if (body.size() > kMaxMessageBytes) {
     counters_->too_long += 1;
   } else if (whom >= 0 && static_cast<std::size_t>(whom) < peers_.size()) {
     Send(peers_[static_cast<std::size_t>(whom)], body);
@@ -90,8 +90,8 @@
 }
 
 void Peers::Receive() {
-  for (int i = 0; i < kMostReceived; ++i) {
-    char bytes[kMostBytes + 1];
+  for (int i = 0; i < kMaxReceivedPerTurn; ++i) {
+    char bytes[kMaxMessageBytes + 1];
     sockaddr_in from{};
     socklen_t size = sizeof from;
     const ssize_t length =
@@ -104,10 +104,10 @@
     const int sender = SenderAt(from);
     if (sender < 0) {
       counters_->strangers += 1;
-    } else if (static_cast<std::size_t>(length) > kMostBytes) {
+    } else if (static_cast<std::size_t>(length) > kMaxMessageBytes) {
       counters_->unreadable += 1;
     } else {
-      heard_(sender, std::string(bytes, static_cast<std::size_t>(length)));
+      on_message_(sender, std::string(bytes, static_cast<std::size_t>(length)));
     }
   }
 }
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -15,17 +15,17 @@
 
 class Peers {
  public:
-  using Heard = std::function<void(int sender, const std::string& body)>;
-  static constexpr std::size_t kMostBytes = balancing::kMaxPeerMessageBytes;
-  Peers(Loop* loop, Heard heard, PeerCounters* counters)
-      : loop_(loop), heard_(std::move(heard)), counters_(counters) {}
+  using MessageHandler = std::function<void(int sender, const std::string& body)>;
+  static constexpr std::size_t kMaxMessageBytes = balancing::kMaxPeerMessageBytes;
+  Peers(Loop* loop, MessageHandler on_message, PeerCounters* counters)
+      : loop_(loop), on_message_(std::move(on_message)), counters_(counters) {}
   ~Peers();
   Peers(const Peers&) = delete;
   Peers& operator=(const Peers&) = delete;
 
   // `fd`: the socket of the process that went before, or -1 for one of our own.
   bool Open(int fd, const std::string& listen, const std::vector<std::string>& peers,
-            const std::string& all, std::string* why);
+            const std::string& all, std::string* error);
   int descriptor() const { return fd_; }
   void Listen(bool on);  // off while another process reads the same socket
   // To everyone where `whom` is -1. Best effort: what can't be sent is dropped and counted.
@@ -36,7 +36,7 @@
   void Receive();
   int SenderAt(const sockaddr_in& address) const;  // -1: none of the peers
   Loop* loop_;
-  Heard heard_;
+  MessageHandler on_message_;
   PeerCounters* counters_;
   int fd_ = -1;
   EventPtr readable_;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -19,7 +19,7 @@
 #include "net/discovery.h"
 #include "net/forwarder.h"
 #include "net/gearman/front.h"
-#include "net/handover/succession.h"
+#include "net/handover/hot_restart.h"
 #include "net/http/client_front.h"
 #include "net/http/worker_pool.h"
 #include "net/link/link.h"
@@ -61,7 +61,7 @@
   // Applies the configuration file as it is now. One that can't be used changes nothing.
   void Reload();
   // Takes a worker out of service or puts it back. False: no such worker is known.
-  bool SetMaintenance(const std::string& worker, bool out);
+  bool SetMaintenance(const std::string& worker, bool in_maintenance);
 
   void PrintCounters(std::ostream& out) const;
   std::string Figures() const;  // see MetricsText
@@ -77,10 +77,10 @@
 
  private:
   // Hot restart and admin address (node.cpp).
-  void ClaimFromPredecessor();
+  void RequestStateFromPredecessor();
   void ServeSuccessor();
   Status StartAdmin();
-  void SetMaintenanceEverywhere(const std::string& worker, bool out,
+  void SetMaintenanceEverywhere(const std::string& worker, bool in_maintenance,
                                 admin::AdminServer::Hooks::Answer answer);
   void CheckStopped();
 
@@ -91,10 +91,10 @@
   Status ConnectForwarders();
   Status OpenPeers();
   void MakeDiscovery(std::uint64_t seed);
-  void ImportClaimedState();
+  void ImportInheritedState();
   void AwaitFirstList();
   void AcceptOnceListed();
-  void SetAddress(const std::string& worker, const std::string& address, std::size_t most_out);
+  void SetAddress(const std::string& worker, const std::string& address, std::size_t max_in_flight);
   void OnList(balancing::EndpointListKind kind, const ServerList& list);
   void ApplyPeersMaintenance(const ServerList& list);
 
@@ -136,10 +136,10 @@
   std::unique_ptr<link::PlannerClient> client_;  // to planners in other processes
 
   std::unique_ptr<admin::AdminServer> admin_;
-  std::unique_ptr<handover::Succession> succession_;
+  std::unique_ptr<handover::HotRestart> hot_restart_;
   std::unique_ptr<cluster::Member> member_;
   std::unique_ptr<cluster::PromisedJobs> promised_;  // where the member has a store
-  handover::Claimed claimed_;                        // from the process that this one replaces
+  handover::InheritedState inherited_;               // from the process that this one replaces
 
   EventPtr term_, interrupt_, usr1_, hangup_;
   std::string config_path_;
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -244,7 +244,7 @@
 
 bool Scheduler::Enqueue(const Job& job, double now) {
   if (queue_.contains(job.handle)) return true;
-  if (!QueueHasRoom(job)) {
+  if (!QueueHasCapacity(job)) {
     stats_.rejected += 1;
     return false;
   }
@@ -265,12 +265,12 @@
 }
 
 // Whatever its share, a tenant may have one job in the queue.
-bool Scheduler::QueueHasRoom(const Job& job) const {
+bool Scheduler::QueueHasCapacity(const Job& job) const {
   const auto of_tenant = queued_by_tenant_.find(job.tenant);
   const std::size_t jobs = of_tenant == queued_by_tenant_.end() ? 0 : of_tenant->second;
-  const double most_jobs =
+  const double max_jobs =
       std::max(1.0, options_.max_tenant_share * static_cast<double>(options_.max_queued_jobs));
-  return queue_.size() < options_.max_queued_jobs && static_cast<double>(jobs) < most_jobs &&
+  return queue_.size() < options_.max_queued_jobs && static_cast<double>(jobs) < max_jobs &&
          queued_bytes_ + job.bytes <= options_.max_queued_bytes;
 }
 
--- a/src/store/record_store.cpp
+++ b/src/store/record_store.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::uint64_t kPage = 4096;
-constexpr std::size_t kMostJobs = 256;  // in one commit
+constexpr std::size_t kMaxJobs = 256;  // in one commit
 constexpr std::size_t kHash = 8;
 
 std::uint64_t HashOf(std::string_view key, std::string_view value) {
@@ -97,20 +97,20 @@
   return code_ == SQLITE_FULL || code_ == SQLITE_IOERR || code_ == SQLITE_READONLY;
 }
 
-bool RecordStore::Open(const std::string& folder, const Identity& identity,
-                       std::uint64_t most_bytes, Written written, std::string* why) {
+bool RecordStore::Open(const std::string& folder, const Identity& identity, std::uint64_t max_bytes,
+                       Written written, std::string* error) {
   name_ = "copies' store " + folder + ": ";
   written_ = std::move(written);
-  most_pages_ = std::max<std::uint64_t>(most_bytes / kPage, 64);
+  max_pages_ = std::max<std::uint64_t>(max_bytes / kPage, 64);
   if (mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST) {
-    return *why = name_ + std::strerror(errno), false;
+    return *error = name_ + std::strerror(errno), false;
   }
   sqlite3* db = nullptr;
   const int opened =
       sqlite3_open_v2((folder + "/copies.db").c_str(), &db,
                       SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX, nullptr);
   db_.reset(db);
-  if (opened != SQLITE_OK) return *why = name_ + Problem(), false;
+  if (opened != SQLITE_OK) return *error = name_ + Problem(), false;
   sqlite3_extended_result_codes(db, 0);
   // Exclusive: one process, and no shared memory beside the file.
   const bool ready =
@@ -118,14 +118,14 @@
       Run("PRAGMA journal_mode=WAL") && Run("PRAGMA synchronous=FULL") &&
       Run("PRAGMA auto_vacuum=NONE") && Run("PRAGMA cell_size_check=ON") &&
       Run("PRAGMA wal_autocheckpoint=512") && Run("PRAGMA journal_size_limit=4194304") &&
-      Run(("PRAGMA max_page_count=" + std::to_string(most_pages_)).c_str()) &&
+      Run(("PRAGMA max_page_count=" + std::to_string(max_pages_)).c_str()) &&
       Run("BEGIN EXCLUSIVE") &&
       Run("CREATE TABLE IF NOT EXISTS about(what TEXT PRIMARY KEY, number INTEGER)") &&
       Run("CREATE TABLE IF NOT EXISTS records(key BLOB PRIMARY KEY, value BLOB) "
           "WITHOUT ROWID") &&
-      Check(identity, why) && Run("COMMIT");
+      Check(identity, error) && Run("COMMIT");
   if (!ready) {
-    if (why->empty()) *why = name_ + Problem();
+    if (error->empty()) *error = name_ + Problem();
     db_.reset();
     return false;
   }
@@ -133,13 +133,13 @@
   erase_ = Prepare("DELETE FROM records WHERE key=?");
   erase_range_ = Prepare("DELETE FROM records WHERE key>=? AND key<?");
   scan_ = Prepare("SELECT key, value FROM records WHERE key>? AND key<? ORDER BY key LIMIT ?");
-  if (!put_ || !erase_ || !erase_range_ || !scan_) return *why = name_ + Problem(), false;
+  if (!put_ || !erase_ || !erase_range_ || !scan_) return *error = name_ + Problem(), false;
   writer_ = std::thread([this] { Serve(); });
   return true;
 }
 
 // Whose the file is; in a new one that is written down.
-bool RecordStore::Check(const Identity& identity, std::string* why) {
+bool RecordStore::Check(const Identity& identity, std::string* error) {
   const std::int64_t schema = Number("SELECT number FROM about WHERE what='schema'");
   if (schema < 0) {
     const auto put = [this](const char* what, std::uint64_t number) {
@@ -155,24 +155,25 @@
   }
   const auto number = [this](const char* sql) { return static_cast<std::uint64_t>(Number(sql)); };
   if (schema > kSchema) {
-    *why = name_ + "of schema " + std::to_string(schema) + ", this build reads up to " +
-           std::to_string(kSchema);
+    *error = name_ + "of schema " + std::to_string(schema) + ", this build reads up to " +
+             std::to_string(kSchema);
   } else if (number("SELECT number FROM about WHERE what='cluster'") != identity.cluster) {
-    *why = name_ + "of another cluster";
+    *error = name_ + "of another cluster";
   } else if (number("SELECT number FROM about WHERE what='member'") != identity.member) {
-    *why = name_ + "of another member";
+    *error = name_ + "of another member";
   }
   disk_ = number("SELECT number FROM about WHERE what='disk'");
-  return why->empty();
+  return error->empty();
 }
 
-bool RecordStore::LoadLogs(Records* records, std::vector<std::string>* damaged, std::string* why) {
+bool RecordStore::LoadLogs(Records* records, std::vector<std::string>* damaged,
+                           std::string* error) {
   // Entries are passed over by their prefix: there may be many.
   std::string after;
   while (true) {
     Records some;
     bool last = false;
-    if (!Scan("", after, 256, &some, &last, damaged)) return *why = name_ + Problem(), false;
+    if (!Scan("", after, 256, &some, &last, damaged)) return *error = name_ + Problem(), false;
     for (auto& [key, value] : some) {
       after = key;
       const auto parts = copies::ParseStoreKey(key);
@@ -187,10 +188,10 @@
 }
 
 bool RecordStore::Load(const std::string& prefix, Records* records,
-                       std::vector<std::string>* damaged, std::string* why) {
+                       std::vector<std::string>* damaged, std::string* error) {
   bool last = false;
   if (Scan(prefix, "", 1U << 30, records, &last, damaged)) return true;
-  return *why = name_ + Problem(), false;
+  return *error = name_ + Problem(), false;
 }
 
 void RecordStore::Write(std::vector<copies::StoreWrite> batch, std::uint64_t ticket) {
@@ -202,13 +203,14 @@
   wake_.notify_one();
 }
 
-void RecordStore::Read(std::string prefix, std::string after, std::size_t most, Found found) {
+void RecordStore::Read(std::string prefix, std::string after, std::size_t max_records,
+                       Found found) {
   {
     const std::lock_guard lock(mutex_);
     jobs_.push_back({.batch = {},
                      .prefix = std::move(prefix),
                      .after = std::move(after),
-                     .most = most,
+                     .max_records = max_records,
                      .found = std::move(found)});
   }
   wake_.notify_one();
@@ -237,16 +239,16 @@
   }
   if (!Run("COMMIT")) return false;
   const std::int64_t pages = Number("PRAGMA page_count"), free = Number("PRAGMA freelist_count");
-  used_ = static_cast<double>(pages - free) / static_cast<double>(most_pages_);
+  used_ = static_cast<double>(pages - free) / static_cast<double>(max_pages_);
   return true;
 }
 
-bool RecordStore::Scan(const std::string& prefix, const std::string& after, std::size_t most,
+bool RecordStore::Scan(const std::string& prefix, const std::string& after, std::size_t max_records,
                        Records* records, bool* last, std::vector<std::string>* damaged) {
   const std::string end = prefix.empty() ? std::string("\xff", 1) : After(prefix);
   Bind(scan_.get(), 1, after.empty() ? std::string_view(prefix) : std::string_view(after));
   Bind(scan_.get(), 2, end);
-  sqlite3_bind_int64(scan_.get(), 3, static_cast<std::int64_t>(most));
+  sqlite3_bind_int64(scan_.get(), 3, static_cast<std::int64_t>(max_records));
   std::size_t rows = 0;
   int step = SQLITE_ROW;
   while ((step = sqlite3_step(scan_.get())) == SQLITE_ROW) {
@@ -260,7 +262,7 @@
   }
   sqlite3_reset(scan_.get());
   sqlite3_clear_bindings(scan_.get());
-  *last = rows < most;
+  *last = rows < max_records;
   return step == SQLITE_DONE;
 }
 
@@ -272,7 +274,7 @@
       wake_.wait(lock, [this] { return stop_ || !jobs_.empty(); });
       if (jobs_.empty()) return;
       // Writes that wait go together; a read goes by itself, in its turn.
-      while (!jobs_.empty() && jobs.size() < kMostJobs) {
+      while (!jobs_.empty() && jobs.size() < kMaxJobs) {
         const bool read = static_cast<bool>(jobs_.front().found);
         if (read && !jobs.empty()) break;
         jobs.push_back(std::move(jobs_.front()));
@@ -284,7 +286,7 @@
       Records records;
       std::vector<std::string> damaged;
       bool last = true;
-      if (!Scan(jobs.front().prefix, jobs.front().after, jobs.front().most, &records, &last,
+      if (!Scan(jobs.front().prefix, jobs.front().after, jobs.front().max_records, &records, &last,
                 &damaged)) {
         damaged.push_back(jobs.front().prefix);
       }
--- a/tests/cluster/restart_test.cpp
+++ b/tests/cluster/restart_test.cpp
@@ -12,7 +12,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "support/cluster_rig.h"
+#include "support/cluster_harness.h"
 
 namespace millethollow::rig {
 namespace {
@@ -24,20 +24,21 @@
  public:
   double down_until = 0, service_s = 0.1;
   static constexpr double kPatienceS = 2.0;
-  struct Told {
+  struct ProcessRecord {
     double first_list_at = -1, last_answer_at = -1, drain_at = -1;  // the drain: told, by any rule
   };
-  std::vector<Told> told;
+  std::vector<ProcessRecord> records;
   double drain_at = -1;
   int calls = 0, failed = 0;
 
-  Discovery(Loop* loop, std::size_t processes) : told(processes), loop_(loop), lines_(processes) {
+  Discovery(Loop* loop, std::size_t processes)
+      : records(processes), loop_(loop), lines_(processes) {
     for (std::size_t p = 0; p < processes; ++p) {
       lines_[p].port = FreePort();
-      std::string why;
+      std::string error;
       EXPECT_TRUE(lines_[p].listener.Open(
-          loop, At(lines_[p].port), [this, p](evutil_socket_t fd) { Accept(p, fd); }, &why))
-          << why;
+          loop, At(lines_[p].port), [this, p](evutil_socket_t fd) { Accept(p, fd); }, &error))
+          << error;
     }
     Work();
   }
@@ -46,16 +47,16 @@
   void Drain() {
     drain_at = loop_->Now();
     version_ = 2;
-    for (auto& process : told) {
+    for (auto& process : records) {
       if (drain_at - process.last_answer_at <= 0.2) process.drain_at = drain_at;
     }
     for (Call& call : std::exchange(waiting_, {})) Answer(call);
   }
-  void Restarted(std::size_t p) { told[p] = {}; }
+  void Restarted(std::size_t p) { records[p] = {}; }
 
  private:
   struct Client {
-    std::unique_ptr<Raw> raw;
+    std::unique_ptr<RawClient> raw;
     http::Parser parser{http::Parser::Side::kRequest, {}};
   };
   struct Line {
@@ -73,7 +74,7 @@
   void Accept(std::size_t p, evutil_socket_t fd) {
     lines_[p].clients.push_back(std::make_unique<Client>());
     Client* c = lines_[p].clients.back().get();
-    c->raw = std::make_unique<Raw>(loop_, fd);
+    c->raw = std::make_unique<RawClient>(loop_, fd);
     c->raw->on_read = [this, p, c] {
       c->raw->in.erase(0, c->parser.Feed(c->raw->in));
       if (!c->parser.done()) return;
@@ -107,7 +108,7 @@
   }
   void Answer(const Call& call) {
     if (call.client->raw->ended) return;
-    Told& t = told[call.process];
+    ProcessRecord& t = records[call.process];
     t.last_answer_at = loop_->Now();
     if (t.first_list_at < 0) t.first_list_at = loop_->Now();
     if (version_ == 2 && t.drain_at < 0) t.drain_at = loop_->Now();
@@ -132,7 +133,7 @@
     int port = 0;
     std::string config, log;
     double started_at = 0, ready_at = -1;
-    std::unique_ptr<Raw> health, client;
+    std::unique_ptr<RawClient> health, client;
   };
   Tier() {
     LogLevel() = Level::kError;
@@ -174,8 +175,8 @@
     closefrom(3);
     unsetenv("TMPDIR");
     if (descriptors > 0) {
-      const rlimit most{descriptors, descriptors};
-      setrlimit(RLIMIT_NOFILE, &most);
+      const rlimit limit{descriptors, descriptors};
+      setrlimit(RLIMIT_NOFILE, &limit);
     }
     execl(MILLETHOLLOW_BINARY, MILLETHOLLOW_BINARY, "--config", p->config.c_str(), nullptr);
     _exit(127);
@@ -198,15 +199,15 @@
       } else if (p.health && p.health->ended) {
         p.health.reset();
       } else if (!p.health) {
-        p.health = std::make_unique<Raw>(&loop, At(p.port));
+        p.health = std::make_unique<RawClient>(&loop, At(p.port));
         p.health->Write("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n");
       }
     }
   }
   template <typename Done>
   bool Until(
-      Done done, double most_s, const std::function<void()>& each = [] {}) {
-    const double until = loop.Now() + most_s;
+      Done done, double timeout_s, const std::function<void()>& each = [] {}) {
+    const double until = loop.Now() + timeout_s;
     while (!done() && loop.Now() < until) {
       loop.deadlines().At(loop.Now() + 0.005, [] {});
       loop.Turn();
@@ -250,7 +251,7 @@
     next = loop.Now() + 0.005;
     Process& p = processes[turn++ % kProcesses];
     if (p.ready_at < 0) return;
-    if (!p.client || p.client->ended) p.client = std::make_unique<Raw>(&loop, At(p.port));
+    if (!p.client || p.client->ended) p.client = std::make_unique<RawClient>(&loop, At(p.port));
     const auto of = static_cast<std::size_t>(&p - processes.data());
     p.client->Write(
         Post(std::to_string(of) + "-" + std::to_string(++sent), "look", "", "{}", 2000));
@@ -275,11 +276,11 @@
   EXPECT_LT(took[kProcesses * 9 / 10], 10.0);
   std::size_t before = 0;
   for (const auto& [at, process] : reached) {
-    const Discovery::Told& t = discovery.told[process];
-    double told = discovery.drain_at + 6;
-    if (t.drain_at >= 0) told = std::min(told, t.drain_at);
-    if (t.first_list_at < 0) told = std::max(discovery.drain_at, again);
-    EXPECT_LT(at - discovery.drain_at, told - discovery.drain_at + 2.05)
+    const Discovery::ProcessRecord& t = discovery.records[process];
+    double notified_by = discovery.drain_at + 6;
+    if (t.drain_at >= 0) notified_by = std::min(notified_by, t.drain_at);
+    if (t.first_list_at < 0) notified_by = std::max(discovery.drain_at, again);
+    EXPECT_LT(at - discovery.drain_at, notified_by - discovery.drain_at + 2.05)
         << "process " << process << ", its first list " << t.first_list_at - discovery.drain_at
         << " and word of the drain " << t.drain_at - discovery.drain_at
         << " after the drain, started " << processes[process].started_at - discovery.drain_at;
@@ -299,30 +300,30 @@
   Start(&processes[0], 120);
   ASSERT_TRUE(Until([&] { return AllReady(); }, 10, [&] { PollHealth(); }))
       << "though discovery is down";
-  std::vector<std::unique_ptr<Raw>> idle;
-  std::size_t most = 0;
+  std::vector<std::unique_ptr<RawClient>> idle;
+  std::size_t max_open = 0;
   const auto open = [&] {
     std::size_t n = 0;
     for ([[maybe_unused]] const auto& fd :
          std::filesystem::directory_iterator("/proc/" + std::to_string(processes[0].pid) + "/fd"))
       ++n;
-    most = std::max(most, n);
+    max_open = std::max(max_open, n);
   };
   for (int wave = 0; wave < 3; ++wave) {
     for (int i = 0; i < 150; ++i)
-      idle.push_back(std::make_unique<Raw>(&loop, At(processes[0].port)));
+      idle.push_back(std::make_unique<RawClient>(&loop, At(processes[0].port)));
     Until([] { return false; }, 0.4, open);
   }
   int calls = 0;
   const double back = loop.Now();
   Listener listener;
-  std::vector<std::unique_ptr<Raw>> callers;
-  std::string why;
+  std::vector<std::unique_ptr<RawClient>> callers;
+  std::string error;
   ASSERT_TRUE(listener.Open(
       &loop, At(port),
       [&](evutil_socket_t fd) {
-        callers.push_back(std::make_unique<Raw>(&loop, fd));
-        Raw* c = callers.back().get();
+        callers.push_back(std::make_unique<RawClient>(&loop, fd));
+        RawClient* c = callers.back().get();
         c->on_read = [c, &calls] {
           if (c->in.find("\r\n\r\n") == std::string::npos) return;
           const bool waits = !c->in.ends_with("wait_ms=0 HTTP/1.1\r\nHost: discovery\r\n\r\n");
@@ -335,18 +336,18 @@
                      "\r\n\r\n" + body);
         };
       },
-      &why))
-      << why;
+      &error))
+      << error;
   ASSERT_TRUE(Until([&] { return calls > 0; }, 6, open));
   EXPECT_LT(loop.Now() - back, 6);
   for (int i = 0; i < 5; ++i) {
-    Raw client(&loop, At(processes[0].port));
+    RawClient client(&loop, At(processes[0].port));
     client.Write(Post("a" + std::to_string(i), "look"));
     EXPECT_TRUE(Until([&] { return client.in.ends_with("ok"); }, 4, open)) << client.in;
   }
   EXPECT_EQ(workers[0]->got.size(), 0u);
-  EXPECT_GE(most, 20u);
-  EXPECT_LE(most, 120u);
+  EXPECT_GE(max_open, 20u);
+  EXPECT_LE(max_open, 120u);
 }
 
 }  // namespace
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -18,7 +18,7 @@
 #include "codec/quota.h"
 #include "config/config.h"
 #include "net/handover/handover.h"
-#include "net/handover/succession.h"
+#include "net/handover/hot_restart.h"
 #include "store/record_store.h"
 #include "store/vote_file.h"
 #include "support/compatibility_samples.h"
@@ -137,9 +137,9 @@
 
 // Reads a frame's fields, of the types that `shape` names, and writes them again.
 std::string Again(const std::string& bytes, std::string_view shape) {
-  link::Cutter cutter;
-  cutter.Feed(bytes);
-  const std::optional<std::string> frame = cutter.Take();
+  link::FrameDecoder decoder;
+  decoder.Feed(bytes);
+  const std::optional<std::string> frame = decoder.Next();
   EXPECT_TRUE(frame);
   if (!frame) return {};
   link::Reader reader(*frame);
@@ -264,7 +264,7 @@
   store::VoteFile file;
   membership::PersistentVoterState votes;
   bool damaged = true;
-  ASSERT_TRUE(file.Open(folder, cluster, self, Written(), &votes, &damaged, &why)) << why;
+  ASSERT_TRUE(file.Open(folder, cluster, self, Written(), &votes, &damaged, &error)) << error;
   EXPECT_FALSE(damaged);
   EXPECT_GT(votes.writes, 0U);
   EXPECT_EQ(votes.accepted.members.size(), 3U);
@@ -279,11 +279,11 @@
 
 TEST_F(MemberFolder, LogsAndWorkersOutByHandAreRead) {
   store::RecordStore store;
-  ASSERT_TRUE(store.Open(folder, {cluster, self, 1}, 16 << 20, Written(), &why)) << why;
+  ASSERT_TRUE(store.Open(folder, {cluster, self, 1}, 16 << 20, Written(), &error)) << error;
   EXPECT_NE(store.disk(), 1U) << "the file was made anew";
   store::RecordStore::Records records;
   Lines damaged;
-  ASSERT_TRUE(store.LoadLogs(&records, &damaged, &why)) << why;
+  ASSERT_TRUE(store.LoadLogs(&records, &damaged, &error)) << error;
   EXPECT_EQ(damaged, Lines{});
   std::size_t heads = 0, operations = 0;
   std::map<copies::LogId, copies::LogHead> logs;
@@ -309,8 +309,8 @@
   std::size_t jobs = 0;
   for (const auto& [log, head] : logs) {
     records.clear();
-    const std::string prefix = copies::EntryPrefix(log, head.filling);
-    ASSERT_TRUE(store.Load(prefix, &records, &damaged, &why)) << why;
+    const std::string prefix = copies::EntryPrefix(log, head.snapshot_generation);
+    ASSERT_TRUE(store.Load(prefix, &records, &damaged, &error)) << error;
     for (const auto& [key, value] : records) {
       const auto entry = copies::DecodeOperation(value);
       ASSERT_TRUE(entry);
@@ -326,7 +326,7 @@
   }
   EXPECT_EQ(jobs, 8U);
   records.clear();
-  ASSERT_TRUE(store.Load(copies::EntryPrefix(0, 0), &records, &damaged, &why)) << why;
+  ASSERT_TRUE(store.Load(copies::EntryPrefix(0, 0), &records, &damaged, &error)) << error;
   std::map<std::string, bool> out;
   for (const auto& [key, value] : records) {
     const auto news = codec::DecodeMaintenanceGossip(value);
@@ -370,8 +370,8 @@
 
 Config HandoverConfig() {
   Config config;
-  std::string why;
-  EXPECT_TRUE(ReadConfig(ReadFile(kData + "/handover-node.json"), &config, &why)) << why;
+  std::string error;
+  EXPECT_TRUE(ReadConfig(ReadFile(kData + "/handover-node.json"), &config, &error)) << error;
   return config;
 }
 
@@ -396,30 +396,30 @@
   const std::string path = folder + "/handover.sock";
   ASSERT_TRUE(server.Listen(path));
   Loop loop;
-  handover::Succession succession(&loop, path);
-  const handover::Claimed claimed = succession.Claim([&] {
+  handover::HotRestart hot_restart(&loop, path);
+  const handover::InheritedState inherited = hot_restart.RequestState([&] {
     host.deadlines().At(host.Now() + 0.001, [] {});
     host.Turn();
   });
-  ASSERT_TRUE(claimed.whole);
-  EXPECT_GE(claimed.client_listener, 0);
-  EXPECT_GE(claimed.peer_socket, 0);
-  EXPECT_EQ(claimed.gearman_listener, -1);
-  for (const int fd : {claimed.client_listener, claimed.peer_socket}) close(fd);
-  EXPECT_EQ(claimed.classes, (Lines{"consulta-plan", "cobro-envio"}));
-  ASSERT_EQ(claimed.known.size(), 2U);
-  EXPECT_EQ(claimed.known[0].member.worker, "toy-0");
-  EXPECT_LT(claimed.known[0].maintenance_since, 0);
-  EXPECT_EQ(claimed.known[1].member.worker, "toy-1");
-  EXPECT_GT(claimed.known[1].maintenance_since, 0);
-  ASSERT_EQ(claimed.list.size(), 2U);
-  EXPECT_EQ(claimed.list[0].address, "127.0.0.1:23405");
-  EXPECT_EQ(claimed.ids.size(), 30U);
-  EXPECT_EQ(claimed.version, 0);
+  ASSERT_TRUE(inherited.whole);
+  EXPECT_GE(inherited.client_listener, 0);
+  EXPECT_GE(inherited.peer_socket, 0);
+  EXPECT_EQ(inherited.gearman_listener, -1);
+  for (const int fd : {inherited.client_listener, inherited.peer_socket}) close(fd);
+  EXPECT_EQ(inherited.classes, (Lines{"consulta-plan", "cobro-envio"}));
+  ASSERT_EQ(inherited.known.size(), 2U);
+  EXPECT_EQ(inherited.known[0].member.worker, "toy-0");
+  EXPECT_LT(inherited.known[0].maintenance_since, 0);
+  EXPECT_EQ(inherited.known[1].member.worker, "toy-1");
+  EXPECT_GT(inherited.known[1].maintenance_since, 0);
+  ASSERT_EQ(inherited.list.size(), 2U);
+  EXPECT_EQ(inherited.list[0].address, "127.0.0.1:23405");
+  EXPECT_EQ(inherited.ids.size(), 30U);
+  EXPECT_EQ(inherited.version, 0);
   const Config config = HandoverConfig();
   balancing::LoadBalancer balancer(config.settings, 5);
-  ASSERT_TRUE(balancer.RestoreState(claimed.learned, {0, 1}));
-  EXPECT_EQ(balancer.SaveState(), claimed.learned);
+  ASSERT_TRUE(balancer.RestoreState(inherited.learned, {0, 1}));
+  EXPECT_EQ(balancer.SaveState(), inherited.learned);
 }
 
 TEST_F(Handover, TheOldProcessSendsWhatTheOldProgramSent) {
@@ -440,7 +440,7 @@
         if (fd >= 0) close(fd);
         sent.emplace_back(frame.kind(), frame.Rest());
       },
-      [&] { return !sent.empty() && sent.back().first == link::Kind::kTold; }, loop.Now() + 5,
+      [&] { return !sent.empty() && sent.back().first == link::Kind::kStateEnd; }, loop.Now() + 5,
       [&] {
         node.loop().deadlines().At(node.loop().Now() + 0.001, [] {});
         node.loop().Turn();
@@ -468,8 +468,8 @@
 
 TEST(SettingsFile, EachKeyIsReadAsBefore) {
   Config config;
-  std::string why;
-  ASSERT_TRUE(ReadConfig(ReadFile(kData + "/settings.json"), &config, &why)) << why;
+  std::string error;
+  ASSERT_TRUE(ReadConfig(ReadFile(kData + "/settings.json"), &config, &error)) << error;
   EXPECT_EQ(LinesOf(ValuesOf(config)), LinesOf(ReadFile(kData + "/settings-values.txt")));
 }
 
@@ -496,14 +496,14 @@
     replace("@STORE@", folder + "/store");
     replace("@WORKER0@", workers[0]->address());
     replace("@WORKER1@", workers[1]->address());
-    EXPECT_TRUE(ReadConfig(text, &config, &why)) << why;
+    EXPECT_TRUE(ReadConfig(text, &config, &error)) << error;
     node = std::make_unique<Node>(config);
     EXPECT_TRUE(IsOk(node->Start()));
   }
   ~OldNode() override { node.reset(); }
   template <typename Done>
-  bool Until(Done done, double most_s) {
-    const double until = host.Now() + most_s;
+  bool Until(Done done, double timeout_s) {
+    const double until = host.Now() + timeout_s;
     while (!done() && host.Now() < until) {
       for (Loop* loop : {&host, &node->loop()}) {
         loop->deadlines().At(loop->Now() + 0.001, [] {});
@@ -513,7 +513,7 @@
     return done();
   }
   std::string Get(const std::string& path) {
-    Raw caller(&host, node->admin_address());
+    RawClient caller(&host, node->admin_address());
     caller.Write("GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
     EXPECT_TRUE(Until([&] { return caller.ended; }, 5)) << path;
     return caller.in.substr(caller.in.find("\r\n\r\n") + 4);
@@ -586,10 +586,10 @@
   // The times of commits are told once there have been enough of them.
   EXPECT_TRUE(Until(
       [&] {
-        std::vector<std::unique_ptr<Raw>> calls;
+        std::vector<std::unique_ptr<RawClient>> calls;
         for (int i = 0; i < 16; ++i) {
           const std::string verb = i % 2 == 0 ? "maint" : "ready";
-          calls.push_back(std::make_unique<Raw>(&host, node->admin_address()));
+          calls.push_back(std::make_unique<RawClient>(&host, node->admin_address()));
           calls.back()->Write("PUT /workers/toy-0/" + verb + " HTTP/1.1\r\nHost: a\r\n\r\n");
         }
         Until([&] { return std::ranges::all_of(calls, [](const auto& c) { return c->ended; }); },
--- a/tests/durable_job_queue_test.cpp
+++ b/tests/durable_job_queue_test.cpp
@@ -4,14 +4,14 @@
 
 #include <gtest/gtest.h>
 
-#include "support/copies_world.h"
 #include "support/days.h"
+#include "support/replication_simulation.h"
 
 namespace millethollow::copies {
 namespace {
 
 struct JobFaults {  // planted
-  bool told_before_kept = false, sent_before_written = false, end_not_written = false;
+  bool answered_before_kept = false, sent_before_written = false, end_not_written = false;
 };
 
 class JobDay {
@@ -96,12 +96,13 @@
         DurableJobQueue::Hooks{
             .append =
                 [this, i](LogId log, const std::string& key, const std::string& value, bool gone,
-                          ReplicatedLogs::AppendError* why) {
+                          ReplicatedLogs::AppendError* error) {
                   if (gone && planted_.end_not_written)
-                    return copies_.Put(i, log, "none", "", true, why);
-                  const SequenceNumber seq = copies_.Put(i, log, key, value, gone, why);
+                    return copies_.Put(i, log, "none", "", true, error);
+                  const SequenceNumber seq = copies_.Put(i, log, key, value, gone, error);
                   if (gone && seq != 0) truth_[key].end_made = true;
-                  if (planted_.told_before_kept && !gone && seq != 0) truth_[key].promised = true;
+                  if (planted_.answered_before_kept && !gone && seq != 0)
+                    truth_[key].promised = true;
                   return seq;
                 },
             .may_act = [this, i](LogId log) { return copies_.Acts(i, log); },
@@ -207,7 +208,7 @@
 
   const JobFaults planted_;
   Random random_, faults_;
-  CopyWorld copies_;
+  ReplicationSimulation copies_;
   World& world_;
   std::vector<Node> nodes_;
   std::map<std::string, Truth> truth_;
@@ -232,7 +233,7 @@
 
 TEST(JobDays, FindPlantedFaults) {
   const JobFaults planted[] = {
-      {.told_before_kept = true}, {.sent_before_written = true}, {.end_not_written = true}};
+      {.answered_before_kept = true}, {.sent_before_written = true}, {.end_not_written = true}};
   for (const JobFaults& fault : planted) {
     EXPECT_NE(FirstSeed(200, [&](std::uint64_t seed) { return JobDay(seed, fault).broken(); }), 0U);
   }
--- a/tests/idempotency_keys_test.cpp
+++ b/tests/idempotency_keys_test.cpp
@@ -4,8 +4,8 @@
 
 #include "copies/idempotency_key_client.h"
 #include "copies/idempotency_key_registry.h"
-#include "support/copies_world.h"
 #include "support/days.h"
+#include "support/replication_simulation.h"
 
 namespace millethollow::copies {
 namespace {
@@ -83,7 +83,7 @@
   struct Truth {
     std::string worker;
     std::set<std::string> answers;
-    double first_at = -1, told_at = -1;
+    double first_at = -1, answered_at = -1;
   };
 
   void Start(std::size_t i) {
@@ -94,8 +94,8 @@
         IdempotencyKeyRegistry::Hooks{
             .append =
                 [this, i](LogId log, const std::string& key, const std::string& value, bool gone,
-                          ReplicatedLogs::AppendError* why) {
-                  return copies_.Put(i, log, key, value, gone, why);
+                          ReplicatedLogs::AppendError* error) {
+                  return copies_.Put(i, log, key, value, gone, error);
                 },
             .max_age_s =
                 [this, i](LogId log, SequenceNumber seq) {
@@ -224,7 +224,7 @@
 
   const KeyFaults planted_;
   Random random_, faults_;
-  CopyWorld copies_;
+  ReplicationSimulation copies_;
   World& world_;
   std::vector<Node> nodes_;
   std::map<std::string, Truth> truth_;
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -10,7 +10,7 @@
 namespace millethollow {
 namespace {
 
-using link::Cutter;
+using link::FrameDecoder;
 using link::Kind;
 using link::Reader;
 using link::Writer;
@@ -29,13 +29,13 @@
   const std::string stream = Writer(Kind::kEnded).U64(1ull << 60).I32(-4).Put(outcome).Done() +
                              Writer(Kind::kWorker).Put(member).Text(std::string(300, 'x')).Done();
   for (int round = 0; round < 200; ++round) {
-    Cutter cutter;
+    FrameDecoder decoder;
     std::vector<std::string> frames;
     for (std::size_t at = 0; at < stream.size();) {
       const std::string_view part = std::string_view(stream).substr(at, 1 + random() % 30);
-      cutter.Feed(part);
+      decoder.Feed(part);
       at += part.size();
-      while (const auto frame = cutter.Take()) frames.push_back(*frame);
+      while (const auto frame = decoder.Next()) frames.push_back(*frame);
     }
     ASSERT_EQ(frames.size(), 2u);
     Reader ended(frames[0]), worker(frames[1]);
@@ -62,9 +62,9 @@
     for (int hits = 1 + static_cast<int>(random() % 4); hits > 0; --hits) {
       text[random() % text.size()] = static_cast<char>(random());
     }
-    Cutter cutter;
-    cutter.Feed(text);
-    while (const auto frame = cutter.Take()) {
+    FrameDecoder decoder;
+    decoder.Feed(text);
+    while (const auto frame = decoder.Next()) {
       Reader reader(*frame);
       reader.GetMember();
       reader.GetOutcome();
@@ -78,14 +78,14 @@
     LogLevel() = Level::kError;
     char folder[] = "/tmp/millethollow-test-XXXXXX";
     path = mkdtemp(folder);
-    std::string why;
+    std::string error;
     EXPECT_TRUE(ReadConfig(TestConfig({worker.address()}, R"("levels":{"link":")" + path + "\"},"),
-                           &config, &why))
-        << why;
+                           &config, &error))
+        << error;
     StartPlanner();
     forwarder = std::make_unique<Node>(config, Role{Role::Kind::kForwarder, 0});
     EXPECT_TRUE(IsOk(forwarder->Start()));
-    client = std::make_unique<Raw>(&host, forwarder->http_address());
+    client = std::make_unique<RawClient>(&host, forwarder->http_address());
   }
   ~Levels() {
     unlink(PlannerSocketPath(config, 0).c_str());
@@ -96,8 +96,8 @@
     EXPECT_TRUE(IsOk(planner->Start()));
   }
   template <typename Done>
-  bool Until(Done done, double most_s = 5) {
-    const double until = host.Now() + most_s;
+  bool Until(Done done, double timeout_s = 5) {
+    const double until = host.Now() + timeout_s;
     while (!done() && host.Now() < until) {
       for (Loop* loop : {&host, &forwarder->loop(), planner ? &planner->loop() : &host}) {
         loop->deadlines().At(loop->Now() + 0.001, [] {});
@@ -121,7 +121,7 @@
   std::string path;
   Config config;
   std::unique_ptr<Node> planner, forwarder;
-  std::unique_ptr<Raw> client;
+  std::unique_ptr<RawClient> client;
 };
 
 TEST(TwoLevels, ServeAcrossTheLink) {
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "support/rig.h"
+#include "support/node_harness.h"
 
 namespace millethollow {
 namespace {
@@ -49,16 +49,16 @@
   PeersTest()
       : peers(
             &loop,
-            [this](int sender, const std::string& body) { heard.emplace_back(sender, body); },
+            [this](int sender, const std::string& body) { received.emplace_back(sender, body); },
             &counters) {}
   void Open(const std::vector<std::string>& addresses) {
-    std::string why;
-    ASSERT_TRUE(peers.Open(-1, "127.0.0.1:0", addresses, "", &why)) << why;
+    std::string error;
+    ASSERT_TRUE(peers.Open(-1, "127.0.0.1:0", addresses, "", &error)) << error;
   }
   std::string address() const { return Datagrams::AddressOf(peers.descriptor()); }
   Loop loop;
   PeerCounters counters;
-  std::vector<std::pair<int, std::string>> heard;
+  std::vector<std::pair<int, std::string>> received;
   Peers peers;
 };
 
@@ -92,9 +92,9 @@
   stranger.SendTo(address(), std::string(300, 's'));
   peer.SendTo(address(), std::string(257, 'a'));
   peer.SendTo(address(), std::string(256, 'b'));
-  EXPECT_TRUE(TurnUntil(loop, [&] { return !heard.empty(); }));
-  ASSERT_EQ(heard.size(), 1u);
-  EXPECT_EQ(heard[0], std::pair(1, std::string(256, 'b')));
+  EXPECT_TRUE(TurnUntil(loop, [&] { return !received.empty(); }));
+  ASSERT_EQ(received.size(), 1u);
+  EXPECT_EQ(received[0], std::pair(1, std::string(256, 'b')));
   EXPECT_EQ(counters.strangers, 2u);
   EXPECT_EQ(counters.unreadable, 1u);
 }
@@ -114,8 +114,8 @@
   text = Replaced(text, R"("balancers":1)", R"("balancers":2)");
   text = Replaced(text, R"("limits":{)", R"("limits":{"peers":true,)");
   Config config;
-  std::string why;
-  ASSERT_TRUE(ReadConfig(text, &config, &why)) << why;
+  std::string error;
+  ASSERT_TRUE(ReadConfig(text, &config, &error)) << error;
   Node node(config);
   ASSERT_TRUE(IsOk(node.Start()));
   const auto has = [&](const std::string& line) {
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -63,13 +63,13 @@
   int cancelled = 0;
 };
 
-struct World : PlannerEnvironment {
-  World() {
-    std::string why;
+struct PlannerHarness : PlannerEnvironment {
+  PlannerHarness() {
+    std::string error;
     EXPECT_TRUE(
-        ReadConfig(TestConfig({"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}), &config, &why));
+        ReadConfig(TestConfig({"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}), &config, &error));
     ServerList list;
-    EXPECT_TRUE(ReadServerList(config.known, config.zones, config.kinds, &list, &why));
+    EXPECT_TRUE(ReadServerList(config.known, config.zones, config.kinds, &list, &error));
     planner = std::make_unique<Planner>(config.settings, 1, &deadlines, this, &counters);
     number = planner->AddForwarder(&port, true);
     planner->Start(list.Members());
@@ -97,7 +97,7 @@
 // Sends by a list that is overdue wait for the next word of it, and go to no server that it ends.
 // Who left meanwhile, or ran out of time, was never sent.
 TEST(Planner, SendsWaitForAListThatIsOverdue) {
-  World w;
+  PlannerHarness w;
   w.overdue = true;
   const RequestId stays = w.Take(0), leaves = w.Take(0);
   w.Take(1, 0.5);
@@ -122,7 +122,7 @@
 }
 
 TEST(Planner, GivesExactlyOneFinalAnswer) {
-  World w;
+  PlannerHarness w;
   const RequestId id = w.Take(0);
   ASSERT_EQ(w.port.sent.size(), 1u);
   w.planner->OnAttemptEnded(id, 0, {.status = AttemptStatus::kSucceeded});
@@ -137,7 +137,7 @@
 
 // Two requests of one name could not be told apart at a worker, whichever forwarder has them.
 TEST(Planner, RejectsTheNameOfAnotherRequest) {
-  World w;
+  PlannerHarness w;
   Port other;
   const std::uint64_t second = w.planner->AddForwarder(&other, false);
   Request e;
@@ -161,7 +161,7 @@
 
 TEST(Planner, EndsTheAttemptAndAnswersAtExpiry) {
   for (const int cls : {0, 1}) {
-    World w;
+    PlannerHarness w;
     w.Take(cls, 0.5);
     w.now += 0.5;
     w.deadlines.Sweep(w.now);
@@ -174,7 +174,7 @@
 }
 
 TEST(Planner, SendsNothingWhereAllAreToldToDrainOrMissingFromAFullList) {
-  World w;
+  PlannerHarness w;
   w.planner->OnEndpointsUpdated(balancing::EndpointListKind::kSnapshot, {});
   w.now += 3;
   w.Take(0);
@@ -187,7 +187,7 @@
 // Workers replaced under new names, as each deploy does: the planner forgets with the module, and
 // keeps the one with a request out and the one out by hand.
 TEST(Planner, ForgetsWorkersGoneLongAgoButNotOneInUseOrOutByHand) {
-  World w;
+  PlannerHarness w;
   const RequestId id = w.Take(0, 1e6);
   ASSERT_EQ(w.port.sent.size(), 1u);
   const std::string busy = w.port.sent[0].worker;
@@ -224,7 +224,7 @@
 // Names of ended requests are remembered 4,096 at most: the last 4,096 are refused, the one before
 // them may come again.
 TEST(Planner, RemembersTheLast4096NamesAndNoMore) {
-  World w;
+  PlannerHarness w;
   const auto take = [&](int n) {
     Request e;
     e.id = w.number << kForwarderShift | ++w.last;
@@ -247,7 +247,7 @@
 }
 
 TEST(Planner, ALostForwardersRequestsAreClosed) {
-  World w;
+  PlannerHarness w;
   w.Take(1);
   w.planner->OnForwarderLost(w.number);
   EXPECT_EQ(w.planner->open_requests(), 0u);
@@ -336,9 +336,9 @@
     g.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                   body);
   }
-  bool Asked(std::size_t n, double most_s = 5) {
+  bool Asked(std::size_t n, double timeout_s = 5) {
     return TurnUntil(
-        loop, [&] { return asked.size() >= n; }, most_s);
+        loop, [&] { return asked.size() >= n; }, timeout_s);
   }
 };
 
@@ -492,24 +492,24 @@
 // Indented lists are read, cut ones and numbers that fit nowhere do no harm.
 TEST(Discovery, ReadsIndentedListsAndOutlivesBadOnes) {
   ServerList list;
-  std::string why;
+  std::string error;
   EXPECT_TRUE(
       ReadServerList("{\n  \"version\": 4,\n  \"full\": true,\n  \"servers\": [\n    {\n \"id\": "
                      "\"s\"\n}\n  ]\n}\n",
-                     {}, {}, &list, &why));
+                     {}, {}, &list, &error));
   EXPECT_EQ(list.entries.size(), 1u);
   for (const char* bad :
        {"{\"version\":4,\"servers\":[{\"id\":\"s\"", "", "[]", "{\"servers\":{}}"}) {
-    EXPECT_FALSE(ReadServerList(bad, {}, {}, &list, &why)) << bad;
+    EXPECT_FALSE(ReadServerList(bad, {}, {}, &list, &error)) << bad;
   }
   EXPECT_TRUE(
       ReadServerList(R"({"version":1e300,"servers":[{"id":"s","cell":-1e300,"started_ms":1e308}]})",
-                     {}, {}, &list, &why));
+                     {}, {}, &list, &error));
 }
 
 TEST(Config, SaysInOneLineWhatIsWrong) {
   const std::string good = TestConfig({});
-  const auto why = [](std::string text, const std::string& from, const std::string& to) {
+  const auto error_of = [](std::string text, const std::string& from, const std::string& to) {
     if (!from.empty()) text.replace(text.find(from), from.size(), to);
     Config config;
     std::string line;
@@ -517,28 +517,29 @@
     EXPECT_EQ(line.find('\n'), std::string::npos);
     return line;
   };
-  EXPECT_NE(why("[]", "", "").find("JSON"), std::string::npos);
-  EXPECT_NE(why(good, R"("name":"t")", R"("name":7)").find("name"), std::string::npos);
-  EXPECT_NE(why(good, R"("most_tries":4)", R"("most_tries":0)").find("most_tries"),
-            std::string::npos);
-  EXPECT_NE(why(good, R"("by_key")", R"("by_luck")").find("semantics"), std::string::npos);
-  EXPECT_NE(why(good, R"("name":"t")", R"("gearman":{"functions":{"f":{"class":"?"}}})").find('f'),
+  EXPECT_NE(error_of("[]", "", "").find("JSON"), std::string::npos);
+  EXPECT_NE(error_of(good, R"("name":"t")", R"("name":7)").find("name"), std::string::npos);
+  EXPECT_NE(error_of(good, R"("most_tries":4)", R"("most_tries":0)").find("most_tries"),
             std::string::npos);
+  EXPECT_NE(error_of(good, R"("by_key")", R"("by_luck")").find("semantics"), std::string::npos);
+  EXPECT_NE(
+      error_of(good, R"("name":"t")", R"("gearman":{"functions":{"f":{"class":"?"}}})").find('f'),
+      std::string::npos);
 }
 
 TEST(ServerList, ReadsStatesAndStarts) {
   ServerList list;
-  std::string why;
+  std::string error;
   ASSERT_TRUE(ReadServerList(R"({"version":43,"full":false,"servers":[{"id":"s","addr":"1.2.3.4:5",
       "zone":"b","kind":"m2","cell":3,"state":"terminating","started_ms":1500},{"nameless":1},
       {"id":"t","state":"odd"}]})",
-                             {"a", "b"}, {"m1", "m2"}, &list, &why));
+                             {"a", "b"}, {"m1", "m2"}, &list, &error));
   ASSERT_EQ(list.entries.size(), 2u);
   EXPECT_EQ(list.entries[0].member.zone, 1);
   EXPECT_EQ(list.entries[0].member.kind, 1);
   EXPECT_EQ(list.entries[0].member.started_at_s, 1.5);
   EXPECT_EQ(list.entries[1].member.readiness, balancing::Readiness::kDraining);
-  EXPECT_FALSE(ReadServerList("{}", {}, {}, &list, &why));
+  EXPECT_FALSE(ReadServerList("{}", {}, {}, &list, &error));
 }
 
 }  // namespace
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -10,7 +10,7 @@
 
 #include "net/discovery.h"
 #include "node/supervisor.h"
-#include "support/rig.h"
+#include "support/node_harness.h"
 
 namespace millethollow {
 namespace {
@@ -103,14 +103,14 @@
   for (const int nodes : {1, 100}) {
     Make(nodes);
     after.got.clear();
-    const std::size_t told = known.size();
+    const std::size_t known_before = known.size();
     after.act = [&](const ToyWorker::Got& g) {
       if (after.got.size() < 4) return g.from->Close("test");
       Tell(g, 3, true, Entry("w1", "in_service"));
     };
     discovery->Move(after.address());
     EXPECT_TRUE(TurnUntil(
-        loop, [&] { return known.size() > told; }, 1.5))
+        loop, [&] { return known.size() > known_before; }, 1.5))
         << nodes;
   }
 }
@@ -129,8 +129,8 @@
   };
   write(with(one.address()));
   Config config;
-  std::string why;
-  ASSERT_TRUE(LoadConfig(path, &config, &why)) << why;
+  std::string error;
+  ASSERT_TRUE(LoadConfig(path, &config, &error)) << error;
   Node node(config);
   ASSERT_TRUE(IsOk(node.Start()));
   node.CatchSignals(path);
@@ -173,10 +173,10 @@
   const std::string good = TestConfig({"127.0.0.1:9"});
   const auto fine = [&](const std::string& text) {
     Config config;
-    std::string why;
-    const bool ok = ReadConfig(text, &config, &why) && CheckWhole(good, text, &why);
-    EXPECT_EQ(ok, why.empty());
-    EXPECT_EQ(why.find('\n'), std::string::npos);
+    std::string error;
+    const bool ok = ReadConfig(text, &config, &error) && CheckWhole(good, text, &error);
+    EXPECT_EQ(ok, error.empty());
+    EXPECT_EQ(error.find('\n'), std::string::npos);
     return ok;
   };
   EXPECT_TRUE(fine(good));
@@ -202,8 +202,8 @@
   const std::string text = TestConfig({});
   const auto read = [](const std::string& from) {
     Config config;
-    std::string why;
-    EXPECT_TRUE(ReadConfig(from, &config, &why)) << why;
+    std::string error;
+    EXPECT_TRUE(ReadConfig(from, &config, &error)) << error;
     return config;
   };
   Config config = read(text);
@@ -224,42 +224,44 @@
 
 // Under load: a class more, one fewer, and fewer attempts. Jobs that are open keep their rules.
 TEST(Reload, ChangesClassesUnderOpenJobs) {
-  Rig rig;
+  NodeHarness harness;
   const std::string path = testing::TempDir() + "classes" + std::to_string(getpid()) + ".json";
-  const std::string text = rig.config.text;
+  const std::string text = harness.config.text;
   const auto reload = [&](const std::string& fresh) {
     std::ofstream(path) << fresh;
-    const Counters& c = rig.node->counters();
+    const Counters& c = harness.node->counters();
     const std::uint64_t before = c.reloads + c.reload_errors;
     raise(SIGHUP);
-    return rig.Until([&] { return c.reloads + c.reload_errors > before; });
+    return harness.Until([&] { return c.reloads + c.reload_errors > before; });
   };
-  rig.node->CatchSignals(path);
+  harness.node->CatchSignals(path);
   std::vector<ToyWorker::Got> held;
-  for (auto& w : rig.workers) w->act = [&](const ToyWorker::Got& g) { held.push_back(g); };
-  auto open = rig.Client();
+  for (auto& w : harness.workers) w->act = [&](const ToyWorker::Got& g) { held.push_back(g); };
+  auto open = harness.Client();
   open->Write(Post("a", "look"));
-  ASSERT_TRUE(rig.Until([&] { return !held.empty(); }));
-  EXPECT_EQ(rig.Ask(Post("b", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
+  ASSERT_TRUE(harness.Until([&] { return !held.empty(); }));
+  EXPECT_EQ(harness.Ask(Post("b", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
   std::string fresh = Changed(text, kLook, Changed(kLook, "look", "new"));
   fresh = Changed(fresh, R"("most_tries":4)", R"("most_tries":1)");
   ASSERT_TRUE(reload(fresh));
   for (const ToyWorker::Got& g : held) ToyWorker::Lines(g, {ToyWorker::Line(g, "failed")});
   const std::size_t first = held.size();
-  ASSERT_TRUE(rig.Until([&] { return held.size() > first; }));  // the old job may try again
-  for (auto& w : rig.workers) {
+  ASSERT_TRUE(harness.Until([&] { return held.size() > first; }));  // the old job may try again
+  for (auto& w : harness.workers) {
     w->act = [](const ToyWorker::Got& g) { ToyWorker::Lines(g, {ToyWorker::Line(g, "failed")}); };
   }
-  EXPECT_EQ(rig.Ask(Post("c", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 503");
-  EXPECT_EQ(rig.AttemptsOf("c"), 1u);  // a new one may not
-  for (auto& w : rig.workers) w->act = [](const ToyWorker::Got& g) { ToyWorker::Done(g, "ok"); };
-  EXPECT_EQ(rig.Ask(Post("d", "look"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 200");  // was under way
-  rig.Until([] { return false; }, 1.3);
-  EXPECT_EQ(rig.Ask(Post("e", "look"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
+  EXPECT_EQ(harness.Ask(Post("c", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 503");
+  EXPECT_EQ(harness.AttemptsOf("c"), 1u);  // a new one may not
+  for (auto& w : harness.workers)
+    w->act = [](const ToyWorker::Got& g) { ToyWorker::Done(g, "ok"); };
+  EXPECT_EQ(harness.Ask(Post("d", "look"), "\r\n\r\n").substr(0, 12),
+            "HTTP/1.1 200");  // was under way
+  harness.Until([] { return false; }, 1.3);
+  EXPECT_EQ(harness.Ask(Post("e", "look"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
   ASSERT_TRUE(reload(""));
-  EXPECT_EQ(rig.node->counters().reload_errors, 1u);
-  EXPECT_EQ(rig.Ask(Post("f", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 200");
-  EXPECT_NE(rig.node->Figures().find("new.completed:1|c"), std::string::npos);
+  EXPECT_EQ(harness.node->counters().reload_errors, 1u);
+  EXPECT_EQ(harness.Ask(Post("f", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 200");
+  EXPECT_NE(harness.node->Figures().find("new.completed:1|c"), std::string::npos);
   unlink(path.c_str());
 }
 
@@ -272,7 +274,7 @@
   sigprocmask(SIG_BLOCK, &held, &before);
   int ends[2];
   ASSERT_EQ(pipe(ends), 0);
-  const auto heard = [&](Role) {
+  const auto run_role = [&](Role) {
     siginfo_t info;
     sigset_t both = held;
     while (sigwaitinfo(&both, &info) == SIGHUP) {
@@ -281,7 +283,7 @@
     return 0;
   };
   const pid_t pid = fork();
-  if (pid == 0) _exit(Supervise(1, 2, heard, [&] { return write(ends[1], "r", 1) == 1; }));
+  if (pid == 0) _exit(Supervise(1, 2, run_role, [&] { return write(ends[1], "r", 1) == 1; }));
   kill(pid, SIGHUP);
   std::string all;
   for (char c = 0; all.size() < 4 && read(ends[0], &c, 1) == 1;) all += c;
--- a/tests/replicated_logs_test.cpp
+++ b/tests/replicated_logs_test.cpp
@@ -3,8 +3,8 @@
 
 #include <deque>
 
-#include "support/copies_world.h"
 #include "support/days.h"
+#include "support/replication_simulation.h"
 
 namespace millethollow::copies {
 namespace {
@@ -49,36 +49,37 @@
     }
   }
   Random faults;
-  CopyWorld copies;
+  ReplicationSimulation copies;
   World& world;
   bool whole = false;
 };
 
 TEST(CopyDays, LoseNothingThatWasAnsweredAndComeTogetherAgain) {
-  std::size_t answered = 0, refused = 0, adopted = 0, fillings = 0;
+  std::size_t answered = 0, refused = 0, adopted = 0, snapshot_transfers = 0;
   const std::uint64_t from = FromEnvironment("SEED", 1);
   for (std::uint64_t seed = from; seed <= std::max(from, FromEnvironment("SEEDS", 40)); ++seed) {
     CopyDay day(seed);
     ASSERT_TRUE(day.world.broken().empty())
-        << "seed " << seed << " " << day.world.broken()[0] << day.copies.Told();
-    ASSERT_TRUE(day.whole) << "seed " << seed << " does not come together" << day.copies.Told()
+        << "seed " << seed << " " << day.world.broken()[0] << day.copies.Describe();
+    ASSERT_TRUE(day.whole) << "seed " << seed << " does not come together" << day.copies.Describe()
                            << day.world.Told();
     answered += day.copies.answered;
     refused += day.copies.refused;
     adopted += day.copies.adopted;
     for (std::size_t i = 0; i < day.world.size(); ++i)
-      day.world.Kill(i);  // fillings are counted at their end
-    fillings += day.copies.fillings;
+      day.world.Kill(i);  // snapshot transfers are counted at the end of a process
+    snapshot_transfers += day.copies.snapshot_transfers;
   }
-  std::printf("%zu answered, %zu refused for want of copies, %zu takeovers, %zu fillings\n",
-              answered, refused, adopted, fillings);
+  std::printf("%zu answered, %zu refused for want of copies, %zu takeovers, %zu snapshots\n",
+              answered, refused, adopted, snapshot_transfers);
   EXPECT_GT(answered, 100U);
   EXPECT_GT(refused + adopted, 2U);
 }
 
 TEST(CopyDays, FindPlantedFaults) {
-  const CopyFaults planted[] = {
-      {.answers_before_disk = true}, {.acts_without_lease = true}, {.loses_tail_of_filling = true}};
+  const CopyFaults planted[] = {{.answers_before_disk = true},
+                                {.acts_without_lease = true},
+                                {.loses_tail_of_snapshot = true}};
   for (const CopyFaults& fault : planted) {
     EXPECT_NE(
         FirstSeed(200, [&](std::uint64_t seed) { return CopyDay(seed, fault).world.broken(); }),
@@ -199,8 +200,9 @@
     }
     for (const char* key : {"k1", "k2"}) {
       On(&s, 0, [&](ReplicatedLogs* c, ReplicatedLogs::Actions* a) {
-        ReplicatedLogs::AppendError why{};
-        EXPECT_GT(c->Append(s.now, kLog, key, "v", false, &why, a), 0U) << static_cast<int>(why);
+        ReplicatedLogs::AppendError reason{};
+        EXPECT_GT(c->Append(s.now, kLog, key, "v", false, &reason, a), 0U)
+            << static_cast<int>(reason);
       });
     }
     return s;
@@ -259,10 +261,10 @@
 }
 
 // An hour-old copy of a folder is put back under a process that was down: it is noticed, and its
-// disk is no holder any more until it is filled anew.
-TEST(Copies, AFolderThatWasPutBackIsNoticedAndFilledAnew) {
+// disk is no holder any more until it has a new snapshot.
+TEST(Copies, AFolderThatWasPutBackIsNoticedAndGetsASnapshot) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    CopyWorld w(seed, 3, {});
+    ReplicationSimulation w(seed, 3, {});
     w.world.StartAll();
     w.world.RunUntil(3);
     w.OpenLog(0);
@@ -280,7 +282,7 @@
     serve(20);
     w.world.RunUntil(25);
     EXPECT_EQ(w.world.broken(), std::vector<std::string>{}) << seed;
-    EXPECT_TRUE(w.Whole(3)) << seed << w.Told();
+    EXPECT_TRUE(w.Whole(3)) << seed << w.Describe();
     EXPECT_GT(w.given_up, 0U) << seed;
   }
 }
--- a/tests/support/rig.h
+++ b/tests/support/node_harness.h
@@ -1,27 +1,28 @@
 // A node on loopback with toy workers around it, each on a loop of its own that take turns.
-#ifndef MILLETHOLLOW_TESTS_SUPPORT_RIG_H_
-#define MILLETHOLLOW_TESTS_SUPPORT_RIG_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_NODE_HARNESS_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_NODE_HARNESS_H_
 
 #include "support/support.h"
 
 namespace millethollow {
 
-struct Rig {
-  explicit Rig(int workers = 3, const std::string& extra = "", const std::string& handover = "") {
+struct NodeHarness {
+  explicit NodeHarness(int workers = 3, const std::string& extra = "",
+                       const std::string& handover = "") {
     LogLevel() = Level::kError;
     for (int i = 0; i < workers; ++i) this->workers.push_back(std::make_unique<ToyWorker>(&host));
     std::vector<std::string> addresses;
     for (const auto& w : this->workers) addresses.push_back(w->address());
-    std::string why;
-    EXPECT_TRUE(ReadConfig(TestConfig(addresses, extra), &config, &why)) << why;
+    std::string error;
+    EXPECT_TRUE(ReadConfig(TestConfig(addresses, extra), &config, &error)) << error;
     config.handover = handover;
     node = std::make_unique<Node>(config);
     EXPECT_TRUE(IsOk(node->Start()));
   }
   // Node and stand-ins have a loop each; they take turns.
   template <typename Done>
-  bool Until(Done done, double most_s = 5) {
-    const double until = host.Now() + most_s;
+  bool Until(Done done, double timeout_s = 5) {
+    const double until = host.Now() + timeout_s;
     while (!done() && host.Now() < until) TurnAll();
     return done();
   }
@@ -44,7 +45,9 @@
     EXPECT_TRUE(IsOk(started));
     return started.has_value();
   }
-  std::unique_ptr<Raw> Client() { return std::make_unique<Raw>(&host, node->http_address()); }
+  std::unique_ptr<RawClient> Client() {
+    return std::make_unique<RawClient>(&host, node->http_address());
+  }
   std::unique_ptr<GearmanPeer> Gearman() {
     return std::make_unique<GearmanPeer>(&host, node->gearman_address());
   }
@@ -75,4 +78,4 @@
 
 }  // namespace millethollow
 
-#endif  // MILLETHOLLOW_TESTS_SUPPORT_RIG_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_NODE_HARNESS_H_
--- a/tests/support/copies_world.h
+++ b/tests/support/replication_simulation.h
@@ -1,7 +1,7 @@
 // Copies of promises on a virtual clock: real members agree on views and logs, real logs are kept
 // on disks that a seed wipes, puts back and slows. After every step each promise is checked.
-#ifndef MILLETHOLLOW_TESTS_SUPPORT_COPIES_WORLD_H_
-#define MILLETHOLLOW_TESTS_SUPPORT_COPIES_WORLD_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_REPLICATION_SIMULATION_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_REPLICATION_SIMULATION_H_
 
 #include <functional>
 
@@ -25,15 +25,15 @@
 }
 
 struct CopyFaults {  // planted: a check that does not find them proves nothing
-  bool answers_before_disk = false, acts_without_lease = false, loses_tail_of_filling = false;
+  bool answers_before_disk = false, acts_without_lease = false, loses_tail_of_snapshot = false;
   bool planted() const {
-    return answers_before_disk || acts_without_lease || loses_tail_of_filling;
+    return answers_before_disk || acts_without_lease || loses_tail_of_snapshot;
   }
 };
 
-class CopyWorld {
+class ReplicationSimulation {
  public:
-  CopyWorld(std::uint64_t seed, std::size_t members, CopyFaults planted)
+  ReplicationSimulation(std::uint64_t seed, std::size_t members, CopyFaults planted)
       : faults(planted),
         random(seed * 77 + 5),
         world(seed, {.members = members,
@@ -44,7 +44,7 @@
     for (Node& n : nodes_) n.disk_id = random.NextUint64() | 1;
     world.on_start = [this](std::size_t i) { Run(i); };
     world.on_kill = [this](std::size_t i) {
-      if (nodes_[i].copies) fillings += nodes_[i].copies->counters().fillings;
+      if (nodes_[i].copies) snapshot_transfers += nodes_[i].copies->counters().snapshot_transfers;
       ledger.kill(i);
       nodes_[i].copies.reset();
     };
@@ -88,12 +88,12 @@
     if (!world.Runs(i) || !nodes_[i].copies) return;
     for (const auto& [log, unused] : model_) {
       if (!Acts(i, log)) continue;
-      ReplicatedLogs::AppendError why{};
+      ReplicatedLogs::AppendError reason{};
       const std::string key = "k" + std::to_string(random.Below(40)),
                         value = "v" + std::to_string(++values_);
       const bool gone = random.Below(3) == 0;
-      Put(i, log, key, gone ? "" : value, gone, &why);
-      refused += why == ReplicatedLogs::AppendError::kTooFewReplicas;
+      Put(i, log, key, gone ? "" : value, gone, &reason);
+      refused += reason == ReplicatedLogs::AppendError::kTooFewReplicas;
     }
   }
   bool Acts(std::size_t i, LogId log) {
@@ -102,10 +102,10 @@
     return acts;
   }
   SequenceNumber Put(std::size_t i, LogId log, const std::string& key, const std::string& value,
-                     bool gone, ReplicatedLogs::AppendError* why) {
+                     bool gone, ReplicatedLogs::AppendError* reason) {
     Operation op{.key = key, .value = value, .gone = gone};
     Do(i, [&](ReplicatedLogs* c, double now, ReplicatedLogs::Actions* a) {
-      op.seq = c->Append(now, log, key, value, gone, why, a);
+      op.seq = c->Append(now, log, key, value, gone, reason, a);
       if (op.seq == 0) return;
       op.epoch = world.ViewOf(i).Log(log)->owner_epoch;
       made_[log][{op.seq, op.epoch}] = op;
@@ -132,7 +132,7 @@
            });
   }
   void OpenLog(std::size_t i) { Open(i, random.NextUint64() | 1); }
-  std::string Told() {
+  std::string Describe() {
     std::string all;
     const View* latest = Latest();
     for (const LogAssignment& log : latest ? latest->logs : std::vector<LogAssignment>{}) {
@@ -164,7 +164,7 @@
   const CopyFaults faults;
   Random random;
   World world;
-  std::size_t answered = 0, refused = 0, adopted = 0, fillings = 0,
+  std::size_t answered = 0, refused = 0, adopted = 0, snapshot_transfers = 0,
               given_up = 0;  // given up: disks that lied
   bool put_back = false;     // some disk was
 
@@ -253,9 +253,9 @@
         auto it = disk.upper_bound(r.after.empty() ? r.prefix : r.after);
         const auto more = [&] { return it != disk.end() && it->first.starts_with(r.prefix); };
         for (; more() && entries.size() < 4; ++it) entries.push_back(*DecodeOperation(it->second));
-        const bool last = !more() || faults.loses_tail_of_filling;
+        const bool last = !more() || faults.loses_tail_of_snapshot;
         Do(i, [&](ReplicatedLogs* c, double at, ReplicatedLogs::Actions* then) {
-          c->OnSnapshotChunkRead(at, r.log, r.fill, entries, last, then);
+          c->OnSnapshotChunkRead(at, r.log, r.snapshot_id, entries, last, then);
         });
       });
     }
@@ -387,4 +387,4 @@
 
 }  // namespace millethollow::copies
 
-#endif  // MILLETHOLLOW_TESTS_SUPPORT_COPIES_WORLD_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_REPLICATION_SIMULATION_H_
--- a/tests/support/support.cpp
+++ b/tests/support/support.cpp
@@ -27,13 +27,13 @@
 }
 
 ToyWorker::ToyWorker(Loop* loop) : loop_(loop) {
-  std::string why;
+  std::string error;
   const bool open = listener_.Open(
       loop, "127.0.0.1:0",
       [this](evutil_socket_t fd) {
         auto client = std::make_unique<Client>();
         Client* c = client.get();
-        c->raw = std::make_unique<Raw>(loop_, fd);
+        c->raw = std::make_unique<RawClient>(loop_, fd);
         c->raw->on_read = [this, c] {
           while (!c->raw->in.empty()) {
             c->raw->in.erase(0, c->parser.Feed(c->raw->in));
@@ -46,8 +46,8 @@
         };
         clients_.push_back(std::move(client));
       },
-      &why);
-  EXPECT_TRUE(open) << why;
+      &error);
+  EXPECT_TRUE(open) << error;
 }
 
 void ToyWorker::Lines(const Got& got, const std::vector<std::string>& lines) {
@@ -77,7 +77,7 @@
   return true;
 }
 
-GearmanPeer::GearmanPeer(Loop* loop, const std::string& address) : Raw(loop, address) {
+GearmanPeer::GearmanPeer(Loop* loop, const std::string& address) : RawClient(loop, address) {
   on_read = [this] {
     while (!in.empty()) {
       in.erase(0, parser_.Feed(in));
@@ -90,7 +90,7 @@
   };
 }
 
-void GearmanPeer::Say(gearman::Type type, std::initializer_list<std::string_view> arguments) {
+void GearmanPeer::Send(gearman::Type type, std::initializer_list<std::string_view> arguments) {
   Write(gearman::Packet(gearman::Message::Form::kRequest, type, arguments));
 }
 
@@ -104,15 +104,15 @@
 
 void GearmanPeer::WorkOn(const std::string& function, const std::string& result) {
   act = [this, result](const gearman::Message& m) {
-    if (m.type == gearman::Type::kNoop) Say(gearman::Type::kGrabJob, {});
+    if (m.type == gearman::Type::kNoop) Send(gearman::Type::kGrabJob, {});
     if (m.type == gearman::Type::kJobAssign) {
       const std::string handle = m.data.substr(0, m.data.find('\0'));
-      Say(gearman::Type::kWorkComplete, {handle, result});
-      Say(gearman::Type::kPreSleep, {});
+      Send(gearman::Type::kWorkComplete, {handle, result});
+      Send(gearman::Type::kPreSleep, {});
     }
   };
-  Say(gearman::Type::kCanDo, {function});
-  Say(gearman::Type::kPreSleep, {});
+  Send(gearman::Type::kCanDo, {function});
+  Send(gearman::Type::kPreSleep, {});
 }
 
 std::string Post(const std::string& id, const std::string& cls, const std::string& more,
