--- a/bench/scale/axis_members.cpp
+++ b/bench/scale/axis_members.cpp
@@ -3,12 +3,12 @@
 #include "scale/axes.h"
 #include "scale/process.h"
 #include "scale/statistics.h"
-#include "support/membership_world.h"
+#include "support/membership_simulation.h"
 
 namespace millethollow::scale {
 namespace {
 
-using membership::World;
+using membership::MembershipSimulation;
 
 constexpr double kJoinMostS = 60;  // for all to be in one view
 constexpr double kFactMostS = 30;
@@ -20,7 +20,7 @@
   Samples datagrams, bytes;
 };
 
-Traffic TrafficDuring(World* world, double seconds) {
+Traffic TrafficDuring(MembershipSimulation* world, double seconds) {
   struct Sent {
     std::uint64_t datagrams = 0, bytes = 0;
   };
@@ -31,7 +31,7 @@
   world->RunUntil(world->now() + seconds);
   Traffic traffic;
   for (std::size_t i = 0; i < world->size(); ++i) {
-    const World::Node& node = world->node(i);
+    const MembershipSimulation::Node& node = world->node(i);
     traffic.datagrams.Add(static_cast<double>(node.datagrams - before[i].datagrams) / seconds);
     traffic.bytes.Add(static_cast<double>(node.bytes - before[i].bytes) / seconds);
   }
@@ -43,7 +43,7 @@
 }
 
 // Seconds until all hold the worker out; -1: not within kFactMostS.
-double SpreadFact(World* world) {
+double SpreadFact(MembershipSimulation* world) {
   const double told_at = world->now();
   world->Say(0, kWorker, true);
   while (world->now() < told_at + kFactMostS) {
@@ -56,12 +56,12 @@
 }
 
 Point MeasureMembers(int members, double seconds, std::uint64_t seed) {
-  World::Options options;
+  MembershipSimulation::Options options;
   options.members = static_cast<std::size_t>(members);
   options.voters = 5;
   options.check = false;
   const std::size_t memory_before = AllocatedMemory();
-  World world(seed, options);
+  MembershipSimulation world(seed, options);
   world.StartAll();
   const double joined_by = world.now() + kJoinMostS;
   while (!world.Whole() && world.now() < joined_by) world.RunUntil(world.now() + 0.25);
--- a/tests/durable_job_queue_test.cpp
+++ b/tests/durable_job_queue_test.cpp
@@ -208,7 +208,7 @@
   const JobFaults planted_;
   Random random_, faults_;
   CopyWorld copies_;
-  World& world_;
+  MembershipSimulation& world_;
   std::vector<Node> nodes_;
   std::map<std::string, Truth> truth_;
 };
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -8,7 +8,7 @@
 
 #include "net/cluster/frame.h"
 #include "support/days.h"
-#include "support/membership_world.h"
+#include "support/membership_simulation.h"
 
 namespace millethollow::membership {
 namespace {
@@ -19,10 +19,11 @@
 // falsely.
 std::uint64_t FalseFailures(std::uint64_t seed, std::size_t members, double loss, double span_s,
                             Planted planted = {}) {
-  World w(seed, {.members = members, .voters = 3, .loss = loss, .planted = planted});
-  w.StartAll();
-  w.RunUntil(span_s);
-  return w.failures_said;
+  MembershipSimulation simulation(
+      seed, {.members = members, .voters = 3, .loss = loss, .planted = planted});
+  simulation.StartAll();
+  simulation.RunUntil(span_s);
+  return simulation.failures_said;
 }
 
 TEST(DetectorDays, OneDatagramInFiveLostFailsNobody) {
@@ -44,17 +45,17 @@
 
 TEST(DetectorDays, BrokenLinksAndShortStopsFailNobody) {
   for (std::uint64_t seed = 1; seed <= Seeds(20); ++seed) {
-    World w(seed, {.members = 5, .voters = 3});
-    w.StartAll();
-    w.RunUntil(5);
-    w.CutBoth(0, 1, true);
-    w.Cut(2, 3, true);
+    MembershipSimulation simulation(seed, {.members = 5, .voters = 3});
+    simulation.StartAll();
+    simulation.RunUntil(5);
+    simulation.CutBoth(0, 1, true);
+    simulation.Cut(2, 3, true);
     for (int i = 0; i < 20; ++i) {
-      w.RunUntil(w.now() + 1);
-      w.Pause(4, 0.5);
+      simulation.RunUntil(simulation.now() + 1);
+      simulation.Pause(4, 0.5);
     }
-    EXPECT_EQ(w.failures_said, 0U) << "seed " << seed;
-    EXPECT_EQ(w.broken(), std::vector<std::string>{});
+    EXPECT_EQ(simulation.failures_said, 0U) << "seed " << seed;
+    EXPECT_EQ(simulation.broken(), std::vector<std::string>{});
   }
 }
 
@@ -69,41 +70,42 @@
 Spread Killed(std::size_t members, double loss, std::uint64_t seeds) {
   Spread spread;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    World w(seed, {.members = members, .voters = 3, .loss = loss, .check = members <= 10});
-    w.size_of = OnTheWire;
+    MembershipSimulation simulation(
+        seed, {.members = members, .voters = 3, .loss = loss, .check = members <= 10});
+    simulation.size_of = OnTheWire;
     double at = 0;
     std::size_t said = 0;
-    w.on_change = [&](std::size_t, const HealthChange& c) {
+    simulation.on_change = [&](std::size_t, const HealthChange& c) {
       if (c.member != members || c.health != Health::kFailed) return;
-      if (++said == 1) spread.first.push_back(w.now() - at);
+      if (++said == 1) spread.first.push_back(simulation.now() - at);
     };
-    w.StartAll();
-    w.RunUntil(5);
+    simulation.StartAll();
+    simulation.RunUntil(5);
     std::uint64_t datagrams = 0, bytes = 0;
     for (std::size_t i = 0; i < members; ++i) {
-      datagrams -= w.node(i).datagrams;
-      bytes -= w.node(i).bytes;
+      datagrams -= simulation.node(i).datagrams;
+      bytes -= simulation.node(i).bytes;
     }
-    w.RunUntil(10 + w.random().Unit());
+    simulation.RunUntil(10 + simulation.random().Unit());
     for (std::size_t i = 0; i < members; ++i) {
-      datagrams += w.node(i).datagrams;
-      bytes += w.node(i).bytes;
+      datagrams += simulation.node(i).datagrams;
+      bytes += simulation.node(i).bytes;
     }
-    const double member_seconds = static_cast<double>(members) * (w.now() - 5);
+    const double member_seconds = static_cast<double>(members) * (simulation.now() - 5);
     spread.datagrams +=
         static_cast<double>(datagrams) / member_seconds / static_cast<double>(seeds);
     spread.bytes += static_cast<double>(bytes) / member_seconds / static_cast<double>(seeds);
-    at = w.now();
-    w.Kill(members - 1);
-    const bool all = w.RunUntil(
+    at = simulation.now();
+    simulation.Kill(members - 1);
+    const bool all = simulation.RunUntil(
         [&] {
           for (std::size_t i = 0; i + 1 < members; ++i) {
-            if (w.HealthAt(i, members - 1) != Health::kFailed) return false;
+            if (simulation.HealthAt(i, members - 1) != Health::kFailed) return false;
           }
           return true;
         },
         20);
-    spread.all.push_back(all ? w.now() - at : 20);
+    spread.all.push_back(all ? simulation.now() - at : 20);
   }
   std::sort(spread.first.begin(), spread.first.end());
   std::sort(spread.all.begin(), spread.all.end());
@@ -135,22 +137,24 @@
   for (const std::size_t n : {10UL, 100UL, 1000UL}) {
     std::vector<double> heal, news;
     for (std::uint64_t seed = 1; seed <= (n >= 1000 ? 5 : 50); ++seed) {
-      World w(seed, {.members = n, .voters = 5, .check = n <= 10});
-      w.StartAll();
-      const auto takes = [&w](auto done) {  // looked at each 10 ms: that is dear for a thousand
-        const double began = w.now();
-        while (!done() && w.now() < began + 60) w.RunUntil(w.now() + 0.01);
-        return w.now() - began;
-      };
-      const auto whole = [&w] { return w.Whole(); };
+      MembershipSimulation simulation(seed, {.members = n, .voters = 5, .check = n <= 10});
+      simulation.StartAll();
+      const auto takes =
+          [&simulation](auto done) {  // looked at each 10 ms: that is dear for a thousand
+            const double began = simulation.now();
+            while (!done() && simulation.now() < began + 60)
+              simulation.RunUntil(simulation.now() + 0.01);
+            return simulation.now() - began;
+          };
+      const auto whole = [&simulation] { return simulation.Whole(); };
       takes(whole);
-      w.Say(n - 1, "w", true);
-      news.push_back(takes([&w] { return w.FactsAgree(); }));
+      simulation.Say(n - 1, "w", true);
+      news.push_back(takes([&simulation] { return simulation.FactsAgree(); }));
       std::vector<int> side(n, 0);  // two voters and two in five of the members are cut off
       for (std::size_t i = 0; i < n; ++i) side[i] = i == 3 || i == 4 || i >= n - 2 * n / 5 + 2;
-      w.Split(side);
-      w.RunUntil(w.now() + 15);
-      w.Heal();
+      simulation.Split(side);
+      simulation.RunUntil(simulation.now() + 15);
+      simulation.Heal();
       heal.push_back(takes(whole));
     }
     std::sort(heal.begin(), heal.end());
--- a/tests/idempotency_keys_test.cpp
+++ b/tests/idempotency_keys_test.cpp
@@ -225,7 +225,7 @@
   const KeyFaults planted_;
   Random random_, faults_;
   CopyWorld copies_;
-  World& world_;
+  MembershipSimulation& world_;
   std::vector<Node> nodes_;
   std::map<std::string, Truth> truth_;
   std::size_t keys_ = 0, results_ = 0, fresh_ = 0;
--- a/tests/maintenance_registry_test.cpp
+++ b/tests/maintenance_registry_test.cpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "support/membership_world.h"
+#include "support/membership_simulation.h"
 
 namespace millethollow::membership {
 namespace {
@@ -32,39 +32,41 @@
       {"and called back later", {}, {{0, true}, {3, false}}, {{2, false}}, false},
   };
   for (const Case& c : cases) {
-    World w(5, {.members = 4, .voters = 3, .loss = 0.1});
-    w.StartAll();
-    w.RunUntil(5);
+    MembershipSimulation simulation(5, {.members = 4, .voters = 3, .loss = 0.1});
+    simulation.StartAll();
+    simulation.RunUntil(5);
     const auto call = [&](const std::vector<Call>& calls) {
       for (const Call& each : calls) {
-        w.Say(each.at, "w", each.out);
-        w.RunUntil(w.now() + 2);
+        simulation.Say(each.at, "w", each.out);
+        simulation.RunUntil(simulation.now() + 2);
       }
     };
     call(c.before);
-    if (!c.cut.empty()) w.Split({0, 0, 1, 1});
+    if (!c.cut.empty()) simulation.Split({0, 0, 1, 1});
     call(c.cut);
-    w.Heal();
-    EXPECT_TRUE(w.RunUntil([&] { return w.FactsAgree(); }, 20)) << c.what;
-    w.RunUntil(w.now() + 2);
+    simulation.Heal();
+    EXPECT_TRUE(simulation.RunUntil([&] { return simulation.FactsAgree(); }, 20)) << c.what;
+    simulation.RunUntil(simulation.now() + 2);
     call(c.after);
-    EXPECT_TRUE(w.RunUntil([&] { return w.FactsAgree(); }, 20)) << c.what;
-    for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(w.Out(i, "w"), c.out) << c.what << " at " << i;
+    EXPECT_TRUE(simulation.RunUntil([&] { return simulation.FactsAgree(); }, 20)) << c.what;
+    for (std::size_t i = 0; i < 4; ++i)
+      EXPECT_EQ(simulation.Out(i, "w"), c.out) << c.what << " at " << i;
   }
 }
 
 TEST(MaintenanceRegistry, SurviveWhoSaidThemAndReachWhoStartsLater) {
-  World w(6, {.members = 4, .voters = 3});
-  w.StartAll();
-  w.RunUntil(5);
-  for (int i = 0; i < 100; ++i) w.Say(0, "w" + std::to_string(i), true);
-  w.RunUntil(w.now() + 0.5);
-  w.Kill(0);
-  w.Kill(1);
-  w.RunUntil(w.now() + 5);
-  w.Start(0);
-  EXPECT_TRUE(w.RunUntil([&] { return w.node(0).cluster->maintenance().synced(); }, 2));
-  for (int i = 0; i < 100; ++i) EXPECT_TRUE(w.Out(0, "w" + std::to_string(i))) << i;
+  MembershipSimulation simulation(6, {.members = 4, .voters = 3});
+  simulation.StartAll();
+  simulation.RunUntil(5);
+  for (int i = 0; i < 100; ++i) simulation.Say(0, "w" + std::to_string(i), true);
+  simulation.RunUntil(simulation.now() + 0.5);
+  simulation.Kill(0);
+  simulation.Kill(1);
+  simulation.RunUntil(simulation.now() + 5);
+  simulation.Start(0);
+  EXPECT_TRUE(
+      simulation.RunUntil([&] { return simulation.node(0).cluster->maintenance().synced(); }, 2));
+  for (int i = 0; i < 100; ++i) EXPECT_TRUE(simulation.Out(0, "w" + std::to_string(i))) << i;
 }
 
 }  // namespace
--- a/tests/membership_node_test.cpp
+++ b/tests/membership_node_test.cpp
@@ -7,7 +7,7 @@
 
 #include "balancing/agreed_share.h"
 #include "support/days.h"
-#include "support/membership_world.h"
+#include "support/membership_simulation.h"
 
 namespace millethollow::membership {
 namespace {
@@ -22,7 +22,8 @@
   std::size_t by_demand = 0;
   for (std::uint64_t seed = 1; seed <= Seeds(100); ++seed) {
     const std::size_t n = 3 + seed % 3;
-    World w(seed, {.members = n, .voters = 3, .loss = seed % 2 == 0 ? 0.1 : 0});
+    MembershipSimulation simulation(seed,
+                                    {.members = n, .voters = 3, .loss = seed % 2 == 0 ? 0.1 : 0});
     Random faults(seed * 31 + 7);
     struct Dispatcher {
       balancing::AgreedShare agreed;
@@ -32,11 +33,12 @@
       std::vector<std::uint8_t> view;
       double ran_at = 0;
     };
-    const auto agree = [&w](std::size_t i, Dispatcher* d) {
-      const bool stopped = w.now() - d->ran_at > balancing::AgreedShare::kStoppedS;
-      d->ran_at = w.now();
-      const int members = w.Leased(i) ? static_cast<int>(w.ViewOf(i).members.size()) : 0;
-      d->agreed.Set({w.Part(i), members, w.ViewOf(i).epoch, stopped});
+    const auto agree = [&simulation](std::size_t i, Dispatcher* d) {
+      const bool stopped = simulation.now() - d->ran_at > balancing::AgreedShare::kStoppedS;
+      d->ran_at = simulation.now();
+      const int members =
+          simulation.Leased(i) ? static_cast<int>(simulation.ViewOf(i).members.size()) : 0;
+      d->agreed.Set({simulation.Part(i), members, simulation.ViewOf(i).epoch, stopped});
     };
     std::vector<Dispatcher> all(n);
     for (Dispatcher& d : all) {
@@ -46,11 +48,11 @@
       d.hears_all.assign(n, false);
       d.view.assign(n, 0);
     }
-    w.StartAll();
+    simulation.StartAll();
     for (int step = 0; step < 240; ++step) {
       for (std::size_t i = 0; i < n; ++i) {
-        w.RunUntil(w.now() + kReportS / static_cast<double>(n));
-        if (!w.up(i))
+        simulation.RunUntil(simulation.now() + kReportS / static_cast<double>(n));
+        if (!simulation.up(i))
           all[i] = {{},
                     all[i].demand,
                     0,
@@ -59,12 +61,13 @@
                     std::vector<bool>(n, false),
                     std::vector<std::uint8_t>(n, 0),
                     0};
-        if (!w.Runs(i)) continue;
+        if (!simulation.Runs(i)) continue;
         Dispatcher& d = all[i];
         agree(i, &d);
         for (std::size_t to = 0; to < n; ++to) {
-          if (to == i || !w.Runs(to) || !w.Hears(i, to) || faults.Unit() < 0.05) continue;
-          all[to].heard_at[i] = w.now();
+          if (to == i || !simulation.Runs(to) || !simulation.Hears(i, to) || faults.Unit() < 0.05)
+            continue;
+          all[to].heard_at[i] = simulation.now();
           all[to].told[i] = d.demand;
           all[to].hears_all[i] = d.agreed.hears_all();
           all[to].view[i] = d.agreed.view();
@@ -73,21 +76,21 @@
         int heard = 0;
         bool others_hear = true;
         for (std::size_t p = 0; p < n; ++p) {
-          if (p == i || w.now() - d.heard_at[p] >= kStaleS) continue;
+          if (p == i || simulation.now() - d.heard_at[p] >= kStaleS) continue;
           if (d.view[p] == 0 || d.view[p] != d.agreed.view()) continue;
           heard += 1;
           others_hear = others_hear && d.hears_all[p];
           sum += d.told[p];
         }
-        const auto fleet =
-            d.agreed.TierRates(w.now(), 8 * kReportS, {d.demand}, {sum}, heard, others_hear);
+        const auto fleet = d.agreed.TierRates(simulation.now(), 8 * kReportS, {d.demand}, {sum},
+                                              heard, others_hear);
         d.share = d.demand / fleet[0];
-        by_demand += std::abs(d.share - w.Part(i)) > 0.01;
+        by_demand += std::abs(d.share - simulation.Part(i)) > 0.01;
       }
       double shares = 0;
       std::string told;
       for (std::size_t i = 0; i < n; ++i) {
-        if (!w.Runs(i)) continue;
+        if (!simulation.Runs(i)) continue;
         told += "\n" + std::to_string(i + 1) + " share " + std::to_string(all[i].share) +
                 " of demand " + std::to_string(all[i].demand) + " hears all " +
                 std::to_string(all[i].agreed.hears_all());
@@ -96,9 +99,10 @@
         all[i].share *= all[i].agreed.Factor(0);
         shares += all[i].share;
       }
-      ASSERT_LE(shares, 1 + 1e-9) << "seed " << seed << " at " << w.now() << told << w.Told();
+      ASSERT_LE(shares, 1 + 1e-9) << "seed " << seed << " at " << simulation.now() << told
+                                  << simulation.Told();
       if (step % 8 != 7) continue;
-      w.Fault(&faults, 6);
+      simulation.Fault(&faults, 6);
     }
   }
   EXPECT_GT(by_demand, 1000U) << "or nothing was shown of that";
--- a/tests/network_partition_test.cpp
+++ b/tests/network_partition_test.cpp
@@ -7,7 +7,7 @@
 
 #include "balancing/agreed_share.h"
 #include "support/days.h"
-#include "support/membership_world.h"
+#include "support/membership_simulation.h"
 #include "support/simulated_fleet.h"
 
 namespace millethollow {
@@ -69,31 +69,33 @@
     }
   }
 
-  // `w`: with the members' parts; none: one node alone, which gets what their nodes got.
-  Told Play(membership::World* w, bool parts = true) {
-    SimulatedFleet floor(w ? static_cast<int>(w->size()) : 1, Rules(), {});
+  // `simulation`: with the members' parts; none: one node alone, which gets what their nodes got.
+  Told Play(membership::MembershipSimulation* simulation, bool parts = true) {
+    SimulatedFleet floor(simulation ? static_cast<int>(simulation->size()) : 1, Rules(), {});
     for (int i = 0; i < kWorkers; ++i) floor.AddWorker({2, 100}, 0);
     floor.now = kStart;
     membership::Random faults(seed * 31 + 7);
-    if (w) {
-      floor.stopped_until = [w](std::size_t i) {
-        return w->up(i) ? kStart + w->node(i).paused_until : 1e18;
+    if (simulation) {
+      floor.stopped_until = [simulation](std::size_t i) {
+        return simulation->up(i) ? kStart + simulation->node(i).paused_until : 1e18;
       };
       floor.reaches = [&](std::size_t from, std::size_t to) {
-        return w->up(from) && w->up(to) && w->Hears(from, to) && faults.Unit() > 0.05;
+        return simulation->up(from) && simulation->up(to) && simulation->Hears(from, to) &&
+               faults.Unit() > 0.05;
       };
-      std::vector<double> ran_at(w->size(), 0);
+      std::vector<double> ran_at(simulation->size(), 0);
       if (parts)
-        floor.before = [&floor, w, ran_at](std::size_t i) mutable {
+        floor.before = [&floor, simulation, ran_at](std::size_t i) mutable {
           // As the planner does it.
-          if (!w->Runs(i)) return;
+          if (!simulation->Runs(i)) return;
           const bool stopped = floor.now - ran_at[i] > balancing::AgreedShare::kStoppedS;
           ran_at[i] = floor.now;
           floor.desks[i]->SetFleetShare(
-              {w->Part(i), w->Leased(i) ? static_cast<int>(w->ViewOf(i).members.size()) : 0,
-               w->ViewOf(i).epoch, stopped});
+              {simulation->Part(i),
+               simulation->Leased(i) ? static_cast<int>(simulation->ViewOf(i).members.size()) : 0,
+               simulation->ViewOf(i).epoch, stopped});
         };
-      w->StartAll();
+      simulation->StartAll();
     }
     floor.Start();
     std::deque<double> sends;  // of the last 20 s, to any worker
@@ -132,16 +134,16 @@
     };
     std::size_t next_arrival = 0, next_restart = 0;
     double fault_at = 4, count_from = 5;  // until all have found what there is
-    if (w)
-      w->on_start = [&](std::size_t i) {
+    if (simulation)
+      simulation->on_start = [&](std::size_t i) {
         floor.Restart(i);
-        count_from = w->now() + kFreshS;
+        count_from = simulation->now() + kFreshS;
       };
     for (double t = 0; t < kDayS; t += 0.005) {
-      if (w) w->RunUntil(t);
-      if (w && t >= fault_at) {
+      if (simulation) simulation->RunUntil(t);
+      if (simulation && t >= fault_at) {
         fault_at += 2;
-        w->Fault(&faults, 6);
+        simulation->Fault(&faults, 6);
       }
       floor.Run(kStart + t);
       if (t >= count_from) told.counted_s += 0.005;
@@ -153,10 +155,10 @@
       }
       for (; next_arrival < arrivals.size() && arrivals[next_arrival].at <= t; ++next_arrival) {
         Arrival& a = arrivals[next_arrival];
-        if (w) a.taken = w->Runs(a.node);
-        if (w) a.counts = t >= count_from;
+        if (simulation) a.taken = simulation->Runs(a.node);
+        if (simulation) a.counts = t >= count_from;
         if (!a.taken) continue;
-        const std::string id = floor.Ask(w ? a.node : 0, 0, {1, 1}, 0.1, 1, a.tenant);
+        const std::string id = floor.Ask(simulation ? a.node : 0, 0, {1, 1}, 0.1, 1, a.tenant);
         if (!a.counts) continue;
         told.let_in[a.tenant] += !floor.asked[id].refused || !floor.asked[id].sent_to.empty();
       }
@@ -175,9 +177,9 @@
 
 Sums Compare(std::uint64_t seed, bool parts) {
   PartitionDay day(seed);
-  membership::World w(seed, {.members = 3 + seed % 3, .voters = 3});
-  const PartitionDay::Told all = day.Play(&w, parts);
-  EXPECT_EQ(w.broken(), std::vector<std::string>{}) << "seed " << seed;
+  membership::MembershipSimulation simulation(seed, {.members = 3 + seed % 3, .voters = 3});
+  const PartitionDay::Told all = day.Play(&simulation, parts);
+  EXPECT_EQ(simulation.broken(), std::vector<std::string>{}) << "seed " << seed;
   const PartitionDay::Told one = day.Play(nullptr);
   Sums sums{.cold = all.worst_cold, .where = all.where};
   double in = 0, alone = 0;
--- a/tests/replicated_logs_test.cpp
+++ b/tests/replicated_logs_test.cpp
@@ -50,7 +50,7 @@
   }
   Random faults;
   CopyWorld copies;
-  World& world;
+  MembershipSimulation& world;
   bool whole = false;
 };
 
--- a/tests/support/copies_world.h
+++ b/tests/support/copies_world.h
@@ -6,12 +6,12 @@
 #include <functional>
 
 #include "copies/replicated_logs.h"
-#include "support/membership_world.h"
+#include "support/membership_simulation.h"
 
 namespace millethollow::copies {
 
+using membership::MembershipSimulation;
 using membership::Random;
-using membership::World;
 using Disk = std::map<std::string, std::string>;
 
 inline void WriteTo(Disk* disk, const std::vector<StoreWrite>& batch) {
@@ -163,7 +163,7 @@
   } ledger;
   const CopyFaults faults;
   Random random;
-  World world;
+  MembershipSimulation world;
   std::size_t answered = 0, refused = 0, adopted = 0, fillings = 0,
               given_up = 0;  // given up: disks that lied
   bool put_back = false;     // some disk was
--- a/tests/support/membership_world.h
+++ b/tests/support/membership_simulation.h
@@ -1,7 +1,7 @@
 // Members of a cluster on a virtual clock: the real decisions, a network, disks and clocks that a
 // seed breaks. After every step each promise is checked; a seed always plays the same.
-#ifndef MILLETHOLLOW_TESTS_SUPPORT_MEMBERSHIP_WORLD_H_
-#define MILLETHOLLOW_TESTS_SUPPORT_MEMBERSHIP_WORLD_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_MEMBERSHIP_SIMULATION_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_MEMBERSHIP_SIMULATION_H_
 
 #include <algorithm>
 #include <cmath>
@@ -25,7 +25,7 @@
   bool refutation_ignored = false;
 };
 
-class World {
+class MembershipSimulation {
  public:
   struct Options {
     std::size_t members = 5, voters = 3;
@@ -45,7 +45,7 @@
     View last;
   };
 
-  World(std::uint64_t seed, const Options& options) : o_(options), random_(seed) {
+  MembershipSimulation(std::uint64_t seed, const Options& options) : o_(options), random_(seed) {
     for (std::size_t i = 0; i < o_.members; ++i) {
       Node& n = nodes_.emplace_back();
       for (std::size_t m = 0; m < o_.members; ++m) {
@@ -377,4 +377,4 @@
 
 }  // namespace millethollow::membership
 
-#endif  // MILLETHOLLOW_TESTS_SUPPORT_MEMBERSHIP_WORLD_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_MEMBERSHIP_SIMULATION_H_
--- a/tests/view_agreement_test.cpp
+++ b/tests/view_agreement_test.cpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "support/days.h"
-#include "support/membership_world.h"
+#include "support/membership_simulation.h"
 
 namespace millethollow::membership {
 namespace {
@@ -20,92 +20,94 @@
 struct Day {
   explicit Day(std::uint64_t seed, Planted planted = {}, double length_s = 60)
       : faults(seed * 7919 + 1),
-        world(seed, {.members = 3 + seed % 5,
-                     .voters = 3 + seed % 5 >= 5 && seed % 2 == 0 ? 5UL : 3UL,
-                     .loss = seed % 3 == 0 ? 0.1 : 0.0,
-                     .doubled = 0.02,
-                     .planted = planted}) {
+        simulation(seed, {.members = 3 + seed % 5,
+                          .voters = 3 + seed % 5 >= 5 && seed % 2 == 0 ? 5UL : 3UL,
+                          .loss = seed % 3 == 0 ? 0.1 : 0.0,
+                          .doubled = 0.02,
+                          .planted = planted}) {
     voters = 3 + seed % 5 >= 5 && seed % 2 == 0 ? 5 : 3;
-    world.StartAll();
-    while (world.now() < length_s && world.broken().empty()) {
-      world.RunUntil(world.now() + 2.5 * faults.Unit());
+    simulation.StartAll();
+    while (simulation.now() < length_s && simulation.broken().empty()) {
+      simulation.RunUntil(simulation.now() + 2.5 * faults.Unit());
       Fault();
     }
-    if (!world.broken().empty()) return;
-    world.Heal();
-    world.SetLoss(0);
-    world.StartAll();
-    whole = world.RunUntil([this] { return world.Whole() && world.FactsAgree(); }, 60);
+    if (!simulation.broken().empty()) return;
+    simulation.Heal();
+    simulation.SetLoss(0);
+    simulation.StartAll();
+    whole =
+        simulation.RunUntil([this] { return simulation.Whole() && simulation.FactsAgree(); }, 60);
   }
-  std::size_t Any() { return faults.Below(world.size()); }
+  std::size_t Any() { return faults.Below(simulation.size()); }
   bool Remembers(std::size_t i) {  // also after a kill
-    return world.up(i) && world.node(i).cluster->agreement().voter().voting() &&
-           world.node(i).disk.storage_identity ==
-               world.node(i).cluster->agreement().voter_state().storage_identity;
+    return simulation.up(i) && simulation.node(i).cluster->agreement().voter().voting() &&
+           simulation.node(i).disk.storage_identity ==
+               simulation.node(i).cluster->agreement().voter_state().storage_identity;
   }
   // One voter at most may be without its memory: a majority that lost it can't be made good.
   void EmptyFolder(std::size_t i) {
     for (std::size_t v = 0; v < voters; ++v) {
       if (v != i && !Remembers(v)) return;
     }
-    world.Kill(i);
-    world.Wipe(i);
+    simulation.Kill(i);
+    simulation.Wipe(i);
   }
   void Fault() {
     switch (faults.Below(13)) {
       case 12:
-        return world.Say(Any(), "w" + std::to_string(faults.Below(30)), faults.Below(3) > 0);
+        return simulation.Say(Any(), "w" + std::to_string(faults.Below(30)), faults.Below(3) > 0);
       case 0:
       case 1:
-        return world.Kill(Any());
+        return simulation.Kill(Any());
       case 2:
         return EmptyFolder(Any());
       case 3:
       case 4:
-        return world.StartAll();
+        return simulation.StartAll();
       case 5:
-        return world.Pause(Any(), 8 * faults.Unit());
+        return simulation.Pause(Any(), 8 * faults.Unit());
       case 6: {
         std::vector<int> group;
-        for (std::size_t i = 0; i < world.size(); ++i)
+        for (std::size_t i = 0; i < simulation.size(); ++i)
           group.push_back(static_cast<int>(faults.Below(3)));
-        return world.Split(group);
+        return simulation.Split(group);
       }
       case 7:
-        return world.Cut(Any(), Any(), true);
+        return simulation.Cut(Any(), Any(), true);
       case 8:
-        return world.CutBoth(Any(), Any(), true);
+        return simulation.CutBoth(Any(), Any(), true);
       case 9:
-        return world.SetLoss(faults.Below(2) == 0 ? 0.2 : 0);
+        return simulation.SetLoss(faults.Below(2) == 0 ? 0.2 : 0);
       case 10:
-        world.node(Any()).write_s = faults.Below(2) == 0 ? 0.3 : 0.001;
+        simulation.node(Any()).write_s = faults.Below(2) == 0 ? 0.3 : 0.001;
         return;
       default:
-        world.Heal();
+        simulation.Heal();
     }
   }
   Random faults;
   std::size_t voters = 3;
-  World world;
+  MembershipSimulation simulation;
   bool whole = false;
 };
 
 TEST(AgreementDays, KeepEveryPromiseAndComeTogetherAgain) {
   for (std::uint64_t seed = FromEnvironment("SEED", 1); seed <= Seeds(150); ++seed) {
     Day day(seed);
-    ASSERT_TRUE(day.world.broken().empty())
-        << "seed " << seed << " " << day.world.broken()[0] << day.world.Told();
-    ASSERT_TRUE(day.whole) << "seed " << seed << " does not come together" << day.world.Told();
+    ASSERT_TRUE(day.simulation.broken().empty())
+        << "seed " << seed << " " << day.simulation.broken()[0] << day.simulation.Told();
+    ASSERT_TRUE(day.whole) << "seed " << seed << " does not come together" << day.simulation.Told();
   }
   // Days that found a fault once (docs/design/membership.md).
   for (const std::uint64_t seed : {371U, 451U, 646U, 662U, 2878U, 5164U, 8263U}) {
     const Day day(seed);
-    EXPECT_TRUE(day.whole) << "seed " << seed << " " << day.world.Told();
+    EXPECT_TRUE(day.whole) << "seed " << seed << " " << day.simulation.Told();
   }
 }
 
 std::uint64_t FoundAt(const Planted& planted, std::uint64_t most) {
-  return FirstSeed(most, [&](std::uint64_t seed) { return Day(seed, planted).world.broken(); });
+  return FirstSeed(most,
+                   [&](std::uint64_t seed) { return Day(seed, planted).simulation.broken(); });
 }
 
 TEST(AgreementDays, FindPlantedFaults) {
@@ -261,15 +263,16 @@
 
 TEST(ViewAgreement, AllStartInAnyOrderAndFoundOneView) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    World w(seed, {.members = 5, .voters = 3});
+    MembershipSimulation simulation(seed, {.members = 5, .voters = 3});
     std::vector<std::size_t> order{0, 1, 2, 3, 4};
-    for (std::size_t i = 5; i > 1; --i) std::swap(order[i - 1], order[w.random().Below(i)]);
+    for (std::size_t i = 5; i > 1; --i)
+      std::swap(order[i - 1], order[simulation.random().Below(i)]);
     for (const std::size_t i : order) {
-      w.RunUntil(w.now() + 2 * w.random().Unit());
-      w.Start(i);
+      simulation.RunUntil(simulation.now() + 2 * simulation.random().Unit());
+      simulation.Start(i);
     }
-    EXPECT_TRUE(w.RunUntil([&] { return w.Whole(); }, 10)) << "seed " << seed;
-    EXPECT_EQ(w.broken(), std::vector<std::string>{});
+    EXPECT_TRUE(simulation.RunUntil([&] { return simulation.Whole(); }, 10)) << "seed " << seed;
+    EXPECT_EQ(simulation.broken(), std::vector<std::string>{});
   }
 }
 
