--- a/bench/scale/axis_quota.cpp
+++ b/bench/scale/axis_quota.cpp
@@ -6,13 +6,13 @@
 #include "scale/axes.h"
 #include "scale/statistics.h"
 #include "support/quota_demand.h"
-#include "support/quota_world.h"
+#include "support/quota_simulation.h"
 
 namespace millethollow::scale {
 namespace {
 
-using quota::QuotaWorld;
-using quota::WorldOptions;
+using quota::QuotaSimulation;
+using quota::SimulationOptions;
 
 constexpr std::size_t kZones = 11;
 constexpr std::size_t kUsualDispatchers = 300, kUsualTenants = 130, kUsualAllocators = 5;
@@ -42,10 +42,10 @@
   return frame + packets * kIpAndUdpBytes;
 }
 
-Spent SpentOf(const QuotaWorld& world) {
+Spent SpentOf(const QuotaSimulation& world) {
   Spent spent;
   for (std::size_t i = 0; i < world.size(); ++i) {
-    const QuotaWorld::Process& process = world.process(i);
+    const QuotaSimulation::Process& process = world.process(i);
     spent.messages += static_cast<double>(process.reports.messages + process.grants.messages);
     spent.bytes += static_cast<double>(process.reports.bytes + process.grants.bytes);
     spent.holder_ns += process.holder_ns;
@@ -55,7 +55,7 @@
 }
 
 // Each tenant is asked for everywhere, at 0.2 to 2 times its quota in all.
-void AskEverywhere(QuotaWorld* world) {
+void AskEverywhere(QuotaSimulation* world) {
   const std::size_t count = world->size();
   for (std::size_t tenant = 0; tenant < world->tenants(); ++tenant) {
     const double part = 0.2 + 1.8 * world->random().Unit();
@@ -65,7 +65,7 @@
 }
 
 // A tenth of the tenants has its demand elsewhere.
-void MoveSomeDemand(QuotaWorld* world) {
+void MoveSomeDemand(QuotaSimulation* world) {
   const std::size_t moves = std::max<std::size_t>(1, world->tenants() / 10);
   for (std::size_t move = 0; move < moves; ++move) {
     const std::size_t tenant = world->random().Below(world->tenants());
@@ -94,7 +94,7 @@
 }
 
 // Half of a tenant's quota is asked for anew at one dispatcher: seconds until its rate rises.
-Samples MeasureShifts(QuotaWorld* world, int shifts) {
+Samples MeasureShifts(QuotaSimulation* world, int shifts) {
   constexpr double kMostS = 5, kStepS = 0.05;
   Samples took;
   std::size_t watched = 0, tenant = 0;
@@ -123,7 +123,7 @@
 }
 
 void MeasureQuota(const QuotaCase& of, Point* point) {
-  WorldOptions options;
+  SimulationOptions options;
   options.regions = kZones;
   options.dispatchers = of.dispatchers;
   options.allocators = of.allocators;
@@ -131,7 +131,7 @@
   options.check = false;
   options.measure = true;
   options.size_of = WireBytes;
-  QuotaWorld world(of.seed, options);
+  QuotaSimulation world(of.seed, options);
   world.StartAll();
   world.ProposeWholeView(kFirstViewS);
   AskEverywhere(&world);
--- a/tests/quota_days_test.cpp
+++ b/tests/quota_days_test.cpp
@@ -5,21 +5,21 @@
 
 #include "support/days.h"
 #include "support/quota_demand.h"
-#include "support/quota_world.h"
+#include "support/quota_simulation.h"
 
 namespace millethollow::quota {
 namespace {
 
-WorldOptions SmallDay(std::uint64_t seed) {
-  WorldOptions options;
+SimulationOptions SmallDay(std::uint64_t seed) {
+  SimulationOptions options;
   options.dispatchers = 4 + seed % 13;
   options.allocators = 2 + seed % 3;
   options.tenants = 2 + seed % 7;
   return options;
 }
 
-WorldOptions LargeDay(std::uint64_t seed) {
-  WorldOptions options;
+SimulationOptions LargeDay(std::uint64_t seed) {
+  SimulationOptions options;
   options.dispatchers = 20 + seed % 41;
   options.allocators = 5 + seed % 5;
   options.tenants = 130;
@@ -27,8 +27,8 @@
 }
 
 // More tenants at one allocator than fit into a frame.
-WorldOptions WideDay(std::uint64_t seed) {
-  WorldOptions options;
+SimulationOptions WideDay(std::uint64_t seed) {
+  SimulationOptions options;
   options.dispatchers = 3 + seed % 4;
   options.allocators = 2;
   options.tenants = 3 * kMaxEntries;
@@ -37,10 +37,10 @@
 
 class QuotaDay {
  public:
-  QuotaDay(std::uint64_t seed, const WorldOptions& options)
-      : random_(seed * 6151 + 5), world_(seed, options) {}
+  QuotaDay(std::uint64_t seed, const SimulationOptions& options)
+      : random_(seed * 6151 + 5), simulation_(seed, options) {}
 
-  QuotaWorld& world() { return world_; }
+  QuotaSimulation& simulation() { return simulation_; }
   // Empty: each tenant's quota was in use again in time.
   const std::string& unused() const { return unused_; }
   double mean_use() const {
@@ -48,21 +48,21 @@
   }
 
   void Play() {
-    world_.StartAll();
-    world_.ProposeWholeView(kFirstViewSeconds);
-    for (std::size_t tenant = 0; tenant < world_.tenants(); ++tenant) MoveDemand(tenant);
+    simulation_.StartAll();
+    simulation_.ProposeWholeView(kFirstViewSeconds);
+    for (std::size_t tenant = 0; tenant < simulation_.tenants(); ++tenant) MoveDemand(tenant);
     double fault_at = kFirstFaultSeconds;
-    while (world_.now() < kLastFaultSeconds && world_.broken().empty()) {
-      if (world_.now() >= fault_at) {
+    while (simulation_.now() < kLastFaultSeconds && simulation_.broken().empty()) {
+      if (simulation_.now() >= fault_at) {
         Fault();
-        fault_at = world_.now() + kMostFaultGapSeconds * random_.Unit();
+        fault_at = simulation_.now() + kMostFaultGapSeconds * random_.Unit();
       }
       MoveSomeDemand();
       ReconsiderView();
-      world_.RunUntil(world_.now() + kMostStepSeconds * random_.Unit());
+      simulation_.RunUntil(simulation_.now() + kMostStepSeconds * random_.Unit());
       SampleUse();
     }
-    if (world_.broken().empty()) PlayQuietTime();
+    if (simulation_.broken().empty()) PlayQuietTime();
   }
 
  private:
@@ -72,8 +72,8 @@
   static constexpr double kLongestStopSeconds = 9;
 
   void Fault() {
-    const std::size_t i = random_.Below(world_.size());
-    const std::size_t allocator = random_.Below(world_.options().allocators);
+    const std::size_t i = random_.Below(simulation_.size());
+    const std::size_t allocator = random_.Below(simulation_.options().allocators);
     switch (random_.Below(12)) {
       case 0:
         return Kill(i);
@@ -84,9 +84,9 @@
       case 3:
         return KillAndStart(allocator);
       case 4:
-        return world_.Stop(i, kLongestStopSeconds * random_.Unit());
+        return simulation_.Stop(i, kLongestStopSeconds * random_.Unit());
       case 5:
-        return world_.Stop(allocator, kLongestStopSeconds * random_.Unit());
+        return simulation_.Stop(allocator, kLongestStopSeconds * random_.Unit());
       case 6:
         return CutSome(i);
       case 7:
@@ -102,77 +102,78 @@
     }
   }
   void Kill(std::size_t i) {
-    world_.Kill(i);
+    simulation_.Kill(i);
     WantView();
   }
   void KillAndStart(std::size_t i) {
-    world_.Kill(i);
-    world_.Start(i);
+    simulation_.Kill(i);
+    simulation_.Start(i);
     WantView();
   }
   void CutSome(std::size_t i) {
     const std::size_t form = random_.Below(3);
-    for (std::size_t other = 0; other < world_.size(); ++other) {
+    for (std::size_t other = 0; other < simulation_.size(); ++other) {
       if (random_.Below(2) == 0) continue;
-      if (form != 1) world_.Cut(i, other);
-      if (form != 2) world_.Cut(other, i);
+      if (form != 1) simulation_.Cut(i, other);
+      if (form != 2) simulation_.Cut(other, i);
     }
   }
   void CutRegion() {
-    const std::size_t region = random_.Below(world_.options().regions);
-    const auto inside = [&](std::size_t i) { return world_.process(i).region == region; };
-    const auto outside = [&](std::size_t i) { return world_.process(i).region != region; };
+    const std::size_t region = random_.Below(simulation_.options().regions);
+    const auto inside = [&](std::size_t i) { return simulation_.process(i).region == region; };
+    const auto outside = [&](std::size_t i) { return simulation_.process(i).region != region; };
     const std::size_t form = random_.Below(3);
-    if (form != 1) world_.CutWhere(inside, outside);
-    if (form != 2) world_.CutWhere(outside, inside);
+    if (form != 1) simulation_.CutWhere(inside, outside);
+    if (form != 2) simulation_.CutWhere(outside, inside);
     if (random_.Below(2) == 0) WantView();
   }
   void ChangeNetwork() {
     const double some = random_.Below(2) == 0 ? 0.02 : 0.3;
-    world_.SetNetwork({.lost = some * random_.Unit(),
-                       .doubled = some * random_.Unit(),
-                       .held = some * random_.Unit()});
+    simulation_.SetNetwork({.lost = some * random_.Unit(),
+                            .doubled = some * random_.Unit(),
+                            .held = some * random_.Unit()});
   }
   void ChangeQuotas() {
-    std::vector<double> quotas = world_.quotas();
+    std::vector<double> quotas = simulation_.quotas();
     for (double& quota : quotas) {
       if (random_.Below(2) == 0) quota = std::max(1.0, quota * (0.2 + 2 * random_.Unit()));
     }
-    world_.SetQuotas(std::move(quotas), kSlowestSettingsSeconds);
+    simulation_.SetQuotas(std::move(quotas), kSlowestSettingsSeconds);
   }
   void Mend() {
-    world_.Heal();
-    world_.SetNetwork({});
-    for (std::size_t i = 0; i < world_.size(); ++i) {
-      if (!world_.up(i)) world_.Start(i);
+    simulation_.Heal();
+    simulation_.SetNetwork({});
+    for (std::size_t i = 0; i < simulation_.size(); ++i) {
+      if (!simulation_.up(i)) simulation_.Start(i);
     }
     WantView();
   }
 
   // Membership takes a while to agree on a view; and it may leave some out that are there.
   void WantView() {
-    if (view_at_ < world_.now()) view_at_ = world_.now() + kMostViewWaitSeconds * random_.Unit();
+    if (view_at_ < simulation_.now())
+      view_at_ = simulation_.now() + kMostViewWaitSeconds * random_.Unit();
   }
   void ReconsiderView() {
-    if (view_at_ < 0 || world_.now() < view_at_) return;
+    if (view_at_ < 0 || simulation_.now() < view_at_) return;
     view_at_ = -1;
     const auto member = [this](std::size_t) { return random_.Below(12) > 0; };
     const auto allocates = [this](std::size_t) { return random_.Below(5) > 0; };
-    world_.ProposeView(member, allocates, kSlowestNewsSeconds * random_.Unit());
+    simulation_.ProposeView(member, allocates, kSlowestNewsSeconds * random_.Unit());
   }
 
   void MoveDemand(std::size_t tenant) {
-    SetDemandOf(
-        &world_, tenant,
-        PickDemand(&random_, world_.size(), world_.options().regions, world_.quota(tenant)));
+    SetDemandOf(&simulation_, tenant,
+                PickDemand(&random_, simulation_.size(), simulation_.options().regions,
+                           simulation_.quota(tenant)));
   }
   void MoveSomeDemand() {
-    const std::size_t moves = 1 + world_.tenants() / 10;
-    for (std::size_t n = 0; n < moves; ++n) MoveDemand(random_.Below(world_.tenants()));
+    const std::size_t moves = 1 + simulation_.tenants() / 10;
+    for (std::size_t n = 0; n < moves; ++n) MoveDemand(random_.Below(simulation_.tenants()));
   }
   void SampleUse() {
-    const std::size_t tenant = random_.Below(world_.tenants());
-    const Use use = UseOf(world_, tenant);
+    const std::size_t tenant = random_.Below(simulation_.tenants());
+    const Use use = UseOf(simulation_, tenant);
     if (use.possible <= 0) return;
     use_ += use.admitted / use.possible;
     use_samples_ += 1;
@@ -180,39 +181,41 @@
 
   void PlayQuietTime() {
     Mend();
-    for (std::size_t i = 0; i < world_.size(); ++i) world_.Continue(i);
+    for (std::size_t i = 0; i < simulation_.size(); ++i) simulation_.Continue(i);
     // What changed last, and whoever was stopped, is known everywhere.
-    world_.RunUntil(world_.now() + kSlowestSettingsSeconds);
-    world_.ProposeWholeView(kFirstViewSeconds);
-    world_.RunUntil(world_.now() + kFirstViewSeconds);
-    world_.RunUntil(world_.now() + FullUseAgainSeconds(world_.options().timings));
-    for (int sample = 0; sample < 10 && unused_.empty() && world_.broken().empty(); ++sample) {
-      unused_ = FirstUnused(world_);
-      world_.RunUntil(world_.now() + 0.3);
+    simulation_.RunUntil(simulation_.now() + kSlowestSettingsSeconds);
+    simulation_.ProposeWholeView(kFirstViewSeconds);
+    simulation_.RunUntil(simulation_.now() + kFirstViewSeconds);
+    simulation_.RunUntil(simulation_.now() + FullUseAgainSeconds(simulation_.options().timings));
+    for (int sample = 0; sample < 10 && unused_.empty() && simulation_.broken().empty(); ++sample) {
+      unused_ = FirstUnused(simulation_);
+      simulation_.RunUntil(simulation_.now() + 0.3);
     }
   }
   static constexpr double kSlowestSettingsSeconds = 3;
 
   Random random_;
-  QuotaWorld world_;
+  QuotaSimulation simulation_;
   double view_at_ = -1;
   double use_ = 0;
   std::size_t use_samples_ = 0;
   std::string unused_;
 };
 
-void PlayDays(std::uint64_t from, std::uint64_t to, WorldOptions (*options_of)(std::uint64_t)) {
+void PlayDays(std::uint64_t from, std::uint64_t to,
+              SimulationOptions (*options_of)(std::uint64_t)) {
   double use = 0;
   std::uint64_t days = 0, sums = 0, refused = 0;
   for (std::uint64_t seed = from; seed <= to; ++seed) {
     QuotaDay day(seed, options_of(seed));
     day.Play();
-    ASSERT_TRUE(day.world().broken().empty()) << "seed " << seed << " " << day.world().broken()[0];
+    ASSERT_TRUE(day.simulation().broken().empty())
+        << "seed " << seed << " " << day.simulation().broken()[0];
     ASSERT_EQ(day.unused(), "") << "seed " << seed;
     days += 1;
     use += day.mean_use();
-    sums += day.world().checker().sums_checked();
-    refused += RefusedEverywhere(day.world());
+    sums += day.simulation().checker().sums_checked();
+    refused += RefusedEverywhere(day.simulation());
   }
   std::printf("%lu days, mean use amid faults %.3f, %lu sums checked in full, %lu refused\n", days,
               use / static_cast<double>(days), sums, refused);
@@ -239,11 +242,11 @@
 }
 
 std::vector<std::string> BrokenWith(std::uint64_t seed, const PlantedFaults& planted) {
-  WorldOptions options = SmallDay(seed);
+  SimulationOptions options = SmallDay(seed);
   options.planted = planted;
   QuotaDay day(seed, options);
   day.Play();
-  return day.world().broken();
+  return day.simulation().broken();
 }
 
 // A day with the fault, and sound without it, is found by its sums within this many seeds.
--- a/tests/quota_scenarios_test.cpp
+++ b/tests/quota_scenarios_test.cpp
@@ -1,9 +1,9 @@
 // Courses of events in which quota leases once went wrong, or nearly: each is played with several
-// clocks and delays, and the world's checker looks at the sum after each event.
+// clocks and delays, and the simulation's checker looks at the sum after each event.
 #include <gtest/gtest.h>
 
 #include "support/quota_demand.h"
-#include "support/quota_world.h"
+#include "support/quota_simulation.h"
 
 namespace millethollow::quota {
 namespace {
@@ -12,30 +12,30 @@
 constexpr double kWarmUpSeconds = 12;
 constexpr double kMuchDemand = 2;  // of each quota, at each dispatcher
 
-WorldOptions Few() {
-  WorldOptions options;
+SimulationOptions Few() {
+  SimulationOptions options;
   options.dispatchers = 6;
   options.allocators = 3;
   options.tenants = 12;
   return options;
 }
 
-void Begin(QuotaWorld* world) {
-  world->StartAll();
-  world->ProposeWholeView(0.5);
-  world->RunUntil(kWarmUpSeconds);
+void Begin(QuotaSimulation* simulation) {
+  simulation->StartAll();
+  simulation->ProposeWholeView(0.5);
+  simulation->RunUntil(kWarmUpSeconds);
 }
 
-void DemandAt(QuotaWorld* world, std::size_t i, double part) {
-  for (std::size_t tenant = 0; tenant < world->tenants(); ++tenant) {
-    world->SetDemand(i, tenant, part * world->quota(tenant));
+void DemandAt(QuotaSimulation* simulation, std::size_t i, double part) {
+  for (std::size_t tenant = 0; tenant < simulation->tenants(); ++tenant) {
+    simulation->SetDemand(i, tenant, part * simulation->quota(tenant));
   }
 }
 
-double LeasedAt(const QuotaWorld& world, std::size_t i) {
+double LeasedAt(const QuotaSimulation& simulation, std::size_t i) {
   double sum = 0;
-  for (std::size_t tenant = 0; tenant < world.tenants(); ++tenant) {
-    sum += world.RateOf(i, tenant) - world.checker().Floor(i, tenant);
+  for (std::size_t tenant = 0; tenant < simulation.tenants(); ++tenant) {
+    sum += simulation.RateOf(i, tenant) - simulation.checker().Floor(i, tenant);
   }
   return sum;
 }
@@ -48,18 +48,18 @@
 // more.
 TEST(QuotaScenario, ALeaseOfAnEarlierAllocatorIsNotProlongedWhileThatOneMayGrant) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    QuotaWorld world(seed, Few());
-    const std::size_t last = world.size() - 1;
-    Begin(&world);
-    for (std::size_t i = 0; i < world.size(); ++i) DemandAt(&world, i, kMuchDemand);
-    world.RunUntil(world.now() + kWarmUpSeconds);
-    ASSERT_GT(LeasedAt(world, last), 0);
-    const double superseded_grant_s = world.options().timings.superseded_grant_s;
-    world.ProposeViewKnownAfter(
+    QuotaSimulation simulation(seed, Few());
+    const std::size_t last = simulation.size() - 1;
+    Begin(&simulation);
+    for (std::size_t i = 0; i < simulation.size(); ++i) DemandAt(&simulation, i, kMuchDemand);
+    simulation.RunUntil(simulation.now() + kWarmUpSeconds);
+    ASSERT_GT(LeasedAt(simulation, last), 0);
+    const double superseded_grant_s = simulation.options().timings.superseded_grant_s;
+    simulation.ProposeViewKnownAfter(
         [](std::size_t) { return true; }, [](std::size_t i) { return i > 0; },
         [&](std::size_t i) { return i == last || i == 1 || i == 2 ? 0 : superseded_grant_s; });
-    world.RunUntil(world.now() + 2 * superseded_grant_s);
-    EXPECT_EQ(world.broken(), std::vector<std::string>{}) << Told(seed);
+    simulation.RunUntil(simulation.now() + 2 * superseded_grant_s);
+    EXPECT_EQ(simulation.broken(), std::vector<std::string>{}) << Told(seed);
   }
 }
 
@@ -68,20 +68,20 @@
 TEST(QuotaScenario, AnOfferAboveALoweredQuotaIsNotMadeAgain) {
   constexpr double kLossSeconds = 2, kLoweredForSeconds = 11, kLowered = 0.3;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    QuotaWorld world(seed, Few());
-    const std::size_t last = world.size() - 1;
-    Begin(&world);
-    world.CutWhere([](std::size_t) { return true; }, [&](std::size_t i) { return i == last; });
-    DemandAt(&world, last, kMuchDemand);
-    world.RunUntil(world.now() + kLossSeconds);
-    std::vector<double> lowered = world.quotas();
+    QuotaSimulation simulation(seed, Few());
+    const std::size_t last = simulation.size() - 1;
+    Begin(&simulation);
+    simulation.CutWhere([](std::size_t) { return true; }, [&](std::size_t i) { return i == last; });
+    DemandAt(&simulation, last, kMuchDemand);
+    simulation.RunUntil(simulation.now() + kLossSeconds);
+    std::vector<double> lowered = simulation.quotas();
     for (double& quota : lowered) quota *= kLowered;
-    world.SetQuotas(lowered, 0);
-    world.RunUntil(world.now() + kLoweredForSeconds);
-    world.Heal();
-    world.RunUntil(world.now() + kWarmUpSeconds);
-    EXPECT_EQ(world.broken(), std::vector<std::string>{}) << Told(seed);
-    EXPECT_EQ(FirstUnused(world), "") << Told(seed);
+    simulation.SetQuotas(lowered, 0);
+    simulation.RunUntil(simulation.now() + kLoweredForSeconds);
+    simulation.Heal();
+    simulation.RunUntil(simulation.now() + kWarmUpSeconds);
+    EXPECT_EQ(simulation.broken(), std::vector<std::string>{}) << Told(seed);
+    EXPECT_EQ(FirstUnused(simulation), "") << Told(seed);
   }
 }
 
@@ -89,17 +89,17 @@
 // must not be kept from others for longer than its leases could last.
 TEST(QuotaScenario, AnOfferThatNobodyWantsAnyMoreIsFreeAgain) {
   constexpr double kLossSeconds = 2, kLongSeconds = 30;
-  QuotaWorld world(1, Few());
-  const std::size_t last = world.size() - 1;
-  Begin(&world);
-  world.CutWhere([](std::size_t) { return true; }, [&](std::size_t i) { return i == last; });
-  DemandAt(&world, last, kMuchDemand);
-  world.RunUntil(world.now() + kLossSeconds);
-  DemandAt(&world, last, 0);
-  DemandAt(&world, 0, kMuchDemand);
-  world.RunUntil(world.now() + kLongSeconds);
-  EXPECT_EQ(FirstUnused(world), "");
-  EXPECT_EQ(world.broken(), std::vector<std::string>{});
+  QuotaSimulation simulation(1, Few());
+  const std::size_t last = simulation.size() - 1;
+  Begin(&simulation);
+  simulation.CutWhere([](std::size_t) { return true; }, [&](std::size_t i) { return i == last; });
+  DemandAt(&simulation, last, kMuchDemand);
+  simulation.RunUntil(simulation.now() + kLossSeconds);
+  DemandAt(&simulation, last, 0);
+  DemandAt(&simulation, 0, kMuchDemand);
+  simulation.RunUntil(simulation.now() + kLongSeconds);
+  EXPECT_EQ(FirstUnused(simulation), "");
+  EXPECT_EQ(simulation.broken(), std::vector<std::string>{});
 }
 
 // A dispatcher has applied what it was offered, and nobody hears that any more. The quota is
@@ -108,70 +108,70 @@
 TEST(QuotaScenario, AnOfferInPlaceOfALargerOneLeavesTheLargerReserved) {
   constexpr double kLookSeconds = 0.005, kLowered = 0.5, kLoweredForSeconds = 0.15;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    QuotaWorld world(seed, Few());
-    const std::size_t last = world.size() - 1;
+    QuotaSimulation simulation(seed, Few());
+    const std::size_t last = simulation.size() - 1;
     const auto is_last = [&](std::size_t i) { return i == last; };
     const auto anyone = [](std::size_t) { return true; };
-    Begin(&world);
-    DemandAt(&world, 0, kMuchDemand);
-    DemandAt(&world, last, kMuchDemand);
-    const double until = world.now() + kWarmUpSeconds;
-    while (LeasedAt(world, last) <= 0 && world.now() < until) {
-      world.RunUntil(world.now() + kLookSeconds);
+    Begin(&simulation);
+    DemandAt(&simulation, 0, kMuchDemand);
+    DemandAt(&simulation, last, kMuchDemand);
+    const double until = simulation.now() + kWarmUpSeconds;
+    while (LeasedAt(simulation, last) <= 0 && simulation.now() < until) {
+      simulation.RunUntil(simulation.now() + kLookSeconds);
     }
-    ASSERT_GT(LeasedAt(world, last), 0) << Told(seed);
-    world.CutWhere(is_last, anyone);
-    world.CutWhere(anyone, is_last);
-    const std::vector<double> quotas = world.quotas();
+    ASSERT_GT(LeasedAt(simulation, last), 0) << Told(seed);
+    simulation.CutWhere(is_last, anyone);
+    simulation.CutWhere(anyone, is_last);
+    const std::vector<double> quotas = simulation.quotas();
     std::vector<double> lowered = quotas;
     for (double& quota : lowered) quota *= kLowered;
-    world.SetQuotas(lowered, 0);
-    world.RunUntil(world.now() + kLoweredForSeconds);
-    world.SetQuotas(quotas, 0);
-    world.RunUntil(world.now() + world.options().timings.lease_duration_s / 2);
-    EXPECT_GT(LeasedAt(world, last), 0) << "or nothing had to be kept for it, " << Told(seed);
-    world.RunUntil(world.now() + kWarmUpSeconds);
-    EXPECT_EQ(world.broken(), std::vector<std::string>{}) << Told(seed);
+    simulation.SetQuotas(lowered, 0);
+    simulation.RunUntil(simulation.now() + kLoweredForSeconds);
+    simulation.SetQuotas(quotas, 0);
+    simulation.RunUntil(simulation.now() + simulation.options().timings.lease_duration_s / 2);
+    EXPECT_GT(LeasedAt(simulation, last), 0) << "or nothing had to be kept for it, " << Told(seed);
+    simulation.RunUntil(simulation.now() + kWarmUpSeconds);
+    EXPECT_EQ(simulation.broken(), std::vector<std::string>{}) << Told(seed);
   }
 }
 
 // A dispatcher starts again while grants to its former life are held in the network for seconds.
 TEST(QuotaScenario, GrantsToAFormerLifeGiveTheNextOneNothing) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    QuotaWorld world(seed, Few());
-    const std::size_t last = world.size() - 1;
-    Begin(&world);
-    world.SetNetwork({.lost = 0, .doubled = 0.5, .held = 0.3});
-    for (std::size_t i = 0; i < world.size(); ++i) DemandAt(&world, i, kMuchDemand);
+    QuotaSimulation simulation(seed, Few());
+    const std::size_t last = simulation.size() - 1;
+    Begin(&simulation);
+    simulation.SetNetwork({.lost = 0, .doubled = 0.5, .held = 0.3});
+    for (std::size_t i = 0; i < simulation.size(); ++i) DemandAt(&simulation, i, kMuchDemand);
     for (int start = 0; start < 10; ++start) {
-      world.RunUntil(world.now() + 1.5 * world.random().Unit());
-      world.Kill(last);
-      world.Start(last);
-      DemandAt(&world, last, kMuchDemand);
-      world.ProposeWholeView(0.1);
+      simulation.RunUntil(simulation.now() + 1.5 * simulation.random().Unit());
+      simulation.Kill(last);
+      simulation.Start(last);
+      DemandAt(&simulation, last, kMuchDemand);
+      simulation.ProposeWholeView(0.1);
     }
-    world.RunUntil(world.now() + kWarmUpSeconds);
-    EXPECT_EQ(world.broken(), std::vector<std::string>{}) << Told(seed);
+    simulation.RunUntil(simulation.now() + kWarmUpSeconds);
+    EXPECT_EQ(simulation.broken(), std::vector<std::string>{}) << Told(seed);
   }
 }
 
 // A dispatcher that is stopped for longer than its leases wakes with none.
 TEST(QuotaScenario, OneThatWakesHoldsNothingThatWasGivenToOthers) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    QuotaWorld world(seed, Few());
-    const std::size_t last = world.size() - 1;
-    Begin(&world);
-    for (std::size_t i = 0; i < world.size(); ++i) DemandAt(&world, i, kMuchDemand);
-    world.RunUntil(world.now() + kWarmUpSeconds);
-    world.Stop(last, 3.3 * world.options().timings.lease_duration_s);
-    world.RunUntil(world.now() + 1.5 * world.options().timings.lease_duration_s);
-    EXPECT_EQ(LeasedAt(world, last), 0) << Told(seed);
-    for (std::size_t tenant = 0; tenant < world.tenants(); ++tenant) {
-      EXPECT_GE(world.RateOf(0, tenant), 0.15 * world.quota(tenant)) << Told(seed);
+    QuotaSimulation simulation(seed, Few());
+    const std::size_t last = simulation.size() - 1;
+    Begin(&simulation);
+    for (std::size_t i = 0; i < simulation.size(); ++i) DemandAt(&simulation, i, kMuchDemand);
+    simulation.RunUntil(simulation.now() + kWarmUpSeconds);
+    simulation.Stop(last, 3.3 * simulation.options().timings.lease_duration_s);
+    simulation.RunUntil(simulation.now() + 1.5 * simulation.options().timings.lease_duration_s);
+    EXPECT_EQ(LeasedAt(simulation, last), 0) << Told(seed);
+    for (std::size_t tenant = 0; tenant < simulation.tenants(); ++tenant) {
+      EXPECT_GE(simulation.RateOf(0, tenant), 0.15 * simulation.quota(tenant)) << Told(seed);
     }
-    world.RunUntil(world.now() + kWarmUpSeconds);
-    EXPECT_EQ(world.broken(), std::vector<std::string>{}) << Told(seed);
-    EXPECT_EQ(FirstUnused(world), "") << Told(seed);
+    simulation.RunUntil(simulation.now() + kWarmUpSeconds);
+    EXPECT_EQ(simulation.broken(), std::vector<std::string>{}) << Told(seed);
+    EXPECT_EQ(FirstUnused(simulation), "") << Told(seed);
   }
 }
 
--- a/tests/support/quota_demand.h
+++ b/tests/support/quota_demand.h
@@ -1,4 +1,4 @@
-// Demand in the world of quota leases: forms of it, and how much of a quota is in use.
+// Demand in the simulation of quota leases: forms of it, and how much of a quota is in use.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_QUOTA_DEMAND_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_QUOTA_DEMAND_H_
 
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "support/quota_world.h"
+#include "support/quota_simulation.h"
 
 namespace millethollow::quota {
 
@@ -43,9 +43,10 @@
   return weights;
 }
 
-inline void SetDemandOf(QuotaWorld* world, std::size_t tenant, const std::vector<double>& demand) {
+inline void SetDemandOf(QuotaSimulation* simulation, std::size_t tenant,
+                        const std::vector<double>& demand) {
   for (std::size_t i = 0; i < demand.size(); ++i) {
-    if (demand[i] != world->demand(i, tenant)) world->SetDemand(i, tenant, demand[i]);
+    if (demand[i] != simulation->demand(i, tenant)) simulation->SetDemand(i, tenant, demand[i]);
   }
 }
 
@@ -59,28 +60,28 @@
   }
 };
 
-inline Use UseOf(const QuotaWorld& world, std::size_t tenant) {
-  const double floors = world.options().timings.floor_fraction * world.quota(tenant);
-  const double floor = floors / static_cast<double>(world.size());
+inline Use UseOf(const QuotaSimulation& simulation, std::size_t tenant) {
+  const double floors = simulation.options().timings.floor_fraction * simulation.quota(tenant);
+  const double floor = floors / static_cast<double>(simulation.size());
   Use use;
   double demand = 0, usable_floors = 0;
-  for (std::size_t i = 0; i < world.size(); ++i) {
-    const double wanted = world.demand(i, tenant);
+  for (std::size_t i = 0; i < simulation.size(); ++i) {
+    const double wanted = simulation.demand(i, tenant);
     demand += wanted;
     usable_floors += std::min(wanted, floor);
-    use.admitted += std::min(wanted, world.RateOf(i, tenant));
+    use.admitted += std::min(wanted, simulation.RateOf(i, tenant));
   }
-  use.possible = std::min(demand, world.quota(tenant) - floors + usable_floors);
+  use.possible = std::min(demand, simulation.quota(tenant) - floors + usable_floors);
   return use;
 }
 
 // The first tenant of whose quota too little is in use; empty: there is none.
-inline std::string FirstUnused(const QuotaWorld& world) {
-  for (std::size_t tenant = 0; tenant < world.tenants(); ++tenant) {
-    const Use use = UseOf(world, tenant);
+inline std::string FirstUnused(const QuotaSimulation& simulation) {
+  for (std::size_t tenant = 0; tenant < simulation.tenants(); ++tenant) {
+    const Use use = UseOf(simulation, tenant);
     if (use.Full()) continue;
-    return "at " + std::to_string(world.now()) + " s tenant " + std::to_string(tenant) + " has " +
-           std::to_string(use.admitted) + " of " + std::to_string(use.possible);
+    return "at " + std::to_string(simulation.now()) + " s tenant " + std::to_string(tenant) +
+           " has " + std::to_string(use.admitted) + " of " + std::to_string(use.possible);
   }
   return "";
 }
@@ -95,10 +96,10 @@
 }
 
 // Messages that were refused by the processes that are there.
-inline std::uint64_t RefusedEverywhere(const QuotaWorld& world) {
+inline std::uint64_t RefusedEverywhere(const QuotaSimulation& simulation) {
   std::uint64_t refused = 0;
-  for (std::size_t i = 0; i < world.size(); ++i) {
-    const QuotaWorld::Process& process = world.process(i);
+  for (std::size_t i = 0; i < simulation.size(); ++i) {
+    const QuotaSimulation::Process& process = simulation.process(i);
     if (process.holder) {
       for (const std::uint64_t count : process.holder->counters().rejected) refused += count;
     }
--- a/tests/support/quota_world.h
+++ b/tests/support/quota_simulation.h
@@ -1,8 +1,8 @@
 // Dispatchers and allocators of quota leases on a virtual clock: the real decisions, a network,
 // processes, clocks, views and settings that a seed breaks. After each event the sum of all rates
 // is checked. A seed always plays the same.
-#ifndef MILLETHOLLOW_TESTS_SUPPORT_QUOTA_WORLD_H_
-#define MILLETHOLLOW_TESTS_SUPPORT_QUOTA_WORLD_H_
+#ifndef MILLETHOLLOW_TESTS_SUPPORT_QUOTA_SIMULATION_H_
+#define MILLETHOLLOW_TESTS_SUPPORT_QUOTA_SIMULATION_H_
 
 #include <chrono>
 #include <cmath>
@@ -29,7 +29,7 @@
   double held = 0;  // arrive seconds late
 };
 
-struct WorldOptions {
+struct SimulationOptions {
   std::size_t regions = 5;
   std::size_t dispatchers = 12;
   std::size_t allocators = 3;  // the first of the dispatchers, spread over the regions
@@ -49,7 +49,7 @@
   std::uint64_t messages = 0, bytes = 0;
 };
 
-class QuotaWorld {
+class QuotaSimulation {
  public:
   struct Process {
     NodeId id = 0;
@@ -68,7 +68,7 @@
     double holder_ns = 0, allocator_ns = 0;
   };
 
-  QuotaWorld(std::uint64_t seed, const WorldOptions& options)
+  QuotaSimulation(std::uint64_t seed, const SimulationOptions& options)
       : options_(options),
         random_(seed),
         processes_(options.dispatchers),
@@ -79,14 +79,14 @@
     for (std::size_t i = 0; i < size(); ++i) Prepare(i);
     views_.push_back({{}, std::vector<ProcessIncarnation>(size(), 0), 0});
   }
-  QuotaWorld(const QuotaWorld&) = delete;
-  QuotaWorld& operator=(const QuotaWorld&) = delete;
+  QuotaSimulation(const QuotaSimulation&) = delete;
+  QuotaSimulation& operator=(const QuotaSimulation&) = delete;
 
   std::size_t size() const { return processes_.size(); }
   std::size_t tenants() const { return options_.tenants; }
   double now() const { return now_; }
   Random& random() { return random_; }
-  const WorldOptions& options() const { return options_; }
+  const SimulationOptions& options() const { return options_; }
   const Process& process(std::size_t i) const { return processes_[i]; }
   const std::vector<std::string>& broken() const { return checker_.broken(); }
   const QuotaChecker& checker() const { return checker_; }
@@ -435,7 +435,7 @@
     *ns += spent.count();
   }
 
-  WorldOptions options_;
+  SimulationOptions options_;
   Random random_;
   double now_ = 0;
   std::vector<Process> processes_;
@@ -451,4 +451,4 @@
 
 }  // namespace millethollow::quota
 
-#endif  // MILLETHOLLOW_TESTS_SUPPORT_QUOTA_WORLD_H_
+#endif  // MILLETHOLLOW_TESTS_SUPPORT_QUOTA_SIMULATION_H_
