--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -9,20 +9,24 @@
 namespace {
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
-constexpr double kPauseS = 0.2;               // a tick so late means that the process was paused
-constexpr std::size_t kMaxRelayedPings = 64;  // pings on behalf of others at once
+// A tick that is this late means that the process was paused.
+constexpr double kPauseThresholdS = 0.2;
+constexpr std::size_t kMaxRelayedPings = 64;  // at once, on behalf of other members
 constexpr std::size_t kMaxPendingProbes = 64;
-constexpr std::size_t kTableUpdates = 8;   // of the whole table, in one message
-constexpr std::size_t kMaxConfirming = 4;  // members that suspect one, as far as it counts
+constexpr std::size_t kMaxTableUpdates = 8;  // in one message, for anti-entropy
+// Members that suspect one, including the first; more don't shorten the suspicion.
+constexpr std::size_t kMaxConfirmations = 4;
 constexpr std::uint32_t kMaxIncarnation = 0xffff0000;
-constexpr std::size_t kLeaveFanouts = 4;  // times the fanout hear at once of one that leaves
-constexpr int kTransmissionFactor =
-    3;  // an update is sent so many times the logarithm of the members
+// A member that leaves gossips at once to this many times the fanout.
+constexpr std::size_t kLeaveFanoutFactor = 4;
+// An update is sent this many times the logarithm of the number of members.
+constexpr int kTransmissionFactor = 3;
 
-// A suspicion counts as alive here: it passes, and is gossiped often enough.
-std::uint64_t DigestOf(const FailureDetector::Member& m) {
-  const Health health = m.health == Health::kSuspect ? Health::kAlive : m.health;
-  return Mix(Mix(m.id) + (std::uint64_t{m.incarnation} << 2) + static_cast<std::uint64_t>(health));
+// A suspected member counts as alive: suspicions end soon and are gossiped anyway.
+std::uint64_t DigestOf(const FailureDetector::Member& member) {
+  const Health health = member.health == Health::kSuspect ? Health::kAlive : member.health;
+  return Mix(Mix(member.id) + (std::uint64_t{member.incarnation} << 2) +
+             static_cast<std::uint64_t>(health));
 }
 
 }  // namespace
@@ -38,7 +42,7 @@
     if (id != self) probe_order_.push_back(members_.size() - 1);
   }
   next_in_probe_order_ = probe_order_.size();
-  // Members that were started together must not probe in step.
+  // A random phase, so that members that were started together don't send all at once.
   probe_at_ = now + timings_.probe_interval_s * random_.Unit();
   gossip_at_ = now + timings_.gossip_interval_s * random_.Unit();
   probe_failed_at_ = now + timings_.failed_probe_interval_s * random_.Unit();
@@ -62,8 +66,8 @@
 double FailureDetector::NextAt() const {
   double at = leaving_ ? kNever : std::min(probe_at_, probe_failed_at_);
   if (!gossip_queue_.empty()) at = std::min(at, gossip_at_);
-  for (const PendingProbe& a : pending_probes_) at = std::min(at, a.next_at);
-  for (const RelayedPing& r : relayed_pings_) at = std::min(at, r.nack_at);
+  for (const PendingProbe& probe : pending_probes_) at = std::min(at, probe.next_at);
+  for (const RelayedPing& ping : relayed_pings_) at = std::min(at, ping.nack_at);
   for (std::size_t i = 0; suspect_count_ > 0 && i < members_.size(); ++i) {
     if (members_[i].health == Health::kSuspect) at = std::min(at, SuspicionEndsAt(members_[i]));
   }
@@ -71,74 +75,75 @@
 }
 
 void FailureDetector::CompensatePause(double now) {
-  const double lost = now - next_tick_at_;
-  if (lost < kPauseS || next_tick_at_ == kNever) return;
+  const double paused_s = now - next_tick_at_;
+  if (paused_s < kPauseThresholdS || next_tick_at_ == kNever) return;
   counters_.pauses_detected += 1;
   AdjustLocalHealth(1);
-  for (PendingProbe& a : pending_probes_) a.next_at += lost;
-  for (RelayedPing& r : relayed_pings_) r.nack_at += lost;
-  for (Member& m : members_) m.suspect_since += lost;
+  for (PendingProbe& probe : pending_probes_) probe.next_at += paused_s;
+  for (RelayedPing& ping : relayed_pings_) ping.nack_at += paused_s;
+  for (Member& member : members_) member.suspect_since += paused_s;
   probe_at_ = std::max(probe_at_, now);
   gossip_at_ = std::max(gossip_at_, now);
 }
 
-void FailureDetector::AdjustLocalHealth(int by) {
+void FailureDetector::AdjustLocalHealth(int change) {
   constexpr int kMaxMultiplier = 8;
-  local_health_multiplier_ = std::clamp(local_health_multiplier_ + by, 0, kMaxMultiplier);
+  local_health_multiplier_ = std::clamp(local_health_multiplier_ + change, 0, kMaxMultiplier);
 }
 
-void FailureDetector::QueueUpdate(Member* m) {
-  if (m->transmissions_left == 0) {
-    gossip_queue_.push_back(static_cast<std::size_t>(m - members_.data()));
+void FailureDetector::QueueUpdate(Member* member) {
+  if (member->transmissions_left == 0) {
+    gossip_queue_.push_back(static_cast<std::size_t>(member - members_.data()));
   }
-  m->transmissions_left = MaxTransmissions();
+  member->transmissions_left = MaxTransmissions();
 }
 
-void FailureDetector::SetHealth(Member* m, std::uint32_t incarnation, Health health,
+void FailureDetector::SetHealth(Member* member, std::uint32_t incarnation, Health health,
                                 Actions* actions) {
-  digest_ ^= DigestOf(*m);
-  if (m->health == Health::kSuspect) suspect_count_ -= 1;
+  digest_ ^= DigestOf(*member);
+  if (member->health == Health::kSuspect) suspect_count_ -= 1;
   if (health == Health::kSuspect) suspect_count_ += 1;
-  m->incarnation = incarnation;
-  m->health = health;
-  digest_ ^= DigestOf(*m);
-  QueueUpdate(m);
+  member->incarnation = incarnation;
+  member->health = health;
+  digest_ ^= DigestOf(*member);
+  QueueUpdate(member);
   if (health != Health::kSuspect) {
-    m->suspected_by = 0;
-    m->confirmed_by.clear();
+    member->suspected_by = 0;
+    member->confirmed_by.clear();
   }
-  actions->changes.push_back({m->id, health, incarnation});
+  actions->changes.push_back({member->id, health, incarnation});
 }
 
-double FailureDetector::SuspicionEndsAt(const Member& m) const {
-  // Lifeguard: the more members confirm it, the sooner; none, the longest. With fewer
-  // than three members there is nobody to confirm it.
+double FailureDetector::SuspicionEndsAt(const Member& member) const {
+  // Lifeguard's dynamic suspicion timeout: it shrinks from the maximum to the minimum with the
+  // logarithm of the confirmations. With fewer than three members nobody can confirm a suspicion.
   const double max_confirmations = std::min<double>(3, static_cast<double>(members_.size()) - 2);
-  const double confirmations = static_cast<double>(m.confirmed_by.size()) - 1;
-  if (max_confirmations <= 0) return m.suspect_since + timings_.suspicion_min_s;
+  const double confirmations = static_cast<double>(member.confirmed_by.size()) - 1;
+  if (max_confirmations <= 0) return member.suspect_since + timings_.suspicion_min_s;
   const double shortened_s = (timings_.suspicion_max_s - timings_.suspicion_min_s) *
                              std::log(confirmations + 1) / std::log(max_confirmations + 1);
-  return m.suspect_since +
+  return member.suspect_since +
          std::max(timings_.suspicion_min_s, timings_.suspicion_max_s - shortened_s);
 }
 
-void FailureDetector::Suspect(double now, Member* m, std::uint32_t incarnation, NodeId by,
-                              Actions* actions) {
-  if (m->health == Health::kSuspect && m->incarnation == incarnation) {
-    // An independent confirmation: worth passing on, up to as many as shorten the suspicion.
-    const bool known =
-        std::find(m->confirmed_by.begin(), m->confirmed_by.end(), by) != m->confirmed_by.end();
-    if (known || m->confirmed_by.size() >= kMaxConfirming) return;
-    m->confirmed_by.push_back(by);
-    m->suspected_by = by;
-    QueueUpdate(m);
+void FailureDetector::Suspect(double now, Member* member, std::uint32_t incarnation,
+                              NodeId suspected_by, Actions* actions) {
+  if (member->health == Health::kSuspect && member->incarnation == incarnation) {
+    // An independent confirmation is gossiped on as long as it shortens the suspicion.
+    const bool already_confirmed =
+        std::find(member->confirmed_by.begin(), member->confirmed_by.end(), suspected_by) !=
+        member->confirmed_by.end();
+    if (already_confirmed || member->confirmed_by.size() >= kMaxConfirmations) return;
+    member->confirmed_by.push_back(suspected_by);
+    member->suspected_by = suspected_by;
+    QueueUpdate(member);
     return;
   }
   counters_.suspicions += 1;
-  SetHealth(m, incarnation, Health::kSuspect, actions);
-  m->suspect_since = now;
-  m->suspected_by = by;
-  m->confirmed_by = {by};
+  SetHealth(member, incarnation, Health::kSuspect, actions);
+  member->suspect_since = now;
+  member->suspected_by = suspected_by;
+  member->confirmed_by = {suspected_by};
 }
 
 void FailureDetector::Refute(double now, std::uint32_t incarnation, Actions* actions) {
@@ -149,57 +154,63 @@
   }
   SetHealth(self, incarnation + 1, Health::kAlive, actions);
   Gossip(static_cast<std::size_t>(timings_.fanout),
-         actions);  // at once: a deadline runs against us
+         actions);  // at once, before the suspicion ends
   gossip_at_ = now + timings_.gossip_interval_s;
 }
 
 void FailureDetector::OnUpdate(double now, const GossipUpdate& update, Actions* actions) {
-  Member* m = FindMember(update.member);
-  // Not a member, or a number that leaves none above it.
-  if (m == nullptr || update.incarnation >= kMaxIncarnation) return;
+  Member* member = FindMember(update.member);
+  // Not a member, or an incarnation that could not be raised any more.
+  if (member == nullptr || update.incarnation >= kMaxIncarnation) return;
   if (update.member == self_) {
-    const bool against = update.health != Health::kAlive && update.incarnation >= m->incarnation;
-    // Or of an earlier process of this member: what was said of that must not count against this.
-    const bool before = update.health == Health::kAlive && update.incarnation > m->incarnation;
-    if (against && !leaving_) {
+    const bool accuses_self =
+        update.health != Health::kAlive && update.incarnation >= member->incarnation;
+    // An earlier process of this member had a higher incarnation. This process takes a higher one
+    // still, so that updates about the earlier one don't override its own.
+    const bool of_earlier_process =
+        update.health == Health::kAlive && update.incarnation > member->incarnation;
+    if (accuses_self && !leaving_) {
       counters_.refutations += 1;
       AdjustLocalHealth(1);
     }
-    if (against || before) Refute(now, update.incarnation, actions);
+    if (accuses_self || of_earlier_process) Refute(now, update.incarnation, actions);
     return;
   }
-  const bool same = update.incarnation == m->incarnation && update.health == m->health;
-  if (update.health == Health::kSuspect && same)
-    Suspect(now, m, update.incarnation, update.suspected_by, actions);
-  if (std::pair(update.incarnation, update.health) <= std::pair(m->incarnation, m->health)) return;
+  const bool same_state =
+      update.incarnation == member->incarnation && update.health == member->health;
+  if (update.health == Health::kSuspect && same_state)
+    Suspect(now, member, update.incarnation, update.suspected_by, actions);
+  if (std::pair(update.incarnation, update.health) <=
+      std::pair(member->incarnation, member->health))
+    return;
   if (update.health == Health::kSuspect) {
-    Suspect(now, m, update.incarnation, update.suspected_by, actions);
+    Suspect(now, member, update.incarnation, update.suspected_by, actions);
   } else {
     if (update.health == Health::kFailed) counters_.failures += 1;
-    SetHealth(m, update.incarnation, update.health, actions);
+    SetHealth(member, update.incarnation, update.health, actions);
   }
 }
 
 SwimMessage FailureDetector::MakeMessage(SwimMessage::Kind kind, std::uint32_t sequence,
-                                         const Member* to, std::uint64_t their_digest) {
-  SwimMessage p{.kind = kind,
-                .sequence = sequence,
-                .subject = 0,
-                .incarnation = FindMember(self_)->incarnation,
-                .digest = digest_,
-                .updates = {}};
-  // First what it must hear itself, so that it can refute it.
-  if (to != nullptr && to->health != Health::kAlive) AddUpdate(*to, &p);
-  AddQueuedUpdates(to, &p);
-  if (their_digest != 0 && their_digest != digest_) AddTableUpdates(&p);
-  return p;
+                                         const Member* to, std::uint64_t peer_digest) {
+  SwimMessage message{.kind = kind,
+                      .sequence = sequence,
+                      .subject = 0,
+                      .incarnation = FindMember(self_)->incarnation,
+                      .digest = digest_,
+                      .updates = {}};
+  // The update about the recipient itself comes first, so that it can refute it.
+  if (to != nullptr && to->health != Health::kAlive) AddUpdate(*to, &message);
+  AddQueuedUpdates(to, &message);
+  if (peer_digest != 0 && peer_digest != digest_) AddTableUpdates(&message);
+  return message;
 }
 
-void FailureDetector::AddUpdate(const Member& m, SwimMessage* message) {
-  message->updates.push_back({m.id, m.incarnation, m.health, m.suspected_by});
+void FailureDetector::AddUpdate(const Member& member, SwimMessage* message) {
+  message->updates.push_back({member.id, member.incarnation, member.health, member.suspected_by});
 }
 
-// What was sent least often comes first. In a small cluster most of it fits.
+// Adds the queued updates that were sent least often, as many as fit.
 void FailureDetector::AddQueuedUpdates(const Member* to, SwimMessage* message) {
   std::sort(gossip_queue_.begin(), gossip_queue_.end(), [this](std::size_t a, std::size_t b) {
     const int left = members_[a].transmissions_left, right = members_[b].transmissions_left;
@@ -207,7 +218,7 @@
   });
   for (const std::size_t i : gossip_queue_) {
     if (message->updates.size() >= SwimMessage::kMaxUpdates) break;
-    if (&members_[i] == to && to->health != Health::kAlive) continue;  // is in it already
+    if (&members_[i] == to && to->health != Health::kAlive) continue;  // MakeMessage has added it
     AddUpdate(members_[i], message);
     members_[i].transmissions_left -= 1;
   }
@@ -215,30 +226,31 @@
                 [this](std::size_t i) { return members_[i].transmissions_left <= 0; });
 }
 
-// To one whose table differs: a part of ours, in turn. Whoever knows better answers likewise.
+// Anti-entropy with a member whose digest differs: adds the next entries of this member's table.
+// The other member does the same.
 void FailureDetector::AddTableUpdates(SwimMessage* message) {
-  for (std::size_t n = 0; n < std::min(kTableUpdates, members_.size()); ++n) {
+  for (std::size_t n = 0; n < std::min(kMaxTableUpdates, members_.size()); ++n) {
     if (message->updates.size() >= SwimMessage::kMaxUpdates) break;
-    next_table_update_ = (next_table_update_ + 1) % members_.size();
-    AddUpdate(members_[next_table_update_], message);
+    last_table_update_ = (last_table_update_ + 1) % members_.size();
+    AddUpdate(members_[last_table_update_], message);
   }
 }
 
-void FailureDetector::Gossip(std::size_t receivers, Actions* actions) {
-  std::vector<std::size_t> to;
+void FailureDetector::Gossip(std::size_t fanout, Actions* actions) {
+  std::vector<std::size_t> recipients;
   for (const std::size_t i : probe_order_) {
-    if (members_[i].health <= Health::kSuspect) to.push_back(i);
+    if (members_[i].health <= Health::kSuspect) recipients.push_back(i);
   }
-  for (std::size_t n = 0; n < receivers && !to.empty(); ++n) {
-    const std::size_t pick = random_.Below(to.size());
-    const Member& m = members_[to[pick]];
-    Send(m.id, MakeMessage(SwimMessage::Kind::kGossip, 0, &m, 0), actions);
-    to[pick] = to.back();
-    to.pop_back();
+  for (std::size_t n = 0; n < fanout && !recipients.empty(); ++n) {
+    const std::size_t pick = random_.Below(recipients.size());
+    const Member& member = members_[recipients[pick]];
+    Send(member.id, MakeMessage(SwimMessage::Kind::kGossip, 0, &member, 0), actions);
+    recipients[pick] = recipients.back();
+    recipients.pop_back();
   }
 }
 
-// The next member by id that is alive, a suspected one is skipped.
+// The member after this one in the order of the table that is alive and not suspected.
 std::size_t FailureDetector::Successor() const {
   const std::size_t self = index_.at(self_);
   for (std::size_t n = 1; n < members_.size(); ++n) {
@@ -258,8 +270,8 @@
        actions);
 }
 
-// In turn the one that is next by chance, and our successor: by chance alone one in a hundred is
-// not probed by anyone for more than a second.
+// Probes in turn the next member in random order and this member's successor: in random order alone
+// one member in a hundred is not probed by any other for more than a second.
 void FailureDetector::ProbeNext(double now, Actions* actions) {
   const std::size_t successor = Successor();
   probe_successor_next_ = !probe_successor_next_;
@@ -275,47 +287,49 @@
     }
     if (probe_order_.empty()) return;
     const std::size_t target = probe_order_[next_in_probe_order_++];
-    const Member& m = members_[target];
-    if (m.health > Health::kSuspect || pending_probes_.size() >= kMaxPendingProbes) continue;
+    const Member& member = members_[target];
+    if (member.health > Health::kSuspect || pending_probes_.size() >= kMaxPendingProbes) continue;
     return Ping(now, target, actions);
   }
 }
 
-// One member that is failed or left, in turn: a cut may be healed.
+// Probes the failed and departed members in turn, since a network partition may have healed.
 void FailureDetector::ProbeFailedMember(double now, Actions* actions) {
   for (std::size_t tried = 0; tried < members_.size(); ++tried) {
-    next_failed_ = (next_failed_ + 1) % members_.size();
-    const Member& m = members_[next_failed_];
-    if (m.health < Health::kFailed || m.id == self_ || pending_probes_.size() >= kMaxPendingProbes)
+    last_failed_probed_ = (last_failed_probed_ + 1) % members_.size();
+    const Member& member = members_[last_failed_probed_];
+    if (member.health < Health::kFailed || member.id == self_ ||
+        pending_probes_.size() >= kMaxPendingProbes)
       continue;
     pending_probes_.push_back({.sequence = ++sequence_,
-                               .target = next_failed_,
+                               .target = last_failed_probed_,
                                .next_at = now + timings_.probe_interval_s,
                                .of_failed_member = true});
-    return Send(m.id, MakeMessage(SwimMessage::Kind::kPing, sequence_, &m, 0), actions);
+    return Send(member.id, MakeMessage(SwimMessage::Kind::kPing, sequence_, &member, 0), actions);
   }
 }
 
-// The next step of a ping without an answer; next_at of -1: it is done with.
+// Takes the next step of a probe without an ack. Sets next_at to -1 where there is none.
 void FailureDetector::AdvanceProbe(double now, PendingProbe* probe, Actions* actions) {
-  Member& m = members_[probe->target];
-  const bool undecided = m.health <= Health::kSuspect;
-  if (!probe->relays_asked && !probe->of_failed_member && undecided) {
-    return AskRelays(now, probe, actions);
+  Member& member = members_[probe->target];
+  const bool undecided = member.health <= Health::kSuspect;
+  if (!probe->indirect_probes_requested && !probe->of_failed_member && undecided) {
+    return RequestIndirectProbes(now, probe, actions);
   }
   probe->next_at = -1;
   if (probe->of_failed_member || !undecided) return;
   counters_.failed_probes += 1;
-  // Relays that sent no nack either: it may be that this member is not heard.
+  // Lifeguard: relays that sent no nack either mean that this member itself may be slow or cut off.
   const int missing_nacks = probe->nacks_expected - probe->nacks_received;
   AdjustLocalHealth(probe->nacks_expected > 0 ? std::min(1, missing_nacks) : 1);
-  Suspect(now, &m, m.incarnation, self_, actions);
+  Suspect(now, &member, member.incarnation, self_, actions);
 }
 
-// Pings once more, as the first may have been lost, and by way of others.
-void FailureDetector::AskRelays(double now, PendingProbe* probe, Actions* actions) {
+// Pings the target again, as the first ping may have been lost, and has relays ping it too: the
+// indirect probes of SWIM.
+void FailureDetector::RequestIndirectProbes(double now, PendingProbe* probe, Actions* actions) {
   const Member& target = members_[probe->target];
-  probe->relays_asked = true;
+  probe->indirect_probes_requested = true;
   probe->next_at =
       now + (timings_.probe_interval_s - timings_.probe_timeout_s) * (1 + local_health_multiplier_);
   Send(target.id, MakeMessage(SwimMessage::Kind::kPing, probe->sequence, &target, 0), actions);
@@ -335,26 +349,26 @@
   }
 }
 
-void FailureDetector::OnProbeAnswer(std::uint32_t sequence, NodeId subject, bool yes,
-                                    Actions* actions) {
-  for (PendingProbe& a : pending_probes_) {
-    if (a.sequence != sequence || members_[a.target].id != subject) continue;
-    if (!yes) {
-      a.nacks_received = std::min(a.nacks_received + 1, a.nacks_expected);
+void FailureDetector::OnProbeReply(std::uint32_t sequence, NodeId subject, bool acked,
+                                   Actions* actions) {
+  for (PendingProbe& probe : pending_probes_) {
+    if (probe.sequence != sequence || members_[probe.target].id != subject) continue;
+    if (!acked) {
+      probe.nacks_received = std::min(probe.nacks_received + 1, probe.nacks_expected);
       return;
     }
     AdjustLocalHealth(-1);
-    a = pending_probes_.back();
+    probe = pending_probes_.back();
     pending_probes_.pop_back();
     return;
   }
-  for (RelayedPing& r : relayed_pings_) {
-    if (r.sequence != sequence || r.target != subject || !yes) continue;
-    SwimMessage p =
-        MakeMessage(SwimMessage::Kind::kAck, r.their_sequence, FindMember(r.requester), 0);
-    p.subject = subject;
-    Send(r.requester, std::move(p), actions);
-    r = relayed_pings_.back();
+  for (RelayedPing& ping : relayed_pings_) {
+    if (ping.sequence != sequence || ping.target != subject || !acked) continue;
+    SwimMessage ack = MakeMessage(SwimMessage::Kind::kAck, ping.requester_sequence,
+                                  FindMember(ping.requester), 0);
+    ack.subject = subject;
+    Send(ping.requester, std::move(ack), actions);
+    ping = relayed_pings_.back();
     relayed_pings_.pop_back();
     return;
   }
@@ -382,12 +396,12 @@
       break;
     case Kind::kAck:
     case Kind::kNack:
-      OnProbeAnswer(message.sequence, message.subject, message.kind == Kind::kAck, actions);
+      OnProbeReply(message.sequence, message.subject, message.kind == Kind::kAck, actions);
       break;
     case Kind::kGossip:
       break;
   }
-  // Its table differs, or it does not know what is said of it: it gets ours.
+  // The sender's table differs, or it does not know that it is suspected or failed.
   const bool unaware = sender->health != Health::kAlive;
   const bool differs = message.kind == Kind::kAck && message.digest != digest_;
   if (message.kind != Kind::kPing && (unaware || differs)) {
@@ -402,7 +416,7 @@
   if (target == nullptr || request.subject == self_) return;
   if (relayed_pings_.size() >= kMaxRelayedPings) return;
   relayed_pings_.push_back({.sequence = ++sequence_,
-                            .their_sequence = request.sequence,
+                            .requester_sequence = request.sequence,
                             .requester = from,
                             .target = request.subject,
                             .nack_at = now + timings_.probe_timeout_s});
@@ -413,7 +427,7 @@
   CompensatePause(now);
   AdvanceProbes(now, actions);
   SendNacks(now, actions);
-  FailSuspects(now, actions);
+  ExpireSuspicions(now, actions);
   if (!leaving_ && probe_at_ <= now) {
     ProbeNext(now, actions);
     probe_at_ = now + timings_.probe_interval_s * (1 + local_health_multiplier_);
@@ -448,8 +462,8 @@
       ++i;
       continue;
     }
-    SwimMessage nack =
-        MakeMessage(SwimMessage::Kind::kNack, ping.their_sequence, FindMember(ping.requester), 0);
+    SwimMessage nack = MakeMessage(SwimMessage::Kind::kNack, ping.requester_sequence,
+                                   FindMember(ping.requester), 0);
     nack.subject = ping.target;
     Send(ping.requester, std::move(nack), actions);
     relayed_pings_[i] = relayed_pings_.back();
@@ -457,12 +471,12 @@
   }
 }
 
-void FailureDetector::FailSuspects(double now, Actions* actions) {
+void FailureDetector::ExpireSuspicions(double now, Actions* actions) {
   for (std::size_t i = 0; suspect_count_ > 0 && i < members_.size(); ++i) {
-    Member& m = members_[i];
-    if (m.health != Health::kSuspect || SuspicionEndsAt(m) > now) continue;
+    Member& member = members_[i];
+    if (member.health != Health::kSuspect || SuspicionEndsAt(member) > now) continue;
     counters_.failures += 1;
-    SetHealth(&m, m.incarnation, Health::kFailed, actions);
+    SetHealth(&member, member.incarnation, Health::kFailed, actions);
   }
 }
 
@@ -471,7 +485,7 @@
   leaving_ = true;
   pending_probes_.clear();
   SetHealth(FindMember(self_), FindMember(self_)->incarnation, Health::kLeft, actions);
-  Gossip(kLeaveFanouts * static_cast<std::size_t>(timings_.fanout), actions);
+  Gossip(kLeaveFanoutFactor * static_cast<std::size_t>(timings_.fanout), actions);
   gossip_at_ = now + timings_.gossip_interval_s;
   next_tick_at_ = NextAt();
 }
--- a/src/membership/leader.cpp
+++ b/src/membership/leader.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 constexpr std::size_t kMaxUnconfirmedHeartbeats = 16;
-constexpr double kCheckIntervalS = 0.1;  // between looks whether another view is wanted
+constexpr double kViewCheckIntervalS = 0.1;  // between checks whether a new view is needed
 
 template <typename Message>
 void SendToVoters(const Message& message, const Voter& voter, std::vector<OutgoingMessage>* send) {
   for (const NodeId id : voter.voters()) send->push_back({id, message});
 }
 
-// By the way that the request came.
+// Replies by the relay, if the request came by one.
 template <typename Message>
 void Reply(NodeId to, NodeId relay, Message message, std::vector<OutgoingMessage>* send) {
   if (relay != 0) message.origin = to;
@@ -27,12 +27,12 @@
 Leader::Leader(NodeId self, const ViewAgreementTimings& timings, FailureDomains failure_domains)
     : self_(self), timings_(timings), failure_domains_(std::move(failure_domains)) {}
 
-// Counts only voters whose storage identity is still the one that answered.
-bool Leader::IsMajority(const std::map<NodeId, StorageIdentity>& who, const Voter& voter) {
+// Counts only voters that still have the storage identity with which they voted.
+bool Leader::IsMajority(const std::map<NodeId, StorageIdentity>& votes, const Voter& voter) {
   const auto current = [&](const auto& entry) {
     return entry.second == voter.KnownIdentity(entry.first);
   };
-  return static_cast<std::size_t>(std::count_if(who.begin(), who.end(), current)) >=
+  return static_cast<std::size_t>(std::count_if(votes.begin(), votes.end(), current)) >=
          voter.Majority();
 }
 
@@ -41,9 +41,10 @@
   leading_ = true;
   ballot_ = ballot;
   quorum_ = std::move(quorum);
-  began_at_ = confirmed_at_ = now;
-  check_at_ = now + kCheckIntervalS;
-  // Whatever was decided before is in `latest`; the promises don't tell whether that one was.
+  leading_since_ = confirmed_at_ = now;
+  view_check_at_ = now + kViewCheckIntervalS;
+  // A view decided by an earlier leader is `latest`; but the promises don't tell whether `latest`
+  // was decided, so it is proposed again.
   decided_ = {};
   proposing_ = false;
   accepted_by_.clear();
@@ -82,7 +83,7 @@
   for (const ViewMember& member : decided_.members) SendDecided(member.id, 0, send);
 }
 
-// From the view decided so far to the one that is proposed.
+// For the members that the proposed view removes or adds.
 void Leader::UpdateRejoinBackoffs(double now) {
   for (const ViewMember& before : decided_.members) {
     if (proposed_.Find(before.id) != nullptr) continue;
@@ -122,13 +123,13 @@
   SentHeartbeat& heartbeat = it->second;
   heartbeat.acked_by[from] = ack.voter.storage_identity;
   if (ack.voter.features >= kLogsFeature) {
-    know_logs_.insert(from);
+    voters_with_logs_.insert(from);
   } else {
-    know_logs_.erase(from);
+    voters_with_logs_.erase(from);
   }
   if (!IsMajority(heartbeat.acked_by, voter)) return;
   confirmed_at_ = std::max(confirmed_at_, heartbeat.sent_at);
-  // Whoever asked before that heartbeat was sent asked while no other led.
+  // The requests that arrived before this heartbeat was sent arrived while no other voter led.
   for (auto request = pending_requests_.begin(); request != pending_requests_.end();) {
     if (request->second.heartbeat > ack.sequence) {
       ++request;
@@ -142,9 +143,9 @@
 
 // ---- leases ----
 
-double Leader::LeaseMayRunUntil(NodeId id) const {
-  // Granted by a leader before this one.
-  const double earlier = began_at_ + timings_.lease_s * (1 + timings_.clock_drift);
+double Leader::LatestLeaseEnd(NodeId id) const {
+  // An earlier leader may have granted a lease until it was replaced.
+  const double earlier = leading_since_ + timings_.lease_s * (1 + timings_.clock_drift);
   const auto it = leaseholders_.find(id);
   return it == leaseholders_.end() ? earlier : std::max(earlier, it->second.lease_until);
 }
@@ -153,12 +154,12 @@
   if (epoch <= settled_epoch_) return true;
   if (decided_.epoch < epoch) return false;
   const bool settled =
-      std::all_of(decided_.members.begin(), decided_.members.end(), [&](const ViewMember& m) {
-        const auto it = leaseholders_.find(m.id);
+      std::all_of(decided_.members.begin(), decided_.members.end(), [&](const ViewMember& member) {
+        const auto it = leaseholders_.find(member.id);
         const bool knows = it != leaseholders_.end() &&
-                           it->second.process_incarnation == m.process_incarnation &&
+                           it->second.process_incarnation == member.process_incarnation &&
                            it->second.epoch >= epoch;
-        return knows || m.joined_epoch >= epoch || LeaseMayRunUntil(m.id) < now;
+        return knows || member.joined_epoch >= epoch || LatestLeaseEnd(member.id) < now;
       });
   if (settled) settled_epoch_ = epoch;
   return settled;
@@ -168,12 +169,14 @@
   const ViewMember* member = decided_.Find(to);
   if (member == nullptr || member->process_incarnation != request.process_incarnation) return false;
   if (request.epoch != decided_.epoch) return false;
-  // A view without it may be decided already, though the answers are still under way.
+  // A view without the member may be decided already, while its acceptances are on their way here.
   const ViewMember* next = proposing_ ? proposed_.Find(to) : member;
   if (next == nullptr || next->process_incarnation != request.process_incarnation) return false;
-  // One that sends but does not receive: its lease would only keep others from its share.
+  // A member that sends but does not receive could not use the lease, which would only delay its
+  // removal and keep its share from the others.
   if (HasFailed(to)) return false;
-  // A newcomer's share was another's, who may act on it until it knows the view.
+  // The share of a member that joined belonged to others, which may use it until they know the
+  // view.
   return CheckSettled(now, member->joined_epoch);
 }
 
@@ -201,21 +204,21 @@
   const ViewMember* member = caught_up_ ? decided_.Find(from) : nullptr;
   const bool other_process =
       member != nullptr && member->process_incarnation != request.process_incarnation;
-  if (other_process && now < LeaseMayRunUntil(from)) {
+  if (other_process && now < LatestLeaseEnd(from)) {
     IdentityConflict conflict{.process_incarnation = member->process_incarnation};
     return Reply(from, relay, conflict, send);
   }
   if (holder.process_incarnation != request.process_incarnation) {
     holder.process_incarnation = request.process_incarnation;
-    holder.epoch = holder.wants_epoch = 0;
+    holder.epoch = holder.wanted_logs_epoch = 0;
     holder.released = false;
   }
-  if (holder.released) return;  // the request was under way when the release came
+  if (holder.released) return;  // sent before the release, which has overtaken it
   holder.epoch = std::max(holder.epoch, request.epoch);
   holder.requested_at = now;
-  if (request.epoch >= holder.wants_epoch) {
+  if (request.epoch >= holder.wanted_logs_epoch) {
     holder.store_id = request.store_id;
-    holder.wants_epoch = request.epoch;
+    holder.wanted_logs_epoch = request.epoch;
     holder.wanted_logs = request.wanted_logs;
   }
   pending_requests_[from] = {.process_incarnation = request.process_incarnation,
@@ -246,12 +249,12 @@
 
 bool Leader::MayRemove(double now, const ViewMember& member) const {
   const auto it = leaseholders_.find(member.id);
-  const bool asked = it != leaseholders_.end();
-  const bool same_process = asked && it->second.process_incarnation == member.process_incarnation;
+  const bool known = it != leaseholders_.end();
+  const bool same_process = known && it->second.process_incarnation == member.process_incarnation;
   if (same_process && it->second.released) return true;
-  if (LeaseMayRunUntil(member.id) >= now) return false;
-  const double requested_at = asked ? it->second.requested_at : began_at_;
-  const bool other_process = asked && it->second.requested_at >= 0 && !same_process;
+  if (LatestLeaseEnd(member.id) >= now) return false;
+  const double requested_at = known ? it->second.requested_at : leading_since_;
+  const bool other_process = known && it->second.requested_at >= 0 && !same_process;
   const double silent_s = timings_.lease_s + 2 * timings_.renew_s;
   return HasFailed(member.id) || other_process || now - requested_at > silent_s;
 }
@@ -267,11 +270,11 @@
          now >= backoff->second.removed_at + backoff->second.wait_s;
 }
 
-// Where there are some, all voters have said so once.
+// All voters must have a build that knows logs. Once the view has logs, all of them have had one.
 bool Leader::MayOpenLogs(const Voter& voter) const {
   const auto& voters = voter.voters();
   return !decided_.logs.empty() || std::all_of(voters.begin(), voters.end(), [this](NodeId id) {
-    return know_logs_.contains(id);
+    return voters_with_logs_.contains(id);
   });
 }
 
@@ -296,10 +299,10 @@
                              .joined_epoch = next->epoch,
                              .store_id = leaseholders_[id].store_id});
   }
-  // Who came last must be known to all before others come; who goes may go at any time.
+  // Members are added only once all members know the last view. They may be removed at any time.
   if (changes.added && !CheckSettled(now, decided_.epoch)) {
     std::erase_if(next->members,
-                  [&](const ViewMember& m) { return m.joined_epoch == next->epoch; });
+                  [&](const ViewMember& member) { return member.joined_epoch == next->epoch; });
     changes.added = false;
   }
   return changes;
@@ -307,19 +310,20 @@
 
 std::vector<LogRequest> Leader::CurrentLogRequests(const View& next) const {
   std::vector<LogRequest> requests;
-  for (const ViewMember& m : next.members) {
-    const auto holder = leaseholders_.find(m.id);
-    // Asked for under another view, it may rest on answers that were given since without it.
-    if (holder == leaseholders_.end() || holder->second.wants_epoch != decided_.epoch) continue;
-    if (holder->second.process_incarnation != m.process_incarnation) continue;
-    requests.push_back({m.id, m.process_incarnation, holder->second.wanted_logs});
+  for (const ViewMember& member : next.members) {
+    const auto holder = leaseholders_.find(member.id);
+    // Replicas requested under another view may lack operations that were acknowledged since.
+    if (holder == leaseholders_.end() || holder->second.wanted_logs_epoch != decided_.epoch)
+      continue;
+    if (holder->second.process_incarnation != member.process_incarnation) continue;
+    requests.push_back({member.id, member.process_incarnation, holder->second.wanted_logs});
   }
   return requests;
 }
 
 void Leader::ConsiderNextView(double now, const Voter& voter, std::vector<OutgoingMessage>* send) {
   if (!caught_up_ || proposing_ || now < proposed_at_ + timings_.min_view_interval_s) return;
-  if (decided_.epoch == 0 && now < began_at_ + timings_.first_view_delay_s) return;
+  if (decided_.epoch == 0 && now < leading_since_ + timings_.first_view_delay_s) return;
   View next{
       .epoch = decided_.epoch + 1, .members = {}, .settled_epoch = settled_epoch_, .logs = {}};
   const MemberChanges changes = FillMembers(now, &next);
@@ -333,7 +337,7 @@
 void Leader::Tick(double now, const Voter& voter, std::vector<OutgoingMessage>* send) {
   if (!leading_) return;
   if (heartbeat_at_ <= now) {
-    if (proposing_) {  // some of it may have been lost
+    if (proposing_) {  // sent again, as messages may have been lost
       const double proposed_at = proposed_at_;
       const auto accepted_by = accepted_by_;
       ProposeView(proposed_at, proposed_, voter, send);
@@ -341,8 +345,8 @@
     }
     SendHeartbeat(now, voter, send);
   }
-  if (check_at_ <= now) {
-    check_at_ = now + kCheckIntervalS;
+  if (view_check_at_ <= now) {
+    view_check_at_ = now + kViewCheckIntervalS;
     ConsiderNextView(now, voter, send);
   }
 }
--- a/src/membership/leader.h
+++ b/src/membership/leader.h
@@ -1,10 +1,11 @@
-// The leader: one view after the other, and leases to their members. The leases are those of
-// PacificA's configuration manager (Lin, Yang, Zhang, Zhou 2008), but each is confirmed by a
-// majority of the voters, so that a leader that has been replaced without knowing it grants none.
+// The leader of view agreement: proposes the views, one after the other, and grants leases to their
+// members. The leases are those of PacificA's configuration manager (Lin, Yang, Zhang, Zhou 2008),
+// but a majority of the voters confirms each, so that a leader that has been replaced without
+// knowing it grants none.
 //
-// Decides only; not thread-safe. Times are seconds on the clock of this member.
+// No I/O and no clock of its own; not thread-safe. Times are seconds on this member's clock.
 // Invariants: views are proposed one at a time, each with the next epoch; a member whose lease may
-// still run keeps its entry in the next view, unless it released the lease.
+// still be in force keeps its entry in the next view, unless it released the lease.
 #ifndef MILLETHOLLOW_MEMBERSHIP_LEADER_H_
 #define MILLETHOLLOW_MEMBERSHIP_LEADER_H_
 
@@ -21,67 +22,77 @@
 
 namespace millethollow::membership {
 
+// Durations in seconds, and the maximum clock drift.
 struct ViewAgreementTimings {
-  double heartbeat_s = 0.25;  // between heartbeats of the leader
-  double election_s = 1.0;    // without a heartbeat for this long, and up to twice, a voter
-                              // asks whether the others miss the leader too
-  double lease_s = 4.0;       // how long a lease runs from its request
-  double renew_s = 0.5;       // between two requests of a member
-  double min_view_interval_s = 1.0;
-  double first_view_delay_s = 0.5;      // the first view waits this long for members to come
-  double clock_drift = 0.01;            // by which the pace of two clocks may differ
-  double rejoin_backoff_s = 1.0;        // a member that was removed is taken in again after this,
-  double rejoin_backoff_max_s = 30;     // doubled each time up to this,
-  double rejoin_backoff_reset_s = 120;  // and reset after so long in the view
+  double heartbeat_s = 0.25;            // between heartbeats of the leader
+  double election_s = 1.0;              // election timeout: a voter without a heartbeat for once to
+                                        // twice this asks whether the others lost the leader too
+  double lease_s = 4.0;                 // duration of a lease, from its request
+  double renew_s = 0.5;                 // between two lease requests of a member
+  double min_view_interval_s = 1.0;     // between two proposals of a view
+  double first_view_delay_s = 0.5;      // the first view waits this long for members to join
+  double clock_drift = 0.01;            // maximum relative difference of the rates of two clocks
+  double rejoin_backoff_s = 1.0;        // a removed member is added again after this backoff,
+  double rejoin_backoff_max_s = 30;     // which doubles with each removal up to this maximum
+  double rejoin_backoff_reset_s = 120;  // and is reset by a stay in the view for this long
 };
 
+// The leader's part of one voter.
 class Leader {
  public:
-  // The failure domain of each member, as the configuration has it.
+  // The configured failure domain of each member.
   using FailureDomains = std::map<NodeId, std::string>;
   Leader(NodeId self, const ViewAgreementTimings& timings, FailureDomains failure_domains);
 
-  // A majority promised `ballot`; `latest` is the newest view that one of them had accepted.
+  // `quorum`, a majority, has promised `ballot`; `latest` is the latest view that any of them had
+  // accepted.
   void StartLeading(double now, Ballot ballot, VoterIdentities quorum, const View& latest,
                     const Voter& voter, std::vector<OutgoingMessage>* send);
   void StopLeading() { leading_ = false; }
   bool leading() const { return leading_; }
+  // The ballot that this voter leads with, or led with last.
   const Ballot& ballot() const { return ballot_; }
 
   void OnAccepted(double now, NodeId from, const Accepted& accepted, const Voter& voter,
                   std::vector<OutgoingMessage>* send);
   void OnHeartbeatAck(double now, NodeId from, const HeartbeatAck& ack, const Voter& voter,
                       std::vector<OutgoingMessage>* send);
-  // `relay`: the voter that passed the request on; 0: none.
+  // `relay`: the voter that relayed the request; 0: none.
   void OnLeaseRequest(double now, NodeId from, NodeId relay, const LeaseRequest& request,
                       std::vector<OutgoingMessage>* send);
   void OnLeaseRelease(double now, NodeId from, ProcessIncarnation process_incarnation);
   void OnHealthChange(const HealthChange& change) { health_[change.member] = change.health; }
+  // Sends the heartbeat that is due, and proposes the next view where one is needed.
   void Tick(double now, const Voter& voter, std::vector<OutgoingMessage>* send);
-  double NextAt() const { return std::min(heartbeat_at_, check_at_); }
-  // When a majority last acknowledged a heartbeat, as of its sending.
+  // When Tick is due.
+  double NextAt() const { return std::min(heartbeat_at_, view_check_at_); }
+  // When the last heartbeat that a majority acknowledged was sent.
   double confirmed_at() const { return confirmed_at_; }
+  // The latest view that this leader knows to be decided.
   const View& decided() const { return decided_; }
 
  private:
+  // What this leader knows of a member by its lease requests.
   struct Leaseholder {
     ProcessIncarnation process_incarnation = 0;
-    double lease_until = 0;    // the latest end of a lease granted by this leader, by its clock
-    double requested_at = -1;  // when the last request came in; -1: never
-    std::uint64_t epoch = 0;   // known to it, by its last request
-    bool released = false;
+    double lease_until = 0;    // the latest end of a lease granted by this leader, on its clock
+    double requested_at = -1;  // arrival of the last request; -1: none has arrived
+    std::uint64_t epoch = 0;   // of the latest view that it knows
+    bool released = false;     // it has given up its lease
     std::uint64_t store_id = 0;
-    std::uint64_t wants_epoch = 0;  // the view that it knew when it asked for `wanted_logs`
+    std::uint64_t wanted_logs_epoch = 0;  // of the view that it knew when it sent `wanted_logs`
     std::vector<LogAssignment> wanted_logs = {};
   };
-  struct PendingRequest {  // a lease request that waits for the confirmation by a majority
+  // A lease request that waits until a majority confirms the leader.
+  struct PendingRequest {
     ProcessIncarnation process_incarnation = 0;
     std::uint64_t epoch = 0;
-    std::uint64_t heartbeat = 0;  // the first one that was sent after it
+    std::uint64_t heartbeat = 0;  // sequence of the first heartbeat sent after its arrival
     double requested_at_s = 0;    // on the member's clock
     NodeId relay = 0;
   };
-  struct RejoinBackoff {  // of a member that was removed
+  // The wait of a removed member until it may be added again, in seconds.
+  struct RejoinBackoff {
     double removed_at = 0, joined_at = 0, wait_s = 0;
   };
   struct SentHeartbeat {
@@ -92,39 +103,44 @@
     bool added = false, removed = false;
   };
 
-  // The end of any lease on the member's entry, as far as this leader can know.
-  double LeaseMayRunUntil(NodeId id) const;
-  // Does nobody act on a view before this epoch any more? Remembered where it does not.
+  // The latest end of any lease on the member's entry, from this leader or an earlier one.
+  double LatestLeaseEnd(NodeId id) const;
+  // Whether no member acts on a view of an earlier epoch than `epoch` any more. If so,
+  // settled_epoch_ is raised to it.
   bool CheckSettled(double now, std::uint64_t epoch);
   bool HasFailed(NodeId id) const;
-  // May the member be left out of the next view?
+  // Whether the member may be removed in the next view.
   bool MayRemove(double now, const ViewMember& member) const;
-  // May the member, which is in no view, be taken in?
+  // Whether the member, which is not in the view, may be added to the next one.
   bool MayAdd(double now, NodeId id) const;
   bool MayOpenLogs(const Voter& voter) const;
   void UpdateRejoinBackoffs(double now);
   bool MayGrant(double now, NodeId to, const PendingRequest& request);
   void Grant(double now, NodeId to, const PendingRequest& request,
              std::vector<OutgoingMessage>* send);
+  // Proposes the next view if it differs from the decided one and the time has come.
   void ConsiderNextView(double now, const Voter& voter, std::vector<OutgoingMessage>* send);
+  // Fills in the members of `next`; returns how they differ from those of the decided view.
   MemberChanges FillMembers(double now, View* next);
   std::vector<LogRequest> CurrentLogRequests(const View& next) const;
   void ProposeView(double now, View view, const Voter& voter, std::vector<OutgoingMessage>* send);
   void SendHeartbeat(double now, const Voter& voter, std::vector<OutgoingMessage>* send);
   void SendDecided(NodeId to, NodeId relay, std::vector<OutgoingMessage>* send) const;
-  static bool IsMajority(const std::map<NodeId, StorageIdentity>& who, const Voter& voter);
+  // Whether these votes, each with the voter's storage identity at its vote, are a majority.
+  static bool IsMajority(const std::map<NodeId, StorageIdentity>& votes, const Voter& voter);
 
   NodeId self_;
   ViewAgreementTimings timings_;
   FailureDomains failure_domains_;
   bool leading_ = false;
-  bool caught_up_ = false;  // what an earlier leader proposed is decided
+  bool caught_up_ = false;  // the view that an earlier leader may have proposed is decided
   Ballot ballot_;
-  VoterIdentities quorum_;  // whose promises made this leader
-  double began_at_ = 0, confirmed_at_ = 0, heartbeat_at_ = 0, check_at_ = 0, proposed_at_ = 0;
+  VoterIdentities quorum_;  // the voters whose promises elected this leader
+  double leading_since_ = 0, confirmed_at_ = 0, heartbeat_at_ = 0, view_check_at_ = 0,
+         proposed_at_ = 0;
   View decided_, proposed_;
-  std::uint64_t settled_epoch_ = 0;  // nobody acts on a view before this epoch any more
-  bool proposing_ = false;
+  std::uint64_t settled_epoch_ = 0;  // no member acts on a view of an earlier epoch any more
+  bool proposing_ = false;           // proposed_ is not decided yet
   std::map<NodeId, StorageIdentity> accepted_by_;
   std::uint64_t heartbeat_sequence_ = 0;
   std::map<std::uint64_t, SentHeartbeat> unconfirmed_heartbeats_;
@@ -132,7 +148,7 @@
   std::map<NodeId, PendingRequest> pending_requests_;
   std::map<NodeId, RejoinBackoff> rejoin_backoffs_;
   std::map<NodeId, Health> health_;
-  std::set<NodeId> know_logs_;  // voters whose build does, by their last acknowledgement
+  std::set<NodeId> voters_with_logs_;  // voters whose build knows logs, by their last ack
 };
 
 }  // namespace millethollow::membership
--- a/src/membership/log_assignment.cpp
+++ b/src/membership/log_assignment.cpp
@@ -7,7 +7,7 @@
 namespace millethollow::membership {
 namespace {
 
-// The member is in the view with the store that has the replica.
+// Whether the member is in the view with the store that has the replica.
 bool IsPresent(const View& view, const LogReplica& replica) {
   const ViewMember* member = view.Find(replica.id);
   return member != nullptr && replica.store_id != 0 && member->store_id == replica.store_id;
@@ -22,8 +22,8 @@
   return found != nullptr && found->process_incarnation == process_incarnation;
 }
 
-// The owner before, where it is back with its store. Else the same member whoever computes it, and
-// another for another log (rendezvous hashing). 0: nobody.
+// The last owner if it is back with its store; otherwise a member with a replica, chosen by
+// rendezvous hashing (Thaler, Ravishankar 1996), which spreads the logs over the members. 0: none.
 NodeId NextOwner(const View& next, const LogAssignment& log) {
   NodeId best = 0;
   std::uint64_t best_weight = 0;
@@ -38,7 +38,7 @@
   return best;
 }
 
-// What the log's owner asks for, where it is newer than what it has.
+// The owner's request for the log, if it is newer than the one that was applied last.
 const LogAssignment* FindRequest(const std::vector<LogRequest>& requests,
                                  const LogAssignment& log) {
   for (const LogRequest& request : requests) {
@@ -57,8 +57,8 @@
   log->owner_epoch = next.epoch;
 }
 
-// Applies what the owner asks for. True where it gives the log to another member that has all of
-// it.
+// Applies the owner's request. Returns true if the request hands the log over to another member
+// that is present and has a replica.
 bool ApplyRequest(const View& next, const LogAssignment& wanted, LogAssignment* log) {
   const bool owner_stays = wanted.Find(log->owner) != nullptr;
   if (!owner_stays || wanted.replicas.size() > kMaxReplicasPerLog) return false;
@@ -76,12 +76,12 @@
   const NodeId owner = NextOwner(next, *log);
   if (owner != 0) return SetOwner(next, owner, log);
   if (log->process_incarnation == 0) return;
-  // Nobody's: the owner's id is kept, so that it is preferred when it is back.
+  // No replica is present. The owner's id stays, so that it is preferred when it is back.
   log->process_incarnation = 0;
   log->owner_epoch = next.epoch;
 }
 
-// The log in the next view; none: its owner closes it.
+// The log in the next view; nullopt if its owner closes it.
 std::optional<LogAssignment> NextAssignment(const View& next,
                                             const std::vector<LogRequest>& requests,
                                             LogAssignment log) {
@@ -101,14 +101,14 @@
   const std::uint64_t store_id = next.Find(request.member)->store_id;
   if (store_id == 0) return;
   for (const LogAssignment& wanted : request.logs) {
-    // Two may open one at once. What was asked of a log that has been closed since opens no other
-    // under its number.
+    // Two members may open the same log at once. A request that changes a log, which may have been
+    // closed since, opens none.
     const bool opened = std::any_of(logs->begin(), logs->end(), [&](const LogAssignment& log) {
       return log.log == wanted.log;
     });
-    const bool asks_to_open =
+    const bool requests_opening =
         wanted.log != 0 && !wanted.replicas.empty() && wanted.owner_epoch == 0;
-    if (!asks_to_open || opened || decided.Log(wanted.log) != nullptr) continue;
+    if (!requests_opening || opened || decided.Log(wanted.log) != nullptr) continue;
     if (logs->size() >= kMaxLogs) continue;
     logs->push_back({.log = wanted.log,
                      .owner = request.member,
--- a/src/membership/maintenance_registry.cpp
+++ b/src/membership/maintenance_registry.cpp
@@ -7,11 +7,11 @@
 namespace millethollow::membership {
 namespace {
 
-constexpr std::size_t kMaxUpdates = 64;            // of other members' records on their way on
-constexpr std::size_t kMaxDecidingProcesses = 64;  // remembered of one worker
+constexpr std::size_t kMaxUpdates = 64;            // queued, beyond which only local ones are added
+constexpr std::size_t kMaxDecidingProcesses = 64;  // in the record of one worker
 
-// Of the decisions alone: drain notices are passed on but not compared, or those that one member
-// drops it would learn from another for ever.
+// Covers only the decisions. Drain notices are gossiped but left out of anti-entropy: a member that
+// drops one would otherwise learn it from another again and again.
 std::uint64_t DigestOf(const MaintenanceRecord& record) {
   if (record.decisions.empty()) return 0;
   std::uint64_t hash = 0x9e3779b97f4a7c15ULL;
@@ -66,24 +66,25 @@
 
 // ---- records ----
 
-MaintenanceRegistry::Entry* MaintenanceRegistry::FindOrMake(double now, const std::string& worker) {
+MaintenanceRegistry::Entry* MaintenanceRegistry::FindOrCreate(double now,
+                                                              const std::string& worker) {
   const auto found = entries_.find(worker);
   if (found != entries_.end()) return &found->second;
   if (entries_.size() >= kMaxWorkers && !EvictOldest()) return nullptr;
   Entry& entry = entries_[worker];
   entry.record.worker = worker;
-  entry.mentioned_at = now;
+  entry.last_activity_at = now;
   digest_ ^= DigestOf(entry.record);
   return &entry;
 }
 
-// The one that was mentioned longest ago, but never one in maintenance.
+// Evicts the least recently active entry that is not in maintenance.
 bool MaintenanceRegistry::EvictOldest() {
   auto oldest = entries_.end();
   for (auto it = entries_.begin(); it != entries_.end(); ++it) {
     if (it->second.record.InMaintenance()) continue;
     const bool older =
-        oldest == entries_.end() || it->second.mentioned_at < oldest->second.mentioned_at;
+        oldest == entries_.end() || it->second.last_activity_at < oldest->second.last_activity_at;
     if (older) oldest = it;
   }
   if (oldest == entries_.end()) return false;
@@ -96,17 +97,19 @@
   digest_ ^= digest_before ^ DigestOf(entries_[worker].record);
 }
 
-std::uint64_t MaintenanceRegistry::SetMaintenance(double now, const std::string& worker, bool out,
-                                                  Actions* actions) {
-  Entry* entry = FindOrMake(now, worker);
+std::uint64_t MaintenanceRegistry::SetMaintenance(double now, const std::string& worker,
+                                                  bool in_maintenance, Actions* actions) {
+  Entry* entry = FindOrCreate(now, worker);
   if (entry == nullptr) return 0;
   MaintenanceRecord& record = entry->record;
-  const bool was_out = record.InMaintenance();
+  const bool was_in_maintenance = record.InMaintenance();
   const std::uint64_t digest_before = DigestOf(record);
-  entry->mentioned_at = now;
-  if (out) {  // also where it is out: a decision elsewhere to put it back may not know of that one
-    DecisionCounts& own = record.decisions[process_incarnation_];
-    own.taken_out = std::max(own.taken_out, own.put_back) + 1;
+  entry->last_activity_at = now;
+  // Counted also if the worker is in maintenance already: a decision to put it back, made at
+  // another member at the same time, does not revoke this one.
+  if (in_maintenance) {
+    DecisionCounts& own_counts = record.decisions[process_incarnation_];
+    own_counts.taken_out = std::max(own_counts.taken_out, own_counts.put_back) + 1;
   } else {
     for (auto& [process_incarnation, counts] : record.decisions) {
       counts.put_back = std::max(counts.taken_out, counts.put_back);
@@ -114,7 +117,8 @@
   }
   OnChanged(worker, digest_before);
   actions->changed.push_back(record);
-  if (was_out != out) (out ? actions->taken_out : actions->put_back).push_back(worker);
+  if (was_in_maintenance != in_maintenance)
+    (in_maintenance ? actions->taken_out : actions->put_back).push_back(worker);
   StartUpdate(worker, true);
   update_at_ = now;
   return last_sequence_;
@@ -122,14 +126,14 @@
 
 void MaintenanceRegistry::OnDrainNotice(double now, const std::string& worker, double started_at_s,
                                         bool gone) {
-  Entry* entry = FindOrMake(now, worker);
+  Entry* entry = FindOrCreate(now, worker);
   if (entry == nullptr) return;
-  entry->mentioned_at = now;
+  entry->last_activity_at = now;
   MaintenanceRecord& record = entry->record;
   const DrainState state = gone ? DrainState::kGone : DrainState::kDraining;
-  const bool news =
+  const bool newer =
       std::pair(started_at_s, state) > std::pair(record.started_at_s, record.drain_state);
-  if (!news) return;
+  if (!newer) return;
   const std::uint64_t digest_before = DigestOf(record);
   record.started_at_s = started_at_s;
   record.drain_state = state;
@@ -139,38 +143,38 @@
 }
 
 void MaintenanceRegistry::Merge(double now, const MaintenanceRecord& record, Actions* actions) {
-  Entry* entry = FindOrMake(now, record.worker);
+  Entry* entry = FindOrCreate(now, record.worker);
   if (entry == nullptr) return;
-  MaintenanceRecord& own = entry->record;
-  const MaintenanceRecord before = own;
+  MaintenanceRecord& local = entry->record;
+  const MaintenanceRecord before = local;
   for (const auto& [process_incarnation, counts] : record.decisions) {
-    const bool full = own.decisions.size() >= kMaxDecidingProcesses;
-    if (full && !own.decisions.contains(process_incarnation)) continue;
-    DecisionCounts& merged = own.decisions[process_incarnation];
+    const bool full = local.decisions.size() >= kMaxDecidingProcesses;
+    if (full && !local.decisions.contains(process_incarnation)) continue;
+    DecisionCounts& merged = local.decisions[process_incarnation];
     merged = {std::max(merged.taken_out, counts.taken_out),
               std::max(merged.put_back, counts.put_back)};
   }
-  const bool drain_news = std::pair(record.started_at_s, record.drain_state) >
-                          std::pair(own.started_at_s, own.drain_state);
-  if (drain_news) {
-    own.started_at_s = record.started_at_s;
-    own.drain_state = record.drain_state;
+  const bool newer_drain = std::pair(record.started_at_s, record.drain_state) >
+                           std::pair(local.started_at_s, local.drain_state);
+  if (newer_drain) {
+    local.started_at_s = record.started_at_s;
+    local.drain_state = record.drain_state;
   }
-  if (own == before) return;
-  entry->mentioned_at = now;
+  if (local == before) return;
+  entry->last_activity_at = now;
   OnChanged(record.worker, DigestOf(before));
-  const bool out = own.InMaintenance();
-  if (before.InMaintenance() != out) {
-    (out ? actions->taken_out : actions->put_back).push_back(record.worker);
+  const bool in_maintenance = local.InMaintenance();
+  if (before.InMaintenance() != in_maintenance) {
+    (in_maintenance ? actions->taken_out : actions->put_back).push_back(record.worker);
   }
-  if (drain_news) actions->drains.push_back(own);
-  if (before.decisions != own.decisions) actions->changed.push_back(own);
+  if (newer_drain) actions->drains.push_back(local);
+  if (before.decisions != local.decisions) actions->changed.push_back(local);
   StartUpdate(record.worker, false);
   update_at_ = std::min(update_at_, now);
 }
 
 void MaintenanceRegistry::Restore(double now, const MaintenanceRecord& record) {
-  Entry* entry = FindOrMake(now, record.worker);
+  Entry* entry = FindOrCreate(now, record.worker);
   if (entry == nullptr) return;
   const std::uint64_t digest_before = DigestOf(entry->record);
   entry->record = record;
@@ -179,11 +183,12 @@
 
 // ---- gossip ----
 
-void MaintenanceRegistry::StartUpdate(const std::string& worker, bool own) {
-  // What is only passed on is dropped where there are too many: anti-entropy finds it.
-  if (updates_.size() >= kMaxUpdates && !own) return;
-  std::erase_if(updates_, [&](const Update& u) { return u.worker == worker && !u.own; });
-  updates_.push_back({++last_sequence_, worker, {}, timings_.max_transmissions, own});
+void MaintenanceRegistry::StartUpdate(const std::string& worker, bool is_local) {
+  // Updates from other members are dropped if there are too many: anti-entropy makes up for it.
+  if (updates_.size() >= kMaxUpdates && !is_local) return;
+  std::erase_if(updates_,
+                [&](const Update& update) { return update.worker == worker && !update.is_local; });
+  updates_.push_back({++last_sequence_, worker, {}, timings_.max_transmissions, is_local});
 }
 
 MaintenanceGossip MaintenanceRegistry::NextRecords() const {
@@ -200,10 +205,10 @@
 
 void MaintenanceRegistry::OnAck(NodeId from, std::uint64_t sequence, Actions* actions) {
   const auto update = std::find_if(updates_.begin(), updates_.end(),
-                                   [&](const Update& u) { return u.sequence == sequence; });
+                                   [&](const Update& sent) { return sent.sequence == sequence; });
   if (update == updates_.end()) return;
   update->acked_by.insert(from);
-  if (std::exchange(update->own, false)) actions->replicated.push_back(sequence);
+  if (std::exchange(update->is_local, false)) actions->replicated.push_back(sequence);
 }
 
 void MaintenanceRegistry::OnGossip(double now, NodeId from, const MaintenanceGossip& gossip,
@@ -211,7 +216,7 @@
   const std::size_t records = std::min(gossip.records.size(), MaintenanceGossip::kMaxRecords);
   for (std::size_t i = 0; i < records; ++i) Merge(now, gossip.records[i], actions);
   OnAck(from, gossip.acked_sequence, actions);
-  // Whatever the sender has that we have not came with this, or comes with its reply to ours.
+  // With equal digests the sender has no decision that is missing here.
   if (gossip.digest == digest_) synced_ = true;
   if (!gossip.request_all && gossip.sequence == 0) return;
   MaintenanceGossip reply;
@@ -226,29 +231,30 @@
 
 void MaintenanceRegistry::SendUpdate(const std::vector<NodeId>& alive, Update* update,
                                      Actions* actions) {
-  std::vector<NodeId> to;
+  std::vector<NodeId> recipients;
   for (const NodeId id : alive) {
-    if (!update->acked_by.contains(id)) to.push_back(id);
+    if (!update->acked_by.contains(id)) recipients.push_back(id);
   }
-  update->transmissions_left = to.empty() ? 0 : update->transmissions_left - 1;
-  for (int n = 0; n < timings_.fanout && !to.empty(); ++n) {
-    const std::size_t pick = random_.Below(to.size());
+  update->transmissions_left = recipients.empty() ? 0 : update->transmissions_left - 1;
+  for (int n = 0; n < timings_.fanout && !recipients.empty(); ++n) {
+    const std::size_t pick = random_.Below(recipients.size());
     MaintenanceGossip gossip;
     gossip.digest = digest_;
     gossip.sequence = update->sequence;
     gossip.records.push_back(entries_[update->worker].record);
-    actions->send.emplace_back(to[pick], std::move(gossip));
-    to[pick] = to.back();
-    to.pop_back();
+    actions->send.emplace_back(recipients[pick], std::move(gossip));
+    recipients[pick] = recipients.back();
+    recipients.pop_back();
   }
 }
 
 void MaintenanceRegistry::SendUpdates(double now, const std::vector<NodeId>& alive,
                                       Actions* actions) {
   update_at_ = now + timings_.retransmit_interval_s;
-  std::erase_if(updates_, [this](const Update& u) { return !entries_.contains(u.worker); });
+  std::erase_if(updates_,
+                [this](const Update& update) { return !entries_.contains(update.worker); });
   for (Update& update : updates_) SendUpdate(alive, &update, actions);
-  std::erase_if(updates_, [](const Update& u) { return u.transmissions_left <= 0; });
+  std::erase_if(updates_, [](const Update& update) { return update.transmissions_left <= 0; });
 }
 
 void MaintenanceRegistry::CompareDigests(double now, const std::vector<NodeId>& alive,
@@ -256,7 +262,7 @@
   const double interval_s = synced_ ? timings_.digest_interval_s : timings_.retransmit_interval_s;
   compare_at_ = now + interval_s * (0.5 + random_.Unit());
   if (alive.empty()) {
-    synced_ = true;  // nobody is there who could know more
+    synced_ = true;  // there is no other member that could have more records
     return;
   }
   MaintenanceGossip gossip = NextRecords();
@@ -269,7 +275,7 @@
 void MaintenanceRegistry::DropOldDrains(double now) {
   std::erase_if(entries_, [&](const auto& item) {
     const Entry& entry = item.second;
-    const bool recent = now - entry.mentioned_at < timings_.drain_retention_s;
+    const bool recent = now - entry.last_activity_at < timings_.drain_retention_s;
     return entry.record.decisions.empty() && !recent;
   });
 }
--- a/src/membership/membership_node.cpp
+++ b/src/membership/membership_node.cpp
@@ -7,14 +7,16 @@
 namespace millethollow::membership {
 namespace {
 
-// A process that was silent for this fraction of the lease may be succeeded by another.
+// A process that has sent nothing for this fraction of a lease may be replaced by another one of
+// the same member.
 constexpr double kSilentLeaseFraction = 0.5;
-constexpr double kRivalBreakS = 1.0;
+// A longer gap between frames of a competing process starts its time anew.
+constexpr double kMaxCompetingGapS = 1.0;
 
 std::vector<NodeId> Ids(const MembershipNode::Options& options, bool voters_only) {
   std::vector<NodeId> ids;
-  for (const auto& m : options.members) {
-    if (m.voter || !voters_only) ids.push_back(m.id);
+  for (const auto& member : options.members) {
+    if (member.voter || !voters_only) ids.push_back(member.id);
   }
   std::sort(ids.begin(), ids.end());
   return ids;
@@ -22,7 +24,7 @@
 
 Leader::FailureDomains FailureDomainsOf(const MembershipNode::Options& options) {
   Leader::FailureDomains domains;
-  for (const auto& m : options.members) domains.emplace(m.id, m.failure_domain);
+  for (const auto& member : options.members) domains.emplace(member.id, member.failure_domain);
   return domains;
 }
 
@@ -40,41 +42,43 @@
                  std::move(voter_state), seed ^ 0x9e3779b97f4a7c15ULL, now),
       maintenance_(options.self, options.process_incarnation, options.maintenance, seed + 1, now) {}
 
-// Two processes under one id: the one that was there first is accepted until it is silent.
+// Of two processes with one member id the first is accepted until it falls silent.
 bool MembershipNode::AcceptsProcess(double now, NodeId from,
                                     ProcessIncarnation process_incarnation) {
   if (detector_.Find(from) == nullptr) return false;
   AcceptedProcess& accepted = accepted_processes_[from];
-  const bool other = accepted.process_incarnation != process_incarnation;
+  const bool other_process = accepted.process_incarnation != process_incarnation;
   const double silent_s = kSilentLeaseFraction * options_.agreement.lease_s;
-  const bool present = accepted.process_incarnation != 0 && now - accepted.heard_at < silent_s;
-  if (other && present) {
-    // Heard without a break: a process that was paused itself finds late messages of the one that
-    // ended beside those of its successor.
-    const bool first = accepted.rival != process_incarnation;
-    if (first || now - accepted.rival_heard_at > kRivalBreakS) accepted.rival_since = now;
-    accepted.rival = process_incarnation;
-    accepted.rival_heard_at = now;
+  const bool present = accepted.process_incarnation != 0 && now - accepted.last_frame_at < silent_s;
+  if (other_process && present) {
+    // The competing process must send without a gap: after a pause of this process, delayed frames
+    // of an ended process arrive together with those of its successor.
+    const bool is_new = accepted.competing_process != process_incarnation;
+    if (is_new || now - accepted.competing_frame_at > kMaxCompetingGapS)
+      accepted.competing_since = now;
+    accepted.competing_process = process_incarnation;
+    accepted.competing_frame_at = now;
     return false;
   }
-  if (other) accepted = {.process_incarnation = process_incarnation};
-  accepted.heard_at = now;
+  if (other_process) accepted = {.process_incarnation = process_incarnation};
+  accepted.last_frame_at = now;
   return true;
 }
 
 void MembershipNode::Merge(FailureDetector::Actions* from, Actions* to) {
-  for (FailureDetector::Outgoing& out : from->send)
-    to->send.emplace_back(out.to, std::move(out.message));
+  for (FailureDetector::Outgoing& outgoing : from->send)
+    to->send.emplace_back(outgoing.to, std::move(outgoing.message));
   for (const HealthChange& change : from->changes) {
     agreement_.OnHealthChange(change);
-    // A member that leaves may be succeeded at once.
+    // The next process of a member that has left is accepted at once.
     if (change.health == Health::kLeft) accepted_processes_.erase(change.member);
     to->changes.push_back(change);
   }
 }
 
 void MembershipNode::Merge(ViewAgreement::Actions* from, Actions* to) {
-  for (OutgoingMessage& sent : from->send) to->send.emplace_back(sent.to, std::move(sent.message));
+  for (OutgoingMessage& outgoing : from->send)
+    to->send.emplace_back(outgoing.to, std::move(outgoing.message));
   to->write |= from->write;
   to->ticket = std::max(to->ticket, from->ticket);
   to->new_view |= from->new_view;
@@ -90,15 +94,16 @@
 
 std::vector<NodeId> MembershipNode::AliveOthers() const {
   std::vector<NodeId> alive;
-  for (const FailureDetector::Member& m : detector_.members()) {
-    if (m.id != options_.self && m.health <= Health::kSuspect) alive.push_back(m.id);
+  for (const FailureDetector::Member& member : detector_.members()) {
+    if (member.id != options_.self && member.health <= Health::kSuspect) alive.push_back(member.id);
   }
   return alive;
 }
 
-std::uint64_t MembershipNode::SetMaintenance(double now, const std::string& worker, bool out,
-                                             Actions* actions) {
-  const std::uint64_t number = maintenance_.SetMaintenance(now, worker, out, &actions->maintenance);
+std::uint64_t MembershipNode::SetMaintenance(double now, const std::string& worker,
+                                             bool in_maintenance, Actions* actions) {
+  const std::uint64_t number =
+      maintenance_.SetMaintenance(now, worker, in_maintenance, &actions->maintenance);
   maintenance_.Tick(now, AliveOthers(), &actions->maintenance);
   SendMaintenance(actions);
   return number;
@@ -109,51 +114,53 @@
   if (from == options_.self || agreement_.superseded()) return;
   if (!AcceptsProcess(now, from, process_incarnation)) {
     const AcceptedProcess& accepted = accepted_processes_[from];
-    // Late messages of one that ended come before the first of its successor, or soon after.
-    const bool both_present = accepted.heard_at - accepted.rival_since > options_.agreement.lease_s;
+    // Delayed frames of an ended process arrive before the first of its successor or soon after it.
+    const bool both_present =
+        accepted.last_frame_at - accepted.competing_since > options_.agreement.lease_s;
     actions->answer = IdentityConflict{.process_incarnation = accepted.process_incarnation,
                                        .both_present = both_present};
     return;
   }
   if (const auto* message = std::get_if<SwimMessage>(&frame)) {
-    FailureDetector::Actions a;
-    detector_.OnMessage(now, from, *message, &a);
-    Merge(&a, actions);
+    FailureDetector::Actions detector_actions;
+    detector_.OnMessage(now, from, *message, &detector_actions);
+    Merge(&detector_actions, actions);
   } else if (const auto* gossip = std::get_if<MaintenanceGossip>(&frame)) {
     maintenance_.OnGossip(now, from, *gossip, &actions->maintenance);
     SendMaintenance(actions);
   } else {
-    ViewAgreement::Actions a;
-    agreement_.OnMessage(now, from, process_incarnation, std::get<AgreementMessage>(frame), &a);
-    Merge(&a, actions);
+    ViewAgreement::Actions agreement_actions;
+    agreement_.OnMessage(now, from, process_incarnation, std::get<AgreementMessage>(frame),
+                         &agreement_actions);
+    Merge(&agreement_actions, actions);
   }
 }
 
 void MembershipNode::Tick(double now, Actions* actions) {
   if (agreement_.superseded()) return;
-  FailureDetector::Actions d;
-  if (detector_.NextAt() <= now) detector_.Tick(now, &d);
-  Merge(&d, actions);
-  ViewAgreement::Actions a;
-  agreement_.Tick(now, &a);
-  Merge(&a, actions);
+  FailureDetector::Actions detector_actions;
+  if (detector_.NextAt() <= now) detector_.Tick(now, &detector_actions);
+  Merge(&detector_actions, actions);
+  ViewAgreement::Actions agreement_actions;
+  agreement_.Tick(now, &agreement_actions);
+  Merge(&agreement_actions, actions);
   if (maintenance_.NextAt() <= now) maintenance_.Tick(now, AliveOthers(), &actions->maintenance);
   SendMaintenance(actions);
 }
 
 void MembershipNode::OnStored(double now, std::uint64_t ticket, Actions* actions) {
-  ViewAgreement::Actions a;
-  agreement_.OnStored(now, ticket, &a);
-  Merge(&a, actions);
+  ViewAgreement::Actions agreement_actions;
+  agreement_.OnStored(now, ticket, &agreement_actions);
+  Merge(&agreement_actions, actions);
 }
 
 void MembershipNode::Leave(double now, Actions* actions) {
-  ViewAgreement::Actions a;
-  agreement_.Leave(now, &a);
-  Merge(&a, actions);
-  FailureDetector::Actions d;
-  detector_.Leave(now, &d);
-  Merge(&d, actions);
+  ViewAgreement::Actions agreement_actions;
+  agreement_.Leave(now, &agreement_actions);
+  Merge(&agreement_actions, actions);
+  FailureDetector::Actions detector_actions;
+  detector_.Leave(now, &detector_actions);
+  Merge(&detector_actions, actions);
 }
 
 double MembershipNode::NextAt() const {
--- a/src/membership/membership_node.h
+++ b/src/membership/membership_node.h
@@ -1,8 +1,9 @@
-// All decisions of one member: failure detector, view agreement and maintenance registry together,
-// and which process of a member its frames are taken from.
+// One member of the cluster: its failure detector, view agreement and maintenance registry, and the
+// choice of the process from which each other member's frames are accepted.
 //
-// Decides only; not thread-safe. Network, disk and clock are the caller's (net/cluster, or the
-// tests' simulation). Invariant: of two processes under one member id one at most is accepted.
+// No I/O and no clock of its own; not thread-safe. The caller has the network, the disk and the
+// clock (net/cluster, or the simulation of the tests). Invariant: of two processes with one member
+// id at most one is accepted.
 #ifndef MILLETHOLLOW_MEMBERSHIP_MEMBERSHIP_NODE_H_
 #define MILLETHOLLOW_MEMBERSHIP_MEMBERSHIP_NODE_H_
 
@@ -20,10 +21,12 @@
 
 namespace millethollow::membership {
 
+// Any message between two members.
 using Frame = std::variant<SwimMessage, AgreementMessage, MaintenanceGossip>;
 
 class MembershipNode {
  public:
+  // A configured member.
   struct MemberOptions {
     NodeId id = 0;
     std::string failure_domain;
@@ -32,32 +35,35 @@
   struct Options {
     NodeId self = 0;
     ProcessIncarnation process_incarnation = 0;
-    std::vector<MemberOptions> members;  // this one among them
+    std::vector<MemberOptions> members;  // includes this one
     FailureDetectorTimings detector;
     ViewAgreementTimings agreement;
     MaintenanceTimings maintenance;
-    // Of 1/N of the fleet, that each of N members may use while it has no lease, and that the
-    // others leave to it: 0 to 1.
+    // The fraction, 0 to 1, of 1/N of the fleet that each of N members may use without a lease.
+    // The other members leave it unused.
     double isolated_share = 0.5;
   };
+  // What the caller has to do and to know after a call.
   struct Actions {
-    std::vector<std::pair<NodeId, Frame>> send;
+    std::vector<std::pair<NodeId, Frame>> send;  // with their recipients
     std::vector<HealthChange> changes;
-    bool write = false;  // agreement().voter_state(), then OnStored(ticket) or OnStoreFailed()
+    // agreement().voter_state() is to be written, then OnStored(ticket) or OnStoreFailed() called.
+    bool write = false;
     std::uint64_t ticket = 0;
-    bool new_view = false, superseded = false;
+    bool new_view = false, superseded = false;  // as in ViewAgreement::Actions
     MaintenanceRegistry::Actions maintenance;
-    // To the address that the frame came from, whatever address its sender is configured with.
+    // Goes to the address that the frame came from, whatever address its sender is configured with.
     std::optional<AgreementMessage> answer = std::nullopt;
   };
 
-  // The clock of `now` is one of this machine that counts pauses and never runs back, in seconds.
+  // `now`, here and below: seconds on a monotonic clock of this machine that counts pauses of the
+  // process.
   MembershipNode(const Options& options, PersistentVoterState voter_state, std::uint64_t seed,
                  double now);
 
   void OnFrame(double now, NodeId from, ProcessIncarnation process_incarnation, const Frame& frame,
                Actions* actions);
-  // Are other frames of this process of a member, which don't come through OnFrame, to be taken?
+  // Whether to accept a frame of this process that does not go through OnFrame.
   bool Accepts(double now, NodeId from, ProcessIncarnation process_incarnation) {
     return from != options_.self && !agreement_.superseded() &&
            AcceptsProcess(now, from, process_incarnation);
@@ -70,15 +76,16 @@
     agreement_.RequestLogs(now, store_id, std::move(logs));
   }
   // As MaintenanceRegistry::SetMaintenance.
-  std::uint64_t SetMaintenance(double now, const std::string& worker, bool out, Actions* actions);
+  std::uint64_t SetMaintenance(double now, const std::string& worker, bool in_maintenance,
+                               Actions* actions);
   void OnDrainNotice(double now, const std::string& worker, double started_at_s, bool gone) {
     maintenance_.OnDrainNotice(now, worker, started_at_s, gone);
   }
   void Restore(double now, const MaintenanceRecord& record) { maintenance_.Restore(now, record); }
   double NextAt() const;  // when Tick is due
 
-  // This member's share of what the whole cluster may do, 0 to 1. Over all members the shares never
-  // come to more than 1, whatever links are cut.
+  // This member's share of the fleet's capacity, 0 to 1. The shares of all members never sum to
+  // more than 1, even during network partitions.
   double FleetShare(double now) const;
   const FailureDetector& detector() const { return detector_; }
   const ViewAgreement& agreement() const { return agreement_; }
@@ -86,13 +93,13 @@
   const Options& options() const { return options_; }
 
  private:
-  // The process of a member whose frames are taken.
+  // The process of a member whose frames are accepted.
   struct AcceptedProcess {
     ProcessIncarnation process_incarnation = 0;
-    double heard_at = 0;
-    // Another one that sends under the same id, and since when without a break.
-    ProcessIncarnation rival = 0;
-    double rival_since = 0, rival_heard_at = 0;
+    double last_frame_at = 0;
+    // Another process that sends with the same member id, and since when without a gap.
+    ProcessIncarnation competing_process = 0;
+    double competing_since = 0, competing_frame_at = 0;
   };
   bool AcceptsProcess(double now, NodeId from, ProcessIncarnation process_incarnation);
   void Merge(FailureDetector::Actions* from, Actions* to);
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -1,4 +1,4 @@
-// Types that all of membership shares: members, incarnations, health, views, ballots. No I/O, no
+// Types shared by the membership modules: members, incarnations, health, ballots, views. No I/O, no
 // clock.
 #ifndef MILLETHOLLOW_MEMBERSHIP_TYPES_H_
 #define MILLETHOLLOW_MEMBERSHIP_TYPES_H_
@@ -14,18 +14,20 @@
 
 namespace millethollow::membership {
 
-// A hash of the id that the configuration gives a member: the same at every node. 0: nobody.
+// Identifies a member: a hash of its configured id, the same at every node. 0: none.
 using NodeId = std::uint64_t;
-// One run of a member's process, drawn at its start; `life` on the wire. 0: none. Not the
-// incarnation of SWIM's gossip, which a running process raises to refute a suspicion.
+// Identifies one run of a member's process: a random number drawn at its start, `life` on the wire.
+// 0: none. Not the incarnation number of SWIM, which a running process raises to refute a
+// suspicion.
 using ProcessIncarnation = std::uint64_t;
 
-// Pseudo-random numbers: equal seeds and events give equal decisions, on every platform (the
-// standard library's distributions differ).
+// Pseudo-random numbers: equal seeds give equal sequences on every platform, which the
+// distributions of the standard library don't guarantee.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : engine_(seed) {}
   std::uint64_t NextUint64() { return engine_(); }
+  // Uniform in [0, n), n > 0.
   std::size_t Below(std::size_t n) {
     return boost::random::uniform_int_distribution<std::size_t>(0, n - 1)(engine_);
   }
@@ -36,32 +38,35 @@
   boost::random::mt19937_64 engine_;
 };
 
-// Ordered: of two updates with one incarnation the one with the later of these counts.
+// State of a member, by rising precedence: of two updates with the same incarnation the greater
+// state overrides the other (SWIM).
 enum class Health : std::uint8_t { kAlive, kSuspect, kFailed, kLeft };
 
-// What gossip says of a member (SWIM). The higher incarnation counts, and within one the later
-// health.
+// A gossiped update about a member (SWIM). The higher incarnation overrides the lower, and within
+// one incarnation the greater health.
 struct GossipUpdate {
   NodeId member = 0;
   std::uint32_t incarnation = 0;
   Health health = Health::kAlive;
-  NodeId suspected_by = 0;
+  NodeId suspected_by = 0;  // the member whose suspicion this is, for kSuspect
 };
 
+// A change of a member's health, as the failure detector of this process sees it.
 struct HealthChange {
   NodeId member = 0;
   Health health = Health::kAlive;
   std::uint32_t incarnation = 0;
 };
 
-// A round of one voter who wants to lead (Paxos). The higher wins.
+// A ballot number (Paxos): a round and the voter that stands for election in it. The higher wins.
 struct Ballot {
   std::uint64_t round = 0;
   NodeId proposer = 0;
   auto operator<=>(const Ballot&) const = default;
 };
 
-// Tells a voter that has its disk from one that lost it: the higher is the later. Number 0: none.
+// Identifies a voter's storage, to tell a voter that has its disk from one that lost it: the
+// greater is the later. Number 0: none.
 struct StorageIdentity {
   std::uint32_t number = 0;
   std::uint64_t nonce = 0;
@@ -77,31 +82,32 @@
   return x ^ (x >> 31);
 }
 
+// A member of a view: one run of its process.
 struct ViewMember {
   NodeId id = 0;
   ProcessIncarnation process_incarnation = 0;
   std::string failure_domain;
-  std::uint64_t joined_epoch = 0;  // the epoch in which this process came in
-  std::uint64_t store_id = 0;      // the number of its store of copies; 0: it has none
+  std::uint64_t joined_epoch = 0;  // the first epoch of which this process is a member
+  std::uint64_t store_id = 0;      // of its store of log replicas; 0: it has none
   bool operator==(const ViewMember&) const = default;
 };
 
-// A member that has all operations of a log that were acknowledged, in the store `store_id`.
+// A replica of a log: the member has every acknowledged operation in its store `store_id`.
 struct LogReplica {
   NodeId id = 0;
   std::uint64_t store_id = 0;
   bool operator==(const LogReplica&) const = default;
 };
 
-// A replicated log (src/copies): who may write to it, and who has replicas.
+// The owner of a replicated log (src/copies), its only writer, and the log's replicas.
 struct LogAssignment {
-  std::uint64_t log = 0;
-  NodeId owner = 0;                            // the present or, where there is none, the last one
+  std::uint64_t log = 0;                       // id of the log
+  NodeId owner = 0;                            // the current one or, if there is none, the last one
   ProcessIncarnation process_incarnation = 0;  // of the owner; 0: no replica is present
   // The epoch in which that process became the owner. In a request 0: the log is to be opened.
   std::uint64_t owner_epoch = 0;
-  std::uint64_t version = 0;  // of what the owner asked for
-  // The owner among them. In a request none: the log is to be closed.
+  std::uint64_t version = 0;  // of the owner's request that was applied last
+  // Includes the owner's. In a request empty: the log is to be closed.
   std::vector<LogReplica> replicas;
   bool operator==(const LogAssignment&) const = default;
   const LogReplica* Find(NodeId id) const {
@@ -112,11 +118,12 @@
   }
 };
 
-// An epoch and its members, by rising id. Epoch 0 is the time before the first, without members.
+// An agreed view: an epoch, its members in ascending order of id, and its logs. Epoch 0 is the one
+// before the first view and has no members.
 struct View {
   std::uint64_t epoch = 0;
   std::vector<ViewMember> members;
-  // When the view was proposed, nobody acted on a view before this epoch any more.
+  // When this view was proposed, no member acted on a view of an earlier epoch than this one.
   std::uint64_t settled_epoch = 0;
   std::vector<LogAssignment> logs;
   bool operator==(const View&) const = default;
--- a/src/membership/view_agreement.cpp
+++ b/src/membership/view_agreement.cpp
@@ -9,17 +9,18 @@
 namespace {
 
 constexpr double kRecoveryIntervalS = 0.2;
-constexpr std::size_t kMaxUnstored = 512;  // messages; the oldest are dropped, as any may be lost
-constexpr double kSilentVoterS = 10;       // a voter that didn't answer is left alone for so long
-constexpr int kRequestsPerVoter = 2;       // without an answer, then another voter is asked
+constexpr std::size_t kMaxUnstored = 512;  // messages; beyond it the oldest is dropped, as if lost
+// For this long no LeaderRedirect to a voter that did not answer is followed.
+constexpr double kUnresponsiveVoterS = 10;
+constexpr int kRequestsPerVoter = 2;  // unanswered, until another voter is asked
 
 template <typename Message>
 concept LeaseMessage =
     std::is_same_v<Message, LeaseRequest> || std::is_same_v<Message, LeaseRelease>;
-// To any member, by way of a voter where `origin` names the member.
+// Replies to any member. A voter relays those whose `origin` names another member.
 template <typename Message>
-concept MemberReply = !LeaseMessage<Message> && requires(Message m) {
-  m.origin;
+concept MemberReply = !LeaseMessage<Message> && requires(Message reply) {
+  reply.origin;
 };
 
 }  // namespace
@@ -30,11 +31,11 @@
       voter_(options_.self, options_.voters, options_.process_incarnation, std::move(voter_state)),
       leader_(options_.self, options_.timings, options_.members),
       random_(seed),
-      heartbeat_heard_at_(now),
+      leader_contact_at_(now),
       election_timeout_at_(now + options_.timings.election_s * (1 + random_.Unit())),
       recovery_at_(now),
       renew_at_(now + 0.2 * options_.timings.renew_s * random_.Unit()) {
-  asked_voter_ = random_.Below(options_.voters.size());
+  lease_voter_ = random_.Below(options_.voters.size());
 }
 
 double ViewAgreement::NextAt() const {
@@ -54,7 +55,7 @@
   return std::max(0.0, lease_until_ - now);
 }
 
-// ---- sending, after what is on disk ----
+// ---- sending, once the voter's state is on disk ----
 
 void ViewAgreement::Emit(double now, std::vector<OutgoingMessage>* outgoing, Actions* actions) {
   while (true) {
@@ -64,20 +65,20 @@
       actions->ticket = last_ticket_;
     }
     std::vector<OutgoingMessage> to_self;
-    for (OutgoingMessage& sent : *outgoing) {
+    for (OutgoingMessage& next : *outgoing) {
       if (stored_ticket_ < last_ticket_) {
         if (unstored_.size() >= kMaxUnstored) unstored_.pop_front();
-        unstored_.push_back({last_ticket_, std::move(sent)});
-      } else if (sent.to == options_.self) {
-        to_self.push_back(std::move(sent));
+        unstored_.push_back({last_ticket_, std::move(next)});
+      } else if (next.to == options_.self) {
+        to_self.push_back(std::move(next));
       } else {
-        actions->send.push_back(std::move(sent));
+        actions->send.push_back(std::move(next));
       }
     }
     outgoing->clear();
     if (to_self.empty()) return;
-    for (const OutgoingMessage& sent : to_self) {
-      Dispatch(now, options_.self, options_.process_incarnation, sent.message, outgoing, actions);
+    for (const OutgoingMessage& next : to_self) {
+      Dispatch(now, options_.self, options_.process_incarnation, next.message, outgoing, actions);
     }
   }
 }
@@ -86,12 +87,12 @@
   stored_ticket_ = std::max(stored_ticket_, ticket);
   std::vector<OutgoingMessage> replies;
   while (!unstored_.empty() && unstored_.front().ticket <= stored_ticket_) {
-    OutgoingMessage sent = std::move(unstored_.front().outgoing);
+    OutgoingMessage next = std::move(unstored_.front().outgoing);
     unstored_.pop_front();
-    if (sent.to == options_.self) {
-      Dispatch(now, options_.self, options_.process_incarnation, sent.message, &replies, actions);
+    if (next.to == options_.self) {
+      Dispatch(now, options_.self, options_.process_incarnation, next.message, &replies, actions);
     } else {
-      actions->send.push_back(std::move(sent));
+      actions->send.push_back(std::move(next));
     }
   }
   Emit(now, &replies, actions);
@@ -116,18 +117,18 @@
 void ViewAgreement::Dispatch(double now, NodeId from, ProcessIncarnation process_incarnation,
                              const AgreementMessage& message, std::vector<OutgoingMessage>* send,
                              Actions* actions) {
-  const auto handle = [&](const auto& m) {
-    using Message = std::decay_t<decltype(m)>;
+  const auto handle = [&](const auto& typed) {
+    using Message = std::decay_t<decltype(typed)>;
     if constexpr (LeaseMessage<Message>) {
-      Handle(now, from, process_incarnation, m, send);
+      Handle(now, from, process_incarnation, typed, send);
     } else if constexpr (MemberReply<Message>) {
-      if (m.origin == 0 || m.origin == options_.self) {
-        if (!leaving_) Handle(now, m, actions);
+      if (typed.origin == 0 || typed.origin == options_.self) {
+        if (!leaving_) Handle(now, typed, actions);
         return;
       }
-      Message passed_on = m;
-      passed_on.origin = 0;
-      send->push_back({m.origin, std::move(passed_on)});
+      Message relayed = typed;
+      relayed.origin = 0;
+      send->push_back({typed.origin, std::move(relayed)});
     } else {
       const bool between_voters = voter_.IsVoter(options_.self) && voter_.IsVoter(from);
       if (between_voters) OnVoterMessage(now, from, message, send);
@@ -140,37 +141,38 @@
 
 void ViewAgreement::Handle(double now, NodeId from, ProcessIncarnation process_incarnation,
                            const LeaseRequest& request, std::vector<OutgoingMessage>* send) {
-  const bool passed_on = request.origin != 0;
+  const bool relayed = request.origin != 0;
   if (leader_.leading()) {
     LeaseRequest complete = request;
-    if (!passed_on) complete.process_incarnation = process_incarnation;
-    const NodeId member = passed_on ? request.origin : from;
-    return leader_.OnLeaseRequest(now, member, passed_on ? from : 0, complete, send);
+    if (!relayed) complete.process_incarnation = process_incarnation;
+    const NodeId member = relayed ? request.origin : from;
+    return leader_.OnLeaseRequest(now, member, relayed ? from : 0, complete, send);
   }
-  if (!PassOnToLeader(now, from, process_incarnation, request, send)) return;
+  if (!RelayToLeader(now, from, process_incarnation, request, send)) return;
   send->push_back({from, LeaderRedirect{.ballot = latest_ballot_}});
 }
 
 void ViewAgreement::Handle(double now, NodeId from, ProcessIncarnation process_incarnation,
                            const LeaseRelease& release, std::vector<OutgoingMessage>* send) {
-  const bool passed_on = release.origin != 0;
+  const bool relayed = release.origin != 0;
   if (leader_.leading()) {
-    return leader_.OnLeaseRelease(now, passed_on ? release.origin : from,
-                                  passed_on ? release.process_incarnation : process_incarnation);
+    return leader_.OnLeaseRelease(now, relayed ? release.origin : from,
+                                  relayed ? release.process_incarnation : process_incarnation);
   }
-  PassOnToLeader(now, from, process_incarnation, release, send);
+  RelayToLeader(now, from, process_incarnation, release, send);
 }
 
-// It may be that the member's messages don't reach the leader, and ours do.
+// Relays the member's message, as the link from the member to the leader may be down while that
+// from this voter works. Returns false if this voter knows no leader or got the message by a relay.
 template <typename Message>
-bool ViewAgreement::PassOnToLeader(double now, NodeId from, ProcessIncarnation process_incarnation,
-                                   const Message& message, std::vector<OutgoingMessage>* send) {
+bool ViewAgreement::RelayToLeader(double now, NodeId from, ProcessIncarnation process_incarnation,
+                                  const Message& message, std::vector<OutgoingMessage>* send) {
   if (message.origin != 0 || !voter_.IsVoter(options_.self)) return false;
   if (LeaderLost(now) || latest_ballot_.proposer == 0) return false;
-  Message passed_on = message;
-  passed_on.origin = from;
-  passed_on.process_incarnation = process_incarnation;
-  send->push_back({latest_ballot_.proposer, std::move(passed_on)});
+  Message relayed = message;
+  relayed.origin = from;
+  relayed.process_incarnation = process_incarnation;
+  send->push_back({latest_ballot_.proposer, std::move(relayed)});
   return true;
 }
 
@@ -180,27 +182,27 @@
                                    std::vector<OutgoingMessage>* send) {
   const std::size_t replies = send->size();
   if (voter_.OnMessage(from, message, send)) {
-    // A leader's message counts where it was not rejected.
+    // A message of a leader is contact with it unless it was rejected.
     const bool accepted =
         send->size() > replies && !std::holds_alternative<Rejection>(send->back().message);
     if (!accepted) return;
     if (const auto* heartbeat = std::get_if<Heartbeat>(&message)) {
-      OnLeaderHeard(now, from, heartbeat->ballot);
+      OnLeaderContact(now, from, heartbeat->ballot);
     } else if (const auto* propose = std::get_if<Propose>(&message)) {
-      OnLeaderHeard(now, from, propose->ballot);
+      OnLeaderContact(now, from, propose->ballot);
     }
     return;
   }
   if (!voter_.voting()) return;
   std::visit(
-      [&](const auto& m) {
-        if constexpr (requires { Handle(now, from, m, send); }) Handle(now, from, m, send);
+      [&](const auto& typed) {
+        if constexpr (requires { Handle(now, from, typed, send); }) Handle(now, from, typed, send);
       },
       message);
 }
 
-void ViewAgreement::OnLeaderHeard(double now, NodeId from, const Ballot& ballot) {
-  heartbeat_heard_at_ = now;
+void ViewAgreement::OnLeaderContact(double now, NodeId from, const Ballot& ballot) {
+  leader_contact_at_ = now;
   RestartElectionTimeout(now, 1);
   latest_ballot_ = ballot;
   if (from != options_.self && leader_.leading() && ballot > leader_.ballot()) StepDown(now);
@@ -224,9 +226,9 @@
   if (!voter_.MergeHeader(from, reply.voter)) return;
   if (query_number_ == 0 || reply.query_number != query_number_) return;
   if (!reply.leader_lost || !LeaderLost(now)) return;
-  leader_lost_by_[from] = reply.voter.storage_identity;
+  leader_lost_votes_[from] = reply.voter.storage_identity;
   latest_ballot_.round = std::max(latest_ballot_.round, reply.promised.round);
-  const bool majority = leader_lost_by_.size() >= voter_.Majority();
+  const bool majority = leader_lost_votes_.size() >= voter_.Majority();
   if (majority && candidate_ballot_ == Ballot{}) StartElection(send);
 }
 
@@ -266,8 +268,8 @@
 
 // ---- elections ----
 
-void ViewAgreement::RestartElectionTimeout(double now, double least) {
-  election_timeout_at_ = now + options_.timings.election_s * (least + random_.Unit());
+void ViewAgreement::RestartElectionTimeout(double now, double min_timeouts) {
+  election_timeout_at_ = now + options_.timings.election_s * (min_timeouts + random_.Unit());
 }
 
 void ViewAgreement::StepDown(double now) {
@@ -278,7 +280,7 @@
 void ViewAgreement::QueryLeaderLoss(double now, std::vector<OutgoingMessage>* send) {
   RestartElectionTimeout(now, 0.5);
   candidate_ballot_ = {};
-  leader_lost_by_.clear();
+  leader_lost_votes_.clear();
   promises_.clear();
   query_number_ = random_.NextUint64();
   const LeaderLossQuery query{.voter = voter_.Header(), .query_number = query_number_};
@@ -290,27 +292,27 @@
                                         leader_.ballot().round}) +
                               1;
   candidate_ballot_ = {round, options_.self};
-  // Of this ballot alone, and a late reply to the query starts no other.
+  // Only promises of this ballot count, and a late reply to the query starts no other election.
   promises_.clear();
-  leader_lost_by_.clear();
+  leader_lost_votes_.clear();
   query_number_ = 0;
-  // To itself first. Asked of others before it is on disk here, a ballot could be used again by the
-  // next process of this member, for other views.
+  // To itself first: if others saw the ballot before it is on disk here, the next process of this
+  // member could use it again for other views.
   send->push_back({options_.self, Prepare{.voter = voter_.Header(), .ballot = candidate_ballot_}});
 }
 
 void ViewAgreement::EndElectionIfWon(double now, std::vector<OutgoingMessage>* send) {
   VoterIdentities quorum;
   View latest;
-  Ballot latest_by;
+  Ballot latest_accepted_by;
   for (const auto& [id, promise] : promises_) {
     const StorageIdentity identity = promise.voter.storage_identity;
     if (identity != voter_.KnownIdentity(id)) continue;
     quorum.push_back({id, identity});
-    const bool later =
-        std::pair(promise.accepted_by, promise.accepted.epoch) > std::pair(latest_by, latest.epoch);
+    const bool later = std::pair(promise.accepted_by, promise.accepted.epoch) >
+                       std::pair(latest_accepted_by, latest.epoch);
     if (!later) continue;
-    latest_by = promise.accepted_by;
+    latest_accepted_by = promise.accepted_by;
     latest = promise.accepted;
   }
   if (quorum.size() < voter_.Majority()) return;
@@ -330,7 +332,8 @@
   const ViewMember* self = view_.Find(options_.self);
   const bool in_view = self != nullptr && self->process_incarnation == options_.process_incarnation;
   if (!in_view) lease_until_ = -1;
-  renew_at_ = std::min(renew_at_, now);  // the leader may wait until this member knows the view
+  // At once, as the leader may wait until this member knows the view.
+  renew_at_ = std::min(renew_at_, now);
 }
 
 void ViewAgreement::Handle(double now, const ViewDecided& decided, Actions* actions) {
@@ -342,9 +345,9 @@
       std::find(options_.voters.begin(), options_.voters.end(), redirect.ballot.proposer);
   if (at == options_.voters.end() || unanswered_requests_ == 0) return;
   const auto index = static_cast<std::size_t>(at - options_.voters.begin());
-  // Not to one that left us without an answer a moment ago: the request was passed on to that one.
-  if (index == asked_voter_ || (index == silent_voter_ && now < silent_until_)) return;
-  asked_voter_ = index;
+  // A voter that has not answered lately is not asked again: requests are relayed to it meanwhile.
+  if (index == lease_voter_ || (index == unresponsive_voter_ && now < avoid_voter_until_)) return;
+  lease_voter_ = index;
   unanswered_requests_ = 0;
   renew_at_ = std::min(renew_at_, now);
 }
@@ -361,7 +364,7 @@
   if (grant.epoch != view_.epoch || view_.epoch == 0) return;
   unanswered_requests_ = 0;
   const double until = grant.requested_at_s + grant.duration_s * (1 - options_.timings.clock_drift);
-  // An answer from the future, or for longer than any lease runs, is none.
+  // A grant for a request in the future or for longer than a lease lasts is invalid.
   if (grant.requested_at_s > now || grant.duration_s > options_.timings.lease_s) return;
   lease_until_ = std::max(lease_until_, until);
   counters_.leases += 1;
@@ -372,9 +375,9 @@
   renew_at_ = now + options_.timings.renew_s * (0.9 + 0.2 * random_.Unit());
   if (leaving_ || superseded_) return;
   if (++unanswered_requests_ > kRequestsPerVoter) {
-    silent_voter_ = asked_voter_;
-    silent_until_ = now + kSilentVoterS;
-    asked_voter_ = (asked_voter_ + 1) % options_.voters.size();
+    unresponsive_voter_ = lease_voter_;
+    avoid_voter_until_ = now + kUnresponsiveVoterS;
+    lease_voter_ = (lease_voter_ + 1) % options_.voters.size();
     unanswered_requests_ = 1;
   }
   LeaseRequest request{.epoch = view_.epoch,
@@ -382,7 +385,7 @@
                        .requested_at_s = now,
                        .store_id = store_id_,
                        .wanted_logs = wanted_logs_};
-  const NodeId to = options_.voters[asked_voter_];
+  const NodeId to = options_.voters[lease_voter_];
   if (to != options_.self) {
     actions->send.push_back({to, std::move(request)});
     return;
@@ -437,7 +440,7 @@
   }
   if (!voter_.voting()) return;
   leader_.Tick(now, voter_, &send);
-  // A leader that no majority answers leads nobody.
+  // A leader steps down when no majority has acknowledged a heartbeat for two election timeouts.
   const double unconfirmed_s = now - leader_.confirmed_at();
   if (leader_.leading() && unconfirmed_s > 2 * options_.timings.election_s) StepDown(now);
   if (election_timeout_at_ <= now) {
--- a/src/membership/voter.cpp
+++ b/src/membership/voter.cpp
@@ -8,7 +8,7 @@
 Voter::Voter(NodeId self, std::vector<NodeId> voters, std::uint64_t nonce,
              PersistentVoterState state)
     : self_(self), voters_(std::move(voters)), nonce_(nonce), voter_state_(std::move(state)) {
-  best_known_ = voter_state_.storage_identity;
+  latest_identity_ = voter_state_.storage_identity;
 }
 
 bool Voter::IsVoter(NodeId id) const {
@@ -23,7 +23,7 @@
   return {};
 }
 
-void Voter::NoteIdentity(NodeId id, StorageIdentity identity) {
+void Voter::RecordIdentity(NodeId id, StorageIdentity identity) {
   if (id == self_ || !IsVoter(id)) return;
   VoterIdentities& known = voter_state_.known_identities;
   auto it = std::lower_bound(known.begin(), known.end(), id,
@@ -52,20 +52,20 @@
 bool Voter::MergeHeader(NodeId from, const VoterHeader& header) {
   if (!IsVoter(from)) return false;
   for (const auto& [id, identity] : header.known_identities) {
-    // Another process has voted as this member since: the vote is that one's now.
+    // Another process of this member has claimed a later identity, and votes in its place.
     const bool replaced = id == self_ && identity > voter_state_.storage_identity;
     if (replaced && state_ == State::kVoting) state_ = State::kStopped;
-    NoteIdentity(id, identity);
+    RecordIdentity(id, identity);
   }
-  NoteIdentity(from, header.storage_identity);
+  RecordIdentity(from, header.storage_identity);
   if (header.storage_identity < KnownIdentity(from)) return false;
   WritesSeen& seen = writes_seen_[from];
   seen = std::max(seen, WritesSeen{header.storage_identity, header.writes});
   return true;
 }
 
-// Counted before anything that tells of the change is sent, so that whoever receives it can notice
-// if this disk later shows less.
+// Counts the write before any message that reports the change is sent, so that its recipients can
+// detect a disk that has fewer writes later.
 void Voter::MarkDirty() {
   if (dirty_) return;
   dirty_ = true;
@@ -79,9 +79,9 @@
 bool Voter::OnMessage(NodeId from, const AgreementMessage& message,
                       std::vector<OutgoingMessage>* send) {
   return std::visit(
-      [&](const auto& m) {
-        if constexpr (requires { Handle(from, m, send); }) {
-          if (IsVoter(from) && state_ != State::kStopped) Handle(from, m, send);
+      [&](const auto& typed) {
+        if constexpr (requires { Handle(from, typed, send); }) {
+          if (IsVoter(from) && state_ != State::kStopped) Handle(from, typed, send);
           return true;
         } else {
           return false;
@@ -107,7 +107,8 @@
 
 void Voter::Handle(NodeId from, const Propose& propose, std::vector<OutgoingMessage>* send) {
   if (!voting() || !MergeHeader(from, propose.voter)) return;
-  // A leader made by an identity that is lost may have missed what that one had accepted.
+  // A leader whose quorum has a voter that lost its disk since may not know a view that this voter
+  // had accepted.
   if (propose.ballot < voter_state_.promised || !IsCurrent(propose.quorum)) {
     return Reject(from, send);
   }
@@ -145,7 +146,7 @@
   AgreementMessage message = IdentityQuery{.voter = Header(), .nonce = nonce_};
   if (state_ == State::kClaiming) {
     IdentityClaim claim{.voter = Header(), .nonce = nonce_};
-    claim.voter.storage_identity = claim_;
+    claim.voter.storage_identity = claimed_identity_;
     message = std::move(claim);
   }
   for (const NodeId id : voters_) {
@@ -153,7 +154,7 @@
   }
 }
 
-// Also one that does not vote yet tells what its disk says.
+// A voter that may not vote yet replies too, with what is on its disk.
 void Voter::Handle(NodeId from, const IdentityQuery& query, std::vector<OutgoingMessage>* send) {
   const WritesSeen& seen = writes_seen_[from];
   const bool latest = seen.storage_identity == KnownIdentity(from);
@@ -168,42 +169,42 @@
                    std::vector<OutgoingMessage>* /*send*/) {
   if (state_ != State::kAsking || reply.nonce != nonce_) return;
   for (const auto& [id, identity] : reply.voter.known_identities) {
-    if (id == self_) best_known_ = std::max(best_known_, identity);
+    if (id == self_) latest_identity_ = std::max(latest_identity_, identity);
   }
-  // It saw more than our disk holds.
-  const bool same_identity = best_known_ == voter_state_.storage_identity;
+  // Another voter has seen more writes than this disk has.
+  const bool same_identity = latest_identity_ == voter_state_.storage_identity;
   if (reply.writes_seen > voter_state_.writes && same_identity) lost_disk_ = true;
   if (reply.never_promised) never_promised_.insert(from);
   if (reply.voter.storage_identity.number > 0) with_identity_.insert(from);
-  if (best_known_ > voter_state_.storage_identity) lost_disk_ = true;
-  EndRecoveryIfKnown();
+  if (latest_identity_ > voter_state_.storage_identity) lost_disk_ = true;
+  EndRecoveryIfPossible();
 }
 
-void Voter::EndRecoveryIfKnown() {
+void Voter::EndRecoveryIfPossible() {
   const std::size_t others = voters_.size() - 1;
   if (voter_state_.storage_identity.number > 0 && !lost_disk_) {
-    // With itself a majority that has its storage, and none of them knows a later identity of this.
+    // A majority including this voter has its storage, and none knows a later identity of it.
     if (with_identity_.size() + 1 >= Majority()) state_ = State::kVoting;
   } else if (!lost_disk_ && never_promised_.size() == others) {
-    // The very first start: nobody has ever promised anything.
+    // The first start of the cluster: no voter has ever promised anything.
     voter_state_.storage_identity = {1, nonce_};
     MarkDirty();
     state_ = State::kVoting;
   } else if (with_identity_.size() >= Majority()) {
     lost_disk_ = true;
-    claim_ = {best_known_.number + 1, nonce_};
-    recovered_ = {};
-    recovered_.writes = voter_state_.writes;
+    claimed_identity_ = {latest_identity_.number + 1, nonce_};
+    recovered_state_ = {};
+    recovered_state_.writes = voter_state_.writes;
     state_ = State::kClaiming;
   }
 }
 
 void Voter::Handle(NodeId from, const IdentityClaim& claim, std::vector<OutgoingMessage>* send) {
   if (!voting() || !MergeHeader(from, claim.voter)) return;
-  // MergeHeader has noted it: on disk before the ack goes out.
+  // MergeHeader has recorded the claim, which must be on disk before the ack is sent.
   const StorageIdentity claimed = claim.voter.storage_identity;
-  if (noted_claims_[from] != claimed) MarkDirty();
-  noted_claims_[from] = claimed;
+  if (recorded_claims_[from] != claimed) MarkDirty();
+  recorded_claims_[from] = claimed;
   IdentityClaimAck ack{.voter = Header(),
                        .promised = voter_state_.promised,
                        .accepted_by = voter_state_.accepted_by,
@@ -214,19 +215,19 @@
 
 void Voter::Handle(NodeId from, const IdentityClaimAck& ack,
                    std::vector<OutgoingMessage>* /*send*/) {
-  if (state_ != State::kClaiming || ack.voter.storage_identity != claim_) return;
+  if (state_ != State::kClaiming || ack.voter.storage_identity != claimed_identity_) return;
   claim_acks_.insert(from);
-  recovered_.promised = std::max(recovered_.promised, ack.promised);
+  recovered_state_.promised = std::max(recovered_state_.promised, ack.promised);
   if (std::pair(ack.accepted_by, ack.accepted.epoch) >
-      std::pair(recovered_.accepted_by, recovered_.accepted.epoch)) {
-    recovered_.accepted_by = ack.accepted_by;
-    recovered_.accepted = ack.accepted;
+      std::pair(recovered_state_.accepted_by, recovered_state_.accepted.epoch)) {
+    recovered_state_.accepted_by = ack.accepted_by;
+    recovered_state_.accepted = ack.accepted;
   }
-  for (const auto& [id, identity] : ack.voter.known_identities) NoteIdentity(id, identity);
+  for (const auto& [id, identity] : ack.voter.known_identities) RecordIdentity(id, identity);
   if (claim_acks_.size() < Majority()) return;
-  recovered_.storage_identity = claim_;
-  recovered_.known_identities = voter_state_.known_identities;
-  voter_state_ = recovered_;
+  recovered_state_.storage_identity = claimed_identity_;
+  recovered_state_.known_identities = voter_state_.known_identities;
+  voter_state_ = recovered_state_;
   MarkDirty();
   state_ = State::kVoting;
 }
--- a/src/membership/voter.h
+++ b/src/membership/voter.h
@@ -1,10 +1,9 @@
-// A voter: the acceptor of a register that is decided by ballots (Paxos; CASPaxos, Rystsov 2018),
-// and its storage identity, by which a voter that lost its disk is told from one that has it (crash
-// vectors: Michael, Ports, Sharma, Szekeres, 'Recovering shared objects without stable storage',
-// 2017).
+// A voter: the acceptor of a replicated register (Paxos, Lamport 1998; CASPaxos, Rystsov 2018), and
+// its storage identity, which tells a voter that lost its disk from one that has it (crash vectors:
+// Michael, Ports, Sharma, Szekeres, 'Recovering shared objects without stable storage', 2017).
 //
-// Decides only; not thread-safe. Invariant: a reply goes out only after the change of voter_state()
-// that it tells of is on disk; the caller sees to that by TakeDirty().
+// No I/O; not thread-safe. Invariant: a reply is sent only after the change of voter_state() that
+// it reports is on disk; TakeDirty() tells the caller when to wait for the disk.
 #ifndef MILLETHOLLOW_MEMBERSHIP_VOTER_H_
 #define MILLETHOLLOW_MEMBERSHIP_VOTER_H_
 
@@ -18,35 +17,36 @@
 
 namespace millethollow::membership {
 
-// What a voter keeps on disk. An empty folder gives the default.
+// What a voter keeps on disk. It is the default where nothing has been stored.
 struct PersistentVoterState {
-  Ballot promised, accepted_by;
+  Ballot promised, accepted_by;  // accepted_by: the ballot in which `accepted` was proposed
   View accepted;
   StorageIdentity storage_identity;
   VoterIdentities known_identities;  // of the other voters
   std::uint64_t writes = 0;          // how often it was written
 };
 
+// The acceptor of one voter.
 class Voter {
  public:
   enum class State : std::uint8_t {
-    kAsking,    // asks the others what they know of its storage identity
-    kClaiming,  // it lost its disk: a majority of the others must note its new identity
+    kAsking,    // queries the other voters for its storage identity
+    kClaiming,  // it lost its disk: a majority of the voters must record its new identity
     kVoting,
-    kStopped,  // its disk failed, or another process has voted as this member: no more votes
+    kStopped,  // its disk failed, or another process has voted as this member: it votes no more
   };
-  // `nonce` tells this process from others of the same member. Of one voter alone a majority is
-  // itself, whatever it has lost: then nobody could tell.
+  // `nonce` identifies this process among those of the same member. A single voter is a majority
+  // alone, and no other voter could detect that it lost its disk.
   Voter(NodeId self, std::vector<NodeId> voters, std::uint64_t nonce, PersistentVoterState state);
 
-  // Answers what concerns the vote; true if `message` was of such a kind.
+  // Handles a message about votes or storage identities. False if `message` is of another kind.
   bool OnMessage(NodeId from, const AgreementMessage& message, std::vector<OutgoingMessage>* send);
-  // Goes on with the recovery of the storage identity until this voter may vote. To be called
-  // every now and then.
+  // Sends the next messages of the recovery of the storage identity, after which this voter may
+  // vote. To be called at intervals until then.
   void ContinueRecovery(std::vector<OutgoingMessage>* send);
   void OnStoreFailed() { state_ = State::kStopped; }
-  // True once after a change of voter_state(): it must be on disk before what was sent since goes
-  // out.
+  // True once after a change of voter_state(), which must be on disk before the messages produced
+  // since are sent.
   bool TakeDirty() { return std::exchange(dirty_, false); }
 
   State state() const { return state_; }
@@ -55,15 +55,16 @@
   const std::vector<NodeId>& voters() const { return voters_; }
   std::size_t Majority() const { return voters_.size() / 2 + 1; }
   bool IsVoter(NodeId id) const;
-  // The identity that this voter knows for another; number 0 where it knows none.
+  // The latest identity that this voter knows for `id`; number 0: none.
   StorageIdentity KnownIdentity(NodeId id) const;
-  // Are these all the latest identities that it knows?
+  // Whether this voter knows of no later identity for any of these voters.
   bool IsCurrent(const VoterIdentities& quorum) const;
-  // What this voter's messages say of its storage.
+  // The header of this voter's messages.
   VoterHeader Header() const;
-  // Notes the identities that another voter knows. False: the sender's own has been replaced since,
-  // and its message doesn't count.
+  // Records the identities that another voter knows. Returns false if the sender's own identity has
+  // been replaced, so that its message must be ignored.
   bool MergeHeader(NodeId from, const VoterHeader& header);
+  // Whether this voter found at its start that its disk lacks earlier writes.
   bool lost_disk() const { return lost_disk_; }
 
  private:
@@ -76,8 +77,8 @@
   void Handle(NodeId from, const Heartbeat& heartbeat, std::vector<OutgoingMessage>* send);
 
   void MarkDirty();
-  void NoteIdentity(NodeId id, StorageIdentity identity);
-  void EndRecoveryIfKnown();
+  void RecordIdentity(NodeId id, StorageIdentity identity);
+  void EndRecoveryIfPossible();
   void Reject(NodeId to, std::vector<OutgoingMessage>* send) const;
   bool NeverPromised() const {
     return voter_state_.promised == Ballot{} && voter_state_.accepted.epoch == 0;
@@ -85,7 +86,7 @@
 
   struct WritesSeen {
     StorageIdentity storage_identity;  // the latest
-    std::uint64_t writes = 0;          // the most under it
+    std::uint64_t writes = 0;          // the maximum with that identity
     auto operator<=>(const WritesSeen&) const = default;
   };
 
@@ -95,14 +96,14 @@
   PersistentVoterState voter_state_;
   State state_ = State::kAsking;
   bool dirty_ = false, lost_disk_ = false;
-  std::map<NodeId, WritesSeen> writes_seen_;        // by other voters
-  std::map<NodeId, StorageIdentity> noted_claims_;  // on disk, or on the way there
+  std::map<NodeId, WritesSeen> writes_seen_;           // in messages of other voters
+  std::map<NodeId, StorageIdentity> recorded_claims_;  // on disk or being written to it
   // Recovery.
   std::set<NodeId> never_promised_;  // voters that have no vote on record
   std::set<NodeId> with_identity_;   // voters that have a storage identity
   std::set<NodeId> claim_acks_;
-  StorageIdentity claim_, best_known_;  // of this voter: claimed, and the latest that anybody knows
-  PersistentVoterState recovered_;      // the latest of what the others' acks tell
+  StorageIdentity claimed_identity_, latest_identity_;  // of this voter; the latest known to any
+  PersistentVoterState recovered_state_;                // the latest votes in the acks of the claim
 };
 
 }  // namespace millethollow::membership
