--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -46,7 +46,7 @@
   probe_at_ = now + timings_.probe_interval_s * random_.Unit();
   gossip_at_ = now + timings_.gossip_interval_s * random_.Unit();
   probe_failed_at_ = now + timings_.failed_probe_interval_s * random_.Unit();
-  next_tick_at_ = NextAt();
+  next_tick_at_ = NextTickAt();
 }
 
 FailureDetector::Member* FailureDetector::FindMember(NodeId id) {
@@ -63,7 +63,7 @@
   return kTransmissionFactor * static_cast<int>(std::bit_width(members_.size()));
 }
 
-double FailureDetector::NextAt() const {
+double FailureDetector::NextTickAt() const {
   double at = leaving_ ? kNever : std::min(probe_at_, probe_failed_at_);
   if (!gossip_queue_.empty()) at = std::min(at, gossip_at_);
   for (const PendingProbe& probe : pending_probes_) at = std::min(at, probe.next_at);
@@ -407,7 +407,7 @@
   if (message.kind != Kind::kPing && (unaware || differs)) {
     Send(from, MakeMessage(Kind::kGossip, 0, sender, message.digest), actions);
   }
-  next_tick_at_ = NextAt();
+  next_tick_at_ = NextTickAt();
 }
 
 void FailureDetector::RelayPing(double now, NodeId from, const SwimMessage& request,
@@ -440,7 +440,7 @@
     if (!gossip_queue_.empty()) Gossip(static_cast<std::size_t>(timings_.fanout), actions);
     gossip_at_ = now + timings_.gossip_interval_s;
   }
-  next_tick_at_ = NextAt();
+  next_tick_at_ = NextTickAt();
 }
 
 void FailureDetector::AdvanceProbes(double now, Actions* actions) {
@@ -487,7 +487,7 @@
   SetHealth(FindMember(self_), FindMember(self_)->incarnation, Health::kLeft, actions);
   Gossip(kLeaveFanoutFactor * static_cast<std::size_t>(timings_.fanout), actions);
   gossip_at_ = now + timings_.gossip_interval_s;
-  next_tick_at_ = NextAt();
+  next_tick_at_ = NextTickAt();
 }
 
 }  // namespace millethollow::membership
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -82,7 +82,7 @@
   void Tick(double now, Actions* actions);
   // Gossips that this member leaves. It stops probing but still answers probes.
   void Leave(double now, Actions* actions);
-  double NextAt() const;  // when Tick is due
+  double NextTickAt() const;  // when Tick is due
 
   const std::vector<Member>& members() const { return members_; }
   const Member* Find(NodeId id) const;
--- a/src/membership/leader.h
+++ b/src/membership/leader.h
@@ -65,7 +65,7 @@
   // Sends the heartbeat that is due, and proposes the next view where one is needed.
   void Tick(double now, const Voter& voter, std::vector<OutgoingMessage>* send);
   // When Tick is due.
-  double NextAt() const { return std::min(heartbeat_at_, view_check_at_); }
+  double NextTickAt() const { return std::min(heartbeat_at_, view_check_at_); }
   // When the last heartbeat that a majority acknowledged was sent.
   double confirmed_at() const { return confirmed_at_; }
   // The latest view that this leader knows to be decided.
--- a/src/membership/maintenance_registry.cpp
+++ b/src/membership/maintenance_registry.cpp
@@ -41,7 +41,7 @@
       update_at_(now),
       compare_at_(now) {}
 
-double MaintenanceRegistry::NextAt() const {
+double MaintenanceRegistry::NextTickAt() const {
   return updates_.empty() ? compare_at_ : std::min(update_at_, compare_at_);
 }
 
--- a/src/membership/maintenance_registry.h
+++ b/src/membership/maintenance_registry.h
@@ -94,7 +94,7 @@
   void OnGossip(double now, NodeId from, const MaintenanceGossip& gossip, Actions* actions);
   // Sends the updates and digests that are due. `alive`: the other members that are alive.
   void Tick(double now, const std::vector<NodeId>& alive, Actions* actions);
-  double NextAt() const;  // when Tick is due
+  double NextTickAt() const;  // when Tick is due
 
   bool InMaintenance(const std::string& worker) const;
   std::vector<std::string> WorkersInMaintenance() const;
--- a/src/membership/membership_node.cpp
+++ b/src/membership/membership_node.cpp
@@ -139,12 +139,13 @@
 void MembershipNode::Tick(double now, Actions* actions) {
   if (agreement_.superseded()) return;
   FailureDetector::Actions detector_actions;
-  if (detector_.NextAt() <= now) detector_.Tick(now, &detector_actions);
+  if (detector_.NextTickAt() <= now) detector_.Tick(now, &detector_actions);
   Merge(&detector_actions, actions);
   ViewAgreement::Actions agreement_actions;
   agreement_.Tick(now, &agreement_actions);
   Merge(&agreement_actions, actions);
-  if (maintenance_.NextAt() <= now) maintenance_.Tick(now, AliveOthers(), &actions->maintenance);
+  if (maintenance_.NextTickAt() <= now)
+    maintenance_.Tick(now, AliveOthers(), &actions->maintenance);
   SendMaintenance(actions);
 }
 
@@ -163,9 +164,9 @@
   Merge(&detector_actions, actions);
 }
 
-double MembershipNode::NextAt() const {
+double MembershipNode::NextTickAt() const {
   if (agreement_.superseded()) return std::numeric_limits<double>::infinity();
-  return std::min({detector_.NextAt(), agreement_.NextAt(), maintenance_.NextAt()});
+  return std::min({detector_.NextTickAt(), agreement_.NextTickAt(), maintenance_.NextTickAt()});
 }
 
 double MembershipNode::FleetShare(double now) const {
--- a/src/membership/membership_node.h
+++ b/src/membership/membership_node.h
@@ -82,7 +82,7 @@
     maintenance_.OnDrainNotice(now, worker, started_at_s, gone);
   }
   void Restore(double now, const MaintenanceRecord& record) { maintenance_.Restore(now, record); }
-  double NextAt() const;  // when Tick is due
+  double NextTickAt() const;  // when Tick is due
 
   // This member's share of the fleet's capacity, 0 to 1. The shares of all members never sum to
   // more than 1, even during network partitions.
--- a/src/membership/view_agreement.cpp
+++ b/src/membership/view_agreement.cpp
@@ -38,11 +38,11 @@
   lease_voter_ = random_.Below(options_.voters.size());
 }
 
-double ViewAgreement::NextAt() const {
+double ViewAgreement::NextTickAt() const {
   double at = renew_at_;
   if (voter_.IsVoter(options_.self) && voter_.state() != Voter::State::kStopped) {
     at = std::min(at, voter_.voting() ? election_timeout_at_ : recovery_at_);
-    if (leader_.leading()) at = std::min(at, leader_.NextAt());
+    if (leader_.leading()) at = std::min(at, leader_.NextTickAt());
   }
   if (had_lease_) at = std::min(at, lease_until_);
   return at;
--- a/src/membership/view_agreement.h
+++ b/src/membership/view_agreement.h
@@ -56,7 +56,7 @@
   void OnHealthChange(const HealthChange& change) { leader_.OnHealthChange(change); }
   // Sends the requests, heartbeats and proposals that are due.
   void Tick(double now, Actions* actions);
-  double NextAt() const;  // when Tick is due
+  double NextTickAt() const;  // when Tick is due
   // The write with this ticket and all before it are on disk.
   void OnStored(double now, std::uint64_t ticket, Actions* actions);
   // A write has failed: this process votes no more.
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -201,7 +201,7 @@
 
 void Member::Arm() {
   loop_->deadlines().Drop(&tick_);
-  const double at = cluster_->NextAt();
+  const double at = cluster_->NextTickAt();
   if (!std::isfinite(at)) return;
   tick_ = loop_->deadlines().At(loop_->Now() + std::max(0.0, at - Now()), [this] {
     tick_ = Deadlines::kNone;
--- a/tests/support/membership_simulation.h
+++ b/tests/support/membership_simulation.h
@@ -256,7 +256,7 @@
   void Arm(std::size_t i) {
     Node& n = nodes_[i];
     const double at =
-        (n.cluster->NextAt() - n.offset) / n.rate + 1e-9;  // not just before, by rounding
+        (n.cluster->NextTickAt() - n.offset) / n.rate + 1e-9;  // not just before, by rounding
     if (!std::isfinite(at)) return;
     Put(std::max(at, now_), i, [this, i, mark = ++n.timer] {
       if (mark == nodes_[i].timer)
