--- a/src/membership/voter.cpp
+++ b/src/membership/voter.cpp
@@ -137,7 +137,7 @@
 
 void Voter::ContinueRecovery(std::vector<OutgoingMessage>* send) {
   if (state_ == State::kVoting || state_ == State::kStopped) return;
-  if (voters_.size() == 1 && state_ == State::kAsking) {
+  if (voters_.size() == 1 && state_ == State::kQuerying) {
     if (voter_state_.storage_identity.number == 0) voter_state_.storage_identity = {1, nonce_};
     MarkDirty();
     state_ = State::kVoting;
@@ -167,7 +167,7 @@
 
 void Voter::Handle(NodeId from, const IdentityReply& reply,
                    std::vector<OutgoingMessage>* /*send*/) {
-  if (state_ != State::kAsking || reply.nonce != nonce_) return;
+  if (state_ != State::kQuerying || reply.nonce != nonce_) return;
   for (const auto& [id, identity] : reply.voter.known_identities) {
     if (id == self_) latest_identity_ = std::max(latest_identity_, identity);
   }
--- a/src/membership/voter.h
+++ b/src/membership/voter.h
@@ -30,7 +30,7 @@
 class Voter {
  public:
   enum class State : std::uint8_t {
-    kAsking,    // queries the other voters for its storage identity
+    kQuerying,  // queries the other voters for its storage identity
     kClaiming,  // it lost its disk: a majority of the voters must record its new identity
     kVoting,
     kStopped,  // its disk failed, or another process has voted as this member: it votes no more
@@ -94,7 +94,7 @@
   std::vector<NodeId> voters_;
   std::uint64_t nonce_;
   PersistentVoterState voter_state_;
-  State state_ = State::kAsking;
+  State state_ = State::kQuerying;
   bool dirty_ = false, lost_disk_ = false;
   std::map<NodeId, WritesSeen> writes_seen_;           // in messages of other voters
   std::map<NodeId, StorageIdentity> recorded_claims_;  // on disk or being written to it
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -28,7 +28,7 @@
 
 const char* NameOfState(membership::Voter::State state) {
   using State = membership::Voter::State;
-  return state == State::kAsking     ? "asking"
+  return state == State::kQuerying   ? "asking"
          : state == State::kClaiming ? "claiming"
          : state == State::kVoting   ? "voting"
                                      : "stopped";
