--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -379,7 +379,7 @@
   CompensatePause(now);
   Member* sender = FindMember(from);
   if (sender == nullptr || from == self_) return;
-  sender->seen_at = now;
+  sender->last_message_at = now;
   OnUpdate(now, {from, message.incarnation, Health::kAlive, 0}, actions);
   const std::size_t updates = std::min(message.updates.size(), SwimMessage::kMaxUpdates);
   for (std::size_t i = 0; i < updates; ++i) OnUpdate(now, message.updates[i], actions);
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -66,7 +66,7 @@
     NodeId id = 0;
     std::uint32_t incarnation = 0;
     Health health = Health::kAlive;
-    double seen_at = -1;  // arrival of its last message; -1: none has arrived
+    double last_message_at = -1;  // arrival of its last message; -1: none has arrived
     double suspect_since = 0;
     NodeId suspected_by = 0;           // the member that suspected it first or confirmed it last
     std::vector<NodeId> confirmed_by;  // all members that suspect it
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -503,9 +503,9 @@
                                     [id](const auto& log) { return log.Find(id) != nullptr; });
       one["life"] = (std::ostringstream() << std::hex << in_view->process_incarnation).str();
     }
-    one["seen_ms"] = self                 ? json(0)
-                     : known->seen_at < 0 ? json(nullptr)
-                                          : json(Millis(now - known->seen_at));
+    one["seen_ms"] = self                         ? json(0)
+                     : known->last_message_at < 0 ? json(nullptr)
+                                                  : json(Millis(now - known->last_message_at));
     members.push_back(std::move(one));
   }
   json whole{{"cluster", options_.name},
