--- a/src/membership/membership_node.cpp
+++ b/src/membership/membership_node.cpp
@@ -117,8 +117,8 @@
     // Delayed frames of an ended process arrive before the first of its successor or soon after it.
     const bool both_present =
         accepted.last_frame_at - accepted.competing_since > options_.agreement.lease_s;
-    actions->answer = IdentityConflict{.process_incarnation = accepted.process_incarnation,
-                                       .both_present = both_present};
+    actions->reply = IdentityConflict{.process_incarnation = accepted.process_incarnation,
+                                      .both_present = both_present};
     return;
   }
   if (const auto* message = std::get_if<SwimMessage>(&frame)) {
--- a/src/membership/membership_node.h
+++ b/src/membership/membership_node.h
@@ -53,7 +53,7 @@
     bool new_view = false, superseded = false;  // as in ViewAgreement::Actions
     MaintenanceRegistry::Actions maintenance;
     // Goes to the address that the frame came from, whatever address its sender is configured with.
-    std::optional<AgreementMessage> answer = std::nullopt;
+    std::optional<AgreementMessage> reply = std::nullopt;
   };
 
   // `now`, here and below: seconds on a monotonic clock of this machine that counts pauses of the
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -261,9 +261,9 @@
   membership::MembershipNode::Actions actions;
   cluster_->OnFrame(Now(), header.from, header.process_incarnation,
                     std::get<membership::Frame>(body), &actions);
-  if (actions.answer && source != nullptr) {
+  if (actions.reply && source != nullptr) {
     transport_.SendTo(*source, Encode({hash_, self_, process_incarnation_, ++numbers_[header.from]},
-                                      std::move(*actions.answer)));
+                                      std::move(*actions.reply)));
   }
   CarryOut(&actions);
 }
--- a/tests/support/membership_simulation.h
+++ b/tests/support/membership_simulation.h
@@ -320,7 +320,7 @@
            shared = std::make_shared<const Frame>(std::move(frame))] {
             Do(at, [&](MembershipNode* c, double now, MembershipNode::Actions* a) {
               c->OnFrame(now, self, process_incarnation, *shared, a);
-              if (a->answer) a->send.emplace_back(self, std::move(*a->answer));
+              if (a->reply) a->send.emplace_back(self, std::move(*a->reply));
             });
           });
   }
