--- a/src/quota/allocator.cpp
+++ b/src/quota/allocator.cpp
@@ -19,15 +19,16 @@
     : timings_(timings), self_(self), ticked_at_(now) {
   for (const NodeId dispatcher : dispatchers) dispatchers_.try_emplace(dispatcher);
   if (tenants.size() > kMaxTenants) tenants.resize(kMaxTenants);
-  for (const TenantQuota& given : tenants) quotas_[given.tenant] = ValidRate(given.quota_rps);
+  for (const TenantQuota& tenant_quota : tenants)
+    quotas_[tenant_quota.tenant] = ValidRate(tenant_quota.quota_rps);
 }
 
 // ---- tenants allocated here ----
 
-// A tenant keeps its leases only if no other process can have allocated it in between.
+// The leases of a tenant are kept only if no other process can have allocated it in between.
 void Allocator::SetView(double now, const AllocatorView& view) {
   if (view.epoch <= view_.epoch) return;
-  const bool next = view.epoch == view_.epoch + 1;
+  const bool consecutive = view.epoch == view_.epoch + 1;
   const AllocatorView before = std::exchange(view_, view);
   for (auto& [id, dispatcher] : dispatchers_) {
     dispatcher.current = false;
@@ -40,7 +41,7 @@
     const AllocatorMember* allocator_before = before.AllocatorOf(tenant);
     if (allocator == nullptr || allocator->id != self_) {
       Drop(tenant);
-    } else if (!next || allocator_before == nullptr || *allocator != *allocator_before) {
+    } else if (!consecutive || allocator_before == nullptr || *allocator != *allocator_before) {
       StartTakeover(now, tenant);
     }
   }
@@ -48,13 +49,13 @@
 
 void Allocator::StartTakeover(double now, TenantId tenant) {
   Drop(tenant);
-  TenantLeases& taken = tenants_[tenant];
-  taken.leasable = timings_.LeasableRate(quotas_.at(tenant));
-  taken.takeover_epoch = view_.epoch;
-  taken.taking_over = true;
-  taken.takeover_ends_at =
+  TenantLeases& taken_over = tenants_[tenant];
+  taken_over.leasable = timings_.LeasableRate(quotas_.at(tenant));
+  taken_over.takeover_epoch = view_.epoch;
+  taken_over.taking_over = true;
+  taken_over.takeover_ends_at =
       now + timings_.MaxLocalDuration(timings_.superseded_grant_s + timings_.lease_duration_s);
-  taken.unreported_dispatchers = dispatchers_.size();
+  taken_over.unreported_dispatchers = dispatchers_.size();
   taking_over_.insert(tenant);
   ++counters_.takeovers;
 }
@@ -86,15 +87,15 @@
 }
 
 void Allocator::SetQuotas(double, const std::vector<TenantQuota>& tenants) {
-  for (const TenantQuota& given : tenants) {
-    const auto quota = quotas_.find(given.tenant);
+  for (const TenantQuota& tenant_quota : tenants) {
+    const auto quota = quotas_.find(tenant_quota.tenant);
     if (quota == quotas_.end()) continue;
-    quota->second = ValidRate(given.quota_rps);
-    const auto found = tenants_.find(given.tenant);
+    quota->second = ValidRate(tenant_quota.quota_rps);
+    const auto found = tenants_.find(tenant_quota.tenant);
     if (found == tenants_.end()) continue;
-    LowerPendingRates(given.tenant, found->second, timings_.LeasableRate(quota->second));
+    LowerPendingRates(tenant_quota.tenant, found->second, timings_.LeasableRate(quota->second));
     found->second.leasable = timings_.LeasableRate(quota->second);
-    changed_.insert(given.tenant);
+    changed_.insert(tenant_quota.tenant);
   }
 }
 
@@ -115,25 +116,25 @@
   ExpireLeases(now);
   EndTakeovers(now);
   const auto found = dispatchers_.find(from);
-  const RejectReason refusal = found == dispatchers_.end()
-                                   ? RejectReason::kNotAllocator
-                                   : Check(found->second, process_incarnation, report);
-  if (refusal != RejectReason::kNone) {
-    ++counters_.rejected[static_cast<std::size_t>(refusal)];
-    return refusal;
+  const RejectReason reason = found == dispatchers_.end()
+                                  ? RejectReason::kNotAllocator
+                                  : Check(found->second, process_incarnation, report);
+  if (reason != RejectReason::kNone) {
+    ++counters_.rejected[static_cast<std::size_t>(reason)];
+    return reason;
   }
   ++counters_.reports;
   DispatcherState& dispatcher = found->second;
   if (process_incarnation != dispatcher.process_incarnation)
     StartIncarnation(from, dispatcher, process_incarnation);
   const std::uint64_t full_epoch_before = dispatcher.full_epoch;
-  const bool whole = dispatcher.OnReport(report);
+  const bool completes_full_report = dispatcher.OnReport(report);
   dispatcher.last_report_at = now;
   dispatcher.silent_at = now + timings_.MaxLocalDuration(timings_.lease_duration_s);
   dispatcher.silent = false;
   for (const TenantUsage& usage : report.usages)
     ApplyUsage(from, dispatcher, usage, full_epoch_before);
-  if (whole) EndFullReport(from, dispatcher, full_epoch_before);
+  if (completes_full_report) EndFullReport(from, dispatcher, full_epoch_before);
   CheckReachable(from, dispatcher);
   ScheduleExpiry(from, dispatcher);
   dispatcher.reply_due = true;
@@ -147,8 +148,8 @@
   if (report.usages.size() > kMaxEntries) return RejectReason::kTooLarge;
   if (report.epoch < view_.epoch) return RejectReason::kStaleEpoch;
   if (report.epoch > view_.epoch || view_.epoch == 0) return RejectReason::kNotAllocator;
-  const RejectReason refusal = CheckUsages(report);
-  if (refusal != RejectReason::kNone) return refusal;
+  const RejectReason reason = CheckUsages(report);
+  if (reason != RejectReason::kNone) return reason;
   return dispatcher.IsNewer(process_incarnation, report.sequence) ? RejectReason::kNone
                                                                   : RejectReason::kDuplicate;
 }
@@ -199,18 +200,18 @@
 }
 
 void Allocator::ReleaseWaiting(DispatcherState& dispatcher) {
-  for (const TenantId tenant : dispatcher.waiting) {
+  for (const TenantId tenant : dispatcher.waiting_tenants) {
     if (tenants_.contains(tenant)) changed_.insert(tenant);
   }
-  dispatcher.waiting.clear();
+  dispatcher.waiting_tenants.clear();
 }
 
 // Leases of a dispatcher that reports but confirms no grant are not extended any more, so that its
 // pending rates become free.
 void Allocator::CheckReachable(NodeId id, DispatcherState& dispatcher) {
   if (dispatcher.pending_tenants.empty() || !dispatcher.current || dispatcher.unreachable) return;
-  const double unheard_s = dispatcher.last_report_at - dispatcher.pending_since;
-  if (unheard_s > timings_.lease_duration_s) SetUnreachable(id, dispatcher, true);
+  const double unconfirmed_s = dispatcher.last_report_at - dispatcher.pending_since;
+  if (unconfirmed_s > timings_.lease_duration_s) SetUnreachable(id, dispatcher, true);
 }
 
 void Allocator::SetUnreachable(NodeId id, DispatcherState& dispatcher, bool unreachable) {
@@ -242,10 +243,9 @@
 // ---- expiry of leases ----
 
 void Allocator::ScheduleExpiry(NodeId id, DispatcherState& dispatcher) {
-  if (dispatcher.checked_at != DispatcherState::kNever) return;
-  dispatcher.checked_at = dispatcher.NextExpiry();
-  if (dispatcher.checked_at != DispatcherState::kNever)
-    expiries_.emplace(dispatcher.checked_at, id);
+  if (dispatcher.check_at != DispatcherState::kNever) return;
+  dispatcher.check_at = dispatcher.NextExpiry();
+  if (dispatcher.check_at != DispatcherState::kNever) expiries_.emplace(dispatcher.check_at, id);
 }
 
 // Reports only postpone expiries, so one scheduled check for each dispatcher is enough.
@@ -254,7 +254,7 @@
     const NodeId id = expiries_.begin()->second;
     expiries_.erase(expiries_.begin());
     DispatcherState& dispatcher = dispatchers_.at(id);
-    dispatcher.checked_at = DispatcherState::kNever;
+    dispatcher.check_at = DispatcherState::kNever;
     ExpireLeasesOf(now, id, dispatcher);
     ScheduleExpiry(id, dispatcher);
   }
@@ -290,7 +290,7 @@
 
 void Allocator::Tick(double now, bool may_act, Actions* actions) {
   ticked_at_ = now;
-  acts_ = may_act;
+  may_act_ = may_act;
   ExpireLeases(now);
   EndTakeovers(now);
   if (!may_act) return;
@@ -298,7 +298,7 @@
   SendGrants(actions);
 }
 
-// Each tenant at most once in min_report_interval_s.
+// Divides each changed tenant, at most once in min_report_interval_s.
 void Allocator::DivideChanged(double now) {
   const std::set<TenantId> candidates = changed_;
   for (const TenantId id : candidates) {
@@ -319,8 +319,8 @@
     dispatchers_.at(share->first).tenants.erase(id);
     share = tenant.shares.erase(share);
   }
-  const auto open = [&](NodeId dispatcher) { return CanGrant(id, dispatcher); };
-  for (const RateChange& change : tenant.Divide(timings_.hysteresis, open)) {
+  const auto can_grant = [&](NodeId dispatcher) { return CanGrant(id, dispatcher); };
+  for (const RateChange& change : tenant.Divide(timings_.hysteresis, can_grant)) {
     GrantRate(id, change.dispatcher, tenant.shares.at(change.dispatcher), change.rate_rps);
   }
   if (!tenant.taking_over) ProbeUnreachable(id, tenant);
@@ -338,7 +338,7 @@
   DispatcherState& dispatcher = dispatchers_.at(id);
   if (!dispatcher.current || dispatcher.silent) return false;
   if (dispatcher.HasRoomForGrant()) return true;
-  dispatcher.waiting.insert(tenant);
+  dispatcher.waiting_tenants.insert(tenant);
   return false;
 }
 
@@ -384,9 +384,9 @@
   double next = expiries_.empty() ? DispatcherState::kNever : expiries_.begin()->first;
   for (const TenantId id : taking_over_) next = std::min(next, tenants_.at(id).takeover_ends_at);
   if (!to_send_.empty() || !changed_.empty()) {
-    // An allocator that may not act checks from time to time whether it may again.
+    // An allocator that may not act polls for whether it may again.
     const double soon = ticked_at_ + timings_.min_report_interval_s;
-    if (!acts_) return std::min(next, soon);
+    if (!may_act_) return std::min(next, soon);
   }
   if (!to_send_.empty()) return ticked_at_;
   for (const TenantId id : changed_) {
--- a/src/quota/allocator.h
+++ b/src/quota/allocator.h
@@ -1,8 +1,8 @@
-// An allocator's side of quota leases: divides the quotas of the tenants that the agreed view gives
-// it over the dispatchers by their reported demand. The sum of all floor rates and of all leases
-// that may be in force never exceeds a quota: the lease of a silent dispatcher stays reserved until
-// it has ended by that dispatcher's clock. Rates in requests per second, times in seconds. No I/O,
-// no clock.
+// An allocator's side of quota leases: divides the quotas of the tenants that the agreed view
+// assigns to it among the dispatchers, by their reported demand. The sum of all floor rates and of
+// all leases that may be in force never exceeds a quota: the lease of a silent dispatcher stays
+// reserved until it has ended by that dispatcher's clock. Rates in requests per second, times in
+// seconds. No I/O, no clock. Not thread-safe.
 #ifndef MILLETHOLLOW_QUOTA_ALLOCATOR_H_
 #define MILLETHOLLOW_QUOTA_ALLOCATOR_H_
 
@@ -20,17 +20,18 @@
 
 namespace millethollow::quota {
 
-// Counts since the start; `rejected` by RejectReason. A lapse: all leases of a dispatcher ended.
+// Counts since the start; `rejected` by RejectReason. A lapse: all leases of a dispatcher have
+// expired without renewal.
 struct AllocatorCounters {
   std::uint64_t reports = 0, grants = 0, takeovers = 0, lapses = 0;
   std::array<std::uint64_t, static_cast<std::size_t>(RejectReason::kCount)> rejected{};
 };
 
-// The tenants that one member allocates.
+// Allocates the tenants of one member.
 class Allocator {
  public:
-  // `dispatchers`: every member of the cluster that may hold leases, in the view or not, with this
-  // one. `now`: the start of this process, which knows no earlier leases.
+  // `dispatchers`: every member of the cluster that may hold leases, in the view or not, including
+  // this one. `now`: the start of this process, which knows no earlier leases.
   Allocator(NodeId self, const std::vector<NodeId>& dispatchers, std::vector<TenantQuota> tenants,
             const LeaseTimings& timings, double now);
 
@@ -38,10 +39,10 @@
   // as leased until every dispatcher has sent a full report in this epoch or later, or until all
   // leases from another allocator have ended.
   void SetView(double now, const AllocatorView& view);
-  // Other quotas of the same tenants. Lower rates are granted at once.
+  // Changes the quotas of known tenants; others are ignored. Lower rates are granted at once.
   void SetQuotas(double now, const std::vector<TenantQuota>& tenants);
-  // A report of a process of dispatcher `from`. Returns kNone if it was accepted. Each rejection is
-  // counted.
+  // Receives a report of a process of dispatcher `from`. Returns kNone if it was accepted. Each
+  // rejection is counted.
   RejectReason OnUsageReport(double now, NodeId from, ProcessIncarnation process_incarnation,
                              const UsageReport& report);
   // Appends the grants that are due. `may_act`: this process incarnation is in the view and holds
@@ -59,7 +60,7 @@
   const AllocatorCounters& counters() const { return counters_; }
 
  private:
-  using Due = std::set<std::pair<double, NodeId>>;
+  using ExpiryQueue = std::set<std::pair<double, NodeId>>;
 
   RejectReason Check(const DispatcherState& dispatcher, ProcessIncarnation process_incarnation,
                      const UsageReport& report) const;
@@ -102,9 +103,9 @@
   std::set<TenantId> taking_over_;
   std::set<TenantId> changed_;  // to be divided again
   std::set<NodeId> to_send_;    // dispatchers that a grant is due to
-  Due expiries_;                // of leases: when to look, at which dispatcher
+  ExpiryQueue expiries_;        // times of the next checks for expired leases, with the dispatcher
   double ticked_at_;
-  bool acts_ = false;  // at the last Tick
+  bool may_act_ = false;  // at the last Tick
   std::uint64_t last_grant_ = 0;
   AllocatorCounters counters_;
 };
--- a/src/quota/lease_holder.cpp
+++ b/src/quota/lease_holder.cpp
@@ -6,9 +6,10 @@
 namespace millethollow::quota {
 namespace {
 
-// Reports to one allocator whose time of sending is kept.
+// Reports to one allocator whose sending times are kept.
 constexpr std::size_t kMaxSentReports = 64;
-// Backoff of a full report that is not acknowledged: first delay in min_report_interval_s.
+// First delay of the exponential backoff of an unacknowledged full report, in units of
+// min_report_interval_s.
 constexpr double kFirstRetryIntervals = 2;
 
 double ValidRate(double rate) { return IsValidRate(rate) ? rate : 0; }
@@ -19,11 +20,11 @@
                          std::vector<TenantQuota> tenants, const LeaseTimings& timings)
     : process_incarnation_(process_incarnation), dispatchers_(dispatchers), timings_(timings) {
   if (tenants.size() > kMaxTenants) tenants.resize(kMaxTenants);
-  for (const TenantQuota& given : tenants) {
+  for (const TenantQuota& tenant_quota : tenants) {
     Tenant tenant;
-    tenant.id = given.tenant;
-    tenant.quota_rps = ValidRate(given.quota_rps);
-    index_.emplace(tenant.id, tenants_.size());
+    tenant.id = tenant_quota.tenant;
+    tenant.quota_rps = ValidRate(tenant_quota.quota_rps);
+    tenant_index_.emplace(tenant.id, tenants_.size());
     tenants_.push_back(tenant);
   }
 }
@@ -31,9 +32,9 @@
 void LeaseHolder::SetView(double now, const AllocatorView& view) {
   if (view.epoch <= view_.epoch) return;
   ExpireLeases(now);
-  const bool next = view.epoch == view_.epoch + 1;
+  const bool consecutive = view.epoch == view_.epoch + 1;
   view_ = view;
-  ReassignTenants(!next);
+  ReassignTenants(!consecutive);
   RebuildLinks(now);
 }
 
@@ -87,9 +88,10 @@
 }
 
 void LeaseHolder::SetQuotas(double, const std::vector<TenantQuota>& tenants) {
-  for (const TenantQuota& given : tenants) {
-    const auto found = index_.find(given.tenant);
-    if (found != index_.end()) tenants_[found->second].quota_rps = ValidRate(given.quota_rps);
+  for (const TenantQuota& tenant_quota : tenants) {
+    const auto found = tenant_index_.find(tenant_quota.tenant);
+    if (found != tenant_index_.end())
+      tenants_[found->second].quota_rps = ValidRate(tenant_quota.quota_rps);
   }
 }
 
@@ -103,7 +105,7 @@
   }
 }
 
-// An ended lease is not extended: only another grant begins one.
+// An expired lease is not extended: only another grant starts a new one.
 void LeaseHolder::ExpireLeases(double now) {
   for (Tenant& tenant : tenants_) {
     if (tenant.rate_rps <= 0 || now < tenant.lease_ends_at) continue;
@@ -116,10 +118,10 @@
 
 RejectReason LeaseHolder::OnGrant(double now, NodeId from, const Grant& grant) {
   ExpireLeases(now);
-  const RejectReason refusal = Check(from, grant);
-  if (refusal != RejectReason::kNone) {
-    ++counters_.rejected[static_cast<std::size_t>(refusal)];
-    return refusal;
+  const RejectReason reason = Check(from, grant);
+  if (reason != RejectReason::kNone) {
+    ++counters_.rejected[static_cast<std::size_t>(reason)];
+    return reason;
   }
   ++counters_.grants;
   AllocatorLink& link = links_.at(from);
@@ -128,9 +130,9 @@
   const double until = sent_at + std::min(grant.lease_duration_s, timings_.lease_duration_s);
   ExtendLeases(link, until);
   for (const Assignment& assignment : grant.assignments) {
-    ApplyAssignment(tenants_[index_.at(assignment.tenant)], assignment, now, until);
+    ApplyAssignment(tenants_[tenant_index_.at(assignment.tenant)], assignment, now, until);
   }
-  // A grant for a report before the full one under way asks for what is already being sent.
+  // A grant that acknowledges a report before the current full one requests what is being sent.
   const bool under_way = link.full && link.full_first_sequence > grant.acked_sequence;
   if (grant.request_full_report && !under_way) ScheduleFullReport(now, from, link);
   return RejectReason::kNone;
@@ -150,8 +152,8 @@
   if (grant.epoch > view_.epoch) return RejectReason::kNotAllocator;
   if (link == links_.end() || !link->second.active) return RejectReason::kNotAllocator;
   if (grant.acked_sequence > link->second.sequence) return RejectReason::kInvalidNumber;
-  const RejectReason refusal = CheckAssignments(from, grant);
-  if (refusal != RejectReason::kNone) return refusal;
+  const RejectReason reason = CheckAssignments(from, grant);
+  if (reason != RejectReason::kNone) return reason;
   return IsNewer(link->second, grant) ? RejectReason::kNone : RejectReason::kDuplicate;
 }
 
@@ -159,8 +161,8 @@
   for (const Assignment& assignment : grant.assignments) {
     if (!IsValidRate(assignment.rate_rps) || assignment.grant_number == 0)
       return RejectReason::kInvalidNumber;
-    const auto found = index_.find(assignment.tenant);
-    if (found == index_.end()) return RejectReason::kUnknownTenant;
+    const auto found = tenant_index_.find(assignment.tenant);
+    if (found == tenant_index_.end()) return RejectReason::kUnknownTenant;
     if (tenants_[found->second].allocator.id != from) return RejectReason::kNotAllocator;
   }
   return RejectReason::kNone;
@@ -175,7 +177,7 @@
     return false;
   if (grant.acked_sequence > link.acked_sequence) return true;
   return std::any_of(grant.assignments.begin(), grant.assignments.end(), [&](const Assignment& a) {
-    return a.grant_number > tenants_[index_.at(a.tenant)].grant_number;
+    return a.grant_number > tenants_[tenant_index_.at(a.tenant)].grant_number;
   });
 }
 
@@ -264,7 +266,8 @@
   if (link.full_last_sequence == 0) link.full_last_sequence = link.sequence;
 }
 
-// While it has demand or a lease there, or its last report is not acknowledged.
+// Whether the next report is due within renew_interval_s: while this dispatcher has demand or a
+// lease there, or its last report is not acknowledged.
 bool LeaseHolder::NeedsRenewal(const AllocatorLink& link) const {
   if (link.acked_sequence < link.sequence) return true;
   return std::any_of(link.tenants.begin(), link.tenants.end(), [&](std::size_t i) {
@@ -274,8 +277,9 @@
 
 double LeaseHolder::NextDue(const AllocatorLink& link) const {
   const double renewal = NeedsRenewal(link) ? link.reported_at + timings_.renew_interval_s : kNever;
-  const bool unanswered = link.full && link.full_last_sequence != 0 && link.reported_tenants == 0;
-  const double retry = unanswered ? link.reported_at + link.retry_s : kNever;
+  const bool unacknowledged =
+      link.full && link.full_last_sequence != 0 && link.reported_tenants == 0;
+  const double retry = unacknowledged ? link.reported_at + link.retry_s : kNever;
   return std::min({link.due_at, renewal, retry});
 }
 
--- a/src/quota/lease_holder.h
+++ b/src/quota/lease_holder.h
@@ -1,5 +1,5 @@
 // A dispatcher's side of quota leases: reports demand to the allocators and holds the leases that
-// they grant. Rates in requests per second, times in seconds. No I/O, no clock.
+// they grant. Rates in requests per second, times in seconds. No I/O, no clock. Not thread-safe.
 #ifndef MILLETHOLLOW_QUOTA_LEASE_HOLDER_H_
 #define MILLETHOLLOW_QUOTA_LEASE_HOLDER_H_
 
@@ -24,8 +24,8 @@
 // The leases of one dispatcher.
 class LeaseHolder {
  public:
-  // `dispatchers`: how many members of the cluster share each quota, with this one. The clock of
-  // every `now` counts suspended time and never goes back.
+  // `dispatchers`: the number of members of the cluster that share each quota, including this one.
+  // Every `now` is read from a monotonic clock that counts suspended time.
   LeaseHolder(ProcessIncarnation process_incarnation, std::size_t dispatchers,
               std::vector<TenantQuota> tenants, const LeaseTimings& timings);
 
@@ -33,9 +33,10 @@
   // incarnation as a member: an earlier view may have an allocator that was superseded since, whose
   // grants the dispatcher's earlier process has promised to reject.
   void SetView(double now, const AllocatorView& view);
-  // Other quotas of the same tenants.
+  // Changes the quotas of known tenants; others are ignored.
   void SetQuotas(double now, const std::vector<TenantQuota>& tenants);
-  // Requests per second that arrive of a tenant. `tenant`: its index at construction.
+  // Sets the demand for a tenant: the requests per second that arrive. `tenant`: its index at
+  // construction.
   void SetDemand(double now, std::size_t tenant, double demand);
   // Returns kNone if the grant was accepted. Each rejection is counted.
   RejectReason OnGrant(double now, NodeId from, const Grant& grant);
@@ -57,7 +58,7 @@
   struct Tenant {
     TenantId id = 0;
     double quota_rps = 0, demand_rps = 0, reported_demand_rps = 0;
-    double rate_rps = 0, lease_ends_at = 0;  // of the lease
+    double rate_rps = 0, lease_ends_at = 0;  // of the lease; rate 0: none
     // Of the grant applied last; 0: the lease is from an earlier allocator.
     std::uint64_t grant_number = 0;
     AllocatorMember allocator;  // in the current view; id 0: none
@@ -75,7 +76,7 @@
     std::size_t reported_tenants = 0;      // by the full report that has begun
     double retry_s = 0;                    // from an unacknowledged full report to the next
     std::vector<std::size_t> tenants;      // that it allocates: their indices
-    std::deque<std::pair<std::uint64_t, double>> sent_reports;  // sequence and time; bounded
+    std::deque<std::pair<std::uint64_t, double>> sent_reports;  // sequence and time; bounded size
   };
 
   void ExpireLeases(double now);
@@ -102,7 +103,7 @@
   LeaseTimings timings_;
   AllocatorView view_;
   std::vector<Tenant> tenants_;
-  std::map<TenantId, std::size_t> index_;
+  std::map<TenantId, std::size_t> tenant_index_;
   std::map<NodeId, AllocatorLink> links_;
   LeaseHolderCounters counters_;
 };
--- a/src/quota/rate_division.cpp
+++ b/src/quota/rate_division.cpp
@@ -56,12 +56,13 @@
     const bool change = MustChange(demands[i].rate_rps, targets[i], hysteresis);
     rates[i] = change ? targets[i] : demands[i].rate_rps;
   }
-  double left = available - Sum(rates);
-  const bool surplus = left < 0;
+  double remaining = available - Sum(rates);
+  const bool surplus = remaining < 0;
   for (const std::size_t i : Candidates(rates, targets, surplus)) {
-    if (surplus ? left >= -kRoundingTolerance * available : left <= kNegligibleFraction * available)
+    if (surplus ? remaining >= -kRoundingTolerance * available
+                : remaining <= kNegligibleFraction * available)
       break;
-    left += rates[i] - targets[i];
+    remaining += rates[i] - targets[i];
     rates[i] = targets[i];
   }
   return rates;
--- a/src/quota/rate_division.h
+++ b/src/quota/rate_division.h
@@ -1,4 +1,4 @@
-// Division of one tenant's leasable rate over dispatchers by their demand, in requests per second.
+// Division of one tenant's leasable rate among dispatchers by their demand, in requests per second.
 // Pure functions.
 #ifndef MILLETHOLLOW_QUOTA_RATE_DIVISION_H_
 #define MILLETHOLLOW_QUOTA_RATE_DIVISION_H_
@@ -10,10 +10,10 @@
 // One dispatcher in a division.
 struct DispatcherDemand {
   double demand_rps = 0;
-  double rate_rps = 0;  // that it has now
+  double rate_rps = 0;  // its current one
 };
 
-// Smaller free rates, as a share of the rate that is divided, stay unused.
+// A smaller free rate, as a fraction of the divided rate, stays unused.
 constexpr double kNegligibleFraction = 1e-3;
 
 // Relative difference of sums that are equal but for rounding.
@@ -25,7 +25,7 @@
                                       const std::vector<DispatcherDemand>& demands);
 
 // The same with hysteresis: a dispatcher keeps its rate while that differs from its proportional
-// rate by at most the share `hysteresis`, unless others need the surplus or free rate is left.
+// rate by at most the fraction `hysteresis`, unless others need the surplus or free rate is left.
 // Those furthest from their proportional rate change first.
 std::vector<double> RatesWithHysteresis(double available,
                                         const std::vector<DispatcherDemand>& demands,
--- a/src/quota/tenant_leases.cpp
+++ b/src/quota/tenant_leases.cpp
@@ -7,8 +7,9 @@
 namespace millethollow::quota {
 namespace {
 
-// A raise that is only partly possible is granted if it is this share of the wanted rate, or this
-// share of the raise: smaller steps cost messages, and waiting leaves free rate unused.
+// A raise that the free rate allows only in part is granted in part if the part is at least this
+// fraction of the proposed rate, or of the raise: smaller steps cost messages, while waiting leaves
+// free rate unused.
 constexpr double kMinRaiseOfRate = 0.05;
 constexpr double kMinFractionOfRaise = 0.5;
 
@@ -60,47 +61,50 @@
 // Rates that earlier processes may still use are not available.
 std::vector<TenantLeases::ProposedChange> TenantLeases::ProposedChanges(double hysteresis) const {
   std::vector<DispatcherDemand> demands;
-  std::vector<ProposedChange> wishes;
+  std::vector<ProposedChange> proposals;
   double available = leasable;
   for (const auto& [dispatcher, share] : shares) {
     available -= share.earlier_rps;
     demands.push_back({share.unreachable ? 0 : share.demand_rps, share.IntendedRate()});
-    wishes.push_back({dispatcher, share.IntendedRate(), 0});
+    proposals.push_back({dispatcher, share.IntendedRate(), 0});
   }
   const std::vector<double> rates =
       RatesWithHysteresis(std::max(0.0, available), demands, hysteresis);
-  for (std::size_t i = 0; i < wishes.size(); ++i) wishes[i].to = rates[i];
-  return wishes;
+  for (std::size_t i = 0; i < proposals.size(); ++i) proposals[i].to = rates[i];
+  return proposals;
 }
 
 std::vector<RateChange> TenantLeases::Divide(double hysteresis,
-                                             const std::function<bool(NodeId)>& open) const {
+                                             const std::function<bool(NodeId)>& can_grant) const {
   if (taking_over) return {};
-  std::vector<ProposedChange> possible;
-  for (const ProposedChange& wish : ProposedChanges(hysteresis)) {
-    const DispatcherShare& share = shares.at(wish.dispatcher);
-    const bool needed = wish.from != wish.to || share.inherited;
-    if (needed && !share.has_pending() && open(wish.dispatcher)) possible.push_back(wish);
+  std::vector<ProposedChange> grantable;
+  for (const ProposedChange& proposal : ProposedChanges(hysteresis)) {
+    const DispatcherShare& share = shares.at(proposal.dispatcher);
+    const bool needed = proposal.from != proposal.to || share.inherited;
+    if (needed && !share.has_pending() && can_grant(proposal.dispatcher))
+      grantable.push_back(proposal);
   }
-  return FitToFreeRate(possible);
+  return FitToFreeRate(grantable);
 }
 
 std::vector<RateChange> TenantLeases::FitToFreeRate(
-    const std::vector<ProposedChange>& wishes) const {
-  double wanted = 0;
-  for (const ProposedChange& wish : wishes) wanted += std::max(0.0, wish.to - wish.from);
+    const std::vector<ProposedChange>& proposals) const {
+  double total_raise = 0;
+  for (const ProposedChange& proposal : proposals)
+    total_raise += std::max(0.0, proposal.to - proposal.from);
   const double free = std::max(0.0, leasable - RateInForce());
-  const double part = wanted > free ? free / wanted : 1;
+  const double fraction = total_raise > free ? free / total_raise : 1;
   std::vector<RateChange> changes;
-  for (const ProposedChange& wish : wishes) {
-    double rate = wish.to;
-    if (wish.to > wish.from) {
-      const double raise = part * (wish.to - wish.from);
-      const bool worth_it = part >= kMinFractionOfRaise || raise >= kMinRaiseOfRate * wish.to;
-      rate = worth_it ? wish.from + raise : wish.from;
+  for (const ProposedChange& proposal : proposals) {
+    double rate = proposal.to;
+    if (proposal.to > proposal.from) {
+      const double raise = fraction * (proposal.to - proposal.from);
+      const bool large_enough =
+          fraction >= kMinFractionOfRaise || raise >= kMinRaiseOfRate * proposal.to;
+      rate = large_enough ? proposal.from + raise : proposal.from;
     }
-    if (rate != wish.from || shares.at(wish.dispatcher).inherited) {
-      changes.push_back({wish.dispatcher, rate});
+    if (rate != proposal.from || shares.at(proposal.dispatcher).inherited) {
+      changes.push_back({proposal.dispatcher, rate});
     }
   }
   return changes;
--- a/src/quota/tenant_placement.h
+++ b/src/quota/tenant_placement.h
@@ -1,4 +1,4 @@
-// Which member allocates which tenant: rendezvous hashing (Thaler, Ravishankar 1996) over the
+// Placement of tenants on allocators: rendezvous hashing (Thaler, Ravishankar 1996) over the
 // allocators of the agreed view, so that a change of one member moves only that member's tenants.
 #ifndef MILLETHOLLOW_QUOTA_TENANT_PLACEMENT_H_
 #define MILLETHOLLOW_QUOTA_TENANT_PLACEMENT_H_
@@ -20,7 +20,7 @@
 // The allocators of one agreed view. Epoch 0: none is known yet.
 struct AllocatorView {
   std::uint64_t epoch = 0;
-  std::vector<AllocatorMember> allocators;  // by rising id
+  std::vector<AllocatorMember> allocators;  // in ascending order of id
   bool operator==(const AllocatorView&) const = default;
 
   // The allocator of a tenant; null where the view has none.
--- a/src/quota/types.h
+++ b/src/quota/types.h
@@ -1,6 +1,6 @@
 // Messages between dispatchers and allocators about tenants' quotas: usage reports, and grants that
-// lease a part of a quota for a time. After RLQS (gRPC proposal A77): RateLimitQuotaUsageReports
-// and QuotaAssignmentAction. No I/O, no clock.
+// lease a part of a quota for a limited time. Modelled on RLQS, the rate limit quota service of
+// gRPC (proposal A77): RateLimitQuotaUsageReports and QuotaAssignmentAction. No I/O, no clock.
 #ifndef MILLETHOLLOW_QUOTA_TYPES_H_
 #define MILLETHOLLOW_QUOTA_TYPES_H_
 
@@ -18,7 +18,7 @@
 using membership::NodeId;
 using membership::ProcessIncarnation;
 
-// A hash of the tenant's name: the same at every node.
+// Identifies a tenant: a hash of its name, the same at every node.
 using TenantId = std::uint64_t;
 
 // A tenant and its quota over all dispatchers, in requests per second.
@@ -27,9 +27,10 @@
   double quota_rps = 0;
 };
 
-// Most entries of one message. A longer one is rejected; a longer report is sent in several.
+// Maximum number of entries in a message. A longer message is rejected; a longer report is sent in
+// several messages.
 constexpr std::size_t kMaxEntries = 256;
-// Most tenants that a dispatcher or an allocator keeps.
+// Maximum number of tenants that a dispatcher or an allocator keeps; the rest are ignored.
 constexpr std::size_t kMaxTenants = 4096;
 // Higher rates, in requests per second, are rejected as invalid.
 constexpr double kMaxRateRps = 1e9;
@@ -38,34 +39,35 @@
 
 // False also for NaN.
 constexpr bool IsValidRate(double rate) { return rate >= 0 && rate <= kMaxRateRps; }
-constexpr bool IsValidDuration(double lease_duration_s) {
-  return lease_duration_s >= 0 && lease_duration_s <= kMaxDurationS;
+constexpr bool IsValidDuration(double duration_s) {
+  return duration_s >= 0 && duration_s <= kMaxDurationS;
 }
 
 // Durations in seconds. Clocks count the time that a process or machine is suspended.
 struct LeaseTimings {
-  double lease_duration_s =
-      3.0;  // of a lease, from the sending of the report that the grant acknowledges
+  // Duration of a lease, from the sending of the report that the grant acknowledges.
+  double lease_duration_s = 3.0;
   double renew_interval_s = 0.8;       // between reports to an allocator while a lease is held
   double min_report_interval_s = 0.1;  // between any two reports to an allocator
-  double max_clock_drift = 0.01;       // by which the rates of two clocks differ, as a share
-  double superseded_grant_s =
-      4.1;  // a superseded allocator may still grant for this long after the view changed
+  double max_clock_drift = 0.01;       // maximum relative deviation of a clock from true time
+  // A superseded allocator may still grant for this long after the view has changed.
+  double superseded_grant_s = 4.1;
   // A smaller relative change of demand is not reported before the next renewal, and changes no
   // rate.
   double hysteresis = 0.1;
-  // Share of each quota that is never leased but divided evenly over all dispatchers: what each may
-  // admit without a lease.
+  // Fraction of each quota that is never leased but divided evenly among all dispatchers: what each
+  // may admit without a lease.
   double floor_fraction = 0.02;
 
-  // The longest time on this node's clock for a duration on another node's.
+  // The longest duration on this node's clock of a duration on another node's clock.
   double MaxLocalDuration(double other_clock_s) const {
     return other_clock_s * (1 + max_clock_drift) / (1 - max_clock_drift);
   }
-  // The part of a quota that each dispatcher has without a lease, and the part for leases.
+  // The rate that each dispatcher may admit without a lease.
   double FloorRate(double quota, std::size_t dispatchers) const {
     return dispatchers == 0 ? 0 : floor_fraction * quota / static_cast<double>(dispatchers);
   }
+  // The part of a quota that is leased.
   double LeasableRate(double quota) const { return quota * (1 - floor_fraction); }
 };
 
@@ -81,8 +83,8 @@
   bool operator==(const TenantUsage&) const = default;
 };
 
-// From a dispatcher to the allocator of the tenants in it. Asks to renew all leases that the
-// dispatcher has from that allocator, also of tenants that it leaves out.
+// From a dispatcher to the allocator of the tenants in it. Requests the renewal of all leases that
+// the dispatcher has from that allocator, including those of tenants that the report leaves out.
 struct UsageReport {
   std::uint64_t epoch = 0;     // the dispatcher rejects grants of earlier epochs
   std::uint64_t sequence = 0;  // rises with each report of this process to this allocator
@@ -109,8 +111,8 @@
   bool request_full_report = false;     // the allocator lacks usages: the next report is to be full
   double lease_duration_s = 0;          // 0: extends no lease
   std::vector<Assignment> assignments;  // what has changed, at most kMaxEntries
-  ProcessIncarnation process_incarnation =
-      0;  // of the dispatcher's process that sent the report; another process rejects the grant
+  // Of the dispatcher's process that sent the report. Another process rejects the grant.
+  ProcessIncarnation process_incarnation = 0;
   bool operator==(const Grant&) const = default;
 };
 
@@ -128,7 +130,7 @@
   kCount,
 };
 
-// Messages to be sent, in order, each with its recipient.
+// What the caller has to do after a call: messages to be sent, in order, each with its recipient.
 struct Actions {
   std::vector<std::pair<NodeId, Message>> send;
 };
