--- a/tests/cluster/days_test.cpp
+++ b/tests/cluster/days_test.cpp
@@ -1,12 +1,11 @@
 // Random days on several processes: faults from a seed, clients, promised jobs and workers all the
 // while, everything healed at the end. SEEDS plays so many days, and longer ones, from SEED on; a
 // failure says its faults.
-#include "support/days.h"
-
 #include <gtest/gtest.h>
 
 #include "support/history.h"
 #include "support/job_history.h"
+#include "support/seeded_runs.h"
 
 namespace millethollow::rig {
 namespace {
--- a/tests/cluster/jobs_test.cpp
+++ b/tests/cluster/jobs_test.cpp
@@ -4,8 +4,8 @@
 
 #include <deque>
 
-#include "support/days.h"
 #include "support/job_history.h"
+#include "support/seeded_runs.h"
 
 namespace millethollow::rig {
 namespace {
--- a/tests/durable_job_queue_test.cpp
+++ b/tests/durable_job_queue_test.cpp
@@ -5,7 +5,7 @@
 #include <gtest/gtest.h>
 
 #include "support/copies_world.h"
-#include "support/days.h"
+#include "support/seeded_runs.h"
 
 namespace millethollow::copies {
 namespace {
@@ -234,7 +234,9 @@
   const JobFaults planted[] = {
       {.told_before_kept = true}, {.sent_before_written = true}, {.end_not_written = true}};
   for (const JobFaults& fault : planted) {
-    EXPECT_NE(FirstSeed(200, [&](std::uint64_t seed) { return JobDay(seed, fault).broken(); }), 0U);
+    EXPECT_NE(
+        FirstFailingSeed(200, [&](std::uint64_t seed) { return JobDay(seed, fault).broken(); }),
+        0U);
   }
 }
 
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "net/cluster/frame.h"
-#include "support/days.h"
 #include "support/membership_simulation.h"
+#include "support/seeded_runs.h"
 
 namespace millethollow::membership {
 namespace {
@@ -33,13 +33,13 @@
 }
 
 TEST(FailureDetectorSimulation, DetectsIgnoredRefutations) {
-  EXPECT_NE(FirstSeed(100,
-                      [](std::uint64_t seed) {
-                        const bool found =
-                            FalseFailures(seed, 5, 0.2, 60, {.refutation_ignored = true}) > 0;
-                        return std::vector<std::string>(found ? 1 : 0,
-                                                        "a member was falsely declared failed");
-                      }),
+  EXPECT_NE(FirstFailingSeed(100,
+                             [](std::uint64_t seed) {
+                               const bool found = FalseFailures(seed, 5, 0.2, 60,
+                                                                {.refutation_ignored = true}) > 0;
+                               return std::vector<std::string>(
+                                   found ? 1 : 0, "a member was falsely declared failed");
+                             }),
             0U);
 }
 
--- a/tests/idempotency_keys_test.cpp
+++ b/tests/idempotency_keys_test.cpp
@@ -5,7 +5,7 @@
 #include "copies/idempotency_key_client.h"
 #include "copies/idempotency_key_registry.h"
 #include "support/copies_world.h"
-#include "support/days.h"
+#include "support/seeded_runs.h"
 
 namespace millethollow::copies {
 namespace {
@@ -254,7 +254,9 @@
 TEST(KeyDays, FindPlantedFaults) {
   const KeyFaults planted[] = {{.sent_before_written = true}, {.forgets_what_was_tried = true}};
   for (const KeyFaults& fault : planted) {
-    EXPECT_NE(FirstSeed(200, [&](std::uint64_t seed) { return KeyDay(seed, fault).broken(); }), 0U);
+    EXPECT_NE(
+        FirstFailingSeed(200, [&](std::uint64_t seed) { return KeyDay(seed, fault).broken(); }),
+        0U);
   }
 }
 
--- a/tests/membership_node_test.cpp
+++ b/tests/membership_node_test.cpp
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "balancing/agreed_share.h"
-#include "support/days.h"
 #include "support/membership_simulation.h"
+#include "support/seeded_runs.h"
 
 namespace millethollow::membership {
 namespace {
--- a/tests/network_partition_test.cpp
+++ b/tests/network_partition_test.cpp
@@ -7,8 +7,8 @@
 #include <deque>
 
 #include "balancing/agreed_share.h"
-#include "support/days.h"
 #include "support/membership_simulation.h"
+#include "support/seeded_runs.h"
 #include "support/simulated_fleet.h"
 
 namespace millethollow {
@@ -229,11 +229,11 @@
 }
 
 TEST(NetworkPartitionTest, DetectsDispatchersWithoutFleetShares) {
-  EXPECT_NE(FirstSeed(100,
-                      [](std::uint64_t seed) {
-                        return std::vector<std::string>(Within(Compare(seed, false)) ? 0 : 1,
-                                                        "more than a single node's");
-                      }),
+  EXPECT_NE(FirstFailingSeed(100,
+                             [](std::uint64_t seed) {
+                               return std::vector<std::string>(Within(Compare(seed, false)) ? 0 : 1,
+                                                               "more than a single node's");
+                             }),
             0U);
 }
 
--- a/tests/quota_days_test.cpp
+++ b/tests/quota_days_test.cpp
@@ -3,9 +3,9 @@
 // more days, SEED begins at another.
 #include <gtest/gtest.h>
 
-#include "support/days.h"
 #include "support/quota_demand.h"
 #include "support/quota_simulation.h"
+#include "support/seeded_runs.h"
 
 namespace millethollow::quota {
 namespace {
@@ -252,7 +252,7 @@
 // A day with the fault, and sound without it, is found by its sums within this many seeds.
 std::uint64_t FirstSeedWith(const PlantedFaults& planted) {
   constexpr std::uint64_t kMostSeeds = 300;
-  return FirstSeed(kMostSeeds, [&](std::uint64_t seed) {
+  return FirstFailingSeed(kMostSeeds, [&](std::uint64_t seed) {
     const std::vector<std::string> broken = BrokenWith(seed, planted);
     return BrokenWith(seed, {}).empty() ? broken : std::vector<std::string>{};
   });
--- a/tests/quota_refusals_test.cpp
+++ b/tests/quota_refusals_test.cpp
@@ -12,7 +12,7 @@
 
 #include "quota/allocator.h"
 #include "quota/lease_holder.h"
-#include "support/days.h"
+#include "support/seeded_runs.h"
 
 namespace millethollow::quota {
 namespace {
--- a/tests/replicated_logs_test.cpp
+++ b/tests/replicated_logs_test.cpp
@@ -4,7 +4,7 @@
 #include <deque>
 
 #include "support/copies_world.h"
-#include "support/days.h"
+#include "support/seeded_runs.h"
 
 namespace millethollow::copies {
 namespace {
@@ -80,9 +80,9 @@
   const CopyFaults planted[] = {
       {.answers_before_disk = true}, {.acts_without_lease = true}, {.loses_tail_of_filling = true}};
   for (const CopyFaults& fault : planted) {
-    EXPECT_NE(
-        FirstSeed(200, [&](std::uint64_t seed) { return CopyDay(seed, fault).world.violations(); }),
-        0U);
+    EXPECT_NE(FirstFailingSeed(
+                  200, [&](std::uint64_t seed) { return CopyDay(seed, fault).world.violations(); }),
+              0U);
   }
 }
 
--- a/tests/view_agreement_test.cpp
+++ b/tests/view_agreement_test.cpp
@@ -8,8 +8,8 @@
 #include <variant>
 #include <vector>
 
-#include "support/days.h"
 #include "support/membership_simulation.h"
+#include "support/seeded_runs.h"
 
 namespace millethollow::membership {
 namespace {
@@ -112,7 +112,7 @@
 }
 
 std::uint64_t FirstSeedDetecting(const InjectedFaults& injected_faults, std::uint64_t max_seeds) {
-  return FirstSeed(max_seeds, [&](std::uint64_t seed) {
+  return FirstFailingSeed(max_seeds, [&](std::uint64_t seed) {
     return RandomFaultRun(seed, injected_faults).simulation.violations();
   });
 }
