--- a/Makefile
+++ b/Makefile
@@ -61,7 +61,7 @@
 	SEEDS=$(SEEDS) build-cluster/tests/membership_tests --gtest_filter='ViewAgreementSimulation.Keeps*:MaintenanceRegistry*'
 	SEEDS=1000 build-cluster/tests/cuts_tests
 	SEEDS=$(SEEDS) build-cluster/tests/copies_tests --gtest_filter='CopyDays.Lose*:JobDays.What*:KeyDays.No*'
-	SEEDS=$(SEEDS) build-cluster/tests/quota_tests --gtest_filter='QuotaDays.*:*Fuzz*'
+	SEEDS=$(SEEDS) build-cluster/tests/quota_tests --gtest_filter='QuotaRandomFaults.*:*Fuzz*'
 	LONG=1 build-cluster/tests/cluster_tests --gtest_filter='-ProcessDays*'
 	SEEDS=$(PROCESS_DAYS) build-cluster/tests/cluster_tests --gtest_filter='ProcessDays*'
 
--- a/bench/scale/axis_quota.cpp
+++ b/bench/scale/axis_quota.cpp
@@ -60,7 +60,7 @@
   for (std::size_t tenant = 0; tenant < world->tenants(); ++tenant) {
     const double part = 0.2 + 1.8 * world->random().Unit();
     const double each = world->quota(tenant) * part / static_cast<double>(count);
-    quota::SetDemandOf(world, tenant, std::vector<double>(count, each));
+    quota::SetTenantDemand(world, tenant, std::vector<double>(count, each));
   }
 }
 
@@ -69,9 +69,9 @@
   const std::size_t moves = std::max<std::size_t>(1, world->tenants() / 10);
   for (std::size_t move = 0; move < moves; ++move) {
     const std::size_t tenant = world->random().Below(world->tenants());
-    quota::SetDemandOf(
+    quota::SetTenantDemand(
         world, tenant,
-        quota::PickDemand(&world->random(), world->size(), kZones, world->quota(tenant)));
+        quota::RandomDemand(&world->random(), world->size(), kZones, world->quota(tenant)));
   }
 }
 
@@ -128,12 +128,12 @@
   options.dispatchers = of.dispatchers;
   options.allocators = of.allocators;
   options.tenants = of.tenants;
-  options.check = false;
-  options.measure = true;
-  options.size_of = WireBytes;
+  options.check_invariants = false;
+  options.measure_time = true;
+  options.message_size = WireBytes;
   QuotaSimulation world(of.seed, options);
   world.StartAll();
-  world.ProposeWholeView(kFirstViewS);
+  world.ProposeFullView(kFirstViewS);
   AskEverywhere(&world);
   world.RunUntil(kWarmUpS);
   const Spent at_start = SpentOf(world);
--- a/tests/quota_days_test.cpp
+++ b/tests/quota_days_test.cpp
@@ -1,6 +1,7 @@
-// Days of quota leases from seeds: faults of processes, network, clocks, views and settings while
-// demand moves, and then a quiet time in which all of each quota must be in use again. SEEDS plays
-// more days, SEED begins at another.
+// Quota leases in simulated clusters with random faults of processes, network, clocks, views and
+// settings, while demand changes. The rates must never sum to more than a quota, and all of each
+// quota must be in use again after the faults. SEEDS in the environment sets the number of runs,
+// SEED the first one.
 #include <gtest/gtest.h>
 
 #include "support/quota_demand.h"
@@ -10,7 +11,7 @@
 namespace millethollow::quota {
 namespace {
 
-SimulationOptions SmallDay(std::uint64_t seed) {
+SimulationOptions SmallCluster(std::uint64_t seed) {
   SimulationOptions options;
   options.dispatchers = 4 + seed % 13;
   options.allocators = 2 + seed % 3;
@@ -18,7 +19,7 @@
   return options;
 }
 
-SimulationOptions LargeDay(std::uint64_t seed) {
+SimulationOptions LargeCluster(std::uint64_t seed) {
   SimulationOptions options;
   options.dispatchers = 20 + seed % 41;
   options.allocators = 5 + seed % 5;
@@ -26,8 +27,8 @@
   return options;
 }
 
-// More tenants at one allocator than fit into a frame.
-SimulationOptions WideDay(std::uint64_t seed) {
+// More tenants at one allocator than fit into one message.
+SimulationOptions ManyTenants(std::uint64_t seed) {
   SimulationOptions options;
   options.dispatchers = 3 + seed % 4;
   options.allocators = 2;
@@ -35,43 +36,44 @@
   return options;
 }
 
-class QuotaDay {
+class RandomFaultRun {
  public:
-  QuotaDay(std::uint64_t seed, const SimulationOptions& options)
+  RandomFaultRun(std::uint64_t seed, const SimulationOptions& options)
       : random_(seed * 6151 + 5), simulation_(seed, options) {}
 
   QuotaSimulation& simulation() { return simulation_; }
   // Empty: each tenant's quota was in use again in time.
-  const std::string& unused() const { return unused_; }
-  double mean_use() const {
-    return use_samples_ == 0 ? 0 : use_ / static_cast<double>(use_samples_);
+  const std::string& underused() const { return underused_; }
+  double mean_utilization() const {
+    return utilization_samples_ == 0 ? 0
+                                     : utilization_sum_ / static_cast<double>(utilization_samples_);
   }
 
-  void Play() {
+  void Execute() {
     simulation_.StartAll();
-    simulation_.ProposeWholeView(kFirstViewSeconds);
-    for (std::size_t tenant = 0; tenant < simulation_.tenants(); ++tenant) MoveDemand(tenant);
+    simulation_.ProposeFullView(kFirstViewSeconds);
+    for (std::size_t tenant = 0; tenant < simulation_.tenants(); ++tenant) ChangeDemand(tenant);
     double fault_at = kFirstFaultSeconds;
-    while (simulation_.now() < kLastFaultSeconds && simulation_.broken().empty()) {
+    while (simulation_.now() < kLastFaultSeconds && simulation_.violations().empty()) {
       if (simulation_.now() >= fault_at) {
-        Fault();
-        fault_at = simulation_.now() + kMostFaultGapSeconds * random_.Unit();
+        InjectFault();
+        fault_at = simulation_.now() + kMaxFaultGapSeconds * random_.Unit();
       }
-      MoveSomeDemand();
-      ReconsiderView();
-      simulation_.RunUntil(simulation_.now() + kMostStepSeconds * random_.Unit());
-      SampleUse();
+      ChangeSomeDemand();
+      ProposeDueView();
+      simulation_.RunUntil(simulation_.now() + kMaxStepSeconds * random_.Unit());
+      SampleUtilization();
     }
-    if (simulation_.broken().empty()) PlayQuietTime();
+    if (simulation_.violations().empty()) RunWithoutFaults();
   }
 
  private:
   static constexpr double kFirstViewSeconds = 0.5, kFirstFaultSeconds = 2, kLastFaultSeconds = 28;
-  static constexpr double kMostFaultGapSeconds = 2, kMostStepSeconds = 0.6;
-  static constexpr double kMostViewWaitSeconds = 4, kSlowestNewsSeconds = 8;
-  static constexpr double kLongestStopSeconds = 9;
+  static constexpr double kMaxFaultGapSeconds = 2, kMaxStepSeconds = 0.6;
+  static constexpr double kMaxViewWaitSeconds = 4, kMaxViewDelaySeconds = 8;
+  static constexpr double kMaxPauseSeconds = 9;
 
-  void Fault() {
+  void InjectFault() {
     const std::size_t i = random_.Below(simulation_.size());
     const std::size_t allocator = random_.Below(simulation_.options().allocators);
     switch (random_.Below(12)) {
@@ -84,200 +86,205 @@
       case 3:
         return KillAndStart(allocator);
       case 4:
-        return simulation_.Stop(i, kLongestStopSeconds * random_.Unit());
+        return simulation_.Pause(i, kMaxPauseSeconds * random_.Unit());
       case 5:
-        return simulation_.Stop(allocator, kLongestStopSeconds * random_.Unit());
+        return simulation_.Pause(allocator, kMaxPauseSeconds * random_.Unit());
       case 6:
-        return CutSome(i);
+        return CutSomeLinks(i);
       case 7:
-        return CutRegion();
+        return PartitionRegion();
       case 8:
-        return ChangeNetwork();
+        return ChangeNetworkFaults();
       case 9:
         return ChangeQuotas();
       case 10:
-        return WantView();
+        return ScheduleView();
       default:
-        return Mend();
+        return EndFaults();
     }
   }
   void Kill(std::size_t i) {
     simulation_.Kill(i);
-    WantView();
+    ScheduleView();
   }
   void KillAndStart(std::size_t i) {
     simulation_.Kill(i);
     simulation_.Start(i);
-    WantView();
+    ScheduleView();
   }
-  void CutSome(std::size_t i) {
-    const std::size_t form = random_.Below(3);
+  void CutSomeLinks(std::size_t i) {
+    const std::size_t direction = random_.Below(3);
     for (std::size_t other = 0; other < simulation_.size(); ++other) {
       if (random_.Below(2) == 0) continue;
-      if (form != 1) simulation_.Cut(i, other);
-      if (form != 2) simulation_.Cut(other, i);
+      if (direction != 1) simulation_.CutLink(i, other);
+      if (direction != 2) simulation_.CutLink(other, i);
     }
   }
-  void CutRegion() {
+  void PartitionRegion() {
     const std::size_t region = random_.Below(simulation_.options().regions);
     const auto inside = [&](std::size_t i) { return simulation_.process(i).region == region; };
     const auto outside = [&](std::size_t i) { return simulation_.process(i).region != region; };
-    const std::size_t form = random_.Below(3);
-    if (form != 1) simulation_.CutWhere(inside, outside);
-    if (form != 2) simulation_.CutWhere(outside, inside);
-    if (random_.Below(2) == 0) WantView();
+    const std::size_t direction = random_.Below(3);
+    if (direction != 1) simulation_.CutLinks(inside, outside);
+    if (direction != 2) simulation_.CutLinks(outside, inside);
+    if (random_.Below(2) == 0) ScheduleView();
   }
-  void ChangeNetwork() {
-    const double some = random_.Below(2) == 0 ? 0.02 : 0.3;
-    simulation_.SetNetwork({.lost = some * random_.Unit(),
-                            .doubled = some * random_.Unit(),
-                            .held = some * random_.Unit()});
+  void ChangeNetworkFaults() {
+    const double max_fraction = random_.Below(2) == 0 ? 0.02 : 0.3;
+    simulation_.SetNetwork({.loss = max_fraction * random_.Unit(),
+                            .duplication = max_fraction * random_.Unit(),
+                            .delayed = max_fraction * random_.Unit()});
   }
   void ChangeQuotas() {
     std::vector<double> quotas = simulation_.quotas();
     for (double& quota : quotas) {
       if (random_.Below(2) == 0) quota = std::max(1.0, quota * (0.2 + 2 * random_.Unit()));
     }
-    simulation_.SetQuotas(std::move(quotas), kSlowestSettingsSeconds);
+    simulation_.SetQuotas(std::move(quotas), kMaxSettingsDelaySeconds);
   }
-  void Mend() {
+  void EndFaults() {
     simulation_.Heal();
     simulation_.SetNetwork({});
     for (std::size_t i = 0; i < simulation_.size(); ++i) {
       if (!simulation_.up(i)) simulation_.Start(i);
     }
-    WantView();
+    ScheduleView();
   }
 
-  // Membership takes a while to agree on a view; and it may leave some out that are there.
-  void WantView() {
-    if (view_at_ < simulation_.now())
-      view_at_ = simulation_.now() + kMostViewWaitSeconds * random_.Unit();
+  // A view is agreed on some time after the event that causes it, and may lack running processes.
+  void ScheduleView() {
+    if (next_view_at_ < simulation_.now())
+      next_view_at_ = simulation_.now() + kMaxViewWaitSeconds * random_.Unit();
   }
-  void ReconsiderView() {
-    if (view_at_ < 0 || simulation_.now() < view_at_) return;
-    view_at_ = -1;
+  void ProposeDueView() {
+    if (next_view_at_ < 0 || simulation_.now() < next_view_at_) return;
+    next_view_at_ = -1;
     const auto member = [this](std::size_t) { return random_.Below(12) > 0; };
     const auto allocates = [this](std::size_t) { return random_.Below(5) > 0; };
-    simulation_.ProposeView(member, allocates, kSlowestNewsSeconds * random_.Unit());
+    simulation_.ProposeView(member, allocates, kMaxViewDelaySeconds * random_.Unit());
   }
 
-  void MoveDemand(std::size_t tenant) {
-    SetDemandOf(&simulation_, tenant,
-                PickDemand(&random_, simulation_.size(), simulation_.options().regions,
-                           simulation_.quota(tenant)));
+  void ChangeDemand(std::size_t tenant) {
+    SetTenantDemand(&simulation_, tenant,
+                    RandomDemand(&random_, simulation_.size(), simulation_.options().regions,
+                                 simulation_.quota(tenant)));
   }
-  void MoveSomeDemand() {
-    const std::size_t moves = 1 + simulation_.tenants() / 10;
-    for (std::size_t n = 0; n < moves; ++n) MoveDemand(random_.Below(simulation_.tenants()));
+  void ChangeSomeDemand() {
+    const std::size_t changes = 1 + simulation_.tenants() / 10;
+    for (std::size_t n = 0; n < changes; ++n) ChangeDemand(random_.Below(simulation_.tenants()));
   }
-  void SampleUse() {
+  void SampleUtilization() {
     const std::size_t tenant = random_.Below(simulation_.tenants());
-    const Use use = UseOf(simulation_, tenant);
-    if (use.possible <= 0) return;
-    use_ += use.admitted / use.possible;
-    use_samples_ += 1;
+    const Utilization utilization = UtilizationOf(simulation_, tenant);
+    if (utilization.achievable <= 0) return;
+    utilization_sum_ += utilization.admitted / utilization.achievable;
+    utilization_samples_ += 1;
   }
 
-  void PlayQuietTime() {
-    Mend();
-    for (std::size_t i = 0; i < simulation_.size(); ++i) simulation_.Continue(i);
-    // What changed last, and whoever was stopped, is known everywhere.
-    simulation_.RunUntil(simulation_.now() + kSlowestSettingsSeconds);
-    simulation_.ProposeWholeView(kFirstViewSeconds);
+  void RunWithoutFaults() {
+    EndFaults();
+    for (std::size_t i = 0; i < simulation_.size(); ++i) simulation_.Resume(i);
+    // By then the last settings are known everywhere, also at processes that were paused.
+    simulation_.RunUntil(simulation_.now() + kMaxSettingsDelaySeconds);
+    simulation_.ProposeFullView(kFirstViewSeconds);
     simulation_.RunUntil(simulation_.now() + kFirstViewSeconds);
-    simulation_.RunUntil(simulation_.now() + FullUseAgainSeconds(simulation_.options().timings));
-    for (int sample = 0; sample < 10 && unused_.empty() && simulation_.broken().empty(); ++sample) {
-      unused_ = FirstUnused(simulation_);
+    simulation_.RunUntil(simulation_.now() + MaxRecoverySeconds(simulation_.options().timings));
+    for (int sample = 0; sample < 10 && underused_.empty() && simulation_.violations().empty();
+         ++sample) {
+      underused_ = DescribeUnderused(simulation_);
       simulation_.RunUntil(simulation_.now() + 0.3);
     }
   }
-  static constexpr double kSlowestSettingsSeconds = 3;
+  static constexpr double kMaxSettingsDelaySeconds = 3;
 
   Random random_;
   QuotaSimulation simulation_;
-  double view_at_ = -1;
-  double use_ = 0;
-  std::size_t use_samples_ = 0;
-  std::string unused_;
+  double next_view_at_ = -1;
+  double utilization_sum_ = 0;
+  std::size_t utilization_samples_ = 0;
+  std::string underused_;
 };
 
-void PlayDays(std::uint64_t from, std::uint64_t to,
-              SimulationOptions (*options_of)(std::uint64_t)) {
-  double use = 0;
-  std::uint64_t days = 0, sums = 0, refused = 0;
+void ExecuteRuns(std::uint64_t from, std::uint64_t to,
+                 SimulationOptions (*options_of)(std::uint64_t)) {
+  double utilization = 0;
+  std::uint64_t runs = 0, sums = 0, rejected = 0;
   for (std::uint64_t seed = from; seed <= to; ++seed) {
-    QuotaDay day(seed, options_of(seed));
-    day.Play();
-    ASSERT_TRUE(day.simulation().broken().empty())
-        << "seed " << seed << " " << day.simulation().broken()[0];
-    ASSERT_EQ(day.unused(), "") << "seed " << seed;
-    days += 1;
-    use += day.mean_use();
-    sums += day.simulation().checker().sums_checked();
-    refused += RefusedEverywhere(day.simulation());
+    RandomFaultRun run(seed, options_of(seed));
+    run.Execute();
+    ASSERT_TRUE(run.simulation().violations().empty())
+        << "seed " << seed << " " << run.simulation().violations()[0];
+    ASSERT_EQ(run.underused(), "") << "seed " << seed;
+    runs += 1;
+    utilization += run.mean_utilization();
+    sums += run.simulation().checker().sums_checked();
+    rejected += RejectedMessages(run.simulation());
   }
-  std::printf("%lu days, mean use amid faults %.3f, %lu sums checked in full, %lu refused\n", days,
-              use / static_cast<double>(days), sums, refused);
-  // Or the days prove nothing: leases were held, and messages came that must change nothing.
-  EXPECT_GT(use / static_cast<double>(days), 0.3);
-  EXPECT_GT(refused, days);
+  std::printf(
+      "%lu runs, mean utilization during faults %.3f, %lu sums checked in full, %lu messages "
+      "rejected\n",
+      runs, utilization / static_cast<double>(runs), sums, rejected);
+  // The runs must have held leases and rejected messages.
+  EXPECT_GT(utilization / static_cast<double>(runs), 0.3);
+  EXPECT_GT(rejected, runs);
 }
 
-TEST(QuotaDays, SmallClustersKeepTheSumAndComeBackToFullUse) {
+TEST(QuotaRandomFaults, SmallClustersKeepTheQuotaAndRecover) {
   const std::uint64_t from = FromEnvironment("SEED", 1);
-  PlayDays(from, std::max(from, FromEnvironment("SEEDS", 150)), SmallDay);
+  ExecuteRuns(from, std::max(from, FromEnvironment("SEEDS", 150)), SmallCluster);
 }
 
-TEST(QuotaDays, LargeClustersKeepTheSumAndComeBackToFullUse) {
-  constexpr std::uint64_t kSmallForEachLarge = 50;
+TEST(QuotaRandomFaults, LargeClustersKeepTheQuotaAndRecover) {
+  constexpr std::uint64_t kSmallRunsPerLarge = 50;
   const std::uint64_t from = FromEnvironment("SEED", 1);
-  PlayDays(from, std::max(from, FromEnvironment("SEEDS", 150) / kSmallForEachLarge), LargeDay);
+  ExecuteRuns(from, std::max(from, FromEnvironment("SEEDS", 150) / kSmallRunsPerLarge),
+              LargeCluster);
 }
 
-TEST(QuotaDays, ReportsOfManyFramesKeepTheSumAndComeBackToFullUse) {
-  constexpr std::uint64_t kSmallForEachWide = 50;
+TEST(QuotaRandomFaults, ReportsInSeveralMessagesKeepTheQuotaAndRecover) {
+  constexpr std::uint64_t kSmallRunsPerManyTenants = 50;
   const std::uint64_t from = FromEnvironment("SEED", 1);
-  PlayDays(from, std::max(from, FromEnvironment("SEEDS", 150) / kSmallForEachWide), WideDay);
+  ExecuteRuns(from, std::max(from, FromEnvironment("SEEDS", 150) / kSmallRunsPerManyTenants),
+              ManyTenants);
 }
 
-std::vector<std::string> BrokenWith(std::uint64_t seed, const PlantedFaults& planted) {
-  SimulationOptions options = SmallDay(seed);
-  options.planted = planted;
-  QuotaDay day(seed, options);
-  day.Play();
-  return day.simulation().broken();
+std::vector<std::string> ViolationsWith(std::uint64_t seed, const InjectedFaults& faults) {
+  SimulationOptions options = SmallCluster(seed);
+  options.injected_faults = faults;
+  RandomFaultRun run(seed, options);
+  run.Execute();
+  return run.simulation().violations();
 }
 
-// A day with the fault, and sound without it, is found by its sums within this many seeds.
-std::uint64_t FirstSeedWith(const PlantedFaults& planted) {
-  constexpr std::uint64_t kMostSeeds = 300;
-  return FirstFailingSeed(kMostSeeds, [&](std::uint64_t seed) {
-    const std::vector<std::string> broken = BrokenWith(seed, planted);
-    return BrokenWith(seed, {}).empty() ? broken : std::vector<std::string>{};
+// The first seed whose run violates an invariant with these faults, and none without them.
+std::uint64_t FirstSeedDetecting(const InjectedFaults& faults) {
+  constexpr std::uint64_t kMaxSeeds = 300;
+  return FirstFailingSeed(kMaxSeeds, [&](std::uint64_t seed) {
+    const std::vector<std::string> violations = ViolationsWith(seed, faults);
+    return ViolationsWith(seed, {}).empty() ? violations : std::vector<std::string>{};
   });
 }
 
-TEST(QuotaPlanted, ALeaseGivenAgainAfterHalfItsSpanIsFound) {
-  EXPECT_NE(FirstSeedWith({.half_span_reserved = true}), 0U);
+TEST(QuotaInjectedFaults, DetectsLeasesReassignedAfterHalfTheirDuration) {
+  EXPECT_NE(FirstSeedDetecting({.half_lease_reserved = true}), 0U);
 }
-TEST(QuotaPlanted, ALeaseGivenAgainWithoutRegardToDriftIsFound) {
-  EXPECT_NE(FirstSeedWith({.drift_left_out = true}), 0U);
+TEST(QuotaInjectedFaults, DetectsLeasesReassignedWithoutRegardToClockDrift) {
+  EXPECT_NE(FirstSeedDetecting({.drift_ignored = true}), 0U);
 }
-TEST(QuotaPlanted, ATakeoverThatForgetsLeasesIsFound) {
-  EXPECT_NE(FirstSeedWith({.takeover_forgets_leases = true}), 0U);
+TEST(QuotaInjectedFaults, DetectsTakeoversThatIgnoreLeases) {
+  EXPECT_NE(FirstSeedDetecting({.takeover_forgets_leases = true}), 0U);
 }
-TEST(QuotaPlanted, ATakeoverThatForgetsWhoMayStillGrantIsFound) {
-  EXPECT_NE(FirstSeedWith({.earlier_grants_forgotten = true}), 0U);
+TEST(QuotaInjectedFaults, DetectsTakeoversThatIgnoreTheSupersededAllocator) {
+  EXPECT_NE(FirstSeedDetecting({.superseded_grants_ignored = true}), 0U);
 }
-TEST(QuotaPlanted, AGrantOfAnOldEpochThatIsTakenIsFound) {
-  EXPECT_NE(FirstSeedWith({.old_epoch_taken = true}), 0U);
+TEST(QuotaInjectedFaults, DetectsAcceptedGrantsOfOldEpochs) {
+  EXPECT_NE(FirstSeedDetecting({.old_epoch_accepted = true}), 0U);
 }
-TEST(QuotaPlanted, AReleaseThatIsCountedBeforeItArrivedIsFound) {
-  EXPECT_NE(FirstSeedWith({.release_counted_early = true}), 0U);
+TEST(QuotaInjectedFaults, DetectsReleasesCountedBeforeTheyArrive) {
+  EXPECT_NE(FirstSeedDetecting({.release_counted_early = true}), 0U);
 }
-TEST(QuotaPlanted, AReportThatIsCountedTwiceIsFound) {
-  EXPECT_NE(FirstSeedWith({.sequence_ignored = true}), 0U);
+TEST(QuotaInjectedFaults, DetectsReportsAppliedTwice) {
+  EXPECT_NE(FirstSeedDetecting({.sequence_ignored = true}), 0U);
 }
 
 }  // namespace
--- a/tests/quota_rate_division_test.cpp
+++ b/tests/quota_rate_division_test.cpp
@@ -1,4 +1,4 @@
-// Division of a rate over dispatchers, with hysteresis.
+// Division of a rate among dispatchers, with hysteresis.
 #include <gtest/gtest.h>
 
 #include <numeric>
@@ -28,18 +28,18 @@
 }
 
 TEST(RateDivisionTest, TakesFromOthersOnlyWhatIsNeeded) {
-  std::vector<DispatcherDemand> claims(20, {5, 5});
-  claims[0].demand_rps = 10;
-  const std::vector<double> rates = RatesWithHysteresis(100, claims, 0.1);
+  std::vector<DispatcherDemand> demands(20, {5, 5});
+  demands[0].demand_rps = 10;
+  const std::vector<double> rates = RatesWithHysteresis(100, demands, 0.1);
   EXPECT_NEAR(rates[0], 100 * 10.0 / 105, 1e-9);
   EXPECT_LE(Sum(rates), 100 + 1e-6);
   EXPECT_GE(Sum(rates), 100 - 0.3) << "no more is taken than is needed";
 }
 
 TEST(RateDivisionTest, FreedRateIsDividedEvenInSmallRaises) {
-  std::vector<DispatcherDemand> claims(21, {5, 100.0 / 21});
-  claims[0].demand_rps = 0;
-  const std::vector<double> rates = RatesWithHysteresis(100, claims, 0.1);
+  std::vector<DispatcherDemand> demands(21, {5, 100.0 / 21});
+  demands[0].demand_rps = 0;
+  const std::vector<double> rates = RatesWithHysteresis(100, demands, 0.1);
   EXPECT_EQ(rates[0], 0);
   EXPECT_GE(Sum(rates), 99.9 - 1e-9);
 }
--- a/tests/quota_refusals_test.cpp
+++ b/tests/quota_refusals_test.cpp
@@ -1,6 +1,6 @@
-// Reports and grants that must change nothing: each is refused as a whole and counted by its cause.
-// Two equal pairs of a dispatcher and an allocator live through the same; only one gets the bad
-// message, and from then on both must do the same.
+// Invalid reports and grants must change nothing: each is rejected as a whole and counted by its
+// reason. Of two equal clusters one gets an invalid message; from then on both must have the same
+// state and send the same messages.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -20,12 +20,12 @@
 using membership::Random;
 
 constexpr NodeId kSelf = 10, kOtherAllocator = 11, kDispatcher = 1;
-constexpr NodeId kStranger = 99;
+constexpr NodeId kUnknownNode = 99;
 constexpr std::uint64_t kEpoch = 5;
-constexpr TenantId kUnknown = 424242;
+constexpr TenantId kUnknownTenant = 424242;
 constexpr double kNaN = std::numeric_limits<double>::quiet_NaN();
 constexpr double kInfinity = std::numeric_limits<double>::infinity();
-constexpr double kBadNumbers[] = {kNaN, -1, kInfinity, -kInfinity, 2 * kMaxRateRps};
+constexpr double kInvalidNumbers[] = {kNaN, -1, kInfinity, -kInfinity, 2 * kMaxRateRps};
 
 const std::vector<NodeId>& Dispatchers() {
   static const std::vector<NodeId> all = {kDispatcher, 2, 3, kSelf};
@@ -36,74 +36,75 @@
   return {.epoch = epoch, .allocators = {{kSelf, 100 + kSelf}, {kOtherAllocator, 111}}};
 }
 
-// The first tenants that kSelf allocates, and one that it does not.
+// Three tenants that kSelf allocates, and one that it does not.
 struct Tenants {
-  std::vector<TenantId> here;
-  TenantId elsewhere = 0;
+  std::vector<TenantId> allocated;
+  TenantId allocated_elsewhere = 0;
   Tenants() {
     const AllocatorView view = ViewOf(kEpoch);
-    for (TenantId tenant = 1; here.size() < 3 || elsewhere == 0; ++tenant) {
+    for (TenantId tenant = 1; allocated.size() < 3 || allocated_elsewhere == 0; ++tenant) {
       if (view.AllocatorOf(tenant)->id != kSelf)
-        elsewhere = tenant;
-      else if (here.size() < 3)
-        here.push_back(tenant);
+        allocated_elsewhere = tenant;
+      else if (allocated.size() < 3)
+        allocated.push_back(tenant);
     }
   }
   std::vector<TenantQuota> Quotas() const {
     std::vector<TenantQuota> quotas;
-    for (const TenantId tenant : here) quotas.push_back({tenant, 100});
-    quotas.push_back({elsewhere, 100});
+    for (const TenantId tenant : allocated) quotas.push_back({tenant, 100});
+    quotas.push_back({allocated_elsewhere, 100});
     return quotas;
   }
 };
 
-// Four dispatchers and the allocator kSelf; messages arrive at once.
-class Pair {
+// Four dispatchers and the allocator kSelf, with immediate delivery of messages.
+class DispatcherAndAllocator {
  public:
-  Pair() : allocator_(kSelf, Dispatchers(), tenants_.Quotas(), timings_, now_) {
+  DispatcherAndAllocator() : allocator_(kSelf, Dispatchers(), tenants_.Quotas(), timings_, now_) {
     for (const NodeId id : Dispatchers()) {
-      holders_.emplace(id,
-                       LeaseHolder(LifeOf(id), Dispatchers().size(), tenants_.Quotas(), timings_));
+      holders_.emplace(
+          id, LeaseHolder(IncarnationOf(id), Dispatchers().size(), tenants_.Quotas(), timings_));
     }
     allocator_.SetView(now_, ViewOf(kEpoch));
     for (auto& [id, holder] : holders_) holder.SetView(now_, ViewOf(kEpoch));
     holder().SetDemand(now_, 0, 30);
     holder().SetDemand(now_, 1, 150);
     holders_.at(2).SetDemand(now_, 1, 150);
-    Pass(4);
+    Run(4);
   }
-  static ProcessIncarnation LifeOf(NodeId id) { return 100 + id; }
+  static ProcessIncarnation IncarnationOf(NodeId id) { return 100 + id; }
 
   LeaseHolder& holder() { return holders_.at(kDispatcher); }
   Allocator& allocator() { return allocator_; }
   double now() const { return now_; }
-  TenantId tenant(std::size_t i) const { return tenants_.here[i]; }
-  TenantId elsewhere() const { return tenants_.elsewhere; }
+  TenantId tenant(std::size_t i) const { return tenants_.allocated[i]; }
+  TenantId allocated_elsewhere() const { return tenants_.allocated_elsewhere; }
 
-  // Time passes; returns all that was said, for comparison.
-  std::vector<Message> Pass(double seconds) {
+  // Runs for this time. Returns all messages that were sent.
+  std::vector<Message> Run(double seconds) {
     constexpr double kStepSeconds = 0.05;
-    std::vector<Message> said;
-    for (const double until = now_ + seconds; now_ < until; now_ += kStepSeconds) Exchange(&said);
-    return said;
+    std::vector<Message> messages;
+    for (const double until = now_ + seconds; now_ < until; now_ += kStepSeconds)
+      Exchange(&messages);
+    return messages;
   }
-  // What can be seen from outside without a change.
-  std::vector<double> Seen() {
-    std::vector<double> seen = {holder().NextTickAt(), allocator_.NextTickAt(),
-                                static_cast<double>(holder().epoch()),
-                                static_cast<double>(allocator_.tenants_allocated())};
+  // What the public interface shows without changing it.
+  std::vector<double> ObservableState() {
+    std::vector<double> state = {holder().NextTickAt(), allocator_.NextTickAt(),
+                                 static_cast<double>(holder().epoch()),
+                                 static_cast<double>(allocator_.tenants_allocated())};
     for (const double later : {0.0, 0.5, 1.0, 2.0, 3.0, 4.0, 8.0}) {
       for (std::size_t i = 0; i < tenants_.Quotas().size(); ++i) {
-        seen.push_back(holder().AdmissibleRate(now_ + later, i));
-        seen.push_back(holder().LeaseRate(now_ + later, i));
+        state.push_back(holder().AdmissibleRate(now_ + later, i));
+        state.push_back(holder().LeaseRate(now_ + later, i));
         const TenantId tenant = tenants_.Quotas()[i].tenant;
-        seen.push_back(allocator_.ReservedRate(now_ + later, tenant));
-        seen.push_back(allocator_.IsTakingOver(now_ + later, tenant));
+        state.push_back(allocator_.ReservedRate(now_ + later, tenant));
+        state.push_back(allocator_.IsTakingOver(now_ + later, tenant));
       }
     }
-    return seen;
+    return state;
   }
-  // What the dispatcher and the allocator may say next, well formed.
+  // Valid messages that the dispatcher and the allocator may send next.
   UsageReport NextReport() const {
     UsageReport report{
         .epoch = kEpoch, .sequence = last_report_.sequence + 1, .full = false, .usages = {}};
@@ -115,37 +116,39 @@
     return report;
   }
   Grant NextGrant() const {
-    return {
-        .epoch = kEpoch,
-        .acked_sequence = last_report_.sequence,
-        .request_full_report = false,
-        .lease_duration_s = timings_.lease_duration_s,
-        .assignments = {{.tenant = tenant(0), .rate_rps = 33, .grant_number = last_number_ + 1}},
-        .process_incarnation = LifeOf(kDispatcher)};
+    return {.epoch = kEpoch,
+            .acked_sequence = last_report_.sequence,
+            .request_full_report = false,
+            .lease_duration_s = timings_.lease_duration_s,
+            .assignments = {{.tenant = tenant(0),
+                             .rate_rps = 33,
+                             .grant_number = last_grant_number_ + 1}},
+            .process_incarnation = IncarnationOf(kDispatcher)};
   }
   const Grant& last_grant() const { return last_grant_; }
 
  private:
-  void Exchange(std::vector<Message>* said) {
+  void Exchange(std::vector<Message>* messages) {
     Actions actions;
     for (auto& [id, holder] : holders_) {
       actions.send.clear();
       holder.Tick(now_, &actions);
       for (const auto& [to, message] : actions.send) {
-        said->push_back(message);
+        messages->push_back(message);
         const auto& report = std::get<UsageReport>(message);
         if (to != kSelf) continue;
         if (id == kDispatcher) last_report_ = report;
-        EXPECT_EQ(allocator_.OnUsageReport(now_, id, LifeOf(id), report), RejectReason::kNone);
+        EXPECT_EQ(allocator_.OnUsageReport(now_, id, IncarnationOf(id), report),
+                  RejectReason::kNone);
       }
     }
     actions.send.clear();
     allocator_.Tick(now_, true, &actions);
     for (const auto& [to, message] : actions.send) {
-      said->push_back(message);
+      messages->push_back(message);
       const auto& grant = std::get<Grant>(message);
-      for (const Assignment& a : grant.assignments)
-        last_number_ = std::max(last_number_, a.grant_number);
+      for (const Assignment& assignment : grant.assignments)
+        last_grant_number_ = std::max(last_grant_number_, assignment.grant_number);
       if (to == kDispatcher) last_grant_ = grant;
       EXPECT_EQ(holders_.at(to).OnGrant(now_, kSelf, grant), RejectReason::kNone);
     }
@@ -158,228 +161,256 @@
   std::map<NodeId, LeaseHolder> holders_;
   UsageReport last_report_;
   Grant last_grant_;
-  std::uint64_t last_number_ = 0;
+  std::uint64_t last_grant_number_ = 0;
 };
 
-using Refused = std::array<std::uint64_t, static_cast<std::size_t>(RejectReason::kCount)>;
+using RejectionCounts = std::array<std::uint64_t, static_cast<std::size_t>(RejectReason::kCount)>;
 
-// Exactly one more, of that cause.
-void ExpectCounted(const Refused& before, const Refused& after, RejectReason cause) {
+// Exactly one more rejection, for this reason.
+void ExpectCounted(const RejectionCounts& before, const RejectionCounts& after,
+                   RejectReason reason) {
   for (std::size_t i = 0; i < after.size(); ++i) {
-    const std::uint64_t more = i == static_cast<std::size_t>(cause) ? 1 : 0;
-    EXPECT_EQ(after[i], before[i] + more) << "cause " << i;
+    const std::uint64_t added = i == static_cast<std::size_t>(reason) ? 1 : 0;
+    EXPECT_EQ(after[i], before[i] + added) << "reason " << i;
   }
 }
 
-std::string Told(RejectReason refusal) {
-  return "refusal " + std::to_string(static_cast<int>(refusal));
+std::string ReasonText(RejectReason reason) {
+  return "rejected for reason " + std::to_string(static_cast<int>(reason));
 }
 
-struct BadReport {
+struct InvalidReport {
   std::string name;
-  std::optional<RejectReason> cause;  // none: any
-  std::function<void(const Pair&, UsageReport*)> spoil;
+  std::optional<RejectReason> expected_reason;  // absent: any
+  std::function<void(const DispatcherAndAllocator&, UsageReport*)> alter;
   NodeId from = kDispatcher;
 };
-struct BadGrant {
+struct InvalidGrant {
   std::string name;
-  std::optional<RejectReason> cause;
-  std::function<void(const Pair&, Grant*)> spoil;
+  std::optional<RejectReason> expected_reason;
+  std::function<void(const DispatcherAndAllocator&, Grant*)> alter;
   NodeId from = kSelf;
 };
 
-std::vector<BadReport> BadReports() {
-  std::vector<BadReport> all = {
+std::vector<InvalidReport> InvalidReports() {
+  std::vector<InvalidReport> invalid_reports = {
       {"earlier epoch", RejectReason::kStaleEpoch,
-       [](const Pair&, UsageReport* r) { r->epoch -= 1; }},
-      {"no epoch", RejectReason::kStaleEpoch, [](const Pair&, UsageReport* r) { r->epoch = 0; }},
+       [](const DispatcherAndAllocator&, UsageReport* report) { report->epoch -= 1; }},
+      {"no epoch", RejectReason::kStaleEpoch,
+       [](const DispatcherAndAllocator&, UsageReport* report) { report->epoch = 0; }},
       {"same sequence", RejectReason::kDuplicate,
-       [](const Pair&, UsageReport* r) { r->sequence -= 1; }},
+       [](const DispatcherAndAllocator&, UsageReport* report) { report->sequence -= 1; }},
       {"first sequence", RejectReason::kDuplicate,
-       [](const Pair&, UsageReport* r) { r->sequence = 1; }},
+       [](const DispatcherAndAllocator&, UsageReport* report) { report->sequence = 1; }},
       {"unknown tenant", RejectReason::kUnknownTenant,
-       [](const Pair&, UsageReport* r) {
-         r->usages.push_back({.tenant = kUnknown, .demand_rps = 1});
+       [](const DispatcherAndAllocator&, UsageReport* report) {
+         report->usages.push_back({.tenant = kUnknownTenant, .demand_rps = 1});
        }},
       {"tenant of another allocator", RejectReason::kNotAllocator,
-       [](const Pair& p, UsageReport* r) {
-         r->usages.push_back({.tenant = p.elsewhere(), .demand_rps = 1});
+       [](const DispatcherAndAllocator& sender, UsageReport* report) {
+         report->usages.push_back({.tenant = sender.allocated_elsewhere(), .demand_rps = 1});
        }},
       {"too many entries", RejectReason::kTooLarge,
-       [](const Pair&, UsageReport* r) { r->usages.resize(kMaxEntries + 1, r->usages[0]); }},
-      {"by a stranger", std::nullopt, [](const Pair&, UsageReport*) {}, kStranger},
+       [](const DispatcherAndAllocator&, UsageReport* report) {
+         report->usages.resize(kMaxEntries + 1, report->usages[0]);
+       }},
+      {"by an unknown node", std::nullopt, [](const DispatcherAndAllocator&, UsageReport*) {},
+       kUnknownNode},
   };
-  for (const double bad : kBadNumbers) {
-    const std::string text = std::to_string(bad);
-    all.push_back({"demand " + text, RejectReason::kInvalidNumber,
-                   [bad](const Pair&, UsageReport* r) { r->usages[0].demand_rps = bad; }});
-    all.push_back({"held " + text, RejectReason::kInvalidNumber,
-                   [bad](const Pair&, UsageReport* r) { r->usages[0].lease_rps = bad; }});
-    all.push_back({"left " + text, RejectReason::kInvalidNumber,
-                   [bad](const Pair&, UsageReport* r) { r->usages[0].lease_remaining_s = bad; }});
-    all.push_back({"last entry's demand " + text, RejectReason::kInvalidNumber,
-                   [bad](const Pair& p, UsageReport* r) {
-                     r->usages.push_back({.tenant = p.tenant(1), .demand_rps = bad});
-                   }});
+  for (const double invalid : kInvalidNumbers) {
+    const std::string text = std::to_string(invalid);
+    invalid_reports.push_back({"demand " + text, RejectReason::kInvalidNumber,
+                               [invalid](const DispatcherAndAllocator&, UsageReport* report) {
+                                 report->usages[0].demand_rps = invalid;
+                               }});
+    invalid_reports.push_back({"lease rate " + text, RejectReason::kInvalidNumber,
+                               [invalid](const DispatcherAndAllocator&, UsageReport* report) {
+                                 report->usages[0].lease_rps = invalid;
+                               }});
+    invalid_reports.push_back({"remaining time " + text, RejectReason::kInvalidNumber,
+                               [invalid](const DispatcherAndAllocator&, UsageReport* report) {
+                                 report->usages[0].lease_remaining_s = invalid;
+                               }});
+    invalid_reports.push_back(
+        {"last entry's demand " + text, RejectReason::kInvalidNumber,
+         [invalid](const DispatcherAndAllocator& sender, UsageReport* report) {
+           report->usages.push_back({.tenant = sender.tenant(1), .demand_rps = invalid});
+         }});
   }
-  return all;
+  return invalid_reports;
 }
 
-std::vector<BadGrant> BadGrants() {
-  std::vector<BadGrant> all = {
-      {"earlier epoch", RejectReason::kStaleEpoch, [](const Pair&, Grant* g) { g->epoch -= 1; }},
-      {"no epoch", RejectReason::kStaleEpoch, [](const Pair&, Grant* g) { g->epoch = 0; }},
+std::vector<InvalidGrant> InvalidGrants() {
+  std::vector<InvalidGrant> invalid_grants = {
+      {"earlier epoch", RejectReason::kStaleEpoch,
+       [](const DispatcherAndAllocator&, Grant* grant) { grant->epoch -= 1; }},
+      {"no epoch", RejectReason::kStaleEpoch,
+       [](const DispatcherAndAllocator&, Grant* grant) { grant->epoch = 0; }},
       {"the same again", RejectReason::kDuplicate,
-       [](const Pair& p, Grant* g) { *g = p.last_grant(); }},
-      {"answers an earlier report", RejectReason::kDuplicate,
-       [](const Pair&, Grant* g) { g->acked_sequence -= 1; }},
-      {"answers a report that was never sent", std::nullopt,
-       [](const Pair&, Grant* g) { g->acked_sequence += 100; }},
-      {"to a former life", RejectReason::kDuplicate,
-       [](const Pair&, Grant* g) { g->process_incarnation += 1; }},
+       [](const DispatcherAndAllocator& sender, Grant* grant) { *grant = sender.last_grant(); }},
+      {"acknowledges an earlier report", RejectReason::kDuplicate,
+       [](const DispatcherAndAllocator&, Grant* grant) { grant->acked_sequence -= 1; }},
+      {"acknowledges a report that was never sent", std::nullopt,
+       [](const DispatcherAndAllocator&, Grant* grant) { grant->acked_sequence += 100; }},
+      {"to an earlier process", RejectReason::kDuplicate,
+       [](const DispatcherAndAllocator&, Grant* grant) { grant->process_incarnation += 1; }},
       {"unknown tenant", RejectReason::kUnknownTenant,
-       [](const Pair&, Grant* g) {
-         g->assignments.push_back({kUnknown, 1, 1000});
+       [](const DispatcherAndAllocator&, Grant* grant) {
+         grant->assignments.push_back({kUnknownTenant, 1, 1000});
        }},
       {"tenant of another allocator", RejectReason::kNotAllocator,
-       [](const Pair& p, Grant* g) {
-         g->assignments.push_back({p.elsewhere(), 1, 1000});
+       [](const DispatcherAndAllocator& sender, Grant* grant) {
+         grant->assignments.push_back({sender.allocated_elsewhere(), 1, 1000});
        }},
       {"too many entries", RejectReason::kTooLarge,
-       [](const Pair&, Grant* g) { g->assignments.resize(kMaxEntries + 1, g->assignments[0]); }},
-      {"by the other allocator", RejectReason::kNotAllocator, [](const Pair&, Grant*) {},
-       kOtherAllocator},
-      {"by a stranger", RejectReason::kNotAllocator, [](const Pair&, Grant*) {}, kStranger},
+       [](const DispatcherAndAllocator&, Grant* grant) {
+         grant->assignments.resize(kMaxEntries + 1, grant->assignments[0]);
+       }},
+      {"by the other allocator", RejectReason::kNotAllocator,
+       [](const DispatcherAndAllocator&, Grant*) {}, kOtherAllocator},
+      {"by an unknown node", RejectReason::kNotAllocator,
+       [](const DispatcherAndAllocator&, Grant*) {}, kUnknownNode},
   };
-  for (const double bad : kBadNumbers) {
-    const std::string text = std::to_string(bad);
-    all.push_back({"rate " + text, RejectReason::kInvalidNumber,
-                   [bad](const Pair&, Grant* g) { g->assignments[0].rate_rps = bad; }});
-    all.push_back(
-        {"last entry's rate " + text, RejectReason::kInvalidNumber, [bad](const Pair& p, Grant* g) {
-           g->assignments.push_back({p.tenant(1), bad, 1000});
-         }});
-    all.push_back({"span " + text, RejectReason::kInvalidNumber,
-                   [bad](const Pair&, Grant* g) { g->lease_duration_s = bad; }});
+  for (const double invalid : kInvalidNumbers) {
+    const std::string text = std::to_string(invalid);
+    invalid_grants.push_back({"rate " + text, RejectReason::kInvalidNumber,
+                              [invalid](const DispatcherAndAllocator&, Grant* grant) {
+                                grant->assignments[0].rate_rps = invalid;
+                              }});
+    invalid_grants.push_back({"last entry's rate " + text, RejectReason::kInvalidNumber,
+                              [invalid](const DispatcherAndAllocator& sender, Grant* grant) {
+                                grant->assignments.push_back({sender.tenant(1), invalid, 1000});
+                              }});
+    invalid_grants.push_back({"duration " + text, RejectReason::kInvalidNumber,
+                              [invalid](const DispatcherAndAllocator&, Grant* grant) {
+                                grant->lease_duration_s = invalid;
+                              }});
   }
-  return all;
+  return invalid_grants;
 }
 
-void ExpectSameFromNowOn(Pair* one, Pair* other) {
-  EXPECT_EQ(one->Seen(), other->Seen());
-  EXPECT_EQ(one->Pass(5), other->Pass(5));
-  EXPECT_EQ(one->Seen(), other->Seen());
+void ExpectSameBehavior(DispatcherAndAllocator* tested, DispatcherAndAllocator* control) {
+  EXPECT_EQ(tested->ObservableState(), control->ObservableState());
+  EXPECT_EQ(tested->Run(5), control->Run(5));
+  EXPECT_EQ(tested->ObservableState(), control->ObservableState());
 }
 
-TEST(QuotaRefusals, ThePairHoldsLeasesAtAll) {
-  Pair pair;
-  EXPECT_FALSE(pair.allocator().IsTakingOver(pair.now(), pair.tenant(0)));
-  EXPECT_GE(pair.holder().LeaseRate(pair.now(), 0), 29);
-  EXPECT_GT(pair.holder().LeaseRate(pair.now(), 1), 40);
-  // The messages that are spoilt below are good ones.
-  EXPECT_EQ(pair.allocator().OnUsageReport(pair.now(), kDispatcher, Pair::LifeOf(kDispatcher),
-                                           pair.NextReport()),
+TEST(QuotaRejection, ValidMessagesAreAccepted) {
+  DispatcherAndAllocator tested;
+  EXPECT_FALSE(tested.allocator().IsTakingOver(tested.now(), tested.tenant(0)));
+  EXPECT_GE(tested.holder().LeaseRate(tested.now(), 0), 29);
+  EXPECT_GT(tested.holder().LeaseRate(tested.now(), 1), 40);
+  // The messages that the other tests make invalid are valid.
+  EXPECT_EQ(tested.allocator().OnUsageReport(tested.now(), kDispatcher,
+                                             DispatcherAndAllocator::IncarnationOf(kDispatcher),
+                                             tested.NextReport()),
             RejectReason::kNone);
-  EXPECT_EQ(pair.holder().OnGrant(pair.now(), kSelf, pair.NextGrant()), RejectReason::kNone);
-  EXPECT_EQ(pair.holder().LeaseRate(pair.now(), 0), 33);
+  EXPECT_EQ(tested.holder().OnGrant(tested.now(), kSelf, tested.NextGrant()), RejectReason::kNone);
+  EXPECT_EQ(tested.holder().LeaseRate(tested.now(), 0), 33);
 }
 
-TEST(QuotaRefusals, BadReportsChangeNothingAndAreCounted) {
-  for (const BadReport& bad : BadReports()) {
-    SCOPED_TRACE(bad.name);
-    Pair one, other;
-    UsageReport report = one.NextReport();
-    bad.spoil(one, &report);
-    const Refused before = one.allocator().counters().rejected;
-    const RejectReason refusal =
-        one.allocator().OnUsageReport(one.now(), bad.from, Pair::LifeOf(bad.from), report);
-    EXPECT_NE(refusal, RejectReason::kNone);
-    if (bad.cause) {
-      EXPECT_EQ(refusal, *bad.cause) << Told(refusal);
+TEST(QuotaRejection, InvalidReportsChangeNothingAndAreCounted) {
+  for (const InvalidReport& test_case : InvalidReports()) {
+    SCOPED_TRACE(test_case.name);
+    DispatcherAndAllocator tested, control;
+    UsageReport report = tested.NextReport();
+    test_case.alter(tested, &report);
+    const RejectionCounts before = tested.allocator().counters().rejected;
+    const RejectReason reason = tested.allocator().OnUsageReport(
+        tested.now(), test_case.from, DispatcherAndAllocator::IncarnationOf(test_case.from),
+        report);
+    EXPECT_NE(reason, RejectReason::kNone);
+    if (test_case.expected_reason) {
+      EXPECT_EQ(reason, *test_case.expected_reason) << ReasonText(reason);
     }
-    ExpectCounted(before, one.allocator().counters().rejected, refusal);
-    ExpectSameFromNowOn(&one, &other);
+    ExpectCounted(before, tested.allocator().counters().rejected, reason);
+    ExpectSameBehavior(&tested, &control);
   }
 }
 
-TEST(QuotaRefusals, BadGrantsChangeNothingAndAreCounted) {
-  for (const BadGrant& bad : BadGrants()) {
-    SCOPED_TRACE(bad.name);
-    Pair one, other;
-    Grant grant = one.NextGrant();
-    bad.spoil(one, &grant);
-    const Refused before = one.holder().counters().rejected;
-    const RejectReason refusal = one.holder().OnGrant(one.now(), bad.from, grant);
-    EXPECT_NE(refusal, RejectReason::kNone);
-    if (bad.cause) {
-      EXPECT_EQ(refusal, *bad.cause) << Told(refusal);
+TEST(QuotaRejection, InvalidGrantsChangeNothingAndAreCounted) {
+  for (const InvalidGrant& test_case : InvalidGrants()) {
+    SCOPED_TRACE(test_case.name);
+    DispatcherAndAllocator tested, control;
+    Grant grant = tested.NextGrant();
+    test_case.alter(tested, &grant);
+    const RejectionCounts before = tested.holder().counters().rejected;
+    const RejectReason reason = tested.holder().OnGrant(tested.now(), test_case.from, grant);
+    EXPECT_NE(reason, RejectReason::kNone);
+    if (test_case.expected_reason) {
+      EXPECT_EQ(reason, *test_case.expected_reason) << ReasonText(reason);
     }
-    ExpectCounted(before, one.holder().counters().rejected, refusal);
-    ExpectSameFromNowOn(&one, &other);
+    ExpectCounted(before, tested.holder().counters().rejected, reason);
+    ExpectSameBehavior(&tested, &control);
   }
 }
 
-// The allocator of a tenant may know a view before the dispatcher does, or after it.
-TEST(QuotaRefusals, WhoKnowsALaterEpochRefusesTheEarlierOne) {
-  Pair pair;
-  pair.holder().SetView(pair.now(), ViewOf(kEpoch + 1));
-  const Refused before = pair.holder().counters().rejected;
-  EXPECT_EQ(pair.holder().OnGrant(pair.now(), kSelf, pair.NextGrant()), RejectReason::kStaleEpoch);
-  ExpectCounted(before, pair.holder().counters().rejected, RejectReason::kStaleEpoch);
-  pair.allocator().SetView(pair.now(), ViewOf(kEpoch + 2));
-  EXPECT_EQ(pair.allocator().OnUsageReport(pair.now(), kDispatcher, Pair::LifeOf(kDispatcher),
-                                           pair.NextReport()),
+// The allocator of a tenant may learn a view before the dispatcher does, or after it.
+TEST(QuotaRejection, MessagesOfEarlierEpochsAreRejected) {
+  DispatcherAndAllocator tested;
+  tested.holder().SetView(tested.now(), ViewOf(kEpoch + 1));
+  const RejectionCounts before = tested.holder().counters().rejected;
+  EXPECT_EQ(tested.holder().OnGrant(tested.now(), kSelf, tested.NextGrant()),
+            RejectReason::kStaleEpoch);
+  ExpectCounted(before, tested.holder().counters().rejected, RejectReason::kStaleEpoch);
+  tested.allocator().SetView(tested.now(), ViewOf(kEpoch + 2));
+  EXPECT_EQ(tested.allocator().OnUsageReport(tested.now(), kDispatcher,
+                                             DispatcherAndAllocator::IncarnationOf(kDispatcher),
+                                             tested.NextReport()),
             RejectReason::kStaleEpoch);
 }
 
-class Fuzz {
+// Replaces random fields of a message by random values, valid or not.
+class MessageFuzzer {
  public:
-  explicit Fuzz(std::uint64_t seed) : random_(seed) {}
-  double Number() {
-    constexpr double kSome[] = {0,    1e-300, 1,   33,    1e8,  kMaxRateRps,
-                                -0.5, -1e9,   2e9, 1e300, kNaN, kInfinity};
-    return kSome[random_.Below(std::size(kSome))];
+  explicit MessageFuzzer(std::uint64_t seed) : random_(seed) {}
+  double RandomNumber() {
+    constexpr double kValues[] = {0,    1e-300, 1,   33,    1e8,  kMaxRateRps,
+                                  -0.5, -1e9,   2e9, 1e300, kNaN, kInfinity};
+    return kValues[random_.Below(std::size(kValues))];
+  }
+  std::uint64_t RandomInteger() {
+    constexpr std::uint64_t kValues[] = {0, 1, kEpoch - 1, kEpoch, 60, 1ULL << 40, ~0ULL};
+    return kValues[random_.Below(std::size(kValues))];
   }
-  std::uint64_t Word() {
-    constexpr std::uint64_t kSome[] = {0, 1, kEpoch - 1, kEpoch, 60, 1ULL << 40, ~0ULL};
-    return kSome[random_.Below(std::size(kSome))];
+  TenantId RandomTenant(const DispatcherAndAllocator& tested) {
+    const TenantId tenants[] = {tested.tenant(0), tested.tenant(1), tested.tenant(2),
+                                tested.allocated_elsewhere(), kUnknownTenant};
+    return tenants[random_.Below(std::size(tenants))];
   }
-  TenantId Tenant(const Pair& pair) {
-    const TenantId some[] = {pair.tenant(0), pair.tenant(1), pair.tenant(2), pair.elsewhere(),
-                             kUnknown};
-    return some[random_.Below(std::size(some))];
+  bool OneInFour() { return random_.Below(4) == 0; }
+  NodeId RandomNode() {
+    constexpr NodeId kValues[] = {kDispatcher, 2, kSelf, kOtherAllocator, kUnknownNode};
+    return kValues[random_.Below(std::size(kValues))];
   }
-  bool Rarely() { return random_.Below(4) == 0; }
-  NodeId From() {
-    constexpr NodeId kSome[] = {kDispatcher, 2, kSelf, kOtherAllocator, kStranger};
-    return kSome[random_.Below(std::size(kSome))];
+  std::size_t RandomEntryCount() {
+    return OneInFour() ? kMaxEntries + random_.Below(3) : random_.Below(4);
   }
-  std::size_t Entries() { return Rarely() ? kMaxEntries + random_.Below(3) : random_.Below(4); }
 
-  void Spoil(const Pair& pair, UsageReport* report) {
-    if (Rarely()) report->epoch = std::min(Word(), kEpoch);
-    if (Rarely()) report->sequence = Word();
-    if (Rarely()) report->full = true;
-    if (Rarely()) report->usages.resize(Entries());
+  void Alter(const DispatcherAndAllocator& tested, UsageReport* report) {
+    if (OneInFour()) report->epoch = std::min(RandomInteger(), kEpoch);
+    if (OneInFour()) report->sequence = RandomInteger();
+    if (OneInFour()) report->full = true;
+    if (OneInFour()) report->usages.resize(RandomEntryCount());
     for (TenantUsage& usage : report->usages) {
-      if (Rarely()) usage.tenant = Tenant(pair);
-      if (Rarely()) usage.demand_rps = Number();
-      if (Rarely()) usage.lease_rps = Number();
-      if (Rarely()) usage.lease_remaining_s = Number();
-      if (Rarely()) usage.grant_number = Word();
+      if (OneInFour()) usage.tenant = RandomTenant(tested);
+      if (OneInFour()) usage.demand_rps = RandomNumber();
+      if (OneInFour()) usage.lease_rps = RandomNumber();
+      if (OneInFour()) usage.lease_remaining_s = RandomNumber();
+      if (OneInFour()) usage.grant_number = RandomInteger();
     }
   }
-  void Spoil(const Pair& pair, Grant* grant) {
-    if (Rarely()) grant->epoch = std::min(Word(), kEpoch);
-    if (Rarely()) grant->acked_sequence = Word();
-    if (Rarely()) grant->process_incarnation = Word();
-    if (Rarely()) grant->request_full_report = true;
-    if (Rarely()) grant->lease_duration_s = Number();
-    if (Rarely()) grant->assignments.resize(Entries());
+  void Alter(const DispatcherAndAllocator& tested, Grant* grant) {
+    if (OneInFour()) grant->epoch = std::min(RandomInteger(), kEpoch);
+    if (OneInFour()) grant->acked_sequence = RandomInteger();
+    if (OneInFour()) grant->process_incarnation = RandomInteger();
+    if (OneInFour()) grant->request_full_report = true;
+    if (OneInFour()) grant->lease_duration_s = RandomNumber();
+    if (OneInFour()) grant->assignments.resize(RandomEntryCount());
     for (Assignment& assignment : grant->assignments) {
-      if (Rarely()) assignment.tenant = Tenant(pair);
-      if (Rarely()) assignment.rate_rps = Number();
-      if (Rarely()) assignment.grant_number = Word();
+      if (OneInFour()) assignment.tenant = RandomTenant(tested);
+      if (OneInFour()) assignment.rate_rps = RandomNumber();
+      if (OneInFour()) assignment.grant_number = RandomInteger();
     }
   }
 
@@ -387,50 +418,51 @@
   Random random_;
 };
 
-std::uint64_t RefusedInAll(const Refused& refused) {
-  return std::accumulate(refused.begin(), refused.end(), std::uint64_t{0});
+std::uint64_t TotalRejections(const RejectionCounts& rejections) {
+  return std::accumulate(rejections.begin(), rejections.end(), std::uint64_t{0});
 }
 
-// What is taken is told to both pairs, what is refused to one of them: they stay the same.
-TEST(QuotaRefusals, FuzzedMessagesThatAreRefusedChangeNothing) {
+// Accepted messages go to both clusters, rejected ones to one of them: their states stay equal.
+TEST(QuotaRejection, RejectedFuzzedMessagesChangeNothing) {
   constexpr int kMessagesEach = 12;
   const std::uint64_t seeds = FromEnvironment("SEEDS", 200);
-  std::uint64_t refused = 0, taken = 0;
+  std::uint64_t rejected_messages = 0, accepted_messages = 0;
   for (std::uint64_t seed = 1; seed <= seeds && !testing::Test::HasFailure(); ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    Fuzz fuzz(seed);
-    Pair one, other;
+    MessageFuzzer fuzzer(seed);
+    DispatcherAndAllocator tested, control;
     for (int n = 0; n < kMessagesEach; ++n) {
-      const NodeId from = fuzz.From();
-      UsageReport report = one.NextReport();
-      fuzz.Spoil(one, &report);
-      Refused before = one.allocator().counters().rejected;
-      RejectReason refusal =
-          one.allocator().OnUsageReport(one.now(), from, Pair::LifeOf(from), report);
-      if (refusal == RejectReason::kNone) {
-        other.allocator().OnUsageReport(other.now(), from, Pair::LifeOf(from), report);
-        taken += 1;
+      const NodeId from = fuzzer.RandomNode();
+      UsageReport report = tested.NextReport();
+      fuzzer.Alter(tested, &report);
+      RejectionCounts before = tested.allocator().counters().rejected;
+      RejectReason reason = tested.allocator().OnUsageReport(
+          tested.now(), from, DispatcherAndAllocator::IncarnationOf(from), report);
+      if (reason == RejectReason::kNone) {
+        control.allocator().OnUsageReport(control.now(), from,
+                                          DispatcherAndAllocator::IncarnationOf(from), report);
+        accepted_messages += 1;
       } else {
-        ExpectCounted(before, one.allocator().counters().rejected, refusal);
+        ExpectCounted(before, tested.allocator().counters().rejected, reason);
       }
-      Grant grant = one.NextGrant();
-      fuzz.Spoil(one, &grant);
-      before = one.holder().counters().rejected;
-      refusal = one.holder().OnGrant(one.now(), from, grant);
-      if (refusal == RejectReason::kNone) {
-        other.holder().OnGrant(other.now(), from, grant);
-        taken += 1;
+      Grant grant = tested.NextGrant();
+      fuzzer.Alter(tested, &grant);
+      before = tested.holder().counters().rejected;
+      reason = tested.holder().OnGrant(tested.now(), from, grant);
+      if (reason == RejectReason::kNone) {
+        control.holder().OnGrant(control.now(), from, grant);
+        accepted_messages += 1;
       } else {
-        ExpectCounted(before, one.holder().counters().rejected, refusal);
+        ExpectCounted(before, tested.holder().counters().rejected, reason);
       }
-      ASSERT_EQ(one.Seen(), other.Seen());
+      ASSERT_EQ(tested.ObservableState(), control.ObservableState());
     }
-    refused += RefusedInAll(one.allocator().counters().rejected) +
-               RefusedInAll(one.holder().counters().rejected);
+    rejected_messages += TotalRejections(tested.allocator().counters().rejected) +
+                         TotalRejections(tested.holder().counters().rejected);
   }
-  std::printf("%lu refused, %lu taken\n", refused, taken);
-  EXPECT_GT(refused, taken);
-  EXPECT_GT(taken, seeds / 10);
+  std::printf("%lu rejected_messages, %lu taken\n", rejected_messages, accepted_messages);
+  EXPECT_GT(rejected_messages, accepted_messages);
+  EXPECT_GT(accepted_messages, seeds / 10);
 }
 
 }  // namespace
--- a/tests/quota_scenarios_test.cpp
+++ b/tests/quota_scenarios_test.cpp
@@ -1,5 +1,5 @@
-// Courses of events in which quota leases once went wrong, or nearly: each is played with several
-// clocks and delays, and the simulation's checker looks at the sum after each event.
+// Sequences of events that could violate a quota. Each runs with several seeds of clocks and
+// delays; the simulation checks the sum of the rates after each event.
 #include <gtest/gtest.h>
 
 #include "support/quota_demand.h"
@@ -10,9 +10,9 @@
 
 constexpr std::uint64_t kSeeds = 20;
 constexpr double kWarmUpSeconds = 12;
-constexpr double kMuchDemand = 2;  // of each quota, at each dispatcher
+constexpr double kHighDemand = 2;  // of each quota, at each dispatcher
 
-SimulationOptions Few() {
+SimulationOptions MakeOptions() {
   SimulationOptions options;
   options.dispatchers = 6;
   options.allocators = 3;
@@ -20,19 +20,19 @@
   return options;
 }
 
-void Begin(QuotaSimulation* simulation) {
+void StartAndWarmUp(QuotaSimulation* simulation) {
   simulation->StartAll();
-  simulation->ProposeWholeView(0.5);
+  simulation->ProposeFullView(0.5);
   simulation->RunUntil(kWarmUpSeconds);
 }
 
-void DemandAt(QuotaSimulation* simulation, std::size_t i, double part) {
+void SetDispatcherDemand(QuotaSimulation* simulation, std::size_t i, double quota_fraction) {
   for (std::size_t tenant = 0; tenant < simulation->tenants(); ++tenant) {
-    simulation->SetDemand(i, tenant, part * simulation->quota(tenant));
+    simulation->SetDemand(i, tenant, quota_fraction * simulation->quota(tenant));
   }
 }
 
-double LeasedAt(const QuotaSimulation& simulation, std::size_t i) {
+double LeasedRate(const QuotaSimulation& simulation, std::size_t i) {
   double sum = 0;
   for (std::size_t tenant = 0; tenant < simulation.tenants(); ++tenant) {
     sum += simulation.RateOf(i, tenant) - simulation.checker().Floor(i, tenant);
@@ -40,138 +40,141 @@
   return sum;
 }
 
-std::string Told(std::uint64_t seed) { return "seed " + std::to_string(seed); }
+std::string SeedText(std::uint64_t seed) { return "seed " + std::to_string(seed); }
 
-// The last dispatcher and the others' new allocators know the next view at once. The allocator that
-// the view leaves out acts on the earlier one as long as it may, hears nothing of that dispatcher,
-// and gives what it held to those who don't know the new view: by then it must not hold it any
-// more.
-TEST(QuotaScenario, ALeaseOfAnEarlierAllocatorIsNotProlongedWhileThatOneMayGrant) {
+// The last dispatcher and the new allocators know the next view at once. The allocator that the
+// view leaves out acts on the earlier view as long as it may. It gets no reports of that
+// dispatcher, and grants its rate to dispatchers that don't know the new view: by then the lease
+// must have ended.
+TEST(QuotaScenario, LeaseOfASupersededAllocatorIsNotExtended) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    QuotaSimulation simulation(seed, Few());
+    QuotaSimulation simulation(seed, MakeOptions());
     const std::size_t last = simulation.size() - 1;
-    Begin(&simulation);
-    for (std::size_t i = 0; i < simulation.size(); ++i) DemandAt(&simulation, i, kMuchDemand);
+    StartAndWarmUp(&simulation);
+    for (std::size_t i = 0; i < simulation.size(); ++i)
+      SetDispatcherDemand(&simulation, i, kHighDemand);
     simulation.RunUntil(simulation.now() + kWarmUpSeconds);
-    ASSERT_GT(LeasedAt(simulation, last), 0);
+    ASSERT_GT(LeasedRate(simulation, last), 0);
     const double superseded_grant_s = simulation.options().timings.superseded_grant_s;
     simulation.ProposeViewKnownAfter(
         [](std::size_t) { return true; }, [](std::size_t i) { return i > 0; },
         [&](std::size_t i) { return i == last || i == 1 || i == 2 ? 0 : superseded_grant_s; });
     simulation.RunUntil(simulation.now() + 2 * superseded_grant_s);
-    EXPECT_EQ(simulation.broken(), std::vector<std::string>{}) << Told(seed);
+    EXPECT_EQ(simulation.violations(), std::vector<std::string>{}) << SeedText(seed);
   }
 }
 
-// Grants to one dispatcher are lost, its reports arrive. What was offered to it before the quota
-// was lowered must not come to it when the lower quota has been in force everywhere for long.
-TEST(QuotaScenario, AnOfferAboveALoweredQuotaIsNotMadeAgain) {
-  constexpr double kLossSeconds = 2, kLoweredForSeconds = 11, kLowered = 0.3;
+// Grants to one dispatcher are lost, its reports arrive. A rate granted before the quota was
+// lowered must not reach it after the lower quota has been in force everywhere for long.
+TEST(QuotaScenario, UnconfirmedGrantAboveALoweredQuotaIsNotRepeated) {
+  constexpr double kLossSeconds = 2, kLoweredForSeconds = 11, kLoweredFraction = 0.3;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    QuotaSimulation simulation(seed, Few());
+    QuotaSimulation simulation(seed, MakeOptions());
     const std::size_t last = simulation.size() - 1;
-    Begin(&simulation);
-    simulation.CutWhere([](std::size_t) { return true; }, [&](std::size_t i) { return i == last; });
-    DemandAt(&simulation, last, kMuchDemand);
+    StartAndWarmUp(&simulation);
+    simulation.CutLinks([](std::size_t) { return true; }, [&](std::size_t i) { return i == last; });
+    SetDispatcherDemand(&simulation, last, kHighDemand);
     simulation.RunUntil(simulation.now() + kLossSeconds);
     std::vector<double> lowered = simulation.quotas();
-    for (double& quota : lowered) quota *= kLowered;
+    for (double& quota : lowered) quota *= kLoweredFraction;
     simulation.SetQuotas(lowered, 0);
     simulation.RunUntil(simulation.now() + kLoweredForSeconds);
     simulation.Heal();
     simulation.RunUntil(simulation.now() + kWarmUpSeconds);
-    EXPECT_EQ(simulation.broken(), std::vector<std::string>{}) << Told(seed);
-    EXPECT_EQ(FirstUnused(simulation), "") << Told(seed);
+    EXPECT_EQ(simulation.violations(), std::vector<std::string>{}) << SeedText(seed);
+    EXPECT_EQ(DescribeUnderused(simulation), "") << SeedText(seed);
   }
 }
 
-// Grants to one dispatcher are lost, its reports arrive. Its demand is gone: what was offered to it
-// must not be kept from others for longer than its leases could last.
-TEST(QuotaScenario, AnOfferThatNobodyWantsAnyMoreIsFreeAgain) {
+// Grants to one dispatcher are lost, its reports arrive, and its demand ends. The rate granted to
+// it must not stay reserved for longer than its leases could last.
+TEST(QuotaScenario, UnconfirmedGrantWithoutDemandIsReleased) {
   constexpr double kLossSeconds = 2, kLongSeconds = 30;
-  QuotaSimulation simulation(1, Few());
+  QuotaSimulation simulation(1, MakeOptions());
   const std::size_t last = simulation.size() - 1;
-  Begin(&simulation);
-  simulation.CutWhere([](std::size_t) { return true; }, [&](std::size_t i) { return i == last; });
-  DemandAt(&simulation, last, kMuchDemand);
+  StartAndWarmUp(&simulation);
+  simulation.CutLinks([](std::size_t) { return true; }, [&](std::size_t i) { return i == last; });
+  SetDispatcherDemand(&simulation, last, kHighDemand);
   simulation.RunUntil(simulation.now() + kLossSeconds);
-  DemandAt(&simulation, last, 0);
-  DemandAt(&simulation, 0, kMuchDemand);
+  SetDispatcherDemand(&simulation, last, 0);
+  SetDispatcherDemand(&simulation, 0, kHighDemand);
   simulation.RunUntil(simulation.now() + kLongSeconds);
-  EXPECT_EQ(FirstUnused(simulation), "");
-  EXPECT_EQ(simulation.broken(), std::vector<std::string>{});
+  EXPECT_EQ(DescribeUnderused(simulation), "");
+  EXPECT_EQ(simulation.violations(), std::vector<std::string>{});
 }
 
-// A dispatcher has applied what it was offered, and nobody hears that any more. The quota is
-// lowered, so that less is offered in its place, and is raised again at once: until its lease is
-// over the larger offer counts, not the newest.
-TEST(QuotaScenario, AnOfferInPlaceOfALargerOneLeavesTheLargerReserved) {
-  constexpr double kLookSeconds = 0.005, kLowered = 0.5, kLoweredForSeconds = 0.15;
+// A dispatcher has applied a grant, but its reports are lost from then on. The quota is lowered, so
+// that a smaller rate is granted in place of the first, and raised again at once: until the lease
+// ends the larger of the two rates must stay reserved.
+TEST(QuotaScenario, UnconfirmedGrantStaysReservedWhenASmallerOneReplacesIt) {
+  constexpr double kCheckSeconds = 0.005, kLoweredFraction = 0.5, kLoweredForSeconds = 0.15;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    QuotaSimulation simulation(seed, Few());
+    QuotaSimulation simulation(seed, MakeOptions());
     const std::size_t last = simulation.size() - 1;
     const auto is_last = [&](std::size_t i) { return i == last; };
     const auto anyone = [](std::size_t) { return true; };
-    Begin(&simulation);
-    DemandAt(&simulation, 0, kMuchDemand);
-    DemandAt(&simulation, last, kMuchDemand);
+    StartAndWarmUp(&simulation);
+    SetDispatcherDemand(&simulation, 0, kHighDemand);
+    SetDispatcherDemand(&simulation, last, kHighDemand);
     const double until = simulation.now() + kWarmUpSeconds;
-    while (LeasedAt(simulation, last) <= 0 && simulation.now() < until) {
-      simulation.RunUntil(simulation.now() + kLookSeconds);
+    while (LeasedRate(simulation, last) <= 0 && simulation.now() < until) {
+      simulation.RunUntil(simulation.now() + kCheckSeconds);
     }
-    ASSERT_GT(LeasedAt(simulation, last), 0) << Told(seed);
-    simulation.CutWhere(is_last, anyone);
-    simulation.CutWhere(anyone, is_last);
+    ASSERT_GT(LeasedRate(simulation, last), 0) << SeedText(seed);
+    simulation.CutLinks(is_last, anyone);
+    simulation.CutLinks(anyone, is_last);
     const std::vector<double> quotas = simulation.quotas();
     std::vector<double> lowered = quotas;
-    for (double& quota : lowered) quota *= kLowered;
+    for (double& quota : lowered) quota *= kLoweredFraction;
     simulation.SetQuotas(lowered, 0);
     simulation.RunUntil(simulation.now() + kLoweredForSeconds);
     simulation.SetQuotas(quotas, 0);
     simulation.RunUntil(simulation.now() + simulation.options().timings.lease_duration_s / 2);
-    EXPECT_GT(LeasedAt(simulation, last), 0) << "or nothing had to be kept for it, " << Told(seed);
+    EXPECT_GT(LeasedRate(simulation, last), 0) << "no rate had to be reserved, " << SeedText(seed);
     simulation.RunUntil(simulation.now() + kWarmUpSeconds);
-    EXPECT_EQ(simulation.broken(), std::vector<std::string>{}) << Told(seed);
+    EXPECT_EQ(simulation.violations(), std::vector<std::string>{}) << SeedText(seed);
   }
 }
 
-// A dispatcher starts again while grants to its former life are held in the network for seconds.
-TEST(QuotaScenario, GrantsToAFormerLifeGiveTheNextOneNothing) {
+// A dispatcher restarts while grants to its earlier process are delayed in the network for seconds.
+TEST(QuotaScenario, GrantsToAnEarlierProcessAreRejectedByTheNext) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    QuotaSimulation simulation(seed, Few());
+    QuotaSimulation simulation(seed, MakeOptions());
     const std::size_t last = simulation.size() - 1;
-    Begin(&simulation);
-    simulation.SetNetwork({.lost = 0, .doubled = 0.5, .held = 0.3});
-    for (std::size_t i = 0; i < simulation.size(); ++i) DemandAt(&simulation, i, kMuchDemand);
+    StartAndWarmUp(&simulation);
+    simulation.SetNetwork({.loss = 0, .duplication = 0.5, .delayed = 0.3});
+    for (std::size_t i = 0; i < simulation.size(); ++i)
+      SetDispatcherDemand(&simulation, i, kHighDemand);
     for (int start = 0; start < 10; ++start) {
       simulation.RunUntil(simulation.now() + 1.5 * simulation.random().Unit());
       simulation.Kill(last);
       simulation.Start(last);
-      DemandAt(&simulation, last, kMuchDemand);
-      simulation.ProposeWholeView(0.1);
+      SetDispatcherDemand(&simulation, last, kHighDemand);
+      simulation.ProposeFullView(0.1);
     }
     simulation.RunUntil(simulation.now() + kWarmUpSeconds);
-    EXPECT_EQ(simulation.broken(), std::vector<std::string>{}) << Told(seed);
+    EXPECT_EQ(simulation.violations(), std::vector<std::string>{}) << SeedText(seed);
   }
 }
 
-// A dispatcher that is stopped for longer than its leases wakes with none.
-TEST(QuotaScenario, OneThatWakesHoldsNothingThatWasGivenToOthers) {
+// A dispatcher that was paused for longer than its leases last resumes without any.
+TEST(QuotaScenario, LeasesExpireDuringAPause) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    QuotaSimulation simulation(seed, Few());
+    QuotaSimulation simulation(seed, MakeOptions());
     const std::size_t last = simulation.size() - 1;
-    Begin(&simulation);
-    for (std::size_t i = 0; i < simulation.size(); ++i) DemandAt(&simulation, i, kMuchDemand);
+    StartAndWarmUp(&simulation);
+    for (std::size_t i = 0; i < simulation.size(); ++i)
+      SetDispatcherDemand(&simulation, i, kHighDemand);
     simulation.RunUntil(simulation.now() + kWarmUpSeconds);
-    simulation.Stop(last, 3.3 * simulation.options().timings.lease_duration_s);
+    simulation.Pause(last, 3.3 * simulation.options().timings.lease_duration_s);
     simulation.RunUntil(simulation.now() + 1.5 * simulation.options().timings.lease_duration_s);
-    EXPECT_EQ(LeasedAt(simulation, last), 0) << Told(seed);
+    EXPECT_EQ(LeasedRate(simulation, last), 0) << SeedText(seed);
     for (std::size_t tenant = 0; tenant < simulation.tenants(); ++tenant) {
-      EXPECT_GE(simulation.RateOf(0, tenant), 0.15 * simulation.quota(tenant)) << Told(seed);
+      EXPECT_GE(simulation.RateOf(0, tenant), 0.15 * simulation.quota(tenant)) << SeedText(seed);
     }
     simulation.RunUntil(simulation.now() + kWarmUpSeconds);
-    EXPECT_EQ(simulation.broken(), std::vector<std::string>{}) << Told(seed);
-    EXPECT_EQ(FirstUnused(simulation), "") << Told(seed);
+    EXPECT_EQ(simulation.violations(), std::vector<std::string>{}) << SeedText(seed);
+    EXPECT_EQ(DescribeUnderused(simulation), "") << SeedText(seed);
   }
 }
 
--- a/tests/support/quota_cluster.h
+++ b/tests/support/quota_cluster.h
@@ -1,4 +1,5 @@
-// Lease holders and allocators of a small cluster on a virtual clock, with immediate delivery.
+// Lease holders and allocators of a small cluster on a virtual clock, with immediate delivery of
+// messages.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_QUOTA_CLUSTER_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_QUOTA_CLUSTER_H_
 
@@ -22,10 +23,11 @@
   return {epoch, std::move(allocators)};
 }
 
-// Floors of 4 in sum of a quota of 100, so that the tests' figures are round.
+// All floor rates sum to 4 of a quota of 100, which gives round numbers in the tests.
 inline constexpr LeaseTimings kTimings{.floor_fraction = 0.04};
 
-// One allocator (node 1) and holders at nodes 1 to n, messages delivered at once unless lost.
+// One allocator (node 1) and holders at nodes 1 to `dispatchers`. Messages are delivered at once
+// unless lost.
 class TestCluster {
  public:
   explicit TestCluster(std::size_t dispatchers,
@@ -38,7 +40,7 @@
   }
 
   void StartHolder(NodeId id, ProcessIncarnation process_incarnation) {
-    lives_[id] = process_incarnation;
+    incarnations_[id] = process_incarnation;
     holders_[id] =
         std::make_unique<LeaseHolder>(process_incarnation, ids_.size(), tenants_, timings_);
   }
@@ -59,46 +61,46 @@
       Actions actions;
       holder->Tick(now, &actions);
       for (const auto& [to, message] : actions.send)
-        CarryReport(id, to, std::get<UsageReport>(message));
+        DeliverReport(id, to, std::get<UsageReport>(message));
     }
     for (auto& [id, allocator] : allocators_) {
       Actions actions;
       allocator->Tick(now, may_act[id], &actions);
-      for (const auto& [to, message] : actions.send) CarryGrant(id, to, std::get<Grant>(message));
+      for (const auto& [to, message] : actions.send) DeliverGrant(id, to, std::get<Grant>(message));
     }
   }
 
-  double InUse(std::size_t tenant = 0) const {
+  double TotalRate(std::size_t tenant = 0) const {
     double sum = 0;
     for (const auto& [id, holder] : holders_) sum += holder->AdmissibleRate(now, tenant);
     return sum;
   }
   LeaseHolder& holder(NodeId id) { return *holders_.at(id); }
   Allocator& allocator(NodeId id = kAllocator) { return *allocators_.at(id); }
-  ProcessIncarnation process_incarnation(NodeId id) const { return lives_.at(id); }
+  ProcessIncarnation process_incarnation(NodeId id) const { return incarnations_.at(id); }
 
   double now = 10;
-  std::map<NodeId, bool> cut;  // dispatchers that nothing reaches
+  std::map<NodeId, bool> disconnected;  // dispatchers whose messages are all lost, both ways
   std::map<NodeId, bool> lose_grants;
   std::map<NodeId, bool> may_act = {{1, true}, {2, true}, {3, true}};
-  std::uint64_t carried = 0;
+  std::uint64_t messages_sent = 0;
 
  private:
-  void CarryReport(NodeId from, NodeId to, const UsageReport& report) {
-    ++carried;
+  void DeliverReport(NodeId from, NodeId to, const UsageReport& report) {
+    ++messages_sent;
     const auto found = allocators_.find(to);
-    if (cut[from] || found == allocators_.end()) return;
-    found->second->OnUsageReport(now, from, lives_.at(from), report);
+    if (disconnected[from] || found == allocators_.end()) return;
+    found->second->OnUsageReport(now, from, incarnations_.at(from), report);
   }
-  void CarryGrant(NodeId from, NodeId to, const Grant& grant) {
-    ++carried;
-    if (!cut[to] && !lose_grants[to]) holders_.at(to)->OnGrant(now, from, grant);
+  void DeliverGrant(NodeId from, NodeId to, const Grant& grant) {
+    ++messages_sent;
+    if (!disconnected[to] && !lose_grants[to]) holders_.at(to)->OnGrant(now, from, grant);
   }
 
   std::vector<TenantQuota> tenants_;
   LeaseTimings timings_;
   std::vector<NodeId> ids_;
-  std::map<NodeId, ProcessIncarnation> lives_;
+  std::map<NodeId, ProcessIncarnation> incarnations_;
   std::map<NodeId, std::unique_ptr<LeaseHolder>> holders_;
   std::map<NodeId, std::unique_ptr<Allocator>> allocators_;
 };
