--- a/tests/quota_quiet_test.cpp
+++ b/tests/quota_quiet_test.cpp
@@ -205,7 +205,7 @@
   const LeaseTimings timings;
   for (const bool moving : {false, true}) {
     const Rates small = MeasureMinute(15, moving), large = MeasureMinute(120, moving);
-    std::printf("%s: reports of a dispatcher %.2f and %.2f a second, turns %.1f and %.1f\n",
+    std::printf("%s: reports of a dispatcher %.2f and %.2f per second, ticks %.1f and %.1f\n",
                 moving ? "moving" : "steady", small.reports, large.reports, small.ticks,
                 large.ticks);
     EXPECT_LE(large.reports, 1.15 * small.reports);
@@ -262,7 +262,7 @@
       EXPECT_EQ(DescribeUnderused(simulation), "") << "seed " << seed;
       EXPECT_EQ(simulation.violations(), std::vector<std::string>{}) << "seed " << seed;
     }
-    std::printf("allocator %s: 0.95 of use %.2f s after the view was known\n",
+    std::printf("allocator %s: utilization 0.95 at %.2f s after the view was known\n",
                 killed ? "killed" : "out of the view", slowest_s);
   }
 }
--- a/tests/quota_refusals_test.cpp
+++ b/tests/quota_refusals_test.cpp
@@ -460,7 +460,7 @@
     rejected_messages += TotalRejections(tested.allocator().counters().rejected) +
                          TotalRejections(tested.holder().counters().rejected);
   }
-  std::printf("%lu rejected_messages, %lu taken\n", rejected_messages, accepted_messages);
+  std::printf("%lu rejected, %lu accepted\n", rejected_messages, accepted_messages);
   EXPECT_GT(rejected_messages, accepted_messages);
   EXPECT_GT(accepted_messages, seeds / 10);
 }
