--- a/tests/cluster/days_test.cpp
+++ b/tests/cluster/days_test.cpp
@@ -47,7 +47,7 @@
     };
     if (!Serve(together, 60)) Wrong("they don't come together");
     asks_ = false;
-    if (!Serve([this] { return history_.AllTold() && jobs_.AllTold(); }, 15))
+    if (!Serve([this] { return history_.AllAnswered() && jobs_.AllTold(); }, 15))
       Wrong("a client was told nothing");
     double look_at = 0;
     const auto done = [&] {
@@ -57,12 +57,12 @@
     };
     if (!rig_.Until(done, 30)) Wrong("promised jobs are left");
     for (const std::string& w : jobs_.Wrong()) Wrong(w);
-    for (const std::string& w : history_.Wrong()) Wrong(w);
+    for (const std::string& w : history_.Violations()) Wrong(w);
     for (const std::string& w : rig_.broken()) Wrong(w);
   }
   const std::string& wrong() const { return wrong_; }
   const std::string& script() const { return script_; }
-  std::size_t asked() const { return history_.asked(); }
+  std::size_t asked() const { return history_.requests_sent(); }
   std::size_t promised() const { return jobs_.promised(); }
   std::string Told() {
     std::string all;
@@ -85,10 +85,10 @@
         [&] {
           if (asks_ && rig_.now() >= ask_at_) {
             ask_at_ = rig_.now() + kAskS;
-            history_.Ask();
-            if (history_.asked() % 2 == 0) jobs_.SubmitAny();
+            history_.SendRequest();
+            if (history_.requests_sent() % 2 == 0) jobs_.SubmitAny();
           }
-          history_.Gather();
+          history_.CollectResponses();
           jobs_.Gather();
           return done();
         },
--- a/tests/support/history.h
+++ b/tests/support/history.h
@@ -1,5 +1,5 @@
-// What clients were told and what workers did, over the whole of a day of faults: kept, and checked
-// at its end against what the program promises.
+// History of a run with faults: the requests of clients with their responses, and the executions at
+// workers. It is checked after the run against the guarantees for requests.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_HISTORY_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_HISTORY_H_
 
@@ -15,74 +15,79 @@
 
 class History {
  public:
-  explicit History(Cluster* rig, std::size_t workers) : rig_(rig), workers_(workers) {}
+  explicit History(Cluster* cluster, std::size_t workers) : cluster_(cluster), workers_(workers) {}
 
-  // A request to a node that runs; the rig's turns carry it.
-  void Ask() {
-    const std::size_t node = rig_->random().Below(rig_->size());
-    if (!rig_->Serves(node) || !rig_->polled(node).told.is_object()) return;
-    Request& r = requests_.emplace_back();
-    r.id = "r" + std::to_string(requests_.size());
-    r.node = node;
-    r.charge = rig_->random().Below(2) == 0;
-    r.disturbed = rig_->Disturbed(node);
-    r.raw = std::make_unique<Raw>(&rig_->loop(), rig_->http_address(node));
-    r.raw->Write(Post(r.id, r.charge ? "charge" : "look",
-                      r.charge ? "Idempotency-Key: " + r.id + "\r\n" : ""));
+  // Sends a request to a random node, unless that node does not serve now.
+  void SendRequest() {
+    const std::size_t node = cluster_->random().Below(cluster_->size());
+    if (!cluster_->Serves(node) || !cluster_->polled(node).told.is_object()) return;
+    Request& request = requests_.emplace_back();
+    request.id = "r" + std::to_string(requests_.size());
+    request.node = node;
+    request.charge = cluster_->random().Below(2) == 0;
+    request.disturbances_before = cluster_->Disturbed(node);
+    request.connection = std::make_unique<Raw>(&cluster_->loop(), cluster_->http_address(node));
+    request.connection->Write(
+        Post(request.id, request.charge ? "charge" : "look",
+             request.charge ? "Idempotency-Key: " + request.id + "\r\n" : ""));
   }
-  // Takes in what was answered, so that no more connections are kept than are open.
-  void Gather() {
-    while (!requests_.empty() && first_open_ < requests_.size()) {
-      Request& r = requests_[first_open_];
-      if (r.raw->in.find("\r\n\r\n") == std::string::npos && !r.raw->ended) return;
-      r.told = std::move(r.raw->in);
-      r.raw.reset();
-      r.undisturbed = r.disturbed == rig_->Disturbed(r.node);
-      ++first_open_;
+  // Stores the responses that have arrived, in the order of the requests, and closes their
+  // connections.
+  void CollectResponses() {
+    while (!requests_.empty() && first_pending_ < requests_.size()) {
+      Request& request = requests_[first_pending_];
+      if (request.connection->in.find("\r\n\r\n") == std::string::npos &&
+          !request.connection->ended)
+        return;
+      request.response = std::move(request.connection->in);
+      request.connection.reset();
+      request.undisturbed = request.disturbances_before == cluster_->Disturbed(request.node);
+      ++first_pending_;
     }
   }
-  bool AllTold() const { return first_open_ == requests_.size(); }
-  std::size_t asked() const { return requests_.size(); }
+  bool AllAnswered() const { return first_pending_ == requests_.size(); }
+  std::size_t requests_sent() const { return requests_.size(); }
 
-  // Each promise that was not kept, in words.
-  std::vector<std::string> Wrong() const {
-    std::map<std::string, std::set<std::size_t>> cells;  // in which an id ran
-    for (std::size_t w = 0; w < workers_; ++w) {
-      for (const auto& got : rig_->worker(w).got) {
-        const std::string* id = got.head.Get("Request-Id");
-        if (id != nullptr) cells[*id].insert(w / 2);
+  // Describes each violated guarantee.
+  std::vector<std::string> Violations() const {
+    std::map<std::string, std::set<std::size_t>> cells;  // in which each request id was executed
+    for (std::size_t worker = 0; worker < workers_; ++worker) {
+      for (const auto& received : cluster_->worker(worker).got) {
+        const std::string* id = received.head.Get("Request-Id");
+        if (id != nullptr) cells[*id].insert(worker / 2);
       }
     }
-    std::vector<std::string> wrong;
-    for (std::size_t i = 0; i < first_open_; ++i) {
-      const Request& r = requests_[i];
-      const std::string status = r.told.substr(0, 12);
-      const auto ran = cells.find(r.id);
-      const std::string which = r.id + " at " + Cluster::Name(r.node) + ": ";
-      if (r.undisturbed && status != "HTTP/1.1 200")
-        wrong.push_back(which + "told '" + status + "'");
-      if (status == "HTTP/1.1 200" && ran == cells.end())
-        wrong.push_back(which + "told done, and no worker had it");
-      if (r.charge && ran != cells.end() && ran->second.size() > 1)
-        wrong.push_back(which + "a charge ran in two cells");
-      if (r.charge && ran != cells.end() && status == "HTTP/1.1 503")
-        wrong.push_back(which + "refused what may have run");
+    std::vector<std::string> violations;
+    for (std::size_t i = 0; i < first_pending_; ++i) {
+      const Request& request = requests_[i];
+      const std::string status = request.response.substr(0, 12);
+      const auto executed = cells.find(request.id);
+      const std::string prefix = request.id + " at " + Cluster::Name(request.node) + ": ";
+      if (request.undisturbed && status != "HTTP/1.1 200")
+        violations.push_back(prefix + "response '" + status + "'");
+      if (status == "HTTP/1.1 200" && executed == cells.end())
+        violations.push_back(prefix + "response 200, but no worker received it");
+      if (request.charge && executed != cells.end() && executed->second.size() > 1)
+        violations.push_back(prefix + "a charge was executed in two cells");
+      if (request.charge && executed != cells.end() && status == "HTTP/1.1 503")
+        violations.push_back(prefix + "rejected although it may have been executed");
     }
-    return wrong;
+    return violations;
   }
 
  private:
   struct Request {
-    std::string id, told;
+    std::string id, response;
     std::size_t node = 0;
+    // undisturbed: its node had no fault until the response.
     bool charge = false, undisturbed = false;
-    std::uint64_t disturbed = 0;
-    std::unique_ptr<Raw> raw;
+    std::uint64_t disturbances_before = 0;
+    std::unique_ptr<Raw> connection;
   };
-  Cluster* rig_;
+  Cluster* cluster_;
   std::size_t workers_;
   std::deque<Request> requests_;
-  std::size_t first_open_ = 0;
+  std::size_t first_pending_ = 0;
 };
 
 }  // namespace millethollow::rig
