--- a/src/membership/maintenance_registry.h
+++ b/src/membership/maintenance_registry.h
@@ -25,7 +25,7 @@
 
 namespace millethollow::membership {
 
-// What the last drain notice said of a worker, in order of precedence.
+// State of a worker by its last drain notice, in order of precedence.
 enum class DrainState : std::uint8_t { kNone, kDraining, kGone };
 
 // How often one process took a worker into maintenance, and how many of these decisions have been
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -119,7 +119,7 @@
   View view;
   NodeId origin = 0;
 };
-// Asks for a lease on the member's entry in the view. Also tells the leader that the member is
+// Requests a lease on the member's entry in the view. Also informs the leader that the member is
 // present, which view it knows, and which logs it requests.
 struct LeaseRequest {
   std::uint64_t epoch = 0;  // of the latest view that the member knows
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -123,7 +123,7 @@
 struct View {
   std::uint64_t epoch = 0;
   std::vector<ViewMember> members;
-  // When this view was proposed, no member acted on a view of an earlier epoch than this one.
+  // No member acted on a view of an earlier epoch any more when this view was proposed.
   std::uint64_t settled_epoch = 0;
   std::vector<LogAssignment> logs;
   bool operator==(const View&) const = default;
--- a/tests/quota_allocator_test.cpp
+++ b/tests/quota_allocator_test.cpp
@@ -14,7 +14,7 @@
     for (NodeId id = 1; id <= 3; ++id) cluster.holder(id).SetDemand(cluster.now, 0, 10);
     cluster.Run(2);
   }
-  // The allocator of node 1 is left out of the view and may not act; its holder goes on.
+  // The allocator of node 1 is left out of the view and may not act; its holder continues.
   void LoseAllocator() {
     cluster.may_act[1] = false;
     cluster.SetView(ViewOf(2, {{2, 102}}));
--- a/tests/support/quota_checker.h
+++ b/tests/support/quota_checker.h
@@ -96,12 +96,13 @@
   void CheckProcess(double now, std::size_t process, std::size_t tenant, double rate) {
     if (version_at_[process] == kNoVersion) return;
     if (!(rate >= Floor(process, tenant) - kTolerance)) {
-      ReportViolation(now, tenant,
-                      "process " + std::to_string(process + 1) + " is under its floor");
+      ReportViolation(
+          now, tenant,
+          "process " + std::to_string(process + 1) + " admits less than its floor rate");
     }
     if (!(rate <= versions_[version_at_[process]].quotas[tenant] + kTolerance)) {
       ReportViolation(now, tenant,
-                      "process " + std::to_string(process + 1) + " is over the whole quota");
+                      "process " + std::to_string(process + 1) + " admits more than the quota");
     }
   }
 
@@ -116,7 +117,7 @@
     if (sum <= bounds_[tenant] + kTolerance) return;
     ReportViolation(
         now, tenant,
-        "the rates come to " + std::to_string(sum) + " of " + std::to_string(bounds_[tenant]));
+        "the rates sum to " + std::to_string(sum) + " of " + std::to_string(bounds_[tenant]));
   }
 
   void ReportViolation(double now, std::size_t tenant, const std::string& description) {
