--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -28,7 +28,7 @@
 
 const char* NameOfState(membership::Voter::State state) {
   using State = membership::Voter::State;
-  return state == State::kAsking     ? "asking"
+  return state == State::kQuerying   ? "asking"
          : state == State::kClaiming ? "claiming"
          : state == State::kVoting   ? "voting"
                                      : "stopped";
@@ -201,7 +201,7 @@
 
 void Member::Arm() {
   loop_->deadlines().Drop(&tick_);
-  const double at = cluster_->NextAt();
+  const double at = cluster_->NextTickAt();
   if (!std::isfinite(at)) return;
   tick_ = loop_->deadlines().At(loop_->Now() + std::max(0.0, at - Now()), [this] {
     tick_ = Deadlines::kNone;
@@ -261,9 +261,9 @@
   membership::MembershipNode::Actions actions;
   cluster_->OnFrame(Now(), header.from, header.process_incarnation,
                     std::get<membership::Frame>(body), &actions);
-  if (actions.answer && source != nullptr) {
+  if (actions.reply && source != nullptr) {
     transport_.SendTo(*source, Encode({hash_, self_, process_incarnation_, ++numbers_[header.from]},
-                                      std::move(*actions.answer)));
+                                      std::move(*actions.reply)));
   }
   CarryOut(&actions);
 }
@@ -504,9 +504,9 @@
                                     [id](const auto& log) { return log.Find(id) != nullptr; });
       one["life"] = (std::ostringstream() << std::hex << in_view->process_incarnation).str();
     }
-    one["seen_ms"] = self                 ? json(0)
-                     : known->seen_at < 0 ? json(nullptr)
-                                          : json(Millis(now - known->seen_at));
+    one["seen_ms"] = self                         ? json(0)
+                     : known->last_message_at < 0 ? json(nullptr)
+                                                  : json(Millis(now - known->last_message_at));
     members.push_back(std::move(one));
   }
   json whole{{"cluster", options_.name},
--- a/tests/cluster/days_test.cpp
+++ b/tests/cluster/days_test.cpp
@@ -1,12 +1,11 @@
 // Random days on several processes: faults from a seed, clients, promised jobs and workers all the
 // while, everything healed at the end. SEEDS plays so many days, and longer ones, from SEED on; a
 // failure says its faults.
-#include "support/days.h"
-
 #include <gtest/gtest.h>
 
 #include "support/history.h"
 #include "support/job_history.h"
+#include "support/seeded_runs.h"
 
 namespace millethollow::rig {
 namespace {
@@ -49,7 +48,7 @@
     };
     if (!Serve(together, 60)) Wrong("they don't come together");
     asks_ = false;
-    if (!Serve([this] { return history_.AllTold() && jobs_.AllAnswered(); }, 15))
+    if (!Serve([this] { return history_.AllAnswered() && jobs_.AllAnswered(); }, 15))
       Wrong("a client was told nothing");
     double look_at = 0;
     const auto done = [&] {
@@ -59,12 +58,12 @@
     };
     if (!harness_.Until(done, 30)) Wrong("promised jobs are left");
     for (const std::string& w : jobs_.Wrong()) Wrong(w);
-    for (const std::string& w : history_.Wrong()) Wrong(w);
+    for (const std::string& w : history_.Violations()) Wrong(w);
     for (const std::string& w : harness_.broken()) Wrong(w);
   }
   const std::string& wrong() const { return wrong_; }
   const std::string& script() const { return script_; }
-  std::size_t asked() const { return history_.asked(); }
+  std::size_t asked() const { return history_.requests_sent(); }
   std::size_t promised() const { return jobs_.promised(); }
   std::string Describe() {
     std::string all;
@@ -90,10 +89,10 @@
         [&] {
           if (asks_ && harness_.now() >= ask_at_) {
             ask_at_ = harness_.now() + kAskS;
-            history_.Ask();
-            if (history_.asked() % 2 == 0) jobs_.SubmitAny();
+            history_.SendRequest();
+            if (history_.requests_sent() % 2 == 0) jobs_.SubmitAny();
           }
-          history_.Gather();
+          history_.CollectResponses();
           jobs_.Gather();
           return done();
         },
--- a/tests/replicated_logs_test.cpp
+++ b/tests/replicated_logs_test.cpp
@@ -3,8 +3,8 @@
 
 #include <deque>
 
-#include "support/days.h"
 #include "support/replication_simulation.h"
+#include "support/seeded_runs.h"
 
 namespace millethollow::copies {
 namespace {
@@ -18,7 +18,7 @@
     copies.OpenLog(1);
     world.RunUntil(6);
     double fault_at = 6;
-    while (world.now() < 40 && world.broken().empty()) {
+    while (world.now() < 40 && world.violations().empty()) {
       if (world.now() >= fault_at) {
         fault_at += 3 * faults.Unit();
         Fault(faults.Below(world.size()));
@@ -30,7 +30,7 @@
     world.StartAll();
     for (std::size_t i = 0; i < world.size(); ++i) copies.Slow(i, 0.002);
     for (const double until = world.now() + 60;
-         !whole && world.now() < until && world.broken().empty();) {
+         !whole && world.now() < until && world.violations().empty();) {
       world.RunUntil(world.now() + 0.5);
       whole = copies.Whole(3);
     }
@@ -45,12 +45,12 @@
       case 2:
         return world.SetLoss(faults.Below(2) == 0 ? 0.2 : 0.02);
       default:
-        world.Fault(&faults, 8);
+        world.InjectRandomFault(&faults, 8);
     }
   }
   Random faults;
   ReplicationSimulation copies;
-  World& world;
+  MembershipSimulation& world;
   bool whole = false;
 };
 
@@ -59,10 +59,10 @@
   const std::uint64_t from = FromEnvironment("SEED", 1);
   for (std::uint64_t seed = from; seed <= std::max(from, FromEnvironment("SEEDS", 40)); ++seed) {
     CopyDay day(seed);
-    ASSERT_TRUE(day.world.broken().empty())
-        << "seed " << seed << " " << day.world.broken()[0] << day.copies.Describe();
+    ASSERT_TRUE(day.world.violations().empty())
+        << "seed " << seed << " " << day.world.violations()[0] << day.copies.Describe();
     ASSERT_TRUE(day.whole) << "seed " << seed << " does not come together" << day.copies.Describe()
-                           << day.world.Told();
+                           << day.world.Describe();
     answered += day.copies.answered;
     refused += day.copies.refused;
     adopted += day.copies.adopted;
@@ -81,9 +81,9 @@
                                 {.acts_without_lease = true},
                                 {.loses_tail_of_snapshot = true}};
   for (const CopyFaults& fault : planted) {
-    EXPECT_NE(
-        FirstSeed(200, [&](std::uint64_t seed) { return CopyDay(seed, fault).world.broken(); }),
-        0U);
+    EXPECT_NE(FirstFailingSeed(
+                  200, [&](std::uint64_t seed) { return CopyDay(seed, fault).world.violations(); }),
+              0U);
   }
 }
 
@@ -269,7 +269,7 @@
     w.world.RunUntil(3);
     w.OpenLog(0);
     const auto serve = [&w](double until) {
-      while (w.world.now() < until && w.world.broken().empty()) {
+      while (w.world.now() < until && w.world.violations().empty()) {
         w.Append(0);
         w.world.RunUntil(w.world.now() + 0.05);
       }
@@ -281,7 +281,7 @@
     w.world.Start(1);
     serve(20);
     w.world.RunUntil(25);
-    EXPECT_EQ(w.world.broken(), std::vector<std::string>{}) << seed;
+    EXPECT_EQ(w.world.violations(), std::vector<std::string>{}) << seed;
     EXPECT_TRUE(w.Whole(3)) << seed << w.Describe();
     EXPECT_GT(w.given_up, 0U) << seed;
   }
