--- a/bench/scale/planner_fixture.cpp
+++ b/bench/scale/planner_fixture.cpp
@@ -26,7 +26,7 @@
 RequestId PlannerFixture::Take(int cls, const std::string& key) {
   Request request;
   request.id = forwarder_ << kForwarderShift | ++last_id_;
-  request.cls = cls;
+  request.class_index = cls;
   request.tenant = static_cast<int>(last_id_ % kTenants);
   request.key = key;
   request.affinity = key;
--- a/src/core/dispatch_check.cpp
+++ b/src/core/dispatch_check.cpp
@@ -53,7 +53,8 @@
   const RegisteredWorker* next = workers_->Find(worker);
   if (next == nullptr) return BlockReason::kUnlisted;
   if (const auto reason = CheckWorker(*next, id, now)) return reason;
-  const balancing::ClassSettings& cls = settings_->classes[static_cast<std::size_t>(entry.cls)];
+  const balancing::ClassSettings& cls =
+      settings_->classes[static_cast<std::size_t>(entry.class_index)];
   for (std::size_t i = 0; i < entry.attempts.size(); ++i) {
     const LedgerAttempt& other = entry.attempts[i];
     if (i == attempt) continue;
--- a/src/core/planner.h
+++ b/src/core/planner.h
@@ -142,7 +142,7 @@
 
   ForwarderPort* PortOf(RequestId id) const;  // null: the forwarder is gone
   const balancing::ClassSettings& ClassOf(const LedgerEntry& entry) const {
-    return settings_.classes[static_cast<std::size_t>(entry.cls)];
+    return settings_.classes[static_cast<std::size_t>(entry.class_index)];
   }
   bool IsIdempotent(const LedgerEntry& entry) const;
 
--- a/src/core/planner_requests.cpp
+++ b/src/core/planner_requests.cpp
@@ -32,7 +32,7 @@
   pending_ += 1;
   LedgerEntry& entry = ledger_.Add(id);
   entry.wire_id = request.wire_id;
-  entry.cls = request.cls;
+  entry.class_index = request.class_index;
   entry.max_attempts = settings_.max_attempts;
   entry.durable_job = request.durable_job;
   std::vector<balancing::PreviousAttempt> tried;
@@ -57,7 +57,7 @@
                                       .memory = meta.memory,
                                       .bytes = static_cast<double>(meta.body_bytes),
                                       .tenant = meta.tenant,
-                                      .cls = meta.cls,
+                                      .cls = meta.class_index,
                                       .retry = meta.retry,
                                       .key = meta.affinity,
                                       .size_hint_s = meta.size_hint_s,
@@ -187,7 +187,7 @@
 }
 
 void Planner::CountAnswer(const LedgerEntry& entry, FinalAnswer::Kind kind) {
-  const auto cls = static_cast<std::size_t>(entry.cls);
+  const auto cls = static_cast<std::size_t>(entry.class_index);
   ClassCounters& of_class = counters_->classes[cls < class_names_.size() ? class_names_[cls] : ""];
   switch (kind) {
     case FinalAnswer::Kind::kCompleted:
--- a/src/core/request.h
+++ b/src/core/request.h
@@ -30,7 +30,7 @@
 struct Request {
   RequestId id = 0;
   std::string wire_id;  // the client's own id, which the worker gets unchanged; empty: none
-  int cls = 0, tenant = 0;
+  int class_index = 0, tenant = 0;
   std::string key;             // idempotency key; empty: the class has none
   std::string affinity;        // requests with the same one are better placed together
   std::string body;            // only at the forwarder
--- a/src/core/request_ledger.cpp
+++ b/src/core/request_ledger.cpp
@@ -59,9 +59,10 @@
   return ids;
 }
 
-bool RequestLedger::UsesClass(int cls) const {
-  return std::any_of(entries_.begin(), entries_.end(),
-                     [cls](const auto& entry) { return entry.second.cls == cls; });
+bool RequestLedger::UsesClass(int class_index) const {
+  return std::any_of(entries_.begin(), entries_.end(), [class_index](const auto& entry) {
+    return entry.second.class_index == class_index;
+  });
 }
 
 void RequestLedger::RememberEnded(std::string wire_id) {
--- a/src/core/request_ledger.h
+++ b/src/core/request_ledger.h
@@ -29,7 +29,7 @@
 };
 
 struct LedgerEntry {
-  int cls = 0, max_attempts = 1;
+  int class_index = 0, max_attempts = 1;
   std::string wire_id;      // empty: the client gave none
   std::string durable_job;  // the job's handle; empty: not for a durable job
   bool answered = false;    // has its final answer, or the client is gone
@@ -64,7 +64,7 @@
   void EraseIfComplete(RequestId id);
 
   std::vector<RequestId> OfForwarder(std::uint64_t forwarder) const;  // ascending
-  bool UsesClass(int cls) const;
+  bool UsesClass(int class_index) const;
   std::size_t size() const { return entries_.size(); }
 
  private:
--- a/src/net/forwarder.cpp
+++ b/src/net/forwarder.cpp
@@ -46,7 +46,7 @@
 
 bool Forwarder::InUse(int cls) const {
   return std::any_of(held_.begin(), held_.end(),
-                     [cls](const auto& h) { return h.second.held.request.cls == cls; });
+                     [cls](const auto& h) { return h.second.held.request.class_index == cls; });
 }
 
 void Forwarder::CancelRequest(RequestId id) {
--- a/src/net/gearman/front.cpp
+++ b/src/net/gearman/front.cpp
@@ -132,7 +132,7 @@
   }
   std::string other;
   for (const auto& [name, f] : config_.gearman_functions) {
-    if (f.cls != held.request.cls || !worker.abilities().contains(name)) continue;
+    if (f.cls != held.request.class_index || !worker.abilities().contains(name)) continue;
     if (f.tenant == held.request.tenant) return name;
     if (other.empty()) other = name;
   }
--- a/src/net/gearman/jobs.cpp
+++ b/src/net/gearman/jobs.cpp
@@ -113,7 +113,7 @@
                              std::string_view body) const {
   const auto [cls, tenant] = mapped;
   ClientRequest held;
-  held.request.cls = cls;
+  held.request.class_index = cls;
   held.request.tenant = tenant;
   held.request.wire_id = job.handle;
   held.request.body = body;
@@ -219,7 +219,8 @@
   }
   for (const auto& job : alone) {
     const ClientRequest* held = forwarder_->Find(job->request);
-    if (held != nullptr && job->running && !job->unique.empty() && Keyed(held->request.cls)) {
+    if (held != nullptr && job->running && !job->unique.empty() &&
+        Keyed(held->request.class_index)) {
       job->background = true;
       continue;
     }
@@ -259,8 +260,8 @@
     parts_.erase({held.request.id, answer.attempt});
     for (const auto& [kind, part] : parts) Tell(*job, Response(kind, {job->handle, part}));
     Tell(*job, Response(Type::kWorkComplete, {job->handle, result}));
-    const auto& c = config_.settings.classes[static_cast<std::size_t>(held.request.cls)];
-    if (Keyed(held.request.cls) && !job->unique.empty() && c.deduplication_window_s > 0) {
+    const auto& c = config_.settings.classes[static_cast<std::size_t>(held.request.class_index)];
+    if (Keyed(held.request.class_index) && !job->unique.empty() && c.deduplication_window_s > 0) {
       MakeRoom();
       finished_[{job->function, job->unique}] = {
           job->handle, result, std::move(parts),
--- a/src/net/http/client_front.cpp
+++ b/src/net/http/client_front.cpp
@@ -128,8 +128,8 @@
   const std::string* id = head.Get("Request-Id");
   if (id == nullptr || !Plain(*id)) return bad("Request-Id is missing or unreadable");
   const std::string* cls = head.Get("Request-Class");
-  e.cls = cls == nullptr ? -1 : IndexOf(names.classes, *cls);
-  if (e.cls < 0) return bad("Request-Class is missing or unknown");
+  e.class_index = cls == nullptr ? -1 : IndexOf(names.classes, *cls);
+  if (e.class_index < 0) return bad("Request-Class is missing or unknown");
   const std::string* tenant = head.Get("Tenant");
   e.tenant = names.tenants.empty() ? 0 : tenant == nullptr ? -1 : IndexOf(names.tenants, *tenant);
   if (e.tenant < 0) return bad("Tenant is missing or unknown");
@@ -140,7 +140,7 @@
   }
   const std::string* key = head.Get("Idempotency-Key");
   if (key != nullptr && !Plain(*key)) return bad("Idempotency-Key is unreadable");
-  if (key == nullptr && names.keyed[static_cast<std::size_t>(e.cls)]) {
+  if (key == nullptr && names.keyed[static_cast<std::size_t>(e.class_index)]) {
     return bad("this class needs an Idempotency-Key");
   }
   *timeout_s = static_cast<double>(ms) / 1000;
--- a/src/net/link/link.cpp
+++ b/src/net/link/link.cpp
@@ -105,8 +105,8 @@
         e.retry = f.U8() != 0;
         e.body_bytes = f.U64();
         if (!f.Whole() || !Mine(e.id)) return false;
-        e.cls = planner.ClassIndex(cls);
-        if (e.cls < 0) {  // of a file that only one of the two has read yet
+        e.class_index = planner.ClassIndex(cls);
+        if (e.class_index < 0) {  // of a file that only one of the two has read yet
           Answer(e.id, {.kind = FinalAnswer::Kind::kRejected});
           return true;
         }
@@ -289,7 +289,7 @@
 void PlannerClient::OnRequest(const Request& e) {
   Write(Writer(Kind::kTaken)
             .U64(e.id)
-            .Text(hooks_.class_name(e.cls))
+            .Text(hooks_.class_name(e.class_index))
             .I32(e.tenant)
             .Text(e.wire_id)
             .Text(e.affinity)
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -79,7 +79,7 @@
   RequestId Take(int cls, double timeout = 5) {
     Request e;
     e.id = number << kForwarderShift | ++last;
-    e.cls = cls;
+    e.class_index = cls;
     e.expires_at = now + timeout;
     planner->OnRequest(e);
     return e.id;
