--- a/src/core/durable_jobs.h
+++ b/src/core/durable_jobs.h
@@ -16,7 +16,7 @@
 struct DurableJob {
   std::string handle;   // never used again in the cluster
   std::string wire_id;  // new for each run: a worker takes an id once
-  std::string function, unique, cls, tenant, body;
+  std::string function, unique, class_name, tenant, body;
   int priority = 1;  // 0 high, 1 normal, 2 low
   std::vector<PriorAttempt> prior_attempts;
 };
--- a/src/net/cluster/promised_jobs.cpp
+++ b/src/net/cluster/promised_jobs.cpp
@@ -110,7 +110,7 @@
   record.handle = jobs_.NewHandle("H:" + name_ + ":");
   record.function = std::move(job.function);
   record.unique = std::move(job.unique);
-  record.cls = std::move(job.cls);
+  record.cls = std::move(job.class_name);
   record.tenant = std::move(job.tenant);
   record.body = std::move(job.body);
   record.priority = static_cast<std::uint8_t>(std::clamp(job.priority, 0, 2));
@@ -158,7 +158,7 @@
   job.wire_id = record.handle + tail;
   job.function = record.function;
   job.unique = record.unique;
-  job.cls = record.cls;
+  job.class_name = record.cls;
   job.tenant = record.tenant;
   job.body = record.body;
   job.priority = record.priority;
--- a/src/net/gearman/jobs.cpp
+++ b/src/net/gearman/jobs.cpp
@@ -143,7 +143,7 @@
   DurableJob job;
   job.function = key.first;
   job.unique = key.second;
-  job.cls = config_.classes[static_cast<std::size_t>(mapped.cls)];
+  job.class_name = config_.classes[static_cast<std::size_t>(mapped.cls)];
   if (!config_.tenants.empty()) {
     job.tenant = config_.tenants[static_cast<std::size_t>(mapped.tenant)];
   }
