--- a/src/core/worker_registry.cpp
+++ b/src/core/worker_registry.cpp
@@ -115,8 +115,8 @@
 
 void WorkerRegistry::Import(const std::vector<WorkerSnapshot>& snapshots) {
   for (const WorkerSnapshot& snapshot : snapshots) {
-    RegisteredWorker& worker = workers_[snapshot.member.worker];
-    worker.endpoint = snapshot.member;
+    RegisteredWorker& worker = workers_[snapshot.endpoint.worker];
+    worker.endpoint = snapshot.endpoint;
     worker.drain_notified_at = snapshot.drain_notified_at;
     worker.maintenance_since = snapshot.maintenance_since;
   }
--- a/src/core/worker_registry.h
+++ b/src/core/worker_registry.h
@@ -28,7 +28,7 @@
 
 // What a process hands to the one that replaces it, for each worker of the endpoint list.
 struct WorkerSnapshot {
-  balancing::Endpoint member;
+  balancing::Endpoint endpoint;
   double drain_notified_at = -1, maintenance_since = -1;
 };
 
--- a/src/net/handover/hot_restart.cpp
+++ b/src/net/handover/hot_restart.cpp
@@ -54,12 +54,12 @@
         break;
       case Kind::kKnown: {
         Planner::WorkerSnapshot k;
-        k.member = f.GetMember();
+        k.endpoint = f.GetMember();
         k.drain_notified_at = f.Real();
         k.maintenance_since = f.Real();
-        ListEntry e{.member = k.member, .address = f.Text(), .max_in_flight = f.U64()};
+        ListEntry e{.member = k.endpoint, .address = f.Text(), .max_in_flight = f.U64()};
         if (!f.Whole()) break;
-        if (k.member.readiness != Readiness::kGone) got.list.push_back(std::move(e));
+        if (k.endpoint.readiness != Readiness::kGone) got.list.push_back(std::move(e));
         got.known.push_back(std::move(k));
         break;
       }
@@ -128,9 +128,9 @@
     link.Send(Writer(Kind::kClass).Text(name).Done());
   }
   for (const Planner::WorkerSnapshot& k : parts_.planner->ExportWorkers()) {
-    const auto [address, max_in_flight] = parts_.pool->Address(k.member.worker);
+    const auto [address, max_in_flight] = parts_.pool->Address(k.endpoint.worker);
     link.Send(Writer(Kind::kKnown)
-                  .Put(k.member)
+                  .Put(k.endpoint)
                   .Real(k.drain_notified_at)
                   .Real(k.maintenance_since)
                   .Text(address)
@@ -296,9 +296,9 @@
 void HotRestart::SendWorkersDown() {
   if (predecessor_ == nullptr && successor_ == nullptr) return;
   for (const Planner::WorkerSnapshot& k : parts_.planner->ExportWorkers()) {
-    if (k.member.readiness == Readiness::kReady || k.drain_notified_at < workers_down_sent_at_)
+    if (k.endpoint.readiness == Readiness::kReady || k.drain_notified_at < workers_down_sent_at_)
       continue;
-    Send(Writer(Kind::kDown).Put(k.member).Done());
+    Send(Writer(Kind::kDown).Put(k.endpoint).Done());
   }
   workers_down_sent_at_ = loop_->Now();
 }
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -408,9 +408,9 @@
   for (const int fd : {inherited.client_listener, inherited.peer_socket}) close(fd);
   EXPECT_EQ(inherited.classes, (Lines{"consulta-plan", "cobro-envio"}));
   ASSERT_EQ(inherited.known.size(), 2U);
-  EXPECT_EQ(inherited.known[0].member.worker, "toy-0");
+  EXPECT_EQ(inherited.known[0].endpoint.worker, "toy-0");
   EXPECT_LT(inherited.known[0].maintenance_since, 0);
-  EXPECT_EQ(inherited.known[1].member.worker, "toy-1");
+  EXPECT_EQ(inherited.known[1].endpoint.worker, "toy-1");
   EXPECT_GT(inherited.known[1].maintenance_since, 0);
   ASSERT_EQ(inherited.list.size(), 2U);
   EXPECT_EQ(inherited.list[0].address, "127.0.0.1:23405");
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -192,7 +192,7 @@
   ASSERT_EQ(w.port.sent.size(), 1u);
   const std::string busy = w.port.sent[0].worker;
   std::vector<balancing::Endpoint> list;
-  for (const Planner::WorkerSnapshot& k : w.planner->ExportWorkers()) list.push_back(k.member);
+  for (const Planner::WorkerSnapshot& k : w.planner->ExportWorkers()) list.push_back(k.endpoint);
   const std::string by_hand = list[0].worker == busy ? list[1].worker : list[0].worker;
   ASSERT_TRUE(w.planner->SetMaintenance(by_hand, true));
   for (int i = 0; i < 2000; ++i) {  // one replaced every 10 s, for 20,000 s
@@ -207,7 +207,7 @@
   EXPECT_LE(known.size(), 3u + 300 / 10 + 1 + 2);  // listed, gone within 300 s, busy, by hand
   const auto has = [&](const std::string& name) {
     return std::any_of(known.begin(), known.end(),
-                       [&](const Planner::WorkerSnapshot& k) { return k.member.worker == name; });
+                       [&](const Planner::WorkerSnapshot& k) { return k.endpoint.worker == name; });
   };
   EXPECT_TRUE(has(busy));
   EXPECT_TRUE(has(by_hand));
@@ -217,7 +217,7 @@
   w.planner->OnEndpointsUpdated(balancing::EndpointListKind::kSnapshot, list);
   const std::vector<Planner::WorkerSnapshot> after = w.planner->ExportWorkers();
   EXPECT_FALSE(std::any_of(after.begin(), after.end(), [&](const Planner::WorkerSnapshot& k) {
-    return k.member.worker == busy;
+    return k.endpoint.worker == busy;
   }));
 }
 
