--- a/src/core/request.h
+++ b/src/core/request.h
@@ -84,9 +84,9 @@
   std::uint64_t messages_out = 0, bytes_out = 0;  // given to the socket
   std::uint64_t too_long = 0;                     // exceeds the size limit
   std::uint64_t no_address = 0;                   // the recipient has none here
-  std::uint64_t not_sent = 0;    // the socket took nothing or not all (it was full, say)
-  std::uint64_t unreadable = 0;  // received: exceeds the limit, or the read failed
-  std::uint64_t strangers = 0;   // received from an unknown address
+  std::uint64_t not_sent = 0;         // the socket took nothing or not all (it was full, say)
+  std::uint64_t unreadable = 0;       // received: exceeds the limit, or the read failed
+  std::uint64_t unknown_senders = 0;  // received from an unknown address
 };
 
 // Counters of one process. Printed on SIGUSR1 and at exit, and the source of the metrics.
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -103,7 +103,7 @@
     }
     const int sender = SenderAt(from);
     if (sender < 0) {
-      counters_->strangers += 1;
+      counters_->unknown_senders += 1;
     } else if (static_cast<std::size_t>(length) > kMaxMessageBytes) {
       counters_->unreadable += 1;
     } else {
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -47,7 +47,7 @@
   Counter(prefix + "dropped.no_address", p.no_address, out);
   Counter(prefix + "dropped.not_sent", p.not_sent, out);
   Counter(prefix + "dropped.unreadable", p.unreadable, out);
-  Counter(prefix + "dropped.strangers", p.strangers, out);
+  Counter(prefix + "dropped.strangers", p.unknown_senders, out);
   Counter(prefix + "dropped.refused", rejected, out);
 }
 
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -95,7 +95,7 @@
   EXPECT_TRUE(TurnUntil(loop, [&] { return !received.empty(); }));
   ASSERT_EQ(received.size(), 1u);
   EXPECT_EQ(received[0], std::pair(1, std::string(256, 'b')));
-  EXPECT_EQ(counters.strangers, 2u);
+  EXPECT_EQ(counters.unknown_senders, 2u);
   EXPECT_EQ(counters.unreadable, 1u);
 }
 
