--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -84,7 +84,7 @@
   hooks.serving = [this] {
     return planner_ != nullptr && !stopping_ && (!forwarder_ || forwarder_->accepting());
   };
-  hooks.figures = [this] { return Figures(); };
+  hooks.figures = [this] { return Metrics(); };
   hooks.maintain = [this](const std::string& worker, bool in_maintenance,
                           admin::AdminServer::Hooks::Answer answer) {
     SetMaintenanceEverywhere(worker, in_maintenance, std::move(answer));
@@ -174,11 +174,11 @@
   text << "counters " << config_.name << ' ' << CountersText(counters_);
   if (front_) text << " clients=" << front_->connections() << " workers=" << pool_->connections();
   if (server_) text << " forwarders=" << server_->forwarders();
-  text << '\n' << Figures();
+  text << '\n' << Metrics();
   out << text.str() << std::flush;  // in one piece: processes share the stream
 }
 
-std::string Node::Figures() const {
+std::string Node::Metrics() const {
   return MetricsText({.counters = counters_,
                       .planner = planner_.get(),
                       .member = member_.get(),
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -64,7 +64,7 @@
   bool SetMaintenance(const std::string& worker, bool in_maintenance);
 
   void PrintCounters(std::ostream& out) const;
-  std::string Figures() const;  // see MetricsText
+  std::string Metrics() const;  // see MetricsText
 
   Loop& loop() { return loop_; }
   std::string admin_address() const { return admin_->address(); }
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -119,7 +119,7 @@
   Node node(config);
   ASSERT_TRUE(IsOk(node.Start()));
   const auto has = [&](const std::string& line) {
-    return ("\n" + node.Figures()).find("\napp.peers." + line + "\n") != std::string::npos;
+    return ("\n" + node.Metrics()).find("\napp.peers." + line + "\n") != std::string::npos;
   };
   for (const char* cause :
        {"too_long", "no_address", "not_sent", "unreadable", "strangers", "refused"}) {
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -261,7 +261,7 @@
   ASSERT_TRUE(reload(""));
   EXPECT_EQ(harness.node->counters().reload_errors, 1u);
   EXPECT_EQ(harness.Ask(Post("f", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 200");
-  EXPECT_NE(harness.node->Figures().find("new.completed:1|c"), std::string::npos);
+  EXPECT_NE(harness.node->Metrics().find("new.completed:1|c"), std::string::npos);
   unlink(path.c_str());
 }
 
--- a/tests/scheduling_balancer_test.cpp
+++ b/tests/scheduling_balancer_test.cpp
@@ -428,7 +428,7 @@
     return c;
   }
   std::string Figure(const std::string& name) const {
-    const std::string all = node->Figures();
+    const std::string all = node->Metrics();
     const auto at = all.find(name + ":");
     return at == std::string::npos
                ? ""
@@ -541,7 +541,7 @@
     workers.push_back(harness.Gearman());
     workers.back()->WorkOn("f", "done");
   }
-  harness.Until([&] { return harness.node->Figures().find("app.members:2") != std::string::npos; });
+  harness.Until([&] { return harness.node->Metrics().find("app.members:2") != std::string::npos; });
   const auto client = harness.Gearman();
   for (int i = 0; i < 200; ++i) {
     client->Send(gearman::Type::kSubmitJob, {"f", "u" + std::to_string(i), "x"});
