--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -60,7 +60,7 @@
   std::replace(name.begin(), name.end(), '/', '_');
   hot_restart_ = std::make_unique<handover::HotRestart>(
       &loop_, config_.handover + "/millethollow-" + name + ".sock");
-  inherited_ = hot_restart_->RequestState(while_waiting);
+  inherited_ = hot_restart_->RequestState(run_predecessor);
 }
 
 void Node::ServeSuccessor() {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -73,7 +73,7 @@
   const Counters& counters() const { return counters_; }
 
   // For tests with two nodes in one process: runs the other while this one waits for its state.
-  std::function<void()> while_waiting;
+  std::function<void()> run_predecessor;
 
  private:
   // Hot restart and admin address (node.cpp).
--- a/tests/scheduling_balancer_test.cpp
+++ b/tests/scheduling_balancer_test.cpp
@@ -395,7 +395,7 @@
   }
   bool StartNext() {  // the same program once more beside itself
     next = std::make_unique<Node>(config);
-    next->while_waiting = [this] {
+    next->run_predecessor = [this] {
       node->loop().deadlines().At(node->loop().Now() + 0.001, [] {});
       node->loop().Turn();
     };
--- a/tests/support/node_harness.h
+++ b/tests/support/node_harness.h
@@ -36,7 +36,7 @@
   // The same program started once more beside itself.
   bool StartNext() {
     next = std::make_unique<Node>(config);
-    next->while_waiting = [this] {
+    next->run_predecessor = [this] {
       if (!node) return;
       node->loop().deadlines().At(node->loop().Now() + 0.001, [] {});
       node->loop().Turn();
