--- a/bench/scheduler_bench.cpp
+++ b/bench/scheduler_bench.cpp
@@ -33,12 +33,12 @@
   void Arrive() {
     Job job;
     job.handle = ++last;
-    job.cls = random() % 4 == 0;
+    job.class_index = random() % 4 == 0;
     job.tenant = static_cast<int>(random() % 6);
-    job.need = {1, job.cls == 1 ? 0.5 + static_cast<double>(random() % 16) / 16 : 0.4};
+    job.need = {1, job.class_index == 1 ? 0.5 + static_cast<double>(random() % 16) / 16 : 0.4};
     job.arrived_at = now;
-    job.start_by = now + (job.cls == 1 ? 4 : 0.6);
-    job.may_reserve = job.cls == 1;
+    job.start_by = now + (job.class_index == 1 ? 4 : 0.6);
+    job.may_reserve = job.class_index == 1;
     jobs[last] = job;
     const int w = scheduler.FindWorker(job, now);
     if (w >= 0) {
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -106,7 +106,7 @@
 }
 
 double Scheduler::ExpectedEnd(const Worker& w, const RunningJob& run, double now) const {
-  return now + runtimes_.Remaining(run.cls, w.state.kind, run.hint_s, now - run.started_at,
+  return now + runtimes_.Remaining(run.class_index, w.state.kind, run.hint_s, now - run.started_at,
                                    kReservationQuantile);
 }
 
@@ -138,7 +138,8 @@
   const Resources available = Available(w);
   if (need.Within(available - reserved_need)) return true;
   const double shadow = ShadowTime(w, reserved_need, now);
-  if (now + runtimes_.Remaining(job.cls, w.state.kind, job.hint_s, 0, kBackfillQuantile) <= shadow)
+  if (now + runtimes_.Remaining(job.class_index, w.state.kind, job.hint_s, 0, kBackfillQuantile) <=
+      shadow)
     return true;
   Resources at_shadow = available;
   for (const RunningJob& run : w.running) {
@@ -250,12 +251,12 @@
   }
   QueuedJob& queued = queue_[job.handle];
   queued.job = job;
-  queued.shape = {job.cls, SlotSteps(job.need.slots), MemorySteps(job.need.memory)};
+  queued.shape = {job.class_index, SlotSteps(job.need.slots), MemorySteps(job.need.memory)};
   // From here on the job needs what its shape does.
   queued.job.need.memory = std::max(job.need.memory, MemoryOf(std::get<2>(queued.shape)));
   queued.no_reservation_until = now;
   queued_bytes_ += job.bytes;
-  queued_by_class_[job.cls] += 1;
+  queued_by_class_[job.class_index] += 1;
   queued_by_tenant_[job.tenant] += 1;
   AddToShape(&queued);
   if (ExceedsLocalSupply(queue_.size()) && !ExceedsLocalSupply(queue_.size() - 1)) {
@@ -294,7 +295,7 @@
     const auto at = counts->find(key);
     if (--at->second == 0) counts->erase(at);
   };
-  drop(&queued_by_class_, w.job.cls);
+  drop(&queued_by_class_, w.job.class_index);
   drop(&queued_by_tenant_, w.job.tenant);
   queue_.erase(it);
 }
@@ -304,14 +305,14 @@
   if (it != queue_.end()) {
     QueuedJob& w = it->second;
     stats_.waited += 1;
-    wait_times_[w.job.cls].Add(now - w.job.arrived_at);
+    wait_times_[w.job.class_index].Add(now - w.job.arrived_at);
     if (w.reserved_worker == static_cast<int>(worker)) Unreserve(&w, false);
     Dequeue(job.handle);
   }
   if (worker >= workers_.size()) return;
   Worker& w = workers_[worker];
   stats_.backfilled += w.reserved_for != 0;
-  w.running.push_back({job.handle, EffectiveNeed(w, job.need), job.cls, job.hint_s, now});
+  w.running.push_back({job.handle, EffectiveNeed(w, job.need), job.class_index, job.hint_s, now});
   w.used = w.used + w.running.back().need;
   UpdateIndex(worker);
 }
@@ -323,7 +324,7 @@
                                 [job](const RunningJob& r) { return r.job == job; });
   if (run == w.running.end()) return;
   if (ran_s >= 0) mean_run_s_ += (std::max(ran_s, kMinRunS) - mean_run_s_) / kMeanRunWeight;
-  if (ran_s >= 0) runtimes_.AddSample(run->cls, w.state.kind, run->hint_s, ran_s);
+  if (ran_s >= 0) runtimes_.AddSample(run->class_index, w.state.kind, run->hint_s, ran_s);
   w.used = w.used - run->need;
   w.running.erase(run);
   if (w.running.empty()) w.used = {0, 0};  // drops rounding errors
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -34,7 +34,7 @@
 
 struct Job {
   JobHandle handle = 0;
-  int cls = 0, tenant = 0;
+  int class_index = 0, tenant = 0;
   int kind = -1;  // of workers that can run it; -1: any
   Resources need;
   double bytes = 0;       // of its body
@@ -133,7 +133,7 @@
   struct RunningJob {
     JobHandle job = 0;
     Resources need;
-    int cls = 0;
+    int class_index = 0;
     double hint_s = 0, started_at = 0;
   };
   struct Worker {
--- a/src/scheduling/scheduling_balancer.cpp
+++ b/src/scheduling/scheduling_balancer.cpp
@@ -222,7 +222,7 @@
   const balancing::ClassSettings& c = settings_.classes[static_cast<std::size_t>(e.cls)];
   Job& job = it->second.job;
   job.handle = ++last_handle_;
-  job.cls = e.cls;
+  job.class_index = e.cls;
   job.tenant =
       e.tenant >= 0 && static_cast<std::size_t>(e.tenant) < settings_.tenants.size() ? e.tenant : 0;
   job.kind = c.kind;
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -110,7 +110,7 @@
   Job Make(int cls, Resources need, int tenant = 0) {
     Job job;
     job.handle = ++last;
-    job.cls = cls;
+    job.class_index = cls;
     job.tenant = tenant;
     job.need = need;
     job.arrived_at = now;
