--- a/bench/scale/planner_fixture.cpp
+++ b/bench/scale/planner_fixture.cpp
@@ -17,7 +17,7 @@
   PlannerEnvironment* environment = this;
   planner_ = std::make_unique<Planner>(FleetSettings(kDispatchers, kTenants), seed, &deadlines_,
                                        environment, &counters_, scheduling_options);
-  planner_->NameClasses({"plain", "keyed"}, {true, true});
+  planner_->SetClassNames({"plain", "keyed"}, {true, true});
   forwarder_ = planner_->AddForwarder(this, true);
   planner_->Start({});
   planner_->OnEndpointsUpdated(balancing::EndpointListKind::kSnapshot, members_);
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -160,10 +160,10 @@
 
 // ---- configuration ----
 
-void Planner::NameClasses(std::vector<std::string> names, std::vector<bool> live) {
+void Planner::SetClassNames(std::vector<std::string> names, std::vector<bool> live) {
   class_live_ = std::move(live);
   class_names_ = std::move(names);
-  balancer_.NameClasses(class_names_);
+  balancer_.SetClassNames(class_names_);
   for (const std::string& name : class_names_) counters_->classes.try_emplace(name);
 }
 
@@ -177,7 +177,7 @@
 void Planner::Configure(const balancing::Settings& settings, std::vector<std::string> names,
                         std::vector<bool> live, std::vector<int> added) {
   settings_ = settings;
-  NameClasses(std::move(names), std::move(live));
+  SetClassNames(std::move(names), std::move(live));
   queue_.Post([this, settings, added = std::move(added)] {
     Deliver(balancing::SettingsChanged{&settings, &added});
   });
--- a/src/core/planner.h
+++ b/src/core/planner.h
@@ -75,7 +75,7 @@
 
   // Configuration. The names of the classes, by index; those that are not live are only those of
   // open requests.
-  void NameClasses(std::vector<std::string> names, std::vector<bool> live);
+  void SetClassNames(std::vector<std::string> names, std::vector<bool> live);
   // Open requests keep their class, and so its rules, and their limit of attempts. `added`: the
   // classes that are new.
   void Configure(const balancing::Settings& settings, std::vector<std::string> names,
--- a/src/scheduling/scheduling_balancer.cpp
+++ b/src/scheduling/scheduling_balancer.cpp
@@ -42,7 +42,7 @@
   }
 }
 
-void SchedulingBalancer::NameClasses(std::vector<std::string> names) {
+void SchedulingBalancer::SetClassNames(std::vector<std::string> names) {
   class_names_ = std::move(names);
 }
 
--- a/src/scheduling/scheduling_balancer.h
+++ b/src/scheduling/scheduling_balancer.h
@@ -41,7 +41,7 @@
   // New limits hold at once, for queued jobs too. Whether scheduling is on does not change.
   void Configure(const Options& options);
   // By index: what `reserving_classes` refers to.
-  void NameClasses(std::vector<std::string> names);
+  void SetClassNames(std::vector<std::string> names);
   const Scheduler& scheduler() const { return scheduler_; }
   std::size_t open_jobs() const { return jobs_.size(); }
 
