--- a/src/core/deadlines.h
+++ b/src/core/deadlines.h
@@ -1,4 +1,4 @@
-// Timers, in one sorted structure that the loop sweeps each turn.
+// One-shot timers, kept in one sorted map that the event loop sweeps once per turn.
 #ifndef MILLETHOLLOW_CORE_DEADLINES_H_
 #define MILLETHOLLOW_CORE_DEADLINES_H_
 
@@ -10,39 +10,42 @@
 
 namespace millethollow {
 
-// Times are seconds on the loop's clock. Not thread-safe.
+// The timers of one event loop. Times are seconds on the loop's clock. Not thread-safe: used from
+// the loop's thread only.
 class Deadlines {
  public:
-  using Ticket = std::pair<double, std::uint64_t>;  // due time, and a serial number
+  // Identifies a timer: its due time and a serial number.
+  using Ticket = std::pair<double, std::uint64_t>;
   static constexpr Ticket kNone{0, 0};
 
-  // Runs `what` once, at the first sweep from `when` on. Those with equal times run in the order of
-  // these calls.
-  Ticket At(double when, std::function<void()> what) {
-    const Ticket ticket{when, ++order_};
-    entries_.emplace(ticket, std::move(what));
+  // Runs `callback` once, in the first sweep at or after `when`. Timers with equal due times run in
+  // the order in which they were set.
+  Ticket At(double when, std::function<void()> callback) {
+    const Ticket ticket{when, ++last_serial_};
+    entries_.emplace(ticket, std::move(callback));
     return ticket;
   }
-  // Cancels it, if it has not run, and sets the ticket to kNone.
+  // Cancels the timer if it has not run yet, and sets the ticket to kNone.
   void Drop(Ticket* ticket) {
     entries_.erase(*ticket);
     *ticket = kNone;
   }
-  // Runs all that are due. Those set meanwhile wait for the next sweep, so that a sweep ends.
+  // Runs all timers that are due. Timers that are set during a sweep wait for the next one, so that
+  // every sweep ends.
   void Sweep(double now) {
-    const std::uint64_t last = order_;
+    const std::uint64_t last_of_sweep = last_serial_;
     for (auto it = entries_.begin(); it != entries_.end() && it->first.first <= now;) {
-      if (it->first.second > last) {
+      if (it->first.second > last_of_sweep) {
         ++it;
         continue;
       }
-      const auto what = std::move(it->second);
+      const auto callback = std::move(it->second);
       entries_.erase(it);
-      what();
-      it = entries_.begin();  // `what` may have dropped any
+      callback();
+      it = entries_.begin();  // the callback may have cancelled any timer
     }
   }
-  // The earliest due time.
+  // The earliest due time; nullopt if no timer is set.
   std::optional<double> Next() const {
     if (entries_.empty()) return std::nullopt;
     return entries_.begin()->first.first;
@@ -50,7 +53,7 @@
 
  private:
   std::map<Ticket, std::function<void()>> entries_;
-  std::uint64_t order_ = 0;
+  std::uint64_t last_serial_ = 0;
 };
 
 }  // namespace millethollow
--- a/src/core/demand_meter.h
+++ b/src/core/demand_meter.h
@@ -1,4 +1,4 @@
-// Measures each tenant's demand: requests per second that arrive, whether admitted or not.
+// Measures the demand of each tenant: the rate at which its requests arrive, admitted or not.
 #ifndef MILLETHOLLOW_CORE_DEMAND_METER_H_
 #define MILLETHOLLOW_CORE_DEMAND_METER_H_
 
@@ -8,52 +8,58 @@
 
 namespace millethollow {
 
-// Two exponential means: the steady one is used until the quick one differs by more than chance, so
-// that quota leases follow a change at once but don't follow noise. Times are seconds on the
-// caller's clock.
+// Keeps two exponential moving averages of each tenant's arrival rate. The slow one is reported
+// until the fast one differs from it by more than random variation explains: quota leases then
+// follow a real change at once, but not noise.
+//
+// Times are seconds on the caller's clock. Not thread-safe.
 class DemandMeter {
  public:
   explicit DemandMeter(std::size_t tenants) : tenants_(tenants) {}
 
-  // A request of the tenant arrived. Unknown tenants are ignored.
+  // Counts a request of the tenant that arrived at `now`. Ignores unknown tenants.
   void Count(double now, std::size_t tenant) {
     if (tenant >= tenants_.size()) return;
     Means& means = tenants_[tenant];
     Decay(now, &means);
-    means.quick += 1 / kQuickS;
-    means.steady += 1 / kSteadyS;
+    means.fast += 1 / kFastTimeConstantS;
+    means.slow += 1 / kSlowTimeConstantS;
   }
 
-  // By tenant, in requests per second.
+  // The arrival rate of each tenant, by index, in requests per second.
   std::vector<double> Rates(double now) {
     std::vector<double> rates;
     rates.reserve(tenants_.size());
     for (Means& means : tenants_) {
       Decay(now, &means);
-      const double difference = std::abs(means.quick - means.steady);
-      if (difference > kMaxDeviations * StandardDeviation(means.steady)) {
-        means.steady = means.quick;
+      const double difference = std::abs(means.fast - means.slow);
+      if (difference > kMaxDeviations * StandardDeviation(means.slow)) {
+        means.slow = means.fast;
       }
-      rates.push_back(means.steady);
+      rates.push_back(means.slow);
     }
     return rates;
   }
 
  private:
-  static constexpr double kQuickS = 0.6, kSteadyS = 2.0;  // time constants
-  static constexpr double kMaxDeviations = 2.0;           // a larger difference is not chance
+  static constexpr double kFastTimeConstantS = 0.6, kSlowTimeConstantS = 2.0;
+  // In standard deviations of the fast average; a larger difference counts as a change of demand.
+  static constexpr double kMaxDeviations = 2.0;
 
+  // Requests per second, as of `updated_at`.
   struct Means {
-    double quick = 0, steady = 0, at = 0;
+    double fast = 0, slow = 0, updated_at = 0;
   };
   static void Decay(double now, Means* means) {
-    const double span = now - means->at;
-    means->quick *= std::exp(-span / kQuickS);
-    means->steady *= std::exp(-span / kSteadyS);
-    means->at = now;
+    const double elapsed_s = now - means->updated_at;
+    means->fast *= std::exp(-elapsed_s / kFastTimeConstantS);
+    means->slow *= std::exp(-elapsed_s / kSlowTimeConstantS);
+    means->updated_at = now;
+  }
+  // Standard deviation of the fast average for Poisson arrivals at `rate`.
+  static double StandardDeviation(double rate) {
+    return std::sqrt(rate / (2 * kFastTimeConstantS));
   }
-  // Of the quick mean, for Poisson arrivals.
-  static double StandardDeviation(double rate) { return std::sqrt(rate / (2 * kQuickS)); }
 
   std::vector<Means> tenants_;
 };
--- a/src/core/dispatch_check.cpp
+++ b/src/core/dispatch_check.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Of the grace period: what is sent later than this might reach the worker after its end.
+// The part of the grace period in which attempts are still sent. One sent later could reach the
+// worker after the period has ended.
 constexpr double kUsableGraceShare = 0.9;
 
 }  // namespace
@@ -48,18 +49,19 @@
                                                        const std::string& worker, double now,
                                                        std::size_t attempt) const {
   if (entry.answered) return BlockReason::kAnswered;
-  const std::size_t earlier = std::min(attempt, entry.attempts.size());
-  if (earlier >= static_cast<std::size_t>(entry.max_attempts)) return BlockReason::kAttemptLimit;
-  const RegisteredWorker* next = workers_->Find(worker);
-  if (next == nullptr) return BlockReason::kUnlisted;
-  if (const auto reason = CheckWorker(*next, id, now)) return reason;
-  const balancing::ClassSettings& cls =
+  const std::size_t earlier_attempts = std::min(attempt, entry.attempts.size());
+  if (earlier_attempts >= static_cast<std::size_t>(entry.max_attempts))
+    return BlockReason::kAttemptLimit;
+  const RegisteredWorker* next_worker = workers_->Find(worker);
+  if (next_worker == nullptr) return BlockReason::kUnlisted;
+  if (const auto reason = CheckWorker(*next_worker, id, now)) return reason;
+  const balancing::ClassSettings& class_settings =
       settings_->classes[static_cast<std::size_t>(entry.class_index)];
-  for (std::size_t i = 0; i < entry.attempts.size(); ++i) {
-    const LedgerAttempt& other = entry.attempts[i];
-    if (i == attempt) continue;
+  for (std::size_t index = 0; index < entry.attempts.size(); ++index) {
+    const LedgerAttempt& other = entry.attempts[index];
+    if (index == attempt) continue;
     if (other.open && !settings_->allow_hedging) return BlockReason::kHedgingDisabled;
-    if (const auto reason = CheckRepeat(other, cls, *next, now)) return reason;
+    if (const auto reason = CheckRepeat(other, class_settings, *next_worker, now)) return reason;
   }
   return std::nullopt;
 }
@@ -75,23 +77,26 @@
   return std::nullopt;
 }
 
-std::optional<BlockReason> DispatchCheck::CheckRepeat(const LedgerAttempt& before,
-                                                      const balancing::ClassSettings& cls,
-                                                      const RegisteredWorker& next,
-                                                      double now) const {
-  if (!before.may_have_run || cls.idempotency == Idempotency::kIdempotent) return std::nullopt;
-  if (cls.idempotency == Idempotency::kNotIdempotent) return BlockReason::kNotIdempotent;
-  if (now - before.sent_at > cls.deduplication_window_s) return BlockReason::kDeduplicationWindow;
-  if (!SharesKeys(cls.deduplication_scope, workers_->Find(before.worker), next)) {
+std::optional<BlockReason> DispatchCheck::CheckRepeat(
+    const LedgerAttempt& previous, const balancing::ClassSettings& class_settings,
+    const RegisteredWorker& next_worker, double now) const {
+  if (!previous.may_have_run || class_settings.idempotency == Idempotency::kIdempotent)
+    return std::nullopt;
+  if (class_settings.idempotency == Idempotency::kNotIdempotent) return BlockReason::kNotIdempotent;
+  if (now - previous.sent_at > class_settings.deduplication_window_s)
+    return BlockReason::kDeduplicationWindow;
+  if (!SharesKeys(class_settings.deduplication_scope, workers_->Find(previous.worker),
+                  next_worker)) {
     return BlockReason::kDeduplicationScope;
   }
   return std::nullopt;
 }
 
-bool DispatchCheck::SharesKeys(DeduplicationScope scope, const RegisteredWorker* first,
-                               const RegisteredWorker& next) const {
-  const bool same_zone = first != nullptr && first->endpoint.zone == next.endpoint.zone;
-  const bool same_cell = same_zone && first->endpoint.cell == next.endpoint.cell;
+bool DispatchCheck::SharesKeys(DeduplicationScope scope, const RegisteredWorker* first_worker,
+                               const RegisteredWorker& next_worker) const {
+  const bool same_zone =
+      first_worker != nullptr && first_worker->endpoint.zone == next_worker.endpoint.zone;
+  const bool same_cell = same_zone && first_worker->endpoint.cell == next_worker.endpoint.cell;
   if (scope == DeduplicationScope::kZone) return same_zone;
   if (scope == DeduplicationScope::kCell) return same_cell;
   return true;
--- a/src/core/dispatch_check.h
+++ b/src/core/dispatch_check.h
@@ -1,6 +1,6 @@
-// The last check of an attempt before it goes to a forwarder. The balancer decides where attempts
-// go; this keeps a fault in it from sending to a worker that is out of service, or from running a
-// request twice where it must not be.
+// Final check of an attempt before it is handed to a forwarder. The balancer decides where attempts
+// go; this check ensures that a bug in it can't send to a worker that is out of service, or repeat
+// a request that must not run twice.
 #ifndef MILLETHOLLOW_CORE_DISPATCH_CHECK_H_
 #define MILLETHOLLOW_CORE_DISPATCH_CHECK_H_
 
@@ -17,48 +17,52 @@
 
 namespace millethollow {
 
-// Why an attempt may not be sent.
+// The reason why an attempt must not be sent.
 enum class BlockReason : std::uint8_t {
-  kAnswered,             // the request has its final answer
-  kAttemptLimit,         // it has used all of its attempts
+  kAnswered,             // the request has had its final answer
+  kAttemptLimit,         // the request has used all of its attempts
   kUnlisted,             // no such worker is known
   kDraining,             // the worker has been draining for most of the grace period
-  kMaintenance,          // it has been out of service for most of the grace period
+  kMaintenance,          // the worker has been in maintenance for most of the grace period
   kOtherForwarder,       // the worker is connected to another forwarder
-  kHedgingDisabled,      // another attempt is open, and there may be one at a time
-  kNotIdempotent,        // an earlier attempt may have run, and none may run twice
-  kDeduplicationWindow,  // the earlier attempt is so old that its key may be forgotten
-  kDeduplicationScope,   // the worker does not share keys with that of the earlier attempt
-  kNoForwarder,          // the request's forwarder is gone
+  kHedgingDisabled,      // another attempt is open, and hedged requests are disabled
+  kNotIdempotent,        // an earlier attempt may have run, and the class is not idempotent
+  kDeduplicationWindow,  // an earlier attempt is so old that its key may have expired
+  kDeduplicationScope,   // the worker does not share keys with that of an earlier attempt
+  kNoForwarder,          // the request's forwarder is disconnected
   kNotRecorded,          // the attempt of a durable job could not be recorded
 };
 
-// For log lines: a word without blanks.
+// The reason as it appears in log lines: one token without spaces.
 std::string_view BlockReasonText(BlockReason reason);
 
+// Checks attempts against the settings, the request's earlier attempts and the state of workers.
+// Not thread-safe.
 class DispatchCheck {
  public:
-  // For CheckAttempt: the attempt is not in the entry yet.
+  // Value of CheckAttempt's `attempt` for one that is not in the ledger entry yet.
   static constexpr std::size_t kNewAttempt = std::numeric_limits<std::size_t>::max();
 
-  // Both must outlive this.
+  // `settings` and `workers` must outlive the check.
   DispatchCheck(const balancing::Settings* settings, const WorkerRegistry* workers)
       : settings_(settings), workers_(workers) {}
 
-  // None: `attempt` of the request may go to `worker` now. `now` is on the loop's clock.
+  // Returns nullopt if `attempt` (an index into the entry's attempts) may be sent to `worker` now,
+  // and else the reason why not. `now`: seconds on the loop's clock.
   std::optional<BlockReason> CheckAttempt(const LedgerEntry& entry, RequestId id,
                                           const std::string& worker, double now,
                                           std::size_t attempt = kNewAttempt) const;
-  // None: after the attempt `before` another may go to `next`.
-  std::optional<BlockReason> CheckRepeat(const LedgerAttempt& before,
-                                         const balancing::ClassSettings& cls,
-                                         const RegisteredWorker& next, double now) const;
+  // Returns nullopt if the request may be sent to `next_worker` after the attempt `previous`, and
+  // else the reason why not.
+  std::optional<BlockReason> CheckRepeat(const LedgerAttempt& previous,
+                                         const balancing::ClassSettings& class_settings,
+                                         const RegisteredWorker& next_worker, double now) const;
 
  private:
   std::optional<BlockReason> CheckWorker(const RegisteredWorker& worker, RequestId id,
                                          double now) const;
-  bool SharesKeys(balancing::DeduplicationScope scope, const RegisteredWorker* first,
-                  const RegisteredWorker& next) const;
+  bool SharesKeys(balancing::DeduplicationScope scope, const RegisteredWorker* first_worker,
+                  const RegisteredWorker& next_worker) const;
 
   const balancing::Settings* settings_;
   const WorkerRegistry* workers_;
--- a/src/core/event_queue.h
+++ b/src/core/event_queue.h
@@ -1,4 +1,4 @@
-// Runs events one after the other: an event that is posted while another runs waits for its end.
+// Serializes events: an event that is posted while another one runs is queued until that one ends.
 #ifndef MILLETHOLLOW_CORE_EVENT_QUEUE_H_
 #define MILLETHOLLOW_CORE_EVENT_QUEUE_H_
 
@@ -8,10 +8,11 @@
 
 namespace millethollow {
 
-// Not thread-safe: used from the loop's thread alone.
+// A queue without reentrancy. Not thread-safe: used from the loop's thread only.
 class EventQueue {
  public:
-  // Runs `event` at once, with all that it posts, unless an event runs already: then it is queued.
+  // Runs `event` and all events that it posts before returning. If an event is running already,
+  // only queues `event`.
   void Post(std::function<void()> event) {
     events_.push_back(std::move(event));
     if (running_) return;
--- a/src/core/local_link.h
+++ b/src/core/local_link.h
@@ -1,4 +1,4 @@
-// The link of a forwarder to a planner in its own process.
+// The link between a forwarder and a planner in the same process.
 #ifndef MILLETHOLLOW_CORE_LOCAL_LINK_H_
 #define MILLETHOLLOW_CORE_LOCAL_LINK_H_
 
@@ -10,9 +10,10 @@
 
 namespace millethollow {
 
+// Passes a forwarder's events on as direct calls of the planner. Used on the loop's thread.
 class LocalLink final : public PlannerLink {
  public:
-  // `forwarder`: the number that Planner::AddForwarder returned. The planner must outlive this.
+  // `forwarder`: the number that Planner::AddForwarder returned. `planner` must outlive the link.
   LocalLink(Planner* planner, std::uint64_t forwarder) : planner_(planner), forwarder_(forwarder) {}
 
   void OnRequest(const Request& request) override { planner_->OnRequest(request); }
--- a/src/core/planner.cpp
+++ b/src/core/planner.cpp
@@ -21,13 +21,13 @@
       deadlines_(deadlines),
       environment_(environment),
       counters_(counters),
-      demand_(settings.tenants.size()) {}
+      demand_meter_(settings.tenants.size()) {}
 
 void Planner::Start(const std::vector<Endpoint>& known) {
-  queue_.Post([this] { Deliver(balancing::DispatcherStarted{}); });
+  event_queue_.Post([this] { HandleEvent(balancing::DispatcherStarted{}); });
   OnEndpointsUpdated(EndpointListKind::kRestored, known);
-  for (const std::string& worker : workers_.InMaintenance()) {  // imported
-    queue_.Post([this, worker] { Deliver(balancing::MaintenanceChanged{worker, true}); });
+  for (const std::string& worker : workers_.InMaintenance()) {  // as imported
+    event_queue_.Post([this, worker] { HandleEvent(balancing::MaintenanceChanged{worker, true}); });
   }
 }
 
@@ -41,34 +41,34 @@
 
 void Planner::OnForwarderLost(std::uint64_t forwarder) {
   forwarders_.erase(forwarder);
-  for (const RequestId id : ledger_.OfForwarder(forwarder)) {
+  for (const RequestId id : ledger_.RequestsOfForwarder(forwarder)) {
     OnRequestCancelled(id);
     LedgerEntry* entry = ledger_.Find(id);
-    for (std::size_t i = 0; entry != nullptr && i < entry->attempts.size(); ++i) {
-      if (!entry->attempts[i].open) continue;
-      EndAttempt(id, entry, i, {.status = AttemptStatus::kConnectionLost});
+    for (std::size_t attempt = 0; entry != nullptr && attempt < entry->attempts.size(); ++attempt) {
+      if (!entry->attempts[attempt].open) continue;
+      EndAttempt(id, entry, attempt, {.status = AttemptStatus::kConnectionLost});
       entry = ledger_.Find(id);
     }
   }
-  for (Endpoint gone : workers_.LocalTo(forwarder)) {
-    gone.readiness = Readiness::kGone;
-    OnLocalWorkerChanged(forwarder, gone);
+  for (Endpoint endpoint : workers_.LocalEndpoints(forwarder)) {
+    endpoint.readiness = Readiness::kGone;
+    OnLocalWorkerChanged(forwarder, endpoint);
   }
 }
 
-ForwarderPort* Planner::PortOf(RequestId id) const {
+ForwarderPort* Planner::FindForwarder(RequestId id) const {
   const auto it = forwarders_.find(ForwarderOf(id));
   return it == forwarders_.end() ? nullptr : it->second;
 }
 
 // ---- the balancer ----
 
-void Planner::Deliver(const balancing::Event& event) {
+void Planner::HandleEvent(const balancing::Event& event) {
   balancing::Actions actions;
   UpdateFleetShare();
   balancer_.Handle(environment_->Now(), event, &actions);
   for (const balancing::Action& action : actions) {
-    std::visit([this](const auto& a) { Do(a); }, action);
+    std::visit([this](const auto& typed_action) { Execute(typed_action); }, action);
   }
 }
 
@@ -76,49 +76,50 @@
   std::optional<balancing::FleetShare> share = environment_->FleetShare();
   if (!share) return;
   const double now = environment_->Now();
-  share->stopped = now - fleet_share_at_ > balancing::AgreedShare::kStoppedS;
+  share->stopped = now - fleet_share_updated_at_ > balancing::AgreedShare::kStoppedS;
   if (*share != fleet_share_) balancer_.SetFleetShare(*share);
   fleet_share_ = *share;
-  fleet_share_at_ = now;
+  fleet_share_updated_at_ = now;
 }
 
 // ---- workers ----
 
 void Planner::OnProbeAnswered(const std::string& worker, const Outcome& outcome) {
-  queue_.Post([this, worker, outcome] {
-    balancing::ProbeAnswered e{.worker = worker,
-                               .status = outcome.status,
-                               .latency_s = outcome.latency_s,
-                               .has_report = outcome.has_report};
-    std::copy(std::begin(outcome.report), std::end(outcome.report), std::begin(e.report));
-    Deliver(e);
+  event_queue_.Post([this, worker, outcome] {
+    balancing::ProbeAnswered event{.worker = worker,
+                                   .status = outcome.status,
+                                   .latency_s = outcome.latency_s,
+                                   .has_report = outcome.has_report};
+    std::copy(std::begin(outcome.report), std::end(outcome.report), std::begin(event.report));
+    HandleEvent(event);
   });
 }
 
 void Planner::OnLocalWorkerChanged(std::uint64_t forwarder, const Endpoint& endpoint) {
   workers_.UpdateLocal(endpoint, forwarder, environment_->Now());
-  queue_.Post([this, endpoint] {
+  event_queue_.Post([this, endpoint] {
     const std::vector<Endpoint> changed{endpoint};
-    Deliver(balancing::EndpointsUpdated{EndpointListKind::kIncremental, &changed});
+    HandleEvent(balancing::EndpointsUpdated{EndpointListKind::kIncremental, &changed});
   });
 }
 
 void Planner::OnEndpointsUpdated(EndpointListKind kind, const std::vector<Endpoint>& endpoints) {
   const double now = environment_->Now();
-  const bool full = kind == EndpointListKind::kSnapshot || kind == EndpointListKind::kRestored;
-  std::vector<Endpoint> list = full ? workers_.ApplySnapshot(endpoints, now) : endpoints;
+  const bool is_full_list =
+      kind == EndpointListKind::kSnapshot || kind == EndpointListKind::kRestored;
+  std::vector<Endpoint> list = is_full_list ? workers_.ApplySnapshot(endpoints, now) : endpoints;
   for (const Endpoint& endpoint : endpoints) workers_.Update(endpoint, now);
-  queue_.Post([this, kind, list = std::move(list)] {
-    Deliver(balancing::EndpointsUpdated{kind,
-                                        kind == EndpointListKind::kUnavailable ? nullptr : &list});
-    if (kind == EndpointListKind::kSnapshot) ForgetGoneWorkers();
+  event_queue_.Post([this, kind, list = std::move(list)] {
+    HandleEvent(balancing::EndpointsUpdated{
+        kind, kind == EndpointListKind::kUnavailable ? nullptr : &list});
+    if (kind == EndpointListKind::kSnapshot) EraseGoneWorkers();
     DispatchDeferred();
   });
 }
 
-// The balancer alone decides when a gone worker is forgotten (long off the lists, nothing in flight
-// there); without this the registry would keep each name ever listed.
-void Planner::ForgetGoneWorkers() {
+// Erases gone workers that the balancer has erased. The balancer decides when (long off the lists,
+// and no attempt in flight); otherwise the registry would keep every name that was ever listed.
+void Planner::EraseGoneWorkers() {
   std::unordered_set<std::string_view> known;
   const std::vector<balancing::WorkerView> views = balancer_.Workers();
   for (const balancing::WorkerView& view : views) known.insert(view.worker);
@@ -130,8 +131,8 @@
   if (!workers_.SetMaintenance(worker, in_maintenance, environment_->Now(), &changed)) return false;
   if (!changed) return true;
   environment_->Log("maintenance worker=" + worker + " state=" + (in_maintenance ? "out" : "in"));
-  queue_.Post([this, worker, in_maintenance] {
-    Deliver(balancing::MaintenanceChanged{worker, in_maintenance});
+  event_queue_.Post([this, worker, in_maintenance] {
+    HandleEvent(balancing::MaintenanceChanged{worker, in_maintenance});
   });
   return true;
 }
@@ -144,13 +145,13 @@
 
 void Planner::OnPeerMessage(int sender, const std::string& body) {
   counters_->peer_messages_in += 1;
-  queue_.Post([this, sender, body] { Deliver(balancing::PeerMessage{sender, body}); });
+  event_queue_.Post([this, sender, body] { HandleEvent(balancing::PeerMessage{sender, body}); });
 }
 
 void Planner::OnPeerWorkerDown(const std::string& worker, double started_at_s, bool gone) {
-  const RegisteredWorker* known = workers_.Find(worker);
-  if (known == nullptr) return;
-  Endpoint endpoint = known->endpoint;
+  const RegisteredWorker* registered = workers_.Find(worker);
+  if (registered == nullptr) return;
+  Endpoint endpoint = registered->endpoint;
   const Readiness reported = gone ? Readiness::kGone : Readiness::kDraining;
   if (endpoint.readiness >= reported) return;
   endpoint.started_at_s = started_at_s;
@@ -161,15 +162,15 @@
 // ---- configuration ----
 
 void Planner::SetClassNames(std::vector<std::string> names, std::vector<bool> live) {
-  class_live_ = std::move(live);
+  class_is_live_ = std::move(live);
   class_names_ = std::move(names);
   balancer_.SetClassNames(class_names_);
   for (const std::string& name : class_names_) counters_->classes.try_emplace(name);
 }
 
 int Planner::ClassIndex(const std::string& name) const {
-  for (std::size_t c = 0; c < class_names_.size(); ++c) {
-    if (class_live_[c] && class_names_[c] == name) return static_cast<int>(c);
+  for (std::size_t index = 0; index < class_names_.size(); ++index) {
+    if (class_is_live_[index] && class_names_[index] == name) return static_cast<int>(index);
   }
   return -1;
 }
@@ -178,8 +179,8 @@
                         std::vector<bool> live, std::vector<int> added) {
   settings_ = settings;
   SetClassNames(std::move(names), std::move(live));
-  queue_.Post([this, settings, added = std::move(added)] {
-    Deliver(balancing::SettingsChanged{&settings, &added});
+  event_queue_.Post([this, settings, added = std::move(added)] {
+    HandleEvent(balancing::SettingsChanged{&settings, &added});
   });
 }
 
@@ -194,12 +195,15 @@
 }
 
 void Planner::OnSiblingProcess(bool present, bool leaving) {
-  queue_.Post([this, present, leaving] { Deliver(balancing::SiblingProcess{present, leaving}); });
+  event_queue_.Post([this, present, leaving] {
+    HandleEvent(balancing::SiblingProcess{present, leaving});
+  });
 }
 
 void Planner::OnSiblingWorkerDown(const Endpoint& endpoint) {
-  const RegisteredWorker* known = workers_.Find(endpoint.worker);
-  if (known != nullptr && (known->local || known->endpoint.started_at_s > endpoint.started_at_s)) {
+  const RegisteredWorker* registered = workers_.Find(endpoint.worker);
+  if (registered != nullptr &&
+      (registered->local || registered->endpoint.started_at_s > endpoint.started_at_s)) {
     return;
   }
   if (endpoint.readiness != Readiness::kReady) {
--- a/src/core/planner_actions.cpp
+++ b/src/core/planner_actions.cpp
@@ -1,4 +1,4 @@
-// The balancer's actions, carried out.
+// Execution of the balancer's actions.
 #include <algorithm>
 #include <charconv>
 #include <utility>
@@ -12,14 +12,14 @@
 
 namespace {
 
-// The balancer's request ids are ours in decimal.
+// The balancer's request ids are the planner's in decimal.
 RequestId ParseRequestId(std::string_view text) {
   RequestId id = 0;
   std::from_chars(text.data(), text.data() + text.size(), id);
   return id;
 }
 
-std::string AttemptText(RequestId id, std::size_t attempt) {
+std::string AttemptFields(RequestId id, std::size_t attempt) {
   return " request=" + std::to_string(id) + " attempt=" + std::to_string(attempt);
 }
 
@@ -27,30 +27,30 @@
 
 // ---- sending ----
 
-void Planner::Do(const balancing::SendAttempt& a) {
-  const RequestId id = ParseRequestId(a.id);
+void Planner::Execute(const balancing::SendAttempt& action) {
+  const RequestId id = ParseRequestId(action.id);
   LedgerEntry* entry = ledger_.Find(id);
   if (entry == nullptr) {
-    return environment_->Log("dispatch-unknown-request request=" + std::string(a.id));
+    return environment_->Log("dispatch-unknown-request request=" + std::string(action.id));
   }
-  const auto reason = CheckSend(*entry, id, a.worker, DispatchCheck::kNewAttempt);
+  const auto reason = CheckSend(*entry, id, action.worker, DispatchCheck::kNewAttempt);
   const std::size_t attempt = entry->attempts.size();
-  entry->attempts.push_back({.worker = a.worker, .sent_at = environment_->Now()});
+  entry->attempts.push_back({.worker = action.worker, .sent_at = environment_->Now()});
   if (reason) return BlockAttempt(id, entry, attempt, *reason);
   if (environment_->EndpointsOverdue()) {
     entry->attempts[attempt].deferred = true;
-    return deferred_.push_back({id, attempt, a.worker, a.timeout_s});
+    return deferred_attempts_.push_back({id, attempt, action.worker, action.timeout_s});
   }
   if (entry->durable_job.empty() || environment_->attempt_recorder() == nullptr) {
-    return Dispatch(id, attempt, a.worker, a.timeout_s);
+    return Dispatch(id, attempt, action.worker, action.timeout_s);
   }
-  RecordThenDispatch(id, attempt, a.worker, a.timeout_s);
+  RecordThenDispatch(id, attempt, action.worker, action.timeout_s);
 }
 
 std::optional<BlockReason> Planner::CheckSend(const LedgerEntry& entry, RequestId id,
                                               const std::string& worker,
                                               std::size_t attempt) const {
-  if (PortOf(id) == nullptr) return BlockReason::kNoForwarder;
+  if (FindForwarder(id) == nullptr) return BlockReason::kNoForwarder;
   return dispatch_check_.CheckAttempt(entry, id, worker, environment_->Now(), attempt);
 }
 
@@ -67,7 +67,7 @@
         LedgerEntry* current = ledger_.Find(id);
         if (current == nullptr || !current->attempts[attempt].open) return;
         current->attempts[attempt].deferred = false;
-        // Checked again: the worker or the request may have changed since the decision.
+        // Check again, since the worker or the request may have changed since the decision.
         const auto reason = recorded ? CheckSend(*current, id, worker, attempt)
                                      : std::optional(BlockReason::kNotRecorded);
         if (reason) return BlockAttempt(id, current, attempt, *reason);
@@ -75,19 +75,20 @@
       });
 }
 
-// Attempts that waited for an endpoint list go out, unless it has ended their worker.
+// Sends the attempts that waited for a current endpoint list, except to workers that it lists as
+// draining or gone.
 void Planner::DispatchDeferred() {
-  if (deferred_.empty() || environment_->EndpointsOverdue()) return;
-  for (const DeferredAttempt& d : std::exchange(deferred_, {})) {
-    LedgerEntry* entry = ledger_.Find(d.id);
-    if (entry == nullptr || !entry->attempts[d.attempt].open) continue;
-    entry->attempts[d.attempt].deferred = false;
-    const RegisteredWorker* worker = workers_.Find(d.worker);
+  if (deferred_attempts_.empty() || environment_->EndpointsOverdue()) return;
+  for (const DeferredAttempt& deferred : std::exchange(deferred_attempts_, {})) {
+    LedgerEntry* entry = ledger_.Find(deferred.id);
+    if (entry == nullptr || !entry->attempts[deferred.attempt].open) continue;
+    entry->attempts[deferred.attempt].deferred = false;
+    const RegisteredWorker* worker = workers_.Find(deferred.worker);
     const bool draining = worker != nullptr && worker->draining();
-    if (!draining && !CheckSend(*entry, d.id, d.worker, d.attempt)) {
-      Dispatch(d.id, d.attempt, d.worker, d.timeout_s);
+    if (!draining && !CheckSend(*entry, deferred.id, deferred.worker, deferred.attempt)) {
+      Dispatch(deferred.id, deferred.attempt, deferred.worker, deferred.timeout_s);
     } else {
-      EndAttempt(d.id, entry, d.attempt, {.status = AttemptStatus::kNotSent});
+      EndAttempt(deferred.id, entry, deferred.attempt, {.status = AttemptStatus::kNotSent});
     }
   }
 }
@@ -99,80 +100,80 @@
     deadlines_->At(environment_->Now() + timeout_s,
                    [this, id, attempt] { OnAttemptTimeout(id, attempt); });
   }
-  PortOf(id)->Send(id, static_cast<int>(attempt), worker);
+  FindForwarder(id)->Send(id, static_cast<int>(attempt), worker);
 }
 
-// The balancer learns of it as an attempt that was not sent.
+// Logs that an attempt is blocked, and reports it to the balancer as not sent.
 void Planner::BlockAttempt(RequestId id, LedgerEntry* entry, std::size_t attempt,
                            BlockReason reason) {
   counters_->blocked += 1;
   environment_->Log("dispatch-blocked reason=" + std::string(BlockReasonText(reason)) +
-                    " worker=" + entry->attempts[attempt].worker + AttemptText(id, attempt));
+                    " worker=" + entry->attempts[attempt].worker + AttemptFields(id, attempt));
   EndAttempt(id, entry, attempt, {.status = AttemptStatus::kNotSent});
 }
 
-// ---- ends ----
+// ---- rejection, failure and cancellation ----
 
-void Planner::Do(const balancing::RejectRequest& a) {
-  const RequestId id = ParseRequestId(a.id);
+void Planner::Execute(const balancing::RejectRequest& action) {
+  const RequestId id = ParseRequestId(action.id);
   LedgerEntry* entry = ledger_.Find(id);
   if (entry == nullptr || entry->answered) return;
-  const balancing::ClassSettings& cls = ClassOf(*entry);
-  const bool may_run_again = cls.idempotency == Idempotency::kIdempotent ||
-                             (cls.idempotency == Idempotency::kIdempotentWithKey &&
-                              cls.deduplication_scope == DeduplicationScope::kAll);
-  // A rejection promises the client that nothing has run.
+  const balancing::ClassSettings& class_settings = ClassOf(*entry);
+  const bool may_run_again = class_settings.idempotency == Idempotency::kIdempotent ||
+                             (class_settings.idempotency == Idempotency::kIdempotentWithKey &&
+                              class_settings.deduplication_scope == DeduplicationScope::kAll);
+  // A rejection guarantees to the client that no attempt has run.
   if (!may_run_again && entry->MayHaveRun()) {
     Answer(id, entry, {});
   } else {
     Answer(id, entry,
            {.kind = FinalAnswer::Kind::kRejected,
-            .retry_after_s = std::min(a.retry_after_s, settings_.max_retry_after_s)});
+            .retry_after_s = std::min(action.retry_after_s, settings_.max_retry_after_s)});
   }
-  EraseLater(id);
+  PostEraseIfComplete(id);
 }
 
-void Planner::Do(const balancing::FailRequest& a) {
-  const RequestId id = ParseRequestId(a.id);
+void Planner::Execute(const balancing::FailRequest& action) {
+  const RequestId id = ParseRequestId(action.id);
   LedgerEntry* entry = ledger_.Find(id);
   if (entry == nullptr || entry->answered) return;
   Answer(id, entry, {});
-  EraseLater(id);
+  PostEraseIfComplete(id);
 }
 
-void Planner::Do(const balancing::CancelAttempt& a) {
-  const RequestId id = ParseRequestId(a.id);
-  if (ledger_.FindOpenAttempt(id, a.attempt) == nullptr) return;
-  CancelOpenAttempt(id, ledger_.Find(id), static_cast<std::size_t>(a.attempt),
+void Planner::Execute(const balancing::CancelAttempt& action) {
+  const RequestId id = ParseRequestId(action.id);
+  if (ledger_.FindOpenAttempt(id, action.attempt) == nullptr) return;
+  CancelOpenAttempt(id, ledger_.Find(id), static_cast<std::size_t>(action.attempt),
                     AttemptStatus::kCancelled);
 }
 
 // ---- timers, probes, peers ----
 
-void Planner::Do(const balancing::SetTimer& a) {
-  deadlines_->At(environment_->Now() + a.after_s, [this, timer_id = a.timer_id] {
-    queue_.Post([this, timer_id] { Deliver(balancing::TimerFired{timer_id}); });
+void Planner::Execute(const balancing::SetTimer& action) {
+  deadlines_->At(environment_->Now() + action.after_s, [this, timer_id = action.timer_id] {
+    event_queue_.Post([this, timer_id] { HandleEvent(balancing::TimerFired{timer_id}); });
   });
 }
 
-void Planner::Do(const balancing::Probe& a) {
+void Planner::Execute(const balancing::Probe& action) {
   counters_->probes += 1;
-  const RegisteredWorker* worker = workers_.Find(a.worker);
+  const RegisteredWorker* worker = workers_.Find(action.worker);
   if (worker != nullptr && !forwarders_.empty()) {
     const auto owner = forwarders_.find(worker->forwarder);
-    if (owner != forwarders_.end()) return owner->second->Probe(a.worker);
-    if (!worker->local) return forwarders_.begin()->second->Probe(a.worker);
+    if (owner != forwarders_.end()) return owner->second->Probe(action.worker);
+    if (!worker->local) return forwarders_.begin()->second->Probe(action.worker);
   }
-  OnProbeAnswered(a.worker, {.status = AttemptStatus::kConnectFailed});
+  OnProbeAnswered(action.worker, {.status = AttemptStatus::kConnectFailed});
 }
 
-void Planner::Do(const balancing::SendPeerMessage& a) {
-  if (a.body.size() > balancing::kMaxPeerMessageBytes) {
+void Planner::Execute(const balancing::SendPeerMessage& action) {
+  if (action.body.size() > balancing::kMaxPeerMessageBytes) {
     counters_->peers.too_long += 1;
     return;
   }
   counters_->peer_messages_out += 1;
-  environment_->SendPeerMessage(a.recipient, a.body);
+  environment_->SendPeerMessage(action.recipient, action.body);
 }
 
 }  // namespace millethollow
--- a/src/core/planner_environment.h
+++ b/src/core/planner_environment.h
@@ -1,4 +1,4 @@
-// What a planner needs of the process around it.
+// The services that a planner requires from the process that hosts it.
 #ifndef MILLETHOLLOW_CORE_PLANNER_ENVIRONMENT_H_
 #define MILLETHOLLOW_CORE_PLANNER_ENVIRONMENT_H_
 
@@ -10,26 +10,28 @@
 
 namespace millethollow {
 
-// Records attempts of durable jobs at other members before they are made, so that whoever takes
-// such a job over knows where it may have run.
+// Records attempts of durable jobs at other members before they are sent, so that a member that
+// takes such a job over knows which workers may have run it.
 class AttemptRecorder {
  public:
-  // `recorded`: the attempt may be made.
+  // `recorded`: whether the record is stored, so that the attempt may be sent.
   using Done = std::function<void(bool recorded)>;
+  // An attempt that is about to be sent.
   struct Attempt {
-    std::string durable_job;  // its handle
+    std::string durable_job;  // the job's handle
     std::string worker;
-    bool local_worker = false;  // the worker is connected to this process, and unknown to others
+    bool local_worker = false;  // the worker is connected to this process and unknown to others
     bool idempotent = false;    // the job may run twice
   };
 
   virtual ~AttemptRecorder() = default;
-  // Calls `done` once, at once or later, on the loop's thread.
+  // Records the attempt and calls `done` exactly once, possibly before returning, on the loop's
+  // thread.
   virtual void Record(const Attempt& attempt, Done done) = 0;
 };
 
-// Methods with a body are optional: their default is that of a process without that part. All are
-// called on the loop's thread.
+// Implemented by the node, and by test doubles. Methods with a body are optional: the default is
+// that of a process without the corresponding component. All are called on the loop's thread.
 class PlannerEnvironment {
  public:
   virtual ~PlannerEnvironment() = default;
@@ -37,23 +39,25 @@
   // Seconds on the loop's clock, which never runs backwards.
   virtual double Now() = 0;
 
-  // Starts or stops the watch of the endpoint list.
+  // Starts or stops watching the endpoint list.
   virtual void Subscribe(bool /*enable*/) {}
   // Polls the endpoint list once.
   virtual void FetchEndpoints() {}
-  // The endpoint list is older than it may be: attempts wait until OnEndpointsUpdated.
+  // Whether the endpoint list is too old to be used. Attempts are then deferred until
+  // Planner::OnEndpointsUpdated is called.
   virtual bool EndpointsOverdue() { return false; }
 
-  // Sends a datagram; it may be lost.
+  // Sends a datagram to another dispatcher, identified by its index. It may be lost.
   virtual void SendPeerMessage(int /*recipient*/, const std::string& /*body*/) {}
-  // The share of the fleet that the cluster's members agreed on. None: there is no cluster.
+  // This node's share of the fleet as agreed by the members of the cluster; nullopt without a
+  // cluster.
   virtual std::optional<balancing::FleetShare> FleetShare() { return std::nullopt; }
-  // A request with this wire id was accepted.
-  virtual void OnWireIdTaken(const std::string& /*wire_id*/) {}
-  // Null: there are no durable jobs.
+  // Called when a request with this wire id has been accepted.
+  virtual void OnWireIdReserved(const std::string& /*wire_id*/) {}
+  // Returns null if the process has no durable jobs.
   virtual AttemptRecorder* attempt_recorder() { return nullptr; }
 
-  // A warning, one line.
+  // Logs a warning of one line.
   virtual void Log(const std::string& /*line*/) {}
 };
 
--- a/src/core/planner_requests.cpp
+++ b/src/core/planner_requests.cpp
@@ -1,4 +1,4 @@
-// Requests and attempts of a planner, from their arrival to their end.
+// The life cycle of a planner's requests and attempts, from arrival to the final answer.
 #include <algorithm>
 
 #include "core/planner.h"
@@ -15,19 +15,19 @@
 
 void Planner::OnRequest(const Request& request) {
   const RequestId id = request.id;
-  // Workers tell requests apart by their wire id: under an id in use, the second would get the
-  // first one's result.
-  if (!ledger_.TakeWireId(request.wire_id)) {
+  // Workers identify requests by their wire id: a second request with an id in use would get the
+  // result of the first.
+  if (!ledger_.ReserveWireId(request.wire_id)) {
     counters_->bad_input += 1;
-    if (ForwarderPort* port = PortOf(id)) {
+    if (ForwarderPort* port = FindForwarder(id)) {
       port->Answer(id, {.kind = FinalAnswer::Kind::kDuplicateId});
     }
     return;
   }
-  if (!request.wire_id.empty()) environment_->OnWireIdTaken(request.wire_id);
+  if (!request.wire_id.empty()) environment_->OnWireIdReserved(request.wire_id);
   counters_->received += 1;
   if (!request.retry) {
-    demand_.Count(environment_->Now(), static_cast<std::size_t>(request.tenant));
+    demand_meter_.Count(environment_->Now(), static_cast<std::size_t>(request.tenant));
   }
   pending_ += 1;
   LedgerEntry& entry = ledger_.Add(id);
@@ -35,40 +35,42 @@
   entry.class_index = request.class_index;
   entry.max_attempts = settings_.max_attempts;
   entry.durable_job = request.durable_job;
-  std::vector<balancing::PreviousAttempt> tried;
-  if (!request.prior_attempts.empty() && !AddPriorAttempts(request, &entry, &tried)) {
+  std::vector<balancing::PreviousAttempt> previous_attempts;
+  if (!request.prior_attempts.empty() && !AddPriorAttempts(request, &entry, &previous_attempts)) {
     Answer(id, &entry, {});
-    return EraseLater(id);
+    return PostEraseIfComplete(id);
   }
   entry.expiry = deadlines_->At(request.expires_at, [this, id] { Expire(id); });
-  DeliverRequest(request, std::move(tried));
-}
-
-void Planner::DeliverRequest(const Request& request,
-                             std::vector<balancing::PreviousAttempt> tried) {
-  Request meta = request;
-  if (meta.body_bytes == 0) meta.body_bytes = meta.body.size();
-  meta.body.clear();
-  queue_.Post([this, meta = std::move(meta), tried = std::move(tried)] {
-    const std::string name = std::to_string(meta.id);
-    Deliver(balancing::RequestArrived{.id = name,
-                                      .expires_s = meta.expires_at,
-                                      .slots = meta.slots,
-                                      .memory = meta.memory,
-                                      .bytes = static_cast<double>(meta.body_bytes),
-                                      .tenant = meta.tenant,
-                                      .cls = meta.class_index,
-                                      .retry = meta.retry,
-                                      .key = meta.affinity,
-                                      .size_hint_s = meta.size_hint_s,
-                                      .previous_attempts = tried});
+  PostRequestArrived(request, std::move(previous_attempts));
+}
+
+void Planner::PostRequestArrived(const Request& request,
+                                 std::vector<balancing::PreviousAttempt> previous_attempts) {
+  Request without_body = request;
+  if (without_body.body_bytes == 0) without_body.body_bytes = without_body.body.size();
+  without_body.body.clear();
+  event_queue_.Post([this, without_body = std::move(without_body),
+                     previous_attempts = std::move(previous_attempts)] {
+    const std::string name = std::to_string(without_body.id);
+    HandleEvent(balancing::RequestArrived{.id = name,
+                                          .expires_s = without_body.expires_at,
+                                          .slots = without_body.slots,
+                                          .memory = without_body.memory,
+                                          .bytes = static_cast<double>(without_body.body_bytes),
+                                          .tenant = without_body.tenant,
+                                          .cls = without_body.class_index,
+                                          .retry = without_body.retry,
+                                          .key = without_body.affinity,
+                                          .size_hint_s = without_body.size_hint_s,
+                                          .previous_attempts = previous_attempts});
   });
 }
 
-// Attempts that another process made count as if they had been made here. False: it is not known
-// here where one ran, or too long ago, so that the request may not be sent again.
+// Adds attempts that another process sent, which count like this process's own. Returns false if
+// the request must not be sent again, since the worker of such an attempt is unknown or
+// DispatchCheck does not allow another attempt after it.
 bool Planner::AddPriorAttempts(const Request& request, LedgerEntry* entry,
-                               std::vector<balancing::PreviousAttempt>* tried) const {
+                               std::vector<balancing::PreviousAttempt>* previous_attempts) const {
   if (IsIdempotent(*entry)) return true;
   const double now = environment_->Now();
   for (const PriorAttempt& prior : request.prior_attempts) {
@@ -76,9 +78,9 @@
     if (prior.local_worker || worker == nullptr || worker->local) return false;
     const double sent_at = now - prior.age_s;
     entry->attempts.push_back({.worker = prior.worker, .sent_at = sent_at, .open = false});
-    const LedgerAttempt& before = entry->attempts.back();
-    if (dispatch_check_.CheckRepeat(before, ClassOf(*entry), *worker, now)) return false;
-    tried->push_back({prior.worker, sent_at});
+    const LedgerAttempt& previous = entry->attempts.back();
+    if (dispatch_check_.CheckRepeat(previous, ClassOf(*entry), *worker, now)) return false;
+    previous_attempts->push_back({prior.worker, sent_at});
   }
   return true;
 }
@@ -86,17 +88,17 @@
 void Planner::OnRequestCancelled(RequestId id) {
   LedgerEntry* entry = ledger_.Find(id);
   if (entry == nullptr || entry->answered) return;
-  entry->answered = true;  // no answer is owed any more
+  entry->answered = true;  // no answer is due any more
   counters_->cancelled += 1;
   pending_ -= 1;
   deadlines_->Drop(&entry->expiry);
-  PostCancelled(id);
+  PostRequestCancelled(id);
 }
 
-void Planner::PostCancelled(RequestId id) {
-  queue_.Post([this, id] {
+void Planner::PostRequestCancelled(RequestId id) {
+  event_queue_.Post([this, id] {
     const std::string name = std::to_string(id);
-    Deliver(balancing::RequestCancelled{name});
+    HandleEvent(balancing::RequestCancelled{name});
     ledger_.EraseIfComplete(id);
   });
 }
@@ -104,12 +106,12 @@
 // ---- attempts ----
 
 void Planner::OnAttemptStarted(RequestId id, int attempt) {
-  LedgerAttempt* a = ledger_.FindOpenAttempt(id, attempt);
-  if (a == nullptr) return;
-  a->started = true;
-  queue_.Post([this, id, attempt] {
+  LedgerAttempt* open_attempt = ledger_.FindOpenAttempt(id, attempt);
+  if (open_attempt == nullptr) return;
+  open_attempt->started = true;
+  event_queue_.Post([this, id, attempt] {
     const std::string name = std::to_string(id);
-    Deliver(balancing::AttemptProgress{name, attempt, balancing::ProgressKind::kStarted, 0});
+    HandleEvent(balancing::AttemptProgress{name, attempt, balancing::ProgressKind::kStarted, 0});
   });
 }
 
@@ -120,45 +122,45 @@
 
 void Planner::EndAttempt(RequestId id, LedgerEntry* entry, std::size_t attempt,
                          const Outcome& outcome) {
-  LedgerAttempt& a = entry->attempts[attempt];
-  if (!a.open) return;
-  a.open = false;
-  a.may_have_run = !NeverRan(outcome.status);
+  LedgerAttempt& ledger_attempt = entry->attempts[attempt];
+  if (!ledger_attempt.open) return;
+  ledger_attempt.open = false;
+  ledger_attempt.may_have_run = !NeverRan(outcome.status);
   if (outcome.status == AttemptStatus::kSucceeded && !entry->answered) {
     Answer(id, entry,
            {.kind = FinalAnswer::Kind::kCompleted, .attempt = static_cast<int>(attempt)});
   }
-  // An error that is the request's own says nothing against the worker, and other workers would
-  // give the same. Counted as failures, such answers could eject every worker.
+  // An error that the request itself causes is no fault of the worker, and other workers would
+  // return it too. If it counted as a failure, such requests could get every worker ejected.
   const bool client_error = outcome.client_error && !NeverRan(outcome.status);
   const AttemptStatus status = client_error ? AttemptStatus::kCancelled : outcome.status;
   if (status != outcome.status && !entry->answered) Answer(id, entry, {});
-  queue_.Post([this, id, attempt, outcome, status] {
-    const LedgerEntry* now = ledger_.Find(id);
+  event_queue_.Post([this, id, attempt, outcome, status] {
+    const LedgerEntry* current = ledger_.Find(id);
     const std::string name = std::to_string(id);
-    balancing::AttemptEnded e{.id = name,
-                              .attempt = static_cast<int>(attempt),
-                              .status = status,
-                              .latency_s = outcome.latency_s,
-                              .terminal = now == nullptr || now->answered,
-                              .has_report = outcome.has_report};
-    std::copy(std::begin(outcome.report), std::end(outcome.report), std::begin(e.report));
-    Deliver(e);
+    balancing::AttemptEnded event{.id = name,
+                                  .attempt = static_cast<int>(attempt),
+                                  .status = status,
+                                  .latency_s = outcome.latency_s,
+                                  .terminal = current == nullptr || current->answered,
+                                  .has_report = outcome.has_report};
+    std::copy(std::begin(outcome.report), std::end(outcome.report), std::begin(event.report));
+    HandleEvent(event);
     ledger_.EraseIfComplete(id);
   });
 }
 
-// Ends an attempt that the planner no longer wants, and has the forwarder stop it.
+// Ends an attempt that is no longer needed and has the forwarder cancel it.
 void Planner::CancelOpenAttempt(RequestId id, LedgerEntry* entry, std::size_t attempt,
                                 AttemptStatus status_if_started) {
-  if (ForwarderPort* port = PortOf(id)) port->Cancel(id, static_cast<int>(attempt));
-  const bool not_started = SurelyNotStarted(id, entry->attempts[attempt]);
+  if (ForwarderPort* port = FindForwarder(id)) port->Cancel(id, static_cast<int>(attempt));
+  const bool not_started = IsKnownNotStarted(id, entry->attempts[attempt]);
   EndAttempt(id, entry, attempt,
              {.status = not_started ? AttemptStatus::kNotSent : status_if_started});
 }
 
-// A local worker fetches its work: until it reports the start it has been sent nothing.
-bool Planner::SurelyNotStarted(RequestId id, const LedgerAttempt& attempt) const {
+// A local worker pulls its jobs: until it reports a start, nothing has been sent to it.
+bool Planner::IsKnownNotStarted(RequestId id, const LedgerAttempt& attempt) const {
   if (attempt.deferred) return true;
   return !attempt.started && workers_.IsLocal(attempt.worker) &&
          in_process_forwarders_.contains(ForwarderOf(id));
@@ -167,7 +169,7 @@
 void Planner::OnAttemptTimeout(RequestId id, std::size_t attempt) {
   LedgerEntry* entry = ledger_.Find(id);
   if (entry == nullptr || !entry->attempts[attempt].open) return;
-  if (ForwarderPort* port = PortOf(id)) port->Cancel(id, static_cast<int>(attempt));
+  if (ForwarderPort* port = FindForwarder(id)) port->Cancel(id, static_cast<int>(attempt));
   EndAttempt(id, entry, attempt, {.status = AttemptStatus::kNoResponse});
 }
 
@@ -179,28 +181,29 @@
   deadlines_->Drop(&entry->expiry);
   CountAnswer(*entry, answer.kind);
   if (!entry->durable_job.empty()) {
-    for (const LedgerAttempt& a : entry->attempts) {
-      if (a.may_have_run && !a.deferred) answer.ran_at.push_back(a.worker);
+    for (const LedgerAttempt& attempt : entry->attempts) {
+      if (attempt.may_have_run && !attempt.deferred) answer.ran_at.push_back(attempt.worker);
     }
   }
-  if (ForwarderPort* port = PortOf(id)) port->Answer(id, answer);
+  if (ForwarderPort* port = FindForwarder(id)) port->Answer(id, answer);
 }
 
 void Planner::CountAnswer(const LedgerEntry& entry, FinalAnswer::Kind kind) {
-  const auto cls = static_cast<std::size_t>(entry.class_index);
-  ClassCounters& of_class = counters_->classes[cls < class_names_.size() ? class_names_[cls] : ""];
+  const auto class_index = static_cast<std::size_t>(entry.class_index);
+  ClassCounters& class_counters =
+      counters_->classes[class_index < class_names_.size() ? class_names_[class_index] : ""];
   switch (kind) {
     case FinalAnswer::Kind::kCompleted:
       counters_->completed += 1;
-      of_class.completed += 1;
+      class_counters.completed += 1;
       break;
     case FinalAnswer::Kind::kRejected:
       counters_->rejected += 1;
-      of_class.rejected += 1;
+      class_counters.rejected += 1;
       break;
     case FinalAnswer::Kind::kFailed:
       counters_->failed += 1;
-      of_class.failed += 1;
+      class_counters.failed += 1;
       break;
     case FinalAnswer::Kind::kDuplicateId:
       break;
@@ -210,14 +213,14 @@
 void Planner::Expire(RequestId id) {
   LedgerEntry* entry = ledger_.Find(id);
   if (entry == nullptr || entry->answered) return;
-  for (std::size_t i = 0; i < entry->attempts.size(); ++i) {
-    if (!entry->attempts[i].open) continue;
-    CancelOpenAttempt(id, entry, i, AttemptStatus::kNoResponse);
+  for (std::size_t attempt = 0; attempt < entry->attempts.size(); ++attempt) {
+    if (!entry->attempts[attempt].open) continue;
+    CancelOpenAttempt(id, entry, attempt, AttemptStatus::kNoResponse);
     entry = ledger_.Find(id);
     if (entry == nullptr) return;
   }
   if (entry->answered) return;
-  // The balancer had no attempt out (it still waited for probes, say), so it answers nothing.
+  // The balancer had no attempt in flight (it may have waited for probes), so it will not answer.
   if (entry->MayHaveRun()) {
     Answer(id, entry, {});
   } else {
@@ -226,11 +229,11 @@
         settings_.retry_after ? std::min(settings_.max_retry_after_s, objective_s) : 0;
     Answer(id, entry, {.kind = FinalAnswer::Kind::kRejected, .retry_after_s = retry_after_s});
   }
-  PostCancelled(id);
+  PostRequestCancelled(id);
 }
 
-void Planner::EraseLater(RequestId id) {
-  queue_.Post([this, id] { ledger_.EraseIfComplete(id); });
+void Planner::PostEraseIfComplete(RequestId id) {
+  event_queue_.Post([this, id] { ledger_.EraseIfComplete(id); });
 }
 
 }  // namespace millethollow
--- a/src/core/request.h
+++ b/src/core/request.h
@@ -1,4 +1,5 @@
-// Requests, attempts and outcomes, as forwarders and planners exchange them. Knows no encoding.
+// Requests, attempts and outcomes as exchanged between forwarders and planners, independent of any
+// encoding, and the counters of a process.
 #ifndef MILLETHOLLOW_CORE_REQUEST_H_
 #define MILLETHOLLOW_CORE_REQUEST_H_
 
@@ -13,97 +14,103 @@
 
 using balancing::AttemptStatus;
 
-// Unique in a planner: the top 16 bits are the forwarder's number.
+// Identifies a request within a planner. The top 16 bits are the forwarder's number.
 using RequestId = std::uint64_t;
 constexpr int kForwarderShift = 48;
 
-// The number of the forwarder that has the request's client.
+// Returns the number of the forwarder to which the request's client is connected.
 constexpr std::uint64_t ForwarderOf(RequestId id) { return id >> kForwarderShift; }
 
-// An attempt of a durable job that another process made. It may have run.
+// An attempt of a durable job that was sent by another process and may have run.
 struct PriorAttempt {
   std::string worker;
-  bool local_worker = false;  // connected to that process itself, and so unknown to others
-  double age_s = 0;           // at most so long ago; infinite: not known
+  bool local_worker = false;  // connected to that process itself and unknown to others
+  double age_s = 0;  // upper bound of the time since it was sent, in seconds; infinite if not known
 };
 
+// A client's request.
 struct Request {
   RequestId id = 0;
-  std::string wire_id;  // the client's own id, which the worker gets unchanged; empty: none
-  int class_index = 0, tenant = 0;
-  std::string key;             // idempotency key; empty: the class has none
-  std::string affinity;        // requests with the same one are better placed together
-  std::string body;            // only at the forwarder
-  std::size_t body_bytes = 0;  // of the body, where it is not here
-  double expires_at = 0;       // seconds on the loop's clock
-  double slots = 1, memory = 0;
-  double size_hint_s = 0;                    // run time as the client expects it; 0: not known
-  bool retry = false;                        // the client marks it as its retry
-  std::string durable_job;                   // the handle of the durable job it runs; empty: none
-  std::vector<PriorAttempt> prior_attempts;  // of that job, oldest first
+  std::string wire_id;  // the client's id, passed to the worker unchanged; empty if it has none
+  int class_index = 0, tenant = 0;  // indexes in Settings::classes and Settings::tenants
+  std::string key;                  // idempotency key; empty if the class has none
+  std::string affinity;  // affinity key: requests with equal ones are preferably placed together
+  std::string body;      // held by the forwarder only
+  std::size_t body_bytes = 0;    // length of the body where `body` itself is not present
+  double expires_at = 0;         // seconds on the loop's clock
+  double slots = 1, memory = 0;  // needed at the worker
+  double size_hint_s = 0;        // run time that the client expects, in seconds; 0 if not known
+  bool retry = false;            // the client has marked it as a retry
+  std::string durable_job;       // handle of the durable job that it runs; empty if none
+  std::vector<PriorAttempt> prior_attempts;  // of the durable job, oldest first
 };
 
-// How an attempt or a probe ended.
+// The result of an attempt or a probe.
 struct Outcome {
   AttemptStatus status = AttemptStatus::kSucceeded;
-  double latency_s = 0;
-  // The request itself is at fault: any worker would fail it.
+  double latency_s = 0;  // seconds from sending to the result
+  // The error is caused by the request itself: every worker would fail it.
   bool client_error = false;
-  // The worker's load report: the values of Settings::load_report_metrics, in order.
+  // The worker's load report, if it sent one: the values of Settings::load_report_metrics, in
+  // order.
   bool has_report = false;
   double report[4] = {0, 0, 0, 0};
 };
 
+// The final result of a request.
 struct FinalAnswer {
   enum class Kind : std::uint8_t {
     kCompleted,
-    kRejected,     // surely nothing has run
-    kFailed,       // attempts may have run
-    kDuplicateId,  // never accepted: another request has its wire id
+    kRejected,     // no attempt has run
+    kFailed,       // an attempt may have run
+    kDuplicateId,  // not accepted: another request has the same wire id
   };
   Kind kind = Kind::kFailed;
-  int attempt = -1;          // kCompleted: whose result it is
-  double retry_after_s = 0;  // kRejected; 0: no advice
-  // Of a durable job: workers where it may have run.
+  int attempt = -1;          // the attempt with the result, for kCompleted
+  double retry_after_s = 0;  // seconds after which to retry, for kRejected; 0 if not given
+  // For a durable job: the workers that may have run it.
   std::vector<std::string> ran_at = {};
 };
 
-// The worker surely has not begun the attempt.
-inline bool NeverRan(AttemptStatus v) {
-  return v == AttemptStatus::kRejected || v == AttemptStatus::kConnectFailed ||
-         v == AttemptStatus::kNotSent;
+// Whether an attempt with this outcome was certainly never started by its worker.
+inline bool NeverRan(AttemptStatus status) {
+  return status == AttemptStatus::kRejected || status == AttemptStatus::kConnectFailed ||
+         status == AttemptStatus::kNotSent;
 }
 
-// Final answers by class. Each request is counted once, by the planner.
+// Final answers of one class. The planner counts each request once.
 struct ClassCounters {
   std::uint64_t completed = 0, rejected = 0, failed = 0;
 };
 
-// Datagrams between planners. All but the first two count dropped ones, by cause.
+// Datagrams exchanged with other planners. All but the first two fields count dropped datagrams, by
+// cause.
 struct PeerCounters {
-  std::uint64_t messages_out = 0, bytes_out = 0;  // given to the socket
-  std::uint64_t too_long = 0;                     // exceeds the size limit
-  std::uint64_t no_address = 0;                   // the recipient has none here
-  std::uint64_t not_sent = 0;         // the socket took nothing or not all (it was full, say)
-  std::uint64_t unreadable = 0;       // received: exceeds the limit, or the read failed
+  std::uint64_t messages_out = 0, bytes_out = 0;  // handed to the socket
+  std::uint64_t too_long = 0;                     // over the size limit
+  std::uint64_t no_address = 0;                   // the recipient's address is not known
+  std::uint64_t not_sent =
+      0;  // not accepted whole by the socket, for example as its buffer was full
+  std::uint64_t unreadable = 0;       // received, but over the size limit, or the read failed
   std::uint64_t unknown_senders = 0;  // received from an unknown address
 };
 
-// Counters of one process. Printed on SIGUSR1 and at exit, and the source of the metrics.
+// Counters of one process, since its start. Printed on SIGUSR1 and at exit, and exported as
+// metrics. Updated on the loop's thread.
 struct Counters {
   std::uint64_t received = 0;  // requests accepted by the planner
-  std::uint64_t sent = 0;      // attempts
+  std::uint64_t sent = 0;      // attempts handed to forwarders
   std::uint64_t probes = 0;
   std::uint64_t completed = 0, rejected = 0, failed = 0;  // final answers
-  std::uint64_t cancelled = 0;                            // by the client, before the final answer
-  std::uint64_t blocked = 0;                              // attempts, by DispatchCheck
-  std::uint64_t bad_input = 0;  // requests and messages that can't be used
+  std::uint64_t cancelled = 0;                            // by clients, before the final answer
+  std::uint64_t blocked = 0;    // attempts that DispatchCheck did not allow
+  std::uint64_t bad_input = 0;  // malformed requests and messages
   std::uint64_t peer_messages_in = 0, peer_messages_out = 0;
   std::uint64_t endpoint_lists = 0;              // received from discovery
   std::uint64_t reloads = 0, reload_errors = 0;  // of the configuration
   PeerCounters peers;
-  std::uint64_t written = 0;                     // attempts sent to workers completely
-  std::map<std::string, ClassCounters> classes;  // by name
+  std::uint64_t written = 0;  // attempts whose request was written to a worker completely
+  std::map<std::string, ClassCounters> classes;  // by class name
 };
 
 }  // namespace millethollow
--- a/src/core/request_ledger.cpp
+++ b/src/core/request_ledger.cpp
@@ -7,20 +7,20 @@
 
 bool LedgerEntry::MayHaveRun() const {
   return std::any_of(attempts.begin(), attempts.end(),
-                     [](const LedgerAttempt& a) { return a.may_have_run; });
+                     [](const LedgerAttempt& attempt) { return attempt.may_have_run; });
 }
 
 bool LedgerEntry::HasOpenAttempt() const {
   return std::any_of(attempts.begin(), attempts.end(),
-                     [](const LedgerAttempt& a) { return a.open; });
+                     [](const LedgerAttempt& attempt) { return attempt.open; });
 }
 
-bool RequestLedger::TakeWireId(const std::string& wire_id) {
+bool RequestLedger::ReserveWireId(const std::string& wire_id) {
   return wire_id.empty() || wire_ids_.insert(wire_id).second;
 }
 
 void RequestLedger::MarkWireIdUsed(const std::string& wire_id) {
-  if (wire_ids_.insert(wire_id).second) RememberEnded(wire_id);
+  if (wire_ids_.insert(wire_id).second) KeepEndedWireId(wire_id);
 }
 
 std::vector<std::string> RequestLedger::WireIds() const {
@@ -46,11 +46,11 @@
 void RequestLedger::EraseIfComplete(RequestId id) {
   LedgerEntry* entry = Find(id);
   if (entry == nullptr || !entry->answered || entry->HasOpenAttempt()) return;
-  if (!entry->wire_id.empty()) RememberEnded(std::move(entry->wire_id));
+  if (!entry->wire_id.empty()) KeepEndedWireId(std::move(entry->wire_id));
   entries_.erase(id);
 }
 
-std::vector<RequestId> RequestLedger::OfForwarder(std::uint64_t forwarder) const {
+std::vector<RequestId> RequestLedger::RequestsOfForwarder(std::uint64_t forwarder) const {
   std::vector<RequestId> ids;
   for (const auto& [id, entry] : entries_) {
     if (ForwarderOf(id) == forwarder) ids.push_back(id);
@@ -65,7 +65,7 @@
   });
 }
 
-void RequestLedger::RememberEnded(std::string wire_id) {
+void RequestLedger::KeepEndedWireId(std::string wire_id) {
   ended_wire_ids_.push_back(std::move(wire_id));
   if (ended_wire_ids_.size() <= kMaxEndedWireIds) return;
   wire_ids_.erase(ended_wire_ids_.front());
--- a/src/core/request_ledger.h
+++ b/src/core/request_ledger.h
@@ -1,5 +1,5 @@
-// The requests that a planner has accepted, with their attempts, and the wire ids that no other
-// request may use.
+// The requests that a planner has accepted, with their attempts, and the wire ids that are in use
+// or were used recently.
 #ifndef MILLETHOLLOW_CORE_REQUEST_LEDGER_H_
 #define MILLETHOLLOW_CORE_REQUEST_LEDGER_H_
 
@@ -20,58 +20,60 @@
 struct LedgerAttempt {
   std::string worker;
   double sent_at = 0;
-  bool open = true;          // has no outcome yet
-  bool may_have_run = true;  // false once it is certain that the worker never began it
-  bool started = false;      // the worker has reported that it runs
-  // Decided, but not handed to the forwarder yet: waits for a current endpoint list, or for its
-  // record on disk.
+  bool open = true;          // it has no outcome yet
+  bool may_have_run = true;  // false once it is certain that the worker has not started it
+  bool started = false;      // the worker has reported that it has started it
+  // Not handed to the forwarder yet: waits for a current endpoint list, or for its record to be
+  // stored.
   bool deferred = false;
 };
 
+// An accepted request.
 struct LedgerEntry {
   int class_index = 0, max_attempts = 1;
-  std::string wire_id;      // empty: the client gave none
-  std::string durable_job;  // the job's handle; empty: not for a durable job
-  bool answered = false;    // has its final answer, or the client is gone
+  std::string wire_id;      // empty if the client sent none
+  std::string durable_job;  // handle of the durable job that it runs; empty if none
+  bool answered = false;    // it has had its final answer, or its client has disconnected
   std::vector<LedgerAttempt> attempts;
   Deadlines::Ticket expiry = Deadlines::kNone;
 
-  bool MayHaveRun() const;      // any attempt of it
-  bool HasOpenAttempt() const;  // an outcome is outstanding
+  bool MayHaveRun() const;      // whether any attempt may have run
+  bool HasOpenAttempt() const;  // whether any attempt has no outcome yet
 };
 
-// An entry stays until it is answered and all of its attempts have an outcome. Its wire id stays
-// taken for longer: until kMaxEndedWireIds requests have ended after it.
+// An entry is kept until the request is answered and all of its attempts have an outcome. Its wire
+// id stays reserved for longer, until kMaxEndedWireIds further requests have ended.
 //
 // Not thread-safe. Pointers to entries are valid until the entry is erased.
 class RequestLedger {
  public:
   static constexpr std::size_t kMaxEndedWireIds = 4096;
 
-  // Takes a wire id. False: a request that is open, or that ended lately, has it. An empty one is
-  // always free.
-  bool TakeWireId(const std::string& wire_id);
-  // The sibling process in a hot restart has accepted a request with this id.
+  // Reserves a wire id. Returns false if an open or recently ended request has it. An empty id is
+  // always available.
+  bool ReserveWireId(const std::string& wire_id);
+  // Reserves an id that the sibling process in a hot restart has accepted.
   void MarkWireIdUsed(const std::string& wire_id);
-  // All that are taken: those of ended requests first, oldest first.
+  // All reserved ids: first those of ended requests, oldest first, then those of open ones.
   std::vector<std::string> WireIds() const;
 
   LedgerEntry& Add(RequestId id) { return entries_[id]; }
-  LedgerEntry* Find(RequestId id);  // null: unknown
-  // Null: no such request or attempt, or it has its outcome.
+  // Returns null if the request is unknown.
+  LedgerEntry* Find(RequestId id);
+  // Returns null if there is no such attempt, or if it has an outcome.
   LedgerAttempt* FindOpenAttempt(RequestId id, int attempt);
-  // Does nothing while the entry lacks its answer or an outcome.
+  // Erases the entry if the request is answered and all of its attempts have an outcome.
   void EraseIfComplete(RequestId id);
 
-  std::vector<RequestId> OfForwarder(std::uint64_t forwarder) const;  // ascending
+  std::vector<RequestId> RequestsOfForwarder(std::uint64_t forwarder) const;  // in ascending order
   bool UsesClass(int class_index) const;
   std::size_t size() const { return entries_.size(); }
 
  private:
-  void RememberEnded(std::string wire_id);
+  void KeepEndedWireId(std::string wire_id);
 
   std::unordered_map<RequestId, LedgerEntry> entries_;
-  std::unordered_set<std::string> wire_ids_;  // of all entries, and those below
+  std::unordered_set<std::string> wire_ids_;  // of all entries, and ended_wire_ids_
   std::deque<std::string> ended_wire_ids_;    // oldest first
 };
 
--- a/src/core/worker_registry.cpp
+++ b/src/core/worker_registry.cpp
@@ -36,18 +36,18 @@
 
 std::vector<Endpoint> WorkerRegistry::ApplySnapshot(const std::vector<Endpoint>& listed,
                                                     double now) {
-  std::vector<Endpoint> all = listed;
+  std::vector<Endpoint> complete_list = listed;
   std::unordered_set<std::string_view> names;
   for (const Endpoint& endpoint : listed) names.insert(endpoint.worker);
   for (auto& [name, worker] : workers_) {
     if (worker.local) {
-      all.push_back(worker.endpoint);
+      complete_list.push_back(worker.endpoint);
     } else if (!names.contains(name)) {
       worker.endpoint.readiness = Readiness::kGone;
       if (!worker.draining()) worker.drain_notified_at = now;
     }
   }
-  return all;
+  return complete_list;
 }
 
 bool WorkerRegistry::SetMaintenance(const std::string& worker, bool in_maintenance, double now,
@@ -73,8 +73,8 @@
 }
 
 bool WorkerRegistry::IsLocal(const std::string& worker) const {
-  const RegisteredWorker* known = Find(worker);
-  return known != nullptr && known->local;
+  const RegisteredWorker* registered = Find(worker);
+  return registered != nullptr && registered->local;
 }
 
 std::vector<std::string> WorkerRegistry::InMaintenance() const {
@@ -85,7 +85,7 @@
   return names;
 }
 
-std::vector<Endpoint> WorkerRegistry::LocalTo(std::uint64_t forwarder) const {
+std::vector<Endpoint> WorkerRegistry::LocalEndpoints(std::uint64_t forwarder) const {
   std::vector<Endpoint> endpoints;
   for (const auto& [name, worker] : workers_) {
     if (worker.local && worker.forwarder == forwarder) endpoints.push_back(worker.endpoint);
@@ -94,12 +94,12 @@
 }
 
 WorkerRegistry::Counts WorkerRegistry::Count(
-    const std::function<bool(const std::string&)>& excluded) const {
+    const std::function<bool(const std::string&)>& is_excluded) const {
   Counts counts;
   for (const auto& [name, worker] : workers_) {
     if (worker.endpoint.readiness == Readiness::kGone) continue;
     counts.listed += 1;
-    counts.unavailable += excluded(name);
+    counts.unavailable += is_excluded(name);
   }
   return counts;
 }
--- a/src/node/node_environment.cpp
+++ b/src/node/node_environment.cpp
@@ -31,7 +31,7 @@
   return parts_.member != nullptr ? parts_.member->Parts() : balancing::FleetShare{};
 }
 
-void NodeEnvironment::OnWireIdTaken(const std::string& wire_id) {
+void NodeEnvironment::OnWireIdReserved(const std::string& wire_id) {
   if (parts_.hot_restart != nullptr) parts_.hot_restart->SendWireId(wire_id);
 }
 
--- a/src/node/node_environment.h
+++ b/src/node/node_environment.h
@@ -38,7 +38,7 @@
   bool EndpointsOverdue() override;
   void SendPeerMessage(int recipient, const std::string& body) override;
   std::optional<balancing::FleetShare> FleetShare() override;
-  void OnWireIdTaken(const std::string& wire_id) override;
+  void OnWireIdReserved(const std::string& wire_id) override;
   AttemptRecorder* attempt_recorder() override { return parts_.in_cluster ? this : nullptr; }
   void Log(const std::string& line) override;
 
