--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -60,7 +60,7 @@
   Gauge(prefix + "held_slots", stats.reserved_slots, out);
   Counter(prefix + "waited", stats.waited, out);
   Counter(prefix + "backfilled", stats.backfilled, out);
-  Counter(prefix + "broken_off", stats.broken_reservations, out);
+  Counter(prefix + "broken_off", stats.cancelled_reservations, out);
   Counter(prefix + "turned_away", stats.rejected, out);
   for (const auto& [cls, count] : scheduler.QueuedByClass()) {
     Gauge(prefix + planner.class_name(cls) + ".waiting", count, out);
--- a/src/scheduling/capacity_estimator.h
+++ b/src/scheduling/capacity_estimator.h
@@ -1,8 +1,8 @@
-// Estimates how many slots a kind of worker has, from reports of free slots.
+// Estimates how many slots a kind of worker has, from load reports with free slots.
 //
-// The free slots of a report plus those that were surely in use then are the capacity, whatever the
-// load. Samples stray: low where a job has just started, high where one has just ended. The
-// estimate is an upper quantile of them.
+// Each report gives a sample of the capacity, independent of the load: the reported free slots plus
+// the slots that were certainly in use at that time. A sample is too low if a job has just started
+// and too high if one has just ended, so the estimate is an upper quantile of the samples.
 #ifndef MILLETHOLLOW_SCHEDULING_CAPACITY_ESTIMATOR_H_
 #define MILLETHOLLOW_SCHEDULING_CAPACITY_ESTIMATOR_H_
 
@@ -12,60 +12,68 @@
 
 namespace millethollow::scheduling {
 
+// Estimates slots by kind of worker. Not thread-safe.
 class CapacityEstimator {
  public:
-  static constexpr double kMinReports = 3;   // fewer give no estimate
-  static constexpr double kQuantile = 0.75;  // of the samples, by weight
-  static constexpr double kHalfLifeS = 30;   // of a sample's weight
-  static constexpr double kMaxSlots = 4096;  // larger samples are ignored
-  static constexpr double kMinWeight = 0.01;
+  static constexpr double kMinSamples = 3;    // before there is an estimate
+  static constexpr double kQuantile = 0.75;   // of the samples, by weight
+  static constexpr double kHalfLifeS = 30;    // of a sample's weight
+  static constexpr double kMaxSlots = 4096;   // larger samples are ignored
+  static constexpr double kMinWeight = 0.01;  // samples with less are dropped
 
-  // `taken`: slots that were surely in use when `free` were reported. `now`: seconds, not falling.
-  void OnReport(int kind, double free, double taken, double now) {
-    const double slots = std::round(free) + taken;
+  // Adds a report of `free_slots` from a worker of the kind on which `slots_in_use` slots were
+  // certainly in use at that time. `now`: seconds on the caller's clock, which must not go
+  // backwards.
+  void OnReport(int kind, double free_slots, double slots_in_use, double now) {
+    const double slots = std::round(free_slots) + slots_in_use;
     if (!(slots >= 0.5) || slots > kMaxSlots) return;
-    Kind& k = kinds_[kind];
-    if (free < 0.5) {
-      // Some attempts may wait at the worker: an upper bound, used until there is an estimate.
-      k.bound = k.bounds++ == 0 ? slots : std::min(k.bound, slots);
+    KindEstimate& estimate = kinds_[kind];
+    if (free_slots < 0.5) {
+      // Attempts may be queued at the worker, so the sample is only an upper bound of the capacity.
+      // It is used until there is an estimate.
+      estimate.upper_bound =
+          estimate.upper_bound_samples++ == 0 ? slots : std::min(estimate.upper_bound, slots);
       return;
     }
-    const double keep = std::exp2((k.at - now) / kHalfLifeS);
-    for (auto& [value, weight] : k.weights) weight *= keep;
-    k.at = now;
-    k.weights[static_cast<int>(std::lround(slots))] += 1;
-    std::erase_if(k.weights, [](const auto& w) { return w.second < kMinWeight; });
-    double all = 0, sum = 0;
-    for (const auto& [value, weight] : k.weights) all += weight;
-    if (all < kMinReports) return;
-    for (const auto& [value, weight] : k.weights) {
+    const double decay = std::exp2((estimate.decayed_at - now) / kHalfLifeS);
+    for (auto& [slot_count, weight] : estimate.weights) weight *= decay;
+    estimate.decayed_at = now;
+    estimate.weights[static_cast<int>(std::lround(slots))] += 1;
+    std::erase_if(estimate.weights, [](const auto& entry) { return entry.second < kMinWeight; });
+    double total_weight = 0, sum = 0;
+    for (const auto& [slot_count, weight] : estimate.weights) total_weight += weight;
+    if (total_weight < kMinSamples) return;
+    for (const auto& [slot_count, weight] : estimate.weights) {
       sum += weight;
-      k.slots = value;
-      if (sum >= kQuantile * all) return;
+      estimate.slots = slot_count;
+      if (sum >= kQuantile * total_weight) return;
     }
   }
-  // 0: not known. A kind without an estimate gets the mean of the others.
+  // The estimated slots of a worker of the kind, or the mean over the other kinds if there is no
+  // estimate for it; 0 if nothing is known.
   double SlotsOf(int kind) const {
     const auto it = kinds_.find(kind);
-    if (it != kinds_.end() && it->second.Known() > 0) return it->second.Known();
-    double sum = 0, n = 0;
-    for (const auto& [other, k] : kinds_) {
-      sum += k.Known();
-      n += k.Known() > 0;
+    if (it != kinds_.end() && it->second.Slots() > 0) return it->second.Slots();
+    double sum = 0, known_kinds = 0;
+    for (const auto& [other_kind, estimate] : kinds_) {
+      sum += estimate.Slots();
+      known_kinds += estimate.Slots() > 0;
     }
-    return n > 0 ? std::round(sum / n) : 0;
+    return known_kinds > 0 ? std::round(sum / known_kinds) : 0;
   }
 
  private:
-  struct Kind {
-    double slots = 0, at = 0, bound = 0;
-    int bounds = 0;
-    std::map<int, double> weights;  // of each number of slots
-    double Known() const {
-      return slots > 0 ? slots : bounds >= kMinReports ? std::max(1.0, bound) : 0;
+  struct KindEstimate {
+    double slots = 0, decayed_at = 0, upper_bound = 0;
+    int upper_bound_samples = 0;
+    std::map<int, double> weights;  // by number of slots
+    double Slots() const {
+      return slots > 0                            ? slots
+             : upper_bound_samples >= kMinSamples ? std::max(1.0, upper_bound)
+                                                  : 0;
     }
   };
-  std::map<int, Kind> kinds_;
+  std::map<int, KindEstimate> kinds_;
 };
 
 }  // namespace millethollow::scheduling
--- a/src/scheduling/runtime_estimator.cpp
+++ b/src/scheduling/runtime_estimator.cpp
@@ -16,111 +16,117 @@
 using Accumulator =
     acc::accumulator_set<double,
                          acc::stats<acc::tag::extended_p_square, acc::tag::min, acc::tag::max>>;
-constexpr std::size_t kRefresh = 16;  // samples between updates of the table
-// Beyond all samples a job is expected to run for so much of its elapsed time again (median).
-constexpr double kTail = 0.5;
+constexpr std::size_t kRefreshInterval = 16;  // samples between refreshes of the table
+// A job that has run for longer than all samples is expected to run for this part of its elapsed
+// time once more (median).
+constexpr double kTailShare = 0.5;
 
-std::vector<double> Steps() {
-  std::vector<double> steps;
+std::vector<double> InnerProbabilities() {
+  std::vector<double> probabilities;
   for (std::size_t i = 1; i < Quantiles::kSteps; ++i) {
-    steps.push_back(static_cast<double>(i) / Quantiles::kSteps);
+    probabilities.push_back(static_cast<double>(i) / Quantiles::kSteps);
   }
-  return steps;
+  return probabilities;
 }
 
 }  // namespace
 
 struct Quantiles::Sketch {
-  Sketch() : set(acc::tag::extended_p_square::probabilities = Steps()) {}
-  Accumulator set;
-  std::size_t n = 0;
+  Sketch() : accumulator(acc::tag::extended_p_square::probabilities = InnerProbabilities()) {}
+  Accumulator accumulator;
+  std::size_t count = 0;
 };
 
-Quantiles::Quantiles() : now_(std::make_unique<Sketch>()) {}
+Quantiles::Quantiles() : current_(std::make_unique<Sketch>()) {}
 Quantiles::~Quantiles() = default;
 Quantiles::Quantiles(Quantiles&&) noexcept = default;
 Quantiles& Quantiles::operator=(Quantiles&&) noexcept = default;
 
 void Quantiles::Add(double value) {
-  now_->set(value);
-  ++now_->n;
+  current_->accumulator(value);
+  ++current_->count;
   if (next_) {
-    next_->set(value);
-    ++next_->n;
+    next_->accumulator(value);
+    ++next_->count;
   }
-  if (now_->n >= kWindow / 2 && !next_) next_ = std::make_unique<Sketch>();
-  if (now_->n >= kWindow) now_ = std::exchange(next_, std::make_unique<Sketch>());
+  if (current_->count >= kWindow / 2 && !next_) next_ = std::make_unique<Sketch>();
+  if (current_->count >= kWindow) current_ = std::exchange(next_, std::make_unique<Sketch>());
   ++count_;
-  if (++stale_ >= kRefresh || count_ == kEnough) Refresh();
+  if (++samples_since_refresh_ >= kRefreshInterval || count_ == kMinSamples) Refresh();
 }
 
 void Quantiles::Refresh() {
-  stale_ = 0;
-  // The first 2 * kSteps + 1 samples only place the markers; until then the table is the spread.
-  table_[0] = acc::min(now_->set);
-  table_[kSteps] = acc::max(now_->set);
-  const auto inner = acc::extended_p_square(now_->set);
+  samples_since_refresh_ = 0;
+  // The first 2 * kSteps + 1 samples only initialize the markers. Until then the table is spaced
+  // evenly between the minimum and the maximum.
+  table_[0] = acc::min(current_->accumulator);
+  table_[kSteps] = acc::max(current_->accumulator);
+  const auto inner_quantiles = acc::extended_p_square(current_->accumulator);
   for (std::size_t i = 1; i < kSteps; ++i) {
-    const double even = table_[0] + (table_[kSteps] - table_[0]) * static_cast<double>(i) / kSteps;
-    table_[i] = now_->n > 2 * kSteps + 1 ? inner[static_cast<std::ptrdiff_t>(i - 1)] : even;
+    const double evenly_spaced =
+        table_[0] + (table_[kSteps] - table_[0]) * static_cast<double>(i) / kSteps;
+    table_[i] = current_->count > 2 * kSteps + 1
+                    ? inner_quantiles[static_cast<std::ptrdiff_t>(i - 1)]
+                    : evenly_spaced;
   }
   for (std::size_t i = 1; i <= kSteps; ++i) table_[i] = std::max(table_[i], table_[i - 1]);
 }
 
 double Quantiles::At(double p) const {
-  const double at = std::clamp(p, 0.0, 1.0) * kSteps;
-  const auto low = std::min(static_cast<std::size_t>(at), kSteps - 1);
-  return table_[low] + (table_[low + 1] - table_[low]) * (at - static_cast<double>(low));
+  const double position = std::clamp(p, 0.0, 1.0) * kSteps;
+  const auto index = std::min(static_cast<std::size_t>(position), kSteps - 1);
+  return table_[index] +
+         (table_[index + 1] - table_[index]) * (position - static_cast<double>(index));
 }
 
 double Quantiles::Below(double value) const {
   if (value <= table_[0]) return 0;
   if (value >= table_[kSteps]) return 1;
-  const auto high = std::upper_bound(table_.begin(), table_.end(), value);
-  const auto i = static_cast<std::size_t>(high - table_.begin());
-  const double step = table_[i] - table_[i - 1];
-  const double part = step > 0 ? (value - table_[i - 1]) / step : 1;
-  return (static_cast<double>(i - 1) + part) / kSteps;
+  const auto next_entry = std::upper_bound(table_.begin(), table_.end(), value);
+  const auto index = static_cast<std::size_t>(next_entry - table_.begin());
+  const double step = table_[index] - table_[index - 1];
+  const double fraction = step > 0 ? (value - table_[index - 1]) / step : 1;
+  return (static_cast<double>(index - 1) + fraction) / kSteps;
 }
 
 double Quantiles::Remaining(double elapsed, double p) const {
-  const double gone = Below(elapsed);
-  if (gone >= 1) return kTail * elapsed * p / 0.5;
-  return std::max(0.0, At(gone + p * (1 - gone)) - elapsed);
+  const double share_below = Below(elapsed);
+  if (share_below >= 1) return kTailShare * elapsed * p / 0.5;
+  return std::max(0.0, At(share_below + p * (1 - share_below)) - elapsed);
 }
 
-void RuntimeEstimator::AddSample(int cls, int kind, double hint_s, double took_s) {
-  for (const int k : {kind, -1}) {
-    runs_[{cls, k}].Add(took_s);
-    if (hint_s > 0) scaled_[{cls, k}].Add(took_s / hint_s);
+void RuntimeEstimator::AddSample(int class_index, int kind, double hint_s, double run_s) {
+  for (const int estimated_kind : {kind, -1}) {
+    run_times_[{class_index, estimated_kind}].Add(run_s);
+    if (hint_s > 0) relative_run_times_[{class_index, estimated_kind}].Add(run_s / hint_s);
   }
 }
 
-const Quantiles* RuntimeEstimator::BestSketch(int cls, int kind, double hint_s,
-                                              double* unit) const {
-  const auto find = [&](const auto& table) -> const Quantiles* {
-    for (const int k : {kind, -1}) {
-      const auto it = table.find({cls, k});
-      if (it != table.end() && it->second.known()) return &it->second;
+const Quantiles* RuntimeEstimator::FindQuantiles(int class_index, int kind, double hint_s,
+                                                 double* unit) const {
+  const auto find = [&](const auto& quantiles_by_class) -> const Quantiles* {
+    for (const int estimated_kind : {kind, -1}) {
+      const auto it = quantiles_by_class.find({class_index, estimated_kind});
+      if (it != quantiles_by_class.end() && it->second.known()) return &it->second;
     }
     return nullptr;
   };
   *unit = 1;
   if (hint_s > 0) {
-    if (const Quantiles* q = find(scaled_)) return *unit = hint_s, q;
+    if (const Quantiles* quantiles = find(relative_run_times_)) return *unit = hint_s, quantiles;
   }
-  return find(runs_);
+  return find(run_times_);
 }
 
-double RuntimeEstimator::Remaining(int cls, int kind, double hint_s, double elapsed,
+double RuntimeEstimator::Remaining(int class_index, int kind, double hint_s, double elapsed,
                                    double p) const {
   double unit = 1;
-  if (const Quantiles* q = BestSketch(cls, kind, hint_s, &unit)) {
-    return unit * q->Remaining(elapsed / unit, p);
+  if (const Quantiles* quantiles = FindQuantiles(class_index, kind, hint_s, &unit)) {
+    return unit * quantiles->Remaining(elapsed / unit, p);
   }
-  const auto it = prior_s_.find(cls);
-  const double run = hint_s > 0 ? hint_s : it != prior_s_.end() ? it->second : 1.0;
-  return elapsed < run ? run - elapsed : kTail * elapsed;
+  const auto it = prior_run_s_.find(class_index);
+  const double run_s = hint_s > 0 ? hint_s : it != prior_run_s_.end() ? it->second : 1.0;
+  return elapsed < run_s ? run_s - elapsed : kTailShare * elapsed;
 }
 
 }  // namespace millethollow::scheduling
--- a/src/scheduling/runtime_estimator.h
+++ b/src/scheduling/runtime_estimator.h
@@ -1,8 +1,9 @@
-// Run time estimates: quantiles of how long a job runs, and of how much longer one that runs
-// already, by class and kind of worker and, where clients give size hints, relative to the hint.
+// Run time estimates: quantiles of the run time of a job, and of the remaining run time of a
+// running one, by class and kind of worker and, where clients send size hints, relative to the
+// hint.
 //
-// The sketch is the extended P-square algorithm (Raatikainen 1987, after Jain and Chlamtac 1985) of
-// Boost.Accumulators: a fixed set of quantiles in constant space.
+// Quantiles are computed by the extended P-square algorithm (Raatikainen 1987, after Jain and
+// Chlamtac 1985) of Boost.Accumulators, which keeps a fixed set of quantiles in constant space.
 #ifndef MILLETHOLLOW_SCHEDULING_RUNTIME_ESTIMATOR_H_
 #define MILLETHOLLOW_SCHEDULING_RUNTIME_ESTIMATOR_H_
 
@@ -14,12 +15,13 @@
 
 namespace millethollow::scheduling {
 
-// The quantiles of a stream. Samples older than kWindow are dropped, half a window at a time.
+// Quantiles of a stream of samples. Only the last kWindow samples count; older ones are dropped
+// half a window at a time. Not thread-safe.
 class Quantiles {
  public:
-  static constexpr std::size_t kSteps = 16;  // the table holds the 0/16 to 16/16 quantiles
-  static constexpr std::size_t kWindow = 512;
-  static constexpr std::size_t kEnough = 16;  // samples before there is an estimate
+  static constexpr std::size_t kSteps = 16;       // the table holds the quantiles 0/16 to 16/16
+  static constexpr std::size_t kWindow = 512;     // samples
+  static constexpr std::size_t kMinSamples = 16;  // samples that are needed for an estimate
 
   Quantiles();
   ~Quantiles();
@@ -28,35 +30,41 @@
 
   void Add(double value);
   std::size_t count() const { return count_; }
-  bool known() const { return count_ >= kEnough; }
-  double At(double p) const;         // `p`: 0 to 1
-  double Below(double value) const;  // the share of samples under `value`
-  // The quantile `p` of what remains of a sample that has reached `elapsed`.
+  bool known() const { return count_ >= kMinSamples; }
+  double At(double p) const;         // the quantile `p`, from 0 to 1
+  double Below(double value) const;  // the share of samples below `value`, from 0 to 1
+  // The quantile `p` of the remaining part of a sample that is known to exceed `elapsed`.
   double Remaining(double elapsed, double p) const;
 
  private:
   struct Sketch;
   void Refresh();
-  std::unique_ptr<Sketch> now_, next_;  // `next_` began half a window later
+  std::unique_ptr<Sketch> current_, next_;  // `next_` was started half a window later
   std::array<double, kSteps + 1> table_{};
-  std::size_t count_ = 0, stale_ = 0;
+  std::size_t count_ = 0, samples_since_refresh_ = 0;
 };
 
-// Times are in seconds.
+// Estimates run times by class of job and kind of worker. Times are in seconds. Not thread-safe.
 class RuntimeEstimator {
  public:
-  // The run time of a class until it has samples.
-  void SetPrior(int cls, double run_s) { prior_s_[cls] = run_s; }
-  // A job of the class took `took_s` on a worker of that kind. `hint_s`: its size hint, 0 without.
-  void AddSample(int cls, int kind, double hint_s, double took_s);
-  // The quantile `p` of the time that remains to a job that has run for `elapsed`.
-  double Remaining(int cls, int kind, double hint_s, double elapsed, double p) const;
+  // Sets the run time that is assumed for a class until it has samples.
+  void SetPrior(int class_index, double run_s) { prior_run_s_[class_index] = run_s; }
+  // Adds the run time of a job of the class on a worker of the kind. `hint_s`: the job's size hint,
+  // 0 if it has none.
+  void AddSample(int class_index, int kind, double hint_s, double run_s);
+  // The quantile `p` of the remaining run time of a job that has run for `elapsed`. `kind`: -1 if
+  // not known.
+  double Remaining(int class_index, int kind, double hint_s, double elapsed, double p) const;
 
  private:
-  const Quantiles* BestSketch(int cls, int kind, double hint_s, double* unit) const;
-  std::map<int, double> prior_s_;
-  std::map<std::pair<int, int>, Quantiles> runs_;    // by class and kind; kind -1: of any
-  std::map<std::pair<int, int>, Quantiles> scaled_;  // the same in multiples of the hint
+  // Returns the most specific quantiles with enough samples, or null. Sets `*unit` to the time in
+  // seconds that they are multiples of.
+  const Quantiles* FindQuantiles(int class_index, int kind, double hint_s, double* unit) const;
+  std::map<int, double> prior_run_s_;
+  // By class and kind, where -1 is any kind: run times, and run times as multiples of the size
+  // hint.
+  std::map<std::pair<int, int>, Quantiles> run_times_;
+  std::map<std::pair<int, int>, Quantiles> relative_run_times_;
 };
 
 }  // namespace millethollow::scheduling
--- a/src/scheduling/scheduler_reservations.cpp
+++ b/src/scheduling/scheduler_reservations.cpp
@@ -1,4 +1,4 @@
-// The scheduler's reservations: who gets one, where, and for how long.
+// The scheduler's reservations: which jobs get one, at which workers, and for how long.
 #include <algorithm>
 #include <limits>
 #include <utility>
@@ -9,8 +9,8 @@
 namespace millethollow::scheduling {
 namespace {
 
-constexpr double kInf = std::numeric_limits<double>::infinity();
-constexpr double kMinTenantShare = 1e-3;
+constexpr double kInfinity = std::numeric_limits<double>::infinity();
+constexpr double kMinTenantShare = 1e-3;  // of a tenant without a share
 
 }  // namespace
 
@@ -18,7 +18,7 @@
   return options_.max_reserved_fleet_share * fleet_slots_ * reservation_share_;
 }
 
-void Scheduler::BreakOverdueReservations(double now) {
+void Scheduler::CancelOverdueReservations(double now) {
   std::vector<JobHandle> overdue;
   for (const int worker : reserved_workers_) {
     const JobHandle job = workers_[static_cast<std::size_t>(worker)].reserved_for;
@@ -28,48 +28,50 @@
   }
   for (const JobHandle job : overdue) {
     QueuedJob& queued = queue_.at(job);
-    queued.no_reservation_until = now + options_.reservation_timeout_s;  // others' turn
+    queued.may_reserve_from = now + options_.reservation_timeout_s;  // let other jobs go first
     Unreserve(&queued, true);
   }
 }
 
-void Scheduler::Unreserve(QueuedJob* queued, bool broken) {
-  const auto number = static_cast<std::size_t>(std::exchange(queued->reserved_worker, -1));
-  Worker& w = workers_[number];
-  w.reserved_for = 0;
-  reserved_workers_.erase(static_cast<int>(number));
+void Scheduler::Unreserve(QueuedJob* queued, bool cancelled) {
+  const auto worker_index = static_cast<std::size_t>(std::exchange(queued->reserved_worker, -1));
+  Worker& worker = workers_[worker_index];
+  worker.reserved_for = 0;
+  reserved_workers_.erase(static_cast<int>(worker_index));
   reserved_slots_ -= queued->job.need.slots;
   reserved_by_tenant_[queued->job.tenant] -= queued->job.need.slots;
   if (reserved_workers_.empty()) {
     reserved_slots_ = 0;
     reserved_by_tenant_.clear();
   }
-  stats_.broken_reservations += broken;
+  stats_.cancelled_reservations += cancelled;
   unreserved_[queued->job.tenant].insert(queued->job.handle);
-  plan_needed_ = true;
-  UpdateIndex(number);
+  reservations_outdated_ = true;
+  UpdateIndex(worker_index);
 }
 
-// Reservations go to the tenant that has least for its share, in turn, until the limit is reached.
+// Makes reservations until the limit is reached, each for the tenant with the least reserved slots
+// relative to its share.
 void Scheduler::PlanReservations(double now) {
-  plan_needed_ = false;
-  std::set<int> done;
+  reservations_outdated_ = false;
+  std::set<int> finished_tenants;
   while (true) {
-    int next = -1;
-    double least = kInf;
+    int next_tenant = -1;
+    double least_reserved = kInfinity;
     for (const auto& [tenant, jobs] : unreserved_) {
-      if (done.contains(tenant)) continue;
-      const auto t = static_cast<std::size_t>(tenant);
-      const bool has_share = t < tenant_shares_.size() && tenant_shares_[t] > 0;
-      const double share = has_share ? tenant_shares_[t] : kMinTenantShare;
+      if (finished_tenants.contains(tenant)) continue;
+      const auto tenant_index = static_cast<std::size_t>(tenant);
+      const bool has_share =
+          tenant_index < tenant_shares_.size() && tenant_shares_[tenant_index] > 0;
+      const double share = has_share ? tenant_shares_[tenant_index] : kMinTenantShare;
       const double reserved = ReservedByTenant(tenant) / share;
-      if (reserved < least) {
-        least = reserved;
-        next = tenant;
+      if (reserved < least_reserved) {
+        least_reserved = reserved;
+        next_tenant = tenant;
       }
     }
-    if (next < 0) return;
-    if (!ReserveForTenant(next, now)) done.insert(next);
+    if (next_tenant < 0) return;
+    if (!ReserveForTenant(next_tenant, now)) finished_tenants.insert(next_tenant);
   }
 }
 
@@ -78,15 +80,16 @@
   return it == reserved_by_tenant_.end() ? 0 : it->second;
 }
 
-// Reserves for the tenant's oldest job that may have a reservation; false: none was made.
+// Makes a reservation for the tenant's oldest job that may have one. Returns false if none was
+// made.
 bool Scheduler::ReserveForTenant(int tenant, double now) {
   int tries = 0;
   for (const JobHandle handle : unreserved_.at(tenant)) {
     QueuedJob& queued = queue_.at(handle);
-    if (queued.no_reservation_until > now) continue;
+    if (queued.may_reserve_from > now) continue;
     if (!WithinReservationLimits(tenant, queued.job.need.slots)) return false;
     const int worker = FindReservationWorker(queued.job, now);
-    cursor_ += kMaxWorkersCompared;
+    search_start_ += kMaxWorkersCompared;
     if (worker >= 0) {
       Reserve(&queued, worker, now);
       return true;
@@ -96,48 +99,53 @@
   return false;
 }
 
-// The first reservation is made whatever the limit, unless that is 0: a small fleet has few slots.
-// A tenant may have twice its share.
+// The first reservation is allowed whatever its size, unless the limit is 0, since a small fleet
+// has few slots. A tenant may reserve up to twice its share.
 bool Scheduler::WithinReservationLimits(int tenant, double slots) const {
   const double limit = ReservationLimitSlots();
   if (limit <= 0 || (reserved_slots_ > 0 && reserved_slots_ + slots > limit)) return false;
-  const auto t = static_cast<std::size_t>(tenant);
-  const double share = t < tenant_shares_.size() ? tenant_shares_[t] : 1.0;
+  const auto tenant_index = static_cast<std::size_t>(tenant);
+  const double share = tenant_index < tenant_shares_.size() ? tenant_shares_[tenant_index] : 1.0;
   const double reserved = ReservedByTenant(tenant);
   return reserved <= 0 || reserved + slots <= 2 * share * limit;
 }
 
-// The worker that is expected to have room first, of some that are looked at in turn; -1: none.
+// Returns the worker that is expected to have enough free resources first, or -1. Compares a
+// bounded number of workers, starting at a different one in each call.
 int Scheduler::FindReservationWorker(const Job& job, double now) const {
   int best = -1;
-  double earliest = kInf;
+  double earliest_shadow_time = kInfinity;
   std::uint64_t best_rank = 0;
-  const std::size_t n = workers_.size();
-  const std::size_t last = std::min(n, 4 * kMaxWorkersCompared);
-  for (std::size_t i = 0, compared = 0; i < last && compared < kMaxWorkersCompared; ++i) {
-    const std::size_t number = n <= kMaxWorkersCompared ? i : (cursor_ + i) % n;
-    const Worker& w = workers_[number];
-    if (!MayReserveAt(w) || !MatchesKind(job.kind, w)) continue;
+  const std::size_t worker_count = workers_.size();
+  const std::size_t max_visited = std::min(worker_count, 4 * kMaxWorkersCompared);
+  for (std::size_t offset = 0, compared = 0; offset < max_visited && compared < kMaxWorkersCompared;
+       ++offset) {
+    const std::size_t worker_index =
+        worker_count <= kMaxWorkersCompared ? offset : (search_start_ + offset) % worker_count;
+    const Worker& worker = workers_[worker_index];
+    if (!MayReserveAt(worker) || !MatchesKind(job.kind, worker)) continue;
     ++compared;
-    const Resources need = EffectiveNeed(w, job.need);
-    const double max_slots = options_.max_reserved_worker_share * w.state.capacity.slots;
+    const Resources need = EffectiveNeed(worker, job.need);
+    const double max_slots = options_.max_reserved_worker_share * worker.state.capacity.slots;
     if (need.slots > max_slots + kRounding) continue;
-    const double shadow = ShadowTime(w, need, now);
-    if (shadow == kInf) continue;
-    // Ties go by a rank of each node's own, so that nodes with the same view choose apart.
-    const std::uint64_t rank = Mix(seed_, number);
-    if (best < 0 || shadow < earliest || (shadow == earliest && rank < best_rank)) {
-      best = static_cast<int>(number);
-      earliest = shadow;
+    const double shadow_time = ShadowTime(worker, need, now);
+    if (shadow_time == kInfinity) continue;
+    // Ties are broken by a rank that differs between nodes, so that nodes with the same view of the
+    // workers choose different ones.
+    const std::uint64_t rank = Mix(seed_, worker_index);
+    if (best < 0 || shadow_time < earliest_shadow_time ||
+        (shadow_time == earliest_shadow_time && rank < best_rank)) {
+      best = static_cast<int>(worker_index);
+      earliest_shadow_time = shadow_time;
       best_rank = rank;
     }
   }
   return best;
 }
 
-bool Scheduler::MayReserveAt(const Worker& w) const {
-  return w.state.usable && !w.excluded && !w.state.warming_up && w.reserved_for == 0 &&
-         w.state.capacity.slots > 0;
+bool Scheduler::MayReserveAt(const Worker& worker) const {
+  return worker.state.usable && !worker.excluded && !worker.state.warming_up &&
+         worker.reserved_for == 0 && worker.state.capacity.slots > 0;
 }
 
 void Scheduler::Reserve(QueuedJob* queued, int worker, double now) {
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -210,7 +210,7 @@
   const int held = b.scheduler.ReservedSlots(0) > 0 ? 0 : 1;
   b.End(b.at.at(first.handle) == held ? second.handle : first.handle);
   EXPECT_EQ(b.RunWhatMay(), std::vector<JobHandle>{large.handle}) << "no reservation makes it wait";
-  EXPECT_EQ(b.scheduler.stats().broken_reservations, 1u);
+  EXPECT_EQ(b.scheduler.stats().cancelled_reservations, 1u);
 }
 
 // A worker that is lost, drained, taken out or ejected is all one here: it is not usable.
@@ -301,7 +301,7 @@
   b.now = 1.1;
   b.scheduler.Tick(b.now);
   EXPECT_EQ(b.RunWhatMay(), std::vector<JobHandle>{small.handle});
-  EXPECT_EQ(b.scheduler.stats().broken_reservations, 1u);
+  EXPECT_EQ(b.scheduler.stats().cancelled_reservations, 1u);
   b.now = 2.2;
   b.scheduler.Tick(b.now);
   b.RunWhatMay();
