--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -20,12 +20,12 @@
 }
 
 void PrintClasses(const Counters& counters, std::ostream* out) {
-  for (const auto& [name, c] : counters.classes) {
+  for (const auto& [name, class_counters] : counters.classes) {
     if (name.empty()) continue;
     const std::string prefix = "app.downstream_requests." + name + ".";
-    Counter(prefix + "completed", c.completed, out);
-    Counter(prefix + "rejected", c.rejected, out);
-    Counter(prefix + "failed", c.failed, out);
+    Counter(prefix + "completed", class_counters.completed, out);
+    Counter(prefix + "rejected", class_counters.rejected, out);
+    Counter(prefix + "failed", class_counters.failed, out);
   }
 }
 
@@ -36,18 +36,18 @@
   Gauge("app.members_unavailable", workers.unavailable, out);
 }
 
-// `rejected`: messages that the balancer could not use.
+// `rejected`: messages that the balancer has rejected.
 void PrintPeers(const Counters& counters, std::uint64_t rejected, std::ostream* out) {
-  const PeerCounters& p = counters.peers;
+  const PeerCounters& peers = counters.peers;
   const std::string prefix = "app.peers.";
   Counter(prefix + "messages_in", counters.peer_messages_in, out);
-  Counter(prefix + "messages_out", p.messages_out, out);
-  Counter(prefix + "bytes_out", p.bytes_out, out);
-  Counter(prefix + "dropped.too_long", p.too_long, out);
-  Counter(prefix + "dropped.no_address", p.no_address, out);
-  Counter(prefix + "dropped.not_sent", p.not_sent, out);
-  Counter(prefix + "dropped.unreadable", p.unreadable, out);
-  Counter(prefix + "dropped.strangers", p.unknown_senders, out);
+  Counter(prefix + "messages_out", peers.messages_out, out);
+  Counter(prefix + "bytes_out", peers.bytes_out, out);
+  Counter(prefix + "dropped.too_long", peers.too_long, out);
+  Counter(prefix + "dropped.no_address", peers.no_address, out);
+  Counter(prefix + "dropped.not_sent", peers.not_sent, out);
+  Counter(prefix + "dropped.unreadable", peers.unreadable, out);
+  Counter(prefix + "dropped.strangers", peers.unknown_senders, out);
   Counter(prefix + "dropped.refused", rejected, out);
 }
 
@@ -62,14 +62,14 @@
   Counter(prefix + "backfilled", stats.backfilled, out);
   Counter(prefix + "broken_off", stats.cancelled_reservations, out);
   Counter(prefix + "turned_away", stats.rejected, out);
-  for (const auto& [cls, count] : scheduler.QueuedByClass()) {
-    Gauge(prefix + planner.class_name(cls) + ".waiting", count, out);
+  for (const auto& [class_index, queued_jobs] : scheduler.QueuedByClass()) {
+    Gauge(prefix + planner.class_name(class_index) + ".waiting", queued_jobs, out);
   }
-  for (const auto& [cls, waits] : scheduler.wait_times()) {
-    if (!waits.known()) continue;
-    for (const auto& [name, p] : {std::pair{"p50", 0.5}, {"p95", 0.95}}) {
-      Gauge(prefix + planner.class_name(cls) + ".wait_ms_" + name, std::lround(1000 * waits.At(p)),
-            out);
+  for (const auto& [class_index, wait_times] : scheduler.wait_times()) {
+    if (!wait_times.known()) continue;
+    for (const auto& [suffix, quantile] : {std::pair{"p50", 0.5}, {"p95", 0.95}}) {
+      Gauge(prefix + planner.class_name(class_index) + ".wait_ms_" + suffix,
+            std::lround(1000 * wait_times.At(quantile)), out);
     }
   }
 }
@@ -94,13 +94,15 @@
   return out.str();
 }
 
-std::string CountersText(const Counters& c) {
+std::string CountersText(const Counters& counters) {
   std::ostringstream out;
-  out << "taken=" << c.received << " sent=" << c.sent << " served=" << c.completed
-      << " refused=" << c.rejected << " failed=" << c.failed << " gone=" << c.cancelled
-      << " probes=" << c.probes << " blocked=" << c.blocked << " bad_input=" << c.bad_input
-      << " peers_in=" << c.peer_messages_in << " peers_out=" << c.peer_messages_out
-      << " lists=" << c.endpoint_lists << " reloads=" << c.reloads;
+  out << "taken=" << counters.received << " sent=" << counters.sent
+      << " served=" << counters.completed << " refused=" << counters.rejected
+      << " failed=" << counters.failed << " gone=" << counters.cancelled
+      << " probes=" << counters.probes << " blocked=" << counters.blocked
+      << " bad_input=" << counters.bad_input << " peers_in=" << counters.peer_messages_in
+      << " peers_out=" << counters.peer_messages_out << " lists=" << counters.endpoint_lists
+      << " reloads=" << counters.reloads;
   return out.str();
 }
 
--- a/src/node/metrics.h
+++ b/src/node/metrics.h
@@ -1,4 +1,4 @@
-// The node's figures as text, for the admin address and SIGUSR1.
+// The node's metrics as text, for the admin server and SIGUSR1.
 #ifndef MILLETHOLLOW_NODE_METRICS_H_
 #define MILLETHOLLOW_NODE_METRICS_H_
 
@@ -11,7 +11,7 @@
 
 namespace millethollow {
 
-// Pointers may be null where the process has no such part.
+// The components that provide metrics. Pointers are null if the process has no such component.
 struct MetricsSources {
   const Counters& counters;
   const Planner* planner = nullptr;
@@ -19,10 +19,11 @@
   const cluster::PromisedJobs* durable_jobs = nullptr;
 };
 
-// One metric a line, `name:value|type` with type c (counter) or g (gauge), as in statsd.
+// Returns one metric per line in the format of statsd: `name:value|type`, where type is c (counter)
+// or g (gauge).
 std::string MetricsText(const MetricsSources& sources);
 
-// The program's counters as `name=value`, separated by blanks, without a line end.
+// Returns the process's counters as `name=value` fields separated by spaces, without a line end.
 std::string CountersText(const Counters& counters);
 
 }  // namespace millethollow
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -12,18 +12,19 @@
 namespace millethollow {
 namespace {
 
-constexpr double kStopListenS = 0.5;  // connections still come for up to 0.4 s after SIGTERM
-constexpr double kStopCheckS = 0.02;
-constexpr double kFlushS = 2.0;  // for last answers to peers that read slowly
-constexpr double kLeaveS = 1.5;  // for attempts of durable jobs
+// Connections may still arrive for up to 0.4 s after SIGTERM.
+constexpr double kStopListeningAfterS = 0.5;
+constexpr double kStopCheckIntervalS = 0.02;
+constexpr double kFlushTimeoutS = 2.0;  // for the last answers to Gearman peers that read slowly
+constexpr double kLeaveTimeoutS = 1.5;  // for records of attempts of durable jobs
 
 }  // namespace
 
 Node::Node(Config config, Role role) : config_(std::move(config)), role_(role) {}
 
 Node::~Node() {
-  // Connections that close with their owners still reach the planner: it must not use parts that
-  // are gone already.
+  // Connections that are closed when their owners are destroyed still call the planner, which must
+  // not use components that are destroyed already.
   environment_.parts() = {.loop = &loop_, .in_cluster = environment_.parts().in_cluster};
 }
 
@@ -38,7 +39,7 @@
   if (role_.kind != Role::Kind::kForwarder) {
     if (Status started = StartPlanner(seed); !started) return started;
   }
-  if (role_.kind == Role::Kind::kForwarder) client_->Start();
+  if (role_.kind == Role::Kind::kForwarder) planner_client_->Start();
   if (config_.cluster.on()) {
     if (Status started = StartMember(); !started) return started;
   }
@@ -53,31 +54,31 @@
 // ---- hot restart ----
 
 void Node::RequestStateFromPredecessor() {
-  // A member of a cluster is one process at a time.
+  // Hot restart needs two processes of a node at a time; a member of a cluster may have only one.
   if (config_.handover.empty() || config_.cluster.on()) return;
   if (role_.kind != Role::Kind::kCombined) return;
   std::string name = config_.name + "-" + config_.listen;
   std::replace(name.begin(), name.end(), '/', '_');
   hot_restart_ = std::make_unique<handover::HotRestart>(
       &loop_, config_.handover + "/millethollow-" + name + ".sock");
-  inherited_ = hot_restart_->RequestState(run_predecessor);
+  inherited_state_ = hot_restart_->RequestState(run_predecessor);
 }
 
 void Node::ServeSuccessor() {
   if (!hot_restart_) return;
   hot_restart_->Serve({.planner = planner_.get(),
-                       .front = front_.get(),
-                       .pool = pool_.get(),
-                       .gearman = gearman_.get(),
+                       .front = client_front_.get(),
+                       .pool = worker_pool_.get(),
+                       .gearman = gearman_front_.get(),
                        .peers = peers_.get(),
                        .discovery = discovery_.get(),
                        .classes = &config_.classes,
                        .deserted = [this] {
-                         if (stopping_) front_->CloseIdle();
+                         if (stopping_) client_front_->CloseIdle();
                        }});
 }
 
-// ---- admin address ----
+// ---- admin server ----
 
 Status Node::StartAdmin() {
   admin::AdminServer::Hooks hooks;
@@ -115,25 +116,25 @@
 
 void Node::CatchSignals(std::string config_path) {
   config_path_ = std::move(config_path);
-  const auto on = [this](int signal, event_callback_fn callback) {
-    EventPtr e(evsignal_new(loop_.base(), signal, callback, this));
-    event_add(e.get(), nullptr);
-    return e;
+  const auto add_signal_event = [this](int signal, event_callback_fn callback) {
+    EventPtr signal_event(evsignal_new(loop_.base(), signal, callback, this));
+    event_add(signal_event.get(), nullptr);
+    return signal_event;
   };
-  const event_callback_fn stop = [](evutil_socket_t, short, void* self) {
+  const event_callback_fn stop_node = [](evutil_socket_t, short, void* self) {
     static_cast<Node*>(self)->BeginStop();
   };
-  term_ = on(SIGTERM, stop);
-  interrupt_ = on(SIGINT, stop);
-  usr1_ = on(SIGUSR1, [](evutil_socket_t, short, void* self) {
+  sigterm_event_ = add_signal_event(SIGTERM, stop_node);
+  sigint_event_ = add_signal_event(SIGINT, stop_node);
+  sigusr1_event_ = add_signal_event(SIGUSR1, [](evutil_socket_t, short, void* self) {
     static_cast<Node*>(self)->PrintCounters(std::clog);
   });
-  hangup_ =
-      on(SIGHUP, [](evutil_socket_t, short, void* self) { static_cast<Node*>(self)->Reload(); });
-  sigset_t reload;  // main blocks it until here
-  sigemptyset(&reload);
-  sigaddset(&reload, SIGHUP);
-  sigprocmask(SIG_UNBLOCK, &reload, nullptr);
+  sighup_event_ = add_signal_event(
+      SIGHUP, [](evutil_socket_t, short, void* self) { static_cast<Node*>(self)->Reload(); });
+  sigset_t sighup_set;  // blocked by main until now
+  sigemptyset(&sighup_set);
+  sigaddset(&sighup_set, SIGHUP);
+  sigprocmask(SIG_UNBLOCK, &sighup_set, nullptr);
 }
 
 // ---- running and stopping ----
@@ -144,45 +145,48 @@
   if (stopping_) return;
   stopping_ = true;
   LogLine(Level::kInfo) << "node-stopping name=" << config_.name;
-  if (promised_) promised_->Stop();
-  if (member_) LeaveOnceIdle(loop_.Now() + kLeaveS);
-  if (front_) front_->BeginStop();
-  if (gearman_) gearman_->BeginStop();
-  loop_.deadlines().At(loop_.Now() + kStopListenS, [this] {
-    if (gearman_) gearman_->StopListening();
+  if (durable_jobs_) durable_jobs_->Stop();
+  if (member_) LeaveOnceIdle(loop_.Now() + kLeaveTimeoutS);
+  if (client_front_) client_front_->BeginStop();
+  if (gearman_front_) gearman_front_->BeginStop();
+  loop_.deadlines().At(loop_.Now() + kStopListeningAfterS, [this] {
+    if (gearman_front_) gearman_front_->StopListening();
     CheckStopped();
   });
 }
 
 void Node::CheckStopped() {
-  // With the process that replaces this one at the same address, idle connections may stay.
-  if (front_ && !(hot_restart_ && hot_restart_->leaving())) front_->CloseIdle();
-  const bool done = forwarder_ ? forwarder_->open() == 0 && front_->connections() == 0
-                               : planner_->open_requests() == 0;
+  // Idle connections may stay open if another process takes over this address.
+  if (client_front_ && !(hot_restart_ && hot_restart_->leaving())) client_front_->CloseIdle();
+  const bool requests_done = forwarder_
+                                 ? forwarder_->open() == 0 && client_front_->connections() == 0
+                                 : planner_->open_requests() == 0;
   const bool handed_over = !hot_restart_ || hot_restart_->Flushed();
   const bool flushed =
-      handed_over && (!gearman_ || gearman_->Flushed() || loop_.Now() > flush_until_);
-  if (done && flushed) return loop_.Stop();
-  if (!done) flush_until_ = loop_.Now() + kFlushS;
-  loop_.deadlines().At(loop_.Now() + kStopCheckS, [this] { CheckStopped(); });
+      handed_over && (!gearman_front_ || gearman_front_->Flushed() || loop_.Now() > flush_until_);
+  if (requests_done && flushed) return loop_.Stop();
+  if (!requests_done) flush_until_ = loop_.Now() + kFlushTimeoutS;
+  loop_.deadlines().At(loop_.Now() + kStopCheckIntervalS, [this] { CheckStopped(); });
 }
 
-// ---- figures ----
+// ---- counters and metrics ----
 
 void Node::PrintCounters(std::ostream& out) const {
   std::ostringstream text;
   text << "counters " << config_.name << ' ' << CountersText(counters_);
-  if (front_) text << " clients=" << front_->connections() << " workers=" << pool_->connections();
-  if (server_) text << " forwarders=" << server_->forwarders();
+  if (client_front_)
+    text << " clients=" << client_front_->connections()
+         << " workers=" << worker_pool_->connections();
+  if (planner_server_) text << " forwarders=" << planner_server_->forwarders();
   text << '\n' << Metrics();
-  out << text.str() << std::flush;  // in one piece: processes share the stream
+  out << text.str() << std::flush;  // in one write, since processes share the stream
 }
 
 std::string Node::Metrics() const {
   return MetricsText({.counters = counters_,
                       .planner = planner_.get(),
                       .member = member_.get(),
-                      .durable_jobs = promised_.get()});
+                      .durable_jobs = durable_jobs_.get()});
 }
 
 }  // namespace millethollow
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,4 +1,4 @@
-// One process of the program: owns its parts and joins them.
+// One process of the program: owns its components and connects them.
 #ifndef MILLETHOLLOW_NODE_NODE_H_
 #define MILLETHOLLOW_NODE_NODE_H_
 
@@ -30,20 +30,21 @@
 
 namespace millethollow {
 
-// What a process does. Without `link` in the configuration there is one, which does both.
+// The role of a process. Without `link` in the configuration there is a single process with both
+// roles.
 struct Role {
   enum class Kind : std::uint8_t { kCombined, kPlanner, kForwarder };
   Kind kind = Kind::kCombined;
-  int index = 0;  // among the planners or the forwarders
+  int index = 0;  // number among the planners or the forwarders, from 0
 };
 
-// The socket of a planner, in the folder that the configuration names.
+// The path of a planner's socket, in the directory that the configuration names.
 std::string PlannerSocketPath(const Config& config, int planner);
 
 // Has a planner side (planner, discovery, peers), a forwarder side (client and worker connections)
-// or both, and where configured an admin address, a hot restart and membership of a cluster.
+// or both, and, if configured, an admin server, hot restart and membership in a cluster.
 //
-// Not thread-safe: all runs on the thread that calls Run.
+// Not thread-safe: everything runs on the thread that calls Run.
 class Node {
  public:
   explicit Node(Config config, Role role = {});
@@ -51,32 +52,37 @@
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
-  // Opens the sockets and starts all parts. After an error the node can't be used.
+  // Opens the sockets and starts all components. After an error the node can't be used.
   Status Start();
-  // SIGTERM and SIGINT stop it, SIGUSR1 prints the counters, SIGHUP has `config_path` read again.
+  // Handles signals: SIGTERM and SIGINT stop the node, SIGUSR1 prints the counters, SIGHUP reloads
+  // the configuration from `config_path`.
   void CatchSignals(std::string config_path);
-  void Run();  // returns once it has stopped
-  // Accepts nothing new, and stops once all that is in flight has ended.
+  // Runs the event loop until the node has stopped.
+  void Run();
+  // Stops accepting new work, and stops the node once all requests in flight have ended.
   void BeginStop();
-  // Applies the configuration file as it is now. One that can't be used changes nothing.
+  // Reloads the configuration file. An invalid file changes nothing.
   void Reload();
-  // Takes a worker out of service or puts it back. False: no such worker is known.
+  // Starts or ends a worker's maintenance. Returns false if the worker is unknown.
   bool SetMaintenance(const std::string& worker, bool in_maintenance);
 
+  // Prints the counters and the metrics.
   void PrintCounters(std::ostream& out) const;
-  std::string Metrics() const;  // see MetricsText
+  // The metrics as text: see MetricsText.
+  std::string Metrics() const;
 
   Loop& loop() { return loop_; }
   std::string admin_address() const { return admin_->address(); }
-  std::string http_address() const { return front_->address(); }
-  std::string gearman_address() const { return gearman_->address(); }
+  std::string http_address() const { return client_front_->address(); }
+  std::string gearman_address() const { return gearman_front_->address(); }
   const Counters& counters() const { return counters_; }
 
-  // For tests with two nodes in one process: runs the other while this one waits for its state.
+  // For tests with two nodes in one process: runs the predecessor's event loop while this node
+  // waits for its state.
   std::function<void()> run_predecessor;
 
  private:
-  // Hot restart and admin address (node.cpp).
+  // Hot restart and admin server (node.cpp).
   void RequestStateFromPredecessor();
   void ServeSuccessor();
   Status StartAdmin();
@@ -87,22 +93,22 @@
   // The planner side (node_planner.cpp).
   Status StartPlanner(std::uint64_t seed);
   void ConfigureAsPeer();
-  void MakePlanner(std::uint64_t seed);
+  void CreatePlanner(std::uint64_t seed);
   Status ConnectForwarders();
   Status OpenPeers();
-  void MakeDiscovery(std::uint64_t seed);
+  void CreateDiscovery(std::uint64_t seed);
   void ImportInheritedState();
-  void AwaitFirstList();
-  void AcceptOnceListed();
+  void AwaitInitialList();
+  void AcceptOnceListReceived();
   void SetAddress(const std::string& worker, const std::string& address, std::size_t max_in_flight);
-  void OnList(balancing::EndpointListKind kind, const ServerList& list);
+  void OnEndpointList(balancing::EndpointListKind kind, const ServerList& list);
   void ApplyPeersMaintenance(const ServerList& list);
 
   // The forwarder side (node_forwarder.cpp).
   Status StartForwarder();
   Status ListenForClients();
   Status ListenForGearman();
-  void MakePlannerClient();
+  void CreatePlannerClient();
   http::Names ActiveNames() const;
 
   // The cluster (node_cluster.cpp).
@@ -113,7 +119,7 @@
   std::vector<cluster::NamedQuota> TenantQuotas() const;
 
   // Reload (node_reload.cpp).
-  void ApplyToClients(const Config& before);
+  void ApplyNamesToFront(const Config& old_config);
   void ApplyQuotas();
 
   Config config_;
@@ -124,28 +130,29 @@
   NodeEnvironment environment_;
   std::unique_ptr<Planner> planner_;
   std::unique_ptr<Discovery> discovery_;
-  std::optional<InitialListGate> initial_list_gate_;  // until requests are accepted
+  std::optional<InitialListGate> initial_list_gate_;  // set until requests are accepted
   std::unique_ptr<Peers> peers_;
-  std::unique_ptr<link::PlannerServer> server_;  // for forwarders in other processes
+  std::unique_ptr<link::PlannerServer> planner_server_;  // for forwarders in other processes
 
   std::unique_ptr<Forwarder> forwarder_;
   std::unique_ptr<LocalLink> local_link_;  // to the planner in this process
-  std::unique_ptr<http::WorkerPool> pool_;
-  std::unique_ptr<http::ClientFront> front_;
-  std::unique_ptr<gearman::Front> gearman_;
-  std::unique_ptr<link::PlannerClient> client_;  // to planners in other processes
+  std::unique_ptr<http::WorkerPool> worker_pool_;
+  std::unique_ptr<http::ClientFront> client_front_;
+  std::unique_ptr<gearman::Front> gearman_front_;
+  std::unique_ptr<link::PlannerClient> planner_client_;  // for planners in other processes
 
   std::unique_ptr<admin::AdminServer> admin_;
   std::unique_ptr<handover::HotRestart> hot_restart_;
   std::unique_ptr<cluster::Member> member_;
-  std::unique_ptr<cluster::PromisedJobs> promised_;  // where the member has a store
-  handover::InheritedState inherited_;               // from the process that this one replaces
+  std::unique_ptr<cluster::PromisedJobs> durable_jobs_;  // if the member has a store
+  handover::InheritedState inherited_state_;             // from the process that this one replaces
 
-  EventPtr term_, interrupt_, usr1_, hangup_;
+  EventPtr sigterm_event_, sigint_event_, sigusr1_event_, sighup_event_;
   std::string config_path_;
   bool stopping_ = false;
-  double flush_until_ = 0;                          // on the loop's clock
-  Deadlines::Ticket old_names_ = Deadlines::kNone;  // when classes that a reload ended are dropped
+  double flush_until_ = 0;  // seconds on the loop's clock
+  // Ends the time in which clients may still use classes that a reload has removed.
+  Deadlines::Ticket removed_classes_timer_ = Deadlines::kNone;
 };
 
 }  // namespace millethollow
--- a/src/node/node_cluster.cpp
+++ b/src/node/node_cluster.cpp
@@ -1,4 +1,4 @@
-// A node as a member of a cluster.
+// The cluster membership of a node.
 #include <random>
 #include <utility>
 
@@ -7,8 +7,9 @@
 namespace millethollow {
 namespace {
 
-constexpr double kSyncS = 1.0;  // for other members' state, before requests are served
-constexpr double kCheckS = 0.02;
+// Longest wait for the other members' state before requests are served.
+constexpr double kSyncTimeoutS = 1.0;
+constexpr double kCheckIntervalS = 0.02;
 
 }  // namespace
 
@@ -27,44 +28,46 @@
   std::string reason;
   if (!member_->Start(&reason)) return MakeError(ErrorCode::kUnavailable, reason);
   if (member_->copies() != nullptr) StartDurableJobs();
-  if (front_) front_->SetServing(false);
-  ServeOnceSynced(loop_.Now() + kSyncS);
+  if (client_front_) client_front_->SetServing(false);
+  ServeOnceSynced(loop_.Now() + kSyncTimeoutS);
   return {};
 }
 
 void Node::StartDurableJobs() {
   copies::DurableJobQueue::Limits limits = config_.cluster.jobs;
-  limits.takes = gearman_ != nullptr;
+  limits.takes = gearman_front_ != nullptr;
   const std::uint64_t high = std::random_device{}();
   const std::uint64_t low = std::random_device{}();
-  promised_ = std::make_unique<cluster::PromisedJobs>(&loop_, member_.get(), limits, config_.name,
-                                                      (high << 32 | low) | 1);
-  environment_.parts().durable_jobs = promised_.get();
-  promised_->SetRunner(gearman_.get());
-  if (gearman_) gearman_->SetPromises(promised_.get());
+  durable_jobs_ = std::make_unique<cluster::PromisedJobs>(&loop_, member_.get(), limits,
+                                                          config_.name, (high << 32 | low) | 1);
+  environment_.parts().durable_jobs = durable_jobs_.get();
+  durable_jobs_->SetRunner(gearman_front_.get());
+  if (gearman_front_) gearman_front_->SetPromises(durable_jobs_.get());
 }
 
 std::vector<cluster::NamedQuota> Node::TenantQuotas() const {
-  const auto& settings = config_.settings.tenants;
+  const auto& tenant_settings = config_.settings.tenants;
   std::vector<cluster::NamedQuota> quotas;
-  for (std::size_t t = 0; t < config_.tenants.size(); ++t) {
-    quotas.push_back({config_.tenants[t], t < settings.size() ? settings[t].quota_rps : 0.0});
+  for (std::size_t tenant = 0; tenant < config_.tenants.size(); ++tenant) {
+    quotas.push_back({config_.tenants[tenant],
+                      tenant < tenant_settings.size() ? tenant_settings[tenant].quota_rps : 0.0});
   }
   return quotas;
 }
 
-// Serves once the other members' maintenance state is known here, or `until` (on the loop's clock),
-// where no member responds.
+// Starts to serve once the other members' maintenance state is known here, or at `until` (seconds
+// on the loop's clock) if no member responds.
 void Node::ServeOnceSynced(double until) {
-  if (stopping_ || !front_) return;
-  if (member_->Synced() || loop_.Now() >= until) return front_->SetServing(true);
-  loop_.deadlines().At(loop_.Now() + kCheckS, [this, until] { ServeOnceSynced(until); });
+  if (stopping_ || !client_front_) return;
+  if (member_->Synced() || loop_.Now() >= until) return client_front_->SetServing(true);
+  loop_.deadlines().At(loop_.Now() + kCheckIntervalS, [this, until] { ServeOnceSynced(until); });
 }
 
-// Leaves once the attempts of durable jobs are recorded: other members then take the jobs over.
+// Leaves the cluster once the attempts of durable jobs are recorded, or at `until` (seconds on the
+// loop's clock). Other members then take the jobs over.
 void Node::LeaveOnceIdle(double until) {
-  if (!promised_ || promised_->Idle() || loop_.Now() >= until) return member_->Leave();
-  loop_.deadlines().At(loop_.Now() + kCheckS, [this, until] { LeaveOnceIdle(until); });
+  if (!durable_jobs_ || durable_jobs_->Idle() || loop_.Now() >= until) return member_->Leave();
+  loop_.deadlines().At(loop_.Now() + kCheckIntervalS, [this, until] { LeaveOnceIdle(until); });
 }
 
 }  // namespace millethollow
--- a/src/node/node_environment.cpp
+++ b/src/node/node_environment.cpp
@@ -19,7 +19,7 @@
 }
 
 void NodeEnvironment::SendPeerMessage(int recipient, const std::string& body) {
-  if (recipient == parts_.dispatcher_index) {  // the sibling process of a hot restart
+  if (recipient == parts_.dispatcher_index) {  // the sibling process in a hot restart
     if (parts_.hot_restart != nullptr) parts_.hot_restart->SendPeerMessage(body);
   } else if (parts_.peers != nullptr) {
     parts_.peers->Tell(recipient, body);
--- a/src/node/node_environment.h
+++ b/src/node/node_environment.h
@@ -1,4 +1,4 @@
-// Joins a planner to the other parts of its process.
+// Connects a planner with the other components of its process.
 #ifndef MILLETHOLLOW_NODE_NODE_ENVIRONMENT_H_
 #define MILLETHOLLOW_NODE_NODE_ENVIRONMENT_H_
 
@@ -15,12 +15,13 @@
 
 namespace millethollow {
 
-// The parts are those of the node, which owns them; null while there is none.
+// Passes the planner's requests on to the node's components. Used on the loop's thread.
 class NodeEnvironment final : public PlannerEnvironment, private AttemptRecorder {
  public:
+  // The node's components, which the node owns; null while there is none.
   struct Parts {
     Loop* loop = nullptr;
-    int dispatcher_index = 0;  // this node's, among its peers
+    int dispatcher_index = 0;  // of this node among its peers
     bool in_cluster = false;
     Discovery* discovery = nullptr;
     Peers* peers = nullptr;
@@ -29,7 +30,7 @@
     cluster::PromisedJobs* durable_jobs = nullptr;
   };
 
-  // For the node, which fills them in as it makes them.
+  // For the node, which sets each component when it has created it.
   Parts& parts() { return parts_; }
 
   double Now() override { return parts_.loop->Now(); }
--- a/src/node/node_forwarder.cpp
+++ b/src/node/node_forwarder.cpp
@@ -7,8 +7,8 @@
 namespace millethollow {
 namespace {
 
-constexpr double kNoPlannerRetryAfterS = 0.5;  // for clients while there is no planner
-const std::string kUnusableName(1, '\n');      // no header can hold it
+constexpr double kNoPlannerRetryAfterS = 0.5;  // sent to clients while no planner is connected
+const std::string kUnmatchableName(1, '\n');   // no header value contains a line end
 
 }  // namespace
 
@@ -21,75 +21,79 @@
   options.columns = config_.columns;
   options.counters = &counters_;
   options.may_act = [this](const std::string& durable_job) {
-    return promised_ && promised_->MayAct(durable_job);
+    return durable_jobs_ && durable_jobs_->MayAct(durable_job);
   };
-  pool_ = std::make_unique<http::WorkerPool>(forwarder_.get(), std::move(options));
-  forwarder_->AddDriver(pool_.get());
+  worker_pool_ = std::make_unique<http::WorkerPool>(forwarder_.get(), std::move(options));
+  forwarder_->AddDriver(worker_pool_.get());
   if (Status listening = ListenForClients(); !listening) return listening;
-  // Gearman workers belong to the forwarder that they connect to, and so do the jobs that they may
-  // get: one forwarder has them all.
+  // A Gearman job can be sent only to workers that are connected to the same forwarder, so a single
+  // forwarder serves all Gearman connections.
   if (!config_.gearman_listen.empty() && role_.index == 0) {
     if (Status listening = ListenForGearman(); !listening) return listening;
   }
-  if (role_.kind == Role::Kind::kForwarder) MakePlannerClient();
+  if (role_.kind == Role::Kind::kForwarder) CreatePlannerClient();
   return {};
 }
 
 Status Node::ListenForClients() {
-  front_ = std::make_unique<http::ClientFront>(forwarder_.get(), ActiveNames(), &counters_);
-  if (inherited_.client_listener >= 0) {
-    if (front_->AdoptListener(inherited_.client_listener)) return {};
-    return MakeError(ErrorCode::kUnavailable, "cannot listen");
+  client_front_ = std::make_unique<http::ClientFront>(forwarder_.get(), ActiveNames(), &counters_);
+  if (inherited_state_.client_listener >= 0) {
+    if (client_front_->AdoptListener(inherited_state_.client_listener)) return {};
+    return MakeError(ErrorCode::kUnavailable, "cannot listen on the inherited client socket");
   }
   if (config_.listen.empty()) return {};
-  // The address is shared with other forwarders, or with a process that this one replaces and that
+  // The address is shared with other forwarders, or with the predecessor in a hot restart if that
   // does not respond.
   const bool shared =
       hot_restart_ || (role_.kind == Role::Kind::kForwarder && config_.forwarders > 1);
   std::string reason;
-  if (!front_->Listen(config_.listen, shared, &reason)) {
+  if (!client_front_->Listen(config_.listen, shared, &reason)) {
     return MakeError(ErrorCode::kUnavailable, reason);
   }
   return {};
 }
 
 Status Node::ListenForGearman() {
-  gearman_ = std::make_unique<gearman::Front>(forwarder_.get(), config_, &counters_);
-  forwarder_->AddDriver(gearman_.get());
-  if (inherited_.gearman_listener >= 0) {
-    if (gearman_->AdoptListener(inherited_.gearman_listener)) return {};
-    return MakeError(ErrorCode::kUnavailable, "cannot listen");
+  gearman_front_ = std::make_unique<gearman::Front>(forwarder_.get(), config_, &counters_);
+  forwarder_->AddDriver(gearman_front_.get());
+  if (inherited_state_.gearman_listener >= 0) {
+    if (gearman_front_->AdoptListener(inherited_state_.gearman_listener)) return {};
+    return MakeError(ErrorCode::kUnavailable, "cannot listen on the inherited Gearman socket");
   }
   std::string reason;
-  if (!gearman_->Listen(config_.gearman_listen, &reason)) {
+  if (!gearman_front_->Listen(config_.gearman_listen, &reason)) {
     return MakeError(ErrorCode::kUnavailable, reason);
   }
   return {};
 }
 
-void Node::MakePlannerClient() {
+void Node::CreatePlannerClient() {
   std::vector<std::string> paths;
-  for (int p = 0; p < config_.planners; ++p) paths.push_back(PlannerSocketPath(config_, p));
+  for (int planner = 0; planner < config_.planners; ++planner)
+    paths.push_back(PlannerSocketPath(config_, planner));
   link::PlannerClient::Hooks hooks;
   hooks.address = [this](const std::string& worker, const std::string& address,
                          std::size_t max_in_flight) {
-    pool_->SetAddress(worker, address, max_in_flight);
+    worker_pool_->SetAddress(worker, address, max_in_flight);
   };
   hooks.linked = [this](bool linked) {
-    front_->SetServing(linked);
-    if (linked && gearman_) gearman_->AnnounceWorkers();
+    client_front_->SetServing(linked);
+    if (linked && gearman_front_) gearman_front_->AnnounceWorkers();
   };
-  hooks.class_name = [this](int cls) { return config_.classes[static_cast<std::size_t>(cls)]; };
-  client_ = std::make_unique<link::PlannerClient>(
+  hooks.class_name = [this](int class_index) {
+    return config_.classes[static_cast<std::size_t>(class_index)];
+  };
+  planner_client_ = std::make_unique<link::PlannerClient>(
       forwarder_.get(), std::move(paths), static_cast<std::size_t>(role_.index), std::move(hooks));
 }
 
-// The names by which clients may call classes and tenants. A class that is not live has none.
+// The class and tenant names that clients may use. A class that is not live gets an unmatchable
+// name.
 http::Names Node::ActiveNames() const {
   http::Names names{.classes = config_.classes, .tenants = config_.tenants, .keyed = {}};
-  for (std::size_t c = 0; c < names.classes.size(); ++c) {
-    if (!config_.live[c]) names.classes[c] = kUnusableName;
-    const auto idempotency = config_.settings.classes[c].idempotency;
+  for (std::size_t index = 0; index < names.classes.size(); ++index) {
+    if (!config_.live[index]) names.classes[index] = kUnmatchableName;
+    const auto idempotency = config_.settings.classes[index].idempotency;
     names.keyed.push_back(idempotency == balancing::Idempotency::kIdempotentWithKey);
   }
   if (config_.settings.retry_after) {
--- a/src/node/node_planner.cpp
+++ b/src/node/node_planner.cpp
@@ -1,4 +1,4 @@
-// The planner side of a node: planner, links of forwarders, peers and discovery.
+// The planner side of a node: planner, links to forwarders, peers and discovery.
 #include <algorithm>
 #include <utility>
 
@@ -7,16 +7,19 @@
 namespace millethollow {
 namespace {
 
-constexpr std::uint64_t kSeedStep = 0x9e3779b97f4a7c15ULL;  // seeds of planners are this far apart
+// Difference between the seeds of successive planners.
+constexpr std::uint64_t kSeedStep = 0x9e3779b97f4a7c15ULL;
 
-// For each class here, its index among those of the process before: the last of the name, since
-// earlier ones are no longer live. -1: it has none.
-std::vector<int> MapClasses(const std::vector<std::string>& here,
-                            const std::vector<std::string>& there) {
+// Returns, for each of `classes`, the index of the last class of the same name in
+// `previous_classes` (earlier ones are no longer live), or -1 if there is none.
+std::vector<int> MapClasses(const std::vector<std::string>& classes,
+                            const std::vector<std::string>& previous_classes) {
   std::vector<int> indexes;
-  for (const std::string& name : here) {
-    const auto at = std::find(there.rbegin(), there.rend(), name);
-    indexes.push_back(at == there.rend() ? -1 : static_cast<int>(there.rend() - at) - 1);
+  for (const std::string& name : classes) {
+    const auto match = std::find(previous_classes.rbegin(), previous_classes.rend(), name);
+    indexes.push_back(match == previous_classes.rend()
+                          ? -1
+                          : static_cast<int>(previous_classes.rend() - match) - 1);
   }
   return indexes;
 }
@@ -35,35 +38,36 @@
       seed += static_cast<std::uint64_t>(role_.index) * kSeedStep;
     }
   }
-  // Discovery here is polled; that lists are pushed holds for the simulator's wire alone.
+  // Over HTTP, endpoint lists are polled. Only the simulator pushes them.
   if (!config_.discovery.empty()) config_.settings.polls_discovery = true;
-  MakePlanner(seed);
+  CreatePlanner(seed);
   if (Status connected = ConnectForwarders(); !connected) return connected;
   if (Status opened = OpenPeers(); !opened) return opened;
-  if (!config_.discovery.empty()) MakeDiscovery(seed);
+  if (!config_.discovery.empty()) CreateDiscovery(seed);
   environment_.parts().peers = peers_.get();
   environment_.parts().discovery = discovery_.get();
-  ServerList known;
+  ServerList endpoint_list;
   std::string reason;
   if (config_.known != "{}" &&
-      !ReadServerList(config_.known, config_.zones, config_.kinds, &known, &reason)) {
+      !ReadServerList(config_.known, config_.zones, config_.kinds, &endpoint_list, &reason)) {
     return MakeError(ErrorCode::kInvalidArgument, reason);
   }
-  if (inherited_.whole && !inherited_.list.empty()) {
-    known.entries = inherited_.list;
-    known.version = inherited_.version;
+  if (inherited_state_.whole && !inherited_state_.list.empty()) {
+    endpoint_list.entries = inherited_state_.list;
+    endpoint_list.version = inherited_state_.version;
   }
-  if (inherited_.whole) ImportInheritedState();
-  for (const ListEntry& e : known.entries) SetAddress(e.member.worker, e.address, e.max_in_flight);
-  if (discovery_) discovery_->SetVersion(known.version);
-  // A process that replaces another has its list, which was kept current until now.
-  if (discovery_ && forwarder_ && !inherited_.whole) AwaitFirstList();
-  planner_->Start(known.Members());
-  if (front_) front_->SetServing(true);
+  if (inherited_state_.whole) ImportInheritedState();
+  for (const ListEntry& entry : endpoint_list.entries)
+    SetAddress(entry.member.worker, entry.address, entry.max_in_flight);
+  if (discovery_) discovery_->SetVersion(endpoint_list.version);
+  // A process that replaces another inherits its list, which is current.
+  if (discovery_ && forwarder_ && !inherited_state_.whole) AwaitInitialList();
+  planner_->Start(endpoint_list.Members());
+  if (client_front_) client_front_->SetServing(true);
   return {};
 }
 
-// The planners of a deployment are peers of each other.
+// Configures a planner of a two-level deployment as a peer of the other planners.
 void Node::ConfigureAsPeer() {
   config_.settings.dispatcher_count = config_.planners;
   config_.settings.dispatcher_index = role_.index;
@@ -73,7 +77,7 @@
   config_.peers_all.clear();
 }
 
-void Node::MakePlanner(std::uint64_t seed) {
+void Node::CreatePlanner(std::uint64_t seed) {
   NodeEnvironment::Parts& parts = environment_.parts();
   parts.loop = &loop_;
   parts.dispatcher_index = config_.settings.dispatcher_index;
@@ -91,9 +95,9 @@
     forwarder_->SetLink(local_link_.get(), number);
     return {};
   }
-  server_ = std::make_unique<link::PlannerServer>(&loop_, planner_.get());
+  planner_server_ = std::make_unique<link::PlannerServer>(&loop_, planner_.get());
   std::string reason;
-  if (!server_->Listen(PlannerSocketPath(config_, role_.index), &reason)) {
+  if (!planner_server_->Listen(PlannerSocketPath(config_, role_.index), &reason)) {
     return MakeError(ErrorCode::kUnavailable, reason);
   }
   return {};
@@ -106,22 +110,22 @@
       [this](int sender, const std::string& body) { planner_->OnPeerMessage(sender, body); },
       &counters_.peers);
   std::string reason;
-  if (!peers_->Open(inherited_.peer_socket, config_.peer_listen, config_.peers, config_.peers_all,
-                    &reason)) {
+  if (!peers_->Open(inherited_state_.peer_socket, config_.peer_listen, config_.peers,
+                    config_.peers_all, &reason)) {
     return MakeError(ErrorCode::kUnavailable, reason);
   }
   return {};
 }
 
-void Node::MakeDiscovery(std::uint64_t seed) {
+void Node::CreateDiscovery(std::uint64_t seed) {
   Discovery::Hooks hooks;
   hooks.known = [this](balancing::EndpointListKind kind, const ServerList& list) {
-    OnList(kind, list);
+    OnEndpointList(kind, list);
   };
   hooks.unavailable = [this] {
     planner_->OnEndpointsUpdated(balancing::EndpointListKind::kUnavailable, {});
     if (initial_list_gate_) initial_list_gate_->OnPollFailed();
-    AcceptOnceListed();
+    AcceptOnceListReceived();
   };
   discovery_ = std::make_unique<Discovery>(
       &loop_,
@@ -136,20 +140,20 @@
 }
 
 void Node::ImportInheritedState() {
-  planner_->ImportState(inherited_.known, inherited_.learned,
-                        MapClasses(config_.classes, inherited_.classes));
-  for (const std::string& id : inherited_.ids) planner_->MarkWireIdUsed(id);
+  planner_->ImportState(inherited_state_.known, inherited_state_.learned,
+                        MapClasses(config_.classes, inherited_state_.classes));
+  for (const std::string& id : inherited_state_.ids) planner_->MarkWireIdUsed(id);
 }
 
 // ---- endpoint lists ----
 
-void Node::AwaitFirstList() {
+void Node::AwaitInitialList() {
   initial_list_gate_.emplace(discovery_->Crowd(), loop_.Now());
   forwarder_->SetAccepting(false);
-  loop_.deadlines().At(initial_list_gate_->until(), [this] { AcceptOnceListed(); });
+  loop_.deadlines().At(initial_list_gate_->until(), [this] { AcceptOnceListReceived(); });
 }
 
-void Node::AcceptOnceListed() {
+void Node::AcceptOnceListReceived() {
   if (!initial_list_gate_ || !initial_list_gate_->Ready(loop_.Now())) return;
   initial_list_gate_.reset();
   forwarder_->SetAccepting(true);
@@ -158,34 +162,36 @@
 void Node::SetAddress(const std::string& worker, const std::string& address,
                       std::size_t max_in_flight) {
   if (address.empty()) return;
-  if (pool_) pool_->SetAddress(worker, address, max_in_flight);
-  if (server_) server_->SetAddress(worker, address, max_in_flight);
+  if (worker_pool_) worker_pool_->SetAddress(worker, address, max_in_flight);
+  if (planner_server_) planner_server_->SetAddress(worker, address, max_in_flight);
 }
 
-void Node::OnList(balancing::EndpointListKind kind, const ServerList& list) {
+void Node::OnEndpointList(balancing::EndpointListKind kind, const ServerList& list) {
   counters_.endpoint_lists += 1;
-  for (const ListEntry& e : list.entries) SetAddress(e.member.worker, e.address, e.max_in_flight);
+  for (const ListEntry& entry : list.entries)
+    SetAddress(entry.member.worker, entry.address, entry.max_in_flight);
   if (member_) ApplyPeersMaintenance(list);
   planner_->OnEndpointsUpdated(kind, list.Members());
-  for (const ListEntry& e : list.entries) {
-    const bool gone = e.member.readiness == balancing::Readiness::kGone;
-    if (!member_ || e.member.readiness == balancing::Readiness::kReady) continue;
-    member_->OnWorkerDown(e.member.worker, e.member.started_at_s, gone);
+  for (const ListEntry& entry : list.entries) {
+    const bool gone = entry.member.readiness == balancing::Readiness::kGone;
+    if (!member_ || entry.member.readiness == balancing::Readiness::kReady) continue;
+    member_->OnWorkerDown(entry.member.worker, entry.member.started_at_s, gone);
   }
   if (hot_restart_) hot_restart_->SendWorkersDown();
   if (initial_list_gate_) initial_list_gate_->OnList();
-  AcceptOnceListed();
+  AcceptOnceListReceived();
 }
 
-// Workers that other members hold in maintenance, and that are new here, must get nothing before
-// they are in maintenance here too: they come in as draining.
+// Adds new workers that are in maintenance at other members as draining, so that they get no
+// requests before they are in maintenance here too.
 void Node::ApplyPeersMaintenance(const ServerList& list) {
-  for (const ListEntry& e : list.entries) {
-    if (!member_->InMaintenance(e.member.worker) || planner_->HasWorker(e.member.worker)) continue;
-    balancing::Endpoint draining = e.member;
+  for (const ListEntry& entry : list.entries) {
+    if (!member_->InMaintenance(entry.member.worker) || planner_->HasWorker(entry.member.worker))
+      continue;
+    balancing::Endpoint draining = entry.member;
     draining.readiness = balancing::Readiness::kDraining;
     planner_->OnEndpointsUpdated(balancing::EndpointListKind::kIncremental, {draining});
-    SetMaintenance(e.member.worker, true);
+    SetMaintenance(entry.member.worker, true);
   }
 }
 
--- a/src/node/node_reload.cpp
+++ b/src/node/node_reload.cpp
@@ -1,4 +1,4 @@
-// A node's configuration, read again while it runs.
+// Hot reload of a node's configuration.
 #include <algorithm>
 #include <utility>
 
@@ -9,40 +9,42 @@
 namespace millethollow {
 namespace {
 
-// Requests of a class that a reload ends are still accepted for so long: clients have sent them.
-constexpr double kOldNamesS = 1.2;
+// Time for which requests of a class that a reload has removed are still accepted, since clients
+// may have sent them already.
+constexpr double kRemovedClassGraceS = 1.2;
 
 }  // namespace
 
 void Node::Reload() {
-  Config fresh = config_;
+  Config new_config = config_;
   std::string reason;
-  ServerList known;
-  ClassChanges changes;
-  // Without discovery the configuration has the endpoint list.
-  const bool fixed_list = planner_ && !discovery_ && fresh.discovery.empty();
-  const auto in_use = [this](int cls) {
-    return (planner_ && planner_->IsClassInUse(cls)) || (forwarder_ && forwarder_->InUse(cls));
+  ServerList endpoint_list;
+  ClassChanges class_changes;
+  // Without discovery, the endpoint list is part of the configuration.
+  const bool fixed_list = planner_ && !discovery_ && new_config.discovery.empty();
+  const auto class_in_use = [this](int class_index) {
+    return (planner_ && planner_->IsClassInUse(class_index)) ||
+           (forwarder_ && forwarder_->InUse(class_index));
   };
-  if (!ReloadConfig(config_path_, in_use, &fresh, &changes, &reason) ||
-      (fixed_list && fresh.known != "{}" &&
-       !ReadServerList(fresh.known, config_.zones, config_.kinds, &known, &reason))) {
+  if (!ReloadConfig(config_path_, class_in_use, &new_config, &class_changes, &reason) ||
+      (fixed_list && new_config.known != "{}" &&
+       !ReadServerList(new_config.known, config_.zones, config_.kinds, &endpoint_list, &reason))) {
     LogLine(Level::kError) << "config-rejected reason=\"" << reason << '"';
     counters_.reload_errors += 1;
     return;
   }
   counters_.reloads += 1;
-  const Config before = std::exchange(config_, std::move(fresh));
+  const Config old_config = std::exchange(config_, std::move(new_config));
   LogLevel() = ParseLogLevel(config_.log_level);
   LogLine(Level::kInfo) << "config-reloaded name=" << config_.name;
   if (member_) ApplyQuotas();
   if (planner_) {
     planner_->Configure(config_.scheduling);
-    planner_->Configure(config_.settings, config_.classes, config_.live, changes.begun);
+    planner_->Configure(config_.settings, config_.classes, config_.live, class_changes.begun);
   }
-  if (front_) ApplyToClients(before);
+  if (client_front_) ApplyNamesToFront(old_config);
   if (discovery_) discovery_->Move(config_.discovery);
-  if (fixed_list) OnList(balancing::EndpointListKind::kSnapshot, known);
+  if (fixed_list) OnEndpointList(balancing::EndpointListKind::kSnapshot, endpoint_list);
 }
 
 void Node::ApplyQuotas() {
@@ -51,18 +53,19 @@
   member_->SetQuotas(quotas);
 }
 
-void Node::ApplyToClients(const Config& before) {
+void Node::ApplyNamesToFront(const Config& old_config) {
   http::Names names = ActiveNames();
-  for (std::size_t c = 0; c < before.classes.size(); ++c) {
+  for (std::size_t index = 0; index < old_config.classes.size(); ++index) {
     const bool replaced = std::find(names.classes.begin(), names.classes.end(),
-                                    before.classes[c]) != names.classes.end();
-    if (before.live[c] && !config_.live[c] && !replaced) names.classes[c] = before.classes[c];
+                                    old_config.classes[index]) != names.classes.end();
+    if (old_config.live[index] && !config_.live[index] && !replaced)
+      names.classes[index] = old_config.classes[index];
   }
-  front_->SetNames(std::move(names));
-  loop_.deadlines().Drop(&old_names_);
-  old_names_ = loop_.deadlines().At(loop_.Now() + kOldNamesS, [this] {
-    old_names_ = Deadlines::kNone;
-    front_->SetNames(ActiveNames());
+  client_front_->SetNames(std::move(names));
+  loop_.deadlines().Drop(&removed_classes_timer_);
+  removed_classes_timer_ = loop_.deadlines().At(loop_.Now() + kRemovedClassGraceS, [this] {
+    removed_classes_timer_ = Deadlines::kNone;
+    client_front_->SetNames(ActiveNames());
   });
 }
 
--- a/src/node/supervisor.cpp
+++ b/src/node/supervisor.cpp
@@ -14,7 +14,8 @@
 namespace millethollow {
 namespace {
 
-// A process that ends so often in a row, each time within kQuickExitS, is not started again.
+// A process that exits this many times in a row, each time within kQuickExitS seconds of its start,
+// is not restarted.
 constexpr int kMaxQuickExits = 5;
 constexpr std::time_t kQuickExitS = 2;
 
@@ -44,12 +45,12 @@
     sigset_t handled;
     sigemptyset(&handled);
     for (const int signal : kSignals) sigaddset(&handled, signal);
-    sigprocmask(SIG_BLOCK, &handled, &mask_before_);
+    sigprocmask(SIG_BLOCK, &handled, &original_mask_);
     for (Child& child : children_) Start(&child);
     while (AnyRunning()) {
       if (!OnSignal(sigwaitinfo(&handled, nullptr))) continue;
       ReapChildren();
-      StopPlannersOnceAlone();
+      StopPlannersOnceForwardersExited();
     }
     return exit_status_;
   }
@@ -59,8 +60,8 @@
     child->started_at = std::time(nullptr);
     child->pid = fork();
     if (child->pid == 0) {
-      prctl(PR_SET_PDEATHSIG, SIGTERM);  // no child outlives a supervisor that is killed
-      sigprocmask(SIG_SETMASK, &mask_before_, nullptr);
+      prctl(PR_SET_PDEATHSIG, SIGTERM);  // stops the child if the supervisor is killed
+      sigprocmask(SIG_SETMASK, &original_mask_, nullptr);
       _exit(run_(child->role));
     }
     if (child->pid < 0) {
@@ -79,12 +80,12 @@
     Signal(Role::Kind::kForwarder, signal);
   }
 
-  // False: a reload was refused, and nothing else is to be done.
+  // Returns false if a reload was rejected.
   bool OnSignal(int signal) {
     if (signal == SIGUSR1) {
       SignalAll(SIGUSR1);
     } else if (signal == SIGHUP) {
-      // Checked here, so that a bad file gives one log line and not one from each process.
+      // Checked here, so that an invalid file is logged once and not by each process.
       if (!reload_()) return false;
       SignalAll(SIGHUP);
     } else if (signal == SIGTERM || signal == SIGINT) {
@@ -101,8 +102,9 @@
   void ReapChildren() {
     int status = 0;
     for (pid_t pid = waitpid(-1, &status, WNOHANG); pid > 0; pid = waitpid(-1, &status, WNOHANG)) {
-      const auto child = std::find_if(children_.begin(), children_.end(),
-                                      [pid](const Child& c) { return c.pid == pid; });
+      const auto child =
+          std::find_if(children_.begin(), children_.end(),
+                       [pid](const Child& candidate) { return candidate.pid == pid; });
       if (child != children_.end()) OnExit(&*child);
     }
   }
@@ -115,14 +117,15 @@
     const bool quick = std::time(nullptr) - child->started_at < kQuickExitS;
     child->quick_exits = quick ? child->quick_exits + 1 : 0;
     if (child->quick_exits < kMaxQuickExits) return Start(child);
-    exit_status_ = 1;  // whoever started the supervisor learns of it
+    exit_status_ = 1;  // reports the failure to the supervisor's parent process
     BeginStop();
   }
 
-  void StopPlannersOnceAlone() {
-    const bool forwarders_gone = std::none_of(
-        children_.begin(), children_.end(),
-        [](const Child& c) { return c.role.kind == Role::Kind::kForwarder && c.pid > 0; });
+  void StopPlannersOnceForwardersExited() {
+    const bool forwarders_gone =
+        std::none_of(children_.begin(), children_.end(), [](const Child& child) {
+          return child.role.kind == Role::Kind::kForwarder && child.pid > 0;
+        });
     if (!stopping_ || !forwarders_gone || planners_stopped_) return;
     planners_stopped_ = true;
     Signal(Role::Kind::kPlanner, SIGTERM);
@@ -130,13 +133,13 @@
 
   bool AnyRunning() const {
     return std::any_of(children_.begin(), children_.end(),
-                       [](const Child& c) { return c.pid > 0; });
+                       [](const Child& child) { return child.pid > 0; });
   }
 
   const std::function<int(Role)>& run_;
   const std::function<bool()>& reload_;
   std::vector<Child> children_;
-  sigset_t mask_before_{};
+  sigset_t original_mask_{};
   bool stopping_ = false, planners_stopped_ = false;
   int exit_status_ = 0;
 };
