--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -1,4 +1,4 @@
-// The core without any wire: deadlines, the ledger and its last-line checks.
+// Tests of the planner, the deadlines, discovery and the configuration, without client connections.
 #include "core/planner.h"
 
 #include <gtest/gtest.h>
@@ -10,43 +10,43 @@
 namespace millethollow {
 namespace {
 
-TEST(Deadlines, SweepInOrderAndLeaveWhatIsSetMeanwhile) {
+TEST(Deadlines, RunsDueTimersInOrderAndDefersThoseSetDuringTheSweep) {
   Deadlines deadlines;
-  std::string ran;
-  deadlines.At(2, [&] { ran += "b"; });
+  std::string order;
+  deadlines.At(2, [&] { order += "b"; });
   deadlines.At(1, [&] {
-    ran += "a";
-    deadlines.At(1, [&] { ran += "d"; });
+    order += "a";
+    deadlines.At(1, [&] { order += "d"; });
   });
-  auto dropped = deadlines.At(1.5, [&] { ran += "x"; });
-  deadlines.At(3, [&] { ran += "c"; });
-  deadlines.Drop(&dropped);
+  auto cancelled_timer = deadlines.At(1.5, [&] { order += "x"; });
+  deadlines.At(3, [&] { order += "c"; });
+  deadlines.Drop(&cancelled_timer);
   deadlines.Sweep(2);
-  EXPECT_EQ(ran, "ab");
+  EXPECT_EQ(order, "ab");
   EXPECT_EQ(*deadlines.Next(), 1);
   deadlines.Sweep(3);
-  EXPECT_EQ(ran, "abdc");
+  EXPECT_EQ(order, "abdc");
 }
 
-// Callbacks that never stop coming once kept a turn from its end, and every deadline from its
-// sweep.
+// Guards against starvation of the timers: callbacks that trigger each other without end used to
+// keep a turn of the loop from ending, so that deadlines were never swept.
 TEST(Loop, SweepsDeadlinesUnderSteadyLoad) {
   Loop loop;
-  bufferevent* busy = bufferevent_socket_new(loop.base(), -1, BEV_OPT_DEFER_CALLBACKS);
-  const auto again = [](bufferevent* b, void*) {
-    bufferevent_trigger(b, EV_READ, BEV_TRIG_IGNORE_WATERMARKS);
+  bufferevent* busy_event = bufferevent_socket_new(loop.base(), -1, BEV_OPT_DEFER_CALLBACKS);
+  const auto trigger_again = [](bufferevent* event, void*) {
+    bufferevent_trigger(event, EV_READ, BEV_TRIG_IGNORE_WATERMARKS);
   };
-  bufferevent_setcb(busy, again, nullptr, nullptr, nullptr);
-  again(busy, nullptr);
+  bufferevent_setcb(busy_event, trigger_again, nullptr, nullptr, nullptr);
+  trigger_again(busy_event, nullptr);
   bool swept = false;
   loop.deadlines().At(loop.Now() + 0.01, [&] { swept = true; });
   EXPECT_TRUE(TurnUntil(loop, [&] { return swept; }));
-  bufferevent_setcb(busy, nullptr, nullptr, nullptr, nullptr);
-  bufferevent_free(busy);
-  loop.Turn();  // a callback still under way holds it until then
+  bufferevent_setcb(busy_event, nullptr, nullptr, nullptr, nullptr);
+  bufferevent_free(busy_event);
+  loop.Turn();  // frees the event, which a pending callback keeps alive
 }
 
-struct Port : ForwarderPort {
+struct RecordingForwarderPort : ForwarderPort {
   struct Sent {
     RequestId id;
     int attempt;
@@ -57,7 +57,7 @@
   }
   void Cancel(RequestId, int) override { ++cancelled; }
   void Probe(const std::string&) override {}
-  void Answer(RequestId, const FinalAnswer& a) override { answers.push_back(a); }
+  void Answer(RequestId, const FinalAnswer& answer) override { answers.push_back(answer); }
   std::vector<Sent> sent;
   std::vector<FinalAnswer> answers;
   int cancelled = 0;
@@ -71,244 +71,256 @@
     ServerList list;
     EXPECT_TRUE(ReadServerList(config.known, config.zones, config.kinds, &list, &error));
     planner = std::make_unique<Planner>(config.settings, 1, &deadlines, this, &counters);
-    number = planner->AddForwarder(&port, true);
+    forwarder = planner->AddForwarder(&port, true);
     planner->Start(list.Members());
   }
   double Now() override { return now; }
   bool EndpointsOverdue() override { return overdue; }
-  RequestId Take(int cls, double timeout = 5) {
-    Request e;
-    e.id = number << kForwarderShift | ++last;
-    e.class_index = cls;
-    e.expires_at = now + timeout;
-    planner->OnRequest(e);
-    return e.id;
+  RequestId SubmitRequest(int class_index, double timeout_s = 5) {
+    Request request;
+    request.id = forwarder << kForwarderShift | ++last_request;
+    request.class_index = class_index;
+    request.expires_at = now + timeout_s;
+    planner->OnRequest(request);
+    return request.id;
   }
   double now = 1000;
   bool overdue = false;
   Config config;
   Deadlines deadlines;
   Counters counters;
-  Port port;
-  std::uint64_t number = 0, last = 0;
+  RecordingForwarderPort port;
+  std::uint64_t forwarder = 0, last_request = 0;
   std::unique_ptr<Planner> planner;
 };
 
-// Sends by a list that is overdue wait for the next word of it, and go to no server that it ends.
-// Who left meanwhile, or ran out of time, was never sent.
-TEST(Planner, SendsWaitForAListThatIsOverdue) {
-  PlannerHarness w;
-  w.overdue = true;
-  const RequestId stays = w.Take(0), leaves = w.Take(0);
-  w.Take(1, 0.5);
-  ASSERT_EQ(w.port.sent.size(), 0u);
-  w.planner->OnRequestCancelled(leaves);
-  w.now += 0.6;
-  w.deadlines.Sweep(w.now);
-  ASSERT_EQ(w.port.answers.size(), 1u);
-  EXPECT_EQ(w.port.answers[0].kind, FinalAnswer::Kind::kRejected);
+// While the endpoint list is overdue, attempts wait for the next update. They are then not sent to
+// workers that it lists as draining, nor for requests that were cancelled or have expired
+// meanwhile.
+TEST(Planner, DefersAttemptsWhileTheEndpointListIsOverdue) {
+  PlannerHarness harness;
+  harness.overdue = true;
+  const RequestId kept_request = harness.SubmitRequest(0),
+                  cancelled_request = harness.SubmitRequest(0);
+  harness.SubmitRequest(1, 0.5);
+  ASSERT_EQ(harness.port.sent.size(), 0u);
+  harness.planner->OnRequestCancelled(cancelled_request);
+  harness.now += 0.6;
+  harness.deadlines.Sweep(harness.now);
+  ASSERT_EQ(harness.port.answers.size(), 1u);
+  EXPECT_EQ(harness.port.answers[0].kind, FinalAnswer::Kind::kRejected);
   std::vector<balancing::Endpoint> list;
   for (const char* name : {"w0", "w1", "w2"}) {
     list.push_back({.worker = name});
     if (list.size() < 3) list.back().readiness = balancing::Readiness::kDraining;
   }
-  w.planner->OnEndpointsUpdated(balancing::EndpointListKind::kIncremental, list);
-  EXPECT_EQ(w.port.sent.size(), 0u) << "still overdue";
-  w.overdue = false;
-  w.planner->OnEndpointsUpdated(balancing::EndpointListKind::kUnavailable, {});
-  ASSERT_EQ(w.port.sent.size(), 1u);
-  EXPECT_EQ(w.port.sent[0].id, stays);
-  EXPECT_EQ(w.port.sent[0].worker, "w2");
+  harness.planner->OnEndpointsUpdated(balancing::EndpointListKind::kIncremental, list);
+  EXPECT_EQ(harness.port.sent.size(), 0u) << "still overdue";
+  harness.overdue = false;
+  harness.planner->OnEndpointsUpdated(balancing::EndpointListKind::kUnavailable, {});
+  ASSERT_EQ(harness.port.sent.size(), 1u);
+  EXPECT_EQ(harness.port.sent[0].id, kept_request);
+  EXPECT_EQ(harness.port.sent[0].worker, "w2");
 }
 
 TEST(Planner, GivesExactlyOneFinalAnswer) {
-  PlannerHarness w;
-  const RequestId id = w.Take(0);
-  ASSERT_EQ(w.port.sent.size(), 1u);
-  w.planner->OnAttemptEnded(id, 0, {.status = AttemptStatus::kSucceeded});
-  w.planner->OnAttemptEnded(id, 0, {.status = AttemptStatus::kSucceeded});
-  w.planner->OnRequestCancelled(id);
-  w.now += 10;
-  w.deadlines.Sweep(w.now);
-  ASSERT_EQ(w.port.answers.size(), 1u);
-  EXPECT_EQ(w.port.answers[0].kind, FinalAnswer::Kind::kCompleted);
-  EXPECT_EQ(w.planner->open_requests(), 0u);
+  PlannerHarness harness;
+  const RequestId id = harness.SubmitRequest(0);
+  ASSERT_EQ(harness.port.sent.size(), 1u);
+  harness.planner->OnAttemptEnded(id, 0, {.status = AttemptStatus::kSucceeded});
+  harness.planner->OnAttemptEnded(id, 0, {.status = AttemptStatus::kSucceeded});
+  harness.planner->OnRequestCancelled(id);
+  harness.now += 10;
+  harness.deadlines.Sweep(harness.now);
+  ASSERT_EQ(harness.port.answers.size(), 1u);
+  EXPECT_EQ(harness.port.answers[0].kind, FinalAnswer::Kind::kCompleted);
+  EXPECT_EQ(harness.planner->open_requests(), 0u);
 }
 
-// Two requests of one name could not be told apart at a worker, whichever forwarder has them.
-TEST(Planner, RejectsTheNameOfAnotherRequest) {
-  PlannerHarness w;
-  Port other;
-  const std::uint64_t second = w.planner->AddForwarder(&other, false);
-  Request e;
-  e.wire_id = "one";
-  e.expires_at = w.now + 5;
-  e.id = w.number << kForwarderShift | 1;
-  w.planner->OnRequest(e);
-  const std::size_t sent = w.port.sent.size();
-  ASSERT_EQ(sent, 1u);
-  e.id = second << kForwarderShift | 1;
-  w.planner->OnRequest(e);
-  ASSERT_EQ(other.answers.size(), 1u);
-  EXPECT_EQ(other.answers[0].kind, FinalAnswer::Kind::kDuplicateId);
-  EXPECT_TRUE(w.port.answers.empty());
-  EXPECT_TRUE(other.sent.empty());
-  w.planner->OnAttemptEnded(w.port.sent[0].id, 0, {.status = AttemptStatus::kSucceeded});
-  w.planner->OnRequest(e);  // names are new for each: a worker would turn this one away
-  EXPECT_EQ(other.answers.size(), 2u);
-  EXPECT_TRUE(other.sent.empty());
+// Workers identify requests by their wire id, so that two requests of different forwarders must not
+// use the same one.
+TEST(Planner, RejectsAWireIdInUse) {
+  PlannerHarness harness;
+  RecordingForwarderPort second_port;
+  const std::uint64_t second_forwarder = harness.planner->AddForwarder(&second_port, false);
+  Request request;
+  request.wire_id = "one";
+  request.expires_at = harness.now + 5;
+  request.id = harness.forwarder << kForwarderShift | 1;
+  harness.planner->OnRequest(request);
+  const std::size_t sent_before = harness.port.sent.size();
+  ASSERT_EQ(sent_before, 1u);
+  request.id = second_forwarder << kForwarderShift | 1;
+  harness.planner->OnRequest(request);
+  ASSERT_EQ(second_port.answers.size(), 1u);
+  EXPECT_EQ(second_port.answers[0].kind, FinalAnswer::Kind::kDuplicateId);
+  EXPECT_TRUE(harness.port.answers.empty());
+  EXPECT_TRUE(second_port.sent.empty());
+  harness.planner->OnAttemptEnded(harness.port.sent[0].id, 0,
+                                  {.status = AttemptStatus::kSucceeded});
+  // Also after the first request has ended, since a worker would reject the id.
+  harness.planner->OnRequest(request);
+  EXPECT_EQ(second_port.answers.size(), 2u);
+  EXPECT_TRUE(second_port.sent.empty());
 }
 
-TEST(Planner, EndsTheAttemptAndAnswersAtExpiry) {
-  for (const int cls : {0, 1}) {
-    PlannerHarness w;
-    w.Take(cls, 0.5);
-    w.now += 0.5;
-    w.deadlines.Sweep(w.now);
-    EXPECT_EQ(w.port.cancelled, 1);
-    ASSERT_EQ(w.port.answers.size(), 1u);
-    EXPECT_EQ(w.port.answers[0].kind,
-              cls == 0 ? FinalAnswer::Kind::kRejected : FinalAnswer::Kind::kFailed);
-    EXPECT_EQ(w.planner->open_requests(), 0u);
+TEST(Planner, CancelsTheAttemptAndAnswersAtExpiry) {
+  for (const int class_index : {0, 1}) {
+    PlannerHarness harness;
+    harness.SubmitRequest(class_index, 0.5);
+    harness.now += 0.5;
+    harness.deadlines.Sweep(harness.now);
+    EXPECT_EQ(harness.port.cancelled, 1);
+    ASSERT_EQ(harness.port.answers.size(), 1u);
+    EXPECT_EQ(harness.port.answers[0].kind,
+              class_index == 0 ? FinalAnswer::Kind::kRejected : FinalAnswer::Kind::kFailed);
+    EXPECT_EQ(harness.planner->open_requests(), 0u);
   }
 }
 
-TEST(Planner, SendsNothingWhereAllAreToldToDrainOrMissingFromAFullList) {
-  PlannerHarness w;
-  w.planner->OnEndpointsUpdated(balancing::EndpointListKind::kSnapshot, {});
-  w.now += 3;
-  w.Take(0);
-  EXPECT_TRUE(w.port.sent.empty());
-  ASSERT_EQ(w.port.answers.size(), 1u);
-  EXPECT_EQ(w.port.answers[0].kind, FinalAnswer::Kind::kRejected);
-  EXPECT_LE(w.port.answers[0].retry_after_s, w.config.settings.max_retry_after_s);
+TEST(Planner, SendsNothingToWorkersMissingFromAFullList) {
+  PlannerHarness harness;
+  harness.planner->OnEndpointsUpdated(balancing::EndpointListKind::kSnapshot, {});
+  harness.now += 3;
+  harness.SubmitRequest(0);
+  EXPECT_TRUE(harness.port.sent.empty());
+  ASSERT_EQ(harness.port.answers.size(), 1u);
+  EXPECT_EQ(harness.port.answers[0].kind, FinalAnswer::Kind::kRejected);
+  EXPECT_LE(harness.port.answers[0].retry_after_s, harness.config.settings.max_retry_after_s);
 }
 
-// Workers replaced under new names, as each deploy does: the planner forgets with the module, and
-// keeps the one with a request out and the one out by hand.
-TEST(Planner, ForgetsWorkersGoneLongAgoButNotOneInUseOrOutByHand) {
-  PlannerHarness w;
-  const RequestId id = w.Take(0, 1e6);
-  ASSERT_EQ(w.port.sent.size(), 1u);
-  const std::string busy = w.port.sent[0].worker;
+// Guards against unbounded growth where each deployment replaces workers under new names: the
+// planner erases workers when the balancer does, except for one with an attempt in flight and one
+// in maintenance.
+TEST(Planner, ErasesWorkersGoneLongAgoExceptOnesInUseOrInMaintenance) {
+  PlannerHarness harness;
+  const RequestId id = harness.SubmitRequest(0, 1e6);
+  ASSERT_EQ(harness.port.sent.size(), 1u);
+  const std::string busy_worker = harness.port.sent[0].worker;
   std::vector<balancing::Endpoint> list;
-  for (const Planner::WorkerSnapshot& k : w.planner->ExportWorkers()) list.push_back(k.endpoint);
-  const std::string by_hand = list[0].worker == busy ? list[1].worker : list[0].worker;
-  ASSERT_TRUE(w.planner->SetMaintenance(by_hand, true));
+  for (const Planner::WorkerSnapshot& snapshot : harness.planner->ExportWorkers())
+    list.push_back(snapshot.endpoint);
+  const std::string in_maintenance =
+      list[0].worker == busy_worker ? list[1].worker : list[0].worker;
+  ASSERT_TRUE(harness.planner->SetMaintenance(in_maintenance, true));
   for (int i = 0; i < 2000; ++i) {  // one replaced every 10 s, for 20,000 s
-    w.now += 10;
+    harness.now += 10;
     list.erase(list.begin());
-    balancing::Endpoint m;
-    m.worker = "127.0.1." + std::to_string(i % 250) + ":" + std::to_string(1000 + i);
-    list.push_back(m);
-    w.planner->OnEndpointsUpdated(balancing::EndpointListKind::kSnapshot, list);
+    balancing::Endpoint endpoint;
+    endpoint.worker = "127.0.1." + std::to_string(i % 250) + ":" + std::to_string(1000 + i);
+    list.push_back(endpoint);
+    harness.planner->OnEndpointsUpdated(balancing::EndpointListKind::kSnapshot, list);
   }
-  const std::vector<Planner::WorkerSnapshot> known = w.planner->ExportWorkers();
-  EXPECT_LE(known.size(), 3u + 300 / 10 + 1 + 2);  // listed, gone within 300 s, busy, by hand
-  const auto has = [&](const std::string& name) {
-    return std::any_of(known.begin(), known.end(),
-                       [&](const Planner::WorkerSnapshot& k) { return k.endpoint.worker == name; });
+  const std::vector<Planner::WorkerSnapshot> known = harness.planner->ExportWorkers();
+  // Listed, gone for less than 300 s, busy, in maintenance.
+  EXPECT_LE(known.size(), 3u + 300 / 10 + 1 + 2);
+  const auto is_known = [&](const std::string& name) {
+    return std::any_of(known.begin(), known.end(), [&](const Planner::WorkerSnapshot& snapshot) {
+      return snapshot.endpoint.worker == name;
+    });
   };
-  EXPECT_TRUE(has(busy));
-  EXPECT_TRUE(has(by_hand));
-  w.planner->OnAttemptEnded(id, 0, {.status = AttemptStatus::kSucceeded});
-  w.now += 10;
-  list.push_back({.worker = "127.0.2.1:1000"});  // a new one takes the place that the module frees
-  w.planner->OnEndpointsUpdated(balancing::EndpointListKind::kSnapshot, list);
-  const std::vector<Planner::WorkerSnapshot> after = w.planner->ExportWorkers();
-  EXPECT_FALSE(std::any_of(after.begin(), after.end(), [&](const Planner::WorkerSnapshot& k) {
-    return k.endpoint.worker == busy;
-  }));
+  EXPECT_TRUE(is_known(busy_worker));
+  EXPECT_TRUE(is_known(in_maintenance));
+  harness.planner->OnAttemptEnded(id, 0, {.status = AttemptStatus::kSucceeded});
+  harness.now += 10;
+  list.push_back({.worker = "127.0.2.1:1000"});  // takes the place that the balancer frees
+  harness.planner->OnEndpointsUpdated(balancing::EndpointListKind::kSnapshot, list);
+  const std::vector<Planner::WorkerSnapshot> known_after_end = harness.planner->ExportWorkers();
+  EXPECT_FALSE(std::any_of(known_after_end.begin(), known_after_end.end(),
+                           [&](const Planner::WorkerSnapshot& snapshot) {
+                             return snapshot.endpoint.worker == busy_worker;
+                           }));
 }
 
-// Names of ended requests are remembered 4,096 at most: the last 4,096 are refused, the one before
-// them may come again.
-TEST(Planner, RemembersTheLast4096NamesAndNoMore) {
-  PlannerHarness w;
-  const auto take = [&](int n) {
-    Request e;
-    e.id = w.number << kForwarderShift | ++w.last;
-    e.wire_id = "r" + std::to_string(n);
-    e.expires_at = w.now + 5;
-    const std::size_t answers = w.port.answers.size();
-    w.planner->OnRequest(e);
-    if (w.port.answers.size() > answers &&
-        w.port.answers.back().kind == FinalAnswer::Kind::kDuplicateId) {
-      return false;  // refused as a name already used
+// The wire ids of the last 4,096 ended requests are rejected; the one before them may be used
+// again.
+TEST(Planner, ReservesTheWireIdsOfTheLast4096EndedRequests) {
+  PlannerHarness harness;
+  const auto submit = [&](int serial) {
+    Request request;
+    request.id = harness.forwarder << kForwarderShift | ++harness.last_request;
+    request.wire_id = "r" + std::to_string(serial);
+    request.expires_at = harness.now + 5;
+    const std::size_t answers = harness.port.answers.size();
+    harness.planner->OnRequest(request);
+    if (harness.port.answers.size() > answers &&
+        harness.port.answers.back().kind == FinalAnswer::Kind::kDuplicateId) {
+      return false;
     }
-    w.planner->OnAttemptEnded(e.id, 0, {.status = AttemptStatus::kSucceeded});
-    w.now += 0.01;
+    harness.planner->OnAttemptEnded(request.id, 0, {.status = AttemptStatus::kSucceeded});
+    harness.now += 0.01;
     return true;
   };
-  for (int n = 0; n <= 4096; ++n) ASSERT_TRUE(take(n)) << n;
-  EXPECT_FALSE(take(1));  // among the last 4,096
-  EXPECT_FALSE(take(4096));
-  EXPECT_TRUE(take(0));  // the 4,097th from the end: forgotten
+  for (int serial = 0; serial <= 4096; ++serial) ASSERT_TRUE(submit(serial)) << serial;
+  EXPECT_FALSE(submit(1));  // among the last 4,096
+  EXPECT_FALSE(submit(4096));
+  EXPECT_TRUE(submit(0));  // the 4,097th from the end: available again
 }
 
-TEST(Planner, ALostForwardersRequestsAreClosed) {
-  PlannerHarness w;
-  w.Take(1);
-  w.planner->OnForwarderLost(w.number);
-  EXPECT_EQ(w.planner->open_requests(), 0u);
+TEST(Planner, ClosesTheRequestsOfALostForwarder) {
+  PlannerHarness harness;
+  harness.SubmitRequest(1);
+  harness.planner->OnForwarderLost(harness.forwarder);
+  EXPECT_EQ(harness.planner->open_requests(), 0u);
 }
 
-// A watch that goes on must be asked for within 200 ms, and after a failure the list may not be
-// left unasked for longer than allowed, whether or not the module asks.
-TEST(Discovery, ChainsItsWatchesAndAsksAgainAfterAFailure) {
+// A watch must be renewed within 200 ms, and after a failure the list must be polled within the
+// maximum poll interval even if the balancer does not request it.
+TEST(Discovery, WatchesContinuouslyAndRetriesAfterAFailure) {
   Loop loop;
   ToyWorker server(&loop);
-  std::vector<double> asked;
-  server.act = [&](const ToyWorker::Got& g) {
-    asked.push_back(loop.Now());
-    if (asked.size() == 3) return g.from->Close("test");
-    const std::string body = R"({"version":)" + std::to_string(4 + asked.size()) + R"(,"full":)" +
-                             (asked.size() == 1 ? "true" : "false") +
+  std::vector<double> call_times;
+  server.act = [&](const ToyWorker::Got& call) {
+    call_times.push_back(loop.Now());
+    if (call_times.size() == 3) return call.from->Close("test");
+    const std::string body = R"({"version":)" + std::to_string(4 + call_times.size()) +
+                             R"(,"full":)" + (call_times.size() == 1 ? "true" : "false") +
                              R"(,"servers":[{"id":"w","addr":"127.0.0.1:9"}]})";
-    if (asked.size() < 4) {
-      g.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
-                    "\r\n\r\n" + body);
+    if (call_times.size() < 4) {
+      call.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
+                       "\r\n\r\n" + body);
     }
   };
-  std::vector<balancing::EndpointListKind> known;
+  std::vector<balancing::EndpointListKind> list_kinds;
   int unavailable = 0;
   Discovery discovery(
       &loop,
       {.address = server.address(), .max_poll_interval_s = 1, .zones = {}, .kinds = {}, .seed = 3},
-      {.known = [&](balancing::EndpointListKind k, const ServerList&) { known.push_back(k); },
+      {.known = [&](balancing::EndpointListKind kind,
+                    const ServerList&) { list_kinds.push_back(kind); },
        .unavailable = [&] { ++unavailable; }});
   discovery.SetVersion(2);
   discovery.Subscribe(true);
-  ASSERT_TRUE(TurnUntil(loop, [&] { return asked.size() == 4; }));
+  ASSERT_TRUE(TurnUntil(loop, [&] { return call_times.size() == 4; }));
   EXPECT_EQ(server.got[0].head.target, "/catalog/members?after=2&wait_ms=0");
   EXPECT_EQ(server.got[1].head.target, "/catalog/members?after=5&wait_ms=1000");
   EXPECT_EQ(server.got[2].head.target, "/catalog/members?after=6&wait_ms=1000");
-  EXPECT_LT(asked[1] - asked[0], 0.2);
-  EXPECT_LT(asked[2] - asked[1], 0.2);
-  EXPECT_LT(asked[3] - asked[2], 1.0);
-  EXPECT_EQ(known, (std::vector{balancing::EndpointListKind::kSnapshot,
-                                balancing::EndpointListKind::kIncremental}));
+  EXPECT_LT(call_times[1] - call_times[0], 0.2);
+  EXPECT_LT(call_times[2] - call_times[1], 0.2);
+  EXPECT_LT(call_times[3] - call_times[2], 1.0);
+  EXPECT_EQ(list_kinds, (std::vector{balancing::EndpointListKind::kSnapshot,
+                                     balancing::EndpointListKind::kIncremental}));
   EXPECT_EQ(unavailable, 1);
 }
 
-// A discovery that the test answers for, call by call, and one client of it.
-struct Called {
+// A discovery server whose responses the test controls call by call, and a client of it.
+struct DiscoveryHarness {
   Loop loop;
   ToyWorker server{&loop};
-  std::vector<double> asked;
+  std::vector<double> call_times;
   std::vector<std::string> targets;
-  std::vector<balancing::EndpointListKind> known;
+  std::vector<balancing::EndpointListKind> list_kinds;
   int unavailable = 0;
-  std::function<void(const ToyWorker::Got&, std::size_t nth)> act;
+  std::function<void(const ToyWorker::Got&, std::size_t call_number)> on_call;
   std::unique_ptr<Discovery> discovery;
 
-  explicit Called(int nodes, double max_poll_interval_s = 10, std::uint64_t seed = 3,
-                  double drain_grace_s = 2) {
+  explicit DiscoveryHarness(int nodes, double max_poll_interval_s = 10, std::uint64_t seed = 3,
+                            double drain_grace_s = 2) {
     LogLevel() = Level::kError;
-    server.act = [this](const ToyWorker::Got& g) {
-      asked.push_back(loop.Now());
-      targets.push_back(g.head.target);
-      act(g, asked.size());
+    server.act = [this](const ToyWorker::Got& call) {
+      call_times.push_back(loop.Now());
+      targets.push_back(call.head.target);
+      on_call(call, call_times.size());
     };
     discovery = std::make_unique<Discovery>(
         &loop,
@@ -319,8 +331,8 @@
                            .seed = seed,
                            .drain_grace_s = drain_grace_s,
                            .nodes = nodes},
-        Discovery::Hooks{.known = [this](balancing::EndpointListKind k,
-                                         const ServerList&) { known.push_back(k); },
+        Discovery::Hooks{.known = [this](balancing::EndpointListKind kind,
+                                         const ServerList&) { list_kinds.push_back(kind); },
                          .unavailable =
                              [this] {
                                ++unavailable;
@@ -329,168 +341,181 @@
                              }});
     discovery->SetVersion(2);
   }
-  static void Tell(const ToyWorker::Got& g, int version, bool full = false) {
+  static void RespondWithList(const ToyWorker::Got& call, int version, bool full = false) {
     const std::string body = R"({"version":)" + std::to_string(version) + R"(,"full":)" +
                              (full ? "true" : "false") +
                              R"(,"servers":[{"id":"w","addr":"127.0.0.1:9"}]})";
-    g.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
-                  body);
+    call.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
+                     "\r\n\r\n" + body);
   }
-  bool Asked(std::size_t n, double timeout_s = 5) {
+  bool WaitForCalls(std::size_t count, double timeout_s = 5) {
     return TurnUntil(
-        loop, [&] { return asked.size() >= n; }, timeout_s);
+        loop, [&] { return call_times.size() >= count; }, timeout_s);
   }
 };
 
-// Short watches of many nodes once kept discovery so busy that most of their calls failed.
-TEST(Discovery, ManyNodesWatchForLongerAndKeepAwayAfterAFailure) {
-  Called d(48, 1);
-  d.act = [](const ToyWorker::Got& g, std::size_t nth) {
-    if (nth == 1) g.from->Close("test");
-    if (nth == 2) Called::Tell(g, 2);  // nothing new
+// Guards against overload of the discovery server: with short watches of many nodes most of their
+// calls failed.
+TEST(Discovery, UsesLongerWatchesAndBackoffWithManyNodes) {
+  DiscoveryHarness harness(48, 1);
+  harness.on_call = [](const ToyWorker::Got& call, std::size_t call_number) {
+    if (call_number == 1) call.from->Close("test");
+    if (call_number == 2) DiscoveryHarness::RespondWithList(call, 2);  // no change
   };
-  const double began = d.loop.Now();
-  d.discovery->Subscribe(true);
-  ASSERT_TRUE(d.Asked(3));
-  EXPECT_LT(d.asked[0] - began, 3.0);  // all start at once: not all ask at once
-  // The first does not wait, so that it says at once what was missed; then one waits.
-  EXPECT_EQ(d.targets[0], "/catalog/members?after=2&wait_ms=0");
-  EXPECT_GT(d.asked[1] - d.asked[0], 0.45);  // although the module asks sooner
-  EXPECT_EQ(d.targets[1], "/catalog/members?after=2&wait_ms=0");
-  EXPECT_LT(d.asked[2] - d.asked[1], 0.2);  // the watch goes on
+  const double started_at = harness.loop.Now();
+  harness.discovery->Subscribe(true);
+  ASSERT_TRUE(harness.WaitForCalls(3));
+  // Nodes that start together must not all call at once.
+  EXPECT_LT(harness.call_times[0] - started_at, 3.0);
+  // The first call does not wait, so that missed changes arrive at once; a later one waits.
+  EXPECT_EQ(harness.targets[0], "/catalog/members?after=2&wait_ms=0");
+  // The backoff applies although the harness subscribes again sooner.
+  EXPECT_GT(harness.call_times[1] - harness.call_times[0], 0.45);
+  EXPECT_EQ(harness.targets[1], "/catalog/members?after=2&wait_ms=0");
+  EXPECT_LT(harness.call_times[2] - harness.call_times[1], 0.2);  // the watch is renewed
   const std::string watch = "/catalog/members?after=2&wait_ms=";
-  ASSERT_TRUE(d.targets[2].starts_with(watch)) << d.targets[2];
-  const int wait_ms = std::stoi(d.targets[2].substr(watch.size()));
-  EXPECT_GE(wait_ms, 8000);   // not so short that watches alone keep discovery busy
-  EXPECT_LE(wait_ms, 12000);  // nor so long that silence goes unnoticed
-  EXPECT_EQ(d.unavailable, 1);
+  ASSERT_TRUE(harness.targets[2].starts_with(watch)) << harness.targets[2];
+  const int wait_ms = std::stoi(harness.targets[2].substr(watch.size()));
+  EXPECT_GE(wait_ms, 8000);   // not so short that watches overload the server
+  EXPECT_LE(wait_ms, 12000);  // nor so long that a silent server goes unnoticed
+  EXPECT_EQ(harness.unavailable, 1);
 }
 
-// After news the watch goes on at once, in a crowd too: a later call would be a new watch, which
-// many nodes' discovery cannot bear for each change.
-TEST(Discovery, OfManyNodesEachLetsItsWatchGoOnAfterNews) {
-  Called d(300);
-  d.act = [&](const ToyWorker::Got& g, std::size_t nth) {
-    if (nth <= 3) Called::Tell(g, 2 + static_cast<int>(nth));
+// After a change the watch is renewed at once, with many nodes too. A later call would count as a
+// new watch, and the server could not handle a new watch of every node for each change.
+TEST(Discovery, ContinuesTheWatchAfterAChangeWithManyNodes) {
+  DiscoveryHarness harness(300);
+  harness.on_call = [&](const ToyWorker::Got& call, std::size_t call_number) {
+    if (call_number <= 3)
+      DiscoveryHarness::RespondWithList(call, 2 + static_cast<int>(call_number));
   };
-  d.discovery->Subscribe(true);
-  ASSERT_TRUE(d.Asked(4, 8));
+  harness.discovery->Subscribe(true);
+  ASSERT_TRUE(harness.WaitForCalls(4, 8));
   for (std::size_t call = 1; call < 4; ++call) {
-    EXPECT_LT(d.asked[call] - d.asked[call - 1], 0.2) << call;
+    EXPECT_LT(harness.call_times[call] - harness.call_times[call - 1], 0.2) << call;
     const std::string watch = "/catalog/members?after=" + std::to_string(2 + call) + "&wait_ms=";
-    ASSERT_TRUE(d.targets[call].starts_with(watch)) << d.targets[call];
-    EXPECT_GE(std::stoi(d.targets[call].substr(watch.size())), 8000) << call;
+    ASSERT_TRUE(harness.targets[call].starts_with(watch)) << harness.targets[call];
+    EXPECT_GE(std::stoi(harness.targets[call].substr(watch.size())), 8000) << call;
   }
-  EXPECT_FALSE(d.discovery->Overdue());
+  EXPECT_FALSE(harness.discovery->Overdue());
 }
 
-// What changes within 200 ms of an answer counts as told. Where discovery turns away what follows
-// an answer at once, a crowd's next call comes later, and until its answer is here nothing may go
-// by a list that is older than the drain grace.
-TEST(Discovery, OfManyNodesOneWhoseAnswerIsLateSaysThatItsListIsOverdue) {
-  Called d(300);
-  ToyWorker::Got last;
-  d.act = [&](const ToyWorker::Got& g, std::size_t nth) {
-    if (nth == 1) Called::Tell(g, 3);
-    if (nth == 2) g.from->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-    if (nth == 3) Called::Tell(g, 4);
-    last = g;
+// A change within 200 ms after a response counts as known to the node. If the server rejects the
+// call that follows a response, many nodes spread their next calls over a longer time. Until its
+// response has arrived, a list that is older than the drain grace period must be reported as
+// overdue.
+TEST(Discovery, ReportsAnOverdueListWithManyNodes) {
+  DiscoveryHarness harness(300);
+  ToyWorker::Got last_call;
+  harness.on_call = [&](const ToyWorker::Got& call, std::size_t call_number) {
+    if (call_number == 1) DiscoveryHarness::RespondWithList(call, 3);
+    if (call_number == 2) call.from->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+    if (call_number == 3) DiscoveryHarness::RespondWithList(call, 4);
+    last_call = call;
   };
-  d.discovery->Subscribe(true);
-  ASSERT_TRUE(d.Asked(4, 12));  // and this one is not answered yet
-  EXPECT_LT(d.asked[1] - d.asked[0], 0.2);
-  EXPECT_LT(d.asked[3] - d.asked[2], 1.4);
-  EXPECT_GT(d.asked[3] - d.asked[2], 0.2);
-  EXPECT_FALSE(d.discovery->Overdue());
+  harness.discovery->Subscribe(true);
+  ASSERT_TRUE(harness.WaitForCalls(4, 12));  // this one has no response yet
+  EXPECT_LT(harness.call_times[1] - harness.call_times[0], 0.2);
+  EXPECT_LT(harness.call_times[3] - harness.call_times[2], 1.4);
+  EXPECT_GT(harness.call_times[3] - harness.call_times[2], 0.2);
+  EXPECT_FALSE(harness.discovery->Overdue());
   ASSERT_TRUE(TurnUntil(
-      d.loop, [&] { return d.discovery->Overdue(); }, 3));
-  EXPECT_LT(d.loop.Now() - d.asked[2], 2.0);
-  EXPECT_GT(d.loop.Now() - d.asked[2], 1.7);
-  Called::Tell(last, 4);
-  ASSERT_TRUE(TurnUntil(d.loop, [&] { return d.known.size() == 3; }));
-  EXPECT_FALSE(d.discovery->Overdue());
-  ASSERT_TRUE(d.Asked(5));  // nothing new: from here on a watch is out
+      harness.loop, [&] { return harness.discovery->Overdue(); }, 3));
+  EXPECT_LT(harness.loop.Now() - harness.call_times[2], 2.0);
+  EXPECT_GT(harness.loop.Now() - harness.call_times[2], 1.7);
+  DiscoveryHarness::RespondWithList(last_call, 4);
+  ASSERT_TRUE(TurnUntil(harness.loop, [&] { return harness.list_kinds.size() == 3; }));
+  EXPECT_FALSE(harness.discovery->Overdue());
+  ASSERT_TRUE(harness.WaitForCalls(5));  // no change: from now on a watch is open
   EXPECT_FALSE(TurnUntil(
-      d.loop, [&] { return d.discovery->Overdue(); }, 2.2));
+      harness.loop, [&] { return harness.discovery->Overdue(); }, 2.2));
 }
 
-// The same where the drain grace is shorter than the wait until the next call: a worker that ended
-// right after the answer was sent to until that call's answer came. With this seed the wait is 1.59
-// s after two calls turned away.
-TEST(Discovery, OfManyNodesOneThatCallsLaterThanAShortDrainGraceSaysSoToo) {
+// The same if the drain grace period is shorter than the wait until the next call: attempts used to
+// be sent to a worker that ended right after a response until the next response arrived. With this
+// seed the wait is 1.59 s after two rejected calls.
+TEST(Discovery, ReportsAnOverdueListIfTheDrainGraceIsShort) {
   constexpr double kGraceS = 1.5;
-  Called d(300, 10, 2197, kGraceS);
-  ToyWorker::Got last;
-  d.act = [&](const ToyWorker::Got& g, std::size_t nth) {
-    if (nth == 1) Called::Tell(g, 3);
-    if (nth == 2 || nth == 3) g.from->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-    if (nth == 4) Called::Tell(g, 4);
-    last = g;
+  DiscoveryHarness harness(300, 10, 2197, kGraceS);
+  ToyWorker::Got last_call;
+  harness.on_call = [&](const ToyWorker::Got& call, std::size_t call_number) {
+    if (call_number == 1) DiscoveryHarness::RespondWithList(call, 3);
+    if (call_number == 2 || call_number == 3)
+      call.from->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+    if (call_number == 4) DiscoveryHarness::RespondWithList(call, 4);
+    last_call = call;
   };
-  d.discovery->Subscribe(true);
-  ASSERT_TRUE(d.Asked(4, 12));
-  ASSERT_TRUE(TurnUntil(d.loop, [&] { return d.known.size() == 2; }));
-  EXPECT_FALSE(d.discovery->Overdue());
+  harness.discovery->Subscribe(true);
+  ASSERT_TRUE(harness.WaitForCalls(4, 12));
+  ASSERT_TRUE(TurnUntil(harness.loop, [&] { return harness.list_kinds.size() == 2; }));
+  EXPECT_FALSE(harness.discovery->Overdue());
   EXPECT_TRUE(TurnUntil(
-      d.loop, [&] { return d.discovery->Overdue() || d.asked.size() == 5; }, 3));
-  EXPECT_EQ(d.asked.size(), 4U) << "overdue before the next call";
-  EXPECT_LT(d.loop.Now() - d.asked[3], kGraceS);
-  ASSERT_TRUE(d.Asked(5));
-  EXPECT_GT(d.asked[4] - d.asked[3], kGraceS) << "or the case was not met";
-  EXPECT_TRUE(d.discovery->Overdue());
-  Called::Tell(last, 4);
-  ASSERT_TRUE(TurnUntil(d.loop, [&] { return d.known.size() == 3; }));
-  EXPECT_FALSE(d.discovery->Overdue());
+      harness.loop, [&] { return harness.discovery->Overdue() || harness.call_times.size() == 5; },
+      3));
+  EXPECT_EQ(harness.call_times.size(), 4U) << "overdue before the next call";
+  EXPECT_LT(harness.loop.Now() - harness.call_times[3], kGraceS);
+  ASSERT_TRUE(harness.WaitForCalls(5));
+  EXPECT_GT(harness.call_times[4] - harness.call_times[3], kGraceS)
+      << "the wait is too short for this test";
+  EXPECT_TRUE(harness.discovery->Overdue());
+  DiscoveryHarness::RespondWithList(last_call, 4);
+  ASSERT_TRUE(TurnUntil(harness.loop, [&] { return harness.list_kinds.size() == 3; }));
+  EXPECT_FALSE(harness.discovery->Overdue());
 }
 
-// A watch that falls silent is given up soon after its wait, and the next call does not wait.
-TEST(Discovery, ASilentWatchIsFollowedByACallAtOnce) {
+// A watch without a response is abandoned soon after its wait, and the next call does not wait.
+TEST(Discovery, CallsAgainAtOnceAfterASilentWatch) {
   for (const int nodes : {3, 7}) {
-    Called d(nodes);
-    d.act = [](const ToyWorker::Got& g, std::size_t nth) {
-      if (nth != 2) Called::Tell(g, 2);
+    DiscoveryHarness harness(nodes);
+    harness.on_call = [](const ToyWorker::Got& call, std::size_t call_number) {
+      if (call_number != 2) DiscoveryHarness::RespondWithList(call, 2);
     };
-    d.discovery->Subscribe(true);
-    ASSERT_TRUE(d.Asked(3, 8)) << nodes;
-    EXPECT_LT(d.asked[2] - d.asked[1], 6.0) << nodes;  // when what it missed counts as told
-    EXPECT_EQ(d.targets[2], "/catalog/members?after=2&wait_ms=0");
+    harness.discovery->Subscribe(true);
+    ASSERT_TRUE(harness.WaitForCalls(3, 8)) << nodes;
+    // Changes that the watch missed count as known to the node after 6 s.
+    EXPECT_LT(harness.call_times[2] - harness.call_times[1], 6.0) << nodes;
+    EXPECT_EQ(harness.targets[2], "/catalog/members?after=2&wait_ms=0");
   }
 }
 
-// A whole list may have been written before what the watch has told since.
-TEST(Discovery, AWholeListOlderThanTheWatchIsAskedForAgain) {
-  Called d(1);
-  ToyWorker::Got whole{};
-  d.act = [&](const ToyWorker::Got& g, std::size_t) {
-    if (g.head.target == "/catalog/members") {
-      whole.from == nullptr ? void(whole = g) : Called::Tell(g, 7, true);
-    } else if (g.head.target.ends_with("wait_ms=0")) {
-      Called::Tell(g, 6);
+// A full list may have been produced before a change that the watch has reported since.
+TEST(Discovery, FetchesAFullListAgainIfItIsOlderThanTheWatch) {
+  DiscoveryHarness harness(1);
+  ToyWorker::Got full_list_call{};
+  harness.on_call = [&](const ToyWorker::Got& call, std::size_t) {
+    if (call.head.target == "/catalog/members") {
+      full_list_call.from == nullptr ? void(full_list_call = call)
+                                     : DiscoveryHarness::RespondWithList(call, 7, true);
+    } else if (call.head.target.ends_with("wait_ms=0")) {
+      DiscoveryHarness::RespondWithList(call, 6);
     }
   };
-  d.discovery->Fetch();
-  ASSERT_TRUE(d.Asked(1));
-  d.discovery->Subscribe(true);
-  ASSERT_TRUE(TurnUntil(d.loop, [&] { return d.known.size() == 1; }));
-  Called::Tell(whole, 5, true);  // crosses the watch's answer
-  ASSERT_TRUE(TurnUntil(d.loop, [&] { return d.known.size() == 2; }));
-  EXPECT_EQ(d.discovery->version(), 7);
-  EXPECT_EQ(std::count(d.targets.begin(), d.targets.end(), "/catalog/members"), 2);
+  harness.discovery->Fetch();
+  ASSERT_TRUE(harness.WaitForCalls(1));
+  harness.discovery->Subscribe(true);
+  ASSERT_TRUE(TurnUntil(harness.loop, [&] { return harness.list_kinds.size() == 1; }));
+  // Produced before the watch's response, but received after it.
+  DiscoveryHarness::RespondWithList(full_list_call, 5, true);
+  ASSERT_TRUE(TurnUntil(harness.loop, [&] { return harness.list_kinds.size() == 2; }));
+  EXPECT_EQ(harness.discovery->version(), 7);
+  EXPECT_EQ(std::count(harness.targets.begin(), harness.targets.end(), "/catalog/members"), 2);
 }
 
-// A discovery that does not wait, or whose lists have no version, is not called without end.
-TEST(Discovery, OneThatDoesNotWaitIsNotCalledWithoutEnd) {
-  Called d(1);
-  d.act = [](const ToyWorker::Got& g, std::size_t) { Called::Tell(g, 2); };
-  d.discovery->Subscribe(true);
+// A server that does not wait, or whose lists have no version, must not be called in a tight loop.
+TEST(Discovery, LimitsCallsToAServerThatDoesNotWait) {
+  DiscoveryHarness harness(1);
+  harness.on_call = [](const ToyWorker::Got& call, std::size_t) {
+    DiscoveryHarness::RespondWithList(call, 2);
+  };
+  harness.discovery->Subscribe(true);
   TurnUntil(
-      d.loop, [] { return false; }, 0.5);
-  EXPECT_GE(d.asked.size(), 3u);
-  EXPECT_LT(d.asked.size(), 9u);
+      harness.loop, [] { return false; }, 0.5);
+  EXPECT_GE(harness.call_times.size(), 3u);
+  EXPECT_LT(harness.call_times.size(), 9u);
 }
 
-// Indented lists are read, cut ones and numbers that fit nowhere do no harm.
-TEST(Discovery, ReadsIndentedListsAndOutlivesBadOnes) {
+// Indented lists are accepted, truncated ones are rejected, and numbers out of range do no harm.
+TEST(Discovery, ReadsIndentedListsAndRejectsMalformedOnes) {
   ServerList list;
   std::string error;
   EXPECT_TRUE(
@@ -507,7 +532,7 @@
                      {}, {}, &list, &error));
 }
 
-TEST(Config, SaysInOneLineWhatIsWrong) {
+TEST(Config, ReportsErrorsInOneLine) {
   const std::string good = TestConfig({});
   const auto error_of = [](std::string text, const std::string& from, const std::string& to) {
     if (!from.empty()) text.replace(text.find(from), from.size(), to);
@@ -527,7 +552,7 @@
       std::string::npos);
 }
 
-TEST(ServerList, ReadsStatesAndStarts) {
+TEST(ServerList, ReadsStatesAndStartTimes) {
   ServerList list;
   std::string error;
   ASSERT_TRUE(ReadServerList(R"({"version":43,"full":false,"servers":[{"id":"s","addr":"1.2.3.4:5",
