--- a/tests/support/test_dispatcher.h
+++ b/tests/support/test_dispatcher.h
@@ -1,4 +1,4 @@
-// One dispatcher's decision module, driven event by event on a virtual clock.
+// A test driver of one dispatcher's balancer: passes it events one by one, on a virtual clock.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_TEST_DISPATCHER_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_TEST_DISPATCHER_H_
 
@@ -15,31 +15,32 @@
 
 namespace millethollow::balancing {
 
-// Three classes: 0 is idempotent, 1 idempotent with a key within a cell, 2 not idempotent.
+// Settings with three classes: 0 is idempotent, 1 idempotent with a key within a cell, 2 not
+// idempotent.
 inline Settings TestSettings() {
-  Settings s;
-  s.classes.resize(3);
-  s.classes[0].idempotency = Idempotency::kIdempotent;
-  s.classes[1].idempotency = Idempotency::kIdempotentWithKey;
-  s.classes[1].deduplication_scope = DeduplicationScope::kCell;
-  s.classes[1].deduplication_window_s = 4;
-  s.classes[2].idempotency = Idempotency::kNotIdempotent;
-  for (ClassSettings& c : s.classes) {
-    c.latency_objective_s = 0.2;
-    c.client_timeout_s = 5;
+  Settings settings;
+  settings.classes.resize(3);
+  settings.classes[0].idempotency = Idempotency::kIdempotent;
+  settings.classes[1].idempotency = Idempotency::kIdempotentWithKey;
+  settings.classes[1].deduplication_scope = DeduplicationScope::kCell;
+  settings.classes[1].deduplication_window_s = 4;
+  settings.classes[2].idempotency = Idempotency::kNotIdempotent;
+  for (ClassSettings& class_settings : settings.classes) {
+    class_settings.latency_objective_s = 0.2;
+    class_settings.client_timeout_s = 5;
   }
-  s.tick_s = 0.005;
-  s.max_attempts = 4;
-  s.allow_hedging = true;
-  s.slow_start_min_share = 0.1;
-  s.slow_start_s = 20;
-  s.drain_grace_s = 0.5;
-  s.slow_start_load_multiple = 3;
-  s.overload_for_s = 3;
-  return s;
+  settings.tick_s = 0.005;
+  settings.max_attempts = 4;
+  settings.allow_hedging = true;
+  settings.slow_start_min_share = 0.1;
+  settings.slow_start_s = 20;
+  settings.drain_grace_s = 0.5;
+  settings.slow_start_load_multiple = 3;
+  settings.overload_for_s = 3;
+  return settings;
 }
 
-// Workers w0, w1, ..., two in each cell.
+// Returns endpoints of workers w0, w1, ..., two in each cell.
 inline std::vector<Endpoint> MakeEndpoints(int count) {
   std::vector<Endpoint> endpoints;
   for (int i = 0; i < count; ++i) {
@@ -51,6 +52,7 @@
   return endpoints;
 }
 
+// Returns the actions of type T.
 template <typename T>
 std::vector<T> ActionsOf(const Actions& actions) {
   std::vector<T> found;
@@ -60,8 +62,8 @@
   return found;
 }
 
-// Fires the timers that the module sets and records what it does. Fails the test if a request is
-// sent after its final answer or has two.
+// Fires the timers that the balancer sets, and records its actions. Fails the test if an attempt is
+// sent after the request's final answer, or if a request gets two final answers.
 class TestDispatcher {
  public:
   explicit TestDispatcher(const Settings& settings, std::uint64_t seed = 7)
@@ -69,6 +71,7 @@
     Handle(DispatcherStarted{});
   }
 
+  // Passes an event to the balancer, and returns the resulting actions.
   Actions Handle(const Event& event) {
     Actions actions;
     balancer_.Handle(now, event, &actions);
@@ -79,18 +82,20 @@
       attempts[send.id].push_back(send.worker);
       EXPECT_FALSE(final_answers.contains(send.id)) << "sent after its final answer";
     }
-    for (const RejectRequest& r : ActionsOf<RejectRequest>(actions)) Answer(r.id, "rejected");
-    for (const FailRequest& f : ActionsOf<FailRequest>(actions)) Answer(f.id, "failed");
+    for (const RejectRequest& reject : ActionsOf<RejectRequest>(actions))
+      Answer(reject.id, "rejected");
+    for (const FailRequest& fail : ActionsOf<FailRequest>(actions)) Answer(fail.id, "failed");
     return actions;
   }
   Actions UpdateEndpoints(const std::vector<Endpoint>& endpoints,
                           EndpointListKind kind = EndpointListKind::kSnapshot) {
     return Handle(EndpointsUpdated{kind, &endpoints});
   }
-  Actions SendRequest(const std::string& id, int cls = 0, int tenant = 0, double timeout_s = 5) {
+  Actions SendRequest(const std::string& id, int class_index = 0, int tenant = 0,
+                      double timeout_s = 5) {
     RequestArrived event;
     event.id = id;
-    event.cls = cls;
+    event.cls = class_index;
     event.tenant = tenant;
     event.expires_s = now + timeout_s;
     return Handle(event);
@@ -105,17 +110,20 @@
     if (event.terminal) final_answers[id] = "served";
     return Handle(event);
   }
+  // Reports that the worker has started the attempt.
   Actions ReportStart(const std::string& id, int attempt) {
     return Handle(AttemptProgress{id, attempt, ProgressKind::kStarted, 0});
   }
-  // Ends all attempts of a request, those sent meanwhile too, each as `status_of(worker)` says.
+  // Ends all attempts of a request with the status `status_of(worker index)`, including attempts
+  // that are sent meanwhile.
   template <typename StatusOf>
   void EndAllAttempts(const std::string& id, StatusOf status_of) {
-    for (std::size_t a = 0; a < attempts[id].size(); ++a) {
-      EndAttempt(id, static_cast<int>(a), status_of(std::stoi(attempts[id][a].substr(1))));
+    for (std::size_t attempt = 0; attempt < attempts[id].size(); ++attempt) {
+      EndAttempt(id, static_cast<int>(attempt),
+                 status_of(std::stoi(attempts[id][attempt].substr(1))));
     }
   }
-  // Lets time pass and fires the timers that are due. Returns all actions.
+  // Advances the clock and fires the timers that are due. Returns all resulting actions.
   Actions AdvanceTime(double duration_s) {
     Actions all;
     const double until = now + duration_s;
@@ -132,7 +140,7 @@
   std::vector<WorkerView> Workers() const { return balancer_.Workers(); }
 
   double now = 100;                                          // seconds
-  std::map<std::string, std::vector<std::string>> attempts;  // their workers, by request
+  std::map<std::string, std::vector<std::string>> attempts;  // workers of the attempts, by request
   std::map<std::string, std::string> final_answers;          // by request
 
  private:
