--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,5 +1,6 @@
-// Two events that cross, forced: one is in the system already, and the node has not had its turn
-// yet, when the other comes. What docs/audit-findings.md lists under 'Crossings' has its test here.
+// Tests of races between two events: one has reached the kernel, but the node has not processed it
+// yet, when the other one occurs. Covers the races listed under 'Crossings' in
+// docs/audit-findings.md.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -9,79 +10,84 @@
 namespace millethollow {
 namespace {
 
-struct Crossing : testing::Test {
-  // The stand-ins have their turns, the node has none: what they send waits in the system.
-  void HostOnly(double s) {
-    const double until = harness.host.Now() + s;
+struct EventRace : testing::Test {
+  // Runs only the loop of the clients and workers, so that what they send waits in the kernel's
+  // buffers.
+  void RunHostOnly(double duration_s) {
+    const double until = harness.host.Now() + duration_s;
     while (harness.host.Now() < until) {
       harness.host.deadlines().At(harness.host.Now() + 0.001, [] {});
       harness.host.Turn();
     }
   }
-  // The node's deadlines fall due before it has read anything.
-  void SweepOnly() { harness.node->loop().deadlines().Sweep(harness.node->loop().Now()); }
-  std::unique_ptr<RawClient> Resting() {
+  // Runs the node's due timers before the node has read anything.
+  void SweepNodeDeadlinesOnly() {
+    harness.node->loop().deadlines().Sweep(harness.node->loop().Now());
+  }
+  // Returns a client with an idle keep-alive connection.
+  std::unique_ptr<RawClient> IdleClient() {
     auto client = harness.Client();
-    client->Write(Post("rest" + std::to_string(++rested), "look"));
+    client->Write(Post("rest" + std::to_string(++idle_clients), "look"));
     EXPECT_TRUE(harness.Until([&] { return client->in.ends_with("ok"); }));
     client->in.clear();
     return client;
   }
-  // A connection that takes in little at a time, so that an answer stays with the node's system.
-  int Narrow() {
-    const sockaddr_in to = *ParseAddress(harness.node->http_address());
+  // Connects a socket with a small receive buffer, so that a response stays in the node's send
+  // buffer.
+  int ConnectWithSmallReceiveBuffer() {
+    const sockaddr_in address = *ParseAddress(harness.node->http_address());
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), bytes = 4096;
     setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes);
-    EXPECT_EQ(connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to), 0);
+    EXPECT_EQ(connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
     evutil_make_socket_nonblocking(fd);
     return fd;
   }
-  int rested = 0;
+  int idle_clients = 0;
   NodeHarness harness{1};
 };
 
-TEST_F(Crossing, ARequestThatCameBeforeTheStopClosedItsConnectionIsServed) {
-  auto client = Resting();
+TEST_F(EventRace, ARequestReceivedBeforeTheStopClosesItsConnectionIsServed) {
+  auto client = IdleClient();
   harness.node->BeginStop();
-  HostOnly(0.52);
+  RunHostOnly(0.52);
   client->Write(Post("a1", "look"));
-  HostOnly(0.02);
-  SweepOnly();  // the connection rests, for all that the node has read
+  RunHostOnly(0.02);
+  SweepNodeDeadlinesOnly();  // as far as the node has read, the connection is idle
   ASSERT_TRUE(harness.Until([&] { return client->ended; }));
   EXPECT_TRUE(client->in.starts_with("HTTP/1.1 200")) << client->in;
   EXPECT_NE(client->in.find("Connection: close"), std::string::npos);
 }
 
-TEST_F(Crossing, ARequestAfterTheEndOfItsConnectionIsNotSentOn) {
-  auto client = Resting();
-  const std::size_t before = harness.Got();
+TEST_F(EventRace, ARequestOnAClosedConnectionIsNotForwarded) {
+  auto client = IdleClient();
+  const std::size_t requests_before = harness.Got();
   harness.node->BeginStop();
-  HostOnly(0.52);
-  SweepOnly();                        // our side has ended
-  client->Write(Post("a1", "look"));  // and the client has not seen it
-  HostOnly(0.02);
+  RunHostOnly(0.52);
+  SweepNodeDeadlinesOnly();           // the node closes the connection
+  client->Write(Post("a1", "look"));  // the client has not seen that yet
+  RunHostOnly(0.02);
   ASSERT_TRUE(client->ended);
   harness.Until([] { return false; }, 0.2);
-  EXPECT_EQ(harness.Got(), before);
+  EXPECT_EQ(harness.Got(), requests_before);
   EXPECT_EQ(client->in, "");
 }
 
-TEST_F(Crossing, AConnectionThatWaitedForItsAcceptWhenTheStopCameIsServed) {
+TEST_F(EventRace, AConnectionPendingAcceptAtTheStopIsServed) {
   harness.node->BeginStop();
-  HostOnly(0.45);
+  RunHostOnly(0.45);
   auto client = harness.Client();
   client->Write(Post("a1", "look"));
-  HostOnly(0.07);
-  SweepOnly();  // the listener closes
+  RunHostOnly(0.07);
+  SweepNodeDeadlinesOnly();  // the listener closes
   ASSERT_TRUE(harness.Until([&] { return client->ended; }));
   EXPECT_TRUE(client->in.starts_with("HTTP/1.1 200")) << client->in;
 }
 
-// A request whose end comes late after SIGTERM might be cut off by SIGKILL: refused, and sent
-// nowhere.
-TEST_F(Crossing, ARequestThatIsWholeOnlyLateAfterTheStopIsRefused) {
-  auto client = Resting();
-  const std::size_t before = harness.Got();
+// A request that is completed late after SIGTERM could be interrupted by SIGKILL, so it is rejected
+// and not sent to a worker.
+TEST_F(EventRace, ARequestCompletedLateAfterTheStopIsRejected) {
+  auto client = IdleClient();
+  const std::size_t requests_before = harness.Got();
   const std::string request = Post("a1", "look");
   client->Write(request.substr(0, 30));
   harness.Until([] { return false; }, 0.02);
@@ -90,86 +96,95 @@
   client->Write(request.substr(30));
   ASSERT_TRUE(harness.Until([&] { return client->ended; }));
   EXPECT_TRUE(client->in.starts_with("HTTP/1.1 503")) << client->in;
-  EXPECT_EQ(harness.Got(), before);
+  EXPECT_EQ(harness.Got(), requests_before);
 }
 
-// The last answer of a connection on which more has come: a close over bytes unread would reset the
-// connection, and what the client has not taken in yet would be gone.
-TEST_F(Crossing, ALastAnswerOutlivesTheBytesBehindItsRequest) {
-  const std::string large(60000, 'x');
-  harness.workers[0]->act = [&](const ToyWorker::Got& g) { ToyWorker::Done(g, large); };
-  const int client = Narrow();
+// Guards against the loss of the last response on a connection: closing a socket with unread bytes
+// would reset the connection and discard what the client has not read yet.
+TEST_F(EventRace, ALastResponseSurvivesUnreadBytesAfterItsRequest) {
+  const std::string large_body(60000, 'x');
+  harness.workers[0]->act = [&](const ToyWorker::Got& request) {
+    ToyWorker::Done(request, large_body);
+  };
+  const int client_socket = ConnectWithSmallReceiveBuffer();
   std::string request = Post("a1", "look");
   request.insert(request.find("\r\n\r\n"), "\r\nConnection: close");
-  ASSERT_EQ(send(client, request.data(), request.size(), 0), static_cast<ssize_t>(request.size()));
-  // The answer is with the node's system as far as it can be when more comes, and the node ends it.
-  std::string in;
-  const auto take = [&] {
-    char some[2048];
-    const ssize_t n = recv(client, some, sizeof some, 0);
-    if (n > 0) in.append(some, static_cast<std::size_t>(n));
-    return n == 0 || (n < 0 && errno != EAGAIN) ? (n == 0 ? 1 : 2) : 0;
+  ASSERT_EQ(send(client_socket, request.data(), request.size(), 0),
+            static_cast<ssize_t>(request.size()));
+  // The node's send buffer holds the response when more bytes arrive and the node closes the
+  // connection.
+  std::string response;
+  const auto read_some = [&] {
+    char buffer[2048];
+    const ssize_t received = recv(client_socket, buffer, sizeof buffer, 0);
+    if (received > 0) response.append(buffer, static_cast<std::size_t>(received));
+    return received == 0 || (received < 0 && errno != EAGAIN) ? (received == 0 ? 1 : 2) : 0;
   };
-  const std::string more = Post("a2", "look");
-  int end = 0;
+  const std::string second_request = Post("a2", "look");
+  int read_state = 0;
   harness.Until([&] {
-    if (harness.node->counters().completed == 1 && in.size() < 40000)
-      (void)send(client, more.data(), more.size(), MSG_NOSIGNAL);
-    end = take();
-    return end != 0;
+    if (harness.node->counters().completed == 1 && response.size() < 40000)
+      (void)send(client_socket, second_request.data(), second_request.size(), MSG_NOSIGNAL);
+    read_state = read_some();
+    return read_state != 0;
   });
-  EXPECT_EQ(end, 1) << "reset";
-  EXPECT_TRUE(in.ends_with(large)) << in.size();
+  EXPECT_EQ(read_state, 1) << "reset";
+  EXPECT_TRUE(response.ends_with(large_body)) << response.size();
   EXPECT_EQ(harness.Got(), 1u);
-  close(client);
+  close(client_socket);
 }
 
-// Of a client that has sent more than is read ahead, the end stands behind bytes that nobody reads.
-TEST_F(Crossing, AClientThatFloodsAndLeavesHasLeft) {
-  std::vector<ToyWorker::Got> held;
-  harness.workers[0]->act = [&](const ToyWorker::Got& g) { held.push_back(g); };
+// If a client has sent more than the node reads ahead, its disconnect is queued behind unread
+// bytes.
+TEST_F(EventRace, DetectsTheDisconnectOfAClientWithUnreadBytes) {
+  std::vector<ToyWorker::Got> held_requests;
+  harness.workers[0]->act = [&](const ToyWorker::Got& request) {
+    held_requests.push_back(request);
+  };
   auto client = harness.Client();
   client->Write(Post("a1", "look", "", "{}", 60000) + std::string(300000, 'x'));
   ASSERT_TRUE(harness.Until([&] { return harness.Got() == 1 && client->Drained(); }));
-  harness.Until([] { return false; }, 0.3);  // it is all with the node's system, or read
+  harness.Until([] { return false; }, 0.3);  // all bytes are in the node's receive buffer or read
   client->Close("test");
   EXPECT_TRUE(harness.Until([&] { return harness.node->counters().cancelled == 1; }, 0.1));
   EXPECT_TRUE(harness.Until([&] { return harness.workers[0]->AllGone(); }, 0.2));
 }
 
-// A second 'never begun' for one request, late, must not be taken for the answer to the next, which
+// A late second rejection of one request must not be taken for the response to the next one, which
 // runs.
-TEST_F(Crossing, ASecondAnswerIsNotTakenForThatOfTheNextRequest) {
-  const std::string away = "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
-  ToyWorker::Got first{}, second{};
-  harness.workers[0]->act = [&](const ToyWorker::Got& g) {
-    if (first.from == nullptr) {
-      first = g;
-      g.from->Write(away);
+TEST_F(EventRace, ASecondResponseIsNotAttributedToTheNextRequest) {
+  const std::string rejection = "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
+  ToyWorker::Got first_attempt{}, second_attempt{};
+  harness.workers[0]->act = [&](const ToyWorker::Got& request) {
+    if (first_attempt.from == nullptr) {
+      first_attempt = request;
+      request.from->Write(rejection);
     } else {
-      second = g;
-      first.from->Write(away);
+      second_attempt = request;
+      first_attempt.from->Write(rejection);
     }
   };
-  auto one = harness.Client(), two = harness.Client();
-  one->Write(Post("a1", "charge", "Idempotency-Key: k1\r\n"));
-  ASSERT_TRUE(harness.Until([&] { return one->in.starts_with("HTTP/1.1 503"); }));
-  two->Write(Post("a2", "charge", "Idempotency-Key: k2\r\n"));
-  ASSERT_TRUE(harness.Until([&] { return second.from != nullptr; }));
-  harness.Until([&] { return !two->in.empty(); }, 0.1);
-  EXPECT_EQ(two->in, "") << "it runs";
-  ToyWorker::Done(second, "ok");
-  ASSERT_TRUE(harness.Until([&] { return two->in.ends_with("ok"); }));
+  auto first_client = harness.Client(), second_client = harness.Client();
+  first_client->Write(Post("a1", "charge", "Idempotency-Key: k1\r\n"));
+  ASSERT_TRUE(harness.Until([&] { return first_client->in.starts_with("HTTP/1.1 503"); }));
+  second_client->Write(Post("a2", "charge", "Idempotency-Key: k2\r\n"));
+  ASSERT_TRUE(harness.Until([&] { return second_attempt.from != nullptr; }));
+  harness.Until([&] { return !second_client->in.empty(); }, 0.1);
+  EXPECT_EQ(second_client->in, "") << "it runs";
+  ToyWorker::Done(second_attempt, "ok");
+  ASSERT_TRUE(harness.Until([&] { return second_client->in.ends_with("ok"); }));
 }
 
-// The worker has closed a resting connection, and no turn has seen it yet: the request goes out on
-// another, and nothing bad is said of the worker.
-TEST(StaleConnection, CarriesNoRequest) {
+// If a worker has closed an idle connection and the node has not processed this yet, the request is
+// sent on another connection, and no failure of the worker is reported.
+TEST(StaleConnection, IsNotReused) {
   struct Link : PlannerLink {
     void OnRequest(const Request&) override {}
     void OnRequestCancelled(RequestId) override {}
     void OnAttemptStarted(RequestId, int) override {}
-    void OnAttemptEnded(RequestId, int, const Outcome& o) override { ended.push_back(o.status); }
+    void OnAttemptEnded(RequestId, int, const Outcome& outcome) override {
+      ended.push_back(outcome.status);
+    }
     void OnProbeAnswered(const std::string&, const Outcome&) override {}
     void OnWorkerChanged(const balancing::Endpoint&) override {}
     std::vector<AttemptStatus> ended;
@@ -177,7 +192,7 @@
   struct Client : ResponseHandler {
     void Answer(const ClientRequest&, const FinalAnswer&, const std::string&) override {}
   };
-  for (const bool unasked : {false, true}) {
+  for (const bool unsolicited_response : {false, true}) {
     LogLevel() = Level::kError;
     Loop host, loop;
     ToyWorker worker(&host);
@@ -188,94 +203,96 @@
     http::WorkerPool pool(&forwarder, {});
     forwarder.AddDriver(&pool);
     pool.SetAddress("w", worker.address());
-    const auto ask = [&] {
-      ClientRequest held;
-      held.request.wire_id = "a" + std::to_string(link.ended.size());
-      held.request.expires_at = loop.Now() + 5;
-      held.target = "/api";
-      const std::size_t then = link.ended.size();
-      forwarder.Send(forwarder.Submit(held, &client), 0, "w");
+    const auto send_request = [&] {
+      ClientRequest client_request;
+      client_request.request.wire_id = "a" + std::to_string(link.ended.size());
+      client_request.request.expires_at = loop.Now() + 5;
+      client_request.target = "/api";
+      const std::size_t ended_before = link.ended.size();
+      forwarder.Send(forwarder.Submit(client_request, &client), 0, "w");
       const double until = loop.Now() + 2;
-      while (link.ended.size() == then && loop.Now() < until) {
-        for (Loop* l : {&host, &loop}) {
-          l->deadlines().At(l->Now() + 0.001, [] {});
-          l->Turn();
+      while (link.ended.size() == ended_before && loop.Now() < until) {
+        for (Loop* any_loop : {&host, &loop}) {
+          any_loop->deadlines().At(any_loop->Now() + 0.001, [] {});
+          any_loop->Turn();
         }
       }
     };
-    ask();
+    send_request();
     ASSERT_EQ(worker.got.size(), 1u);
-    unasked ? worker.got[0].from->Write("HTTP/1.1 200 OK\r\n") : worker.got[0].from->Close("test");
+    unsolicited_response ? worker.got[0].from->Write("HTTP/1.1 200 OK\r\n")
+                         : worker.got[0].from->Close("test");
     for (int i = 0; i < 20; ++i) {
       host.deadlines().At(host.Now() + 0.001, [] {});
       host.Turn();
     }
-    ask();
+    send_request();
     EXPECT_EQ(link.ended, (std::vector{AttemptStatus::kSucceeded, AttemptStatus::kSucceeded}))
-        << unasked;
+        << unsolicited_response;
   }
 }
 
-// A worker whose system makes connections late: its queue of them is full until the test lets one
-// in.
-struct LateWorker {
-  LateWorker() {
-    fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
+// A worker whose listen queue is full until the test accepts connections, so that new connections
+// are established late.
+struct DelayedAcceptWorker {
+  DelayedAcceptWorker() {
+    listener_fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
     at.sin_family = AF_INET;
     at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     socklen_t size = sizeof at;
-    EXPECT_EQ(bind(fd, reinterpret_cast<sockaddr*>(&at), sizeof at), 0);
-    getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
-    listen(fd, 0);
+    EXPECT_EQ(bind(listener_fd, reinterpret_cast<sockaddr*>(&at), sizeof at), 0);
+    getsockname(listener_fd, reinterpret_cast<sockaddr*>(&at), &size);
+    listen(listener_fd, 0);
     for (int i = 0; i < 4; ++i) {
-      fillers.push_back(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-      (void)connect(fillers.back(), reinterpret_cast<sockaddr*>(&at), sizeof at);
+      filler_sockets.push_back(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+      (void)connect(filler_sockets.back(), reinterpret_cast<sockaddr*>(&at), sizeof at);
     }
   }
-  ~LateWorker() {
-    for (const int f : fillers) close(f);
-    for (const int f : accepted) close(f);
-    close(fd);
+  ~DelayedAcceptWorker() {
+    for (const int socket_fd : filler_sockets) close(socket_fd);
+    for (const int socket_fd : accepted) close(socket_fd);
+    close(listener_fd);
   }
-  // Lets in all that wait. The bytes that have come on any of them.
-  std::size_t Bytes() {
-    for (int a = accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC); a >= 0;
-         a = accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) {
-      accepted.push_back(a);
+  // Accepts all pending connections. Returns the number of bytes received on all of them.
+  std::size_t AcceptAllAndCountBytes() {
+    for (int accepted_fd = accept4(listener_fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+         accepted_fd >= 0;
+         accepted_fd = accept4(listener_fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) {
+      accepted.push_back(accepted_fd);
     }
     std::size_t bytes = 0;
-    char some[4096];
-    for (const int a : accepted)
-      bytes += static_cast<std::size_t>(std::max<ssize_t>(0, recv(a, some, sizeof some, MSG_PEEK)));
+    char buffer[4096];
+    for (const int accepted_fd : accepted)
+      bytes += static_cast<std::size_t>(
+          std::max<ssize_t>(0, recv(accepted_fd, buffer, sizeof buffer, MSG_PEEK)));
     return bytes;
   }
   sockaddr_in at{};
-  int fd = -1;
-  std::vector<int> fillers, accepted;
+  int listener_fd = -1;
+  std::vector<int> filler_sockets, accepted;
 };
 
-// Clients that leave, one or many at once, while the connection to the worker is being made: it
-// comes up later, and nothing goes out on it, whether or not the settings let attempts be called
-// off.
-TEST(Leaving, NothingBeginsForClientsThatLeftWhileAConnectionWasMade) {
+// One or many clients disconnect while the connection to the worker is being established. Nothing
+// may be sent on it once it is, whether or not the settings allow that attempts are cancelled.
+TEST(ClientDisconnect, NothingIsSentForClientsThatDisconnectedWhileConnecting) {
   for (const bool cancel : {true, false}) {
     for (const int clients : {1, 12}) {
       LogLevel() = Level::kError;
-      LateWorker worker;
+      DelayedAcceptWorker worker;
       Loop host;
       std::string text = TestConfig({AddressText(worker.at)}), error;
-      const auto put = [&](const std::string& from, const std::string& to) {
+      const auto replace_in_config = [&](const std::string& from, const std::string& to) {
         text.replace(text.find(from), from.size(), to);
       };
-      put(R"("connect_timeout_s":0.25)", R"("connect_timeout_s":5)");
-      if (!cancel) put(R"("cancel":true)", R"("cancel":false)");
+      replace_in_config(R"("connect_timeout_s":0.25)", R"("connect_timeout_s":5)");
+      if (!cancel) replace_in_config(R"("cancel":true)", R"("cancel":false)");
       Config config;
       ASSERT_TRUE(ReadConfig(text, &config, &error)) << error;
       Node node(config);
       ASSERT_TRUE(IsOk(node.Start()));
       const auto until = [&](auto done, double timeout_s) {
-        const double end = host.Now() + timeout_s;
-        while (!done() && host.Now() < end) {
+        const double deadline = host.Now() + timeout_s;
+        while (!done() && host.Now() < deadline) {
           for (Loop* loop : {&host, &node.loop()}) {
             loop->deadlines().At(loop->Now() + 0.001, [] {});
             loop->Turn();
@@ -283,61 +300,66 @@
         }
         return done();
       };
-      std::vector<std::unique_ptr<RawClient>> all;
+      std::vector<std::unique_ptr<RawClient>> raw_clients;
       for (int i = 0; i < clients; ++i) {
-        all.push_back(std::make_unique<RawClient>(&host, node.http_address()));
-        all.back()->Write(Post("a" + std::to_string(i), "look"));
+        raw_clients.push_back(std::make_unique<RawClient>(&host, node.http_address()));
+        raw_clients.back()->Write(Post("a" + std::to_string(i), "look"));
       }
-      const auto count = static_cast<std::uint64_t>(clients);
-      ASSERT_TRUE(until([&] { return node.counters().sent == count; }, 2));
-      for (auto& client : all) client->Close("test");
-      ASSERT_TRUE(until([&] { return node.counters().cancelled == count; }, 0.1));
-      EXPECT_EQ(worker.Bytes(), 0u);  // from now on connections come up
-      EXPECT_FALSE(until([&] { return worker.Bytes() > 0; }, 1.5))
+      const auto client_count = static_cast<std::uint64_t>(clients);
+      ASSERT_TRUE(until([&] { return node.counters().sent == client_count; }, 2));
+      for (auto& client : raw_clients) client->Close("test");
+      ASSERT_TRUE(until([&] { return node.counters().cancelled == client_count; }, 0.1));
+      EXPECT_EQ(worker.AcceptAllAndCountBytes(), 0u);  // from now on connections are established
+      EXPECT_FALSE(until([&] { return worker.AcceptAllAndCountBytes() > 0; }, 1.5))
           << "cancel " << cancel << ", " << clients;
-      EXPECT_EQ(node.counters().sent, count);
+      EXPECT_EQ(node.counters().sent, client_count);
     }
   }
 }
 
-// The client has left and no turn has seen it when its attempt ends: no further one begins.
-TEST(Leaving, NoFurtherAttemptBeginsForAClientThatLeftAsOneEnded) {
-  const std::string away = "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
-  const std::string error = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
-  for (const std::string& answer : {away, error, std::string()}) {
-    for (const bool client_first : {true, false}) {
+// If an attempt ends when the client has disconnected but the node has not processed this yet, no
+// further attempt may be sent.
+TEST(ClientDisconnect, NoFurtherAttemptIsSentIfTheClientDisconnectsAsOneEnds) {
+  const std::string rejection = "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
+  const std::string server_error = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
+  for (const std::string& worker_response : {rejection, server_error, std::string()}) {
+    for (const bool client_disconnects_first : {true, false}) {
       NodeHarness harness(3);
-      std::vector<ToyWorker::Got> got;
-      for (auto& w : harness.workers) w->act = [&](const ToyWorker::Got& g) { got.push_back(g); };
+      std::vector<ToyWorker::Got> received_requests;
+      for (auto& worker : harness.workers)
+        worker->act = [&](const ToyWorker::Got& request) { received_requests.push_back(request); };
       auto client = harness.Client();
       client->Write(Post("a1", "look"));
-      ASSERT_TRUE(harness.Until([&] { return got.size() == 1; }));
-      const auto leave = [&] { client->Close("test"); };
-      if (client_first) leave();
-      answer.empty() ? got[0].from->Close("test") : got[0].from->Write(answer);
+      ASSERT_TRUE(harness.Until([&] { return received_requests.size() == 1; }));
+      const auto disconnect = [&] { client->Close("test"); };
+      if (client_disconnects_first) disconnect();
+      worker_response.empty() ? received_requests[0].from->Close("test")
+                              : received_requests[0].from->Write(worker_response);
       harness.host.deadlines().At(harness.host.Now() + 0.001, [] {});
-      harness.host.Turn();  // the node finds both in the same turn
-      if (!client_first) leave();
+      harness.host.Turn();  // the node processes both in the same turn
+      if (!client_disconnects_first) disconnect();
       harness.Until([&] { return harness.node->counters().cancelled == 1; }, 1);
-      const double left = harness.host.Now();
-      const std::size_t then = harness.Got();
-      harness.Until([&] { return harness.host.Now() - left > 0.5; }, 1);
-      EXPECT_EQ(harness.Got(), then) << answer << client_first;
-      EXPECT_LE(then, 2u);
+      const double cancelled_at = harness.host.Now();
+      const std::size_t requests_at_cancellation = harness.Got();
+      harness.Until([&] { return harness.host.Now() - cancelled_at > 0.5; }, 1);
+      EXPECT_EQ(harness.Got(), requests_at_cancellation)
+          << worker_response << client_disconnects_first;
+      EXPECT_LE(requests_at_cancellation, 2u);
     }
   }
 }
 
-// Bad answers of workers, one by one: what the client gets, and that the next client is served.
-TEST(BadAnswers, EndWithAReasonAndHarmNobodyElse) {
+// Malformed responses of workers: checks what the client receives, and that the next client is
+// served.
+TEST(WorkerResponses, MalformedOnesFailTheirRequestAndAffectNoOther) {
   const auto chunk = [](const std::string& line) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", line.size());
     return size + line + "\r\n";
   };
-  const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-  const auto done = [&](const ToyWorker::Got& g) {
-    std::string line = ToyWorker::Line(g, "done");
+  const std::string response_head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+  const auto done_chunk = [&](const ToyWorker::Got& request) {
+    std::string line = ToyWorker::Line(request, "done");
     line.insert(line.size() - 1, R"(,"result":"ok")");
     return chunk(line + "\n");
   };
@@ -347,62 +369,70 @@
     const char* status;
   };
   const Case cases[] = {
-      {"never ends", [&](const auto& g) { g.from->Write(head + done(g)); }, "200"},
+      {"never ends",
+       [&](const auto& request) { request.from->Write(response_head + done_chunk(request)); },
+       "200"},
       {"bytes after the answer",
-       [&](const auto& g) { g.from->Write(head + done(g) + "0\r\n\r\nmore"); }, "200"},
+       [&](const auto& request) {
+         request.from->Write(response_head + done_chunk(request) + "0\r\n\r\nmore");
+       },
+       "200"},
       {"answered twice",
-       [&](const auto& g) {
-         g.from->Write(head + done(g) + "0\r\n\r\n" + head + done(g) + "0\r\n\r\n");
+       [&](const auto& request) {
+         request.from->Write(response_head + done_chunk(request) + "0\r\n\r\n" + response_head +
+                             done_chunk(request) + "0\r\n\r\n");
        },
        "200"},
       {"half a line and an end",
-       [&](const auto& g) {
-         g.from->Write(head + chunk(ToyWorker::Line(g, "done").substr(0, 20)));
-         g.from->EndAfterWriting();
+       [&](const auto& request) {
+         request.from->Write(response_head + chunk(ToyWorker::Line(request, "done").substr(0, 20)));
+         request.from->EndAfterWriting();
        },
        "503"},
       {"a line of another request",
-       [&](const auto& g) {
-         g.from->Write(head + chunk("{\"id\":\"zz\",\"state\":\"done\",\"result\":\"no\"}\n"));
+       [&](const auto& request) {
+         request.from->Write(response_head +
+                             chunk("{\"id\":\"zz\",\"state\":\"done\",\"result\":\"no\"}\n"));
        },
        "503"},
       {"a line without end",
-       [&](const auto& g) {
-         g.from->Write(head + chunk(std::string(60000, 'x')) + chunk(std::string(60000, 'x')) +
-                       chunk(std::string(60000, 'x')) + chunk(std::string(60000, 'x')) +
-                       chunk(std::string(60000, 'x')));
+       [&](const auto& request) {
+         request.from->Write(response_head + chunk(std::string(60000, 'x')) +
+                             chunk(std::string(60000, 'x')) + chunk(std::string(60000, 'x')) +
+                             chunk(std::string(60000, 'x')) + chunk(std::string(60000, 'x')));
        },
        "503"},
   };
-  for (const Case& c : cases) {
+  for (const Case& test_case : cases) {
     NodeHarness harness(1);
-    harness.workers[0]->act = [&](const ToyWorker::Got& g) {
-      harness.Got() == 1 ? c.act(g) : ToyWorker::Done(g, "ok");
+    harness.workers[0]->act = [&](const ToyWorker::Got& request) {
+      harness.Got() == 1 ? test_case.act(request) : ToyWorker::Done(request, "ok");
     };
-    const std::string in = harness.Ask(Post("a1", "look", "", "{}", 1000), "\r\n\r\n");
-    EXPECT_TRUE(in.starts_with(std::string("HTTP/1.1 ") + c.status)) << c.name << ": " << in;
+    const std::string response = harness.Ask(Post("a1", "look", "", "{}", 1000), "\r\n\r\n");
+    EXPECT_TRUE(response.starts_with(std::string("HTTP/1.1 ") + test_case.status))
+        << test_case.name << ": " << response;
     const std::string next = harness.Ask(Post("a2", "look"), "\r\n\r\n");
     EXPECT_TRUE(next.starts_with("HTTP/1.1 200") || next.starts_with("HTTP/1.1 503"))
-        << c.name << ": " << next;
+        << test_case.name << ": " << next;
     EXPECT_LE(harness.node->counters().completed + harness.node->counters().rejected +
                   harness.node->counters().failed,
               2u);
   }
 }
 
-// One byte at a time, from the client and from the worker, is slow but no fault.
-TEST(BadAnswers, OneByteAtATimeIsRead) {
+// Messages that arrive one byte at a time, from the client and from the worker, are accepted.
+TEST(WorkerResponses, SingleBytesAreAccepted) {
   NodeHarness harness(1);
   std::string answer;
-  harness.workers[0]->act = [&](const ToyWorker::Got& g) {
-    std::string line = ToyWorker::Line(g, "done");
+  harness.workers[0]->act = [&](const ToyWorker::Got& request) {
+    std::string line = ToyWorker::Line(request, "done");
     line.insert(line.size() - 1, R"(,"result":"ok")");
     answer = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(line.size() + 1) + "\r\n\r\n" +
              line + "\n";
     for (std::size_t i = 0; i < answer.size(); ++i) {
       harness.host.deadlines().At(
           harness.host.Now() + 0.002 * static_cast<double>(i),
-          [from = g.from, c = answer[i]] { from->Write(std::string(1, c)); });
+          [from = request.from, c = answer[i]] { from->Write(std::string(1, c)); });
     }
   };
   auto client = harness.Client();
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -1,5 +1,5 @@
-// What a node may do by the list it has, on real sockets: a discovery that answers when the test
-// says so, workers that count what reaches them.
+// Tests of what a node may do with its endpoint list, on real sockets: the test controls when the
+// discovery server responds, and counts the requests that reach each worker.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -9,20 +9,21 @@
 namespace millethollow {
 namespace {
 
-// A node of so many, its workers, and the discovery that all of them are on.
-struct Listed : testing::Test {
-  void Make(int nodes) {
+// One node of a number of nodes, its workers, and the discovery server that lists them.
+struct NodeEndpointList : testing::Test {
+  void StartNode(int nodes) {
     LogLevel() = Level::kError;
     for (int i = 0; i < 2; ++i) workers.push_back(std::make_unique<ToyWorker>(&host));
-    discovery.act = [this](const ToyWorker::Got& g) {
-      calls.push_back(g);
-      on_call(g);
+    discovery.act = [this](const ToyWorker::Got& call) {
+      discovery_calls.push_back(call);
+      on_discovery_call(call);
     };
     std::string text =
         TestConfig({workers[0]->address(), workers[1]->address()},
                    R"("admin":"127.0.0.1:0","discovery":")" + discovery.address() + R"(",)");
-    const std::string one = R"("balancers":1)";
-    text.replace(text.find(one), one.size(), R"("balancers":)" + std::to_string(nodes));
+    const std::string single_node = R"("balancers":1)";
+    text.replace(text.find(single_node), single_node.size(),
+                 R"("balancers":)" + std::to_string(nodes));
     Config config;
     std::string error;
     ASSERT_TRUE(ReadConfig(text, &config, &error)) << error;
@@ -40,107 +41,114 @@
     }
     return done();
   }
-  std::string Ask(const std::string& bytes, const std::string& at = "") {
-    RawClient client(&host, at.empty() ? node->http_address() : at);
+  std::string SendAndReadStatus(const std::string& bytes, const std::string& address = "") {
+    RawClient client(&host, address.empty() ? node->http_address() : address);
     client.Write(bytes);
     Until([&] { return client.in.find("\r\n\r\n") != std::string::npos || client.ended; });
     return client.in.substr(0, 12);
   }
-  std::string Health() { return Ask("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n"); }
+  std::string Health() {
+    return SendAndReadStatus("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n");
+  }
   std::string Healthcheck() {
-    return Ask("GET /healthcheck HTTP/1.1\r\nConnection: close\r\n\r\n", node->admin_address());
+    return SendAndReadStatus("GET /healthcheck HTTP/1.1\r\nConnection: close\r\n\r\n",
+                             node->admin_address());
   }
-  std::string Entry(int w, const std::string& state) {
-    return R"({"id":"w)" + std::to_string(w) + R"(","addr":")" +
-           workers[static_cast<std::size_t>(w)]->address() +
+  std::string Entry(int worker, const std::string& state) {
+    return R"({"id":"w)" + std::to_string(worker) + R"(","addr":")" +
+           workers[static_cast<std::size_t>(worker)]->address() +
            R"(","zone":"q","kind":"k","state":")" + state + R"(","started_ms":0})";
   }
-  void Tell(const ToyWorker::Got& g, int version, const std::string& entries) {
+  void RespondWithList(const ToyWorker::Got& call, int version, const std::string& entries) {
     const std::string body = R"({"version":)" + std::to_string(version) +
                              R"(,"full":false,"servers":[)" + entries + "]}";
-    g.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
-                  body);
+    call.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
+                     "\r\n\r\n" + body);
   }
-  std::size_t Got(std::size_t w) const { return workers[w]->got.size(); }
+  std::size_t RequestsAt(std::size_t worker) const { return workers[worker]->got.size(); }
 
   Loop host;
   std::vector<std::unique_ptr<ToyWorker>> workers;
   ToyWorker discovery{&host};
-  std::vector<ToyWorker::Got> calls;
-  std::function<void(const ToyWorker::Got&)> on_call = [](const ToyWorker::Got&) {};
+  std::vector<ToyWorker::Got> discovery_calls;
+  std::function<void(const ToyWorker::Got&)> on_discovery_call = [](const ToyWorker::Got&) {};
   std::unique_ptr<Node> node;
 };
 
-// What a new process last knew may name servers that ended long ago: it takes nothing before its
-// first list is here. Also where the settings say that lists are pushed, as these do: over HTTP it
-// must call.
-TEST_F(Listed, ANewProcessSendsNothingBeforeItsFirstList) {
+// The last known list of a new process may contain workers that ended long ago, so it accepts no
+// requests before it has received a list. This holds too if the settings say that lists are pushed,
+// as they do here, since over HTTP they are polled.
+TEST_F(NodeEndpointList, ANewProcessSendsNothingBeforeItsFirstList) {
   for (const int nodes : {2, 30}) {
     if (node) node.reset();
-    workers.clear(), calls.clear();
-    Make(nodes);
-    ASSERT_TRUE(Until([&] { return calls.size() == 1; })) << nodes;
+    workers.clear(), discovery_calls.clear();
+    StartNode(nodes);
+    ASSERT_TRUE(Until([&] { return discovery_calls.size() == 1; })) << nodes;
     EXPECT_EQ(Health(), "HTTP/1.1 503");
     EXPECT_EQ(Healthcheck(), "HTTP/1.1 503");
-    EXPECT_EQ(Ask(Post("a1", "look")), "HTTP/1.1 503");
-    Tell(calls[0], 2, Entry(0, "terminating"));
+    EXPECT_EQ(SendAndReadStatus(Post("a1", "look")), "HTTP/1.1 503");
+    RespondWithList(discovery_calls[0], 2, Entry(0, "terminating"));
     ASSERT_TRUE(Until([&] { return node->counters().endpoint_lists == 1; }));
     EXPECT_EQ(Health(), "HTTP/1.1 200");
     EXPECT_EQ(Healthcheck(), "HTTP/1.1 200");
     for (int i = 0; i < 8; ++i)
-      EXPECT_EQ(Ask(Post("b" + std::to_string(i), "look")), "HTTP/1.1 200");
-    EXPECT_EQ(Got(0), 0u) << "it was to end before this process began";
-    EXPECT_EQ(Got(1), 8u);
+      EXPECT_EQ(SendAndReadStatus(Post("b" + std::to_string(i), "look")), "HTTP/1.1 200");
+    EXPECT_EQ(RequestsAt(0), 0u) << "it was draining before this process started";
+    EXPECT_EQ(RequestsAt(1), 8u);
   }
 }
 
-// With discovery down there is no list to be had: a node of few is ready with its first failed
-// call, one of many within 10 s.
-TEST_F(Listed, AProcessIsReadyThoughDiscoveryIsDown) {
+// If discovery is down, a node becomes ready after its first failed call, or, with many nodes,
+// within 10 s.
+TEST_F(NodeEndpointList, AProcessBecomesReadyWithoutDiscovery) {
   for (const int nodes : {2, 30}) {
     if (node) node.reset();
-    workers.clear(), calls.clear();
-    on_call = [](const ToyWorker::Got& g) {
-      g.from->Write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
+    workers.clear(), discovery_calls.clear();
+    on_discovery_call = [](const ToyWorker::Got& call) {
+      call.from->Write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
     };
-    const double began = host.Now();
-    Make(nodes);
+    const double started_at = host.Now();
+    StartNode(nodes);
     ASSERT_TRUE(Until([&] { return Health() == "HTTP/1.1 200"; }, 10)) << nodes;
-    EXPECT_LT(host.Now() - began, nodes == 2 ? 1.0 : 8.0);
-    EXPECT_EQ(Ask(Post("a1", "look")), "HTTP/1.1 200");
+    EXPECT_LT(host.Now() - started_at, nodes == 2 ? 1.0 : 8.0);
+    EXPECT_EQ(SendAndReadStatus(Post("a1", "look")), "HTTP/1.1 200");
   }
 }
 
-// A change that came right after an answer counts as told. Where many call, and the next answer is
-// late, sends wait for it: here it ends the server that nothing may reach any more.
-TEST_F(Listed, NothingGoesByAListThatIsOverdue) {
-  Make(300);
-  std::vector<ToyWorker::Got> held;
-  on_call = [&](const ToyWorker::Got& g) {
-    if (calls.size() == 1) return Tell(g, 2, Entry(0, "in_service"));
-    // What follows at once is turned away, so that the call after the next answer comes later.
-    if (calls.size() == 2) return g.from->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-    if (calls.size() == 3) return Tell(g, 3, Entry(0, "in_service"));
-    held.push_back(g);
+// A change right after a response counts as known to the node. With many nodes, if the next
+// response is late, attempts wait for it, since it may report that a worker is draining, as it does
+// here.
+TEST_F(NodeEndpointList, NothingIsSentWhileTheListIsOverdue) {
+  StartNode(300);
+  std::vector<ToyWorker::Got> held_calls;
+  on_discovery_call = [&](const ToyWorker::Got& call) {
+    if (discovery_calls.size() == 1) return RespondWithList(call, 2, Entry(0, "in_service"));
+    // The call that follows at once is rejected, so that the call after the next response comes
+    // later.
+    if (discovery_calls.size() == 2)
+      return call.from->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+    if (discovery_calls.size() == 3) return RespondWithList(call, 3, Entry(0, "in_service"));
+    held_calls.push_back(call);
   };
   ASSERT_TRUE(Until([&] { return node->counters().endpoint_lists == 2; }, 8));
-  const double answered = host.Now();
-  EXPECT_EQ(Ask(Post("a1", "look")), "HTTP/1.1 200");
-  const std::size_t before = Got(0) + Got(1), before0 = Got(0);
-  Until([&] { return host.Now() - answered > 1.95; });
-  ASSERT_EQ(held.size(), 1u);
+  const double list_received_at = host.Now();
+  EXPECT_EQ(SendAndReadStatus(Post("a1", "look")), "HTTP/1.1 200");
+  const std::size_t requests_before = RequestsAt(0) + RequestsAt(1),
+                    draining_worker_requests_before = RequestsAt(0);
+  Until([&] { return host.Now() - list_received_at > 1.95; });
+  ASSERT_EQ(held_calls.size(), 1u);
   std::vector<std::unique_ptr<RawClient>> clients;
   for (int i = 0; i < 6; ++i) {
     clients.push_back(std::make_unique<RawClient>(&host, node->http_address()));
     clients.back()->Write(Post("c" + std::to_string(i), "look"));
   }
-  EXPECT_FALSE(Until([&] { return Got(0) + Got(1) > before; }, 0.2));
-  Tell(held[0], 4, Entry(0, "terminating"));
+  EXPECT_FALSE(Until([&] { return RequestsAt(0) + RequestsAt(1) > requests_before; }, 0.2));
+  RespondWithList(held_calls[0], 4, Entry(0, "terminating"));
   ASSERT_TRUE(Until([&] {
     return std::all_of(clients.begin(), clients.end(),
-                       [](const auto& c) { return c->in.ends_with("ok"); });
+                       [](const auto& client) { return client->in.ends_with("ok"); });
   }));
-  EXPECT_EQ(Got(0), before0);
+  EXPECT_EQ(RequestsAt(0), draining_worker_requests_before);
 }
 
 }  // namespace
