--- a/src/core/dispatch_check.h
+++ b/src/core/dispatch_check.h
@@ -59,8 +59,10 @@
                                          const RegisteredWorker& next_worker, double now) const;
 
  private:
+  // Checks drain, maintenance and connection of the worker.
   std::optional<BlockReason> CheckWorker(const RegisteredWorker& worker, RequestId id,
                                          double now) const;
+  // Whether both workers are in the same scope, within which idempotency keys are shared.
   bool SharesKeys(balancing::DeduplicationScope scope, const RegisteredWorker* first_worker,
                   const RegisteredWorker& next_worker) const;
 
--- a/src/core/planner.h
+++ b/src/core/planner.h
@@ -95,6 +95,7 @@
   const balancing::Settings& settings() const { return settings_; }
 
   // Hot restart: while a process is being replaced, the old and the new planner serve together.
+  // State of the workers, of the balancer, and the reserved wire ids, for the successor.
   std::vector<WorkerSnapshot> ExportWorkers() const { return workers_.Export(); }
   std::string SaveState() const { return balancer_.SaveState(); }
   std::vector<std::string> WireIds() const { return ledger_.WireIds(); }
@@ -102,6 +103,7 @@
   // the result of its SaveState. `classes`: for each class here, its index there, or -1.
   void ImportState(const std::vector<WorkerSnapshot>& workers, std::string_view balancer_state,
                    const std::vector<int>& classes);
+  // The sibling process has accepted a request with this wire id.
   void MarkWireIdUsed(const std::string& wire_id) { ledger_.MarkWireIdUsed(wire_id); }
   // The sibling process has appeared, disappeared or begun to stop.
   void OnSiblingProcess(bool present, bool leaving);
@@ -112,8 +114,10 @@
   // Status and metrics.
   bool HasWorker(const std::string& worker) const { return workers_.Find(worker) != nullptr; }
   WorkerRegistry::Counts CountWorkers() const;
+  // Accepted requests that are not answered yet or have an open attempt.
   std::size_t open_requests() const { return ledger_.size(); }
-  std::size_t pending() const { return pending_; }  // accepted requests without a final answer
+  // Accepted requests without a final answer.
+  std::size_t pending() const { return pending_; }
   const scheduling::SchedulingBalancer& balancer() const { return balancer_; }
   // Recent arrival rate of each tenant in requests per second, admitted or not, without requests
   // that clients mark as retries. Follows changes faster than the balancer's own estimate.
--- a/src/core/request.h
+++ b/src/core/request.h
@@ -60,7 +60,7 @@
 // The final result of a request.
 struct FinalAnswer {
   enum class Kind : std::uint8_t {
-    kCompleted,
+    kCompleted,    // an attempt has succeeded
     kRejected,     // no attempt has run
     kFailed,       // an attempt may have run
     kDuplicateId,  // not accepted: another request has the same wire id
@@ -89,8 +89,7 @@
   std::uint64_t messages_out = 0, bytes_out = 0;  // handed to the socket
   std::uint64_t too_long = 0;                     // over the size limit
   std::uint64_t no_address = 0;                   // the recipient's address is not known
-  std::uint64_t not_sent =
-      0;  // not accepted whole by the socket, for example as its buffer was full
+  std::uint64_t not_sent = 0;         // not accepted whole by the socket (its buffer was full)
   std::uint64_t unreadable = 0;       // received, but over the size limit, or the read failed
   std::uint64_t unknown_senders = 0;  // received from an unknown address
 };
@@ -104,7 +103,7 @@
   std::uint64_t completed = 0, rejected = 0, failed = 0;  // final answers
   std::uint64_t cancelled = 0;                            // by clients, before the final answer
   std::uint64_t blocked = 0;    // attempts that DispatchCheck did not allow
-  std::uint64_t bad_input = 0;  // malformed requests and messages
+  std::uint64_t bad_input = 0;  // malformed messages and requests, and wire ids already in use
   std::uint64_t peer_messages_in = 0, peer_messages_out = 0;
   std::uint64_t endpoint_lists = 0;              // received from discovery
   std::uint64_t reloads = 0, reload_errors = 0;  // of the configuration
--- a/src/core/request_ledger.h
+++ b/src/core/request_ledger.h
@@ -57,6 +57,7 @@
   // All reserved ids: first those of ended requests, oldest first, then those of open ones.
   std::vector<std::string> WireIds() const;
 
+  // Adds an entry for a new request.
   LedgerEntry& Add(RequestId id) { return entries_[id]; }
   // Returns null if the request is unknown.
   LedgerEntry* Find(RequestId id);
@@ -65,7 +66,9 @@
   // Erases the entry if the request is answered and all of its attempts have an outcome.
   void EraseIfComplete(RequestId id);
 
-  std::vector<RequestId> RequestsOfForwarder(std::uint64_t forwarder) const;  // in ascending order
+  // The requests of the forwarder's clients, in ascending order.
+  std::vector<RequestId> RequestsOfForwarder(std::uint64_t forwarder) const;
+  // Whether a request in the ledger belongs to the class.
   bool UsesClass(int class_index) const;
   std::size_t size() const { return entries_.size(); }
 
--- a/src/core/worker_registry.h
+++ b/src/core/worker_registry.h
@@ -57,7 +57,9 @@
 
   // Returns null if the worker is unknown.
   const RegisteredWorker* Find(const std::string& worker) const;
+  // Whether the worker is known and connects to a forwarder itself.
   bool IsLocal(const std::string& worker) const;
+  // Names of the workers in maintenance.
   std::vector<std::string> InMaintenance() const;
   // The workers that are connected to `forwarder`.
   std::vector<balancing::Endpoint> LocalEndpoints(std::uint64_t forwarder) const;
@@ -66,6 +68,7 @@
 
   // State of all non-local workers, for hot restart.
   std::vector<WorkerSnapshot> Export() const;
+  // Adds the workers of a predecessor's export. Call before any other update.
   void Import(const std::vector<WorkerSnapshot>& snapshots);
 
  private:
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -41,8 +41,9 @@
 // The path of a planner's socket, in the directory that the configuration names.
 std::string PlannerSocketPath(const Config& config, int planner);
 
-// Has a planner side (planner, discovery, peers), a forwarder side (client and worker connections)
-// or both, and, if configured, an admin server, hot restart and membership in a cluster.
+// A process of the load balancer. Has a planner side (planner, discovery, peers), a forwarder side
+// (client and worker connections) or both, and, if configured, an admin server, hot restart and
+// membership in a cluster.
 //
 // Not thread-safe: everything runs on the thread that calls Run.
 class Node {
@@ -72,6 +73,7 @@
   std::string Metrics() const;
 
   Loop& loop() { return loop_; }
+  // The addresses that the node listens on, with the ports that the kernel chose for port 0.
   std::string admin_address() const { return admin_->address(); }
   std::string http_address() const { return client_front_->address(); }
   std::string gearman_address() const { return gearman_front_->address(); }
--- a/src/scheduling/runtime_estimator.h
+++ b/src/scheduling/runtime_estimator.h
@@ -29,7 +29,8 @@
   Quantiles& operator=(Quantiles&&) noexcept;
 
   void Add(double value);
-  std::size_t count() const { return count_; }
+  std::size_t count() const { return count_; }  // of all samples ever added
+  // Whether there are enough samples for an estimate.
   bool known() const { return count_ >= kMinSamples; }
   double At(double p) const;         // the quantile `p`, from 0 to 1
   double Below(double value) const;  // the share of samples below `value`, from 0 to 1
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -58,6 +58,7 @@
   bool operator==(const WorkerState&) const = default;
 };
 
+// Statistics of the scheduler, for metrics.
 struct SchedulerStats {
   // Gauges.
   std::size_t waiting = 0, reservations = 0;
@@ -74,11 +75,13 @@
  public:
   Scheduler(Options options, std::uint64_t seed) : options_(std::move(options)), seed_(seed) {}
 
+  // Applies new options, to queued jobs too.
   void Configure(const Options& options);
   // Sets the tenants' shares of the reservations, by index.
   void SetTenants(std::vector<double> shares) { tenant_shares_ = std::move(shares); }
   // Sets this node's part of the slots that all nodes together may reserve, from 0 to 1.
   void SetReservationShare(double share) { reservation_share_ = share; }
+  // The run time estimates, which the caller initializes by class.
   RuntimeEstimator& runtimes() { return runtimes_; }
 
   // Adds a worker or updates its state. A worker keeps its index.
@@ -132,6 +135,7 @@
   // Slots of the worker that are reserved for a queued job.
   double ReservedSlots(std::size_t worker) const;
   SchedulerStats stats() const;
+  // Number of queued jobs by class.
   std::map<int, std::size_t> QueuedByClass() const { return queued_by_class_; }
   // Time in seconds that jobs waited in the queue before they started, by class.
   const std::map<int, Quantiles>& wait_times() const { return wait_times_; }
