--- a/src/node/node_environment.cpp
+++ b/src/node/node_environment.cpp
@@ -19,7 +19,7 @@
 }
 
 void NodeEnvironment::SendPeerMessage(int recipient, const std::string& body) {
-  if (recipient == parts_.dispatcher_index) {  // the sibling process of a hot restart
+  if (recipient == parts_.dispatcher_index) {  // the sibling process in a hot restart
     if (parts_.hot_restart != nullptr) parts_.hot_restart->SendPeerMessage(body);
   } else if (parts_.peers != nullptr) {
     parts_.peers->Tell(recipient, body);
@@ -31,7 +31,7 @@
   return parts_.member != nullptr ? parts_.member->Parts() : balancing::FleetShare{};
 }
 
-void NodeEnvironment::OnWireIdTaken(const std::string& wire_id) {
+void NodeEnvironment::OnWireIdReserved(const std::string& wire_id) {
   if (parts_.hot_restart != nullptr) parts_.hot_restart->SendWireId(wire_id);
 }
 
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -95,7 +95,7 @@
   EXPECT_TRUE(TurnUntil(loop, [&] { return !received.empty(); }));
   ASSERT_EQ(received.size(), 1u);
   EXPECT_EQ(received[0], std::pair(1, std::string(256, 'b')));
-  EXPECT_EQ(counters.strangers, 2u);
+  EXPECT_EQ(counters.unknown_senders, 2u);
   EXPECT_EQ(counters.unreadable, 1u);
 }
 
@@ -119,7 +119,7 @@
   Node node(config);
   ASSERT_TRUE(IsOk(node.Start()));
   const auto has = [&](const std::string& line) {
-    return ("\n" + node.Figures()).find("\napp.peers." + line + "\n") != std::string::npos;
+    return ("\n" + node.Metrics()).find("\napp.peers." + line + "\n") != std::string::npos;
   };
   for (const char* cause :
        {"too_long", "no_address", "not_sent", "unreadable", "strangers", "refused"}) {
