--- a/src/balancing/admission_controller.h
+++ b/src/balancing/admission_controller.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "balancing/agreed_share.h"
-#include "balancing/job.h"
+#include "balancing/request.h"
 #include "balancing/support.h"
 #include "balancing/token_bucket.h"
 #include "balancing/usage_report.h"
--- a/src/balancing/load_estimates.h
+++ b/src/balancing/load_estimates.h
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "balancing/job.h"
+#include "balancing/request.h"
 #include "balancing/support.h"
 #include "balancing/worker.h"
 #include "millethollow/balancing/load_balancer.h"
--- a/src/balancing/job.h
+++ b/src/balancing/request.h
@@ -1,6 +1,6 @@
 // A job and its attempts.
-#ifndef MILLETHOLLOW_BALANCING_JOB_H_
-#define MILLETHOLLOW_BALANCING_JOB_H_
+#ifndef MILLETHOLLOW_BALANCING_REQUEST_H_
+#define MILLETHOLLOW_BALANCING_REQUEST_H_
 
 #include <algorithm>
 #include <bit>
@@ -105,4 +105,4 @@
 
 }  // namespace millethollow::balancing
 
-#endif  // MILLETHOLLOW_BALANCING_JOB_H_
+#endif  // MILLETHOLLOW_BALANCING_REQUEST_H_
