--- a/src/balancing/admission_controller.cpp
+++ b/src/balancing/admission_controller.cpp
@@ -9,105 +9,112 @@
 namespace millethollow::balancing {
 namespace {
 
-// A bucket's depth absorbs chance: a Poisson stream varies by the square root of its count.
-constexpr double kBurstJobs = 2;
-constexpr double kBurstS = 0.5;           // of the bucket's rate
-constexpr double kBurstDeviations = 2.0;  // standard deviations of a second's arrivals
-// A bucket with less than a job per second would last through any overload on its depth. In a large
-// tier its jobs are admitted at random by the bucket's share, once each.
+// The depth of a bucket absorbs random variation: the count of a Poisson process varies by its
+// square root.
+constexpr double kBurstRequests = 2;
+constexpr double kBurstS = 0.5;           // seconds of the bucket's rate
+constexpr double kBurstDeviations = 2.0;  // standard deviations of the arrivals in a second
+// The depth of a bucket with less than one request per second would outlast any overload. In a
+// large tier the requests of such a bucket are admitted at random with its admitted share, each of
+// them once.
 constexpr double kSparseRps = 1.0;
-constexpr double kReturnWindowS = 0.3;  // a rejected job that returns within this is the same one
-constexpr double kUnlimitedShare = 0.999;  // a larger share is not limited
+// A request that returns within this time after its rejection is recognized.
+constexpr double kReturnWindowS = 0.3;
+constexpr double kUnlimitedShare = 0.999;  // a larger admitted share is not limited
 
-void CountOne(std::uint16_t* count) {
+void IncrementSaturating(std::uint16_t* count) {
   if (*count < std::numeric_limits<std::uint16_t>::max()) ++*count;
 }
 
 }  // namespace
 
-void AdmissionController::SetShape(int classes, int tenants) {
-  tenant_count_ = tenants;
-  buckets_.resize(Idx(classes * tenants));
+void AdmissionController::SetShape(int class_count, int tenant_count) {
+  tenant_count_ = tenant_count;
+  buckets_.resize(ToIndex(class_count * tenant_count));
 }
 
-void AdmissionController::ResetClass(int cls) {
-  std::fill_n(buckets_.begin() + cls * tenant_count_, tenant_count_, Bucket{});
+void AdmissionController::ResetClass(int class_index) {
+  std::fill_n(buckets_.begin() + class_index * tenant_count_, tenant_count_, Bucket{});
 }
 
-bool AdmissionController::OpenBucket(const Job& job, double now_s) {
-  Bucket& bucket = buckets_[IndexOf(job.class_index, job.tenant)];
+bool AdmissionController::OpenBucket(const Request& request, double now_s) {
+  Bucket& bucket = buckets_[IndexOf(request.class_index, request.tenant)];
   if (std::exchange(bucket.in_use, true)) return false;
   bucket.tokens = BurstSize(bucket);
   bucket.tokens_at = now_s;
   return true;
 }
 
-bool AdmissionController::Admit(const Job& job, bool marked_retry, bool large_tier, double now_s,
-                                Random* random) {
-  Bucket& bucket = buckets_[IndexOf(job.class_index, job.tenant)];
-  const bool returned = marked_retry || recent_rejections_.Take(job.digest, now_s - kReturnWindowS);
+bool AdmissionController::Admit(const Request& request, bool marked_retry, bool large_tier,
+                                double now_s, Random* random) {
+  Bucket& bucket = buckets_[IndexOf(request.class_index, request.tenant)];
+  const bool returned =
+      marked_retry || recent_rejections_.Remove(request.digest, now_s - kReturnWindowS);
   if (!returned) bucket.first_attempts += 1;
   const double refill =
       bucket.rate_rps == kInf ? kInf : bucket.rate_rps * (now_s - bucket.tokens_at);
   bucket.tokens = std::min(BurstSize(bucket), bucket.tokens + refill);
   bucket.tokens_at = now_s;
   if (large_tier && bucket.rate_rps < kSparseRps) {
-    bucket.tokens = !returned && random->Unit() < bucket.admit_share ? 1 : 0;
+    bucket.tokens = !returned && random->Uniform() < bucket.admit_share ? 1 : 0;
   }
-  if ((bucket.tokens < 1 && !job.MayHaveRun()) || job.expires_at_s <= now_s) {
-    if (!returned) CountOne(&bucket.rejected);
+  if ((bucket.tokens < 1 && !request.MayHaveRun()) || request.expires_at_s <= now_s) {
+    if (!returned) IncrementSaturating(&bucket.rejected);
     return false;
   }
   bucket.tokens -= 1;
-  CountOne(&bucket.admitted);
+  IncrementSaturating(&bucket.admitted);
   return true;
 }
 
-void AdmissionController::SetAdmitShare(int cls, int tenant, double admit_share) {
-  Bucket& bucket = buckets_[IndexOf(cls, tenant)];
+void AdmissionController::SetAdmitShare(int class_index, int tenant, double admit_share) {
+  Bucket& bucket = buckets_[IndexOf(class_index, tenant)];
   bucket.admit_share = admit_share;
   bucket.rate_rps = admit_share > kUnlimitedShare ? kInf : bucket.demand_rps * admit_share;
 }
 
 void AdmissionController::ApplyFleetShare(const AgreedShare& share,
-                                          const std::vector<double>& own_rates, bool limited) {
-  for (std::size_t b = 0; b < buckets_.size(); ++b) {
-    Bucket& bucket = buckets_[b];
-    const std::size_t tenant = b % Idx(tenant_count_);
+                                          const std::vector<double>& own_rates,
+                                          bool fleet_rate_known) {
+  for (std::size_t bucket_index = 0; bucket_index < buckets_.size(); ++bucket_index) {
+    Bucket& bucket = buckets_[bucket_index];
+    const std::size_t tenant = bucket_index % ToIndex(tenant_count_);
     const double admit_share = share.AdmitShare(tenant, own_rates[tenant]);
     if (bucket.rate_rps != kInf) {
       bucket.rate_rps *= share.Factor(tenant);
-    } else if (limited && share.Factor(tenant) < 1 && admit_share < 1) {
-      // Was not limited until now.
+    } else if (fleet_rate_known && share.Factor(tenant) < 1 && admit_share < 1) {
+      // It was not limited until now.
       bucket.admit_share = admit_share;
       bucket.rate_rps = bucket.demand_rps * admit_share;
     }
-    // Tokens saved at a larger rate go with it: others may use that rate now.
+    // Tokens that were saved at a higher rate are lost with it: other dispatchers may use that rate
+    // now.
     if (share.HasTenantRate(tenant)) bucket.tokens *= std::min(1.0, share.Factor(tenant));
   }
 }
 
-std::vector<UsageReport::Usage> AdmissionController::Measure(double sample_s, double keep,
-                                                             bool first,
+std::vector<UsageReport::Usage> AdmissionController::Measure(double sample_s, double keep_weight,
+                                                             bool first_sample,
                                                              std::vector<double>* tenant_rates) {
   std::vector<UsageReport::Usage> usage;
-  for (std::size_t b = 0; b < buckets_.size(); ++b) {
-    Bucket& bucket = buckets_[b];
+  for (std::size_t bucket_index = 0; bucket_index < buckets_.size(); ++bucket_index) {
+    Bucket& bucket = buckets_[bucket_index];
     if (bucket.admitted + bucket.rejected > 0) {
-      usage.push_back({static_cast<int>(b), bucket.admitted, bucket.rejected});
+      usage.push_back({static_cast<int>(bucket_index), bucket.admitted, bucket.rejected});
     }
     bucket.admitted = bucket.rejected = 0;
     const double rate = bucket.first_attempts / sample_s;
-    bucket.demand_rps = first ? rate : bucket.demand_rps * keep + rate * (1 - keep);
+    bucket.demand_rps =
+        first_sample ? rate : bucket.demand_rps * keep_weight + rate * (1 - keep_weight);
     bucket.first_attempts = 0;
-    (*tenant_rates)[b % Idx(tenant_count_)] += bucket.demand_rps;
+    (*tenant_rates)[bucket_index % ToIndex(tenant_count_)] += bucket.demand_rps;
   }
   return usage;
 }
 
 double AdmissionController::BurstSize(const Bucket& bucket) {
   const double rate = bucket.rate_rps == kInf ? bucket.demand_rps : bucket.rate_rps;
-  return kBurstJobs + kBurstS * rate + kBurstDeviations * std::sqrt(rate);
+  return kBurstRequests + kBurstS * rate + kBurstDeviations * std::sqrt(rate);
 }
 
 }  // namespace millethollow::balancing
--- a/src/balancing/attempts.cpp
+++ b/src/balancing/attempts.cpp
@@ -1,4 +1,4 @@
-// Attempts of a job, from the first to its final answer.
+// Attempts of a request, from the first to its final answer.
 #include <algorithm>
 #include <utility>
 
@@ -6,282 +6,305 @@
 
 namespace millethollow::balancing {
 
-// A worker is ejected when its error rate, a mean that forgets, exceeds the limit. A lost
-// connection counts for more than a server error: the worker may be gone.
+// A worker is ejected when its error rate, an exponentially weighted mean, exceeds the limit. A
+// lost connection weighs more than a server error, because the worker may be gone.
 constexpr double kErrorRateKeep = 0.8;
 constexpr double kServerErrorSample = 0.2;
 constexpr double kConnectionLostSample = 0.3;
 constexpr double kEjectErrorRate = 0.45;
 
-constexpr double kSlotLimitStep = 0.1;  // rise of a worker's limit after a success at the limit
-constexpr double kDeduplicationWindowUse = 0.9;  // of the window: clocks and queues differ
+// Additive increase of a worker's slot limit after a success at the limit.
+constexpr double kSlotLimitStep = 0.1;
+// Used share of the window: clocks and queueing delays differ.
+constexpr double kDeduplicationWindowUse = 0.9;
 constexpr double kMinOverdueS = 0.02;
-constexpr double kStartOverdueShare = 0.6;  // of the latency objective, without notice of a start
-constexpr double kStartNoticeTicks = 4;     // a notice of a start takes so long at least
-constexpr double kRejectBeforeExpiryS =
-    0.15;  // a job that waits is rejected so long before it expires
+constexpr double kStartOverdueShare = 0.6;  // of the latency objective, where starts are notified
+// A start notification takes at least this many ticks.
+constexpr double kStartNoticeTicks = 4;
+// A waiting request is rejected this long before it expires.
+constexpr double kRejectBeforeExpiryS = 0.15;
 
-// Where a further attempt may go: at-most-once and deduplication rules of the job's class.
-LoadBalancerImpl::RetryScope LoadBalancerImpl::RetryScopeOf(const Job& job) const {
-  const ClassSettings& c = ClassOf(job.class_index);
+// Where a further attempt may be sent by the idempotency and deduplication rules of the request's
+// class.
+LoadBalancerImpl::RetryScope LoadBalancerImpl::RetryScopeOf(const Request& request) const {
+  const ClassSettings& class_settings = ClassSettingsOf(request.class_index);
   RetryScope scope;
-  for (const Attempt& a : job.attempts) {
-    if (a.open && !settings_.allow_hedging) return {.permitted = false};
-    if (!a.may_have_run) continue;
-    if (c.idempotency == Idempotency::kNotIdempotent) return {.permitted = false};
-    if (c.idempotency == Idempotency::kIdempotentWithKey) {
-      // Repeats are dropped only within the group and the window, counted from the first sending.
-      const double window_s = kDeduplicationWindowUse * c.deduplication_window_s;
-      if (now_ + settings_.tick_s > a.sent_at + window_s) return {.permitted = false};
-      if (scope.anchor < 0) scope.anchor = a.worker;
+  for (const Attempt& attempt : request.attempts) {
+    if (attempt.in_flight && !settings_.allow_hedging) return {.permitted = false};
+    if (!attempt.may_have_run) continue;
+    if (class_settings.idempotency == Idempotency::kNotIdempotent) return {.permitted = false};
+    if (class_settings.idempotency == Idempotency::kIdempotentWithKey) {
+      // Repeats are dropped only within the scope and the window, counted from the first attempt.
+      const double window_s = kDeduplicationWindowUse * class_settings.deduplication_window_s;
+      if (now_ + settings_.tick_s > attempt.sent_at + window_s) return {.permitted = false};
+      if (scope.scope_worker < 0) scope.scope_worker = attempt.worker;
     }
   }
   return scope;
 }
 
-// Starts an attempt at the best worker that the job may go to; false if there is none now.
-bool LoadBalancerImpl::PlaceJob(Job& job) {
-  if (job.attempts.size() >= Idx(job.max_attempts) || job.expires_at_s <= now_) return false;
-  const RetryScope scope = RetryScopeOf(job);
+// Starts an attempt at the best candidate. Returns false if there is none now.
+bool LoadBalancerImpl::PlaceRequest(Request& request) {
+  if (request.attempts.size() >= ToIndex(request.max_attempts) || request.expires_at_s <= now_)
+    return false;
+  const RetryScope scope = RetryScopeOf(request);
   if (!scope.permitted) return false;
-  // A keyed job that may have run has few workers left: it queues there. All others wait for
-  // capacity.
-  const bool waits = reservations_ && scope.anchor < 0 && !job.AnyOpen() &&
-                     !Selectable(ClassOf(job.class_index).kind, -1).empty();
-  if (waits && job.found_worker < 0 && !FindCapacity(job)) return false;
-  const int index = PickWorker(job, scope.anchor);
-  job.found_worker = -1;
-  if (index < 0) return waits && WaitForCapacity(job);
-  const Forecast forecast = ForecastFor(job, workers_[index]);
-  // While the tier is full, a first attempt that must wait and end late even at the best worker
-  // makes the queue longer for all behind it. Rejected unsent, it may find capacity on its return.
-  if (fleet_rate_.tier_full() && job.attempts.empty() && forecast.no_capacity && !waits &&
-      forecast.time_s > LatencyObjectiveOf(job)) {
-    full_signals_ += 1;
+  // A keyed request that may have run has few candidates left and is queued at one of them. All
+  // others wait for capacity.
+  const bool may_wait = reservations_ && scope.scope_worker < 0 && !request.HasAttemptInFlight() &&
+                        !EligibleWorkers(ClassSettingsOf(request.class_index).kind, -1).empty();
+  if (may_wait && request.worker_with_capacity < 0 && !FindCapacity(request)) return false;
+  const int worker_index = PickWorker(request, scope.scope_worker);
+  request.worker_with_capacity = -1;
+  if (worker_index < 0) return may_wait && WaitForCapacity(request);
+  const Forecast forecast = ForecastFor(request, workers_[worker_index]);
+  // While the tier is full, a first attempt that would be queued and end late even at the best
+  // worker only lengthens the queue. Rejected without being sent, the request may find capacity
+  // when it returns.
+  if (fleet_rate_.tier_full() && request.attempts.empty() && forecast.no_capacity && !may_wait &&
+      forecast.time_s > LatencyObjectiveOf(request)) {
+    found_full_count_ += 1;
     return false;
   }
-  StartAttempt(job, index, forecast);
+  StartAttempt(request, worker_index, forecast);
   return true;
 }
 
-// Asks the scheduler for a worker with capacity; false if the job has to wait or can never run.
-bool LoadBalancerImpl::FindCapacity(Job& job) {
-  const CapacityReservations::Candidate candidate = reservations_->FindWorker(job.id);
-  job.impossible = candidate.impossible;
+// Asks the scheduler for a worker with capacity. Returns false if the request has to wait or can
+// never run.
+bool LoadBalancerImpl::FindCapacity(Request& request) {
+  const CapacityReservations::Candidate candidate = reservations_->FindWorker(request.id);
+  request.impossible = candidate.impossible;
   if (candidate.impossible) return false;
-  if (candidate.worker.empty()) return WaitForCapacity(job);
-  job.found_worker = workers_.Find(candidate.worker);
+  if (candidate.worker.empty()) return WaitForCapacity(request);
+  request.worker_with_capacity = workers_.Find(candidate.worker);
   return true;
 }
 
-void LoadBalancerImpl::StartAttempt(Job& job, int index, const Forecast& forecast) {
-  Worker& w = workers_[index];
-  if (WarmingUp(w)) {
-    w.slow_start_tokens = std::min(1.0, SlowStartTokens(w) - SlowStartCost(job));
-    w.slow_start_tokens_at = now_;
+void LoadBalancerImpl::StartAttempt(Request& request, int worker_index, const Forecast& forecast) {
+  Worker& worker = workers_[worker_index];
+  if (InSlowStart(worker)) {
+    worker.slow_start_tokens = std::min(1.0, SlowStartTokens(worker) - SlowStartCost(request));
+    worker.slow_start_tokens_at = now_;
   }
-  // By a fresh report of a probed worker.
-  const bool load_known =
-      now_ - w.reported_at < kLoadReportFreshS && !job.probed.empty() && job.attempts.empty();
-  Attempt& attempt = job.attempts.emplace_back(
-      Attempt{.worker = index, .sent_at = now_, .slots_before = w.slots_in_flight});
+  // The worker was probed and its report is recent.
+  const bool load_known = now_ - worker.reported_at < kLoadReportFreshS &&
+                          !request.probed.empty() && request.attempts.empty();
+  Attempt& attempt = request.attempts.emplace_back(
+      Attempt{.worker = worker_index, .sent_at = now_, .slots_before = worker.slots_in_flight});
   attempt.had_free_slot = !forecast.no_capacity && load_known;
-  attempt.recent_key = w.OnSent(job.slots, job.memory, job.key, now_);
-  // The best of the probed workers can't end it in time: none need report a late start.
-  if (load_known && forecast.time_s > LatencyObjectiveOf(job)) {
-    OnBlocked(job, attempt, false, true);
+  attempt.recent_key = worker.OnAttemptSent(request.slots, request.memory, request.key, now_);
+  // Not even the best of the probed workers can complete it in time: this counts as a late start,
+  // without waiting for one.
+  if (load_known && forecast.time_s > LatencyObjectiveOf(request)) {
+    OnNoCapacity(request, attempt, false, true);
   }
-  sends_since_report_ += job.attempts.size() == 1;
+  sends_since_report_ += request.attempts.size() == 1;
   hedge_budget_.OnAttempt();
-  actions_->push_back(SendAttempt{job.id, w.name, 0});
-  CheckAt(now_ + std::max(OverdueAfter(job), kMinOverdueS), job.id,
-          static_cast<int>(job.attempts.size()) - 1);
+  actions_->push_back(SendAttempt{request.id, worker.name, 0});
+  CheckAt(now_ + std::max(OverdueAfter(request), kMinOverdueS), request.id,
+          static_cast<int>(request.attempts.size()) - 1);
 }
 
-// Seconds after which an attempt is looked at first. Where hedging is permitted that is as soon as
-// the notice of its start is overdue.
-double LoadBalancerImpl::OverdueAfter(const Job& job) const {
-  const ClassSettings& c = ClassOf(job.class_index);
-  if (!settings_.workers_notify_start) return kOverdueFactor * ExpectedRun(job);
-  const bool may_hedge = settings_.allow_hedging && c.idempotency != Idempotency::kNotIdempotent;
-  return std::max(may_hedge ? 0.0 : c.latency_objective_s * kStartOverdueShare,
+// Seconds after which an attempt is first checked. Where hedging is permitted, this is as soon as
+// the notification of its start is overdue.
+double LoadBalancerImpl::OverdueAfter(const Request& request) const {
+  const ClassSettings& class_settings = ClassSettingsOf(request.class_index);
+  if (!settings_.workers_notify_start) return kOverdueFactor * ExpectedRunTime(request);
+  const bool may_hedge =
+      settings_.allow_hedging && class_settings.idempotency != Idempotency::kNotIdempotent;
+  return std::max(may_hedge ? 0.0 : class_settings.latency_objective_s * kStartOverdueShare,
                   kStartNoticeTicks * settings_.tick_s);
 }
 
-// Waiting ends with the job's time. Returns false: no attempt was started.
-bool LoadBalancerImpl::WaitForCapacity(Job& job) {
-  job.awaiting_capacity = true;
-  actions_->push_back(AwaitCapacity{job.id});
-  if (!std::exchange(job.wait_check_set, true)) {
-    CheckAt(std::min(now_ + ClassOf(job.class_index).latency_objective_s,
-                     job.expires_at_s - kRejectBeforeExpiryS),
-            job.id, kCapacityWaitCheck);
+// Lets the request wait for capacity until it is about to expire. Returns false: no attempt was
+// started.
+bool LoadBalancerImpl::WaitForCapacity(Request& request) {
+  request.awaiting_capacity = true;
+  actions_->push_back(AwaitCapacity{request.id});
+  if (!std::exchange(request.wait_check_set, true)) {
+    CheckAt(std::min(now_ + ClassSettingsOf(request.class_index).latency_objective_s,
+                     request.expires_at_s - kRejectBeforeExpiryS),
+            request.id, kCapacityWaitCheck);
   }
   return false;
 }
 
-void LoadBalancerImpl::On(const CapacityFound& e) {
-  const auto it = jobs_.find(e.id);
-  if (it == jobs_.end() || !std::exchange(it->second.awaiting_capacity, false)) return;
-  if (!e.worker.empty()) {
-    it->second.found_worker = workers_.Find(e.worker);
-    PlaceJob(it->second);
+void LoadBalancerImpl::On(const CapacityFound& event) {
+  const auto entry = requests_.find(event.id);
+  if (entry == requests_.end() || !std::exchange(entry->second.awaiting_capacity, false)) return;
+  if (!event.worker.empty()) {
+    entry->second.worker_with_capacity = workers_.Find(event.worker);
+    PlaceRequest(entry->second);
   }
-  FinishIfIdle(it->second);
+  FinishIfIdle(entry->second);
 }
 
-// A job that waits past its latency objective counts as a late start at a worker does.
-void LoadBalancerImpl::OnCapacityWaitCheck(const OverdueCheck& watch) {
-  const auto it = jobs_.find(watch.job);
-  if (it == jobs_.end()) return;
-  Job& job = it->second;
-  const double last = job.expires_at_s - kRejectBeforeExpiryS;
-  if (now_ >= last && std::exchange(job.awaiting_capacity, false)) return FinishIfIdle(job);
-  late_signals_ += job.awaiting_capacity && !job.counted_late;
-  job.counted_late |= job.awaiting_capacity;
-  if (now_ < last) CheckAt(last, watch.job, kCapacityWaitCheck);
+// A request that waits past its latency objective counts as a late start, as at a worker.
+void LoadBalancerImpl::OnCapacityWaitCheck(const OverdueCheck& check) {
+  const auto entry = requests_.find(check.request_id);
+  if (entry == requests_.end()) return;
+  Request& request = entry->second;
+  const double last_check_at = request.expires_at_s - kRejectBeforeExpiryS;
+  if (now_ >= last_check_at && std::exchange(request.awaiting_capacity, false))
+    return FinishIfIdle(request);
+  late_start_count_ += request.awaiting_capacity && !request.late_start_counted;
+  request.late_start_counted |= request.awaiting_capacity;
+  if (now_ < last_check_at) CheckAt(last_check_at, check.request_id, kCapacityWaitCheck);
 }
 
-// Ends a job that has no attempt open, with the answer that its class allows.
-void LoadBalancerImpl::FinishIfIdle(Job& job) {
-  if (job.AnyOpen() || job.awaiting_capacity) return;
-  if (!job.ended) {
-    const ClassSettings& c = ClassOf(job.class_index);
-    const bool repeats_dropped = c.idempotency == Idempotency::kIdempotentWithKey &&
-                                 c.deduplication_scope == DeduplicationScope::kAll;
-    if (!job.impossible &&
-        (!job.MayHaveRun() || c.idempotency == Idempotency::kIdempotent || repeats_dropped)) {
-      Reject(job);
+// Ends a request that has no attempt in flight, with the final answer that its class permits.
+void LoadBalancerImpl::FinishIfIdle(Request& request) {
+  if (request.HasAttemptInFlight() || request.awaiting_capacity) return;
+  if (!request.ended) {
+    const ClassSettings& class_settings = ClassSettingsOf(request.class_index);
+    const bool repeats_are_dropped =
+        class_settings.idempotency == Idempotency::kIdempotentWithKey &&
+        class_settings.deduplication_scope == DeduplicationScope::kAll;
+    if (!request.impossible &&
+        (!request.MayHaveRun() || class_settings.idempotency == Idempotency::kIdempotent ||
+         repeats_are_dropped)) {
+      Reject(request);
     } else {
-      actions_->push_back(FailRequest{job.id});
+      actions_->push_back(FailRequest{request.id});
     }
   }
-  jobs_.erase(jobs_.find(job.id));
+  requests_.erase(requests_.find(request.id));
 }
 
-void LoadBalancerImpl::On(const AttemptEnded& e) {
-  Job* job = nullptr;
-  Attempt* a = FindAttempt(e.id, e.attempt, &job);
-  if (a == nullptr || !a->open) return;  // a duplicate event, or of a job that is over
-  Worker& w = workers_[a->worker];
-  a->open = false;
-  w.OnEnded(job->slots, job->memory, now_);
-  if (e.has_report) OnLoadReport(w, e.report);
-  a->may_have_run = e.status != AttemptStatus::kRejected &&
-                    e.status != AttemptStatus::kConnectFailed &&
-                    e.status != AttemptStatus::kNotSent;
-  LearnFromOutcome(*job, *a, e.status);
-  if (e.terminal) job->ended = true;
-  if (job->ended) {
-    CancelOpenAttempts(*job, false);
-  } else if (!job->AnyOpen() && !job->shed) {
-    PlaceJob(*job);
+void LoadBalancerImpl::On(const AttemptEnded& event) {
+  Request* request = nullptr;
+  Attempt* attempt = FindAttempt(event.id, event.attempt, &request);
+  if (attempt == nullptr || !attempt->in_flight)
+    return;  // a duplicate event, or the request has ended
+  Worker& worker = workers_[attempt->worker];
+  attempt->in_flight = false;
+  worker.OnAttemptEnded(request->slots, request->memory, now_);
+  if (event.has_report) OnLoadReport(worker, event.report);
+  attempt->may_have_run = event.status != AttemptStatus::kRejected &&
+                          event.status != AttemptStatus::kConnectFailed &&
+                          event.status != AttemptStatus::kNotSent;
+  LearnFromOutcome(*request, *attempt, event.status);
+  if (event.terminal) request->ended = true;
+  if (request->ended) {
+    CancelAttemptsInFlight(*request, false);
+  } else if (!request->HasAttemptInFlight() && !request->shed) {
+    PlaceRequest(*request);
   }
-  FinishIfIdle(*job);
+  FinishIfIdle(*request);
 }
 
-void LoadBalancerImpl::LearnFromOutcome(Job& job, Attempt& a, AttemptStatus status) {
-  Worker& w = workers_[a.worker];
+void LoadBalancerImpl::LearnFromOutcome(Request& request, Attempt& attempt, AttemptStatus status) {
+  Worker& worker = workers_[attempt.worker];
   switch (status) {
     case AttemptStatus::kSucceeded:
-      OnAttemptSucceeded(job, a);
+      OnAttemptSucceeded(request, attempt);
       break;
     case AttemptStatus::kRejected: {
-      w.heard_at = now_;
-      estimates_.OnStartWait(ExpectedRun(job), now_, &w);
-      double& success = estimates_.GroupSuccess(w);
-      success += (2 * kGroupSuccessMin - success) / 20;  // full is not failed
-      OnBlocked(job, a, true, false);
+      worker.last_response_at = now_;
+      estimates_.OnStartWait(ExpectedRunTime(request), now_, &worker);
+      double& group_success = estimates_.GroupSuccess(worker);
+      group_success +=
+          (2 * kMinGroupSuccess - group_success) /
+          20;  // a rejection is no failure: the rate tends to a value above the minimum
+      OnNoCapacity(request, attempt, true, false);
       break;
     }
     case AttemptStatus::kServerError:
-      w.heard_at = now_;
+      worker.last_response_at = now_;
       [[fallthrough]];
-    case AttemptStatus::kConnectionLost:  // one may be chance; a worker that is gone refuses the
-                                          // next connection
-      w.error_rate =
-          w.error_rate * kErrorRateKeep +
+    // A single lost connection may be an accident; a worker that is gone refuses the next one.
+    case AttemptStatus::kConnectionLost:
+      worker.error_rate =
+          worker.error_rate * kErrorRateKeep +
           (status == AttemptStatus::kServerError ? kServerErrorSample : kConnectionLostSample);
-      if (w.error_rate > kEjectErrorRate || w.probation) Eject(a.worker);
+      if (worker.error_rate > kEjectErrorRate || worker.probation) Eject(attempt.worker);
       break;
     case AttemptStatus::kConnectFailed:
     case AttemptStatus::kNoResponse:
-      if (status == AttemptStatus::kConnectFailed || w.heard_at < a.sent_at) Eject(a.worker);
+      if (status == AttemptStatus::kConnectFailed || worker.last_response_at < attempt.sent_at)
+        Eject(attempt.worker);
       break;
-    default:  // cancelled, not sent: nothing is learned
+    default:  // cancelled or not sent: nothing is learned
       break;
   }
 }
 
-void LoadBalancerImpl::OnAttemptSucceeded(Job& job, const Attempt& a) {
-  Worker& w = workers_[a.worker];
-  w.heard_at = now_;
-  w.probation = false;
-  w.ejection_s = 0;
-  double& success = estimates_.GroupSuccess(w);
-  success += (1 - success) / 5;
-  w.error_rate *= kErrorRateKeep;
-  const RunSample sample = estimates_.OnRunEnded(job, ClassOf(job.class_index), a, now_, &w);
-  if (!full_mesh_) ShareRunSample(job, w, sample);
-  if (!a.blocked && a.slots_before + job.slots >= w.slot_limit) w.slot_limit += kSlotLimitStep;
-  job.ended = true;
+void LoadBalancerImpl::OnAttemptSucceeded(Request& request, const Attempt& attempt) {
+  Worker& worker = workers_[attempt.worker];
+  worker.last_response_at = now_;
+  worker.probation = false;
+  worker.ejection_s = 0;
+  double& group_success = estimates_.GroupSuccess(worker);
+  group_success += (1 - group_success) / 5;
+  worker.error_rate *= kErrorRateKeep;
+  const RunSample sample =
+      estimates_.OnRunEnded(request, ClassSettingsOf(request.class_index), attempt, now_, &worker);
+  if (!full_mesh_) ShareRunSample(request, worker, sample);
+  if (!attempt.found_no_capacity && attempt.slots_before + request.slots >= worker.slot_limit)
+    worker.slot_limit += kSlotLimitStep;
+  request.ended = true;
   if (!settings_.workers_notify_start) shed_budget_.OnStart();
 }
 
-void LoadBalancerImpl::On(const RequestCancelled& e) {
-  const auto it = jobs_.find(e.id);
-  if (it == jobs_.end()) return;
-  std::erase(jobs_awaiting_probes_, e.id);
-  it->second.ended = true;
-  it->second.awaiting_capacity = false;
-  CancelOpenAttempts(it->second, false);
-  FinishIfIdle(it->second);
+void LoadBalancerImpl::On(const RequestCancelled& event) {
+  const auto entry = requests_.find(event.id);
+  if (entry == requests_.end()) return;
+  std::erase(requests_awaiting_probes_, event.id);
+  entry->second.ended = true;
+  entry->second.awaiting_capacity = false;
+  CancelAttemptsInFlight(entry->second, false);
+  FinishIfIdle(entry->second);
 }
 
-void LoadBalancerImpl::OnAttemptStarted(std::string_view id,
-                                        int attempt) {  // by notice of the worker
-  Job* job = nullptr;
-  Attempt* a = FindAttempt(id, attempt, &job);
-  if (a == nullptr) return;
-  Worker& w = workers_[a->worker];
-  w.heard_at = now_;
-  if (a->started_at >= 0 || !a->open) return;
-  a->started_at = now_;
-  estimates_.OnStartWait(now_ - a->sent_at, now_, &w);
+// The worker has notified the start of the attempt, or its answer has begun.
+void LoadBalancerImpl::OnAttemptStarted(std::string_view id, int attempt_index) {
+  Request* request = nullptr;
+  Attempt* attempt = FindAttempt(id, attempt_index, &request);
+  if (attempt == nullptr) return;
+  Worker& worker = workers_[attempt->worker];
+  worker.last_response_at = now_;
+  if (attempt->started_at >= 0 || !attempt->in_flight) return;
+  attempt->started_at = now_;
+  estimates_.OnStartWait(now_ - attempt->sent_at, now_, &worker);
   shed_budget_.OnStart();
-  if (a->had_free_slot) {
-    estimates_.OnPromptStart(now_ - a->sent_at < kStartNoticeTicks * settings_.tick_s);
+  if (attempt->had_free_slot) {
+    estimates_.OnPromptStart(now_ - attempt->sent_at < kStartNoticeTicks * settings_.tick_s);
   }
-  // Hedged requests look for a free slot: one runs, so those still queued are cancelled.
-  CancelOpenAttempts(*job, true);
+  // A hedged request looks for a free slot: one attempt runs now, so queued ones are cancelled.
+  CancelAttemptsInFlight(*request, true);
 }
 
-Attempt* LoadBalancerImpl::FindAttempt(std::string_view id, int attempt, Job** job) {
-  const auto it = jobs_.find(id);
-  if (it == jobs_.end() || Idx(attempt) >= it->second.attempts.size()) return nullptr;
-  *job = &it->second;
-  return &it->second.attempts[Idx(attempt)];
+Attempt* LoadBalancerImpl::FindAttempt(std::string_view id, int attempt_index, Request** request) {
+  const auto entry = requests_.find(id);
+  if (entry == requests_.end() || ToIndex(attempt_index) >= entry->second.attempts.size())
+    return nullptr;
+  *request = &entry->second;
+  return &entry->second.attempts[ToIndex(attempt_index)];
 }
 
-void LoadBalancerImpl::CancelOpenAttempts(const Job& job, bool only_waiting) {
-  for (std::size_t i = 0; settings_.cancel && i < job.attempts.size(); ++i) {
-    const Attempt& a = job.attempts[i];
-    if (!a.open || (only_waiting && a.started_at >= 0)) continue;
-    actions_->push_back(CancelAttempt{job.id, static_cast<int>(i)});
+void LoadBalancerImpl::CancelAttemptsInFlight(const Request& request, bool only_queued) {
+  for (std::size_t i = 0; settings_.cancel && i < request.attempts.size(); ++i) {
+    const Attempt& attempt = request.attempts[i];
+    if (!attempt.in_flight || (only_queued && attempt.started_at >= 0)) continue;
+    actions_->push_back(CancelAttempt{request.id, static_cast<int>(i)});
   }
 }
 
-// The job found no capacity at a worker. Only a warm, ready worker that could hold the job says
-// something about the tier; one full worker says little while others have capacity, two say more.
-void LoadBalancerImpl::OnBlocked(Job& job, Attempt& a, bool full, bool late) {
-  Worker& w = workers_[a.worker];
-  if (!a.blocked) w.slot_limit = std::max(1.0, (w.slot_limit + a.slots_before) / 2);
-  a.blocked = true;
-  const bool holds = SlotsOf(w) == 0 || job.slots <= SlotsOf(w);
-  if (!w.ready || w.probation || WarmingUp(w) || !holds) return;
-  if (full && ++job.full_count <= 2) full_signals_ += load_unreported_ ? job.full_count - 1 : 0.5;
-  if (late && !job.counted_late) late_signals_ += 1;
-  job.counted_late |= late;
+// Records that the request found no capacity at a worker. This says something about the tier only
+// if the worker is ready, past its slow start and large enough for the request. One full worker
+// says little while others have capacity, two say more.
+void LoadBalancerImpl::OnNoCapacity(Request& request, Attempt& attempt, bool full, bool late) {
+  Worker& worker = workers_[attempt.worker];
+  if (!attempt.found_no_capacity)
+    worker.slot_limit = std::max(1.0, (worker.slot_limit + attempt.slots_before) / 2);
+  attempt.found_no_capacity = true;
+  const bool large_enough = SlotsOf(worker) == 0 || request.slots <= SlotsOf(worker);
+  if (!worker.ready || worker.probation || InSlowStart(worker) || !large_enough) return;
+  if (full && ++request.full_rejections <= 2)
+    found_full_count_ += load_unreported_ ? request.full_rejections - 1 : 0.5;
+  if (late && !request.late_start_counted) late_start_count_ += 1;
+  request.late_start_counted |= late;
 }
 
 }  // namespace millethollow::balancing
--- a/src/balancing/constants.h
+++ b/src/balancing/constants.h
@@ -1,4 +1,4 @@
-// Constants that several parts of the decision module use.
+// Constants shared by several parts of the decision module.
 #ifndef MILLETHOLLOW_BALANCING_CONSTANTS_H_
 #define MILLETHOLLOW_BALANCING_CONSTANTS_H_
 
@@ -6,30 +6,36 @@
 
 namespace millethollow::balancing {
 
-constexpr double kDemandSmoothingS =
-    1.5;  // demand is smoothed over the longer of this and two report intervals
-// Up to kMaxFullMeshPeers every dispatcher reports to all; in larger tiers to kGossipFanout
-// random peers.
+// Smoothing time of demand rates, at least two report intervals.
+constexpr double kDemandSmoothingS = 1.5;
+// In a tier with up to kMaxFullMeshPeers peers every dispatcher sends its reports to all of them
+// (full mesh); in a larger tier to kGossipFanout random ones (gossip).
 constexpr int kMaxFullMeshPeers = 24;
 constexpr int kGossipFanout = 2;
-constexpr double kReportIntervalS =
-    0.25;  // of a tier of four; grows with the cube root of the tier's size
-constexpr double kPeerTimeoutReports = 6;  // a peer not heard for so many intervals is dead
-constexpr double kOwnSampleWeight = 0.15;  // of the own sample in a gossiped mean of demand
-constexpr double kFreeShareNotFull =
-    0.3;  // a tier is not full where so many probed workers have a free slot
-constexpr double kLoadReportFreshS =
-    0.1;  // after this, usage reports and own attempts say more than a load report
-constexpr double kGroupSuccessMin = 0.3;  // below it, other groups are preferred
-constexpr double kOverdueCheckS = 0.1;    // longest time between two looks at overdue attempts
-constexpr std::uint64_t kReportTimer = 1, kOverdueTimer = 2,
-                        kPollTimer = 3;  // identifiers of timers
+// Report interval of a tier of four dispatchers; it grows with the cube root of the tier's size.
+constexpr double kBaseReportIntervalS = 0.25;
+// A peer is taken to be dead after this many report intervals without a report.
+constexpr double kPeerTimeoutReports = 6;
+// Weight of a dispatcher's own rate in its gossiped mean of a rate.
+constexpr double kOwnRateWeight = 0.15;
+// A tier is not full while at least this share of the probed workers has a free slot.
+constexpr double kMinFreeProbedShare = 0.3;
+// Age after which usage reports and own attempts are a better estimate than a load report.
+constexpr double kLoadReportFreshS = 0.1;
+// Success rate of a worker group below which other groups are preferred.
+constexpr double kMinGroupSuccess = 0.3;
+// Longest interval between two checks of overdue attempts.
+constexpr double kOverdueCheckS = 0.1;
+// Timer identifiers (SetTimer::timer_id).
+constexpr std::uint64_t kReportTimer = 1, kOverdueTimer = 2, kPollTimer = 3;
 
-constexpr double kOverdueFactor =
-    4.0;  // an attempt is overdue after this multiple of its expected run time
+// An attempt is overdue after this multiple of its expected run time.
+constexpr double kOverdueFactor = 4.0;
+// Values of OverdueCheck::attempt for a round of probes and for a wait for capacity.
 constexpr int kProbeCheck = -1;
-constexpr int kCapacityWaitCheck = -2;   // OverdueCheck::attempt of a wait for capacity
-constexpr double kProbeTimeoutS = 0.04;  // how long a job waits for probed workers
+constexpr int kCapacityWaitCheck = -2;
+// Longest wait of a request for its probes.
+constexpr double kProbeTimeoutS = 0.04;
 
 }  // namespace millethollow::balancing
 
--- a/src/balancing/hedge_budget.h
+++ b/src/balancing/hedge_budget.h
@@ -1,4 +1,4 @@
-// Budgets for hedged requests and for shedding of queued work.
+// Budgets for hedged requests and for shedding queued requests.
 #ifndef MILLETHOLLOW_BALANCING_HEDGE_BUDGET_H_
 #define MILLETHOLLOW_BALANCING_HEDGE_BUDGET_H_
 
@@ -6,25 +6,29 @@
 
 namespace millethollow::balancing {
 
-// Hedged requests that are permitted now. Each attempt adds to the budget, each hedge takes one (a
-// retry budget). Where load is never reported a hedge is the only way to a free slot; how much an
-// attempt adds is then controlled by AIMD, since nothing says whether a cancel ends queued work.
+// A budget for hedged requests, like a retry budget: each attempt adds to it and each hedge takes
+// one. Where workers never report load, hedging is the only way to find a free slot. The amount
+// that an attempt adds is then controlled by AIMD, because nothing shows whether a cancel removes
+// queued work.
 class HedgeBudget {
  public:
   static constexpr double kMaxPerAttempt = 1.0;
 
-  // Hedges that an attempt adds to the budget at first; 0: only lost attempts are hedged.
-  void SetPerAttempt(double hedges) { per_attempt_ = hedges; }
+  // Sets the hedges that an attempt adds to the budget at first; 0: only lost attempts are hedged.
+  void SetPerAttempt(double hedges_per_attempt) { per_attempt_ = hedges_per_attempt; }
+  // An attempt was sent.
   void OnAttempt() { available_ = std::min(kMaxAvailable, available_ + per_attempt_); }
+  // Whether Spend is permitted.
   bool Available() const { return available_ >= 1; }
   void Spend() { available_ -= 1; }
+  // Multiplicative decrease and additive increase, as the fleet rate changes by `factor`.
   void OnRateCut() { per_attempt_ /= 2; }
   void OnRateRise(double factor) {
     per_attempt_ = std::min((per_attempt_ + kRiseStep) * factor, kMaxPerAttempt);
   }
 
  private:
-  friend struct StateTransfer;  // handed over in a hot restart
+  friend struct StateTransfer;  // transferred in a hot restart
   static constexpr double kMaxAvailable = 3.0;
   static constexpr double kRiseStep = 0.01;
 
@@ -32,15 +36,18 @@
   double per_attempt_ = 0;
 };
 
-// Queued jobs that may be cancelled while the tier is full, one for each job that starts.
+// A budget of queued requests that may be cancelled while the tier is full: one for each request
+// that starts.
 class ShedBudget {
  public:
+  // A request has started at a worker.
   void OnStart() { available_ = std::min(available_ + 1, kMaxAvailable); }
+  // Whether Spend is permitted.
   bool Available() const { return available_ >= 1; }
   void Spend() { available_ -= 1; }
 
  private:
-  friend struct StateTransfer;  // handed over in a hot restart
+  friend struct StateTransfer;  // transferred in a hot restart
   static constexpr double kMaxAvailable = 10.0;
 
   double available_ = 0;
--- a/src/balancing/load_balancer.cpp
+++ b/src/balancing/load_balancer.cpp
@@ -25,7 +25,7 @@
 }
 std::uint64_t LoadBalancer::version() const { return impl_->version(); }
 std::vector<WorkerView> LoadBalancer::Workers() const { return impl_->WorkerViews(); }
-void LoadBalancer::SetFleetShare(const FleetShare& parts) { impl_->SetFleetShare(parts); }
+void LoadBalancer::SetFleetShare(const FleetShare& share) { impl_->SetFleetShare(share); }
 std::uint64_t LoadBalancer::RejectedPeerMessages() const { return impl_->rejected_messages(); }
 double LoadBalancer::DemandShare() const { return impl_->DemandShare(); }
 
--- a/src/balancing/load_balancer_impl.h
+++ b/src/balancing/load_balancer_impl.h
@@ -1,5 +1,5 @@
-// The coordinator of the decision module: it handles events and holds the parts that decide. Its
-// functions are defined in a file for each concern.
+// The coordinator of the decision module: it handles events and owns the parts that decide. Its
+// member functions are defined in one file for each concern.
 #ifndef MILLETHOLLOW_BALANCING_LOAD_BALANCER_IMPL_H_
 #define MILLETHOLLOW_BALANCING_LOAD_BALANCER_IMPL_H_
 
@@ -25,25 +25,27 @@
 
 namespace millethollow::balancing {
 
-// What is expected of a job at a worker.
+// The expected course of a request at a worker.
 struct Forecast {
-  double time_s = 0;         // until it ends
-  bool no_capacity = false;  // it would have to queue
+  double time_s = 0;         // seconds until it ends
+  bool no_capacity = false;  // it would be queued
 };
 
+// Implements LoadBalancer, which documents its public functions. Times are seconds on the caller's
+// clock.
 class LoadBalancerImpl {
  public:
   LoadBalancerImpl(Settings settings, std::uint64_t seed);
 
-  void Handle(double now, const Event& event, Actions* actions) {
-    now_ = std::max(now, now_);
+  void Handle(double now_s, const Event& event, Actions* actions) {
+    now_ = std::max(now_s, now_);
     actions_ = actions;
-    std::visit([this](const auto& e) { On(e); }, event);
+    std::visit([this](const auto& typed_event) { On(typed_event); }, event);
   }
 
-  bool Excludes(std::string_view worker) const {
-    const int index = workers_.Find(worker);
-    return index < 0 || !workers_[index].ready || workers_[index].ejected;
+  bool Excludes(std::string_view name) const {
+    const int worker_index = workers_.Find(name);
+    return worker_index < 0 || !workers_[worker_index].ready || workers_[worker_index].ejected;
   }
 
   void SetCapacityReservations(CapacityReservations* reservations) { reservations_ = reservations; }
@@ -54,16 +56,16 @@
   void SetFleetShare(const FleetShare& share);
 
  private:
-  friend struct StateTransfer;  // hands learned state over in a hot restart
+  friend struct StateTransfer;  // transfers learned state in a hot restart
 
   // Admission control (admission.cpp).
-  void On(const RequestArrived& e);
-  void Reject(const Job& job);
+  void On(const RequestArrived& event);
+  void Reject(const Request& request);
 
   // Usage exchange (usage_exchange.cpp).
-  UsageReport MakeReport(bool fresh, bool to_sibling) const;
-  void SendReport(const std::vector<int>& recipients, bool fresh,
-                  std::vector<UsageReport::Usage> counts);
+  UsageReport MakeReport(bool reply_requested, bool to_sibling) const;
+  void SendReport(const std::vector<int>& recipients, bool reply_requested,
+                  std::vector<UsageReport::Usage> usage);
   void NotifySibling();
   void OnPeerUsage(int sender, const UsageReport& report);
   std::vector<UsageReport::Usage> MeasureDemand(double sample_s);
@@ -71,114 +73,118 @@
   void UpdateTierMeans(double sample_s);
   std::vector<int> ReportRecipients();
   void PublishUsage();
-  void On(const PeerMessage& e);
-  static std::uint16_t Tag(const Worker& w) { return static_cast<std::uint16_t>(w.hash); }
+  void On(const PeerMessage& event);
+  static std::uint16_t Tag(const Worker& worker) { return static_cast<std::uint16_t>(worker.hash); }
   void UpdatePeerSlots() {
     peers_.SumSlotsInFlight(workers_.all(), now_ - kPeerTimeoutReports * report_interval_s_);
     ++version_;
   }
-  void On(const SiblingProcess& e);
+  void On(const SiblingProcess& event);
 
   // Fleet rate (admission.cpp, fleet_rate_limiter.h).
   void UpdateFleetRate(double sample_s);
   void LimitTenant(int tenant, double admit_share);
-  std::vector<double> TierRates();  // of all dispatchers
-  // Attempts per second that a warm worker carries; `mine` by this dispatcher's own count.
-  double WorkerRate(double mine);
-  const ClassSettings& ClassOf(int c) const { return settings_.classes[Idx(c)]; }
+  std::vector<double> TierRates();  // rates of all dispatchers, as RowLayout orders them
+  // Attempts per second that a worker past its slow start carries; `own_rps` by this dispatcher's
+  // own count.
+  double WorkerRate(double own_rps);
+  const ClassSettings& ClassSettingsOf(int class_index) const {
+    return settings_.classes[ToIndex(class_index)];
+  }
 
-  // Indices of the shared estimates in a large tier's row of rates.
+  // Indices of the shared estimates in the row of rates of a large tier.
   std::size_t ProbeIndex() const { return layout_.ProbeIndex(); }
-  std::size_t SharedEstimateIndex(int cls, int kind) const {
-    return kind < 0 ? layout_.ClassIndex(Idx(cls)) : layout_.KindIndex(Idx(kind));
+  std::size_t SharedEstimateIndex(int class_index, int kind) const {
+    return kind < 0 ? layout_.ClassIndex(ToIndex(class_index)) : layout_.KindIndex(ToIndex(kind));
   }
-  // The share of probed workers that have capacity, over the whole tier.
-  double ProbedFreeShare(double unknown) const {
+  // The share of probed workers that have capacity, over the whole tier; `fallback` if not known.
+  double ProbedFreeShare(double fallback) const {
     const double probed = full_mesh_ ? 0.0 : tier_mean_rates_[ProbeIndex()];
-    return probed > 0 ? tier_mean_rates_[ProbeIndex() + 1] / probed : unknown;
+    return probed > 0 ? tier_mean_rates_[ProbeIndex() + 1] / probed : fallback;
   }
   void MergeSharedEstimates(const UsageReport& report);
 
   // Placement (placement.cpp, forecast.cpp) and probing (probing.cpp).
-  const std::vector<int>& Selectable(int kind, int zone) const {
-    return workers_.Selectable(kind, zone);
+  const std::vector<int>& EligibleWorkers(int kind, int zone) const {
+    return workers_.EligibleWorkers(kind, zone);
   }
   void RebuildPools();
-  double ExpectedRun(const Job& job) const {
-    return estimates_.RunTime(job, ClassOf(job.class_index));
+  double ExpectedRunTime(const Request& request) const {
+    return estimates_.RunTime(request, ClassSettingsOf(request.class_index));
   }
-  double PaceOf(const Worker& w) const { return estimates_.Pace(w, now_); }
-  double LatencyObjectiveOf(const Job& job) const;
-  double SlotsOf(const Worker& w) const { return estimates_.Slots(w); }
-  bool Allowed(const Job& job, int index, int anchor) const;
-  Forecast ForecastFor(const Job& job, const Worker& w) const;
-  double Score(const Job& job, const Worker& w, int home_rank) const;
+  double SlowdownOf(const Worker& worker) const { return estimates_.Slowdown(worker, now_); }
+  double LatencyObjectiveOf(const Request& request) const;
+  double SlotsOf(const Worker& worker) const { return estimates_.Slots(worker); }
+  bool IsCandidate(const Request& request, int worker_index, int scope_worker) const;
+  Forecast ForecastFor(const Request& request, const Worker& worker) const;
+  double Score(const Request& request, const Worker& worker, int preferred_rank) const;
   double KeyAffinityWeight() const;
   int SampleWorker(const std::vector<int>& from);
-  double ThroughputOf(const Worker& w) const;
+  double ThroughputOf(const Worker& worker) const;
   void UpdateThroughputs();
-  int ProbeCount(const Job& job);
-  bool ProbeCandidates(Job& job);
-  int PickWorker(const Job& job, int anchor);
+  int ProbeCount(const Request& request);
+  bool ProbeCandidates(Request& request);
+  int PickWorker(const Request& request, int scope_worker);
   const std::vector<int>& PreferredWorkers(std::uint64_t key, int kind);
 
   // Slow start (slow_start.cpp) and outlier detection (outlier_detection.cpp).
-  bool WarmingUp(const Worker& w) const;
-  double SlowStartShare(const Worker& w) const;
-  bool SlowStartHasCapacity(const Worker& w) const;
-  double SlowStartTokens(const Worker& w) const;
-  double SlowStartCost(const Job& job) const;
-  void DrawSlowStartWorker(Job& job);
-  void Eject(int index);
+  bool InSlowStart(const Worker& worker) const;
+  double SlowStartShare(const Worker& worker) const;
+  bool SlowStartHasCapacity(const Worker& worker) const;
+  double SlowStartTokens(const Worker& worker) const;
+  double SlowStartCost(const Request& request) const;
+  void DrawSlowStartWorker(Request& request);
+  void Eject(int worker_index);
   void EndEjections();
-  void OnLoadReport(Worker& w, const double (&report)[4]);
-  double StartWaitOf(const Worker& w) const { return estimates_.StartWait(w, now_); }
-  void ShareRunSample(const Job& job, const Worker& w, const RunSample& sample);
-  void OnBlocked(Job& job, Attempt& a, bool full, bool late);
+  void OnLoadReport(Worker& worker, const double (&report)[4]);
+  double StartWaitOf(const Worker& worker) const { return estimates_.StartWait(worker, now_); }
+  void ShareRunSample(const Request& request, const Worker& worker, const RunSample& sample);
+  void OnNoCapacity(Request& request, Attempt& attempt, bool full, bool late);
 
   // Attempts (attempts.cpp) and overdue attempts (overdue_attempts.cpp).
-  bool PlaceJob(Job& job);
-  void CheckAt(double at, const std::string& id, int attempt);
+  bool PlaceRequest(Request& request);
+  void CheckAt(double due_at, const std::string& id, int attempt_index);
   struct RetryScope {
     bool permitted = true;
-    int anchor = -1;  // a worker whose deduplication group the attempt has to stay in; -1: none
+    // A worker in whose deduplication scope the attempt has to stay; -1: any.
+    int scope_worker = -1;
   };
-  RetryScope RetryScopeOf(const Job& job) const;
-  bool FindCapacity(Job& job);
-  void StartAttempt(Job& job, int index, const Forecast& forecast);
-  double OverdueAfter(const Job& job) const;
-  void LearnFromOutcome(Job& job, Attempt& a, AttemptStatus status);
-  void OnAttemptSucceeded(Job& job, const Attempt& a);
-  void OnStartOverdue(Job& job, Attempt& a, double age_s);
-  bool MayShed(const Job& job, const Attempt& a, double age_s) const;
-  void HedgeOrCancel(Job& job, int attempt, bool lost);
-  bool WaitForCapacity(Job& job);
-  void On(const CapacityFound& e);
-  void FinishIfIdle(Job& job);
-  Attempt* FindAttempt(std::string_view id, int attempt, Job** job);
-  void On(const AttemptEnded& e);
-  void CancelOpenAttempts(const Job& job, bool only_waiting);
-  void On(const RequestCancelled& e);
-  void On(const StreamStarted& e) { OnAttemptStarted(e.id, e.attempt); }
-  void On(const AttemptProgress& e) { OnAttemptStarted(e.id, e.attempt); }
-  void OnAttemptStarted(std::string_view id, int attempt);
-  void On(const ProbeAnswered& e);
+  RetryScope RetryScopeOf(const Request& request) const;
+  bool FindCapacity(Request& request);
+  void StartAttempt(Request& request, int worker_index, const Forecast& forecast);
+  double OverdueAfter(const Request& request) const;
+  void LearnFromOutcome(Request& request, Attempt& attempt, AttemptStatus status);
+  void OnAttemptSucceeded(Request& request, const Attempt& attempt);
+  void OnStartOverdue(Request& request, Attempt& attempt, double age_s);
+  bool MayShed(const Request& request, const Attempt& attempt, double age_s) const;
+  void HedgeOrCancel(Request& request, int attempt_index, bool lost);
+  bool WaitForCapacity(Request& request);
+  void On(const CapacityFound& event);
+  void FinishIfIdle(Request& request);
+  Attempt* FindAttempt(std::string_view id, int attempt_index, Request** request);
+  void On(const AttemptEnded& event);
+  void CancelAttemptsInFlight(const Request& request, bool only_queued);
+  void On(const RequestCancelled& event);
+  void On(const StreamStarted& event) { OnAttemptStarted(event.id, event.attempt); }
+  void On(const AttemptProgress& event) { OnAttemptStarted(event.id, event.attempt); }
+  void OnAttemptStarted(std::string_view id, int attempt_index);
+  void On(const ProbeAnswered& event);
   void OnProbesAnswered(std::string_view id);
-  bool WouldEndLate(const Job& job, const Worker& w, double age) const;
-  void OnOverdue(const OverdueCheck& watch);
-  void OnCapacityWaitCheck(const OverdueCheck& watch);
+  bool WouldEndLate(const Request& request, const Worker& worker, double age_s) const;
+  void OnOverdue(const OverdueCheck& check);
+  void OnCapacityWaitCheck(const OverdueCheck& check);
 
-  // Workers (worker_table.cpp), timers and settings (load_balancer_impl.cpp).
+  // Workers (endpoint_discovery.cpp), timers and settings (load_balancer_impl.cpp).
   void On(const DispatcherStarted&);
   void PollEndpoints();
-  void PollIn(double span);
-  void On(const TimerFired& e);
-  void On(const EndpointsUpdated& e);
+  void PollIn(double delay_s);
+  void On(const TimerFired& event);
+  void On(const EndpointsUpdated& event);
   int AddWorker(const std::string& name);
   void SizeForSettings();
-  void On(const SettingsChanged& e);
-  void ResetHealth(Worker& w);
-  void On(const MaintenanceChanged& e);
+  void On(const SettingsChanged& event);
+  void ResetHealth(Worker& worker);
+  void On(const MaintenanceChanged& event);
 
   Settings settings_;
   Random random_;
@@ -187,40 +193,43 @@
   int class_count_ = 1, tenant_count_ = 1;
   // Admission.
   AdmissionController admission_;
-  // Reports: `own_rates_` and, in a large tier, `tier_mean_rates_` are rows as `layout_` has them.
+  // Usage reports. `own_rates_` and, in a large tier, `tier_mean_rates_` are rows in the order of
+  // `layout_`.
   RowLayout layout_;
-  bool full_mesh_ = true, has_measured_ = false, has_heard_peers_ = false;
-  double report_interval_s_ = kReportIntervalS, reported_at_ = 0, sends_since_report_ = 0,
-         full_signals_ = 0, late_signals_ = 0;
+  bool full_mesh_ = true, has_measured_ = false, has_received_reports_ = false;
+  double report_interval_s_ = kBaseReportIntervalS, reported_at_ = 0, sends_since_report_ = 0,
+         found_full_count_ = 0, late_start_count_ = 0;
   std::vector<double> own_rates_, tier_mean_rates_;
   PeerUsageTable peers_;
   std::uint64_t rejected_messages_ = 0;
   SiblingProcess sibling_;
   AgreedShare agreed_share_;
-  double heard_sends_rps_ = 0;  // of all dispatchers heard, at the last report
+  // First attempts per second of all dispatchers that reported, as of the last report.
+  double received_sends_rps_ = 0;
   // Fleet rate.
   FleetRateLimiter fleet_rate_;
   // Workers.
   WorkerTable workers_;
   CapacityReservations* reservations_ = nullptr;
-  std::uint64_t version_ = 0;  // of all that WorkerViews returns
+  std::uint64_t version_ = 0;  // changes with what WorkerViews returns
   double worker_rate_rps_ = 0, max_throughput_ = 1, mean_throughput_ = 1;
   std::uint64_t preferred_workers_version_ = 0;
   std::unordered_map<std::uint64_t, std::vector<int>> preferred_workers_;
-  std::vector<std::pair<std::uint64_t, int>>
-      rank_scratch_;  // PreferredWorkers's, kept for its capacity
+  // Scratch space of PreferredWorkers, kept for its capacity.
+  std::vector<std::pair<std::uint64_t, int>> rank_scratch_;
   LoadEstimates estimates_;
   int shared_class_count_ = 0;
-  double first_probes_ = 0,
-         first_probes_free_ = 0;  // first ones asked for a job, and those with a free slot
-  // Jobs.
-  TextMap<Job> jobs_;
+  // Workers that were probed first for a request, and those of them with a free slot.
+  double first_probes_ = 0, first_probes_free_ = 0;
+  // Requests.
+  StringMap<Request> requests_;
   std::priority_queue<OverdueCheck, std::vector<OverdueCheck>, std::greater<>> overdue_checks_;
-  std::vector<std::string> jobs_awaiting_probes_;
+  std::vector<std::string> requests_awaiting_probes_;
   std::uint64_t next_check_order_ = 0;
   HedgeBudget hedge_budget_;
   ShedBudget shed_budget_;
-  bool may_shed_queued_ = false, load_unreported_ = false;  // only starts are reported, never load
+  // Queued requests may be shed; workers notify starts but never report load.
+  bool may_shed_queued_ = false, load_unreported_ = false;
   bool check_timer_set_ = false, subscribed_ = false;
   double poll_at_ = kInf;
 };
--- a/src/balancing/load_estimates.cpp
+++ b/src/balancing/load_estimates.cpp
@@ -7,51 +7,60 @@
 namespace millethollow::balancing {
 namespace {
 
-constexpr double kStartWaitDecayS = 1.0;  // an observed wait for a start says little after this
-constexpr double kPaceDecayS = 10.0;      // a slow spell is forgiven and the worker tried again
-constexpr double kKindPaceJobs = 8.0;     // jobs that the pace of a worker's kind counts for
-constexpr double kMaxPaceJobs = 16.0;     // jobs of one worker that its own pace is a mean of
-constexpr double kMaxPace = 10.0;
+// An observed wait for a start loses its meaning after this.
+constexpr double kStartWaitDecayS = 1.0;
+// A slow period is forgotten and the worker is tried again.
+constexpr double kSlowdownDecayS = 10.0;
+// Weight, in samples, of the slowdown of a worker's kind.
+constexpr double kKindSlowdownSamples = 8.0;
+constexpr double kMaxSlowdownSamples = 16.0;  // samples in the mean of a worker's own slowdown
+constexpr double kMaxSlowdown = 10.0;
 constexpr double kMinRunTimeS = 1e-4;
 constexpr double kMinCapacityHint = 0.1;
-// Jobs that a mean is taken over; older ones fade.
-constexpr double kMeanJobs = 200, kAllRunJobs = 400, kPromptStartJobs = 50, kGroupWaitJobs = 50;
-constexpr double kMinAdoptedJobs = 50;  // that means adopted from a large tier count for
+// Samples in a mean; older ones decay.
+constexpr double kMeanSamples = 200, kAllRunSamples = 400, kPromptStartSamples = 50,
+                 kGroupWaitSamples = 50;
+// Weight, in samples, of a mean adopted from a large tier.
+constexpr double kMinAdoptedSamples = 50;
 
 }  // namespace
 
-LoadEstimates::LoadEstimates(int kinds, int zones) : zones_(std::max(1, zones)) {
-  kind_pace_.resize(Idx(std::max(1, kinds)));
-  kind_slots_.assign(kind_pace_.size(), 0.0);
-  kind_max_slots_.assign(kind_pace_.size(), {0.0, -1});
-  group_wait_s_.assign(kind_pace_.size() * Idx(zones_), 0.0);
+LoadEstimates::LoadEstimates(int kind_count, int zone_count)
+    : zone_count_(std::max(1, zone_count)) {
+  kind_slowdown_.resize(ToIndex(std::max(1, kind_count)));
+  kind_slots_.assign(kind_slowdown_.size(), 0.0);
+  kind_max_slots_.assign(kind_slowdown_.size(), {0.0, -1});
+  group_wait_s_.assign(kind_slowdown_.size() * ToIndex(zone_count_), 0.0);
   group_success_.assign(group_wait_s_.size(), 1.0);
 }
 
-void LoadEstimates::SetClassCount(std::size_t classes) {
-  class_run_time_.resize(classes);
-  class_hint_fit_.resize(classes);
+void LoadEstimates::SetClassCount(std::size_t class_count) {
+  class_run_time_.resize(class_count);
+  class_hint_fit_.resize(class_count);
 }
 
-void LoadEstimates::ForgetClass(int cls) {
-  class_run_time_[Idx(cls)] = {};
-  class_hint_fit_[Idx(cls)] = {};
+void LoadEstimates::ForgetClass(int class_index) {
+  class_run_time_[ToIndex(class_index)] = {};
+  class_hint_fit_[ToIndex(class_index)] = {};
 }
 
-double LoadEstimates::RunTime(const Job& job, const ClassSettings& settings) const {
-  const double mean_s = ClassRunTime(job.class_index, settings.latency_objective_s);
-  return job.size_hint_s > 0 ? class_hint_fit_[Idx(job.class_index)].At(job.size_hint_s, mean_s)
-                             : mean_s;
+double LoadEstimates::RunTime(const Request& request, const ClassSettings& settings) const {
+  const double mean_s = ClassRunTime(request.class_index, settings.latency_objective_s);
+  return request.size_hint_s > 0
+             ? class_hint_fit_[ToIndex(request.class_index)].Predict(request.size_hint_s, mean_s)
+             : mean_s;
 }
 
-double LoadEstimates::Pace(const Worker& worker, double now_s) const {
-  const double kind =
-      kind_pace_[Idx(worker.kind)].Or(1 / std::max(kMinCapacityHint, worker.capacity_hint));
-  const double jobs = worker.pace_weight * std::exp((worker.pace_at - now_s) / kPaceDecayS);
-  return (worker.pace * jobs + kind * kKindPaceJobs) / (jobs + kKindPaceJobs);
+double LoadEstimates::Slowdown(const Worker& worker, double now_s) const {
+  const double kind_slowdown = kind_slowdown_[ToIndex(worker.kind)].ValueOr(
+      1 / std::max(kMinCapacityHint, worker.capacity_hint));
+  const double own_samples =
+      worker.slowdown_weight * std::exp((worker.slowdown_at - now_s) / kSlowdownDecayS);
+  return (worker.slowdown * own_samples + kind_slowdown * kKindSlowdownSamples) /
+         (own_samples + kKindSlowdownSamples);
 }
 
-// A worker's last wait says less and less; then its group's is the better estimate.
+// The worker's last wait decays towards the mean wait of its group.
 double LoadEstimates::StartWait(const Worker& worker, double now_s) const {
   const double group_s = group_wait_s_[GroupOf(worker)];
   return group_s + (worker.start_wait_s - group_s) *
@@ -59,51 +68,55 @@
 }
 
 double LoadEstimates::KeyFetchOverhead() const {
-  return other_key_pace_.Or(1) / std::max(recent_key_pace_.Or(1), 1e-9) - 1;
+  return other_key_slowdown_.ValueOr(1) / std::max(recent_key_slowdown_.ValueOr(1), 1e-9) - 1;
 }
 
-void LoadEstimates::OnRequest(const Job& job) {
-  memory_per_slot_.Add(job.memory / job.slots, kMeanJobs);
+void LoadEstimates::OnRequest(const Request& request) {
+  memory_per_slot_.Add(request.memory / request.slots, kMeanSamples);
 }
 
-void LoadEstimates::OnPromptStart(bool prompt) { prompt_starts_.Add(prompt, kPromptStartJobs); }
+void LoadEstimates::OnPromptStart(bool prompt) { prompt_starts_.Add(prompt, kPromptStartSamples); }
 
 void LoadEstimates::OnStartWait(double wait_s, double now_s, Worker* worker) {
   double& group_s = group_wait_s_[GroupOf(*worker)];
-  group_s += (wait_s - group_s) / kGroupWaitJobs;
+  group_s += (wait_s - group_s) / kGroupWaitSamples;
   worker->start_wait_s = wait_s;
   worker->start_wait_at = now_s;
 }
 
-RunSample LoadEstimates::OnRunEnded(const Job& job, const ClassSettings& settings,
+RunSample LoadEstimates::OnRunEnded(const Request& request, const ClassSettings& settings,
                                     const Attempt& attempt, double now_s, Worker* worker) {
   const double since_s = attempt.started_at >= 0 ? attempt.started_at : attempt.sent_at;
-  const double took_s = std::max(kMinRunTimeS, now_s - since_s);
-  const double pace = std::min(took_s / std::max(RunTime(job, settings), kMinRunTimeS), kMaxPace);
-  class_run_time_[Idx(job.class_index)].Add(took_s, kMeanJobs);
-  all_run_.Add(took_s, kAllRunJobs);
-  if (job.size_hint_s > 0) {
-    class_hint_fit_[Idx(job.class_index)].Add(job.size_hint_s, took_s, kMeanJobs);
+  const double run_time_s = std::max(kMinRunTimeS, now_s - since_s);
+  const double slowdown =
+      std::min(run_time_s / std::max(RunTime(request, settings), kMinRunTimeS), kMaxSlowdown);
+  class_run_time_[ToIndex(request.class_index)].Add(run_time_s, kMeanSamples);
+  all_run_.Add(run_time_s, kAllRunSamples);
+  if (request.size_hint_s > 0) {
+    class_hint_fit_[ToIndex(request.class_index)].Add(request.size_hint_s, run_time_s,
+                                                      kMeanSamples);
   }
-  kind_pace_[Idx(worker->kind)].Add(pace, kMeanJobs);
-  if (job.key != 0) {
-    Mean& key_pace = attempt.recent_key ? recent_key_pace_ : other_key_pace_;
-    key_pace.Add(took_s / Pace(*worker, now_s), kMeanJobs);
+  kind_slowdown_[ToIndex(worker->kind)].Add(slowdown, kMeanSamples);
+  if (request.key != 0) {
+    Mean& key_slowdown = attempt.recent_key ? recent_key_slowdown_ : other_key_slowdown_;
+    key_slowdown.Add(run_time_s / Slowdown(*worker, now_s), kMeanSamples);
   }
-  const double faded = worker->pace_weight * std::exp((worker->pace_at - now_s) / kPaceDecayS);
-  worker->pace_weight = std::min(faded + 1, kMaxPaceJobs);
-  worker->pace += (pace - worker->pace) / worker->pace_weight;
-  worker->pace_at = now_s;
-  return {.took_s = took_s, .pace = pace};
+  const double decayed_weight =
+      worker->slowdown_weight * std::exp((worker->slowdown_at - now_s) / kSlowdownDecayS);
+  worker->slowdown_weight = std::min(decayed_weight + 1, kMaxSlowdownSamples);
+  worker->slowdown += (slowdown - worker->slowdown) / worker->slowdown_weight;
+  worker->slowdown_at = now_s;
+  return {.run_time_s = run_time_s, .slowdown = slowdown};
 }
 
 void LoadEstimates::OnLoadReport(std::ptrdiff_t index, Worker* worker) {
-  // A kind holds what two workers agree on: one wrong report must not make it unlimited.
-  double& slots = kind_slots_[Idx(worker->kind)];
-  auto& [most, reporter] = kind_max_slots_[Idx(worker->kind)];
-  const double reported = worker->ImpliedSlots();
-  if (reporter != index) slots = std::max(slots, std::min(most, reported));
-  if (reported > most) std::tie(most, reporter) = std::pair(reported, index);
+  // A kind has the slots that two workers agree on: a single wrong report must not make it appear
+  // unlimited.
+  double& slots = kind_slots_[ToIndex(worker->kind)];
+  auto& [max_slots, reporter] = kind_max_slots_[ToIndex(worker->kind)];
+  const double reported_slots = worker->ImpliedSlots();
+  if (reporter != index) slots = std::max(slots, std::min(max_slots, reported_slots));
+  if (reported_slots > max_slots) std::tie(max_slots, reporter) = std::pair(reported_slots, index);
   if (worker->reported_queued < 0) {  // not reported: what exceeds the busy slots is queued
     const double busy = slots - worker->reported_free_slots;
     worker->reported_queued = std::max(0.0, worker->reported_in_flight - busy);
@@ -111,23 +124,24 @@
 }
 
 void LoadEstimates::OnWorkerForgotten(std::ptrdiff_t index) {
-  for (auto& [most, reporter] : kind_max_slots_) {
-    if (reporter == index) std::tie(most, reporter) = std::pair(0.0, -1);
+  for (auto& [max_slots, reporter] : kind_max_slots_) {
+    if (reporter == index) std::tie(max_slots, reporter) = std::pair(0.0, -1);
   }
 }
 
-void LoadEstimates::RecoverGroups(double share, double span_s, double interval_s) {
-  for (double& success : group_success_) success += (1 - success) * share * span_s / interval_s;
+void LoadEstimates::RecoverGroupSuccess(double recovery, double elapsed_s, double interval_s) {
+  for (double& group_success : group_success_)
+    group_success += (1 - group_success) * recovery * elapsed_s / interval_s;
 }
 
-double LoadEstimates::RaiseKindSlots(int kind, double slots) {
-  double& known = kind_slots_[Idx(kind)];
+double LoadEstimates::RaiseKindSlots(int kind_index, double slots) {
+  double& known = kind_slots_[ToIndex(kind_index)];
   known = std::max(known, slots);
   return known;
 }
 
 void LoadEstimates::Adopt(double value, Mean* mean) {
-  *mean = {value, std::max(mean->n, kMinAdoptedJobs)};
+  *mean = {value, std::max(mean->count, kMinAdoptedSamples)};
 }
 
 }  // namespace millethollow::balancing
--- a/src/balancing/outlier_detection.cpp
+++ b/src/balancing/outlier_detection.cpp
@@ -5,35 +5,38 @@
 
 namespace millethollow::balancing {
 
-constexpr double kBaseEjectionS = 2.0,
-                 kMaxEjectionS = 12.0;  // first ejection, doubled with each further one
-constexpr double kMaxEjectedShare =
-    0.7;  // of the ready workers: covers the loss of one zone of two
-// Samples go where attempts succeed, by kind and zone. Workers that fail one after the other there
-// are lost: no dispatcher could find each of them out by itself. Trials go on as it recovers.
+// Duration of the first ejection and of the longest one; each further ejection doubles it.
+constexpr double kBaseEjectionS = 2.0, kMaxEjectionS = 12.0;
+// Limit on the ejected share of the ready workers; it covers the loss of one zone of two.
+constexpr double kMaxEjectedShare = 0.7;
+// Factor of a group's success rate at each failure. Random choices prefer groups (the workers of
+// one kind in one zone) where attempts succeed. If the workers of a group fail one after the other,
+// all of them are probably lost, and no dispatcher could find that out for each by itself. Attempts
+// continue as the success rate recovers.
 constexpr double kGroupFailureKeep = 0.75;
 
-void LoadBalancerImpl::Eject(int index) {
-  Worker& w = workers_[index];
-  estimates_.GroupSuccess(w) *= kGroupFailureKeep;
-  if (w.ejected) return;
-  w.ejection_s = std::clamp(w.ejection_s * 2, kBaseEjectionS, kMaxEjectionS);
-  // Never most of the fleet: then the endpoint list is the better guide.
+void LoadBalancerImpl::Eject(int worker_index) {
+  Worker& worker = workers_[worker_index];
+  estimates_.GroupSuccess(worker) *= kGroupFailureKeep;
+  if (worker.ejected) return;
+  worker.ejection_s = std::clamp(worker.ejection_s * 2, kBaseEjectionS, kMaxEjectionS);
+  // If most of the fleet fails, the endpoint list is the better guide.
   if (workers_.ejected_count() + 1 > kMaxEjectedShare * workers_.ready_count()) return;
-  w.ejected = true;
-  w.probation = false;
-  w.ejected_until = now_ + w.ejection_s * (0.8 + 0.4 * random_.Unit());
+  worker.ejected = true;
+  worker.probation = false;
+  worker.ejected_until = now_ + worker.ejection_s * (0.8 + 0.4 * random_.Uniform());
   RebuildPools();
 }
 
-void LoadBalancerImpl::EndEjections() {  // ejected workers return in probation
+// Returns ejected workers whose time is over, in probation.
+void LoadBalancerImpl::EndEjections() {
   bool changed = false;
-  for (Worker& w : workers_) {
-    if (!w.ejected || now_ < w.ejected_until) continue;
-    w.ejected = false;
-    w.probation = changed = true;
-    w.slot_limit = 1;
-    w.error_rate = 0;
+  for (Worker& worker : workers_) {
+    if (!worker.ejected || now_ < worker.ejected_until) continue;
+    worker.ejected = false;
+    worker.probation = changed = true;
+    worker.slot_limit = 1;
+    worker.error_rate = 0;
   }
   if (changed) RebuildPools();
 }
--- a/src/balancing/overdue_attempts.cpp
+++ b/src/balancing/overdue_attempts.cpp
@@ -1,82 +1,90 @@
-// Overdue attempts: hedged requests, shedding of queued work, ejection of silent workers.
+// Overdue attempts: hedged requests, shedding of queued requests, ejection of unresponsive workers.
 #include <algorithm>
 
 #include "balancing/load_balancer_impl.h"
 
 namespace millethollow::balancing {
 
-constexpr double kSilentProbeS =
-    0.25;  // no message from the worker since the attempt: a health check is sent
-constexpr double kMinSilenceS = 1.0;  // no message from the worker since the send: it is ejected
-constexpr double kProgressIntervals = 1.5;  // of silence where workers report progress
-constexpr double kOrdinaryPace = 2.0;       // a worker this much slower than expected is slow
+// Age of an attempt without a response from its worker, after which the worker is probed.
+constexpr double kProbeAfterSilenceS = 0.25;
+// Shortest time without a response since an attempt after which the worker is ejected.
+constexpr double kMinSilenceS = 1.0;
+// Progress intervals without a response, where workers report progress.
+constexpr double kProgressIntervals = 1.5;
+constexpr double kSlowWorkerSlowdown = 2.0;  // slowdown from which a worker counts as slow
 constexpr double kMinRecheckS = 0.25;
 
-bool LoadBalancerImpl::WouldEndLate(const Job& job, const Worker& w, double age) const {
-  const double run = ExpectedRun(job) * PaceOf(w);
-  return age > LatencyObjectiveOf(job) + (settings_.workers_notify_start ? -run : run);
+bool LoadBalancerImpl::WouldEndLate(const Request& request, const Worker& worker,
+                                    double age_s) const {
+  const double run_time_s = ExpectedRunTime(request) * SlowdownOf(worker);
+  return age_s >
+         LatencyObjectiveOf(request) + (settings_.workers_notify_start ? -run_time_s : run_time_s);
 }
 
-// An attempt has not started, or not ended, when it should have.
+// Checks an attempt that has not started, or not ended, when it should have.
 void LoadBalancerImpl::OnOverdue(const OverdueCheck& check) {
   if (check.attempt == kCapacityWaitCheck) return OnCapacityWaitCheck(check);
-  if (check.attempt == kProbeCheck) return OnProbesAnswered(check.job);
-  Job* job = nullptr;
-  Attempt* a = FindAttempt(check.job, check.attempt, &job);
-  if (a == nullptr || !a->open) return;
-  const double age_s = now_ - a->sent_at;
-  if (settings_.workers_notify_start && a->started_at < 0) OnStartOverdue(*job, *a, age_s);
-  if (MayShed(*job, *a, age_s)) {
+  if (check.attempt == kProbeCheck) return OnProbesAnswered(check.request_id);
+  Request* request = nullptr;
+  Attempt* attempt = FindAttempt(check.request_id, check.attempt, &request);
+  if (attempt == nullptr || !attempt->in_flight) return;
+  const double age_s = now_ - attempt->sent_at;
+  if (settings_.workers_notify_start && attempt->started_at < 0)
+    OnStartOverdue(*request, *attempt, age_s);
+  if (MayShed(*request, *attempt, age_s)) {
     shed_budget_.Spend();
-    job->shed = true;
-    return CancelOpenAttempts(*job, false);
+    request->shed = true;
+    return CancelAttemptsInFlight(*request, false);
   }
-  Worker& w = workers_[a->worker];
-  const double silence_s =
-      std::max({kOverdueFactor * ExpectedRun(*job),
+  Worker& worker = workers_[attempt->worker];
+  const double silence_limit_s =
+      std::max({kOverdueFactor * ExpectedRunTime(*request),
                 kProgressIntervals * settings_.progress_interval_s, kMinSilenceS});
-  if (w.heard_at < a->sent_at && age_s > silence_s) Eject(a->worker);
-  const bool lost = w.ejected || !w.ready;
-  const bool waits = settings_.workers_notify_start ? a->started_at < 0 : age_s > silence_s;
-  if (lost || waits) HedgeOrCancel(*job, check.attempt, lost);
-  CheckAt(now_ + std::max(kMinRecheckS, age_s / 2), check.job, check.attempt);
+  if (worker.last_response_at < attempt->sent_at && age_s > silence_limit_s) Eject(attempt->worker);
+  const bool lost = worker.ejected || !worker.ready;
+  const bool is_waiting =
+      settings_.workers_notify_start ? attempt->started_at < 0 : age_s > silence_limit_s;
+  if (lost || is_waiting) HedgeOrCancel(*request, check.attempt, lost);
+  CheckAt(now_ + std::max(kMinRecheckS, age_s / 2), check.request_id, check.attempt);
 }
 
-void LoadBalancerImpl::OnStartOverdue(Job& job, Attempt& a, double age_s) {
-  Worker& w = workers_[a.worker];
-  estimates_.OnStartWait(std::max(age_s, StartWaitOf(w)), now_, &w);
+void LoadBalancerImpl::OnStartOverdue(Request& request, Attempt& attempt, double age_s) {
+  Worker& worker = workers_[attempt.worker];
+  estimates_.OnStartWait(std::max(age_s, StartWaitOf(worker)), now_, &worker);
   // An ejected or slow worker says nothing about the tier.
-  const bool late = !w.ejected && age_s > ClassOf(job.class_index).latency_objective_s &&
-                    PaceOf(w) < kOrdinaryPace;
-  OnBlocked(job, a, false, late);
-  if (w.heard_at < a.sent_at && settings_.probing && age_s > kSilentProbeS &&
-      w.probed_at < a.sent_at) {
-    w.probed_at = now_;
-    actions_->push_back(Probe{w.name});
+  const bool late = !worker.ejected &&
+                    age_s > ClassSettingsOf(request.class_index).latency_objective_s &&
+                    SlowdownOf(worker) < kSlowWorkerSlowdown;
+  OnNoCapacity(request, attempt, false, late);
+  if (worker.last_response_at < attempt.sent_at && settings_.probing &&
+      age_s > kProbeAfterSilenceS && worker.probed_at < attempt.sent_at) {
+    worker.probed_at = now_;
+    actions_->push_back(Probe{worker.name});
   }
 }
 
-// Queued work that would end late is cancelled while the tier is full, else all that waits behind
-// it ends late too. No more of it than starts: where none start, cancelling ends nothing.
-bool LoadBalancerImpl::MayShed(const Job& job, const Attempt& a, double age_s) const {
-  return fleet_rate_.tier_full() && may_shed_queued_ && !job.ended && !job.Running() &&
-         shed_budget_.Available() && WouldEndLate(job, workers_[a.worker], age_s);
+// Whether a queued request that would end late may be cancelled, because the tier is full and
+// everything queued behind it would end late too. The budget bounds such cancels by the number of
+// starts: where no request starts, a cancel does not remove queued work.
+bool LoadBalancerImpl::MayShed(const Request& request, const Attempt& attempt, double age_s) const {
+  return fleet_rate_.tier_full() && may_shed_queued_ && !request.ended && !request.IsRunning() &&
+         shed_budget_.Available() && WouldEndLate(request, workers_[attempt.worker], age_s);
 }
 
-// Sends a hedged request, beyond the budget only where the attempt's worker is lost. Where hedging
-// is off, a lost attempt is cancelled, so that it can be retried.
-void LoadBalancerImpl::HedgeOrCancel(Job& job, int attempt, bool lost) {
-  if (job.ended || job.shed || (!lost && !hedge_budget_.Available())) return;
+// Sends a hedged request; the budget does not apply if the attempt's worker is lost. Where hedging
+// is off, a lost attempt is cancelled so that the request can be retried.
+void LoadBalancerImpl::HedgeOrCancel(Request& request, int attempt_index, bool lost) {
+  if (request.ended || request.shed || (!lost && !hedge_budget_.Available())) return;
   if (settings_.allow_hedging) {
-    if (PlaceJob(job) && !lost) hedge_budget_.Spend();
+    if (PlaceRequest(request) && !lost) hedge_budget_.Spend();
   } else if (lost && settings_.cancel &&
-             ClassOf(job.class_index).idempotency != Idempotency::kNotIdempotent) {
-    actions_->push_back(CancelAttempt{job.id, attempt});
+             ClassSettingsOf(request.class_index).idempotency != Idempotency::kNotIdempotent) {
+    actions_->push_back(CancelAttempt{request.id, attempt_index});
   }
 }
 
-void LoadBalancerImpl::CheckAt(double at, const std::string& id, int attempt) {
-  overdue_checks_.push({at, ++next_check_order_, id, attempt});
+void LoadBalancerImpl::CheckAt(double due_at, const std::string& id, int attempt_index) {
+  overdue_checks_.push({due_at, ++next_check_order_, id, attempt_index});
   if (!check_timer_set_) actions_->push_back(SetTimer{kOverdueTimer, kOverdueCheckS / 4});
   check_timer_set_ = true;
 }
--- a/src/balancing/peer_usage.h
+++ b/src/balancing/peer_usage.h
@@ -1,4 +1,4 @@
-// What peers reported last.
+// The latest usage reports of the other dispatchers.
 #ifndef MILLETHOLLOW_BALANCING_PEER_USAGE_H_
 #define MILLETHOLLOW_BALANCING_PEER_USAGE_H_
 
@@ -14,56 +14,60 @@
 
 namespace millethollow::balancing {
 
-// The last report of a peer. A row that does not fit one datagram comes in parts, each applied by
-// itself.
+// The latest report of a peer. A row of rates that does not fit one datagram arrives in parts, each
+// of which is applied by itself. Times are seconds on the caller's clock.
 struct PeerUsage {
-  double heard_at = -kInf;        // of any part
-  double slots_heard_at = -kInf;  // of the part with its slots in flight
-  std::vector<double> rates;      // as RowLayout has them
-  std::vector<double> rates_heard_at;
+  double received_at = -kInf;        // any part
+  double slots_received_at = -kInf;  // the part with the slots in flight
+  std::vector<double> rates;         // per second, in the order of RowLayout
+  std::vector<double> rates_received_at;
   std::vector<std::pair<std::uint16_t, int>> slots_in_flight;  // by worker tag
-  // Where shares are agreed on: it hears all members, and the view that it has its share in.
-  bool hears_all = false;
+  // Where the tier agrees on shares: whether the peer receives the reports of all members, and the
+  // view that its share belongs to.
+  bool receives_all = false;
   std::uint8_t view = 0;
 
-  void Apply(const UsageReport& report, std::size_t row_size, double now) {
-    heard_at = now;
-    hears_all = report.hears_all;
+  // Applies a report or a part of one.
+  void Apply(const UsageReport& report, std::size_t row_size, double now_s) {
+    received_at = now_s;
+    receives_all = report.receives_all;
     view = report.view;
     rates.resize(row_size, 0.0);
-    rates_heard_at.resize(row_size, -kInf);
-    const auto first = static_cast<std::ptrdiff_t>(report.first);
+    rates_received_at.resize(row_size, -kInf);
+    const auto first = static_cast<std::ptrdiff_t>(report.first_index);
     std::copy(report.rates.begin(), report.rates.end(), rates.begin() + first);
-    std::fill_n(rates_heard_at.begin() + first, report.rates.size(), now);
-    if (report.BeginsRow()) ApplySlotsInFlight(report, now);
+    std::fill_n(rates_received_at.begin() + first, report.rates.size(), now_s);
+    if (report.BeginsRow()) ApplySlotsInFlight(report, now_s);
   }
-  void ApplySlotsInFlight(const UsageReport& report, double now) {
-    slots_heard_at = now;
+  // Applies only the slots in flight, of a part that begins the row.
+  void ApplySlotsInFlight(const UsageReport& report, double now_s) {
+    slots_received_at = now_s;
     slots_in_flight = report.slots_in_flight;
   }
-  // Every rate of its row was heard after `since`. Else the row is not used: a rate that never
-  // came, or is too old, is neither zero nor what it was.
+  // Whether every rate of the row was received after `since`. Otherwise the row is not used: a rate
+  // that is missing or outdated is unknown, neither zero nor its old value.
   bool RowKnown(double since) const {
-    return heard_at > since && std::all_of(rates_heard_at.begin(), rates_heard_at.end(),
-                                           [since](double at) { return at > since; });
+    return received_at > since && std::all_of(rates_received_at.begin(), rates_received_at.end(),
+                                              [since](double time) { return time > since; });
   }
 };
 
-// The latest reports of peers, one row each.
+// The latest reports of all peers, one row each, and of the sibling process.
 struct PeerUsageTable {
   std::vector<PeerUsage> rows;
   PeerUsage sibling;
 
-  // Sets the slots that live peers have in flight at each worker, by their last report.
+  // Sets the slots that peers have in flight at each worker, by reports received since `since`.
   void SumSlotsInFlight(std::vector<Worker>* workers, double since) const {
-    for (Worker& w : *workers) w.peer_slots_in_flight = w.sibling_slots_in_flight = 0;
+    for (Worker& worker : *workers)
+      worker.peer_slots_in_flight = worker.sibling_slots_in_flight = 0;
     const auto add = [&](const PeerUsage& peer, bool is_sibling) {
-      if (peer.slots_heard_at < since) return;
-      for (const auto& [tag, out] : peer.slots_in_flight) {
-        for (Worker& w : *workers) {
-          if (static_cast<std::uint16_t>(w.hash) != tag) continue;
-          w.peer_slots_in_flight += out;
-          if (is_sibling) w.sibling_slots_in_flight += out;
+      if (peer.slots_received_at < since) return;
+      for (const auto& [tag, slots] : peer.slots_in_flight) {
+        for (Worker& worker : *workers) {
+          if (static_cast<std::uint16_t>(worker.hash) != tag) continue;
+          worker.peer_slots_in_flight += slots;
+          if (is_sibling) worker.sibling_slots_in_flight += slots;
         }
       }
     };
@@ -71,19 +75,21 @@
     add(sibling, true);
   }
 
-  // The sum of own and fresh rows. Peers never heard, and those whose row is not complete, count as
-  // the average one. Those not heard since `since` are dead.
-  std::vector<double> TierRates(std::vector<double> sum, int me, double since) const {
-    double known = 1, alive = 1;
-    for (std::size_t p = 0; p < rows.size(); ++p) {
-      const bool never = rows[p].heard_at == -kInf, fresh = rows[p].heard_at > since;
-      if (static_cast<int>(p) == me || (!never && !fresh)) continue;
-      alive += 1;
-      if (!rows[p].RowKnown(since)) continue;
-      known += 1;
-      for (std::size_t i = 0; i < sum.size(); ++i) sum[i] += rows[p].rates[i];
+  // Returns the sum of the own rates and of the rows received since `since`. Peers that never
+  // reported, and those with an incomplete row, count as the average dispatcher. Peers whose last
+  // report is older are taken to be dead.
+  std::vector<double> TierRates(std::vector<double> sum, int own_index, double since) const {
+    double complete_rows = 1, live_dispatchers = 1;
+    for (std::size_t peer_index = 0; peer_index < rows.size(); ++peer_index) {
+      const bool never_reported = rows[peer_index].received_at == -kInf,
+                 recent = rows[peer_index].received_at > since;
+      if (static_cast<int>(peer_index) == own_index || (!never_reported && !recent)) continue;
+      live_dispatchers += 1;
+      if (!rows[peer_index].RowKnown(since)) continue;
+      complete_rows += 1;
+      for (std::size_t i = 0; i < sum.size(); ++i) sum[i] += rows[peer_index].rates[i];
     }
-    for (double& v : sum) v *= alive / known;
+    for (double& rate : sum) rate *= live_dispatchers / complete_rows;
     return sum;
   }
 };
--- a/src/balancing/placement.cpp
+++ b/src/balancing/placement.cpp
@@ -1,4 +1,4 @@
-// Placement: which worker a job goes to.
+// Placement: the choice of the worker for an attempt.
 #include <algorithm>
 #include <tuple>
 #include <utility>
@@ -8,124 +8,135 @@
 namespace millethollow::balancing {
 
 constexpr int kSampleSize = 12;  // random workers considered; covers a small fleet
-// In a large tier a dispatcher knows too little of the workers: the best of many would be the
+// In a large tier a dispatcher knows too little about the workers: the best of many would be the
 // same for all dispatchers, and all would send there. Two random choices, weighted by throughput,
-// spread the load (power of d choices).
+// spread the load (power of two choices).
 constexpr int kSampleSizeLargeTier = 2;
-constexpr int kPreferredWorkers = 4;  // that a key prefers, the same at every dispatcher
-constexpr int kNotPreferredRank = 4 * kPreferredWorkers;  // of all other workers
-constexpr double kNoCapacityPenalty = 10.0;               // outweighs any pace or price
-constexpr double kKeyFetchWeight =
-    1.5;  // latency objectives that a job waits rather than fetch its key elsewhere
+constexpr int kPreferredWorkers = 4;  // workers that a key prefers, the same at every dispatcher
+constexpr int kNotPreferredRank = 4 * kPreferredWorkers;  // rank of all other workers
+constexpr double kNoCapacityPenalty = 10.0;               // outweighs any slowdown or price
+// Latency objectives that a request waits for a worker rather than fetch the data of its key
+// elsewhere.
+constexpr double kKeyFetchWeight = 1.5;
 
-// Whether the job may go to the worker at all. `anchor` is a worker whose deduplication group it
-// has to stay in, -1: none.
-bool LoadBalancerImpl::Allowed(const Job& job, int index, int anchor) const {
-  const Worker& w = workers_[index];
-  if (!w.ready) return false;
-  if (w.probation && (w.slots_in_flight > 0 ||
-                      ClassOf(job.class_index).idempotency == Idempotency::kNotIdempotent))
+// Whether the request may be sent to the worker at all. `scope_worker` is a worker whose
+// deduplication scope it has to stay in; -1: any.
+bool LoadBalancerImpl::IsCandidate(const Request& request, int worker_index,
+                                   int scope_worker) const {
+  const Worker& worker = workers_[worker_index];
+  if (!worker.ready) return false;
+  if (worker.probation &&
+      (worker.slots_in_flight > 0 ||
+       ClassSettingsOf(request.class_index).idempotency == Idempotency::kNotIdempotent))
     return false;
-  // Where jobs wait for capacity, one may return to a worker that rejected it.
-  if (job.WasTriedAt(index, reservations_ != nullptr)) return false;
-  if (anchor >= 0 &&
-      !InSameDeduplicationGroup(ClassOf(job.class_index).deduplication_scope, workers_[anchor], w))
+  // Where requests wait for capacity, one may return to a worker that rejected it.
+  if (request.WasAttemptedAt(worker_index, reservations_ != nullptr)) return false;
+  if (scope_worker >= 0 &&
+      !InSameDeduplicationScope(ClassSettingsOf(request.class_index).deduplication_scope,
+                                workers_[scope_worker], worker))
     return false;
-  if (!WarmingUp(w) || sibling_.draining) return !WarmingUp(w);
-  return full_mesh_ ? SlowStartTokens(w) >= SlowStartCost(job)
-                    : index == job.slow_start_worker && SlowStartHasCapacity(w);
+  if (!InSlowStart(worker) || sibling_.draining) return !InSlowStart(worker);
+  return full_mesh_ ? SlowStartTokens(worker) >= SlowStartCost(request)
+                    : worker_index == request.slow_start_worker && SlowStartHasCapacity(worker);
 }
 
-// Lower is better: expected time over the latency objective, plus prices; workers with capacity
-// come first.
-double LoadBalancerImpl::Score(const Job& job, const Worker& w, int home_rank) const {
-  const Forecast forecast = ForecastFor(job, w);
-  double score =
-      forecast.time_s / LatencyObjectiveOf(job) + (forecast.no_capacity ? kNoCapacityPenalty : 0.0);
-  if (estimates_.GroupSuccess(w) < kGroupSuccessMin) score += 2 * kNoCapacityPenalty;
-  if (w.zone != settings_.zone) score += settings_.price_cross_zone;
-  if (job.key != 0)
-    score += KeyAffinityWeight() * (1 - 0.8 / (1 + (w.HasRecentKey(job.key) ? 0 : home_rank)));
+// The cost of sending the request to the worker; lower is better. It is the expected time over the
+// latency objective, plus prices. Workers with capacity come first.
+double LoadBalancerImpl::Score(const Request& request, const Worker& worker,
+                               int preferred_rank) const {
+  const Forecast forecast = ForecastFor(request, worker);
+  double score = forecast.time_s / LatencyObjectiveOf(request) +
+                 (forecast.no_capacity ? kNoCapacityPenalty : 0.0);
+  if (estimates_.GroupSuccess(worker) < kMinGroupSuccess) score += 2 * kNoCapacityPenalty;
+  if (worker.zone != settings_.zone) score += settings_.price_cross_zone;
+  if (request.key != 0)
+    score += KeyAffinityWeight() *
+             (1 - 0.8 / (1 + (worker.HasRecentKey(request.key) ? 0 : preferred_rank)));
   return score;
 }
 
-// Where a key is not cached the job must fetch it, and each fetch evicts a key that another job
-// fetches again: keys stay on few workers once jobs without a cached key are seen to run longer.
+// The weight of key affinity. Where a key is not cached, a request must fetch its data, and each
+// fetch evicts a key whose data another request then fetches again. Keys are kept on few workers
+// once requests without a cached key are seen to run longer.
 double LoadBalancerImpl::KeyAffinityWeight() const {
-  const double fetch = estimates_.KeyFetchOverhead();
-  return settings_.price_origin + kKeyFetchWeight * std::clamp(5 * fetch - 0.5, 0.0, 1.0);
+  const double fetch_overhead = estimates_.KeyFetchOverhead();
+  return settings_.price_origin + kKeyFetchWeight * std::clamp(5 * fetch_overhead - 0.5, 0.0, 1.0);
 }
 
-// A random worker, weighted by throughput and by the success of its group.
+// Returns a random worker, weighted by its throughput and the success rate of its group.
 int LoadBalancerImpl::SampleWorker(const std::vector<int>& from) {
-  int w = -1;
+  int worker_index = -1;
   for (int i = 0; i < 4; ++i) {
-    w = from[random_.Below(from.size())];
-    if (random_.Unit() <
-        ThroughputOf(workers_[w]) * estimates_.GroupSuccess(workers_[w]) / max_throughput_)
+    worker_index = from[random_.Below(from.size())];
+    if (random_.Uniform() < ThroughputOf(workers_[worker_index]) *
+                                estimates_.GroupSuccess(workers_[worker_index]) / max_throughput_)
       break;
   }
-  return w;
+  return worker_index;
 }
 
-int LoadBalancerImpl::PickWorker(const Job& job, int anchor) {
-  const int kind = ClassOf(job.class_index).kind;
-  const std::vector<int>& all = Selectable(kind, -1);
-  const std::vector<int>& near = Selectable(kind, settings_.zone);
-  int best = -1, looked = 0;
+int LoadBalancerImpl::PickWorker(const Request& request, int scope_worker) {
+  const int kind = ClassSettingsOf(request.class_index).kind;
+  const std::vector<int>& eligible = EligibleWorkers(kind, -1);
+  const std::vector<int>& same_zone = EligibleWorkers(kind, settings_.zone);
+  int best_worker = -1, considered = 0;
   double best_score = kInf;
-  const auto look = [&](int w, int rank) {
-    if (!Allowed(job, w, anchor)) return;
-    if (reservations_ && anchor < 0 && !reservations_->HasCapacityFor(job.id, workers_[w].name))
+  const auto consider = [&](int worker_index, int rank) {
+    if (!IsCandidate(request, worker_index, scope_worker)) return;
+    if (reservations_ && scope_worker < 0 &&
+        !reservations_->HasCapacityFor(request.id, workers_[worker_index].name))
       return;
-    ++looked;
-    const double score = Score(job, workers_[w], rank);
-    if (score < best_score) std::tie(best, best_score) = std::pair(w, score);
+    ++considered;
+    const double score = Score(request, workers_[worker_index], rank);
+    if (score < best_score) std::tie(best_worker, best_score) = std::pair(worker_index, score);
   };
-  if (job.found_worker >= 0) look(job.found_worker, kNotPreferredRank);
-  for (const int w : job.probed) look(w, kNotPreferredRank);
-  if (!full_mesh_ && best >= 0 && best_score < kNoCapacityPenalty)
-    return best;  // by its load report it has capacity
-  if (job.key != 0 && !all.empty()) {
-    const std::vector<int>& homes = PreferredWorkers(job.key, kind);
-    for (std::size_t r = 0; r < homes.size(); ++r) look(homes[r], static_cast<int>(r));
+  if (request.worker_with_capacity >= 0) consider(request.worker_with_capacity, kNotPreferredRank);
+  for (const int worker_index : request.probed) consider(worker_index, kNotPreferredRank);
+  if (!full_mesh_ && best_worker >= 0 && best_score < kNoCapacityPenalty)
+    return best_worker;  // it has capacity by its load report
+  if (request.key != 0 && !eligible.empty()) {
+    const std::vector<int>& preferred = PreferredWorkers(request.key, kind);
+    for (std::size_t rank = 0; rank < preferred.size(); ++rank)
+      consider(preferred[rank], static_cast<int>(rank));
   }
-  looked = full_mesh_ ? static_cast<int>(job.probed.size()) - job.probes_awaited : 0;
-  const int sample = full_mesh_ ? kSampleSize : kSampleSizeLargeTier;
-  if (!full_mesh_ && job.slow_start_worker >= 0) look(job.slow_start_worker, kNotPreferredRank);
-  // More draws than workers considered: many may be warming up with no tokens left.
-  for (int i = 0; i < 4 * kSampleSize && looked < sample; ++i) {
+  considered = full_mesh_ ? static_cast<int>(request.probed.size()) - request.probes_awaited : 0;
+  const int sample_size = full_mesh_ ? kSampleSize : kSampleSizeLargeTier;
+  if (!full_mesh_ && request.slow_start_worker >= 0)
+    consider(request.slow_start_worker, kNotPreferredRank);
+  // More draws than workers to consider: many may be in slow start without tokens.
+  for (int i = 0; i < 4 * kSampleSize && considered < sample_size; ++i) {
     const std::vector<int>& from =
-        i % 2 == 0 && settings_.price_cross_zone > 0 && !near.empty() ? near : all;
-    if (!from.empty()) look(SampleWorker(from), kNotPreferredRank);
+        i % 2 == 0 && settings_.price_cross_zone > 0 && !same_zone.empty() ? same_zone : eligible;
+    if (!from.empty()) consider(SampleWorker(from), kNotPreferredRank);
   }
-  if (best < 0) {  // none of the sample is allowed: consider all, from a random start
-    const std::size_t start = all.empty() ? 0 : random_.Below(all.size());
-    for (std::size_t i = 0; i < all.size(); ++i)
-      look(all[(start + i) % all.size()], kNotPreferredRank);
+  if (best_worker < 0) {  // no candidate in the sample: considers all workers, from a random start
+    const std::size_t start = eligible.empty() ? 0 : random_.Below(eligible.size());
+    for (std::size_t i = 0; i < eligible.size(); ++i)
+      consider(eligible[(start + i) % eligible.size()], kNotPreferredRank);
   }
-  return best;
+  return best_worker;
 }
 
-// The workers that a key prefers, by rendezvous (highest random weight) hashing: the same at all
-// dispatchers without coordination. Cached until the pools change.
+// The workers that a key prefers, by rendezvous (highest random weight) hashing: all dispatchers
+// agree on them without coordination. Cached until the pools change.
 const std::vector<int>& LoadBalancerImpl::PreferredWorkers(std::uint64_t key, int kind) {
   if (preferred_workers_version_ != workers_.pool_version() || preferred_workers_.size() > 20000)
     preferred_workers_.clear();
   preferred_workers_version_ = workers_.pool_version();
-  auto [it, fresh] =
+  auto [entry, inserted] =
       preferred_workers_.try_emplace(key * 31 + static_cast<std::uint64_t>(kind + 1));
-  if (fresh) {
+  if (inserted) {
     rank_scratch_.clear();  // reused: most keys are new, and each would allocate
-    for (const int w : Selectable(kind, -1))
-      rank_scratch_.emplace_back(Mix(key, workers_[w].hash), w);
-    const auto n = std::min<std::size_t>(kPreferredWorkers, rank_scratch_.size());
-    std::partial_sort(rank_scratch_.begin(), rank_scratch_.begin() + static_cast<std::ptrdiff_t>(n),
+    for (const int worker_index : EligibleWorkers(kind, -1))
+      rank_scratch_.emplace_back(CombineHashes(key, workers_[worker_index].hash), worker_index);
+    const auto count = std::min<std::size_t>(kPreferredWorkers, rank_scratch_.size());
+    std::partial_sort(rank_scratch_.begin(),
+                      rank_scratch_.begin() + static_cast<std::ptrdiff_t>(count),
                       rank_scratch_.end());
-    it->second.reserve(n);
-    for (std::size_t i = 0; i < n; ++i) it->second.push_back(rank_scratch_[i].second);
+    entry->second.reserve(count);
+    for (std::size_t i = 0; i < count; ++i) entry->second.push_back(rank_scratch_[i].second);
   }
-  return it->second;
+  return entry->second;
 }
 
 }  // namespace millethollow::balancing
--- a/src/balancing/request.h
+++ b/src/balancing/request.h
@@ -1,4 +1,4 @@
-// A job and its attempts.
+// Requests in progress and their attempts, as the decision module tracks them.
 #ifndef MILLETHOLLOW_BALANCING_REQUEST_H_
 #define MILLETHOLLOW_BALANCING_REQUEST_H_
 
@@ -14,92 +14,102 @@
 
 namespace millethollow::balancing {
 
-// An attempt at a worker; `worker` is its index, -1: not known here.
+// An attempt to run a request at a worker. `worker` is an index in the WorkerTable; -1: the worker
+// is not known here. Times are seconds on the caller's clock.
 struct Attempt {
   int worker = -1;
   double sent_at = 0, started_at = -1;
-  double slots_before = 0;  // own slots in flight there when it was sent
-  bool open = true, may_have_run = true, blocked = false;
-  bool had_free_slot = false;  // by a fresh load report
-  bool recent_key = false;     // its key was among the last sent there
+  double slots_before = 0;  // own slots in flight at the worker when the attempt was sent
+  bool in_flight = true, may_have_run = true, found_no_capacity = false;
+  bool had_free_slot = false;  // a recent load report showed a free slot
+  bool recent_key = false;     // the request's key was among the last sent to the worker
 };
 
-// A request from its arrival to its final answer.
-struct Job {
+// A request, from its arrival to its final answer. Times are seconds on the caller's clock.
+struct Request {
   std::string id;
   int class_index = 0, tenant = 0;
   double slots = 1, memory = 0, size_hint_s = 0, expires_at_s = 0;
-  std::uint64_t key = 0;     // hash; 0: none
-  std::uint64_t digest = 0;  // tells a job that comes back
+  std::uint64_t key = 0;     // hash of the key; 0: none
+  std::uint64_t digest = 0;  // recognizes the request if it returns after a rejection
   std::vector<Attempt> attempts;
-  std::vector<int> probed;            // indices of the workers probed for it
-  std::size_t probe_round_begin = 0;  // of them, the first of the last round
-  int probes_awaited = 0;             // of that round, yet to answer
-  int slow_start_worker = -1;  // the one worker in slow start that it may go to, in a large tier
-  bool ended = false;          // answered, or no longer wanted
-  bool shed = false;           // cancelled while queued, for overload
+  std::vector<int> probed;            // indices of the workers probed for the request
+  std::size_t probe_round_begin = 0;  // index in `probed` of the first worker of the latest round
+  int probes_awaited = 0;             // probes of the latest round that are not yet answered
+  // In a large tier: the one worker in slow start that the request may be sent to; -1: none.
+  int slow_start_worker = -1;
+  bool ended = false;  // has its final answer, or its client has left
+  bool shed = false;   // cancelled while it was queued, because of overload
   bool awaiting_capacity = false;
   bool wait_check_set = false, impossible = false;
-  int found_worker = -1;      // has capacity for it; -1: none
-  int max_attempts = 1;       // by the settings at its arrival
-  int full_count = 0;         // rejections by workers that were full
-  bool counted_late = false;  // as a late start
+  int worker_with_capacity = -1;    // index of a worker with capacity for the request; -1: none
+  int max_attempts = 1;             // Settings::max_attempts when the request arrived
+  int full_rejections = 0;          // rejections by workers that were full
+  bool late_start_counted = false;  // already counted as a late start
 
-  template <typename Test>
-  bool Any(Test test) const {
-    return std::any_of(attempts.begin(), attempts.end(), test);
+  // Whether `predicate` holds for any attempt.
+  template <typename Predicate>
+  bool AnyAttempt(Predicate predicate) const {
+    return std::any_of(attempts.begin(), attempts.end(), predicate);
   }
-  bool AnyOpen() const {
-    return Any([](const Attempt& a) { return a.open; });
+  bool HasAttemptInFlight() const {
+    return AnyAttempt([](const Attempt& attempt) { return attempt.in_flight; });
   }
-  bool Running() const {
-    return Any([](const Attempt& a) { return a.open && a.started_at >= 0; });
+  // Whether an attempt in flight is known to have started.
+  bool IsRunning() const {
+    return AnyAttempt(
+        [](const Attempt& attempt) { return attempt.in_flight && attempt.started_at >= 0; });
   }
   bool MayHaveRun() const {
-    return Any([](const Attempt& a) { return a.may_have_run; });
+    return AnyAttempt([](const Attempt& attempt) { return attempt.may_have_run; });
   }
-  // The worker's index is in use by this job.
-  bool Names(int worker) const {
-    return slow_start_worker == worker || found_worker == worker ||
+  // Whether the request refers to the worker by its index, which must then not be reused.
+  bool RefersTo(int worker) const {
+    return slow_start_worker == worker || worker_with_capacity == worker ||
            std::find(probed.begin(), probed.end(), worker) != probed.end() ||
-           Any([worker](const Attempt& a) { return a.worker == worker; });
+           AnyAttempt([worker](const Attempt& attempt) { return attempt.worker == worker; });
   }
-  // Where `unless_rejected`, attempts that surely have not run do not count.
-  bool WasTriedAt(int worker, bool unless_rejected) const {
-    return Any([&](const Attempt& a) {
-      return a.worker == worker && (a.may_have_run || !unless_rejected);
+  // With `ignore_not_run`, attempts that cannot have run are not counted.
+  bool WasAttemptedAt(int worker, bool ignore_not_run) const {
+    return AnyAttempt([&](const Attempt& attempt) {
+      return attempt.worker == worker && (attempt.may_have_run || !ignore_not_run);
     });
   }
 };
 
-// The digest covers all that is known of a job but its id.
-inline Job MakeJob(const RequestArrived& e, int tenants, const WorkerTable& workers) {
-  Job job;
-  job.id = e.id;
-  job.class_index = e.cls;
-  job.tenant = e.tenant >= 0 && e.tenant < tenants ? e.tenant : 0;
-  job.slots = std::max(e.slots, 1e-3);
-  job.memory = e.memory;
-  job.size_hint_s = e.size_hint_s;
-  job.key = e.key.empty() ? 0 : HashText(e.key);
-  job.expires_at_s = e.expires_s;
-  job.digest = Mix(Mix(job.key, std::bit_cast<std::uint64_t>(e.memory)),
-                   Mix(std::bit_cast<std::uint64_t>(job.slots + 1e3 * job.size_hint_s),
-                       static_cast<std::uint64_t>(job.tenant << 8 | job.class_index)));
-  for (const PreviousAttempt& t : e.previous_attempts) {
-    job.attempts.push_back({.worker = workers.Find(t.worker), .sent_at = t.sent_at, .open = false});
+// Builds the request for an arrival. Its digest covers everything that is known of the request but
+// its id, which changes when a client sends it again.
+inline Request MakeRequest(const RequestArrived& event, int tenant_count,
+                           const WorkerTable& workers) {
+  Request request;
+  request.id = event.id;
+  request.class_index = event.cls;
+  request.tenant = event.tenant >= 0 && event.tenant < tenant_count ? event.tenant : 0;
+  request.slots = std::max(event.slots, 1e-3);
+  request.memory = event.memory;
+  request.size_hint_s = event.size_hint_s;
+  request.key = event.key.empty() ? 0 : HashText(event.key);
+  request.expires_at_s = event.expires_s;
+  request.digest = CombineHashes(
+      CombineHashes(request.key, std::bit_cast<std::uint64_t>(event.memory)),
+      CombineHashes(std::bit_cast<std::uint64_t>(request.slots + 1e3 * request.size_hint_s),
+                    static_cast<std::uint64_t>(request.tenant << 8 | request.class_index)));
+  for (const PreviousAttempt& previous : event.previous_attempts) {
+    request.attempts.push_back(
+        {.worker = workers.Find(previous.worker), .sent_at = previous.sent_at, .in_flight = false});
   }
-  return job;
+  return request;
 }
 
-// A look at an attempt, probe round or wait of a job, at its time in order of their setting.
+// A scheduled check of an attempt, a round of probes or a wait for capacity. Checks are ordered by
+// their time, those of the same time by the order in which they were scheduled.
 struct OverdueCheck {
-  double at;
+  double due_at;
   std::uint64_t sequence;
-  std::string job;
-  int attempt;  // kProbeCheck and kCapacityWaitCheck: none
-  bool operator>(const OverdueCheck& o) const {
-    return at != o.at ? at > o.at : sequence > o.sequence;
+  std::string request_id;
+  int attempt;  // index in Request::attempts, or kProbeCheck or kCapacityWaitCheck
+  bool operator>(const OverdueCheck& other) const {
+    return due_at != other.due_at ? due_at > other.due_at : sequence > other.sequence;
   }
 };
 
--- a/src/balancing/state_transfer.h
+++ b/src/balancing/state_transfer.h
@@ -1,6 +1,7 @@
-// Hands learned state from a process to the one that replaces it in a hot restart. Jobs and slots
-// in flight are not included: the old process reports them while it runs. Order, types and layout
-// of all that is visited are fixed: builds before and after must read each other.
+// Transfers learned state from a process to the one that replaces it in a hot restart. Requests and
+// slots in flight are not included: the old process reports them while it runs. The order, types
+// and layout of all visited fields are fixed, because builds before and after a change must read
+// each other's state.
 #ifndef MILLETHOLLOW_BALANCING_STATE_TRANSFER_H_
 #define MILLETHOLLOW_BALANCING_STATE_TRANSFER_H_
 
@@ -14,62 +15,74 @@
 
 namespace millethollow::balancing {
 
+// Visits, saves and restores the learned state of a LoadBalancerImpl.
 struct StateTransfer {
+  // Calls `visitor` with all fields, in a fixed order.
   template <typename LoadBalancerImpl, typename Visitor>
-  static void Visit(LoadBalancerImpl& b, Visitor& v) {
-    v(b.fleet_rate_.rate_rps_, b.worker_rate_rps_, b.has_measured_, b.own_rates_,
-      b.tier_mean_rates_, b.estimates_.memory_per_slot_, b.estimates_.all_run_,
-      b.estimates_.class_hint_fit_, b.estimates_.prompt_starts_, b.estimates_.class_run_time_,
-      b.admission_.buckets_, b.estimates_.kind_pace_, b.estimates_.kind_slots_,
-      b.estimates_.kind_max_slots_, b.estimates_.group_wait_s_, b.estimates_.group_success_,
-      b.workers_.mean_slot_limit_, b.hedge_budget_.available_, b.hedge_budget_.per_attempt_,
-      b.shed_budget_.available_, b.workers_.workers_);
+  static void Visit(LoadBalancerImpl& balancer, Visitor& visitor) {
+    visitor(balancer.fleet_rate_.rate_rps_, balancer.worker_rate_rps_, balancer.has_measured_,
+            balancer.own_rates_, balancer.tier_mean_rates_, balancer.estimates_.memory_per_slot_,
+            balancer.estimates_.all_run_, balancer.estimates_.class_hint_fit_,
+            balancer.estimates_.prompt_starts_, balancer.estimates_.class_run_time_,
+            balancer.admission_.buckets_, balancer.estimates_.kind_slowdown_,
+            balancer.estimates_.kind_slots_, balancer.estimates_.kind_max_slots_,
+            balancer.estimates_.group_wait_s_, balancer.estimates_.group_success_,
+            balancer.workers_.mean_slot_limit_, balancer.hedge_budget_.available_,
+            balancer.hedge_budget_.per_attempt_, balancer.shed_budget_.available_,
+            balancer.workers_.workers_);
   }
 
+  // Returns the learned state, for Restore.
   template <typename LoadBalancerImpl>
   static std::string Save(LoadBalancerImpl& balancer) {
-    Saver saver;
-    Visit(balancer, saver);
-    return std::move(saver.out);
+    StateWriter writer;
+    Visit(balancer, writer);
+    return std::move(writer.output);
   }
 
-  // Restores all of it or, where it is damaged or from settings of another form, nothing.
+  // Restores the complete state, or nothing if the text is damaged or was saved under settings of
+  // another form. `classes` maps each class to its index in the saved state; -1: none.
   template <typename LoadBalancerImpl>
   static bool Restore(std::string_view text, const std::vector<int>& classes,
                       LoadBalancerImpl* balancer) {
-    LoadBalancerImpl other(*balancer);
-    Loader loader{text};
-    Visit(other, loader);
-    const auto tenants = static_cast<std::size_t>(balancer->tenant_count_);
-    const std::size_t theirs = other.estimates_.class_run_time_.size();
-    if (!loader.ok || !loader.in.empty() || other.admission_.buckets_.size() != theirs * tenants ||
-        other.estimates_.class_hint_fit_.size() != theirs ||
-        other.own_rates_.size() != balancer->own_rates_.size() ||
-        other.tier_mean_rates_.size() != balancer->tier_mean_rates_.size() ||
-        other.estimates_.group_wait_s_.size() != balancer->estimates_.group_wait_s_.size() ||
-        other.estimates_.group_success_.size() != balancer->estimates_.group_success_.size() ||
-        other.estimates_.kind_pace_.size() != balancer->estimates_.kind_pace_.size() ||
-        other.estimates_.kind_slots_.size() != balancer->estimates_.kind_slots_.size() ||
-        other.estimates_.kind_max_slots_.size() != balancer->estimates_.kind_max_slots_.size()) {
+    LoadBalancerImpl restored(*balancer);
+    StateReader reader{text};
+    Visit(restored, reader);
+    const auto tenant_count = static_cast<std::size_t>(balancer->tenant_count_);
+    const std::size_t saved_class_count = restored.estimates_.class_run_time_.size();
+    if (!reader.valid || !reader.input.empty() ||
+        restored.admission_.buckets_.size() != saved_class_count * tenant_count ||
+        restored.estimates_.class_hint_fit_.size() != saved_class_count ||
+        restored.own_rates_.size() != balancer->own_rates_.size() ||
+        restored.tier_mean_rates_.size() != balancer->tier_mean_rates_.size() ||
+        restored.estimates_.group_wait_s_.size() != balancer->estimates_.group_wait_s_.size() ||
+        restored.estimates_.group_success_.size() != balancer->estimates_.group_success_.size() ||
+        restored.estimates_.kind_slowdown_.size() != balancer->estimates_.kind_slowdown_.size() ||
+        restored.estimates_.kind_slots_.size() != balancer->estimates_.kind_slots_.size() ||
+        restored.estimates_.kind_max_slots_.size() != balancer->estimates_.kind_max_slots_.size()) {
       return false;
     }
-    auto run = balancer->estimates_.class_run_time_;
-    auto hinted = balancer->estimates_.class_hint_fit_;
+    auto class_run_times = balancer->estimates_.class_run_time_;
+    auto class_hint_fits = balancer->estimates_.class_hint_fit_;
     auto buckets = balancer->admission_.buckets_;
-    for (std::size_t c = 0; c < run.size() && c < classes.size(); ++c) {
-      if (classes[c] < 0 || Idx(classes[c]) >= theirs) continue;
-      run[c] = other.estimates_.class_run_time_[Idx(classes[c])];
-      hinted[c] = other.estimates_.class_hint_fit_[Idx(classes[c])];
-      std::copy_n(other.admission_.buckets_.begin() + classes[c] * balancer->tenant_count_, tenants,
-                  buckets.begin() + static_cast<std::ptrdiff_t>(c * tenants));
+    for (std::size_t class_index = 0;
+         class_index < class_run_times.size() && class_index < classes.size(); ++class_index) {
+      if (classes[class_index] < 0 || ToIndex(classes[class_index]) >= saved_class_count) continue;
+      class_run_times[class_index] =
+          restored.estimates_.class_run_time_[ToIndex(classes[class_index])];
+      class_hint_fits[class_index] =
+          restored.estimates_.class_hint_fit_[ToIndex(classes[class_index])];
+      std::copy_n(
+          restored.admission_.buckets_.begin() + classes[class_index] * balancer->tenant_count_,
+          tenant_count, buckets.begin() + static_cast<std::ptrdiff_t>(class_index * tenant_count));
     }
-    other.estimates_.class_run_time_ = std::move(run);
-    other.estimates_.class_hint_fit_ = std::move(hinted);
-    other.admission_.buckets_ = std::move(buckets);
-    for (int w = 0; w < other.workers_.size(); ++w) {
-      other.workers_.index_.emplace(other.workers_[w].name, w);
+    restored.estimates_.class_run_time_ = std::move(class_run_times);
+    restored.estimates_.class_hint_fit_ = std::move(class_hint_fits);
+    restored.admission_.buckets_ = std::move(buckets);
+    for (int worker_index = 0; worker_index < restored.workers_.size(); ++worker_index) {
+      restored.workers_.index_.emplace(restored.workers_[worker_index].name, worker_index);
     }
-    *balancer = std::move(other);
+    *balancer = std::move(restored);
     return true;
   }
 };
--- a/src/balancing/support.h
+++ b/src/balancing/support.h
@@ -1,4 +1,5 @@
-// Helpers of the decision module that decide nothing: seeded random numbers, means, hashing.
+// Helpers of the decision module without decisions of their own: seeded random numbers, means,
+// hashing and serialization.
 #ifndef MILLETHOLLOW_BALANCING_SUPPORT_H_
 #define MILLETHOLLOW_BALANCING_SUPPORT_H_
 
@@ -18,71 +19,81 @@
 
 constexpr double kInf = std::numeric_limits<double>::infinity();
 
-class Random {  // SplitMix64
+// A SplitMix64 generator: equal seeds give equal numbers on every platform.
+class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
   std::uint64_t Next() {
-    std::uint64_t z = (state_ += 0x9e3779b97f4a7c15ULL);
-    z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
-    z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
-    return z ^ (z >> 31);
+    std::uint64_t mixed = (state_ += 0x9e3779b97f4a7c15ULL);
+    mixed = (mixed ^ (mixed >> 30)) * 0xbf58476d1ce4e5b9ULL;
+    mixed = (mixed ^ (mixed >> 27)) * 0x94d049bb133111ebULL;
+    return mixed ^ (mixed >> 31);
   }
-  double Unit() { return static_cast<double>(Next() >> 11) * 0x1.0p-53; }
-  std::size_t Below(std::size_t n) { return static_cast<std::size_t>(Next() % n); }
-  int OtherThan(int me, int n) {  // any of 0 to n-1 but `me`
-    const int other = static_cast<int>(Below(static_cast<std::size_t>(n - 1)));
-    return other >= me ? other + 1 : other;
+  // A random number of [0, 1).
+  double Uniform() { return static_cast<double>(Next() >> 11) * 0x1.0p-53; }
+  // A random number of 0 to count-1.
+  std::size_t Below(std::size_t count) { return static_cast<std::size_t>(Next() % count); }
+  // A random number of 0 to count-1 other than `excluded`.
+  int OtherThan(int excluded, int count) {
+    const int other = static_cast<int>(Below(static_cast<std::size_t>(count - 1)));
+    return other >= excluded ? other + 1 : other;
   }
 
  private:
   std::uint64_t state_;
 };
 
-// A mean that forgets: once `most` values are in, older ones fade.
+// An exponentially weighted mean: once it holds `max_count` samples, older ones decay.
 struct Mean {
-  double value = 0, n = 0;
-  void Add(double v, double most) {
-    n = n + 1 < most ? n + 1 : most;
-    value += (v - value) / n;
+  double value = 0, count = 0;
+  void Add(double sample, double max_count) {
+    count = count + 1 < max_count ? count + 1 : max_count;
+    value += (sample - value) / count;
   }
-  double Or(double otherwise) const { return n > 0 ? value : otherwise; }
+  double ValueOr(double fallback) const { return count > 0 ? value : fallback; }
 };
 
-// A least-squares line through the logarithms of pairs (hint, observed value), forgetting as Mean
-// does. Unlike a mean ratio it is not dominated by the smallest hints, and it falls back to the
-// mean value as far as hints are noisy.
-struct LogFit {
-  Mean x, y, xx, xy, yy;
-  void Add(double guess, double came, double most) {
-    const double lx = std::log(guess), ly = std::log(came);
-    x.Add(lx, most), y.Add(ly, most), xx.Add(lx * lx, most), xy.Add(lx * ly, most);
-    yy.Add(ly * ly, most);
+// A least-squares fit of log(value) over log(hint), weighted as Mean is. Unlike the mean of
+// value/hint it is not dominated by the smallest hints, and it tends to the mean value if hints are
+// noisy.
+struct LogLinearFit {
+  Mean mean_x, mean_y, mean_xx, mean_xy, mean_yy;
+  void Add(double hint, double value, double max_count) {
+    const double log_hint = std::log(hint), log_value = std::log(value);
+    mean_x.Add(log_hint, max_count), mean_y.Add(log_value, max_count),
+        mean_xx.Add(log_hint * log_hint, max_count), mean_xy.Add(log_hint * log_value, max_count);
+    mean_yy.Add(log_value * log_value, max_count);
   }
-  // The mean of what comes for this guess; `otherwise` until two are in.
-  double At(double guess, double otherwise) const {
-    if (x.n < 2) return otherwise;
-    const double vx = xx.value - x.value * x.value, cov = xy.value - x.value * y.value;
-    const double slope = vx > 1e-9 ? std::clamp(cov / vx, 0.0, 1.0) : 0.0;
-    const double rest = std::max(0.0, yy.value - y.value * y.value - slope * cov);
-    return std::exp(y.value + slope * (std::log(guess) - x.value) + rest / 2);
+  // The expected value for this hint; `fallback` until two samples were added.
+  double Predict(double hint, double fallback) const {
+    if (mean_x.count < 2) return fallback;
+    const double variance_x = mean_xx.value - mean_x.value * mean_x.value,
+                 covariance = mean_xy.value - mean_x.value * mean_y.value;
+    const double slope = variance_x > 1e-9 ? std::clamp(covariance / variance_x, 0.0, 1.0) : 0.0;
+    const double residual_variance =
+        std::max(0.0, mean_yy.value - mean_y.value * mean_y.value - slope * covariance);
+    return std::exp(mean_y.value + slope * (std::log(hint) - mean_x.value) + residual_variance / 2);
   }
 };
 
-inline std::vector<double> Times(std::vector<double> values, double factor) {
-  for (double& v : values) v *= factor;
+// Returns `values`, each multiplied by `factor`.
+inline std::vector<double> Scaled(std::vector<double> values, double factor) {
+  for (double& value : values) value *= factor;
   return values;
 }
 
-// The digests of jobs rejected lately, in a fixed number of slots; newer ones may overwrite older
-// ones.
+// The digests of recently rejected requests, in a table of fixed size; newer digests may overwrite
+// older ones.
 class RecentDigests {
  public:
-  void Put(std::uint64_t print, double now) { slots_[print % slots_.size()] = {print, now}; }
-  // Forgets `print` and says whether it was put since `since`.
-  bool Take(std::uint64_t print, double since) {
-    auto& [held, at] = slots_[print % slots_.size()];
-    if (held != print || at < since) return false;
-    held = 0;
+  void Insert(std::uint64_t digest, double now_s) {
+    slots_[digest % slots_.size()] = {digest, now_s};
+  }
+  // Removes the digest. Returns whether it was inserted after `since`.
+  bool Remove(std::uint64_t digest, double since) {
+    auto& [stored_digest, inserted_at] = slots_[digest % slots_.size()];
+    if (stored_digest != digest || inserted_at < since) return false;
+    stored_digest = 0;
     return true;
   }
 
@@ -90,74 +101,82 @@
   std::vector<std::pair<std::uint64_t, double>> slots_{1024, {0, 0}};
 };
 
-inline std::size_t Idx(int i) { return static_cast<std::size_t>(i); }
+// Converts a non-negative int to an index of a standard container.
+inline std::size_t ToIndex(int i) { return static_cast<std::size_t>(i); }
 
-inline std::uint64_t Mix(std::uint64_t h, std::uint64_t v) {
-  return Random(h ^ (v * 0xff51afd7ed558ccdULL)).Next();
+// Combines a hash with another value.
+inline std::uint64_t CombineHashes(std::uint64_t hash, std::uint64_t other) {
+  return Random(hash ^ (other * 0xff51afd7ed558ccdULL)).Next();
 }
 
-inline std::uint64_t HashText(std::string_view text) {  // FNV-1a: the same at every dispatcher
-  std::uint64_t h = 1469598103934665603ULL;
-  for (const char c : text) h = (h ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
-  return Mix(h, text.size());
+// FNV-1a, mixed once more: the same at every dispatcher.
+inline std::uint64_t HashText(std::string_view text) {
+  std::uint64_t hash = 1469598103934665603ULL;
+  for (const char character : text)
+    hash = (hash ^ static_cast<unsigned char>(character)) * 1099511628211ULL;
+  return CombineHashes(hash, text.size());
 }
 
-// Write and read fields one after the other, as they lie in memory: for the same program only.
-struct Saver {
-  std::string out;
+// Write and read fields in sequence, in their memory layout: for processes of the same program
+// only.
+struct StateWriter {
+  std::string output;
   template <typename... Fields>
   void operator()(const Fields&... fields) {
-    (Put(fields), ...);
+    (Write(fields), ...);
   }
   template <typename T>
-  void Put(const T& v) {
+  void Write(const T& value) {
     if constexpr (std::is_trivially_copyable_v<T>) {
-      out.append(reinterpret_cast<const char*>(&v), sizeof v);
-    } else if constexpr (requires { v.first; }) {
-      (*this)(v.first, v.second);
+      output.append(reinterpret_cast<const char*>(&value), sizeof value);
+    } else if constexpr (requires { value.first; }) {
+      (*this)(value.first, value.second);
     } else if constexpr (requires(T & t) { t.Visit(*this); }) {
-      const_cast<T&>(v).Visit(*this);  // NOLINT(*-const-cast): a Saver changes nothing
-    } else {                           // text, vectors
-      Put(v.size());
-      for (const auto& item : v) Put(item);
+      const_cast<T&>(value).Visit(*this);  // NOLINT(*-const-cast): a StateWriter changes nothing
+    } else {                               // strings and vectors
+      Write(value.size());
+      for (const auto& item : value) Write(item);
     }
   }
 };
-struct Loader {
-  std::string_view in;
-  bool ok = true;
+struct StateReader {
+  std::string_view input;
+  bool valid = true;
   template <typename... Fields>
   void operator()(Fields&... fields) {
-    (Get(fields), ...);
+    (Read(fields), ...);
   }
   template <typename T>
-  void Get(T& v) {
+  void Read(T& value) {
     if constexpr (std::is_trivially_copyable_v<T>) {
-      if (in.size() < sizeof v) ok = false;
-      if (!ok) return;
-      std::copy_n(in.data(), sizeof v, reinterpret_cast<char*>(&v));
-      in.remove_prefix(sizeof v);
-    } else if constexpr (requires { v.first; }) {
-      (*this)(v.first, v.second);
-    } else if constexpr (requires { v.Visit(*this); }) {
-      v.Visit(*this);
+      if (input.size() < sizeof value) valid = false;
+      if (!valid) return;
+      std::copy_n(input.data(), sizeof value, reinterpret_cast<char*>(&value));
+      input.remove_prefix(sizeof value);
+    } else if constexpr (requires { value.first; }) {
+      (*this)(value.first, value.second);
+    } else if constexpr (requires { value.Visit(*this); }) {
+      value.Visit(*this);
     } else {
-      std::size_t n = 0;
-      Get(n);
-      if (n > in.size()) ok = false;
-      v.resize(ok ? n : 0);
-      for (auto& item : v) Get(item);
+      std::size_t count = 0;
+      Read(count);
+      if (count > input.size()) valid = false;
+      value.resize(valid ? count : 0);
+      for (auto& item : value) Read(item);
     }
   }
 };
 
-struct TextHash {
+// Hashes strings and string views alike, so that look-ups need no copy.
+struct StringHash {
   using is_transparent = void;
-  std::size_t operator()(std::string_view s) const { return std::hash<std::string_view>()(s); }
+  std::size_t operator()(std::string_view text) const {
+    return std::hash<std::string_view>()(text);
+  }
 };
-// For look-ups only: its order must never reach a decision.
+// For look-ups only: its iteration order must never influence a decision.
 template <typename T>
-using TextMap = std::unordered_map<std::string, T, TextHash, std::equal_to<>>;
+using StringMap = std::unordered_map<std::string, T, StringHash, std::equal_to<>>;
 
 }  // namespace millethollow::balancing
 
--- a/src/balancing/token_bucket.h
+++ b/src/balancing/token_bucket.h
@@ -1,4 +1,4 @@
-// The token bucket of admission control.
+// The token bucket that admission control uses.
 #ifndef MILLETHOLLOW_BALANCING_TOKEN_BUCKET_H_
 #define MILLETHOLLOW_BALANCING_TOKEN_BUCKET_H_
 
@@ -8,15 +8,16 @@
 
 namespace millethollow::balancing {
 
-// The token bucket of one class and tenant. Its layout is part of the state handed over in a hot
-// restart.
+// The token bucket of one class and tenant. It is transferred byte for byte in a hot restart, so
+// its layout must not change.
 struct Bucket {
   bool in_use = false;
   std::uint16_t admitted = 0, rejected = 0;  // since the last report
-  double first_attempts = 0;                 // since the last control round, without returning jobs
-  double demand_rps = 0;                     // smoothed
-  double rate_rps = kInf;                    // kInf: not limited
-  double admit_share = 1;                    // of the demand
+  // Since the last control round, without requests that return after a rejection.
+  double first_attempts = 0;
+  double demand_rps = 0;   // smoothed
+  double rate_rps = kInf;  // kInf: not limited
+  double admit_share = 1;  // share of the demand to admit, 0 to 1
   double tokens = 0, tokens_at = 0;
 };
 
--- a/src/balancing/usage_report.cpp
+++ b/src/balancing/usage_report.cpp
@@ -9,38 +9,40 @@
 namespace millethollow::balancing {
 namespace {
 
-// All numbers are little-endian, rates are 32-bit floats. Two forms begin alike: 'D', version,
-// flags, number of rates in this datagram, fleet rate. What follows:
-//  whole row: rates; workers told of and, for each, 16 bits of its hash and 8 of slots out; then
-//    bucket, allowed and denied as 16-bit numbers for each bucket used.
-//  part of a row: index of its first rate and number of rates of the row, 16 bits each; rates;
-//    workers as above.
+// Datagrams. Numbers are little-endian, rates are 32-bit floats. Both forms have a common header:
+// 'D', version, flags, number of rates in this datagram, fleet rate. It is followed by:
+//  - complete row: the rates; the number of workers and for each 16 bits of its hash and 8 bits of
+//    slots in flight; then for each token bucket in use its index and the requests allowed and
+//    denied, 16 bits each.
+//  - part of a row: index of the first rate and number of rates of the row, 16 bits each; the
+//    rates; workers as above.
 constexpr char kMagic = 'D', kWholeRow = 2, kPartOfRow = 3;
-constexpr std::size_t kRealBytes = 4, kUsageBytes = 6, kOutBytes = 3, kOutCountBytes = 1;
-constexpr std::size_t kRateAt = 4, kWholeHead = 8, kFirstAt = 8, kTotalAt = 10, kPartHead = 12;
-constexpr std::size_t kMaxWorkersReported = 40;  // workers told of: some rates must fit beside them
+constexpr std::size_t kFloatBytes = 4, kUsageBytes = 6, kSlotsEntryBytes = 3, kSlotsCountBytes = 1;
+constexpr std::size_t kFleetRateOffset = 4, kWholeRowHeaderBytes = 8, kFirstIndexOffset = 8,
+                      kRowSizeOffset = 10, kPartHeaderBytes = 12;
+constexpr std::size_t kMaxWorkersReported = 40;  // so that some rates fit beside them
 constexpr double kMaxRate = 1e12;
-constexpr int kMaxSlots = 255;
-constexpr unsigned kFreshFlag = 1, kHearsAllFlag = 2, kViewShift = 2;
+constexpr int kMaxReportedSlots = 255;
+constexpr unsigned kReplyRequestedFlag = 1, kReceivesAllFlag = 2, kViewShift = 2;
 
-void Put(std::string* out, std::size_t value, int bytes) {
-  for (int i = 0; i < bytes; ++i) out->push_back(static_cast<char>(value >> (8 * i) & 0xff));
+void Append(std::string* output, std::size_t value, int bytes) {
+  for (int i = 0; i < bytes; ++i) output->push_back(static_cast<char>(value >> (8 * i) & 0xff));
 }
 
-void PutReal(std::string* out, double value) {
-  Put(out, std::bit_cast<std::uint32_t>(static_cast<float>(value)), kRealBytes);
+void AppendFloat(std::string* output, double value) {
+  Append(output, std::bit_cast<std::uint32_t>(static_cast<float>(value)), kFloatBytes);
 }
 
-std::uint32_t Get(std::string_view in, std::size_t at, std::size_t bytes) {
+std::uint32_t Read(std::string_view input, std::size_t offset, std::size_t bytes) {
   std::uint32_t value = 0;
   for (std::size_t i = 0; i < bytes; ++i) {
-    value |= static_cast<std::uint32_t>(static_cast<unsigned char>(in[at + i])) << (8 * i);
+    value |= static_cast<std::uint32_t>(static_cast<unsigned char>(input[offset + i])) << (8 * i);
   }
   return value;
 }
 
-bool GetReal(std::string_view in, std::size_t at, double* value) {
-  *value = std::bit_cast<float>(Get(in, at, kRealBytes));
+bool ReadFloat(std::string_view input, std::size_t offset, double* value) {
+  *value = std::bit_cast<float>(Read(input, offset, kFloatBytes));
   return *value >= 0 && *value < kMaxRate;
 }
 
@@ -48,92 +50,96 @@
   return std::min(report.slots_in_flight.size(), kMaxWorkersReported);
 }
 
-// What both forms begin with.
-std::string Head(const UsageReport& report, char version, std::size_t rates) {
-  const unsigned flags = (report.fresh ? kFreshFlag : 0) | (report.hears_all ? kHearsAllFlag : 0) |
+// Encodes the header that both forms have in common.
+std::string EncodeHeader(const UsageReport& report, char version, std::size_t rates) {
+  const unsigned flags = (report.reply_requested ? kReplyRequestedFlag : 0) |
+                         (report.receives_all ? kReceivesAllFlag : 0) |
                          static_cast<unsigned>(report.view) << kViewShift;
-  std::string head{kMagic, version, static_cast<char>(flags), static_cast<char>(rates)};
-  PutReal(&head, report.rate);
-  return head;
+  std::string header{kMagic, version, static_cast<char>(flags), static_cast<char>(rates)};
+  AppendFloat(&header, report.fleet_rate_rps);
+  return header;
 }
 
-void PutRates(std::string* out, const std::vector<double>& rates, std::size_t first,
-              std::size_t end) {
-  for (std::size_t i = first; i < end; ++i) PutReal(out, rates[i]);
+void AppendRates(std::string* output, const std::vector<double>& rates, std::size_t first,
+                 std::size_t end) {
+  for (std::size_t i = first; i < end; ++i) AppendFloat(output, rates[i]);
 }
 
-void PutOut(std::string* out, const UsageReport& report, std::size_t told) {
-  Put(out, told, kOutCountBytes);
-  for (std::size_t i = 0; i < told; ++i) {
-    Put(out, report.slots_in_flight[i].first, 2);
-    Put(out, static_cast<std::size_t>(std::min(report.slots_in_flight[i].second, kMaxSlots)), 1);
+void AppendSlotsInFlight(std::string* output, const UsageReport& report, std::size_t worker_count) {
+  Append(output, worker_count, kSlotsCountBytes);
+  for (std::size_t i = 0; i < worker_count; ++i) {
+    Append(output, report.slots_in_flight[i].first, 2);
+    Append(output,
+           static_cast<std::size_t>(std::min(report.slots_in_flight[i].second, kMaxReportedSlots)),
+           1);
   }
 }
 
 std::string EncodeWhole(const UsageReport& report) {
-  std::string out = Head(report, kWholeRow, report.rates.size());
-  PutRates(&out, report.rates, 0, report.rates.size());
-  PutOut(&out, report, ReportedWorkers(report));
-  for (const UsageReport::Usage& used : report.usage) {
-    if (out.size() + kUsageBytes > kMaxPeerMessageBytes) break;
-    for (const int v : {used.bucket, used.allowed, used.denied}) {
-      Put(&out, static_cast<std::size_t>(v), 2);
+  std::string output = EncodeHeader(report, kWholeRow, report.rates.size());
+  AppendRates(&output, report.rates, 0, report.rates.size());
+  AppendSlotsInFlight(&output, report, ReportedWorkers(report));
+  for (const UsageReport::Usage& usage : report.usage) {
+    if (output.size() + kUsageBytes > kMaxPeerMessageBytes) break;
+    for (const int value : {usage.bucket, usage.allowed, usage.denied}) {
+      Append(&output, static_cast<std::size_t>(value), 2);
     }
   }
-  return out;
+  return output;
 }
 
 std::vector<std::string> EncodeParts(const UsageReport& report, const RowLayout& layout) {
-  std::vector<std::string> parts;
+  std::vector<std::string> datagrams;
   const std::size_t total = report.rates.size();
   for (std::size_t first = 0; first < total;) {
-    const std::size_t told = first == 0 ? ReportedWorkers(report) : 0;
-    const std::size_t taken = kPartHead + kOutCountBytes + kOutBytes * told;
-    std::size_t end = std::min(total, first + (kMaxPeerMessageBytes - taken) / kRealBytes);
+    const std::size_t worker_count = first == 0 ? ReportedWorkers(report) : 0;
+    const std::size_t header_bytes =
+        kPartHeaderBytes + kSlotsCountBytes + kSlotsEntryBytes * worker_count;
+    std::size_t end = std::min(total, first + (kMaxPeerMessageBytes - header_bytes) / kFloatBytes);
     if (end < total) end = layout.GroupStart(end);
-    std::string part = Head(report, kPartOfRow, end - first);
-    Put(&part, first, 2);
-    Put(&part, total, 2);
-    PutRates(&part, report.rates, first, end);
-    PutOut(&part, report, told);
-    parts.push_back(std::move(part));
+    std::string datagram = EncodeHeader(report, kPartOfRow, end - first);
+    Append(&datagram, first, 2);
+    Append(&datagram, total, 2);
+    AppendRates(&datagram, report.rates, first, end);
+    AppendSlotsInFlight(&datagram, report, worker_count);
+    datagrams.push_back(std::move(datagram));
     first = end;
   }
-  return parts;
+  return datagrams;
 }
 
-// The rates that a datagram holds and where they stand.
-struct Extent {
-  std::size_t at = 0;  // byte of the first rate
+// The rates that a datagram contains, and where they are.
+struct RateRange {
+  std::size_t offset = 0;  // offset of the first rate in the datagram, in bytes
   std::size_t first = 0, count = 0;
 };
 
-std::optional<Extent> ExtentOf(std::string_view body, const RowLayout& layout) {
-  if (body.size() < kWholeHead || body[0] != kMagic) return std::nullopt;
-  const std::size_t count = Get(body, 3, 1), total = layout.size();
-  if (body[1] == kWholeRow && count == total) return Extent{kWholeHead, 0, count};
-  if (body[1] != kPartOfRow || body.size() < kPartHead) return std::nullopt;
-  const std::size_t first = Get(body, kFirstAt, 2), end = first + count;
-  if (Get(body, kTotalAt, 2) != total || count == 0 || end > total) return std::nullopt;
+std::optional<RateRange> FindRates(std::string_view body, const RowLayout& layout) {
+  if (body.size() < kWholeRowHeaderBytes || body[0] != kMagic) return std::nullopt;
+  const std::size_t count = Read(body, 3, 1), total = layout.size();
+  if (body[1] == kWholeRow && count == total) return RateRange{kWholeRowHeaderBytes, 0, count};
+  if (body[1] != kPartOfRow || body.size() < kPartHeaderBytes) return std::nullopt;
+  const std::size_t first = Read(body, kFirstIndexOffset, 2), end = first + count;
+  if (Read(body, kRowSizeOffset, 2) != total || count == 0 || end > total) return std::nullopt;
   const bool begins_group = layout.GroupStart(first) == first;
   const bool ends_group = end == total || layout.GroupStart(end) == end;
   if (!begins_group || !ends_group) return std::nullopt;
-  return Extent{kPartHead, first, count};
+  return RateRange{kPartHeaderBytes, first, count};
 }
 
-// Whether the bytes from `usage_at` on are what the form has after the workers.
+// Whether the bytes from `usage_at` on are what the form permits after the workers.
 bool HasValidTail(std::string_view body, std::size_t usage_at) {
   if (body.size() < usage_at) return false;
-  const std::size_t rest = body.size() - usage_at;
-  return body[1] == kWholeRow ? rest % kUsageBytes == 0 : rest == 0;
+  const std::size_t tail_bytes = body.size() - usage_at;
+  return body[1] == kWholeRow ? tail_bytes % kUsageBytes == 0 : tail_bytes == 0;
 }
 
-bool GetRates(std::string_view body, const Extent& extent, std::vector<double>* rates) {
-  rates->assign(extent.count, 0);
-  std::size_t at = extent.at;
+bool ReadRates(std::string_view body, const RateRange& range, std::vector<double>* rates) {
+  rates->assign(range.count, 0);
+  std::size_t offset = range.offset;
   for (double& rate : *rates) {
-    if (!GetReal(body, at, &rate)) return false;
-    at += kRealBytes;
+    if (!ReadFloat(body, offset, &rate)) return false;
+    offset += kFloatBytes;
   }
   return true;
 }
@@ -144,43 +150,47 @@
   if (index < tenants) return index;
   if (index < ProbeIndex()) return tenants;
   if (index < ClassIndex(0)) return ProbeIndex();
-  if (index < KindIndex(0)) return index - (index - ClassIndex(0)) % kClassFigures;
-  return index - (index - KindIndex(0)) % kKindFigures;
+  if (index < KindIndex(0)) return index - (index - ClassIndex(0)) % kClassValues;
+  return index - (index - KindIndex(0)) % kKindValues;
 }
 
 std::vector<std::string> EncodeReport(const UsageReport& report, const RowLayout& layout) {
-  const std::size_t whole = kWholeHead + kRealBytes * report.rates.size() + kOutCountBytes +
-                            kOutBytes * ReportedWorkers(report);
+  const std::size_t whole = kWholeRowHeaderBytes + kFloatBytes * report.rates.size() +
+                            kSlotsCountBytes + kSlotsEntryBytes * ReportedWorkers(report);
   if (whole <= kMaxPeerMessageBytes) return {EncodeWhole(report)};
   return EncodeParts(report, layout);
 }
 
 bool DecodeReport(std::string_view body, const RowLayout& layout, UsageReport* report) {
-  const std::optional<Extent> extent = ExtentOf(body, layout);
-  if (!extent) return false;
-  const std::size_t workers_at = extent->at + kRealBytes * extent->count;
-  if (body.size() < workers_at + kOutCountBytes) return false;
-  const std::size_t told = Get(body, workers_at, kOutCountBytes);
-  const std::size_t out_at = workers_at + kOutCountBytes, usage_at = out_at + kOutBytes * told;
-  if (told > (extent->first == 0 ? kMaxWorkersReported : 0) || !HasValidTail(body, usage_at))
+  const std::optional<RateRange> range = FindRates(body, layout);
+  if (!range) return false;
+  const std::size_t workers_at = range->offset + kFloatBytes * range->count;
+  if (body.size() < workers_at + kSlotsCountBytes) return false;
+  const std::size_t worker_count = Read(body, workers_at, kSlotsCountBytes);
+  const std::size_t slots_at = workers_at + kSlotsCountBytes,
+                    usage_at = slots_at + kSlotsEntryBytes * worker_count;
+  if (worker_count > (range->first == 0 ? kMaxWorkersReported : 0) || !HasValidTail(body, usage_at))
     return false;
 
-  UsageReport read;
-  const unsigned flags = Get(body, 2, 1);
-  read.fresh = (flags & kFreshFlag) != 0;
-  read.hears_all = (flags & kHearsAllFlag) != 0;
-  read.view = static_cast<std::uint8_t>(flags >> kViewShift);
-  read.first = extent->first;
-  if (!GetReal(body, kRateAt, &read.rate) || !GetRates(body, *extent, &read.rates)) return false;
-  for (std::size_t at = out_at; at < usage_at; at += kOutBytes) {
-    read.slots_in_flight.emplace_back(Get(body, at, 2), static_cast<int>(Get(body, at + 2, 1)));
+  UsageReport decoded;
+  const unsigned flags = Read(body, 2, 1);
+  decoded.reply_requested = (flags & kReplyRequestedFlag) != 0;
+  decoded.receives_all = (flags & kReceivesAllFlag) != 0;
+  decoded.view = static_cast<std::uint8_t>(flags >> kViewShift);
+  decoded.first_index = range->first;
+  if (!ReadFloat(body, kFleetRateOffset, &decoded.fleet_rate_rps) ||
+      !ReadRates(body, *range, &decoded.rates))
+    return false;
+  for (std::size_t offset = slots_at; offset < usage_at; offset += kSlotsEntryBytes) {
+    decoded.slots_in_flight.emplace_back(Read(body, offset, 2),
+                                         static_cast<int>(Read(body, offset + 2, 1)));
   }
-  for (std::size_t at = usage_at; at < body.size(); at += kUsageBytes) {
-    read.usage.push_back({static_cast<int>(Get(body, at, 2)),
-                          static_cast<int>(Get(body, at + 2, 2)),
-                          static_cast<int>(Get(body, at + 4, 2))});
+  for (std::size_t offset = usage_at; offset < body.size(); offset += kUsageBytes) {
+    decoded.usage.push_back({static_cast<int>(Read(body, offset, 2)),
+                             static_cast<int>(Read(body, offset + 2, 2)),
+                             static_cast<int>(Read(body, offset + 4, 2))});
   }
-  *report = std::move(read);
+  *report = std::move(decoded);
   return true;
 }
 
--- a/src/balancing/usage_report.h
+++ b/src/balancing/usage_report.h
@@ -1,4 +1,4 @@
-// Usage reports between dispatchers, in the manner of RLQS usage reports (A77), and their
+// Usage reports between dispatchers, modelled on RLQS usage reports (gRPC proposal A77), and their
 // encoding in datagrams.
 #ifndef MILLETHOLLOW_BALANCING_USAGE_REPORT_H_
 #define MILLETHOLLOW_BALANCING_USAGE_REPORT_H_
@@ -12,58 +12,63 @@
 
 namespace millethollow::balancing {
 
-// Where each value stands in the row of rates of a report: demand by tenant, then first attempts,
-// jobs that found workers full, and late starts. In a large tier these follow: workers probed and
-// those with capacity; run time and jobs of each class; pace, jobs and slots of each worker kind.
+// The positions of the values in a report's row of rates: the demand of each tenant, then first
+// attempts, requests that found workers full, and late starts. In a large tier these follow: probed
+// workers and those of them with capacity; run time and requests of each class; slowdown, requests
+// and slots of each worker kind.
 struct RowLayout {
-  static constexpr std::size_t kSignals = 3, kProbeFigures = 2, kClassFigures = 2, kKindFigures = 3;
+  static constexpr std::size_t kSignalValues = 3, kProbeValues = 2, kClassValues = 2,
+                               kKindValues = 3;
 
   std::size_t tenants = 1;
   bool large_tier = false;
-  std::size_t classes = 0, kinds = 0;  // of the shared estimates of a large tier
+  std::size_t classes = 0, kinds = 0;  // of the estimates that a large tier shares
 
-  std::size_t ProbeIndex() const { return tenants + kSignals; }
-  std::size_t ClassIndex(std::size_t cls) const {
-    return ProbeIndex() + kProbeFigures + kClassFigures * cls;
-  }
-  std::size_t KindIndex(std::size_t kind) const {
-    return ClassIndex(classes) + kKindFigures * kind;
+  // First indices of the values of probes, of a class and of a worker kind.
+  std::size_t ProbeIndex() const { return tenants + kSignalValues; }
+  std::size_t ClassIndex(std::size_t class_index) const {
+    return ProbeIndex() + kProbeValues + kClassValues * class_index;
   }
+  std::size_t KindIndex(std::size_t kind) const { return ClassIndex(classes) + kKindValues * kind; }
+  // Number of values in the row.
   std::size_t size() const { return large_tier ? KindIndex(kinds) : ProbeIndex(); }
 
-  // The first index of the group that `index` belongs to. Figures of a group, such as time and jobs
-  // of a class, mean something only together: a datagram holds all of them or none.
+  // The first index of the group that `index` belongs to. The values of a group, such as the run
+  // time and requests of a class, are meaningful only together: a datagram contains all of them or
+  // none.
   std::size_t GroupStart(std::size_t index) const;
 };
 
-// A report, or the part of one that a datagram holds.
+// A usage report, or the part of one that a datagram contains.
 struct UsageReport {
-  // Jobs of a bucket since the last report. Receivers do not use it.
+  // Requests of a token bucket since the last report. Receivers do not use it.
   struct Usage {
     int bucket = 0;
     int allowed = 0, denied = 0;
   };
-  bool fresh = false;         // the sender has just started and asks for a report
-  double rate = 0;            // the sender's fleet rate in jobs per second; 0: not limited
-  std::vector<double> rates;  // per second, as RowLayout has them, from index `first` on
-  // Slots that the sender has in flight at each worker, by 16 bits of the worker's hash; 0 is
-  // omitted. Only in the part that begins the row.
+  bool reply_requested = false;  // the sender has just started and asks for a report in return
+  double fleet_rate_rps = 0;     // the sender's fleet rate in requests per second; 0: not limited
+  std::vector<double> rates;     // per second, in the order of RowLayout, from `first_index` on
+  // Slots that the sender has in flight at each worker, by 16 bits of the hash of the worker's
+  // name; workers with 0 are omitted. Only in the part that begins the row.
   std::vector<std::pair<std::uint16_t, int>> slots_in_flight;
-  std::vector<Usage> usage;  // as many as fit beside a whole row; none in parts
-  // Where the tier agrees on shares (AgreedShare): the sender hears all members, and six bits of
-  // the view that it has its share in; 0: it is cut off.
-  bool hears_all = false;
+  std::vector<Usage> usage;  // as many as fit beside a complete row; none in parts
+  // Where the tier agrees on shares (AgreedShare): whether the sender receives the reports of all
+  // members, and six bits of the view that its share belongs to; 0: the sender is cut off.
+  bool receives_all = false;
   std::uint8_t view = 0;
-  std::size_t first = 0;
+  std::size_t first_index = 0;
 
-  bool BeginsRow() const { return first == 0; }
+  // Whether this is the part that begins the row.
+  bool BeginsRow() const { return first_index == 0; }
 };
 
-// The datagrams of a whole report (`first` is 0), kMaxPeerMessageBytes long at most each. The one
-// that begins the row comes first.
+// Encodes a complete report (`first_index` is 0) in datagrams of at most kMaxPeerMessageBytes. The
+// datagram that begins the row comes first.
 std::vector<std::string> EncodeReport(const UsageReport& report, const RowLayout& layout);
 
-// Reads one datagram. False for a damaged or foreign one, and one for a row of another size.
+// Decodes one datagram. Returns false for one that is damaged, not a usage report, or part of a row
+// of another size.
 bool DecodeReport(std::string_view body, const RowLayout& layout, UsageReport* report);
 
 }  // namespace millethollow::balancing
--- a/src/balancing/worker.h
+++ b/src/balancing/worker.h
@@ -1,4 +1,4 @@
-// A worker: what the endpoint list, its load reports and its attempts say about it.
+// A worker as one dispatcher knows it: from the endpoint list, load reports and its own attempts.
 #ifndef MILLETHOLLOW_BALANCING_WORKER_H_
 #define MILLETHOLLOW_BALANCING_WORKER_H_
 
@@ -14,62 +14,68 @@
 
 namespace millethollow::balancing {
 
-// A worker as this dispatcher knows it. Times are seconds on the caller's clock.
+// The state of a worker. Times are seconds on the caller's clock, loads are slots and memory units.
 struct Worker {
   std::string name;
   std::uint64_t hash = 0;
   bool ready = false;           // listed as ready and not out of service
-  bool listed = false;          // the endpoint list says ready
-  bool out_of_service = false;  // taken out by an operator
+  bool listed = false;          // ready by the endpoint list
+  bool out_of_service = false;  // taken out of service by an operator
   int zone = 0, kind = 0, cell = 0;
-  double capacity_hint = 1;                        // relative to other workers
-  double started_at_s = 0;                         // 0: long ago
-  double seen_at = 0;                              // last named by an endpoint list
-  double capacity_slots = 0, capacity_memory = 0;  // as the list says; 0: not known
+  double capacity_hint = 1;  // relative to other workers
+  double started_at_s = 0;   // 0: long ago
+  double seen_at = 0;        // when an endpoint list last contained the worker
+  double capacity_slots = 0, capacity_memory = 0;  // by the endpoint list; 0: not known
   double slots_in_flight = 0;                      // of this dispatcher
   double memory_in_flight = 0;                     // of this dispatcher
-  double peer_slots_in_flight = 0;                 // of other dispatchers, by their last report
-  double sibling_slots_in_flight = 0;              // of these, those of the sibling process
-  double slot_limit = 1;                           // learned limit on own slots in flight
-  // The last load report; values that no report gave keep their defaults.
+  double peer_slots_in_flight = 0;     // of the other dispatchers, by their latest usage reports
+  double sibling_slots_in_flight = 0;  // the part of it that the sibling process has in flight
+  double slot_limit = 1;               // learned limit on this dispatcher's slots in flight
+  // The latest load report. Values that no report contained keep their defaults.
   double reported_free_slots = 0, reported_queued = 0, reported_in_flight = -1,
          reported_free_memory = kInf, reported_at = -kInf, slots_sent_since_report = 0;
-  // Pace: seconds taken per second expected; its weight in jobs fades with time. Then the last wait
-  // of an attempt for its start.
-  double pace = 1, pace_weight = 0, pace_at = 0, start_wait_s = 0, start_wait_at = -kInf;
-  // Outlier detection. In probation it gets one idempotent job at a time.
-  double heard_at = -kInf, probed_at = -kInf, ejected_until = -kInf, ejection_s = 0, error_rate = 0;
+  // Slowdown: run time over expected run time, as a mean whose weight (in samples) decays with
+  // time. Start wait: from sending an attempt to its start, as observed last.
+  double slowdown = 1, slowdown_weight = 0, slowdown_at = 0, start_wait_s = 0,
+         start_wait_at = -kInf;
+  // Outlier detection. A worker in probation gets one idempotent request at a time.
+  double last_response_at = -kInf, probed_at = -kInf, ejected_until = -kInf, ejection_s = 0,
+         error_rate = 0;
   bool ejected = false, probation = false;
-  // Slow start: token bucket in jobs. A worker put back into service warms up as after a start,
-  // which the list may report late.
+  // Slow start: a token bucket of requests. A worker that returns to service goes through slow
+  // start as after a restart, because the endpoint list may report a restart late.
   double slow_start_tokens = 0, slow_start_tokens_at = 0, returned_at = 0;
-  std::uint64_t recent_keys[2] = {0, 0};  // the last keys sent there
-  double slot_seconds = 0, slot_seconds_at = 0,
-         slot_seconds_since = 0;  // own slots in flight over time
+  std::uint64_t recent_keys[2] = {0, 0};  // the keys of the latest requests sent to the worker
+  // Integral of the own slots in flight over time, from `slot_seconds_since` to `slot_seconds_at`.
+  double slot_seconds = 0, slot_seconds_at = 0, slot_seconds_since = 0;
 
+  // Whether the key was among the last sent to the worker.
   bool HasRecentKey(std::uint64_t key) const {
     return key != 0 && (recent_keys[0] == key || recent_keys[1] == key);
   }
-  // Counts an attempt sent there. Returns whether its key was among the last sent there.
-  bool OnSent(double slots, double mem, std::uint64_t key, double now) {
+  // Records an attempt that is sent to the worker. Returns whether the worker has received the
+  // request's key recently.
+  bool OnAttemptSent(double slots, double memory, std::uint64_t key, double now) {
     AccumulateSlotSeconds(now);
     slots_in_flight += slots;
-    memory_in_flight += mem;
+    memory_in_flight += memory;
     slots_sent_since_report += slots;
-    const bool warm = HasRecentKey(key);
+    const bool had_recent_key = HasRecentKey(key);
     if (recent_keys[0] != key) recent_keys[1] = std::exchange(recent_keys[0], key);
-    return warm;
+    return had_recent_key;
   }
-  void OnEnded(double slots, double mem, double now) {
+  // Records the end of an attempt at the worker.
+  void OnAttemptEnded(double slots, double memory, double now) {
     AccumulateSlotSeconds(now);
     slots_in_flight = std::max(0.0, slots_in_flight - slots);
-    memory_in_flight = std::max(0.0, memory_in_flight - mem);
+    memory_in_flight = std::max(0.0, memory_in_flight - memory);
   }
+  // Extends the integral of the own slots in flight to `now`.
   void AccumulateSlotSeconds(double now) {
     slot_seconds += slots_in_flight * std::max(0.0, now - slot_seconds_at);
     slot_seconds_at = now;
   }
-  // Mean of own slots in flight since the last call.
+  // Returns the mean of the own slots in flight since the last call.
   double TakeMeanSlotsInFlight(double now) {
     AccumulateSlotSeconds(now);
     const double mean =
@@ -80,82 +86,91 @@
   }
 
   template <typename Visitor>
-  void Visit(Visitor& v) {  // handed over in a hot restart
-    v(name, hash, zone, kind, cell, capacity_hint, started_at_s, listed, out_of_service, slot_limit,
-      pace, pace_weight, pace_at, start_wait_s, start_wait_at);
-    v(heard_at, probed_at, ejected_until, ejection_s, error_rate, ejected, probation,
-      slow_start_tokens, slow_start_tokens_at, returned_at);
+  void Visit(Visitor& visitor) {  // fields transferred in a hot restart
+    visitor(name, hash, zone, kind, cell, capacity_hint, started_at_s, listed, out_of_service,
+            slot_limit, slowdown, slowdown_weight, slowdown_at, start_wait_s, start_wait_at);
+    visitor(last_response_at, probed_at, ejected_until, ejection_s, error_rate, ejected, probation,
+            slow_start_tokens, slow_start_tokens_at, returned_at);
   }
 
-  void ApplyEndpoint(const Endpoint& m, double now, int kinds, int zones) {
+  // Takes over an entry of the endpoint list.
+  void ApplyEndpoint(const Endpoint& endpoint, double now, int kind_count, int zone_count) {
     seen_at = now;
-    zone = std::clamp(m.zone, 0, zones - 1);
-    kind = std::clamp(m.kind, 0, kinds - 1);
-    cell = m.cell;
-    capacity_hint = m.capacity_hint;
-    capacity_slots = m.slots;
-    capacity_memory = m.memory;
-    started_at_s = std::max(m.started_at_s, returned_at);
-    listed = m.readiness == Readiness::kReady;
+    zone = std::clamp(endpoint.zone, 0, zone_count - 1);
+    kind = std::clamp(endpoint.kind, 0, kind_count - 1);
+    cell = endpoint.cell;
+    capacity_hint = endpoint.capacity_hint;
+    capacity_slots = endpoint.slots;
+    capacity_memory = endpoint.memory;
+    started_at_s = std::max(endpoint.started_at_s, returned_at);
+    listed = endpoint.readiness == Readiness::kReady;
     ready = listed && !out_of_service;
   }
 
-  // Slots by its report: where a slot is free nothing is queued, so all that it holds runs.
+  // The worker's number of slots by its load report. While a slot is free nothing is queued, so
+  // everything in flight is running.
   double ImpliedSlots() const {
     return std::round(reported_free_slots + (reported_free_slots >= 1 && reported_in_flight > 0
                                                  ? reported_in_flight
                                                  : 0));
   }
 
-  void ApplyReport(double now, const std::vector<LoadMetric>& columns, const double (&values)[4]) {
+  // Takes over a load report, whose values are in the order of `metrics`.
+  void ApplyReport(double now, const std::vector<LoadMetric>& metrics, const double (&values)[4]) {
     reported_at = now;
     slots_sent_since_report = 0;
     reported_queued = -1;  // not reported
-    for (std::size_t i = 0; i < columns.size() && i < 4; ++i) {
-      if (columns[i] == LoadMetric::kFreeSlots) reported_free_slots = values[i];
-      if (columns[i] == LoadMetric::kInFlight) reported_in_flight = values[i];
-      if (columns[i] == LoadMetric::kQueued) reported_queued = values[i];
-      if (columns[i] == LoadMetric::kFreeMemory) reported_free_memory = values[i];
+    for (std::size_t i = 0; i < metrics.size() && i < 4; ++i) {
+      if (metrics[i] == LoadMetric::kFreeSlots) reported_free_slots = values[i];
+      if (metrics[i] == LoadMetric::kInFlight) reported_in_flight = values[i];
+      if (metrics[i] == LoadMetric::kQueued) reported_queued = values[i];
+      if (metrics[i] == LoadMetric::kFreeMemory) reported_free_memory = values[i];
     }
   }
 };
 
-// Whether the two workers drop repeats of one keyed job.
-inline bool InSameDeduplicationGroup(DeduplicationScope group, const Worker& a, const Worker& b) {
-  return group == DeduplicationScope::kAll ||
-         (a.zone == b.zone && (group == DeduplicationScope::kZone || a.cell == b.cell));
+// Whether both workers are in the same deduplication scope, within which repeats of a request with
+// an idempotency key are dropped.
+inline bool InSameDeduplicationScope(DeduplicationScope scope, const Worker& first,
+                                     const Worker& second) {
+  return scope == DeduplicationScope::kAll ||
+         (first.zone == second.zone &&
+          (scope == DeduplicationScope::kZone || first.cell == second.cell));
 }
 
-// Indices of the workers that may get jobs, by kind and zone; -1 for any.
+// Indices of the workers that may receive requests, by kind and zone. A kind or zone of -1 stands
+// for all.
 class WorkerPools {
  public:
-  WorkerPools(int kinds, int zones)
-      : kinds_(std::max(1, kinds)),
-        zones_(std::max(1, zones)),
-        pools_(PoolIndex(kinds_ - 1, zones_ - 1) + 1) {}
+  WorkerPools(int kind_count, int zone_count)
+      : kind_count_(std::max(1, kind_count)),
+        zone_count_(std::max(1, zone_count)),
+        pools_(PoolIndex(kind_count_ - 1, zone_count_ - 1) + 1) {}
+  // Indices of the workers of a kind and zone.
   const std::vector<int>& Workers(int kind, int zone) const {
-    return kind < kinds_ && zone < zones_ ? pools_[PoolIndex(kind, zone)] : none_;
+    return kind < kind_count_ && zone < zone_count_ ? pools_[PoolIndex(kind, zone)] : empty_pool_;
   }
+  // Must be called after workers became ready or not ready, were ejected or returned.
   void Rebuild(const std::vector<Worker>& workers) {
     for (auto& pool : pools_) pool.clear();
-    for (int w = 0; w < static_cast<int>(workers.size()); ++w) {
-      const Worker& worker = workers[static_cast<std::size_t>(w)];
+    for (int index = 0; index < static_cast<int>(workers.size()); ++index) {
+      const Worker& worker = workers[static_cast<std::size_t>(index)];
       if (!worker.ready || worker.ejected) continue;
       for (const int kind : {-1, worker.kind}) {
-        pools_[PoolIndex(kind, -1)].push_back(w);
-        pools_[PoolIndex(kind, worker.zone)].push_back(w);
+        pools_[PoolIndex(kind, -1)].push_back(index);
+        pools_[PoolIndex(kind, worker.zone)].push_back(index);
       }
     }
   }
 
  private:
   std::size_t PoolIndex(int kind, int zone) const {
-    const int slot = (kind + 1) * (zones_ + 1) + zone + 1;
-    return static_cast<std::size_t>(slot);
+    const int index = (kind + 1) * (zone_count_ + 1) + zone + 1;
+    return static_cast<std::size_t>(index);
   }
-  int kinds_, zones_;
+  int kind_count_, zone_count_;
   std::vector<std::vector<int>> pools_;
-  std::vector<int> none_;
+  std::vector<int> empty_pool_;
 };
 
 }  // namespace millethollow::balancing
--- a/src/balancing/worker_table.cpp
+++ b/src/balancing/worker_table.cpp
@@ -5,16 +5,17 @@
 namespace millethollow::balancing {
 namespace {
 
-// A worker that is off the list for so long is forgotten. Else the table would grow with every name
-// that a list ever carried.
+// A worker missing from the endpoint list for this long is forgotten. Otherwise the table would
+// grow with every name that ever appeared in a list.
 constexpr double kForgetWorkerS = 300;
-constexpr double kSlotResidue = 1e-6;  // below the least slots of a job
+// Rounding residue of slots in flight, less than any request needs.
+constexpr double kSlotResidue = 1e-6;
 
 }  // namespace
 
 int WorkerTable::Find(std::string_view name) const {
-  const auto it = index_.find(name);
-  return it == index_.end() ? -1 : it->second;
+  const auto entry = index_.find(name);
+  return entry == index_.end() ? -1 : entry->second;
 }
 
 bool WorkerTable::IsIdle(const Worker& worker, double now_s) {
@@ -23,13 +24,13 @@
 }
 
 int WorkerTable::Add(const std::string& name, int replaced) {
-  Worker fresh{.name = name, .hash = HashText(name), .slot_limit = mean_slot_limit_};
+  Worker added{.name = name, .hash = HashText(name), .slot_limit = mean_slot_limit_};
   int index = replaced;
   if (replaced >= 0) {
-    index_.erase(workers_[Idx(replaced)].name);
-    workers_[Idx(replaced)] = std::move(fresh);
+    index_.erase(workers_[ToIndex(replaced)].name);
+    workers_[ToIndex(replaced)] = std::move(added);
   } else {
-    workers_.push_back(std::move(fresh));
+    workers_.push_back(std::move(added));
     index = size() - 1;
   }
   index_.emplace(name, index);
@@ -39,14 +40,14 @@
 void WorkerTable::RebuildPools() {
   pools_.Rebuild(workers_);
   ready_count_ = ejected_count_ = 0;
-  double limits = 0;
+  double slot_limit_sum = 0;
   for (const Worker& worker : workers_) {
     if (!worker.ready) continue;
     ready_count_ += 1;
     ejected_count_ += worker.ejected;
-    limits += worker.slot_limit;
+    slot_limit_sum += worker.slot_limit;
   }
-  if (ready_count_ > 0) mean_slot_limit_ = limits / ready_count_;
+  if (ready_count_ > 0) mean_slot_limit_ = slot_limit_sum / ready_count_;
   ++pool_version_;
 }
 
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -196,10 +196,10 @@
   for (const std::string& datagram : old) {
     balancing::UsageReport part;
     ASSERT_TRUE(balancing::DecodeReport(datagram, layout, &part));
-    EXPECT_EQ(part.rate, sample.rate);
+    EXPECT_EQ(part.fleet_rate_rps, sample.fleet_rate_rps);
     EXPECT_EQ(part.view, sample.view);
-    EXPECT_TRUE(part.hears_all && part.fresh);
-    EXPECT_EQ(part.first, whole.rates.size());
+    EXPECT_TRUE(part.receives_all && part.reply_requested);
+    EXPECT_EQ(part.first_index, whole.rates.size());
     if (part.BeginsRow()) whole = part;
     if (!part.BeginsRow()) {
       whole.rates.insert(whole.rates.end(), part.rates.begin(), part.rates.end());
--- a/tests/estimators_test.cpp
+++ b/tests/estimators_test.cpp
@@ -14,7 +14,7 @@
 
 // Hints are off by a lognormal factor. The mean of time over hint is dominated by the smallest
 // hints.
-TEST(EstimatorsTest, LogFitPredictsServiceTimeFromRoughHints) {
+TEST(EstimatorsTest, LogLinearFitPredictsServiceTimeFromRoughHints) {
   struct Case {
     double spread;  // of the hint around the work, in logs
     bool tells;     // the hint follows the work at all
@@ -22,7 +22,7 @@
   for (const Case c : {Case{0.3, true}, Case{1.2, true}, Case{1.0, false}}) {
     std::mt19937_64 random(3);
     std::lognormal_distribution<double> work(std::log(0.25), 0.6), noise(0, c.spread);
-    LogFit line;
+    LogLinearFit line;
     Mean ratio;
     std::vector<std::pair<double, double>> requests;  // hint, time
     for (int i = 0; i < 4000; ++i) {
@@ -35,16 +35,16 @@
     }
     double sum = 0, by_line = 0, by_ratio = 0;
     for (int i = 0; i < 200; ++i) {
-      sum += requests[Idx(i)].second;
-      by_line += line.At(requests[Idx(i)].first, -1);
-      by_ratio += requests[Idx(i)].first * ratio.value;
+      sum += requests[ToIndex(i)].second;
+      by_line += line.Predict(requests[ToIndex(i)].first, -1);
+      by_ratio += requests[ToIndex(i)].first * ratio.value;
     }
     EXPECT_NEAR(by_line / sum, 1.0, 0.25) << c.spread;
     if (c.spread > 1) {
       EXPECT_GT(by_ratio / sum, 1.5) << "the mean ratio, for comparison";
     }
   }
-  EXPECT_EQ(LogFit{}.At(0.3, 7.0), 7.0);  // nothing learned: the fallback
+  EXPECT_EQ(LogLinearFit{}.Predict(0.3, 7.0), 7.0);  // nothing learned: the fallback
 }
 
 // Where a slot is free no request is queued, so all that the worker holds run.
--- a/tests/membership_node_test.cpp
+++ b/tests/membership_node_test.cpp
@@ -66,7 +66,7 @@
           if (to == i || !w.Runs(to) || !w.Hears(i, to) || faults.Unit() < 0.05) continue;
           all[to].heard_at[i] = w.now();
           all[to].told[i] = d.demand;
-          all[to].hears_all[i] = d.agreed.hears_all();
+          all[to].hears_all[i] = d.agreed.receives_all();
           all[to].view[i] = d.agreed.view();
         }
         double sum = d.demand;
@@ -90,7 +90,7 @@
         if (!w.Runs(i)) continue;
         told += "\n" + std::to_string(i + 1) + " share " + std::to_string(all[i].share) +
                 " of demand " + std::to_string(all[i].demand) + " hears all " +
-                std::to_string(all[i].agreed.hears_all());
+                std::to_string(all[i].agreed.receives_all());
         // A lease that ends between two reports ends the share with it, as Balancer::Agree has it.
         agree(i, &all[i]);
         all[i].share *= all[i].agreed.Factor(0);
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -203,7 +203,7 @@
       dispatcher.Handle(e);
       for (std::size_t a = 0; a < dispatcher.attempts[id].size(); ++a) {
         const int w = std::stoi(dispatcher.attempts[id][a].substr(1));
-        auto& keys = kept[Idx(w)];
+        auto& keys = kept[ToIndex(w)];
         const bool hit = std::find(keys.begin(), keys.end(), key) != keys.end();
         std::erase(keys, key);
         keys.push_front(key);
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -277,8 +277,8 @@
 }
 inline balancing::UsageReport SampleUsage(const balancing::RowLayout& layout) {
   balancing::UsageReport report;
-  report.fresh = report.hears_all = true;
-  report.rate = 77.5;
+  report.reply_requested = report.receives_all = true;
+  report.fleet_rate_rps = 77.5;
   report.view = 41;
   for (std::size_t i = 0; i < layout.size(); ++i)
     report.rates.push_back(0.5 + static_cast<double>(i));
--- a/tests/usage_report_test.cpp
+++ b/tests/usage_report_test.cpp
@@ -30,8 +30,8 @@
 
 UsageReport ReportFor(const RowLayout& layout, std::size_t workers_out) {
   UsageReport report;
-  report.fresh = report.hears_all = true;
-  report.rate = 77;
+  report.reply_requested = report.receives_all = true;
+  report.fleet_rate_rps = 77;
   report.view = 41;
   for (std::size_t i = 0; i < layout.size(); ++i)
     report.rates.push_back(1.0 + static_cast<double>(i));
@@ -60,10 +60,10 @@
           EXPECT_LE(datagram.size(), kMaxPeerMessageBytes);
           UsageReport heard;
           ASSERT_TRUE(DecodeReport(datagram, layout, &heard));
-          EXPECT_EQ(heard.first, row.size());
-          EXPECT_EQ(heard.fresh, sent.fresh);
-          EXPECT_EQ(heard.rate, sent.rate);
-          EXPECT_EQ(heard.hears_all, sent.hears_all);
+          EXPECT_EQ(heard.first_index, row.size());
+          EXPECT_EQ(heard.reply_requested, sent.reply_requested);
+          EXPECT_EQ(heard.fleet_rate_rps, sent.fleet_rate_rps);
+          EXPECT_EQ(heard.receives_all, sent.receives_all);
           EXPECT_EQ(heard.view, sent.view);
           const std::size_t told = heard.BeginsRow() ? std::min<std::size_t>(workers_out, 40) : 0;
           EXPECT_TRUE(std::equal(heard.slots_in_flight.begin(), heard.slots_in_flight.end(),
@@ -90,7 +90,7 @@
     for (const std::string& datagram : EncodeReport(ReportFor(shifted, 0), shifted)) {
       UsageReport heard;
       ASSERT_TRUE(DecodeReport(datagram, shifted, &heard));
-      EXPECT_EQ(shifted.GroupStart(heard.first), heard.first);
+      EXPECT_EQ(shifted.GroupStart(heard.first_index), heard.first_index);
     }
   }
 }
@@ -153,10 +153,10 @@
   balancer.Handle(100, DispatcherStarted{}, &actions);
   const auto refuses = [&](const std::string& body) {
     UsageReport report;
-    report.rate = 5;
+    report.fleet_rate_rps = 5;
     report.rates = {1, 2, 3};
     EXPECT_FALSE(DecodeReport(body, layout, &report));
-    EXPECT_EQ(report.rate, 5);
+    EXPECT_EQ(report.fleet_rate_rps, 5);
     EXPECT_EQ(report.rates, (std::vector<double>{1, 2, 3}));
     const std::string before = balancer.SaveState();
     const std::uint64_t refused = balancer.RejectedPeerMessages();
@@ -201,10 +201,10 @@
         continue;
       }
       EXPECT_FALSE(heard.rates.empty());
-      EXPECT_LE(heard.first + heard.rates.size(), layout.size());
+      EXPECT_LE(heard.first_index + heard.rates.size(), layout.size());
       EXPECT_LE(heard.slots_in_flight.size(), 40u);
       for (const double rate : heard.rates) EXPECT_TRUE(std::isfinite(rate) && rate >= 0);
-      EXPECT_TRUE(std::isfinite(heard.rate) && heard.rate >= 0);
+      EXPECT_TRUE(std::isfinite(heard.fleet_rate_rps) && heard.fleet_rate_rps >= 0);
     }
   }
   EXPECT_GT(refused, 20'000u);
@@ -288,7 +288,7 @@
     whom = tell->recipient;
     UsageReport part;
     EXPECT_TRUE(DecodeReport(tell->body, layout, &part));
-    if (part.first == row.size()) row.insert(row.end(), part.rates.begin(), part.rates.end());
+    if (part.first_index == row.size()) row.insert(row.end(), part.rates.begin(), part.rates.end());
   }
   return row;
 }
@@ -307,7 +307,7 @@
   const std::vector<double> row = RowToldAfter(settings, layout, {parts[1]});
   ASSERT_EQ(row.size(), layout.size());
   for (std::size_t i = 0; i < row.size(); ++i) {
-    const bool in_part = i >= middle.first && i < middle.first + middle.rates.size();
+    const bool in_part = i >= middle.first_index && i < middle.first_index + middle.rates.size();
     EXPECT_EQ(row[i] > 0, in_part) << i;
   }
   const std::vector<double> whole = RowToldAfter(settings, layout, parts);
@@ -370,7 +370,7 @@
       if (tell == nullptr) continue;
       UsageReport own;
       ASSERT_TRUE(DecodeReport(tell->body, layout, &own));
-      EXPECT_EQ(own.hears_all, parts_heard == parts.size());
+      EXPECT_EQ(own.receives_all, parts_heard == parts.size());
       told += 1;
     }
     EXPECT_GT(told, 0u);
