--- a/include/millethollow/error.h
+++ b/include/millethollow/error.h
@@ -1,4 +1,5 @@
-// Errors of the project's interfaces: a code for the caller, a sentence for the operator.
+// Error handling of the project's interfaces: an error has a code for the caller and a message for
+// the operator.
 #ifndef MILLETHOLLOW_ERROR_H_
 #define MILLETHOLLOW_ERROR_H_
 
@@ -9,30 +10,31 @@
 
 namespace millethollow {
 
+// What a caller can do about an error.
 enum class ErrorCode : std::uint8_t {
-  kInvalidArgument,     // the input can never be used: settings, file contents, a message
-  kNotFound,            // what was named does not exist
-  kFailedPrecondition,  // the input may be right, but not in this state: another owner, a later
-                        // schema
-  kUnavailable,         // may work later: an address in use, no descriptor free
-  kDataLoss,            // stored data is damaged
-  kIo,                  // the operating system refused a read or a write
+  kInvalidArgument,  // the input can never be used: settings, file contents or a message
+  kNotFound,         // the named object does not exist
+  // The input may be valid, but not in the current state: another owner or a later schema.
+  kFailedPrecondition,
+  kUnavailable,  // may succeed later: an address is in use, no file descriptor is free
+  kDataLoss,     // stored data is damaged
+  kIo,           // the operating system reported an error of a read or a write
 };
 
-// What went wrong. `message` is one plain sentence without a line end, fit for a log line.
+// An error. `message` is one sentence without a line break, suitable for a log line.
 struct Error {
   ErrorCode code = ErrorCode::kInvalidArgument;
   std::string message;
 };
 
-// A value, or the reason why there is none.
+// A value or an error.
 template <typename T>
 using Result = tl::expected<T, Error>;
 
-// Success, or the reason for a failure.
+// Success or an error.
 using Status = Result<void>;
 
-// For `return MakeError(...)` from a function that returns a Result.
+// Creates the error that a function with a Result or Status returns.
 inline tl::unexpected<Error> MakeError(ErrorCode code, std::string message) {
   return tl::unexpected<Error>(Error{code, std::move(message)});
 }
