--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -11,37 +11,38 @@
 namespace {
 
 TEST(AttemptsTest, FinalAnswerFollowsAttemptStatusAndIdempotency) {
-  // One try only, so the first outcome decides the answer.
-  Settings s = TestSettings();
-  s.max_attempts = 1;
-  for (const auto& [status, ran] : {std::pair{AttemptStatus::kServerError, true},
-                                    {AttemptStatus::kRejected, false},
-                                    {AttemptStatus::kNoResponse, true},
-                                    {AttemptStatus::kConnectFailed, false},
-                                    {AttemptStatus::kConnectionLost, true},
-                                    {AttemptStatus::kCancelled, true},
-                                    {AttemptStatus::kNotSent, false}}) {
-    TestDispatcher dispatcher(s);
+  // A single attempt, so the first outcome decides the final answer.
+  Settings settings = TestSettings();
+  settings.max_attempts = 1;
+  for (const auto& [status, may_have_run] : {std::pair{AttemptStatus::kServerError, true},
+                                             {AttemptStatus::kRejected, false},
+                                             {AttemptStatus::kNoResponse, true},
+                                             {AttemptStatus::kConnectFailed, false},
+                                             {AttemptStatus::kConnectionLost, true},
+                                             {AttemptStatus::kCancelled, true},
+                                             {AttemptStatus::kNotSent, false}}) {
+    TestDispatcher dispatcher(settings);
     dispatcher.UpdateEndpoints(MakeEndpoints(6));
-    for (int cls = 0; cls < 3; ++cls) {
-      const std::string id = "j" + std::to_string(cls);
-      dispatcher.SendRequest(id, cls);
+    for (int class_index = 0; class_index < 3; ++class_index) {
+      const std::string id = "j" + std::to_string(class_index);
+      dispatcher.SendRequest(id, class_index);
       dispatcher.EndAttempt(id, 0, status);
-      // Clients may retry after a rejection, so it must be safe.
-      EXPECT_EQ(dispatcher.final_answers[id], cls == 0 || !ran ? "rejected" : "failed")
-          << "class " << cls << " status " << static_cast<int>(status);
+      // Clients may retry after a rejection, so a retry must be safe.
+      EXPECT_EQ(dispatcher.final_answers[id],
+                class_index == 0 || !may_have_run ? "rejected" : "failed")
+          << "class " << class_index << " status " << static_cast<int>(status);
     }
   }
 }
 
 TEST(AttemptsTest, NonIdempotentRequestThatMayHaveRunIsNotRetried) {
-  for (const AttemptStatus v : {AttemptStatus::kServerError, AttemptStatus::kNoResponse,
-                                AttemptStatus::kConnectionLost, AttemptStatus::kCancelled}) {
+  for (const AttemptStatus status : {AttemptStatus::kServerError, AttemptStatus::kNoResponse,
+                                     AttemptStatus::kConnectionLost, AttemptStatus::kCancelled}) {
     TestDispatcher dispatcher(TestSettings());
     dispatcher.UpdateEndpoints(MakeEndpoints(6));
     dispatcher.SendRequest("a", 2);
     dispatcher.AdvanceTime(3);
-    dispatcher.EndAttempt("a", 0, v);
+    dispatcher.EndAttempt("a", 0, status);
     EXPECT_EQ(dispatcher.attempts["a"].size(), 1u);
     EXPECT_EQ(dispatcher.final_answers["a"], "failed");
   }
@@ -68,13 +69,13 @@
   const int first = dispatcher.attempts["a"][0][1] - '0',
             second = dispatcher.attempts["a"][1][1] - '0';
   EXPECT_EQ(first / 2, second / 2);
-  // The cell has no third worker: nothing harmless is left.
+  // The cell has no third worker: there is no safe candidate left.
   dispatcher.EndAttempt("a", 1, AttemptStatus::kConnectionLost);
   EXPECT_EQ(dispatcher.attempts["a"].size(), 2u);
   EXPECT_EQ(dispatcher.final_answers["a"], "failed");
 
   dispatcher.SendRequest("b", 1, 0, 30);
-  dispatcher.now += 4;  // the window is over: repeats are no longer dropped
+  dispatcher.now += 4;  // the window has passed: repeats are no longer dropped
   dispatcher.EndAttempt("b", 0, AttemptStatus::kServerError);
   EXPECT_EQ(dispatcher.attempts["b"].size(), 1u);
   EXPECT_EQ(dispatcher.final_answers["b"], "failed");
@@ -83,12 +84,14 @@
 TEST(AttemptsTest, RequestIsAnsweredAtItsDeadline) {
   TestDispatcher dispatcher(TestSettings());
   dispatcher.UpdateEndpoints(MakeEndpoints(3));
-  for (int cls = 0; cls < 3; ++cls) dispatcher.SendRequest("j" + std::to_string(cls), cls, 0, 1.0);
+  for (int class_index = 0; class_index < 3; ++class_index)
+    dispatcher.SendRequest("j" + std::to_string(class_index), class_index, 0, 1.0);
   dispatcher.now += 1.0;
-  for (int cls = 0; cls < 3; ++cls) {
-    const std::string id = "j" + std::to_string(cls);
-    for (std::size_t a = 0; a < dispatcher.attempts[id].size(); ++a) {
-      dispatcher.EndAttempt(id, static_cast<int>(a), AttemptStatus::kNoResponse);
+  for (int class_index = 0; class_index < 3; ++class_index) {
+    const std::string id = "j" + std::to_string(class_index);
+    for (std::size_t attempt_index = 0; attempt_index < dispatcher.attempts[id].size();
+         ++attempt_index) {
+      dispatcher.EndAttempt(id, static_cast<int>(attempt_index), AttemptStatus::kNoResponse);
     }
     EXPECT_TRUE(dispatcher.final_answers.contains(id));
   }
@@ -104,22 +107,23 @@
 }
 
 TEST(AttemptsTest, WithoutHedgingOneAttemptIsInFlightAtATime) {
-  Settings s = TestSettings();
-  s.allow_hedging = false;
-  s.workers_notify_start = true;
-  TestDispatcher dispatcher(s);
+  Settings settings = TestSettings();
+  settings.allow_hedging = false;
+  settings.workers_notify_start = true;
+  TestDispatcher dispatcher(settings);
   dispatcher.UpdateEndpoints(MakeEndpoints(6));
-  int out = 0;
+  int ended_attempts = 0;
   dispatcher.SendRequest("a");
   for (int i = 0; i < 40; ++i) {
-    const Actions done = dispatcher.AdvanceTime(0.1);
-    for (const CancelAttempt& c : ActionsOf<CancelAttempt>(done)) {
-      EXPECT_EQ(c.attempt, out);
-      dispatcher.EndAttempt("a", out++, AttemptStatus::kCancelled);
+    const Actions actions = dispatcher.AdvanceTime(0.1);
+    for (const CancelAttempt& cancel : ActionsOf<CancelAttempt>(actions)) {
+      EXPECT_EQ(cancel.attempt, ended_attempts);
+      dispatcher.EndAttempt("a", ended_attempts++, AttemptStatus::kCancelled);
     }
-    EXPECT_LE(static_cast<int>(dispatcher.attempts["a"].size()), out + 1);
+    EXPECT_LE(static_cast<int>(dispatcher.attempts["a"].size()), ended_attempts + 1);
   }
-  EXPECT_GE(dispatcher.attempts["a"].size(), 2u);  // the silent worker was left
+  EXPECT_GE(dispatcher.attempts["a"].size(),
+            2u);  // the attempt at the unresponsive worker was given up
 }
 
 }  // namespace
--- a/tests/hedging_test.cpp
+++ b/tests/hedging_test.cpp
@@ -1,4 +1,4 @@
-// Hedged requests, and cancels of attempts that wait in a queue.
+// Hedged requests, and cancellation of queued attempts.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,9 +9,9 @@
 namespace {
 
 TEST(HedgingTest, OtherAttemptIsCancelledOnceOneHasStarted) {
-  Settings s = TestSettings();
-  s.workers_notify_start = true;
-  TestDispatcher dispatcher(s);
+  Settings settings = TestSettings();
+  settings.workers_notify_start = true;
+  TestDispatcher dispatcher(settings);
   dispatcher.UpdateEndpoints(MakeEndpoints(6));
   for (int i = 0; i < 30; ++i) {  // fill the hedge budget
     const std::string id = "j" + std::to_string(i);
@@ -34,43 +34,44 @@
   EXPECT_EQ(dispatcher.attempts["a"].size(), 2u);
 }
 
-// Where load is reported, a hedged request whose cancel fails would only add load. A class that is
+// Where load is reported, hedged requests whose cancel fails would only add load. A class that is
 // not idempotent is never hedged.
 TEST(HedgingTest, QueuedRequestIsHedgedOnlyWhereNoLoadIsReported) {
-  const auto copied = [](LoadReportSource source, int cls) {
-    Settings s = TestSettings();
-    s.allow_hedging = s.workers_notify_start = true;
-    s.load_report_source = source;
-    TestDispatcher dispatcher(s);
+  const auto hedge_count = [](LoadReportSource source, int class_index) {
+    Settings settings = TestSettings();
+    settings.allow_hedging = settings.workers_notify_start = true;
+    settings.load_report_source = source;
+    TestDispatcher dispatcher(settings);
     dispatcher.UpdateEndpoints(MakeEndpoints(40));
-    int copies = 0;
+    int hedges = 0;
     for (int i = 0; i < 200; ++i) {
       const std::string id = "j" + std::to_string(i);
-      dispatcher.SendRequest(id, cls);
+      dispatcher.SendRequest(id, class_index);
       dispatcher.AdvanceTime(0.03);
-      copies += static_cast<int>(dispatcher.attempts[id].size()) - 1;
-      for (const CancelAttempt& c :
+      hedges += static_cast<int>(dispatcher.attempts[id].size()) - 1;
+      for (const CancelAttempt& cancel :
            ActionsOf<CancelAttempt>(dispatcher.EndAttempt(id, 0, AttemptStatus::kSucceeded))) {
-        dispatcher.EndAttempt(id, c.attempt, AttemptStatus::kCancelled);
+        dispatcher.EndAttempt(id, cancel.attempt, AttemptStatus::kCancelled);
       }
     }
-    return copies;
+    return hedges;
   };
-  EXPECT_GT(copied(LoadReportSource::kOff, 0), 150);
-  EXPECT_EQ(copied(LoadReportSource::kOff, 2), 0);
-  EXPECT_EQ(copied(LoadReportSource::kInline, 0), 0);
+  EXPECT_GT(hedge_count(LoadReportSource::kOff, 0), 150);
+  EXPECT_EQ(hedge_count(LoadReportSource::kOff, 2), 0);
+  EXPECT_EQ(hedge_count(LoadReportSource::kInline, 0), 0);
 }
 
-// Cancels are bounded by the starts that were seen: where a cancel has no effect, they end.
+// Requests are shed only as often as others start. Where cancels have no effect, no request starts
+// and shedding ends.
 TEST(HedgingTest, QueuedRequestThatWillBeLateIsCancelledInAnOverload) {
-  const auto called_off = [](LoadReportSource source, bool some_start) {
-    Settings s = TestSettings();
-    s.allow_hedging = false;
-    s.workers_notify_start = true;
-    s.load_report_source = source;
-    TestDispatcher dispatcher(s);
+  const auto cancel_count = [](LoadReportSource source, bool some_start) {
+    Settings settings = TestSettings();
+    settings.allow_hedging = false;
+    settings.workers_notify_start = true;
+    settings.load_report_source = source;
+    TestDispatcher dispatcher(settings);
     dispatcher.UpdateEndpoints(MakeEndpoints(40));
-    std::size_t calls = 0;
+    std::size_t cancels = 0;
     for (int i = 0; i < 400; ++i) {
       const std::string id = "j" + std::to_string(i);
       const bool starts = i < 20 || (some_start && i % 2 == 0);
@@ -81,18 +82,18 @@
         dispatcher.AdvanceTime(0.001);
         dispatcher.EndAttempt(id, 0, AttemptStatus::kSucceeded);
       }
-      for (const CancelAttempt& c : ActionsOf<CancelAttempt>(dispatcher.AdvanceTime(0.02))) {
-        ++calls;
-        dispatcher.EndAttempt(c.id, c.attempt, AttemptStatus::kCancelled);
-        EXPECT_EQ(dispatcher.final_answers[c.id],
-                  "failed");  // it may have run: nothing else is true
+      for (const CancelAttempt& cancel : ActionsOf<CancelAttempt>(dispatcher.AdvanceTime(0.02))) {
+        ++cancels;
+        dispatcher.EndAttempt(cancel.id, cancel.attempt, AttemptStatus::kCancelled);
+        EXPECT_EQ(dispatcher.final_answers[cancel.id],
+                  "failed");  // it may have run, so it must not be answered as rejected
       }
     }
-    return calls;
+    return cancels;
   };
-  EXPECT_GT(called_off(LoadReportSource::kOff, true), 30u);
-  EXPECT_LE(called_off(LoadReportSource::kOff, false), 10u);  // what the first starts earned
-  EXPECT_EQ(called_off(LoadReportSource::kInline, true), 0u);
+  EXPECT_GT(cancel_count(LoadReportSource::kOff, true), 30u);
+  EXPECT_LE(cancel_count(LoadReportSource::kOff, false), 10u);  // the budget from the first starts
+  EXPECT_EQ(cancel_count(LoadReportSource::kInline, true), 0u);
 }
 
 }  // namespace
--- a/tests/network_partition_test.cpp
+++ b/tests/network_partition_test.cpp
@@ -33,7 +33,7 @@
   s.classes.resize(1);
   s.classes[0] = {.latency_objective_s = 0.3, .client_timeout_s = 1};
   s.tenants.assign(kTenants, {.share = 0.5, .quota_rps = kQuota});
-  KeepPlatformRules(&s);
+  ApplyPlatformSettings(&s);
   s.max_attempts = 2;
   return s;
 }
@@ -79,17 +79,17 @@
       floor.stopped_until = [w](std::size_t i) {
         return w->up(i) ? kStart + w->node(i).paused_until : 1e18;
       };
-      floor.reaches = [&](std::size_t from, std::size_t to) {
+      floor.is_connected = [&](std::size_t from, std::size_t to) {
         return w->up(from) && w->up(to) && w->Hears(from, to) && faults.Unit() > 0.05;
       };
       std::vector<double> ran_at(w->size(), 0);
       if (parts)
-        floor.before = [&floor, w, ran_at](std::size_t i) mutable {
+        floor.before_event = [&floor, w, ran_at](std::size_t i) mutable {
           // As the planner does it.
           if (!w->Runs(i)) return;
           const bool stopped = floor.now - ran_at[i] > balancing::AgreedShare::kStoppedS;
           ran_at[i] = floor.now;
-          floor.desks[i]->SetFleetShare(
+          floor.dispatchers[i]->SetFleetShare(
               {w->Part(i), w->Leased(i) ? static_cast<int>(w->ViewOf(i).members.size()) : 0,
                w->ViewOf(i).epoch, stopped});
         };
@@ -147,21 +147,22 @@
       if (t >= count_from) told.counted_s += 0.005;
       if (next_restart < restarts.size() && restarts[next_restart].first <= t) {
         const int worker = restarts[next_restart++].second;
-        floor.members[static_cast<std::size_t>(worker)].started_at_s = floor.now;
+        floor.endpoints[static_cast<std::size_t>(worker)].started_at_s = floor.now;
         cold[static_cast<std::size_t>(worker)] = {floor.now, 0};
-        floor.List(worker, balancing::Readiness::kReady);
+        floor.SetReadiness(worker, balancing::Readiness::kReady);
       }
       for (; next_arrival < arrivals.size() && arrivals[next_arrival].at <= t; ++next_arrival) {
         Arrival& a = arrivals[next_arrival];
         if (w) a.taken = w->Runs(a.node);
         if (w) a.counts = t >= count_from;
         if (!a.taken) continue;
-        const std::string id = floor.Ask(w ? a.node : 0, 0, {1, 1}, 0.1, 1, a.tenant);
+        const std::string id = floor.SendRequest(w ? a.node : 0, 0, {1, 1}, 0.1, 1, a.tenant);
         if (!a.counts) continue;
-        told.let_in[a.tenant] += !floor.asked[id].refused || !floor.asked[id].sent_to.empty();
+        told.let_in[a.tenant] +=
+            !floor.requests[id].rejected || !floor.requests[id].sent_to.empty();
       }
     }
-    EXPECT_EQ(floor.faults, std::vector<std::string>{}) << "seed " << seed;
+    EXPECT_EQ(floor.violations, std::vector<std::string>{}) << "seed " << seed;
     return told;
   }
   PartitionDay(const PartitionDay&) = delete;
--- a/tests/quota_wiring_test.cpp
+++ b/tests/quota_wiring_test.cpp
@@ -288,8 +288,8 @@
   explicit TwoDesks(std::vector<std::vector<double>> rates)
       : floor(2, Rules(), {}), tenant_rates(std::move(rates)) {
     for (int w = 0; w < kWorkers; ++w) floor.AddWorker({2, 100}, 0);
-    floor.before = [this](std::size_t i) {
-      floor.desks[i]->SetFleetShare(
+    floor.before_event = [this](std::size_t i) {
+      floor.dispatchers[i]->SetFleetShare(
           {.share = 0.5, .member_count = 2, .epoch = 1, .tenant_rates_rps = tenant_rates[i]});
     };
     floor.now = 100;
@@ -300,7 +300,7 @@
     s.classes.resize(1);
     s.classes[0] = {.latency_objective_s = 0.3, .client_timeout_s = 1};
     s.tenants.assign(2, {.share = 0.5, .quota_rps = kQuota});
-    KeepPlatformRules(&s);
+    ApplyPlatformSettings(&s);
     return s;
   }
   // What was let in a second: by dispatcher, of a tenant.
@@ -312,8 +312,8 @@
       const int number = asked++ % 4;
       const auto node = static_cast<std::size_t>(number % 2);
       const int tenant = number / 2;
-      const std::string id = floor.Ask(node, 0, {1, 1 + 1e-6 * asked}, 0.1, 1, tenant);
-      if (!floor.asked.at(id).refused) let_in[node][tenant] += 1 / span;
+      const std::string id = floor.SendRequest(node, 0, {1, 1 + 1e-6 * asked}, 0.1, 1, tenant);
+      if (!floor.requests.at(id).rejected) let_in[node][tenant] += 1 / span;
     }
   }
   SimulatedFleet floor;
--- a/tests/scheduling_balancer_test.cpp
+++ b/tests/scheduling_balancer_test.cpp
@@ -31,7 +31,7 @@
                         .deduplication_scope = balancing::DeduplicationScope::kCell,
                         .deduplication_window_s = 40};
   s.tenants = {{.share = 0.6, .quota_rps = 1000}, {.share = 0.4, .quota_rps = 1000}};
-  KeepPlatformRules(&s);
+  ApplyPlatformSettings(&s);
   s.retry_after = true;
   s.max_retry_after_s = 2;
   return s;
@@ -67,23 +67,23 @@
       const double run = (cls == kLook ? kLookS : kChargeS) * spread(random);
       const std::size_t node = random() % static_cast<std::uint32_t>(nodes);
       const int tenant = static_cast<int>(random() % 2);
-      floor->At(at, [=, f = floor.get()] {
-        f->Ask(node, cls, need, run, cls == kLook ? 6 : 25, tenant);
+      floor->ScheduleAt(at, [=, f = floor.get()] {
+        f->SendRequest(node, cls, need, run, cls == kLook ? 6 : 25, tenant);
       });
     }
   }
   floor->Run(kLength + 30);
   std::vector<Tally> tally(2);
-  for (const auto& [id, a] : floor->asked) {
-    Tally& t = tally[static_cast<std::size_t>(a.cls)];
-    const double aim = (a.cls == kLook ? 0.25 : 2) + 1.75 * a.run_s;
+  for (const auto& [id, a] : floor->requests) {
+    Tally& t = tally[static_cast<std::size_t>(a.class_index)];
+    const double aim = (a.class_index == kLook ? 0.25 : 2) + 1.75 * a.run_time_s;
     t.asked += 1;
-    t.in_time += a.served && a.took_s <= aim;
-    t.refused += a.refused;
+    t.in_time += a.served && a.latency_s <= aim;
+    t.refused += a.rejected;
     EXPECT_TRUE(a.answered) << id;
   }
   for (const WorkerModel& w : floor->workers) EXPECT_EQ(w.running() + w.waiting(), 0u);
-  EXPECT_EQ(floor->faults, std::vector<std::string>{});
+  EXPECT_EQ(floor->violations, std::vector<std::string>{});
   if (kept != nullptr) *kept = floor.get();
   return tally;
 }
@@ -140,17 +140,17 @@
     for (int w = 0; w < n; ++w) floor.AddWorker({slots, slots}, 4);
     floor.Start();
     for (int i = 0; i < n * static_cast<int>(slots); ++i) {
-      running.push_back(floor.Ask(0, kLook, {1, 0.5}, 2, 6));
+      running.push_back(floor.SendRequest(0, kLook, {1, 0.5}, 2, 6));
     }
     floor.Run(0.01);
   }
   int Holding(std::size_t node = 0) const {
     for (std::size_t w = 0; w < floor.workers.size(); ++w) {
-      if (floor.desks[node]->scheduler().ReservedSlots(w) > 0) return static_cast<int>(w);
+      if (floor.dispatchers[node]->scheduler().ReservedSlots(w) > 0) return static_cast<int>(w);
     }
     return -1;
   }
-  scheduling::SchedulerStats stats() const { return floor.desks[0]->scheduler().stats(); }
+  scheduling::SchedulerStats stats() const { return floor.dispatchers[0]->scheduler().stats(); }
   SimulatedFleet floor;
   std::vector<std::string> running;
 };
@@ -162,58 +162,58 @@
 TEST(Room, AReservationLeavesAWorkerThatIsLostAndItsJobIsNotLater) {
   using balancing::Readiness;
   const Loss kLosses[] = {
-      Loss{"drains", [](Busy& b, int w) { b.floor.List(w, Readiness::kDraining); }},
-      Loss{"is gone", [](Busy& b, int w) { b.floor.List(w, Readiness::kGone); }},
+      Loss{"drains", [](Busy& b, int w) { b.floor.SetReadiness(w, Readiness::kDraining); }},
+      Loss{"is gone", [](Busy& b, int w) { b.floor.SetReadiness(w, Readiness::kGone); }},
       Loss{"is taken out by hand",
            [](Busy& b, int w) {
-             b.floor.Tell(0, balancing::MaintenanceChanged{SimulatedFleet::Name(w), true});
+             b.floor.Handle(0, balancing::MaintenanceChanged{SimulatedFleet::WorkerName(w), true});
            }},
       Loss{"dies and is ejected",
            [](Busy& b, int w) {
              for (const std::string& id : b.running) {
-               if (b.floor.asked.at(id).sent_to.front() != w) continue;
-               b.floor.Tell(0, balancing::AttemptEnded{
-                                   .id = id, .status = balancing::AttemptStatus::kConnectFailed});
+               if (b.floor.requests.at(id).sent_to.front() != w) continue;
+               b.floor.Handle(0, balancing::AttemptEnded{
+                                     .id = id, .status = balancing::AttemptStatus::kConnectFailed});
              }
            }},
   };
   for (const Loss& loss : kLosses) {
     Busy b(3);
-    const std::string charge = b.floor.Ask(0, kCharge, {1, 1}, 1, 25);
+    const std::string charge = b.floor.SendRequest(0, kCharge, {1, 1}, 1, 25);
     const int held = b.Holding();
     ASSERT_GE(held, 0) << loss.name;
     loss.happens(b, held);
     EXPECT_NE(b.Holding(), held) << loss.name;
     EXPECT_GE(b.Holding(), 0) << loss.name << ": it moves in the same turn";
     b.floor.Run(10);
-    const SimulatedFleet::Asked& a = b.floor.asked.at(charge);
+    const SimulatedFleet::RequestRecord& a = b.floor.requests.at(charge);
     EXPECT_TRUE(a.served) << loss.name;
-    EXPECT_LT(a.took_s, 3.1) << loss.name << ": the next end after two seconds, and its own run";
+    EXPECT_LT(a.latency_s, 3.1) << loss.name << ": the next end after two seconds, and its own run";
     EXPECT_NE(a.sent_to.front(), held) << loss.name;
   }
 }
 
 TEST(Room, AWaitingJobsClientThatLeavesFreesTheRoomInTheSameTurn) {
   Busy b(1, 2);
-  const std::string charge = b.floor.Ask(0, kCharge, {2, 2}, 1, 25);
+  const std::string charge = b.floor.SendRequest(0, kCharge, {2, 2}, 1, 25);
   EXPECT_EQ(b.Holding(), 0);
-  const std::string look = b.floor.Ask(0, kLook, {1, 0.5}, 9, 20);
+  const std::string look = b.floor.SendRequest(0, kLook, {1, 0.5}, 9, 20);
   EXPECT_EQ(b.stats().waiting, 2u);
-  b.floor.Gone(0, charge);
+  b.floor.CancelByClient(0, charge);
   EXPECT_EQ(b.Holding(), -1);
   EXPECT_EQ(b.stats().reserved_slots, 0);
   b.floor.Run(2.1);
   EXPECT_EQ(b.stats().waiting, 0u) << "the lookup started when the first two ended";
-  EXPECT_TRUE(b.floor.asked.at(charge).sent_to.empty());
+  EXPECT_TRUE(b.floor.requests.at(charge).sent_to.empty());
 }
 
 TEST(Room, AChargeThatFitsNoWorkerFailsAtOnce) {
   Busy b(2, 2);
   for (const Resources need : {Resources{3, 1}, Resources{1, 2.5}}) {
-    const std::string id = b.floor.Ask(0, kCharge, need, 1, 25);
-    EXPECT_TRUE(b.floor.asked.at(id).failed);
-    EXPECT_EQ(b.floor.asked.at(id).took_s, 0);
-    EXPECT_TRUE(b.floor.asked.at(id).sent_to.empty());
+    const std::string id = b.floor.SendRequest(0, kCharge, need, 1, 25);
+    EXPECT_TRUE(b.floor.requests.at(id).failed);
+    EXPECT_EQ(b.floor.requests.at(id).latency_s, 0);
+    EXPECT_TRUE(b.floor.requests.at(id).sent_to.empty());
   }
 }
 
@@ -223,22 +223,22 @@
   options.max_tenant_share = 1;
   Busy b(1, 1, options);
   std::vector<std::string> ids;
-  for (int i = 0; i < 3; ++i) ids.push_back(b.floor.Ask(0, kLook, {1, 0.5}, 0.1, 6));
-  EXPECT_TRUE(b.floor.asked.at(ids[2]).refused);
-  EXPECT_FALSE(b.floor.asked.at(ids[0]).answered);
+  for (int i = 0; i < 3; ++i) ids.push_back(b.floor.SendRequest(0, kLook, {1, 0.5}, 0.1, 6));
+  EXPECT_TRUE(b.floor.requests.at(ids[2]).rejected);
+  EXPECT_FALSE(b.floor.requests.at(ids[0]).answered);
   EXPECT_EQ(b.stats().rejected, 1u);
   b.floor.Run(5);
-  EXPECT_TRUE(b.floor.asked.at(ids[0]).served);
-  EXPECT_TRUE(b.floor.asked.at(ids[1]).served);
+  EXPECT_TRUE(b.floor.requests.at(ids[0]).served);
+  EXPECT_TRUE(b.floor.requests.at(ids[1]).served);
 }
 
 TEST(Room, AJobThatFindsNoRoomInItsTimeIsRefusedBeforeItIsOver) {
   Busy b(1);
-  const std::string id = b.floor.Ask(0, kLook, {1, 0.5}, 0.1, 1);
+  const std::string id = b.floor.SendRequest(0, kLook, {1, 0.5}, 0.1, 1);
   b.floor.Run(0.999);
-  EXPECT_TRUE(b.floor.asked.at(id).refused);
+  EXPECT_TRUE(b.floor.requests.at(id).rejected);
   EXPECT_EQ(b.stats().waiting, 0u);
-  EXPECT_TRUE(b.floor.asked.at(id).sent_to.empty());
+  EXPECT_TRUE(b.floor.requests.at(id).sent_to.empty());
 }
 
 // What waited for a worker that comes back cold must not reach it in one burst.
@@ -249,24 +249,24 @@
     floor.Start();
     std::mt19937 random(5);
     for (int i = 0; i < 600; ++i) {
-      floor.At(0.05 * i, [&floor, &random] {
-        floor.Ask(0, random() % 4 == 0 ? kCharge : kLook, {1, 0.5}, 0.6, 6);
+      floor.ScheduleAt(0.05 * i, [&floor, &random] {
+        floor.SendRequest(0, random() % 4 == 0 ? kCharge : kLook, {1, 0.5}, 0.6, 6);
       });
     }
     floor.Run(12);
-    floor.members[2].started_at_s = floor.now;
-    floor.List(2, balancing::Readiness::kReady);
+    floor.endpoints[2].started_at_s = floor.now;
+    floor.SetReadiness(2, balancing::Readiness::kReady);
     const double born = floor.now;
     std::map<std::string, std::size_t> before;
-    for (const auto& [id, a] : floor.asked) before[id] = a.sent_to.size();
+    for (const auto& [id, a] : floor.requests) before[id] = a.sent_to.size();
     floor.Run(born + 1);
     int sent = 0;
-    for (const auto& [id, a] : floor.asked) {
+    for (const auto& [id, a] : floor.requests) {
       for (std::size_t i = before.contains(id) ? before[id] : 0; i < a.sent_to.size(); ++i) {
         sent += a.sent_to[i] == 2;
       }
     }
-    EXPECT_EQ(floor.faults, std::vector<std::string>{});
+    EXPECT_EQ(floor.violations, std::vector<std::string>{});
     return sent;
   };
   const int off = most_in_a_second({}), on = most_in_a_second(On());
@@ -277,9 +277,9 @@
 TEST(Room, TwoNodesDoNotBothHoldTheWholeOfOneWorker) {
   Busy b(2, 2, On(), 2);
   b.floor.Run(1);  // they have heard of each other
-  b.floor.Ask(0, kCharge, {2, 2}, 1, 25);
+  b.floor.SendRequest(0, kCharge, {2, 2}, 1, 25);
   b.floor.Run(1.4);
-  b.floor.Ask(1, kCharge, {2, 2}, 1, 25);
+  b.floor.SendRequest(1, kCharge, {2, 2}, 1, 25);
   b.floor.Run(1.5);
   EXPECT_GE(b.Holding(0), 0);
   EXPECT_NE(b.Holding(0), b.Holding(1));
@@ -287,7 +287,7 @@
 
 TEST(Room, SettingsThatChangeLeaveWaitingJobsTheirRules) {
   Busy b(1);
-  const std::string charge = b.floor.Ask(0, kCharge, {1, 1}, 1, 25);
+  const std::string charge = b.floor.SendRequest(0, kCharge, {1, 1}, 1, 25);
   EXPECT_EQ(b.Holding(), 0);
   balancing::Settings settings = Platform();
   settings.dispatcher_count = 1;
@@ -296,17 +296,18 @@
                               .priority_weight = 20});  // worth more still
   const std::vector<int> begun{2};
   balancing::Actions actions;
-  b.floor.desks[0]->Handle(b.floor.now, balancing::SettingsChanged{&settings, &begun}, &actions);
+  b.floor.dispatchers[0]->Handle(b.floor.now, balancing::SettingsChanged{&settings, &begun},
+                                 &actions);
   EXPECT_EQ(b.Holding(), 0);
   EXPECT_EQ(b.stats().waiting, 1u);
   b.floor.Run(4);
-  EXPECT_TRUE(b.floor.asked.at(charge).served);
+  EXPECT_TRUE(b.floor.requests.at(charge).served);
 }
 
 TEST(Room, NothingIsLeftOfJobsThatEnded) {
   SimulatedFleet* floor = nullptr;
   Morning(2, On(), 9, 1.2, &floor);
-  for (const auto& desk : floor->desks) {
+  for (const auto& desk : floor->dispatchers) {
     EXPECT_EQ(desk->scheduler().stats().waiting, 0u);
     EXPECT_EQ(desk->open_jobs(), 0u);
     EXPECT_EQ(desk->scheduler().stats().reserved_slots, 0);
--- a/tests/settings_validation_test.cpp
+++ b/tests/settings_validation_test.cpp
@@ -1,4 +1,4 @@
-// Which settings the decision module accepts.
+// Validation of the decision module's settings.
 #include <gtest/gtest.h>
 
 #include "millethollow/balancing/load_balancer.h"
@@ -6,7 +6,7 @@
 namespace millethollow::balancing {
 namespace {
 
-TEST(SettingsValidationTest, TenantsAreBoundedByWhatReportsCanIndex) {
+TEST(SettingsValidationTest, NumberOfTenantsIsBoundedByTheIndexSizeOfUsageReports) {
   Settings settings;
   settings.classes.resize(1);
   settings.tenants.assign(60'000, {.share = 1});
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Load of workers that have just started.
+// The load of workers in slow start.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -11,30 +11,31 @@
 namespace {
 
 TEST(SlowStartTest, StartingWorkerGetsASmallShareOfTheLoad) {
-  Settings s = TestSettings();
-  s.dispatcher_count = 1;
-  TestDispatcher dispatcher(s);
-  std::vector<Endpoint> fleet = MakeEndpoints(10);
-  dispatcher.UpdateEndpoints(fleet);
-  int n = 0;
-  const auto run = [&](double span) {
-    std::map<std::string, int> got;
-    for (double t = 0; t < span; t += 0.02) {
-      const std::string id = "j" + std::to_string(n++);
+  Settings settings = TestSettings();
+  settings.dispatcher_count = 1;
+  TestDispatcher dispatcher(settings);
+  std::vector<Endpoint> endpoints = MakeEndpoints(10);
+  dispatcher.UpdateEndpoints(endpoints);
+  int request_count = 0;
+  const auto count_attempts = [&](double duration_s) {
+    std::map<std::string, int> sent;
+    for (double elapsed_s = 0; elapsed_s < duration_s; elapsed_s += 0.02) {
+      const std::string id = "j" + std::to_string(request_count++);
       dispatcher.SendRequest(id);
-      for (const std::string& w : dispatcher.attempts[id]) ++got[w];
+      for (const std::string& worker : dispatcher.attempts[id]) ++sent[worker];
       dispatcher.AdvanceTime(0.02);
       dispatcher.EndAttempt(id, 0, AttemptStatus::kSucceeded);
     }
-    return got;
+    return sent;
   };
-  run(10);
-  fleet[0].started_at_s = dispatcher.now;
-  dispatcher.UpdateEndpoints({fleet[0]}, EndpointListKind::kIncremental);
-  const auto got = run(3);
-  const int warm = (got.at("w1") + got.at("w2") + got.at("w3")) / 3;
-  const int cold = got.contains("w0") ? got.at("w0") : 0;
-  EXPECT_LE(cold, warm * 0.1 * 3 + 1);
+  count_attempts(10);
+  endpoints[0].started_at_s = dispatcher.now;
+  dispatcher.UpdateEndpoints({endpoints[0]}, EndpointListKind::kIncremental);
+  const auto sent_after_start = count_attempts(3);
+  const int other_worker_attempts =
+      (sent_after_start.at("w1") + sent_after_start.at("w2") + sent_after_start.at("w3")) / 3;
+  const int slow_start_attempts = sent_after_start.contains("w0") ? sent_after_start.at("w0") : 0;
+  EXPECT_LE(slow_start_attempts, other_worker_attempts * 0.1 * 3 + 1);
 }
 
 }  // namespace
--- a/tests/support/report_tier.h
+++ b/tests/support/report_tier.h
@@ -1,5 +1,5 @@
-// A tier of decision modules on a virtual clock that report to each other over links that lose.
-// Uses the module's public interface alone.
+// A tier of decision modules on a virtual clock that send usage reports to each other over a lossy
+// network. It uses only the public interface of the module.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_REPORT_TIER_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_REPORT_TIER_H_
 
@@ -18,46 +18,51 @@
 
 namespace millethollow::balancing {
 
+// Runs the dispatchers of a tier. Times are seconds on the virtual clock.
 class ReportTier {
  public:
+  // Size and behaviour of the tier.
   struct Shape {
     int dispatcher_count = 3, tenants = 6, classes = 1;
-    double loss = 0;          // share of the datagrams that get lost
-    bool half_full = false;   // every second attempt finds its worker full
-    double told_quota = 0.1;  // of each tenant, jobs a second
+    double loss = 0;                    // share of the datagrams that are lost
+    bool half_full = false;             // every second attempt finds its worker full
+    double configured_quota_rps = 0.1;  // quota in the settings of each tenant, requests per second
   };
+  // Requests that arrived, and those admitted.
   struct Admission {
-    int asked = 0, admitted = 0;
+    int arrived = 0, admitted = 0;
   };
 
   explicit ReportTier(const Shape& shape) : shape_(shape), random_(5) {
     for (int w = 0; w < kWorkers; ++w) {
-      Endpoint member;
-      member.worker = "w" + std::to_string(w);
-      member.cell = w / 2;
-      members_.push_back(member);
+      Endpoint endpoint;
+      endpoint.worker = "w" + std::to_string(w);
+      endpoint.cell = w / 2;
+      endpoints_.push_back(endpoint);
     }
   }
-  // Before Start.
-  void SetQuota(int tenant, double jobs_per_second) { quotas_[tenant] = jobs_per_second; }
+  // Sets another quota for a tenant. Must be called before Start.
+  void SetQuota(int tenant, double requests_per_second) { quotas_[tenant] = requests_per_second; }
   void Start() {
-    Settings settings = SettingsOf();
-    for (int d = 0; d < shape_.dispatcher_count; ++d) {
-      settings.dispatcher_index = d;
+    Settings settings = MakeSettings();
+    for (int dispatcher_index = 0; dispatcher_index < shape_.dispatcher_count; ++dispatcher_index) {
+      settings.dispatcher_index = dispatcher_index;
       dispatchers_.push_back(
-          std::make_unique<LoadBalancer>(settings, 11 + static_cast<unsigned>(d)));
+          std::make_unique<LoadBalancer>(settings, 11 + static_cast<unsigned>(dispatcher_index)));
     }
-    for (int d = 0; d < shape_.dispatcher_count; ++d) {
-      Handle(d, DispatcherStarted{});
-      Handle(d, EndpointsUpdated{EndpointListKind::kSnapshot, &members_});
+    for (int dispatcher_index = 0; dispatcher_index < shape_.dispatcher_count; ++dispatcher_index) {
+      Handle(dispatcher_index, DispatcherStarted{});
+      Handle(dispatcher_index, EndpointsUpdated{EndpointListKind::kSnapshot, &endpoints_});
     }
   }
-  // From now on jobs of this tenant come to this dispatcher evenly, of each class in turn.
-  void AddDemand(int dispatcher, int tenant, double jobs_per_second) {
-    const double gap = 1 / jobs_per_second;
-    const double phase = std::uniform_real_distribution<double>(0, gap)(random_);
-    At(now_ + phase, [=, this] { Arrive(dispatcher, tenant, gap, 0); });
+  // From now on, requests of this tenant arrive at this dispatcher at an even rate, of each class
+  // in turn.
+  void AddDemand(int dispatcher, int tenant, double requests_per_second) {
+    const double interval_s = 1 / requests_per_second;
+    const double phase = std::uniform_real_distribution<double>(0, interval_s)(random_);
+    ScheduleAt(now_ + phase, [=, this] { Arrive(dispatcher, tenant, interval_s, 0); });
   }
+  // Runs everything that is scheduled until then.
   void RunUntil(double until) {
     while (!events_.empty() && events_.begin()->first.first <= until) {
       const auto event = std::move(events_.begin()->second);
@@ -68,33 +73,35 @@
     now_ = until;
   }
   double now() const { return now_; }
-  const LoadBalancer& dispatcher(int d) const { return *dispatchers_[static_cast<std::size_t>(d)]; }
+  const LoadBalancer& dispatcher(int index) const {
+    return *dispatchers_[static_cast<std::size_t>(index)];
+  }
   Admission admission(int dispatcher, int tenant) const {
     const auto it = admissions_.find({dispatcher, tenant});
     return it == admissions_.end() ? Admission{} : it->second;
   }
-  void ForgetAdmissions() { admissions_.clear(); }
+  void ResetAdmissions() { admissions_.clear(); }
 
-  // Called for each datagram that is sent, and for each that arrives.
-  std::function<void(int from, int to, const std::string& body)> on_tell = [](int, int,
-                                                                              const auto&) {};
-  std::function<void(int from, int to, const std::string& body)> on_hear = [](int, int,
+  // Called for each datagram that is sent, and for each that is received.
+  std::function<void(int from, int to, const std::string& body)> on_send = [](int, int,
                                                                               const auto&) {};
+  std::function<void(int from, int to, const std::string& body)> on_receive = [](int, int,
+                                                                                 const auto&) {};
 
  private:
   static constexpr int kWorkers = 12;
-  static constexpr double kWireS = 0.01, kRunS = 0.02, kTimeoutS = 5;
+  static constexpr double kNetworkDelayS = 0.01, kRunTimeS = 0.02, kTimeoutS = 5;
 
-  Settings SettingsOf() const {
+  Settings MakeSettings() const {
     Settings settings;
     settings.classes.resize(static_cast<std::size_t>(shape_.classes));
-    for (ClassSettings& cls : settings.classes) {
-      cls.latency_objective_s = 0.2;
-      cls.client_timeout_s = kTimeoutS;
+    for (ClassSettings& class_settings : settings.classes) {
+      class_settings.latency_objective_s = 0.2;
+      class_settings.client_timeout_s = kTimeoutS;
     }
     const auto tenants = static_cast<std::size_t>(shape_.tenants);
-    settings.tenants.assign(tenants,
-                            {.share = 1.0 / shape_.tenants, .quota_rps = shape_.told_quota});
+    settings.tenants.assign(
+        tenants, {.share = 1.0 / shape_.tenants, .quota_rps = shape_.configured_quota_rps});
     for (const auto& [tenant, quota] : quotas_) {
       settings.tenants[static_cast<std::size_t>(tenant)].quota_rps = quota;
     }
@@ -108,38 +115,41 @@
     settings.peers = true;
     return settings;
   }
-  void At(double when, std::function<void()> what) {
-    events_.emplace(std::pair{when, ++order_}, std::move(what));
+  void ScheduleAt(double at, std::function<void()> action) {
+    events_.emplace(std::pair{at, ++next_sequence_}, std::move(action));
   }
-  void Arrive(int dispatcher, int tenant, double gap, int cls) {
-    const std::string id = "j" + std::to_string(++jobs_);
+  void Arrive(int dispatcher, int tenant, double interval_s, int class_index) {
+    const std::string id = "j" + std::to_string(++request_count_);
     Admission& admission = admissions_[{dispatcher, tenant}];
-    admission.asked += 1;
-    refused_ = false;
-    RequestArrived job;
-    job.id = id;
-    job.expires_s = now_ + kTimeoutS;
-    job.tenant = tenant;
-    job.cls = cls;
-    job.memory = 1e-6 * static_cast<double>(jobs_);  // else it is taken for one refused before
-    Handle(dispatcher, job);
-    admission.admitted += !refused_;
-    At(now_ + gap,
-       [=, this, next = (cls + 1) % shape_.classes] { Arrive(dispatcher, tenant, gap, next); });
+    admission.arrived += 1;
+    rejected_ = false;
+    RequestArrived request;
+    request.id = id;
+    request.expires_s = now_ + kTimeoutS;
+    request.tenant = tenant;
+    request.cls = class_index;
+    // Otherwise it would be recognized as a rejected request that returns.
+    request.memory = 1e-6 * static_cast<double>(request_count_);
+    Handle(dispatcher, request);
+    admission.admitted += !rejected_;
+    ScheduleAt(now_ + interval_s, [=, this, next_class = (class_index + 1) % shape_.classes] {
+      Arrive(dispatcher, tenant, interval_s, next_class);
+    });
   }
   void Handle(int dispatcher, const Event& event) {
     Actions actions;
     dispatchers_[static_cast<std::size_t>(dispatcher)]->Handle(now_, event, &actions);
-    for (const Action& action : actions) Do(dispatcher, action);
+    for (const Action& action : actions) Execute(dispatcher, action);
   }
-  void Do(int dispatcher, const Action& action) {
+  void Execute(int dispatcher, const Action& action) {
     if (const auto* timer = std::get_if<SetTimer>(&action)) {
-      At(now_ + timer->after_s,
-         [=, this, mark = timer->timer_id] { Handle(dispatcher, TimerFired{mark}); });
+      ScheduleAt(now_ + timer->after_s, [=, this, timer_id = timer->timer_id] {
+        Handle(dispatcher, TimerFired{timer_id});
+      });
     } else if (const auto* send = std::get_if<SendAttempt>(&action)) {
       const int attempt = attempts_[send->id]++;
-      const bool full = shape_.half_full && ++sends_ % 2 == 0;
-      At(now_ + kRunS, [=, this, id = send->id] {
+      const bool full = shape_.half_full && ++send_count_ % 2 == 0;
+      ScheduleAt(now_ + kRunTimeS, [=, this, id = send->id] {
         Handle(dispatcher,
                AttemptEnded{.id = id,
                             .attempt = attempt,
@@ -147,30 +157,30 @@
                             .terminal = !full});
       });
     } else if (std::holds_alternative<RejectRequest>(action)) {
-      refused_ = true;
-    } else if (const auto* tell = std::get_if<SendPeerMessage>(&action)) {
-      Tell(dispatcher, tell->recipient, tell->body);
+      rejected_ = true;
+    } else if (const auto* message = std::get_if<SendPeerMessage>(&action)) {
+      Send(dispatcher, message->recipient, message->body);
     }
   }
-  void Tell(int from, int to, const std::string& body) {
-    on_tell(from, to, body);
-    // As the wire does: a longer body can't be sent.
+  void Send(int from, int to, const std::string& body) {
+    on_send(from, to, body);
+    // As on the network, a longer body cannot be sent.
     if (body.size() > 256 || std::uniform_real_distribution<double>(0, 1)(random_) < shape_.loss)
       return;
-    At(now_ + kWireS, [=, this] {
-      on_hear(from, to, body);
+    ScheduleAt(now_ + kNetworkDelayS, [=, this] {
+      on_receive(from, to, body);
       Handle(to, PeerMessage{from, body});
     });
   }
 
   Shape shape_;
   std::mt19937_64 random_;
-  std::vector<Endpoint> members_;
+  std::vector<Endpoint> endpoints_;
   std::map<int, double> quotas_;
   std::vector<std::unique_ptr<LoadBalancer>> dispatchers_;
   double now_ = 100;
-  std::uint64_t order_ = 0, jobs_ = 0, sends_ = 0;
-  bool refused_ = false;
+  std::uint64_t next_sequence_ = 0, request_count_ = 0, send_count_ = 0;
+  bool rejected_ = false;
   std::map<std::pair<double, std::uint64_t>, std::function<void()>> events_;
   std::map<std::string, int> attempts_;
   std::map<std::pair<int, int>, Admission> admissions_;
--- a/tests/usage_exchange_test.cpp
+++ b/tests/usage_exchange_test.cpp
@@ -1,4 +1,5 @@
-// Usage reports between dispatchers, by the public interface: when they go out.
+// Usage reports between dispatchers, through the public interface of the module: when they are sent
+// and what they achieve.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,66 +13,68 @@
 namespace millethollow::balancing {
 namespace {
 
-// It must not be limited to one Nth while its peers still count its earlier usage.
+// A restarted dispatcher must not be limited to one Nth of the fleet rate while its peers still
+// count its earlier usage.
 TEST(UsageExchangeTest, RestartedDispatcherIsAnsweredAtOnce) {
-  Settings s = TestSettings();
-  s.peers = true;
-  s.dispatcher_count = 2;
-  TestDispatcher old_one(s);
-  old_one.UpdateEndpoints(MakeEndpoints(4));
-  old_one.SendRequest("a");
-  old_one.AdvanceTime(2);
-  s.dispatcher_index = 1;
-  TestDispatcher fresh(s);
-  fresh.UpdateEndpoints(MakeEndpoints(4));
-  const auto told = ActionsOf<SendPeerMessage>(fresh.AdvanceTime(1));
-  ASSERT_FALSE(told.empty());
-  EXPECT_EQ(told[0].recipient, 0);
-  const auto answer = ActionsOf<SendPeerMessage>(old_one.Handle(PeerMessage{1, told[0].body}));
+  Settings settings = TestSettings();
+  settings.peers = true;
+  settings.dispatcher_count = 2;
+  TestDispatcher running(settings);
+  running.UpdateEndpoints(MakeEndpoints(4));
+  running.SendRequest("a");
+  running.AdvanceTime(2);
+  settings.dispatcher_index = 1;
+  TestDispatcher restarted(settings);
+  restarted.UpdateEndpoints(MakeEndpoints(4));
+  const auto reports = ActionsOf<SendPeerMessage>(restarted.AdvanceTime(1));
+  ASSERT_FALSE(reports.empty());
+  EXPECT_EQ(reports[0].recipient, 0);
+  const auto answer = ActionsOf<SendPeerMessage>(running.Handle(PeerMessage{1, reports[0].body}));
   ASSERT_EQ(answer.size(), 1u);
   EXPECT_EQ(answer[0].recipient, 1);
-  fresh.Handle(PeerMessage{0, answer[0].body});
-  // Once heard, it no longer asks: its next report is not answered.
-  const auto later = ActionsOf<SendPeerMessage>(fresh.AdvanceTime(1));
+  restarted.Handle(PeerMessage{0, answer[0].body});
+  // After the answer it no longer requests one: its next report is not answered.
+  const auto later = ActionsOf<SendPeerMessage>(restarted.AdvanceTime(1));
   ASSERT_FALSE(later.empty());
-  EXPECT_TRUE(old_one.Handle(PeerMessage{1, later[0].body}).empty());
+  EXPECT_TRUE(running.Handle(PeerMessage{1, later[0].body}).empty());
 }
 
 TEST(UsageExchangeTest, ReportIsIgnoredWherePeersAreOff) {
-  Settings s = TestSettings();
-  s.peers = true;
-  s.dispatcher_count = 3;
-  TestDispatcher talker(s);
-  talker.UpdateEndpoints(MakeEndpoints(4));
-  const auto told = ActionsOf<SendPeerMessage>(talker.AdvanceTime(1));
-  ASSERT_FALSE(told.empty());
-  s.peers = false;
-  s.dispatcher_index = 1;
-  TestDispatcher deaf(s);
-  EXPECT_TRUE(deaf.Handle(PeerMessage{0, told[0].body}).empty());
+  Settings settings = TestSettings();
+  settings.peers = true;
+  settings.dispatcher_count = 3;
+  TestDispatcher sender(settings);
+  sender.UpdateEndpoints(MakeEndpoints(4));
+  const auto reports = ActionsOf<SendPeerMessage>(sender.AdvanceTime(1));
+  ASSERT_FALSE(reports.empty());
+  settings.peers = false;
+  settings.dispatcher_index = 1;
+  TestDispatcher receiver(settings);
+  EXPECT_TRUE(receiver.Handle(PeerMessage{0, reports[0].body}).empty());
 }
 
 TEST(UsageExchangeTest, MessagesAreBoundedAndForeignOnesAreIgnored) {
-  for (const int tier : {3, 680}) {
-    Settings s = TestSettings();
-    s.peers = true;
-    s.dispatcher_count = tier;
-    s.tenants.resize(8);
-    for (TenantSettings& t : s.tenants) t.share = 0.125;
-    TestDispatcher dispatcher(s);
+  for (const int dispatcher_count : {3, 680}) {
+    Settings settings = TestSettings();
+    settings.peers = true;
+    settings.dispatcher_count = dispatcher_count;
+    settings.tenants.resize(8);
+    for (TenantSettings& tenant : settings.tenants) tenant.share = 0.125;
+    TestDispatcher dispatcher(settings);
     dispatcher.UpdateEndpoints(MakeEndpoints(12));
-    std::size_t told = 0;
+    std::size_t reports = 0;
     for (int i = 0; i < 100; ++i) {
       dispatcher.SendRequest("j" + std::to_string(i), i % 3, i % 8);
-      for (const SendPeerMessage& t : ActionsOf<SendPeerMessage>(dispatcher.AdvanceTime(0.1))) {
-        EXPECT_LE(t.body.size(), 256u);
-        EXPECT_NE(t.recipient, s.dispatcher_index);
-        EXPECT_LT(t.recipient, tier);
-        ++told;
+      for (const SendPeerMessage& message :
+           ActionsOf<SendPeerMessage>(dispatcher.AdvanceTime(0.1))) {
+        EXPECT_LE(message.body.size(), 256u);
+        EXPECT_NE(message.recipient, settings.dispatcher_index);
+        EXPECT_LT(message.recipient, dispatcher_count);
+        ++reports;
       }
     }
-    EXPECT_GT(told, 0u);
-    EXPECT_LT(told, 200u);
+    EXPECT_GT(reports, 0u);
+    EXPECT_LT(reports, 200u);
     for (const char* body :
          {"", "D", "garbage that is long enough to be a message, but is not", "D\x02"}) {
       EXPECT_TRUE(dispatcher.Handle(PeerMessage{1, body}).empty());
@@ -80,45 +83,50 @@
   }
 }
 
-std::string Hex(const std::string& bytes) {
+std::string ToHex(const std::string& bytes) {
   std::string hex;
-  for (const char c : bytes) {
+  for (const char character : bytes) {
     char digits[3];
-    std::snprintf(digits, sizeof digits, "%02x", static_cast<unsigned char>(c));
+    std::snprintf(digits, sizeof digits, "%02x", static_cast<unsigned char>(character));
     hex += digits;
   }
   return hex;
 }
 
+// What a tier sends in a run.
 struct Recording {
   std::size_t messages = 0, bytes = 0;
-  std::uint64_t hash =
-      14695981039346656037ULL;  // FNV-1a of senders, receivers and bodies, in order
-  std::string twentieth;        // one body, in hex
+  // FNV-1a hash of senders, recipients and bodies, in order.
+  std::uint64_t hash = 14695981039346656037ULL;
+  std::string twentieth;  // one body, in hex
   void Add(int from, int to, const std::string& body) {
     messages += 1;
     bytes += body.size();
-    for (const char c : std::to_string(from) + ">" + std::to_string(to) + ":" + body) {
-      hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
+    for (const char character : std::to_string(from) + ">" + std::to_string(to) + ":" + body) {
+      hash = (hash ^ static_cast<unsigned char>(character)) * 1099511628211ULL;
     }
-    if (messages == 20) twentieth = Hex(body);
+    if (messages == 20) twentieth = ToHex(body);
   }
 };
 
-Recording Record(int dispatchers, int classes) {
-  ReportTier tier(
+Recording RecordReports(int dispatchers, int classes) {
+  ReportTier simulated_tier(
       {.dispatcher_count = dispatchers, .tenants = 6, .classes = classes, .half_full = true});
   Recording recording;
-  tier.on_tell = [&](int from, int to, const std::string& body) { recording.Add(from, to, body); };
-  tier.Start();
-  for (int d = 0; d < dispatchers; ++d) {
-    for (int t = 0; t < 6; ++t) tier.AddDemand(d, t, 0.5 + t + d % 3);
+  simulated_tier.on_send = [&](int from, int to, const std::string& body) {
+    recording.Add(from, to, body);
+  };
+  simulated_tier.Start();
+  for (int dispatcher = 0; dispatcher < dispatchers; ++dispatcher) {
+    for (int tenant = 0; tenant < 6; ++tenant)
+      simulated_tier.AddDemand(dispatcher, tenant, 0.5 + tenant + dispatcher % 3);
   }
-  tier.RunUntil(108);
+  simulated_tier.RunUntil(108);
   return recording;
 }
 
-// Recorded at eb0c559, before reports could take several datagrams.
+// Recorded with commit eb0c559, before reports could span several datagrams: the encoding of small
+// tiers must not change.
 TEST(UsageExchangeTest, ReportsOfSmallTiersAreEncodedAsRecorded) {
   struct Case {
     int dispatchers, classes;
@@ -146,14 +154,14 @@
        "0"
        "000000000000cdcccc3d0000a0400ad7a33c0000803f666686400000c0400000000000"},
   };
-  for (const Case& c : cases) {
-    SCOPED_TRACE(std::to_string(c.dispatchers) + " dispatchers, " + std::to_string(c.classes) +
-                 " classes");
-    const Recording got = Record(c.dispatchers, c.classes);
-    EXPECT_EQ(got.messages, c.messages);
-    EXPECT_EQ(got.bytes, c.bytes);
-    EXPECT_EQ(got.hash, c.hash);
-    EXPECT_EQ(got.twentieth, c.twentieth);
+  for (const Case& test_case : cases) {
+    SCOPED_TRACE(std::to_string(test_case.dispatchers) + " dispatchers, " +
+                 std::to_string(test_case.classes) + " classes");
+    const Recording recording = RecordReports(test_case.dispatchers, test_case.classes);
+    EXPECT_EQ(recording.messages, test_case.messages);
+    EXPECT_EQ(recording.bytes, test_case.bytes);
+    EXPECT_EQ(recording.hash, test_case.hash);
+    EXPECT_EQ(recording.twentieth, test_case.twentieth);
   }
 }
 
@@ -163,56 +171,59 @@
       for (const int classes : {1, 2}) {
         SCOPED_TRACE(std::to_string(dispatchers) + " dispatchers, " + std::to_string(tenants) +
                      " tenants, " + std::to_string(classes) + " classes");
-        ReportTier tier({.dispatcher_count = dispatchers, .tenants = tenants, .classes = classes});
-        std::size_t told = 0, longest = 0;
-        tier.on_tell = [&](int, int, const std::string& body) {
-          told += 1;
+        ReportTier simulated_tier(
+            {.dispatcher_count = dispatchers, .tenants = tenants, .classes = classes});
+        std::size_t reports = 0, longest = 0;
+        simulated_tier.on_send = [&](int, int, const std::string& body) {
+          reports += 1;
           longest = std::max(longest, body.size());
         };
-        tier.Start();
-        for (int t = 0; t < tenants; ++t) tier.AddDemand(t % dispatchers, t, 1);
-        tier.RunUntil(104);
-        EXPECT_GT(told, 0u);
+        simulated_tier.Start();
+        for (int tenant = 0; tenant < tenants; ++tenant)
+          simulated_tier.AddDemand(tenant % dispatchers, tenant, 1);
+        simulated_tier.RunUntil(104);
+        EXPECT_GT(reports, 0u);
         EXPECT_LE(longest, 256u);
       }
     }
   }
 }
 
-// One tenant's demand comes to one dispatcher of three alone, within its quota, while the fleet is
-// full. A dispatcher that receives no report assumes that the others are like itself, and admits a
-// third of it.
+// While the fleet is full, the demand of one tenant arrives, within its quota, at only one of three
+// dispatchers. A dispatcher that receives no reports takes the others to be like itself and would
+// admit only a third of it.
 TEST(UsageExchangeTest, TenantAtOneDispatcherOfThreeGetsItsQuotaThere) {
   for (const double loss : {0.0, 0.2}) {
     for (const int tenants : {6, 50, 60, 130, 260}) {
       for (const int classes : {1, 2}) {
         SCOPED_TRACE(std::to_string(tenants) + " tenants, " + std::to_string(classes) +
                      " classes, loss " + std::to_string(loss));
-        ReportTier tier({.dispatcher_count = 3,
-                         .tenants = tenants,
-                         .classes = classes,
-                         .loss = loss,
-                         .half_full = true});
-        const int mine = tenants - 2;
-        tier.SetQuota(mine, 36);
-        tier.Start();
-        tier.AddDemand(0, mine, 30);
-        for (int t = 0; t < tenants; ++t) {
-          for (int d = 0; t != mine && d < 3; ++d) tier.AddDemand(d, t, 60.0 / tenants);
+        ReportTier simulated_tier({.dispatcher_count = 3,
+                                   .tenants = tenants,
+                                   .classes = classes,
+                                   .loss = loss,
+                                   .half_full = true});
+        const int single_tenant = tenants - 2;
+        simulated_tier.SetQuota(single_tenant, 36);
+        simulated_tier.Start();
+        simulated_tier.AddDemand(0, single_tenant, 30);
+        for (int tenant = 0; tenant < tenants; ++tenant) {
+          for (int dispatcher = 0; tenant != single_tenant && dispatcher < 3; ++dispatcher)
+            simulated_tier.AddDemand(dispatcher, tenant, 60.0 / tenants);
         }
-        tier.RunUntil(115);
-        tier.ForgetAdmissions();
-        tier.RunUntil(130);
-        const ReportTier::Admission own = tier.admission(0, mine);
-        EXPECT_GE(own.admitted, 0.95 * own.asked) << own.asked;
+        simulated_tier.RunUntil(115);
+        simulated_tier.ResetAdmissions();
+        simulated_tier.RunUntil(130);
+        const ReportTier::Admission own = simulated_tier.admission(0, single_tenant);
+        EXPECT_GE(own.admitted, 0.95 * own.arrived) << own.arrived;
         ReportTier::Admission others;
-        for (int t = 0; t < tenants; ++t) {
-          for (int d = 0; t != mine && d < 3; ++d) {
-            others.asked += tier.admission(d, t).asked;
-            others.admitted += tier.admission(d, t).admitted;
+        for (int tenant = 0; tenant < tenants; ++tenant) {
+          for (int dispatcher = 0; tenant != single_tenant && dispatcher < 3; ++dispatcher) {
+            others.arrived += simulated_tier.admission(dispatcher, tenant).arrived;
+            others.admitted += simulated_tier.admission(dispatcher, tenant).admitted;
           }
         }
-        EXPECT_LE(others.admitted, 0.8 * others.asked) << "the fleet isn't full";
+        EXPECT_LE(others.admitted, 0.8 * others.arrived) << "the fleet isn't full";
       }
     }
   }
