--- a/bench/scale/axis_tenants.cpp
+++ b/bench/scale/axis_tenants.cpp
@@ -63,7 +63,7 @@
       job.id = open_.back();
       job.expires_s = now_ + 30;
       job.tenant = i % tenants_;
-      job.cls = i / tenants_ % kClasses;
+      job.class_index = i / tenants_ % kClasses;
       const Stopwatch watch;
       Handle(&teller_, job);
       decisions->Add(watch.Nanoseconds());
--- a/bench/soak.cpp
+++ b/bench/soak.cpp
@@ -158,7 +158,7 @@
     const std::string id = "j" + std::to_string(jobs++);
     e.id = id;
     e.tenant = static_cast<int>(random() % 4);
-    e.cls = static_cast<int>(random() % 2);
+    e.class_index = static_cast<int>(random() % 2);
     // Keys come and go: each hour draws from another range.
     const std::string key = "k" + std::to_string(random() % 5000 + 5000 * (jobs / 100000));
     e.key = key;
--- a/include/millethollow/balancing/load_balancer.h
+++ b/include/millethollow/balancing/load_balancer.h
@@ -213,7 +213,7 @@
   double memory = 0;       // units of memory that it needs at a worker; wire: `ram_units`
   double bytes = 0;        // size of its body; 0: not known
   int tenant = 0;          // index in Settings::tenants; wire: `party`
-  int cls = 0;             // index in Settings::classes; wire: `cls`
+  int class_index = 0;     // index in Settings::classes; wire: `cls`
   bool retry = false;      // marked by the client as a retry; wire: `again_by_client`
   std::string_view key;    // requests with the same key use the same data; empty: none
   double size_hint_s = 0;  // expected run time at standard speed, in seconds; 0: not known
--- a/src/balancing/admission.cpp
+++ b/src/balancing/admission.cpp
@@ -12,7 +12,8 @@
 constexpr double kMinWork = 1e-9;
 
 void LoadBalancerImpl::On(const RequestArrived& event) {
-  if (event.cls < 0 || event.cls >= class_count_ || requests_.contains(event.id)) return;
+  if (event.class_index < 0 || event.class_index >= class_count_ || requests_.contains(event.id))
+    return;
   Request request = MakeRequest(event, tenant_count_, workers_);
   request.max_attempts = settings_.max_attempts;
   estimates_.OnRequest(request);
--- a/src/balancing/request.h
+++ b/src/balancing/request.h
@@ -83,7 +83,7 @@
                            const WorkerTable& workers) {
   Request request;
   request.id = event.id;
-  request.class_index = event.cls;
+  request.class_index = event.class_index;
   request.tenant = event.tenant >= 0 && event.tenant < tenant_count ? event.tenant : 0;
   request.slots = std::max(event.slots, 1e-3);
   request.memory = event.memory;
--- a/src/scheduling/scheduling_balancer.cpp
+++ b/src/scheduling/scheduling_balancer.cpp
@@ -216,13 +216,14 @@
 }
 
 void SchedulingBalancer::OnRequest(const balancing::RequestArrived& e) {
-  if (e.cls < 0 || static_cast<std::size_t>(e.cls) >= settings_.classes.size()) return;
+  if (e.class_index < 0 || static_cast<std::size_t>(e.class_index) >= settings_.classes.size())
+    return;
   const auto [it, fresh] = jobs_.try_emplace(std::string(e.id));
   if (!fresh) return;
-  const balancing::ClassSettings& c = settings_.classes[static_cast<std::size_t>(e.cls)];
+  const balancing::ClassSettings& c = settings_.classes[static_cast<std::size_t>(e.class_index)];
   Job& job = it->second.job;
   job.handle = ++last_handle_;
-  job.cls = e.cls;
+  job.cls = e.class_index;
   job.tenant =
       e.tenant >= 0 && static_cast<std::size_t>(e.tenant) < settings_.tenants.size() ? e.tenant : 0;
   job.kind = c.kind;
@@ -230,11 +231,12 @@
   job.bytes = e.bytes;
   job.hint_s = e.size_hint_s;
   job.arrived_at = now_;
-  const double run = scheduler_.runtimes().Remaining(e.cls, -1, e.size_hint_s, 0, kStartByQuantile);
+  const double run =
+      scheduler_.runtimes().Remaining(e.class_index, -1, e.size_hint_s, 0, kStartByQuantile);
   job.start_by =
       std::min(now_ + c.latency_objective_s + std::max(0.0, c.latency_objective_stretch - 1) * run,
                e.expires_s);
-  job.may_reserve = IsReservingClass(e.cls);
+  job.may_reserve = IsReservingClass(e.class_index);
   for (const balancing::PreviousAttempt& t : e.previous_attempts) {  // they count as attempts
     const int w = FindIndex(t.worker);
     it->second.attempts.push_back(
--- a/src/simulator_adapter/event_reader.cpp
+++ b/src/simulator_adapter/event_reader.cpp
@@ -2,7 +2,8 @@
 //
 //   message      event               fields on the wire and in the event
 //   INGRESS      RequestArrived      msg_id id, expires_s, slots, ram_units memory, party tenant,
-//                                    cls, again_by_client retry, target_key key, size_hint_s
+//                                    cls class_index, again_by_client retry, target_key key,
+//                                    size_hint_s
 //   ACCEPTED     StreamStarted       msg_id id, hop attempt
 //   UPDATE_OF    AttemptProgress     msg_id id, hop attempt, kind (1 started, 2 progress), amount
 //   COMPLETED    AttemptEnded        msg_id id, hop attempt, verdict status, latency_s, terminal,
@@ -115,7 +116,7 @@
   balancing::RequestArrived event;
   event.id = fields->RequiredText("msg_id");
   event.expires_s = fields->RequiredNumber("expires_s");
-  event.cls = fields->RequiredInt("cls");
+  event.class_index = fields->RequiredInt("cls");
   event.tenant = fields->IntOr("party", 0);
   event.slots = fields->NumberOr("slots", event.slots);
   event.memory = fields->NumberOr("ram_units", event.memory);
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -84,7 +84,7 @@
         RequestArrived retry_event;
         const std::string retry_id = id + "again";
         retry_event.id = retry_id;
-        retry_event.cls = i % 3;
+        retry_event.class_index = i % 3;
         retry_event.expires_s = dispatcher.now + 5;
         retry_event.retry = true;
         dispatcher.Handle(retry_event);
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -203,8 +203,11 @@
       }
       const std::string id = "j" + std::to_string(i);
       const std::string key = "k" + std::to_string(random() % 12);
-      const RequestArrived event{
-          .id = id, .expires_s = dispatcher.now + 5, .cls = 0, .key = key, .size_hint_s = 0.1};
+      const RequestArrived event{.id = id,
+                                 .expires_s = dispatcher.now + 5,
+                                 .class_index = 0,
+                                 .key = key,
+                                 .size_hint_s = 0.1};
       dispatcher.Handle(event);
       for (std::size_t attempt_index = 0; attempt_index < dispatcher.attempts[id].size();
            ++attempt_index) {
--- a/tests/protocol_rules_test.cpp
+++ b/tests/protocol_rules_test.cpp
@@ -79,7 +79,7 @@
     arrived.insert(id);
     RequestArrived event;
     event.id = id;
-    event.cls = class_index;
+    event.class_index = class_index;
     event.expires_s = now + 0.5;
     Handle(event, id + " arrives");
   }
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -444,7 +444,7 @@
                        .expires_s = now + 5,
                        .slots = 1,
                        .tenant = step % 3,
-                       .cls = step % 3 == 0 ? 1 : 0,
+                       .class_index = step % 3 == 0 ? 1 : 0,
                        .key = key,
                        .size_hint_s = 0.05};
     handle(job);
--- a/tests/support/report_tier.h
+++ b/tests/support/report_tier.h
@@ -127,7 +127,7 @@
     request.id = id;
     request.expires_s = now_ + kTimeoutS;
     request.tenant = tenant;
-    request.cls = class_index;
+    request.class_index = class_index;
     // Otherwise it would be recognized as a rejected request that returns.
     request.memory = 1e-6 * static_cast<double>(request_count_);
     Handle(dispatcher, request);
--- a/tests/support/simulated_fleet.h
+++ b/tests/support/simulated_fleet.h
@@ -119,7 +119,7 @@
                                            .slots = need.slots,
                                            .memory = need.memory,
                                            .tenant = tenant,
-                                           .cls = class_index,
+                                           .class_index = class_index,
                                            .key = {}});
     return id;
   }
--- a/tests/support/test_dispatcher.h
+++ b/tests/support/test_dispatcher.h
@@ -90,7 +90,7 @@
   Actions SendRequest(const std::string& id, int cls = 0, int tenant = 0, double timeout_s = 5) {
     RequestArrived event;
     event.id = id;
-    event.cls = cls;
+    event.class_index = cls;
     event.tenant = tenant;
     event.expires_s = now + timeout_s;
     return Handle(event);
