--- a/include/millethollow/balancing/load_balancer.h
+++ b/include/millethollow/balancing/load_balancer.h
@@ -382,7 +382,7 @@
   std::string_view worker;
   int kind = 0;
   bool usable = false;                             // ready and not ejected
-  bool warming_up = false;                         // in slow start
+  bool in_slow_start = false;                      // in slow start
   bool in_other_zone = false;                      // in another zone, where that has a price
   double capacity_slots = 0, capacity_memory = 0;  // by the endpoint list; 0: not known
   double peer_slots_in_flight = 0;  // of the other dispatchers, by their latest usage reports
--- a/src/balancing/load_balancer_impl.cpp
+++ b/src/balancing/load_balancer_impl.cpp
@@ -67,7 +67,7 @@
         {.worker = worker.name,
          .kind = worker.kind,
          .usable = worker.ready && !worker.ejected,
-         .warming_up = InSlowStart(worker),
+         .in_slow_start = InSlowStart(worker),
          .in_other_zone = settings_.price_cross_zone > 0 && worker.zone != settings_.zone,
          .capacity_slots = worker.capacity_slots,
          .capacity_memory = worker.capacity_memory,
--- a/src/scheduling/scheduling_balancer.cpp
+++ b/src/scheduling/scheduling_balancer.cpp
@@ -103,7 +103,7 @@
                : v.peer_slots_in_flight;
   return {.kind = v.kind,
           .usable = v.usable,
-          .warming_up = v.warming_up,
+          .warming_up = v.in_slow_start,
           .remote_zone = v.in_other_zone,
           .capacity = {slots, memory},
           .capacity_reported = v.capacity_slots > 0,
