--- a/src/scheduling/scheduling_balancer.cpp
+++ b/src/scheduling/scheduling_balancer.cpp
@@ -112,7 +112,7 @@
           : view.peer_slots_in_flight;
   return {.kind = view.kind,
           .usable = view.usable,
-          .warming_up = view.warming_up,
+          .warming_up = view.in_slow_start,
           .remote_zone = view.in_other_zone,
           .capacity = {slots, memory},
           .capacity_reported = view.capacity_slots > 0,
@@ -226,14 +226,16 @@
 }
 
 void SchedulingBalancer::OnRequestArrived(const balancing::RequestArrived& event) {
-  if (event.cls < 0 || static_cast<std::size_t>(event.cls) >= settings_.classes.size()) return;
+  if (event.class_index < 0 ||
+      static_cast<std::size_t>(event.class_index) >= settings_.classes.size())
+    return;
   const auto [it, inserted] = jobs_.try_emplace(std::string(event.id));
   if (!inserted) return;
   const balancing::ClassSettings& class_settings =
-      settings_.classes[static_cast<std::size_t>(event.cls)];
+      settings_.classes[static_cast<std::size_t>(event.class_index)];
   Job& job = it->second.job;
   job.handle = ++last_handle_;
-  job.class_index = event.cls;
+  job.class_index = event.class_index;
   job.tenant =
       event.tenant >= 0 && static_cast<std::size_t>(event.tenant) < settings_.tenants.size()
           ? event.tenant
@@ -243,12 +245,12 @@
   job.bytes = event.bytes;
   job.hint_s = event.size_hint_s;
   job.arrived_at = now_;
-  const double run_s =
-      scheduler_.runtimes().Remaining(event.cls, -1, event.size_hint_s, 0, kStartByQuantile);
+  const double run_s = scheduler_.runtimes().Remaining(event.class_index, -1, event.size_hint_s, 0,
+                                                       kStartByQuantile);
   job.start_by = std::min(now_ + class_settings.latency_objective_s +
                               std::max(0.0, class_settings.latency_objective_stretch - 1) * run_s,
                           event.expires_s);
-  job.may_reserve = IsReservingClass(event.cls);
+  job.may_reserve = IsReservingClass(event.class_index);
   // Attempts of another process count as attempts of this job.
   for (const balancing::PreviousAttempt& previous : event.previous_attempts) {
     const int worker_index = FindWorkerIndex(previous.worker);
--- a/tests/membership_node_test.cpp
+++ b/tests/membership_node_test.cpp
@@ -73,7 +73,7 @@
             continue;
           dispatchers[to].report_arrived_at[i] = simulation.now();
           dispatchers[to].reported_demand[i] = dispatcher.demand;
-          dispatchers[to].receives_from_all[i] = dispatcher.agreed.hears_all();
+          dispatchers[to].receives_from_all[i] = dispatcher.agreed.receives_all();
           dispatchers[to].view[i] = dispatcher.agreed.view();
         }
         double total_demand = dispatcher.demand;
@@ -101,7 +101,7 @@
         description += "\n" + std::to_string(i + 1) + " share " +
                        std::to_string(dispatchers[i].share) + " of demand " +
                        std::to_string(dispatchers[i].demand) + " receives from all " +
-                       std::to_string(dispatchers[i].agreed.hears_all());
+                       std::to_string(dispatchers[i].agreed.receives_all());
         // When a lease ends between two reports, the share must end with it.
         update_share(i, &dispatchers[i]);
         dispatchers[i].share *= dispatchers[i].agreed.Factor(0);
--- a/tests/network_partition_test.cpp
+++ b/tests/network_partition_test.cpp
@@ -34,7 +34,7 @@
   settings.classes.resize(1);
   settings.classes[0] = {.latency_objective_s = 0.3, .client_timeout_s = 1};
   settings.tenants.assign(kTenants, {.share = 0.5, .quota_rps = kQuota});
-  KeepPlatformRules(&settings);
+  ApplyPlatformSettings(&settings);
   settings.max_attempts = 2;
   return settings;
 }
@@ -83,18 +83,18 @@
       fleet.stopped_until = [simulation](std::size_t i) {
         return simulation->up(i) ? kFleetStartS + simulation->node(i).paused_until : 1e18;
       };
-      fleet.reaches = [&](std::size_t from, std::size_t to) {
+      fleet.is_connected = [&](std::size_t from, std::size_t to) {
         return simulation->up(from) && simulation->up(to) && simulation->IsLinkUp(from, to) &&
                faults.Unit() > 0.05;
       };
       std::vector<double> last_run_at(simulation->size(), 0);
       if (use_shares)
-        fleet.before = [&fleet, simulation, last_run_at](std::size_t i) mutable {
+        fleet.before_event = [&fleet, simulation, last_run_at](std::size_t i) mutable {
           // As the planner does.
           if (!simulation->IsRunning(i)) return;
           const bool stopped = fleet.now - last_run_at[i] > balancing::AgreedShare::kStoppedS;
           last_run_at[i] = fleet.now;
-          fleet.desks[i]->SetFleetShare(
+          fleet.dispatchers[i]->SetFleetShare(
               {simulation->FleetShare(i),
                simulation->HoldsLease(i) ? static_cast<int>(simulation->ViewOf(i).members.size())
                                          : 0,
@@ -156,9 +156,9 @@
       if (t >= measure_from) totals.measured_s += 0.005;
       if (next_restart < restarts.size() && restarts[next_restart].first <= t) {
         const int worker = restarts[next_restart++].second;
-        fleet.members[static_cast<std::size_t>(worker)].started_at_s = fleet.now;
+        fleet.endpoints[static_cast<std::size_t>(worker)].started_at_s = fleet.now;
         slow_starts[static_cast<std::size_t>(worker)] = {fleet.now, 0};
-        fleet.List(worker, balancing::Readiness::kReady);
+        fleet.SetReadiness(worker, balancing::Readiness::kReady);
       }
       for (; next_arrival < arrivals.size() && arrivals[next_arrival].at <= t; ++next_arrival) {
         Arrival& arrival = arrivals[next_arrival];
@@ -166,13 +166,13 @@
         if (simulation) arrival.measured = t >= measure_from;
         if (!arrival.arrived) continue;
         const std::string id =
-            fleet.Ask(simulation ? arrival.node : 0, 0, {1, 1}, 0.1, 1, arrival.tenant);
+            fleet.SendRequest(simulation ? arrival.node : 0, 0, {1, 1}, 0.1, 1, arrival.tenant);
         if (!arrival.measured) continue;
         totals.admitted[arrival.tenant] +=
-            !fleet.asked[id].refused || !fleet.asked[id].sent_to.empty();
+            !fleet.requests[id].rejected || !fleet.requests[id].sent_to.empty();
       }
     }
-    EXPECT_EQ(fleet.faults, std::vector<std::string>{}) << "seed " << seed;
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{}) << "seed " << seed;
     return totals;
   }
   PartitionRun(const PartitionRun&) = delete;
--- a/tests/scheduling_balancer_test.cpp
+++ b/tests/scheduling_balancer_test.cpp
@@ -31,7 +31,7 @@
                                     .deduplication_scope = balancing::DeduplicationScope::kCell,
                                     .deduplication_window_s = 40};
   settings.tenants = {{.share = 0.6, .quota_rps = 1000}, {.share = 0.4, .quota_rps = 1000}};
-  KeepPlatformRules(&settings);
+  ApplyPlatformSettings(&settings);
   settings.retry_after = true;
   settings.max_retry_after_s = 2;
   return settings;
@@ -72,26 +72,26 @@
           (class_index == kLookupClass ? kLookupRunS : kChargeRunS) * run_time_factor(random);
       const std::size_t node = random() % static_cast<std::uint32_t>(nodes);
       const int tenant = static_cast<int>(random() % 2);
-      fleet->At(arrives_at, [=, fleet_pointer = fleet.get()] {
-        fleet_pointer->Ask(node, class_index, need, run_s, class_index == kLookupClass ? 6 : 25,
-                           tenant);
+      fleet->ScheduleAt(arrives_at, [=, fleet_pointer = fleet.get()] {
+        fleet_pointer->SendRequest(node, class_index, need, run_s,
+                                   class_index == kLookupClass ? 6 : 25, tenant);
       });
     }
   }
   fleet->Run(kDurationS + 30);
   std::vector<ClassResults> results(2);
-  for (const auto& [id, request] : fleet->asked) {
-    ClassResults& class_results = results[static_cast<std::size_t>(request.cls)];
+  for (const auto& [id, request] : fleet->requests) {
+    ClassResults& class_results = results[static_cast<std::size_t>(request.class_index)];
     const double latency_objective_s =
-        (request.cls == kLookupClass ? 0.25 : 2) + 1.75 * request.run_s;
+        (request.class_index == kLookupClass ? 0.25 : 2) + 1.75 * request.run_time_s;
     class_results.requests += 1;
-    class_results.in_time += request.served && request.took_s <= latency_objective_s;
-    class_results.rejected += request.refused;
+    class_results.in_time += request.served && request.latency_s <= latency_objective_s;
+    class_results.rejected += request.rejected;
     EXPECT_TRUE(request.answered) << id;
   }
   for (const WorkerModel& worker : fleet->workers)
     EXPECT_EQ(worker.running() + worker.waiting(), 0u);
-  EXPECT_EQ(fleet->faults, std::vector<std::string>{});
+  EXPECT_EQ(fleet->violations, std::vector<std::string>{});
   if (kept_fleet != nullptr) *kept_fleet = fleet.get();
   return results;
 }
@@ -158,17 +158,18 @@
     for (int worker = 0; worker < worker_count; ++worker) fleet.AddWorker({slots, slots}, 4);
     fleet.Start();
     for (int i = 0; i < worker_count * static_cast<int>(slots); ++i) {
-      running.push_back(fleet.Ask(0, kLookupClass, {1, 0.5}, 2, 6));
+      running.push_back(fleet.SendRequest(0, kLookupClass, {1, 0.5}, 2, 6));
     }
     fleet.Run(0.01);
   }
   int WorkerWithReservation(std::size_t node = 0) const {
     for (std::size_t worker = 0; worker < fleet.workers.size(); ++worker) {
-      if (fleet.desks[node]->scheduler().ReservedSlots(worker) > 0) return static_cast<int>(worker);
+      if (fleet.dispatchers[node]->scheduler().ReservedSlots(worker) > 0)
+        return static_cast<int>(worker);
     }
     return -1;
   }
-  scheduling::SchedulerStats stats() const { return fleet.desks[0]->scheduler().stats(); }
+  scheduling::SchedulerStats stats() const { return fleet.dispatchers[0]->scheduler().stats(); }
   SimulatedFleet fleet;
   std::vector<std::string> running;
 };
@@ -180,20 +181,22 @@
 TEST(SchedulingBalancer, AReservationMovesFromALostWorkerWithoutDelay) {
   using balancing::Readiness;
   const WorkerLoss kLosses[] = {
-      WorkerLoss{"drains", [](BusyFleet& busy,
-                              int worker) { busy.fleet.List(worker, Readiness::kDraining); }},
-      WorkerLoss{"is gone",
-                 [](BusyFleet& busy, int worker) { busy.fleet.List(worker, Readiness::kGone); }},
-      WorkerLoss{
-          "is put in maintenance",
-          [](BusyFleet& busy, int worker) {
-            busy.fleet.Tell(0, balancing::MaintenanceChanged{SimulatedFleet::Name(worker), true});
-          }},
+      WorkerLoss{"drains",
+                 [](BusyFleet& busy, int worker) {
+                   busy.fleet.SetReadiness(worker, Readiness::kDraining);
+                 }},
+      WorkerLoss{"is gone", [](BusyFleet& busy,
+                               int worker) { busy.fleet.SetReadiness(worker, Readiness::kGone); }},
+      WorkerLoss{"is put in maintenance",
+                 [](BusyFleet& busy, int worker) {
+                   busy.fleet.Handle(
+                       0, balancing::MaintenanceChanged{SimulatedFleet::WorkerName(worker), true});
+                 }},
       WorkerLoss{"fails and is ejected",
                  [](BusyFleet& busy, int worker) {
                    for (const std::string& id : busy.running) {
-                     if (busy.fleet.asked.at(id).sent_to.front() != worker) continue;
-                     busy.fleet.Tell(
+                     if (busy.fleet.requests.at(id).sent_to.front() != worker) continue;
+                     busy.fleet.Handle(
                          0, balancing::AttemptEnded{
                                 .id = id, .status = balancing::AttemptStatus::kConnectFailed});
                    }
@@ -201,16 +204,16 @@
   };
   for (const WorkerLoss& loss : kLosses) {
     BusyFleet busy(3);
-    const std::string charge = busy.fleet.Ask(0, kChargeClass, {1, 1}, 1, 25);
+    const std::string charge = busy.fleet.SendRequest(0, kChargeClass, {1, 1}, 1, 25);
     const int reserved_worker = busy.WorkerWithReservation();
     ASSERT_GE(reserved_worker, 0) << loss.name;
     loss.apply(busy, reserved_worker);
     EXPECT_NE(busy.WorkerWithReservation(), reserved_worker) << loss.name;
     EXPECT_GE(busy.WorkerWithReservation(), 0) << loss.name << ": it moves at once";
     busy.fleet.Run(10);
-    const SimulatedFleet::Asked& request = busy.fleet.asked.at(charge);
+    const SimulatedFleet::RequestRecord& request = busy.fleet.requests.at(charge);
     EXPECT_TRUE(request.served) << loss.name;
-    EXPECT_LT(request.took_s, 3.1)
+    EXPECT_LT(request.latency_s, 3.1)
         << loss.name << ": it waits 2 s for the next free slot and runs for 1 s";
     EXPECT_NE(request.sent_to.front(), reserved_worker) << loss.name;
   }
@@ -218,25 +221,25 @@
 
 TEST(SchedulingBalancer, CancellingAQueuedRequestReleasesItsReservationAtOnce) {
   BusyFleet busy(1, 2);
-  const std::string charge = busy.fleet.Ask(0, kChargeClass, {2, 2}, 1, 25);
+  const std::string charge = busy.fleet.SendRequest(0, kChargeClass, {2, 2}, 1, 25);
   EXPECT_EQ(busy.WorkerWithReservation(), 0);
-  const std::string lookup = busy.fleet.Ask(0, kLookupClass, {1, 0.5}, 9, 20);
+  const std::string lookup = busy.fleet.SendRequest(0, kLookupClass, {1, 0.5}, 9, 20);
   EXPECT_EQ(busy.stats().waiting, 2u);
-  busy.fleet.Gone(0, charge);
+  busy.fleet.CancelByClient(0, charge);
   EXPECT_EQ(busy.WorkerWithReservation(), -1);
   EXPECT_EQ(busy.stats().reserved_slots, 0);
   busy.fleet.Run(2.1);
   EXPECT_EQ(busy.stats().waiting, 0u) << "the lookup started when the first two ended";
-  EXPECT_TRUE(busy.fleet.asked.at(charge).sent_to.empty());
+  EXPECT_TRUE(busy.fleet.requests.at(charge).sent_to.empty());
 }
 
 TEST(SchedulingBalancer, ARequestThatFitsNoWorkerFailsAtOnce) {
   BusyFleet busy(2, 2);
   for (const Resources need : {Resources{3, 1}, Resources{1, 2.5}}) {
-    const std::string id = busy.fleet.Ask(0, kChargeClass, need, 1, 25);
-    EXPECT_TRUE(busy.fleet.asked.at(id).failed);
-    EXPECT_EQ(busy.fleet.asked.at(id).took_s, 0);
-    EXPECT_TRUE(busy.fleet.asked.at(id).sent_to.empty());
+    const std::string id = busy.fleet.SendRequest(0, kChargeClass, need, 1, 25);
+    EXPECT_TRUE(busy.fleet.requests.at(id).failed);
+    EXPECT_EQ(busy.fleet.requests.at(id).latency_s, 0);
+    EXPECT_TRUE(busy.fleet.requests.at(id).sent_to.empty());
   }
 }
 
@@ -246,22 +249,23 @@
   options.max_tenant_share = 1;
   BusyFleet busy(1, 1, options);
   std::vector<std::string> ids;
-  for (int i = 0; i < 3; ++i) ids.push_back(busy.fleet.Ask(0, kLookupClass, {1, 0.5}, 0.1, 6));
-  EXPECT_TRUE(busy.fleet.asked.at(ids[2]).refused);
-  EXPECT_FALSE(busy.fleet.asked.at(ids[0]).answered);
+  for (int i = 0; i < 3; ++i)
+    ids.push_back(busy.fleet.SendRequest(0, kLookupClass, {1, 0.5}, 0.1, 6));
+  EXPECT_TRUE(busy.fleet.requests.at(ids[2]).rejected);
+  EXPECT_FALSE(busy.fleet.requests.at(ids[0]).answered);
   EXPECT_EQ(busy.stats().rejected, 1u);
   busy.fleet.Run(5);
-  EXPECT_TRUE(busy.fleet.asked.at(ids[0]).served);
-  EXPECT_TRUE(busy.fleet.asked.at(ids[1]).served);
+  EXPECT_TRUE(busy.fleet.requests.at(ids[0]).served);
+  EXPECT_TRUE(busy.fleet.requests.at(ids[1]).served);
 }
 
 TEST(SchedulingBalancer, AJobThatCannotStartIsRejectedBeforeItsTimeout) {
   BusyFleet busy(1);
-  const std::string id = busy.fleet.Ask(0, kLookupClass, {1, 0.5}, 0.1, 1);
+  const std::string id = busy.fleet.SendRequest(0, kLookupClass, {1, 0.5}, 0.1, 1);
   busy.fleet.Run(0.999);
-  EXPECT_TRUE(busy.fleet.asked.at(id).refused);
+  EXPECT_TRUE(busy.fleet.requests.at(id).rejected);
   EXPECT_EQ(busy.stats().waiting, 0u);
-  EXPECT_TRUE(busy.fleet.asked.at(id).sent_to.empty());
+  EXPECT_TRUE(busy.fleet.requests.at(id).sent_to.empty());
 }
 
 // Guards against a burst of queued jobs at a worker that has just restarted and is in slow start.
@@ -272,25 +276,25 @@
     fleet.Start();
     std::mt19937 random(5);
     for (int i = 0; i < 600; ++i) {
-      fleet.At(0.05 * i, [&fleet, &random] {
-        fleet.Ask(0, random() % 4 == 0 ? kChargeClass : kLookupClass, {1, 0.5}, 0.6, 6);
+      fleet.ScheduleAt(0.05 * i, [&fleet, &random] {
+        fleet.SendRequest(0, random() % 4 == 0 ? kChargeClass : kLookupClass, {1, 0.5}, 0.6, 6);
       });
     }
     fleet.Run(12);
-    fleet.members[2].started_at_s = fleet.now;
-    fleet.List(2, balancing::Readiness::kReady);
+    fleet.endpoints[2].started_at_s = fleet.now;
+    fleet.SetReadiness(2, balancing::Readiness::kReady);
     const double ready_at = fleet.now;
     std::map<std::string, std::size_t> attempts_before;
-    for (const auto& [id, request] : fleet.asked) attempts_before[id] = request.sent_to.size();
+    for (const auto& [id, request] : fleet.requests) attempts_before[id] = request.sent_to.size();
     fleet.Run(ready_at + 1);
     int sent = 0;
-    for (const auto& [id, request] : fleet.asked) {
+    for (const auto& [id, request] : fleet.requests) {
       for (std::size_t i = attempts_before.contains(id) ? attempts_before[id] : 0;
            i < request.sent_to.size(); ++i) {
         sent += request.sent_to[i] == 2;
       }
     }
-    EXPECT_EQ(fleet.faults, std::vector<std::string>{});
+    EXPECT_EQ(fleet.violations, std::vector<std::string>{});
     return sent;
   };
   const int without_scheduling = max_in_a_second({}),
@@ -303,9 +307,9 @@
 TEST(SchedulingBalancer, TwoNodesDoNotBothReserveAWholeWorker) {
   BusyFleet busy(2, 2, SchedulingOn(), 2);
   busy.fleet.Run(1);  // the nodes have exchanged usage reports
-  busy.fleet.Ask(0, kChargeClass, {2, 2}, 1, 25);
+  busy.fleet.SendRequest(0, kChargeClass, {2, 2}, 1, 25);
   busy.fleet.Run(1.4);
-  busy.fleet.Ask(1, kChargeClass, {2, 2}, 1, 25);
+  busy.fleet.SendRequest(1, kChargeClass, {2, 2}, 1, 25);
   busy.fleet.Run(1.5);
   EXPECT_GE(busy.WorkerWithReservation(0), 0);
   EXPECT_NE(busy.WorkerWithReservation(0), busy.WorkerWithReservation(1));
@@ -313,7 +317,7 @@
 
 TEST(SchedulingBalancer, ReloadedSettingsKeepQueuedJobsAndReservations) {
   BusyFleet busy(1);
-  const std::string charge = busy.fleet.Ask(0, kChargeClass, {1, 1}, 1, 25);
+  const std::string charge = busy.fleet.SendRequest(0, kChargeClass, {1, 1}, 1, 25);
   EXPECT_EQ(busy.WorkerWithReservation(), 0);
   balancing::Settings settings = TestSettings();
   settings.dispatcher_count = 1;
@@ -322,18 +326,18 @@
                               .priority_weight = 20});  // an even higher weight
   const std::vector<int> added_classes{2};
   balancing::Actions actions;
-  busy.fleet.desks[0]->Handle(busy.fleet.now, balancing::SettingsChanged{&settings, &added_classes},
-                              &actions);
+  busy.fleet.dispatchers[0]->Handle(
+      busy.fleet.now, balancing::SettingsChanged{&settings, &added_classes}, &actions);
   EXPECT_EQ(busy.WorkerWithReservation(), 0);
   EXPECT_EQ(busy.stats().waiting, 1u);
   busy.fleet.Run(4);
-  EXPECT_TRUE(busy.fleet.asked.at(charge).served);
+  EXPECT_TRUE(busy.fleet.requests.at(charge).served);
 }
 
 TEST(SchedulingBalancer, KeepsNoStateOfEndedJobs) {
   SimulatedFleet* fleet = nullptr;
   RunLoad(2, SchedulingOn(), 9, 1.2, &fleet);
-  for (const auto& balancer : fleet->desks) {
+  for (const auto& balancer : fleet->dispatchers) {
     EXPECT_EQ(balancer->scheduler().stats().waiting, 0u);
     EXPECT_EQ(balancer->open_jobs(), 0u);
     EXPECT_EQ(balancer->scheduler().stats().reserved_slots, 0);
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -277,8 +277,8 @@
 }
 inline balancing::UsageReport SampleUsage(const balancing::RowLayout& layout) {
   balancing::UsageReport report;
-  report.fresh = report.hears_all = true;
-  report.rate = 77.5;
+  report.reply_requested = report.receives_all = true;
+  report.fleet_rate_rps = 77.5;
   report.view = 41;
   for (std::size_t i = 0; i < layout.size(); ++i)
     report.rates.push_back(0.5 + static_cast<double>(i));
@@ -444,7 +444,7 @@
                        .expires_s = now + 5,
                        .slots = 1,
                        .tenant = step % 3,
-                       .cls = step % 3 == 0 ? 1 : 0,
+                       .class_index = step % 3 == 0 ? 1 : 0,
                        .key = key,
                        .size_hint_s = 0.05};
     handle(job);
--- a/tests/support/test_dispatcher.h
+++ b/tests/support/test_dispatcher.h
@@ -95,7 +95,7 @@
                       double timeout_s = 5) {
     RequestArrived event;
     event.id = id;
-    event.cls = class_index;
+    event.class_index = class_index;
     event.tenant = tenant;
     event.expires_s = now + timeout_s;
     return Handle(event);
