--- a/src/codec/copies.cpp
+++ b/src/codec/copies.cpp
@@ -19,7 +19,7 @@
   w.Raw(static_cast<std::uint8_t>(f.kind));
   w.Number(1, f.log);
   w.Number(2, f.epoch);
-  w.Number(3, f.disk);
+  w.Number(3, f.store_id);
   w.Number(4, f.seq);
   w.Number(5, f.commit);
   w.Number(6, f.end);
@@ -52,7 +52,7 @@
   std::uint64_t* const words[] = {nullptr,
                                   &f.log,
                                   &f.epoch,
-                                  &f.disk,
+                                  &f.store_id,
                                   &f.seq,
                                   &f.commit,
                                   &f.end,
--- a/src/copies/records.h
+++ b/src/copies/records.h
@@ -52,7 +52,7 @@
   Kind kind = Kind::kStatusQuery;
   LogId log = 0;
   std::uint64_t epoch = 0;  // in which the owner became it
-  std::uint64_t disk = 0;   // of the holder: whose it is, or for whom
+  std::uint64_t store_id = 0;   // of the holder: whose it is, or for whom
   SequenceNumber seq = 0, commit = 0, end = 0;
   std::uint64_t seq_epoch = 0, end_epoch = 0;
   std::uint64_t number = 0;  // of a kStatusQuery, and of the kStatus that answers it
--- a/src/copies/replica_assignment.cpp
+++ b/src/copies/replica_assignment.cpp
@@ -34,16 +34,16 @@
   for (auto it = log->peers.begin(); it != log->peers.end();) {
     const auto* member = view_.Find(it->first);
     const bool goes = place.Find(it->first) == nullptr &&
-                      (member == nullptr || member->store_id != it->second.disk);
+                      (member == nullptr || member->store_id != it->second.store_id);
     it = goes ? log->peers.erase(it) : std::next(it);
   }
   for (auto& [who, peer] : log->peers) peer.holder = false;
   for (const LogReplica& h : place.replicas) {
     if (h.id == o_.self) continue;
     Peer& peer = log->peers[h.id];
-    if (peer.disk != h.store_id) {
+    if (peer.store_id != h.store_id) {
       peer = Peer{};
-      peer.disk = h.store_id;
+      peer.store_id = h.store_id;
       peer.heard_at = now;
     }
     peer.holder = true;
@@ -81,7 +81,7 @@
     const auto* member = view_.Find(log->pass_to);
     const auto peer = log->peers.find(log->pass_to);
     if (member == nullptr || peer == log->peers.end() || place.Find(log->pass_to) == nullptr ||
-        member->store_id != peer->second.disk ||
+        member->store_id != peer->second.store_id ||
         now - peer->second.heard_at > o_.replica_timeout_s) {
       log->pass_to = 0;
     }
@@ -90,10 +90,10 @@
   for (const LogReplica& h : place.replicas) {
     const auto* member = view_.Find(h.id);
     const auto peer = log->peers.find(h.id);
-    const bool other_disk = member != nullptr && member->store_id != h.store_id;
+    const bool other_store = member != nullptr && member->store_id != h.store_id;
     const bool late = h.id != o_.self && peer != log->peers.end() &&
                       now - std::max(peer->second.heard_at, log->owned_at) > o_.replica_timeout_s;
-    if (other_disk && log->pass_to == 0) continue;  // what it had is lost
+    if (other_store && log->pass_to == 0) continue;  // what it had is lost
     (late && log->pass_to == 0 ? silent : holders).push_back(h);
   }
   const SequenceNumber must = std::max(log->base, log->commit);
@@ -101,10 +101,10 @@
     const auto* member = view_.Find(who);
     // From the asking on it is waited for; until then it must have all that may have been answered.
     if (peer.holder || !peer.met || peer.acked < must || log->pass_to != 0 || member == nullptr ||
-        member->store_id != peer.disk)
+        member->store_id != peer.store_id)
       continue;
     if (now - peer.heard_at <= o_.replica_timeout_s && holders.size() < o_.copies)
-      holders.push_back({who, peer.disk});
+      holders.push_back({who, peer.store_id});
   }
   // Not fewer than must be: who is silent may come back with all of it.
   for (const LogReplica& h : silent) {
@@ -155,7 +155,7 @@
                      .process_incarnation = o_.process_incarnation,
                      .owner_epoch = 0,
                      .version = 1,
-                     .replicas = {{o_.self, o_.disk}}});
+                     .replicas = {{o_.self, o_.store_id}}});
   }
   return wants;
 }
--- a/src/copies/replicated_logs.cpp
+++ b/src/copies/replicated_logs.cpp
@@ -57,7 +57,7 @@
     opened_.erase(place.log);
     const bool ours = place.owner == o_.self &&
                       place.process_incarnation == o_.process_incarnation &&
-                      place.Find(o_.self) != nullptr && place.Find(o_.self)->store_id == o_.disk;
+                      place.Find(o_.self) != nullptr && place.Find(o_.self)->store_id == o_.store_id;
     auto it = logs_.find(place.log);
     if (ours && it == logs_.end()) {
       it = logs_.emplace(place.log, Log{}).first;  // a new one
@@ -191,7 +191,7 @@
     if (copies < o_.copies) {
       if (const NodeId who = Candidate(now, id, log)) {
         Peer& peer = log.peers[who];
-        peer.disk = view_.Find(who)->store_id;
+        peer.store_id = view_.Find(who)->store_id;
         peer.heard_at = now;
       }
     }
--- a/src/copies/replicated_logs.h
+++ b/src/copies/replicated_logs.h
@@ -27,7 +27,7 @@
 struct Options {
   NodeId self = 0;
   ProcessIncarnation process_incarnation = 0;
-  std::uint64_t disk = 0;  // the number of this member's store
+  std::uint64_t store_id = 0;  // the number of this member's store
   std::size_t copies = 3, min_replicas = 2;
   double replica_timeout_s = 1.0;             // a holder silent for so long is to be put out
   double resend_interval_s = 0.25;            // what is not answered goes out again
@@ -105,11 +105,11 @@
   };
   std::vector<LogStatus> LogStatuses() const;
   const Counters& counters() const { return counters_; }
-  std::uint64_t disk() const { return failed_ ? 0 : o_.disk; }
+  std::uint64_t store_id() const { return failed_ ? 0 : o_.store_id; }
 
  private:
   struct Peer {
-    std::uint64_t disk = 0, asked = 0;  // asked: the number of the latest kStatusQuery
+    std::uint64_t store_id = 0, asked = 0;  // asked: the number of the latest kStatusQuery
     ProcessIncarnation process_incarnation = 0;
     bool holder = false;  // in the view
     bool met = false;     // it has told how far it is
--- a/src/copies/replication.cpp
+++ b/src/copies/replication.cpp
@@ -45,7 +45,7 @@
   ReplicationMessage f{.kind = ReplicationMessage::Kind::kStatus,
                        .log = id,
                        .epoch = log.head.epoch,
-                       .disk = o_.disk};
+                       .store_id = o_.store_id};
   f.seq = matched ? std::min(log.matched, log.stored) : log.head.applied;
   f.matched = matched;
   f.commit = log.head.applied;
@@ -63,7 +63,7 @@
   ReplicationMessage f{.kind = ReplicationMessage::Kind::kStatusQuery,
                        .log = id,
                        .epoch = log.since,
-                       .disk = peer->disk};
+                       .store_id = peer->store_id};
   f.number = peer->asked;
   actions->send.emplace_back(to, std::move(f));
 }
@@ -78,7 +78,7 @@
   ReplicationMessage f{.kind = ReplicationMessage::Kind::kAppend,
                        .log = id,
                        .epoch = log->since,
-                       .disk = peer->disk};
+                       .store_id = peer->store_id};
   f.seq = peer->next - 1;
   f.seq_epoch = log->EpochAt(f.seq);
   f.commit = log->commit;
@@ -123,7 +123,7 @@
     f = {.kind = ReplicationMessage::Kind::kSnapshotChunk,
          .log = id,
          .epoch = it->second.since,
-         .disk = peer.disk};
+         .store_id = peer.store_id};
     f.snapshot_id = snapshot_id;
     f.chunk = peer.chunk;
     f.last = last;
@@ -184,7 +184,7 @@
     // find frames that waited as long; one that is not waited for hears of it when it may.
     const LogAssignment* place = view_.Log(f.log);
     const LogReplica* self = place == nullptr ? nullptr : place->Find(o_.self);
-    if (self == nullptr || self->store_id != o_.disk || f.commit > log->End()) {
+    if (self == nullptr || self->store_id != o_.store_id || f.commit > log->End()) {
       log->late = std::max(log->late, f.ops.back().seq);
     } else {
       log->Mark(before_ - kOnItsWayS);
@@ -210,7 +210,7 @@
                                Actions* actions) {
   if (failed_) return;
   if (f.kind == ReplicationMessage::Kind::kStatus) return OnStatus(now, from, f, actions);
-  if (f.disk != o_.disk) return;
+  if (f.store_id != o_.store_id) return;
   // One that was its owner and does not know that it is no more; or one whose view is to come.
   const LogAssignment* place = view_.Log(f.log);
   if (place != nullptr && place->owner_epoch > f.epoch) return;
@@ -250,7 +250,7 @@
   if (it == logs_.end() || !it->second.own || f.epoch != it->second.since) return;
   Log& log = it->second;
   const auto p = log.peers.find(from);
-  if (p == log.peers.end() || p->second.disk != f.disk) return;
+  if (p == log.peers.end() || p->second.store_id != f.store_id) return;
   Peer& peer = p->second;
   peer.heard_at = now;
   // Another process on that disk: what is on it is to be asked for anew.
@@ -269,7 +269,7 @@
                                  ReplicationMessage{.kind = ReplicationMessage::Kind::kStaleStore,
                                                     .log = f.log,
                                                     .epoch = log.since,
-                                                    .disk = f.disk});
+                                                    .store_id = f.store_id});
       return;
     }
   }
--- a/src/net/cluster/async_record_store.h
+++ b/src/net/cluster/async_record_store.h
@@ -47,7 +47,7 @@
   // Sees all that was given before.
   void Read(std::string prefix, std::string after, std::size_t max_records, Found found);
 
-  std::uint64_t disk() const { return failed_ || !store_ ? 0 : store_->disk(); }
+  std::uint64_t disk() const { return failed_ || !store_ ? 0 : store_->store_id(); }
   bool failed() const { return failed_; }
   double used() const { return store_ ? store_->used() : 0; }  // of max_bytes, 0 to 1
   const Figures& figures() const { return figures_; }
--- a/src/net/cluster/log_replicator.cpp
+++ b/src/net/cluster/log_replicator.cpp
@@ -28,7 +28,7 @@
     store_->Renew(hooks_.draw());
     hooks_.renewed();
   }
-  options_.disk = store_->disk();
+  options_.store_id = store_->disk();
   copies_ = std::make_unique<ReplicatedLogs>(options_, records);
   if (store_->failed()) copies_->OnStoreFailed();
   Look();
@@ -38,7 +38,7 @@
   store_->Renew(hooks_.draw());
   hooks_.renewed();
   run_ += 1;
-  options_.disk = store_->disk();
+  options_.store_id = store_->disk();
   for (const LogId log : copies_->Owned()) {
     if (ledger_.released) ledger_.released(log);
   }
@@ -57,7 +57,7 @@
   Actions more;
   event(copies_.get(), now, &more);
   CarryOut(&more);
-  hooks_.want(copies_->disk(), copies_->RequestedLogs());
+  hooks_.want(copies_->store_id(), copies_->RequestedLogs());
   Arm();
 }
 
--- a/src/store/record_store.cpp
+++ b/src/store/record_store.cpp
@@ -149,9 +149,9 @@
       sqlite3_bind_int64(s.get(), 2, static_cast<std::int64_t>(number));
       return sqlite3_step(s.get()) == SQLITE_DONE;
     };
-    disk_ = identity.new_disk;
+    store_id_ = identity.new_store_id;
     return put("schema", kSchema) && put("cluster", identity.cluster) &&
-           put("member", identity.member) && put("disk", disk_);
+           put("member", identity.member) && put("disk", store_id_);
   }
   const auto number = [this](const char* sql) { return static_cast<std::uint64_t>(Number(sql)); };
   if (schema > kSchema) {
@@ -162,7 +162,7 @@
   } else if (number("SELECT number FROM about WHERE what='member'") != identity.member) {
     *error = name_ + "of another member";
   }
-  disk_ = number("SELECT number FROM about WHERE what='disk'");
+  store_id_ = number("SELECT number FROM about WHERE what='disk'");
   return error->empty();
 }
 
--- a/src/store/record_store.h
+++ b/src/store/record_store.h
@@ -35,7 +35,7 @@
   using Found = std::function<void(Records records, bool last, std::vector<std::string> damaged)>;
   struct Identity {
     std::uint64_t cluster = 0, member = 0;
-    std::uint64_t new_disk = 0;  // the number of the store where it is made now; not 0
+    std::uint64_t new_store_id = 0;  // the number of the store where it is made now; not 0
   };
   static constexpr std::uint32_t kSchema = 1;
 
@@ -56,7 +56,7 @@
   // And likewise all under a prefix.
   bool Load(const std::string& prefix, Records* records, std::vector<std::string>* damaged,
             std::string* error);
-  std::uint64_t disk() const { return disk_; }
+  std::uint64_t store_id() const { return store_id_; }
 
   // After a failure nothing is written any more: the disk may hold either state.
   void Write(std::vector<copies::StoreWrite> batch, std::uint64_t ticket);
@@ -96,7 +96,7 @@
   std::unique_ptr<sqlite3, CloseDb> db_;
   Statement put_, erase_, erase_range_, scan_;
   std::string name_;
-  std::uint64_t disk_ = 0, max_pages_ = 0;
+  std::uint64_t store_id_ = 0, max_pages_ = 0;
   Written written_;
   std::thread writer_;
   std::mutex mutex_;
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -79,7 +79,7 @@
   copies::ReplicationMessage f{.kind = copies::ReplicationMessage::Kind::kAppend,
                                .log = 0x101,
                                .epoch = 4,
-                               .disk = 41,
+                               .store_id = 41,
                                .seq = 6,
                                .commit = 5};
   f.seq_epoch = 3;
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -280,7 +280,7 @@
 TEST_F(MemberFolder, LogsAndWorkersOutByHandAreRead) {
   store::RecordStore store;
   ASSERT_TRUE(store.Open(folder, {cluster, self, 1}, 16 << 20, Written(), &error)) << error;
-  EXPECT_NE(store.disk(), 1U) << "the file was made anew";
+  EXPECT_NE(store.store_id(), 1U) << "the file was made anew";
   store::RecordStore::Records records;
   Lines damaged;
   ASSERT_TRUE(store.LoadLogs(&records, &damaged, &error)) << error;
--- a/tests/record_store_test.cpp
+++ b/tests/record_store_test.cpp
@@ -94,7 +94,7 @@
   Model model;
   for (int round = 0; round < 5; ++round) {
     ASSERT_TRUE(Open(folder)) << error;
-    EXPECT_EQ(store->disk(), 77U);
+    EXPECT_EQ(store->store_id(), 77U);
     EXPECT_EQ(All(copies::LogPrefix(kLog)), model);
     for (int n = 0; n < 60; ++n) ASSERT_TRUE(Put(Some(&random, &model)));
     EXPECT_EQ(All(copies::LogPrefix(kLog), 7), model);
--- a/tests/replicated_logs_test.cpp
+++ b/tests/replicated_logs_test.cpp
@@ -189,7 +189,7 @@
     State s;
     for (NodeId id = 1; id <= 3; ++id) {
       Options o;
-      o.self = id, o.process_incarnation = 10 + id, o.disk = 100 + id, o.replica_timeout_s = 1e9;
+      o.self = id, o.process_incarnation = 10 + id, o.store_id = 100 + id, o.replica_timeout_s = 1e9;
       s.nodes.emplace_back(o, std::vector<std::pair<std::string, std::string>>{});
     }
     for (int n = 0; n < 4; ++n) {
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -182,10 +182,10 @@
   using copies::ReplicationMessage;
   using Kind = ReplicationMessage::Kind;
   std::map<std::string, ReplicationMessage> all;
-  ReplicationMessage f{.kind = Kind::kStatusQuery, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  ReplicationMessage f{.kind = Kind::kStatusQuery, .log = 0xabc01, .epoch = 8, .store_id = 0xd15c};
   f.number = 5;
   all["copies-where"] = f;
-  f = {.kind = Kind::kStatus, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  f = {.kind = Kind::kStatus, .log = 0xabc01, .epoch = 8, .store_id = 0xd15c};
   f.seq = 40, f.commit = 38, f.end = 41;
   f.seq_epoch = 8, f.end_epoch = 7;
   f.number = 5;
@@ -193,18 +193,18 @@
   f.snapshot_id = 2, f.chunk = 3;
   f.matched = true;
   all["copies-at"] = f;
-  f = {.kind = Kind::kAppend, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  f = {.kind = Kind::kAppend, .log = 0xabc01, .epoch = 8, .store_id = 0xd15c};
   f.seq = 40, f.commit = 38, f.seq_epoch = 8;
   f.ops = {{.seq = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .gone = false},
            {.seq = 42, .epoch = 8, .key = "H:a:2", .value = "", .gone = true}};
   all["copies-ops"] = f;
-  f = {.kind = Kind::kSnapshotChunk, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  f = {.kind = Kind::kSnapshotChunk, .log = 0xabc01, .epoch = 8, .store_id = 0xd15c};
   f.seq = 40, f.commit = 40, f.seq_epoch = 8;
   f.snapshot_id = 2, f.chunk = 3;
   f.last = true;
   f.ops = {{.seq = 7, .epoch = 6, .key = "H:a:1", .value = "entry", .gone = false}};
   all["copies-fill"] = f;
-  f = {.kind = Kind::kStaleStore, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  f = {.kind = Kind::kStaleStore, .log = 0xabc01, .epoch = 8, .store_id = 0xd15c};
   all["copies-lied"] = f;
   return all;
 }
--- a/tests/support/replication_simulation.h
+++ b/tests/support/replication_simulation.h
@@ -41,7 +41,7 @@
                      .loss = seed % 3 == 0 ? 0.05 : 0.02,
                      .doubled = 0.03}),
         nodes_(members) {
-    for (Node& n : nodes_) n.disk_id = random.NextUint64() | 1;
+    for (Node& n : nodes_) n.store_id = random.NextUint64() | 1;
     world.on_start = [this](std::size_t i) { Run(i); };
     world.on_kill = [this](std::size_t i) {
       if (nodes_[i].copies) snapshot_transfers += nodes_[i].copies->counters().snapshot_transfers;
@@ -54,7 +54,7 @@
   void Wipe(std::size_t i) {
     world.Kill(i);
     nodes_[i].disk.clear();
-    nodes_[i].disk_id = random.NextUint64() | 1;
+    nodes_[i].store_id = random.NextUint64() | 1;
   }
   void KeepOld(std::size_t i) { nodes_[i].old = nodes_[i].disk; }
   void PutBackOld(std::size_t i) {
@@ -77,7 +77,7 @@
           if (log.Find(i + 1) == nullptr) continue;
           if (log.replicas.size() < 2) return false;
           for (const LogReplica& h : log.replicas) {
-            if (h.id != i + 1 && nodes_[h.id - 1].disk_id != h.store_id) return false;
+            if (h.id != i + 1 && nodes_[h.id - 1].store_id != h.store_id) return false;
           }
         }
       }
@@ -142,7 +142,7 @@
              " holders";
       for (const auto& h : log.replicas) {
         const Node& n = nodes_[h.id - 1];
-        all += " " + std::to_string(h.id) + (n.disk_id == h.store_id ? "" : "(lost)") +
+        all += " " + std::to_string(h.id) + (n.store_id == h.store_id ? "" : "(lost)") +
                (n.copies ? "" : "(down)");
         if (n.copies && n.copies->MayAct(log.log)) all += "(acts)";
       }
@@ -171,7 +171,7 @@
  private:
   struct Node {
     std::unique_ptr<ReplicatedLogs> copies;
-    std::uint64_t disk_id = 0;
+    std::uint64_t store_id = 0;
     Disk disk, old;  // old: as it was when somebody copied it
     double write_s = 0.002, busy_until = 0, written_at = 0;
   };
@@ -185,7 +185,7 @@
     Options o;
     o.self = i + 1;
     o.process_incarnation = world.node(i).options.process_incarnation;
-    o.disk = n.disk_id;
+    o.store_id = n.store_id;
     o.retained_operations = 24;
     o.snapshot_chunk_entries = 4;
     o.max_message_operations = 5;
@@ -210,7 +210,7 @@
   void Beat(std::size_t i) {
     Do(i, [](ReplicatedLogs* c, double now, ReplicatedLogs::Actions* a) { c->Tick(now, a); });
     if (!nodes_[i].copies) return;
-    world.node(i).cluster->RequestLogs(world.LocalNow(i), nodes_[i].copies->disk(),
+    world.node(i).cluster->RequestLogs(world.LocalNow(i), nodes_[i].copies->store_id(),
                                        nodes_[i].copies->RequestedLogs());
     world.At(world.now() + 0.01, i, [this, i] { Beat(i); });
   }
@@ -299,7 +299,7 @@
       for (std::size_t d = 0; d < nodes_.size(); ++d) {
         const LogReplica* h = place->Find(d + 1);
         // One that was lost since had it, or its owner would not have answered.
-        disks += h != nullptr && (h->store_id != nodes_[d].disk_id || OnDisk(d, log, s, op->epoch));
+        disks += h != nullptr && (h->store_id != nodes_[d].store_id || OnDisk(d, log, s, op->epoch));
       }
       if (disks < 2 && !faults.planted())
         Break(i,
