--- a/src/codec/copies.cpp
+++ b/src/codec/copies.cpp
@@ -20,10 +20,10 @@
   w.Number(1, f.log);
   w.Number(2, f.epoch);
   w.Number(3, f.store_id);
-  w.Number(4, f.seq);
+  w.Number(4, f.sequence);
   w.Number(5, f.commit);
   w.Number(6, f.end);
-  w.Number(7, f.seq_epoch);
+  w.Number(7, f.sequence_epoch);
   w.Number(8, f.end_epoch);
   w.Number(9, f.number);
   w.Number(10, f.process_incarnation);
@@ -33,7 +33,7 @@
   w.Number(14, static_cast<std::uint8_t>(f.matched));
   for (const copies::Operation& op : f.ops) {
     Writer inner;
-    inner.Number(1, op.seq);
+    inner.Number(1, op.sequence);
     inner.Number(2, op.epoch);
     inner.Text(3, op.key);
     inner.Text(4, op.value);
@@ -53,10 +53,10 @@
                                   &f.log,
                                   &f.epoch,
                                   &f.store_id,
-                                  &f.seq,
+                                  &f.sequence,
                                   &f.commit,
                                   &f.end,
-                                  &f.seq_epoch,
+                                  &f.sequence_epoch,
                                   &f.end_epoch,
                                   &f.number,
                                   &f.process_incarnation,
@@ -72,7 +72,7 @@
     copies::Operation& op = f.ops.emplace_back();
     Reader in(r.value());
     while (in.Next()) {
-      if (in.field() == 1) op.seq = in.Raw<std::uint64_t>();
+      if (in.field() == 1) op.sequence = in.Raw<std::uint64_t>();
       if (in.field() == 2) op.epoch = in.Raw<std::uint64_t>();
       if (in.field() == 3) op.key = in.value();
       if (in.field() == 4) op.value = in.value();
--- a/src/copies/durable_job_queue.cpp
+++ b/src/copies/durable_job_queue.cpp
@@ -28,7 +28,7 @@
   encoding::Writer w;
   w.Text(1, t.worker);
   w.Number(2, static_cast<std::uint8_t>(t.local_worker));
-  w.Number(3, t.seq);
+  w.Number(3, t.sequence);
   return w.Take();
 }
 
@@ -38,7 +38,7 @@
   while (r.Next()) {
     if (r.field() == 1) t.worker = r.value();
     if (r.field() == 2) t.local_worker = r.Raw<std::uint8_t>() != 0;
-    if (r.field() == 3) t.seq = r.Raw<std::uint64_t>();
+    if (r.field() == 3) t.sequence = r.Raw<std::uint64_t>();
   }
   return r.ok() ? std::optional(std::move(t)) : std::nullopt;
 }
@@ -179,21 +179,21 @@
     return refuse(reason);
   ReplicatedLogs::AppendError reason{};
   const LogId log = main_;
-  const SequenceNumber seq = hooks_.append(log, record.handle, Encode(record), false, &reason);
-  if (seq == 0) return refuse(RejectReasonOf(reason));
+  const SequenceNumber sequence = hooks_.append(log, record.handle, Encode(record), false, &reason);
+  if (sequence == 0) return refuse(RejectReasonOf(reason));
   Job* job = Put(std::move(record), log);
-  job->put = seq;
+  job->put = sequence;
   job->at = now;
   logs_[log].pending_commits.emplace(
-      seq, PendingCommit{.handle = job->record.handle, .then = std::move(then), .sent = {}});
+      sequence, PendingCommit{.handle = job->record.handle, .then = std::move(then), .sent = {}});
 }
 
-void DurableJobQueue::OnCommitted(double, LogId log, SequenceNumber seq) {
+void DurableJobQueue::OnCommitted(double, LogId log, SequenceNumber sequence) {
   // What is told may end the log, or give it more to owe.
   while (true) {
     const auto it = logs_.find(log);
     if (it == logs_.end() || it->second.pending_commits.empty()) break;
-    if (it->second.pending_commits.begin()->first > seq) break;
+    if (it->second.pending_commits.begin()->first > sequence) break;
     const PendingCommit owed = std::move(it->second.pending_commits.begin()->second);
     it->second.pending_commits.erase(it->second.pending_commits.begin());
     const auto job = jobs_.find(owed.handle);
@@ -240,7 +240,7 @@
   counters_.rounds += 1;
   Round round{.job = &job->record, .number = ++rounds_, .ages_s = {}};
   for (const AttemptRecord& t : job->record.attempts) {
-    round.ages_s.push_back(hooks_.age(job->log, t.seq == 0 ? job->put : t.seq));
+    round.ages_s.push_back(hooks_.age(job->log, t.sequence == 0 ? job->put : t.sequence));
   }
   hooks_.run(round);
 }
@@ -271,16 +271,16 @@
   if (it == jobs_.end() || it->second.state != State::kRunning) return then(false);
   Job& job = it->second;
   JobRecord next = job.record;
-  if (!next.attempts.empty() && next.attempts.back().seq == 0) next.attempts.back().seq = job.put;
+  if (!next.attempts.empty() && next.attempts.back().sequence == 0) next.attempts.back().sequence = job.put;
   if (next.attempts.size() >= kMaxAttempts) return then(false);
   next.attempts.push_back({worker, local_worker, 0});
   ReplicatedLogs::AppendError reason{};
-  const SequenceNumber seq = hooks_.append(job.log, handle, Encode(next), false, &reason);
-  if (seq == 0) return then(false);
+  const SequenceNumber sequence = hooks_.append(job.log, handle, Encode(next), false, &reason);
+  if (sequence == 0) return then(false);
   job.record.attempts = std::move(next.attempts);
-  job.put = seq;
+  job.put = sequence;
   logs_[job.log].pending_commits.emplace(
-      seq, PendingCommit{.handle = handle, .then = {}, .sent = std::move(then)});
+      sequence, PendingCommit{.handle = handle, .then = {}, .sent = std::move(then)});
 }
 
 void DurableJobQueue::OnJobEnded(double now, const std::string& handle, JobOutcome outcome,
@@ -312,10 +312,10 @@
   ReplicatedLogs::AppendError reason{};
   const LogId log = job->log;
   const std::string handle = job->record.handle;
-  const SequenceNumber seq = hooks_.append(log, handle, "", true, &reason);
-  if (seq != 0) {
+  const SequenceNumber sequence = hooks_.append(log, handle, "", true, &reason);
+  if (sequence != 0) {
     logs_[log].pending_commits.emplace(
-        seq, PendingCommit{.handle = handle, .then = {}, .sent = {}, .end = true});
+        sequence, PendingCommit{.handle = handle, .then = {}, .sent = {}, .end = true});
     return;
   }
   const auto it = jobs_.find(handle);
@@ -332,7 +332,7 @@
     auto record = DecodeJob(op.key, op.value);
     if (!record || jobs_.contains(op.key)) continue;
     Job* job = Put(std::move(*record), log);
-    job->put = op.seq;
+    job->put = op.sequence;
     job->at = now;
     counters_.adopted += 1;
     SetReady(job);
@@ -356,7 +356,7 @@
   counters_.lost += theirs.size();
   for (const std::string& handle : theirs) Remove(jobs_.find(handle));
   for (const std::string& handle : running) hooks_.abort(handle);
-  for (const auto& [seq, o] : owed) {
+  for (const auto& [sequence, o] : owed) {
     if (o.then) o.then(o.handle, RejectReason::kLost, kReturnS);
     if (o.sent) o.sent(false);
   }
--- a/src/copies/durable_job_queue.h
+++ b/src/copies/durable_job_queue.h
@@ -26,7 +26,7 @@
 struct AttemptRecord {
   std::string worker;
   bool local_worker = false;  // the worker connected to that node by itself: no other knows it
-  SequenceNumber seq = 0;  // of the operation that first told of it; 0: the one that it came with
+  SequenceNumber sequence = 0;  // of the operation that first told of it; 0: the one that it came with
 };
 
 struct JobRecord {
@@ -96,7 +96,7 @@
   // Logs, as LogReplicator tells of them.
   void OnLogAcquired(double now, LogId log, const std::vector<Operation>& entries);
   void OnLogReleased(LogId log);
-  void OnCommitted(double now, LogId log, SequenceNumber seq);
+  void OnCommitted(double now, LogId log, SequenceNumber sequence);
   void OnLease(double now, bool leased);
 
   // `then` once, maybe at once. One of the same function and unique id is the same job.
--- a/src/copies/idempotency_key_registry.cpp
+++ b/src/copies/idempotency_key_registry.cpp
@@ -25,7 +25,7 @@
     bytes_ += SizeOf(entry.key, *stored);
     record.stored = std::move(*stored);
     record.log = log;
-    record.last_write = entry.seq;
+    record.last_write = entry.sequence;
     record.committed = true;
     record.expires_at = now + record.stored.window_s;
   }
@@ -45,30 +45,30 @@
 
 // The last attempt came with the last write: to be noted before there is another.
 void IdempotencyKeyRegistry::DateLastAttempt(Record* record) {
-  if (record->stored.attempts.empty() || record->stored.attempts.back().seq != 0) return;
-  record->stored.attempts.back().seq = record->last_write;
+  if (record->stored.attempts.empty() || record->stored.attempts.back().sequence != 0) return;
+  record->stored.attempts.back().sequence = record->last_write;
 }
 
 // False: it can't be written now.
 bool IdempotencyKeyRegistry::Write(const std::string& key, Record* record) {
   ReplicatedLogs::AppendError reason{};
-  const SequenceNumber seq =
+  const SequenceNumber sequence =
       hooks_.append(record->log, key, Encode(record->stored), false, &reason);
-  if (seq == 0) return false;
-  record->last_write = seq;
+  if (sequence == 0) return false;
+  record->last_write = sequence;
   record->committed = false;
-  owned_logs_[record->log].emplace(seq, key);
+  owned_logs_[record->log].emplace(sequence, key);
   return true;
 }
 
 bool IdempotencyKeyRegistry::Erase(const std::string& key, Record* record) {
   ReplicatedLogs::AppendError reason{};
-  const SequenceNumber seq = hooks_.append(record->log, key, "", true, &reason);
-  if (seq == 0) return false;
-  record->last_write = seq;
+  const SequenceNumber sequence = hooks_.append(record->log, key, "", true, &reason);
+  if (sequence == 0) return false;
+  record->last_write = sequence;
   record->committed = false;
   record->erasing = true;
-  owned_logs_[record->log].emplace(seq, key);
+  owned_logs_[record->log].emplace(sequence, key);
   return true;
 }
 
@@ -86,8 +86,8 @@
 ClaimGranted IdempotencyKeyRegistry::Grant(const Record& record) const {
   ClaimGranted grant{.attempts = record.stored.attempts, .ages_s = {}};
   for (const AttemptRecord& attempt : grant.attempts) {
-    const SequenceNumber seq = attempt.seq == 0 ? record.last_write : attempt.seq;
-    grant.ages_s.push_back(hooks_.max_age_s(record.log, seq));
+    const SequenceNumber sequence = attempt.sequence == 0 ? record.last_write : attempt.sequence;
+    grant.ages_s.push_back(hooks_.max_age_s(record.log, sequence));
   }
   return grant;
 }
@@ -253,12 +253,12 @@
   record->attempt = last_attempt;
 }
 
-void IdempotencyKeyRegistry::OnCommitted(LogId log, SequenceNumber seq) {
+void IdempotencyKeyRegistry::OnCommitted(LogId log, SequenceNumber sequence) {
   while (true) {
     const auto owned = owned_logs_.find(log);
     if (owned == owned_logs_.end() || owned->second.empty()) return;
     PendingWrites& pending = owned->second;
-    if (pending.begin()->first > seq) return;
+    if (pending.begin()->first > sequence) return;
     const SequenceNumber written = pending.begin()->first;
     const std::string key = std::move(pending.begin()->second);
     pending.erase(pending.begin());
@@ -266,9 +266,9 @@
   }
 }
 
-void IdempotencyKeyRegistry::OnWriteCommitted(const std::string& key, SequenceNumber seq) {
+void IdempotencyKeyRegistry::OnWriteCommitted(const std::string& key, SequenceNumber sequence) {
   const auto found = records_.find(key);
-  if (found == records_.end() || found->second.last_write != seq) return;  // written again since
+  if (found == records_.end() || found->second.last_write != sequence) return;  // written again since
   Record& record = found->second;
   record.committed = true;
   const ClaimId claim = record.stored.claim;
--- a/src/copies/idempotency_key_registry.h
+++ b/src/copies/idempotency_key_registry.h
@@ -43,7 +43,7 @@
   void OnLogAcquired(double now, LogId log, const std::vector<Operation>& entries);
   void OnLogReleased(LogId log);
   // All operations of the log up to this one are on its replicas.
-  void OnCommitted(LogId log, SequenceNumber seq);
+  void OnCommitted(LogId log, SequenceNumber sequence);
   void OnMessage(double now, NodeId from, const IdempotencyMessage& message);
   // To be called each second or so, and when the view has changed.
   void Tick(double now);
@@ -76,7 +76,7 @@
                     Record* record);
   void ReleaseUnanswered(double now, const std::string& key, const ReleaseRequest& request,
                          Record* record);
-  void OnWriteCommitted(const std::string& key, SequenceNumber seq);
+  void OnWriteCommitted(const std::string& key, SequenceNumber sequence);
   bool Write(const std::string& key, Record* record);
   bool Erase(const std::string& key, Record* record);
   static void DateLastAttempt(Record* record);
--- a/src/copies/log.cpp
+++ b/src/copies/log.cpp
@@ -13,16 +13,16 @@
 
 }  // namespace
 
-const Operation* ReplicatedLogs::Log::At(SequenceNumber seq) const {
-  if (ops.empty() || seq < ops.front().seq || seq > ops.back().seq) return nullptr;
-  return &ops[seq - ops.front().seq];
+const Operation* ReplicatedLogs::Log::At(SequenceNumber sequence) const {
+  if (ops.empty() || sequence < ops.front().sequence || sequence > ops.back().sequence) return nullptr;
+  return &ops[sequence - ops.front().sequence];
 }
 
 // Of an operation that is known; 0: it is not.
-std::uint64_t ReplicatedLogs::Log::EpochAt(SequenceNumber seq) const {
-  if (const Operation* op = At(seq)) return op->epoch;
-  if (!ops.empty() && seq + 1 == ops.front().seq) return before;
-  return seq == head.applied ? head.applied_epoch : 0;
+std::uint64_t ReplicatedLogs::Log::EpochAt(SequenceNumber sequence) const {
+  if (const Operation* op = At(sequence)) return op->epoch;
+  if (!ops.empty() && sequence + 1 == ops.front().sequence) return before;
+  return sequence == head.applied ? head.applied_epoch : 0;
 }
 
 void ReplicatedLogs::Log::Mark(double since_s) {
@@ -32,7 +32,7 @@
 }
 
 void ReplicatedLogs::Put(LogId id, const Operation& op) {
-  batch_.push_back({StoreWrite::Kind::kPut, OperationKey(id, op.seq), Encode(op)});
+  batch_.push_back({StoreWrite::Kind::kPut, OperationKey(id, op.sequence), Encode(op)});
 }
 
 void ReplicatedLogs::PutHead(LogId id, const Log& log) {
@@ -43,9 +43,9 @@
 void ReplicatedLogs::Apply(LogId id, Log* log, SequenceNumber commit) {
   const SequenceNumber until = std::min(commit, log->End());
   if (until <= log->head.applied) return;
-  for (SequenceNumber seq = log->head.applied + 1; seq <= until; ++seq) {
-    const Operation& op = *log->At(seq);
-    batch_.push_back({StoreWrite::Kind::kErase, OperationKey(id, seq), ""});
+  for (SequenceNumber sequence = log->head.applied + 1; sequence <= until; ++sequence) {
+    const Operation& op = *log->At(sequence);
+    batch_.push_back({StoreWrite::Kind::kErase, OperationKey(id, sequence), ""});
     if (op.gone) {
       batch_.push_back(
           {StoreWrite::Kind::kErase, EntryKey(id, log->head.snapshot_generation, op.key), ""});
@@ -53,21 +53,21 @@
       batch_.push_back({StoreWrite::Kind::kPut, EntryKey(id, log->head.snapshot_generation, op.key),
                         Encode(op)});
     }
-    log->head.applied = seq;
+    log->head.applied = sequence;
     log->head.applied_epoch = op.epoch;
   }
   PutHead(id, *log);
   // An owner keeps some for holders that are behind.
   const std::size_t keep = log->own ? o_.retained_operations : 0;
-  while (log->ops.size() > keep && !log->ops.empty() && log->ops.front().seq <= log->head.applied) {
+  while (log->ops.size() > keep && !log->ops.empty() && log->ops.front().sequence <= log->head.applied) {
     log->Drop();
   }
 }
 
 // Takes out what no owner answered: all from this number on.
 void ReplicatedLogs::Truncate(LogId id, Log* log, SequenceNumber from) {
-  while (!log->ops.empty() && log->ops.back().seq >= from) {
-    batch_.push_back({StoreWrite::Kind::kErase, OperationKey(id, log->ops.back().seq), ""});
+  while (!log->ops.empty() && log->ops.back().sequence >= from) {
+    batch_.push_back({StoreWrite::Kind::kErase, OperationKey(id, log->ops.back().sequence), ""});
     log->ops.pop_back();
   }
   log->stored = std::min(log->stored, log->End());
--- a/src/copies/records.cpp
+++ b/src/copies/records.cpp
@@ -16,8 +16,8 @@
 
 std::string LogPrefix(LogId log) { return Digits(log) + "/"; }
 std::string HeadKey(LogId log) { return LogPrefix(log) + "h/"; }
-std::string OperationKey(LogId log, SequenceNumber seq) {
-  return LogPrefix(log) + "o/" + Digits(seq);
+std::string OperationKey(LogId log, SequenceNumber sequence) {
+  return LogPrefix(log) + "o/" + Digits(sequence);
 }
 std::string EntryPrefix(LogId log, std::uint64_t snapshot_generation) {
   return LogPrefix(log) + "e/" + Digits(snapshot_generation) + "/";
@@ -60,7 +60,7 @@
 
 std::string Encode(const Operation& op) {
   encoding::Writer w;
-  w.Number(1, op.seq);
+  w.Number(1, op.sequence);
   w.Number(2, op.epoch);
   w.Text(3, op.key);
   w.Text(4, op.value);
@@ -72,7 +72,7 @@
   Operation op;
   encoding::Reader r(bytes);
   while (r.Next()) {
-    if (r.field() == 1) op.seq = r.Raw<std::uint64_t>();
+    if (r.field() == 1) op.sequence = r.Raw<std::uint64_t>();
     if (r.field() == 2) op.epoch = r.Raw<std::uint64_t>();
     if (r.field() == 3) op.key = r.value();
     if (r.field() == 4) op.value = r.value();
--- a/src/copies/records.h
+++ b/src/copies/records.h
@@ -19,7 +19,7 @@
 // An entry is put in place of the one of that key, or taken out. `epoch`: the one in which whoever
 // made it became the log's owner; two operations of one number and epoch are one.
 struct Operation {
-  SequenceNumber seq = 0;
+  SequenceNumber sequence = 0;
   std::uint64_t epoch = 0;
   std::string key, value;
   bool gone = false;
@@ -53,8 +53,8 @@
   LogId log = 0;
   std::uint64_t epoch = 0;  // in which the owner became it
   std::uint64_t store_id = 0;   // of the holder: whose it is, or for whom
-  SequenceNumber seq = 0, commit = 0, end = 0;
-  std::uint64_t seq_epoch = 0, end_epoch = 0;
+  SequenceNumber sequence = 0, commit = 0, end = 0;
+  std::uint64_t sequence_epoch = 0, end_epoch = 0;
   std::uint64_t number = 0;  // of a kStatusQuery, and of the kStatus that answers it
   membership::ProcessIncarnation process_incarnation = 0;  // of the process that says kStatus
   // Which snapshot, and which part; kStatus: how many parts it has.
@@ -64,7 +64,7 @@
 };
 
 std::string HeadKey(LogId log);
-std::string OperationKey(LogId log, SequenceNumber seq);
+std::string OperationKey(LogId log, SequenceNumber sequence);
 std::string LogPrefix(LogId log);
 std::string EntryPrefix(LogId log, std::uint64_t snapshot_generation);
 std::string EntryKey(LogId log, std::uint64_t snapshot_generation, std::string_view key);
--- a/src/copies/replicated_logs.cpp
+++ b/src/copies/replicated_logs.cpp
@@ -11,14 +11,14 @@
 
 }  // namespace
 
-double ReplicatedLogs::MaxAge(double now, LogId id, SequenceNumber seq) const {
+double ReplicatedLogs::MaxAge(double now, LogId id, SequenceNumber sequence) const {
   const auto it = logs_.find(id);
-  if (it != logs_.end() && seq > it->second.late) {
+  if (it != logs_.end() && sequence > it->second.late) {
     const auto& marks = it->second.marks;
     // clang 14 does not compile std::views::reverse of this library.
     // NOLINTNEXTLINE(modernize-loop-convert)
     for (auto mark = marks.rbegin(); mark != marks.rend(); ++mark) {
-      if (mark->second < seq) return now - mark->first;
+      if (mark->second < sequence) return now - mark->first;
     }
   }
   return std::numeric_limits<double>::infinity();
@@ -38,7 +38,7 @@
     Log& log = logs_[parts->log];
     auto op = DecodeOperation(value);
     // One that is missing ends what is known: what follows it can't be told from another's.
-    if (op && op->seq == log.End() + 1) log.ops.push_back(std::move(*op));
+    if (op && op->sequence == log.End() + 1) log.ops.push_back(std::move(*op));
   }
   for (auto& [id, log] : logs_) {
     log.before = log.head.applied_epoch;
@@ -204,7 +204,7 @@
         continue;
       }
       if (peer.snapshot_id != 0) {
-        const bool trimmed = !log.ops.empty() && log.ops.front().seq > peer.snapshot_seq + 1;
+        const bool trimmed = !log.ops.empty() && log.ops.front().sequence > peer.snapshot_sequence + 1;
         if (trimmed || now - peer.heard_at > o_.replica_timeout_s) {
           peer.Forget();
         } else if (!peer.reading && peer.chunk > peer.part.chunk && now >= peer.chunk_at) {
--- a/src/copies/replicated_logs.h
+++ b/src/copies/replicated_logs.h
@@ -95,7 +95,7 @@
   bool MayAct(LogId log) const;
   std::vector<LogId> Owned() const;  // those that it acts on, with a lease
   // An operation that this process has was made or heard at most so long ago; infinite: not known.
-  double MaxAge(double now, LogId log, SequenceNumber seq) const;
+  double MaxAge(double now, LogId log, SequenceNumber sequence) const;
   std::string DescribeReplicas(LogId id) const;  // for a log line: how far its holders are
   struct LogStatus {                             // of one log, for figures
     LogId log = 0;
@@ -120,7 +120,7 @@
     // A snapshot transfer: which, how far, and what it began with.
     std::uint64_t snapshot_id = 0, chunk = 0;
     bool reading = false;
-    SequenceNumber snapshot_seq = 0;
+    SequenceNumber snapshot_sequence = 0;
     std::string after;
     double chunk_at = 0;
     ReplicationMessage part;  // the chunk that waits for its answer
@@ -158,9 +158,9 @@
     NodeId pass_to = 0;              // it is to be the owner
     bool passing = false;            // that was asked for under this view, and may come to be
     std::set<NodeId> asked;          // under this view; they are waited for until the next
-    SequenceNumber End() const { return ops.empty() ? head.applied : ops.back().seq; }
-    const Operation* At(SequenceNumber seq) const;
-    std::uint64_t EpochAt(SequenceNumber seq) const;
+    SequenceNumber End() const { return ops.empty() ? head.applied : ops.back().sequence; }
+    const Operation* At(SequenceNumber sequence) const;
+    std::uint64_t EpochAt(SequenceNumber sequence) const;
   };
   struct Reach {  // what is there once a write is
     SequenceNumber end = 0, applied = 0;
--- a/src/copies/replication.cpp
+++ b/src/copies/replication.cpp
@@ -46,7 +46,7 @@
                        .log = id,
                        .epoch = log.head.epoch,
                        .store_id = o_.store_id};
-  f.seq = matched ? std::min(log.matched, log.stored) : log.head.applied;
+  f.sequence = matched ? std::min(log.matched, log.stored) : log.head.applied;
   f.matched = matched;
   f.commit = log.head.applied;
   f.end = log.End();
@@ -73,14 +73,14 @@
                                 Actions* actions) {
   if (!peer->met) return SendStatusQuery(id, *log, to, peer, actions);
   if (peer->snapshot_id != 0) return;
-  const SequenceNumber first = log->ops.empty() ? log->head.applied + 1 : log->ops.front().seq;
+  const SequenceNumber first = log->ops.empty() ? log->head.applied + 1 : log->ops.front().sequence;
   if (peer->next < first) return StartSnapshot(now, id, log, peer, actions);
   ReplicationMessage f{.kind = ReplicationMessage::Kind::kAppend,
                        .log = id,
                        .epoch = log->since,
                        .store_id = peer->store_id};
-  f.seq = peer->next - 1;
-  f.seq_epoch = log->EpochAt(f.seq);
+  f.sequence = peer->next - 1;
+  f.sequence_epoch = log->EpochAt(f.sequence);
   f.commit = log->commit;
   std::size_t bytes = 0;
   for (std::size_t n = 0; n < o_.max_message_operations && peer->next <= log->End(); ++n) {
@@ -102,7 +102,7 @@
   peer->snapshot_id = ++last_snapshot_id_;
   peer->chunk = 0;
   peer->after.clear();
-  peer->snapshot_seq = from;
+  peer->snapshot_sequence = from;
   peer->acked = 0;
   peer->reading = true;
   peer->chunk_at = now;
@@ -127,8 +127,8 @@
     f.snapshot_id = snapshot_id;
     f.chunk = peer.chunk;
     f.last = last;
-    f.seq = peer.snapshot_seq;
-    f.seq_epoch = it->second.EpochAt(peer.snapshot_seq);
+    f.sequence = peer.snapshot_sequence;
+    f.sequence_epoch = it->second.EpochAt(peer.snapshot_sequence);
     if (!entries.empty()) peer.after = entries.back().key;
     f.ops = std::move(entries);
     peer.sent_at = now;
@@ -147,7 +147,7 @@
     log.snapshot_id = f.snapshot_id;
     log.chunk = log.chunk_stored = 0;
   }
-  if (log.snapshot_id != f.snapshot_id || f.chunk != log.chunk || f.seq < log.head.applied) {
+  if (log.snapshot_id != f.snapshot_id || f.chunk != log.chunk || f.sequence < log.head.applied) {
     return SendStatus(from, f.log, log, false, actions);
   }
   for (const Operation& op : f.ops) {
@@ -158,15 +158,15 @@
     batch_.push_back(
         {StoreWrite::Kind::kErasePrefix, EntryPrefix(f.log, log.head.snapshot_generation), ""});
     // Later ones stay: they may have been answered.
-    while (!log.ops.empty() && log.ops.front().seq <= f.seq) {
-      batch_.push_back({StoreWrite::Kind::kErase, OperationKey(f.log, log.ops.front().seq), ""});
+    while (!log.ops.empty() && log.ops.front().sequence <= f.sequence) {
+      batch_.push_back({StoreWrite::Kind::kErase, OperationKey(f.log, log.ops.front().sequence), ""});
       log.Drop();
     }
     log.head.snapshot_generation = next;
     log.late = std::max(log.late, log.End());
-    log.head.applied = f.seq;
-    log.head.applied_epoch = log.before = f.seq_epoch;
-    log.matched = f.seq;
+    log.head.applied = f.sequence;
+    log.head.applied_epoch = log.before = f.sequence_epoch;
+    log.matched = f.sequence;
     PutHead(f.log, log);
   }
   answer_to_[f.log] = from;
@@ -176,26 +176,26 @@
 // Raft's rule: what follows an operation that both have in the same epoch follows it in both.
 void ReplicatedLogs::OnAppend(NodeId from, const ReplicationMessage& f, Log* log,
                               Actions* actions) {
-  const bool known = f.seq < log->head.applied || log->EpochAt(f.seq) == f.seq_epoch;
-  if (f.seq > log->End() || !known) return SendStatus(from, f.log, *log, false, actions);
-  SequenceNumber upto = f.seq;
+  const bool known = f.sequence < log->head.applied || log->EpochAt(f.sequence) == f.sequence_epoch;
+  if (f.sequence > log->End() || !known) return SendStatus(from, f.log, *log, false, actions);
+  SequenceNumber upto = f.sequence;
   if (!f.ops.empty()) {
     // A holder that is waited for hears of an operation before it counts. One that was stopped may
     // find frames that waited as long; one that is not waited for hears of it when it may.
     const LogAssignment* place = view_.Log(f.log);
     const LogReplica* self = place == nullptr ? nullptr : place->Find(o_.self);
     if (self == nullptr || self->store_id != o_.store_id || f.commit > log->End()) {
-      log->late = std::max(log->late, f.ops.back().seq);
+      log->late = std::max(log->late, f.ops.back().sequence);
     } else {
       log->Mark(before_ - kOnItsWayS);
     }
   }
   for (const Operation& op : f.ops) {
-    if (op.seq != ++upto) return;  // no frame of ours
-    if (op.seq <= log->head.applied) continue;
-    const Operation* mine = log->At(op.seq);
+    if (op.sequence != ++upto) return;  // no frame of ours
+    if (op.sequence <= log->head.applied) continue;
+    const Operation* mine = log->At(op.sequence);
     if (mine != nullptr && mine->epoch == op.epoch) continue;
-    if (mine != nullptr) Truncate(f.log, log, op.seq);
+    if (mine != nullptr) Truncate(f.log, log, op.sequence);
     log->ops.push_back(op);
     Put(f.log, op);
   }
@@ -261,7 +261,7 @@
     if (f.number == 0 || f.number != peer.asked) return;
     peer.met = true;
     peer.process_incarnation = f.process_incarnation;
-    peer.next = peer.first = f.seq + 1;
+    peer.next = peer.first = f.sequence + 1;
     peer.end = {f.end_epoch, f.end};
     // It has less than it said that it had on disk.
     if (f.end < peer.acked) {
@@ -275,7 +275,7 @@
   }
   if (f.commit > log.End()) return AbandonStore(actions);
   if (peer.snapshot_id != 0) {
-    if (f.commit > peer.snapshot_seq) {  // it has more than the snapshot holds
+    if (f.commit > peer.snapshot_sequence) {  // it has more than the snapshot holds
       peer.Forget();
       return;
     }
@@ -284,13 +284,13 @@
     peer.chunk_at = now + o_.snapshot_chunk_interval_s;
     if (!peer.part.last) return;
     peer.snapshot_id = 0;  // it has all of it
-    peer.acked = peer.snapshot_seq;
-    peer.next = peer.first = peer.snapshot_seq + 1;
+    peer.acked = peer.snapshot_sequence;
+    peer.next = peer.first = peer.snapshot_sequence + 1;
   } else if (f.number == 0 && !f.matched) {
     peer.Forget();  // ours did not fit to what it has; this word of it may be late itself
     return;
   } else if (f.matched) {
-    peer.acked = std::max(peer.acked, f.seq);
+    peer.acked = std::max(peer.acked, f.sequence);
     peer.next = std::max(peer.next, peer.acked + 1);
   }
   // What was answered by the one before may be more than we have, if our disk was put back.
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -80,9 +80,9 @@
                                .log = 0x101,
                                .epoch = 4,
                                .store_id = 41,
-                               .seq = 6,
+                               .sequence = 6,
                                .commit = 5};
-  f.seq_epoch = 3;
+  f.sequence_epoch = 3;
   f.number = 8;
   f.last = f.matched = true;
   f.ops = {{7, 4, "H:a:1", std::string(2000, 'x'), false}, {8, 4, "H:a:2", "", true}};
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -300,7 +300,7 @@
       const auto operation = copies::DecodeOperation(value);
       ASSERT_TRUE(operation);
       EXPECT_EQ(copies::Encode(*operation), value);
-      EXPECT_EQ(copies::OperationKey(parts->log, operation->seq), key);
+      EXPECT_EQ(copies::OperationKey(parts->log, operation->sequence), key);
       operations += 1;
     }
   }
--- a/tests/durable_job_queue_test.cpp
+++ b/tests/durable_job_queue_test.cpp
@@ -36,8 +36,8 @@
                             if (nodes_[i].jobs) nodes_[i].jobs->OnLogReleased(log);
                           },
                       .kept =
-                          [this](std::size_t i, LogId log, SequenceNumber seq) {
-                            if (nodes_[i].jobs) nodes_[i].jobs->OnCommitted(world_.now(), log, seq);
+                          [this](std::size_t i, LogId log, SequenceNumber sequence) {
+                            if (nodes_[i].jobs) nodes_[i].jobs->OnCommitted(world_.now(), log, sequence);
                           }};
     world_.StartAll();
     world_.RunUntil(8);
@@ -99,18 +99,18 @@
                           ReplicatedLogs::AppendError* error) {
                   if (gone && planted_.end_not_written)
                     return copies_.Put(i, log, "none", "", true, error);
-                  const SequenceNumber seq = copies_.Put(i, log, key, value, gone, error);
-                  if (gone && seq != 0) truth_[key].end_made = true;
-                  if (planted_.answered_before_kept && !gone && seq != 0)
+                  const SequenceNumber sequence = copies_.Put(i, log, key, value, gone, error);
+                  if (gone && sequence != 0) truth_[key].end_made = true;
+                  if (planted_.answered_before_kept && !gone && sequence != 0)
                     truth_[key].promised = true;
-                  return seq;
+                  return sequence;
                 },
             .may_act = [this, i](LogId log) { return copies_.Acts(i, log); },
             .open = [this, i](LogId log) { copies_.Open(i, log); },
             .close = [this, i](LogId log) { copies_.Close(i, log); },
             .age =
-                [this, i](LogId log, SequenceNumber seq) {
-                  return copies_.At(i)->MaxAge(world_.now(), log, seq);
+                [this, i](LogId log, SequenceNumber sequence) {
+                  return copies_.At(i)->MaxAge(world_.now(), log, sequence);
                 },
             .run = [this, i](const DurableJobQueue::Round& round) { Run(i, round); },
             .abort = [this](const std::string&) { lost += 1; },
--- a/tests/idempotency_keys_test.cpp
+++ b/tests/idempotency_keys_test.cpp
@@ -36,8 +36,8 @@
                             if (nodes_[i].ledger) nodes_[i].ledger->OnLogReleased(log);
                           },
                       .kept =
-                          [this](std::size_t i, LogId log, SequenceNumber seq) {
-                            if (nodes_[i].ledger) nodes_[i].ledger->OnCommitted(log, seq);
+                          [this](std::size_t i, LogId log, SequenceNumber sequence) {
+                            if (nodes_[i].ledger) nodes_[i].ledger->OnCommitted(log, sequence);
                           }};
     world_.StartAll();
     world_.RunUntil(8);
@@ -98,8 +98,8 @@
                   return copies_.Put(i, log, key, value, gone, error);
                 },
             .max_age_s =
-                [this, i](LogId log, SequenceNumber seq) {
-                  return copies_.At(i)->MaxAge(world_.now(), log, seq);
+                [this, i](LogId log, SequenceNumber sequence) {
+                  return copies_.At(i)->MaxAge(world_.now(), log, sequence);
                 },
             .alive =
                 [this, i](const ClaimId& c) {
--- a/tests/record_store_test.cpp
+++ b/tests/record_store_test.cpp
@@ -107,8 +107,8 @@
   std::vector<StoreWrite> batch;
   for (const copies::LogId log : {3U, 4U}) {
     batch.push_back(PutOf(copies::HeadKey(log), "h"));
-    for (copies::SequenceNumber seq = 1; seq <= 300; ++seq)
-      batch.push_back(PutOf(copies::OperationKey(log, seq), "o"));
+    for (copies::SequenceNumber sequence = 1; sequence <= 300; ++sequence)
+      batch.push_back(PutOf(copies::OperationKey(log, sequence), "o"));
     for (int e = 0; e < 600; ++e)
       batch.push_back(PutOf(copies::EntryKey(log, 0, std::to_string(e)), "e"));
   }
--- a/tests/replicated_logs_test.cpp
+++ b/tests/replicated_logs_test.cpp
@@ -125,7 +125,7 @@
   void Carry(State* s, std::size_t i, ReplicatedLogs::Actions* a) {
     for (auto& [to, frame] : a->send) s->flight.push_back({to, i + 1, std::move(frame)});
     if (!a->write.empty()) s->writes[i].emplace_back(a->ticket, std::move(a->write));
-    for (const auto& [log, seq] : a->committed) s->kept = std::max(s->kept, seq);
+    for (const auto& [log, sequence] : a->committed) s->kept = std::max(s->kept, sequence);
     for (const LogId unused : a->acquired) s->begun[i] = unused == kLog;
   }
   template <typename Do>
@@ -177,11 +177,11 @@
     const auto head = s.disks[1].find(HeadKey(kLog));
     const SequenceNumber applied =
         head == s.disks[1].end() ? 0 : DecodeLogHead(head->second)->applied;
-    for (SequenceNumber seq = applied + 1; seq <= s.kept; ++seq) {
-      if (!s.disks[1].contains(OperationKey(kLog, seq))) return false;
+    for (SequenceNumber sequence = applied + 1; sequence <= s.kept; ++sequence) {
+      if (!s.disks[1].contains(OperationKey(kLog, sequence))) return false;
     }
-    for (SequenceNumber seq = 1; seq <= std::min(applied, s.kept); ++seq) {
-      if (!s.disks[1].contains(EntryKey(kLog, 0, "k" + std::to_string(seq)))) return false;
+    for (SequenceNumber sequence = 1; sequence <= std::min(applied, s.kept); ++sequence) {
+      if (!s.disks[1].contains(EntryKey(kLog, 0, "k" + std::to_string(sequence)))) return false;
     }
     return true;
   }
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -186,23 +186,23 @@
   f.number = 5;
   all["copies-where"] = f;
   f = {.kind = Kind::kStatus, .log = 0xabc01, .epoch = 8, .store_id = 0xd15c};
-  f.seq = 40, f.commit = 38, f.end = 41;
-  f.seq_epoch = 8, f.end_epoch = 7;
+  f.sequence = 40, f.commit = 38, f.end = 41;
+  f.sequence_epoch = 8, f.end_epoch = 7;
   f.number = 5;
   f.process_incarnation = 31;
   f.snapshot_id = 2, f.chunk = 3;
   f.matched = true;
   all["copies-at"] = f;
   f = {.kind = Kind::kAppend, .log = 0xabc01, .epoch = 8, .store_id = 0xd15c};
-  f.seq = 40, f.commit = 38, f.seq_epoch = 8;
-  f.ops = {{.seq = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .gone = false},
-           {.seq = 42, .epoch = 8, .key = "H:a:2", .value = "", .gone = true}};
+  f.sequence = 40, f.commit = 38, f.sequence_epoch = 8;
+  f.ops = {{.sequence = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .gone = false},
+           {.sequence = 42, .epoch = 8, .key = "H:a:2", .value = "", .gone = true}};
   all["copies-ops"] = f;
   f = {.kind = Kind::kSnapshotChunk, .log = 0xabc01, .epoch = 8, .store_id = 0xd15c};
-  f.seq = 40, f.commit = 40, f.seq_epoch = 8;
+  f.sequence = 40, f.commit = 40, f.sequence_epoch = 8;
   f.snapshot_id = 2, f.chunk = 3;
   f.last = true;
-  f.ops = {{.seq = 7, .epoch = 6, .key = "H:a:1", .value = "entry", .gone = false}};
+  f.ops = {{.sequence = 7, .epoch = 6, .key = "H:a:1", .value = "entry", .gone = false}};
   all["copies-fill"] = f;
   f = {.kind = Kind::kStaleStore, .log = 0xabc01, .epoch = 8, .store_id = 0xd15c};
   all["copies-lied"] = f;
@@ -239,7 +239,7 @@
   return {.applied = 38, .applied_epoch = 7, .epoch = 8, .snapshot_generation = 2};
 }
 inline copies::Operation SampleOp() {
-  return {.seq = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .gone = true};
+  return {.sequence = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .gone = true};
 }
 inline copies::JobRecord SampleJob() {
   return {.handle = "H:a:1",
@@ -249,12 +249,12 @@
           .tenant = "andes",
           .body = std::string("b\0y", 3),
           .priority = 2,
-          .attempts = {{.worker = "toy-1", .local_worker = true, .seq = 41},
-                       {.worker = "toy-2", .local_worker = false, .seq = 0}}};
+          .attempts = {{.worker = "toy-1", .local_worker = true, .sequence = 41},
+                       {.worker = "toy-2", .local_worker = false, .sequence = 0}}};
 }
 inline copies::IdempotencyRecord SampleKey() {
   return {.claim = {.who = 3, .process_incarnation = 31, .number = 6},
-          .attempts = {{.worker = "toy-1", .local_worker = false, .seq = 44}},
+          .attempts = {{.worker = "toy-1", .local_worker = false, .sequence = 44}},
           .window_s = 40,
           .answered = true,
           .result = "200 done"};
--- a/tests/support/replication_simulation.h
+++ b/tests/support/replication_simulation.h
@@ -105,12 +105,12 @@
                      bool gone, ReplicatedLogs::AppendError* reason) {
     Operation op{.key = key, .value = value, .gone = gone};
     Do(i, [&](ReplicatedLogs* c, double now, ReplicatedLogs::Actions* a) {
-      op.seq = c->Append(now, log, key, value, gone, reason, a);
-      if (op.seq == 0) return;
+      op.sequence = c->Append(now, log, key, value, gone, reason, a);
+      if (op.sequence == 0) return;
       op.epoch = world.ViewOf(i).Log(log)->owner_epoch;
-      made_[log][{op.seq, op.epoch}] = op;
+      made_[log][{op.sequence, op.epoch}] = op;
     });
-    return op.seq;
+    return op.sequence;
   }
   void Open(std::size_t i, LogId log) {
     model_[log];
@@ -271,8 +271,8 @@
       world.At(std::max(now, n.written_at) + 1e-6, i,
                [this, i, log, upto = Answered(log)] { Begun(i, log, upto); });
     }
-    for (const auto& [log, seq] : a->committed) Kept(i, log, seq);
-    for (const auto& [log, seq] : a->committed) ledger.kept(i, log, seq);
+    for (const auto& [log, sequence] : a->committed) Kept(i, log, sequence);
+    for (const auto& [log, sequence] : a->committed) ledger.kept(i, log, sequence);
     if (!a->store_is_stale) return;  // else a new disk, and a new process on it
     if (!put_back && !faults.planted())
       return Break(i, "gives its disk up, which was never put back");
@@ -283,11 +283,11 @@
     });
   }
   // Answered: whoever acts on the log later must know of it.
-  void Kept(std::size_t i, LogId log, SequenceNumber seq) {
+  void Kept(std::size_t i, LogId log, SequenceNumber sequence) {
     const View& view = world.ViewOf(i);
     auto& kept = model_[log];
     const LogAssignment* place = view.Log(log);
-    for (SequenceNumber s = kept.empty() ? 1 : kept.rbegin()->first + 1; s <= seq; ++s) {
+    for (SequenceNumber s = kept.empty() ? 1 : kept.rbegin()->first + 1; s <= sequence; ++s) {
       const Operation* op = Find(i, log, s);
       if (op == nullptr) {
         Break(i, "answers operation " + std::to_string(s) + " that it does not have");
@@ -307,16 +307,16 @@
     }
   }
   // As the owner has it: on its disk, of those that were made under this number.
-  const Operation* Find(std::size_t i, LogId log, SequenceNumber seq) {
-    const auto record = nodes_[i].disk.find(OperationKey(log, seq));
+  const Operation* Find(std::size_t i, LogId log, SequenceNumber sequence) {
+    const auto record = nodes_[i].disk.find(OperationKey(log, sequence));
     if (record == nodes_[i].disk.end()) return nullptr;
-    const auto made = made_[log].find({seq, DecodeOperation(record->second)->epoch});
+    const auto made = made_[log].find({sequence, DecodeOperation(record->second)->epoch});
     return made == made_[log].end() ? nullptr : &made->second;
   }
-  bool OnDisk(std::size_t d, LogId log, SequenceNumber seq, std::uint64_t epoch) const {
+  bool OnDisk(std::size_t d, LogId log, SequenceNumber sequence, std::uint64_t epoch) const {
     const auto head = nodes_[d].disk.find(HeadKey(log));
-    if (head != nodes_[d].disk.end() && DecodeLogHead(head->second)->applied >= seq) return true;
-    const auto op = nodes_[d].disk.find(OperationKey(log, seq));
+    if (head != nodes_[d].disk.end() && DecodeLogHead(head->second)->applied >= sequence) return true;
+    const auto op = nodes_[d].disk.find(OperationKey(log, sequence));
     return op != nodes_[d].disk.end() && DecodeOperation(op->second)->epoch == epoch;
   }
   // It may act: the entries on its disk, and the operations that follow them, must hold all that
@@ -334,8 +334,8 @@
     if (head == disk.end()) return Break(i, "acts on a log that its disk does not have");
     const SequenceNumber applied = DecodeLogHead(head->second)->applied;
     std::map<std::string, Operation> last;  // answered, by entry
-    for (const auto& [seq, op] : model_[log]) {
-      if (seq <= upto) last[op.key] = op;
+    for (const auto& [sequence, op] : model_[log]) {
+      if (sequence <= upto) last[op.key] = op;
     }
     if (applied < upto) {
       return Break(i, "acts on operations up to " + std::to_string(applied) + ", answered were " +
@@ -344,16 +344,16 @@
     const std::string prefix = nodes_[i].copies->EntryPrefixOf(log);
     for (const auto& [key, op] : last) {
       const auto it = disk.find(prefix + key);
-      const SequenceNumber has = it == disk.end() ? 0 : DecodeOperation(it->second)->seq;
+      const SequenceNumber has = it == disk.end() ? 0 : DecodeOperation(it->second)->sequence;
       bool taken_out = false;
       for (const auto& [id, made] : made_[log])
-        taken_out |= made.key == key && made.gone && id.first >= op.seq && id.first <= applied;
-      if (has < op.seq && !taken_out) {
-        return Break(i, "lacks entry " + key + " of operation " + std::to_string(op.seq) +
+        taken_out |= made.key == key && made.gone && id.first >= op.sequence && id.first <= applied;
+      if (has < op.sequence && !taken_out) {
+        return Break(i, "lacks entry " + key + " of operation " + std::to_string(op.sequence) +
                             ", has " + std::to_string(has) + " applied " + std::to_string(applied));
       }
-      if (has == op.seq && DecodeOperation(it->second)->epoch != op.epoch)
-        return Break(i, "has another operation " + std::to_string(op.seq));
+      if (has == op.sequence && DecodeOperation(it->second)->epoch != op.epoch)
+        return Break(i, "has another operation " + std::to_string(op.sequence));
     }
     std::vector<Operation> entries;
     for (auto it = disk.lower_bound(prefix); it != disk.end() && it->first.starts_with(prefix);
