--- a/src/codec/copies.cpp
+++ b/src/codec/copies.cpp
@@ -31,13 +31,13 @@
   w.Number(12, f.chunk);
   w.Number(13, static_cast<std::uint8_t>(f.last));
   w.Number(14, static_cast<std::uint8_t>(f.matched));
-  for (const copies::Operation& op : f.ops) {
+  for (const copies::Operation& op : f.operations) {
     Writer inner;
     inner.Number(1, op.sequence);
     inner.Number(2, op.epoch);
     inner.Text(3, op.key);
     inner.Text(4, op.value);
-    inner.Number(5, static_cast<std::uint8_t>(op.gone));
+    inner.Number(5, static_cast<std::uint8_t>(op.erase));
     w.Nested(15, inner.bytes());
   }
   return w.Take();
@@ -68,15 +68,15 @@
     if (r.field() == 13) f.last = r.Raw<std::uint8_t>() != 0;
     if (r.field() == 14) f.matched = r.Raw<std::uint8_t>() != 0;
     if (r.field() != 15) continue;
-    if (f.ops.size() >= kMaxOperations) return std::nullopt;
-    copies::Operation& op = f.ops.emplace_back();
+    if (f.operations.size() >= kMaxOperations) return std::nullopt;
+    copies::Operation& op = f.operations.emplace_back();
     Reader in(r.value());
     while (in.Next()) {
       if (in.field() == 1) op.sequence = in.Raw<std::uint64_t>();
       if (in.field() == 2) op.epoch = in.Raw<std::uint64_t>();
       if (in.field() == 3) op.key = in.value();
       if (in.field() == 4) op.value = in.value();
-      if (in.field() == 5) op.gone = in.Raw<std::uint8_t>() != 0;
+      if (in.field() == 5) op.erase = in.Raw<std::uint8_t>() != 0;
     }
     if (!in.ok() || op.key.size() > kMaxKeyBytes) return std::nullopt;
   }
--- a/src/copies/durable_job_queue.h
+++ b/src/copies/durable_job_queue.h
@@ -75,7 +75,7 @@
     std::vector<double> ages_s;  // of job->tried: at most so long ago; infinite: not known
   };
   struct Hooks {
-    std::function<SequenceNumber(LogId, std::string key, std::string value, bool gone,
+    std::function<SequenceNumber(LogId, std::string key, std::string value, bool erase,
                                  ReplicatedLogs::AppendError*)>
         append;
     std::function<bool(LogId)> may_act;  // by a clock read now
--- a/src/copies/idempotency_key_registry.h
+++ b/src/copies/idempotency_key_registry.h
@@ -26,7 +26,7 @@
   };
   struct Hooks {
     // The view is looked at before each call of this class: no log is released within an append.
-    std::function<SequenceNumber(LogId, std::string key, std::string value, bool gone,
+    std::function<SequenceNumber(LogId, std::string key, std::string value, bool erase,
                                  ReplicatedLogs::AppendError*)>
         append;
     std::function<double(LogId, SequenceNumber)> max_age_s;
--- a/src/copies/log.cpp
+++ b/src/copies/log.cpp
@@ -14,14 +14,14 @@
 }  // namespace
 
 const Operation* ReplicatedLogs::Log::At(SequenceNumber sequence) const {
-  if (ops.empty() || sequence < ops.front().sequence || sequence > ops.back().sequence) return nullptr;
-  return &ops[sequence - ops.front().sequence];
+  if (operations.empty() || sequence < operations.front().sequence || sequence > operations.back().sequence) return nullptr;
+  return &operations[sequence - operations.front().sequence];
 }
 
 // Of an operation that is known; 0: it is not.
 std::uint64_t ReplicatedLogs::Log::EpochAt(SequenceNumber sequence) const {
   if (const Operation* op = At(sequence)) return op->epoch;
-  if (!ops.empty() && sequence + 1 == ops.front().sequence) return before;
+  if (!operations.empty() && sequence + 1 == operations.front().sequence) return before;
   return sequence == head.applied ? head.applied_epoch : 0;
 }
 
@@ -46,7 +46,7 @@
   for (SequenceNumber sequence = log->head.applied + 1; sequence <= until; ++sequence) {
     const Operation& op = *log->At(sequence);
     batch_.push_back({StoreWrite::Kind::kErase, OperationKey(id, sequence), ""});
-    if (op.gone) {
+    if (op.erase) {
       batch_.push_back(
           {StoreWrite::Kind::kErase, EntryKey(id, log->head.snapshot_generation, op.key), ""});
     } else {
@@ -59,16 +59,16 @@
   PutHead(id, *log);
   // An owner keeps some for holders that are behind.
   const std::size_t keep = log->own ? o_.retained_operations : 0;
-  while (log->ops.size() > keep && !log->ops.empty() && log->ops.front().sequence <= log->head.applied) {
+  while (log->operations.size() > keep && !log->operations.empty() && log->operations.front().sequence <= log->head.applied) {
     log->Drop();
   }
 }
 
 // Takes out what no owner answered: all from this number on.
 void ReplicatedLogs::Truncate(LogId id, Log* log, SequenceNumber from) {
-  while (!log->ops.empty() && log->ops.back().sequence >= from) {
-    batch_.push_back({StoreWrite::Kind::kErase, OperationKey(id, log->ops.back().sequence), ""});
-    log->ops.pop_back();
+  while (!log->operations.empty() && log->operations.back().sequence >= from) {
+    batch_.push_back({StoreWrite::Kind::kErase, OperationKey(id, log->operations.back().sequence), ""});
+    log->operations.pop_back();
   }
   log->stored = std::min(log->stored, log->End());
   for (Flight& f : flights_) {
--- a/src/copies/records.cpp
+++ b/src/copies/records.cpp
@@ -64,7 +64,7 @@
   w.Number(2, op.epoch);
   w.Text(3, op.key);
   w.Text(4, op.value);
-  w.Number(5, static_cast<std::uint8_t>(op.gone));
+  w.Number(5, static_cast<std::uint8_t>(op.erase));
   return w.Take();
 }
 
@@ -76,7 +76,7 @@
     if (r.field() == 2) op.epoch = r.Raw<std::uint64_t>();
     if (r.field() == 3) op.key = r.value();
     if (r.field() == 4) op.value = r.value();
-    if (r.field() == 5) op.gone = r.Raw<std::uint8_t>() != 0;
+    if (r.field() == 5) op.erase = r.Raw<std::uint8_t>() != 0;
   }
   return r.ok() ? std::optional(std::move(op)) : std::nullopt;
 }
--- a/src/copies/records.h
+++ b/src/copies/records.h
@@ -22,7 +22,7 @@
   SequenceNumber sequence = 0;
   std::uint64_t epoch = 0;
   std::string key, value;
-  bool gone = false;
+  bool erase = false;
 };
 
 // To the store, in this order and all or none.
@@ -60,7 +60,7 @@
   // Which snapshot, and which part; kStatus: how many parts it has.
   std::uint64_t snapshot_id = 0, chunk = 0;
   bool last = false, matched = false;
-  std::vector<Operation> ops = {};
+  std::vector<Operation> operations = {};
 };
 
 std::string HeadKey(LogId log);
--- a/src/copies/replicated_logs.cpp
+++ b/src/copies/replicated_logs.cpp
@@ -38,7 +38,7 @@
     Log& log = logs_[parts->log];
     auto op = DecodeOperation(value);
     // One that is missing ends what is known: what follows it can't be told from another's.
-    if (op && op->sequence == log.End() + 1) log.ops.push_back(std::move(*op));
+    if (op && op->sequence == log.End() + 1) log.operations.push_back(std::move(*op));
   }
   for (auto& [id, log] : logs_) {
     log.before = log.head.applied_epoch;
@@ -130,7 +130,7 @@
 }
 
 SequenceNumber ReplicatedLogs::Append(double now, LogId id, std::string key, std::string value,
-                                      bool gone, AppendError* reason, Actions* actions) {
+                                      bool erase, AppendError* reason, Actions* actions) {
   const auto it = logs_.find(id);
   *reason = AppendError::kNone;
   const LogAssignment* place = view_.Log(id);
@@ -149,8 +149,8 @@
   }
   Log& log = it->second;
   log.Mark(now);
-  log.ops.push_back({log.End() + 1, log.since, std::move(key), std::move(value), gone});
-  Put(id, log.ops.back());
+  log.operations.push_back({log.End() + 1, log.since, std::move(key), std::move(value), erase});
+  Put(id, log.operations.back());
   Flush(actions);
   for (auto& [who, peer] : log.peers) SendAppend(now, id, &log, who, &peer, actions);
   return log.End();
@@ -204,7 +204,7 @@
         continue;
       }
       if (peer.snapshot_id != 0) {
-        const bool trimmed = !log.ops.empty() && log.ops.front().sequence > peer.snapshot_sequence + 1;
+        const bool trimmed = !log.operations.empty() && log.operations.front().sequence > peer.snapshot_sequence + 1;
         if (trimmed || now - peer.heard_at > o_.replica_timeout_s) {
           peer.Forget();
         } else if (!peer.reading && peer.chunk > peer.part.chunk && now >= peer.chunk_at) {
--- a/src/copies/replicated_logs.h
+++ b/src/copies/replicated_logs.h
@@ -76,7 +76,7 @@
   // An empty log that this member acts on is to end; nothing more is taken into it.
   void Close(LogId log);
   // An operation on a log that this member acts on. Its number; 0: refused; `reason` says why.
-  SequenceNumber Append(double now, LogId log, std::string key, std::string value, bool gone,
+  SequenceNumber Append(double now, LogId log, std::string key, std::string value, bool erase,
                         AppendError* reason, Actions* actions);
   void OnMessage(double now, NodeId from, const ReplicationMessage& frame, Actions* actions);
   void OnStored(double now, std::uint64_t ticket, Actions* actions);
@@ -132,11 +132,11 @@
   };
   struct Log {
     LogHead head;
-    std::deque<Operation> ops;  // after the first that is kept; some may be applied already
+    std::deque<Operation> operations;  // after the first that is kept; some may be applied already
     std::uint64_t before = 0;   // the epoch of the one before these
     void Drop() {               // the first of them
-      before = ops.front().epoch;
-      ops.pop_front();
+      before = operations.front().epoch;
+      operations.pop_front();
     }
     SequenceNumber stored = 0;       // on this disk
     SequenceNumber head_stored = 0;  // applied, as the disk has it
@@ -158,7 +158,7 @@
     NodeId pass_to = 0;              // it is to be the owner
     bool passing = false;            // that was asked for under this view, and may come to be
     std::set<NodeId> asked;          // under this view; they are waited for until the next
-    SequenceNumber End() const { return ops.empty() ? head.applied : ops.back().sequence; }
+    SequenceNumber End() const { return operations.empty() ? head.applied : operations.back().sequence; }
     const Operation* At(SequenceNumber sequence) const;
     std::uint64_t EpochAt(SequenceNumber sequence) const;
   };
--- a/src/copies/replication.cpp
+++ b/src/copies/replication.cpp
@@ -73,7 +73,7 @@
                                 Actions* actions) {
   if (!peer->met) return SendStatusQuery(id, *log, to, peer, actions);
   if (peer->snapshot_id != 0) return;
-  const SequenceNumber first = log->ops.empty() ? log->head.applied + 1 : log->ops.front().sequence;
+  const SequenceNumber first = log->operations.empty() ? log->head.applied + 1 : log->operations.front().sequence;
   if (peer->next < first) return StartSnapshot(now, id, log, peer, actions);
   ReplicationMessage f{.kind = ReplicationMessage::Kind::kAppend,
                        .log = id,
@@ -87,7 +87,7 @@
     const Operation& op = *log->At(peer->next);
     bytes += op.key.size() + op.value.size();
     if (n > 0 && bytes > o_.max_message_bytes) break;
-    f.ops.push_back(op);
+    f.operations.push_back(op);
     peer->next += 1;
   }
   peer->sent_at = now;
@@ -130,7 +130,7 @@
     f.sequence = peer.snapshot_sequence;
     f.sequence_epoch = it->second.EpochAt(peer.snapshot_sequence);
     if (!entries.empty()) peer.after = entries.back().key;
-    f.ops = std::move(entries);
+    f.operations = std::move(entries);
     peer.sent_at = now;
     actions->send.emplace_back(who, f);
     return;
@@ -150,7 +150,7 @@
   if (log.snapshot_id != f.snapshot_id || f.chunk != log.chunk || f.sequence < log.head.applied) {
     return SendStatus(from, f.log, log, false, actions);
   }
-  for (const Operation& op : f.ops) {
+  for (const Operation& op : f.operations) {
     batch_.push_back({StoreWrite::Kind::kPut, EntryKey(f.log, next, op.key), Encode(op)});
   }
   log.chunk += 1;
@@ -158,8 +158,8 @@
     batch_.push_back(
         {StoreWrite::Kind::kErasePrefix, EntryPrefix(f.log, log.head.snapshot_generation), ""});
     // Later ones stay: they may have been answered.
-    while (!log.ops.empty() && log.ops.front().sequence <= f.sequence) {
-      batch_.push_back({StoreWrite::Kind::kErase, OperationKey(f.log, log.ops.front().sequence), ""});
+    while (!log.operations.empty() && log.operations.front().sequence <= f.sequence) {
+      batch_.push_back({StoreWrite::Kind::kErase, OperationKey(f.log, log.operations.front().sequence), ""});
       log.Drop();
     }
     log.head.snapshot_generation = next;
@@ -179,24 +179,24 @@
   const bool known = f.sequence < log->head.applied || log->EpochAt(f.sequence) == f.sequence_epoch;
   if (f.sequence > log->End() || !known) return SendStatus(from, f.log, *log, false, actions);
   SequenceNumber upto = f.sequence;
-  if (!f.ops.empty()) {
+  if (!f.operations.empty()) {
     // A holder that is waited for hears of an operation before it counts. One that was stopped may
     // find frames that waited as long; one that is not waited for hears of it when it may.
     const LogAssignment* place = view_.Log(f.log);
     const LogReplica* self = place == nullptr ? nullptr : place->Find(o_.self);
     if (self == nullptr || self->store_id != o_.store_id || f.commit > log->End()) {
-      log->late = std::max(log->late, f.ops.back().sequence);
+      log->late = std::max(log->late, f.operations.back().sequence);
     } else {
       log->Mark(before_ - kOnItsWayS);
     }
   }
-  for (const Operation& op : f.ops) {
+  for (const Operation& op : f.operations) {
     if (op.sequence != ++upto) return;  // no frame of ours
     if (op.sequence <= log->head.applied) continue;
     const Operation* mine = log->At(op.sequence);
     if (mine != nullptr && mine->epoch == op.epoch) continue;
     if (mine != nullptr) Truncate(f.log, log, op.sequence);
-    log->ops.push_back(op);
+    log->operations.push_back(op);
     Put(f.log, op);
   }
   log->matched = std::max(log->matched, upto);
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -85,7 +85,7 @@
   f.sequence_epoch = 3;
   f.number = 8;
   f.last = f.matched = true;
-  f.ops = {{7, 4, "H:a:1", std::string(2000, 'x'), false}, {8, 4, "H:a:2", "", true}};
+  f.operations = {{7, 4, "H:a:1", std::string(2000, 'x'), false}, {8, 4, "H:a:2", "", true}};
   return f;
 }
 
--- a/tests/durable_job_queue_test.cpp
+++ b/tests/durable_job_queue_test.cpp
@@ -95,13 +95,13 @@
         limits, random_.NextUint64() | 1,
         DurableJobQueue::Hooks{
             .append =
-                [this, i](LogId log, const std::string& key, const std::string& value, bool gone,
+                [this, i](LogId log, const std::string& key, const std::string& value, bool erase,
                           ReplicatedLogs::AppendError* error) {
-                  if (gone && planted_.end_not_written)
+                  if (erase && planted_.end_not_written)
                     return copies_.Put(i, log, "none", "", true, error);
-                  const SequenceNumber sequence = copies_.Put(i, log, key, value, gone, error);
-                  if (gone && sequence != 0) truth_[key].end_made = true;
-                  if (planted_.answered_before_kept && !gone && sequence != 0)
+                  const SequenceNumber sequence = copies_.Put(i, log, key, value, erase, error);
+                  if (erase && sequence != 0) truth_[key].end_made = true;
+                  if (planted_.answered_before_kept && !erase && sequence != 0)
                     truth_[key].promised = true;
                   return sequence;
                 },
--- a/tests/idempotency_keys_test.cpp
+++ b/tests/idempotency_keys_test.cpp
@@ -93,9 +93,9 @@
         IdempotencyKeyRegistry::Limits{},
         IdempotencyKeyRegistry::Hooks{
             .append =
-                [this, i](LogId log, const std::string& key, const std::string& value, bool gone,
+                [this, i](LogId log, const std::string& key, const std::string& value, bool erase,
                           ReplicatedLogs::AppendError* error) {
-                  return copies_.Put(i, log, key, value, gone, error);
+                  return copies_.Put(i, log, key, value, erase, error);
                 },
             .max_age_s =
                 [this, i](LogId log, SequenceNumber sequence) {
--- a/tests/support/replication_simulation.h
+++ b/tests/support/replication_simulation.h
@@ -91,8 +91,8 @@
       ReplicatedLogs::AppendError reason{};
       const std::string key = "k" + std::to_string(random.Below(40)),
                         value = "v" + std::to_string(++values_);
-      const bool gone = random.Below(3) == 0;
-      Put(i, log, key, gone ? "" : value, gone, &reason);
+      const bool erase = random.Below(3) == 0;
+      Put(i, log, key, erase ? "" : value, erase, &reason);
       refused += reason == ReplicatedLogs::AppendError::kTooFewReplicas;
     }
   }
@@ -102,10 +102,10 @@
     return acts;
   }
   SequenceNumber Put(std::size_t i, LogId log, const std::string& key, const std::string& value,
-                     bool gone, ReplicatedLogs::AppendError* reason) {
-    Operation op{.key = key, .value = value, .gone = gone};
+                     bool erase, ReplicatedLogs::AppendError* reason) {
+    Operation op{.key = key, .value = value, .erase = erase};
     Do(i, [&](ReplicatedLogs* c, double now, ReplicatedLogs::Actions* a) {
-      op.sequence = c->Append(now, log, key, value, gone, reason, a);
+      op.sequence = c->Append(now, log, key, value, erase, reason, a);
       if (op.sequence == 0) return;
       op.epoch = world.ViewOf(i).Log(log)->owner_epoch;
       made_[log][{op.sequence, op.epoch}] = op;
@@ -347,7 +347,7 @@
       const SequenceNumber has = it == disk.end() ? 0 : DecodeOperation(it->second)->sequence;
       bool taken_out = false;
       for (const auto& [id, made] : made_[log])
-        taken_out |= made.key == key && made.gone && id.first >= op.sequence && id.first <= applied;
+        taken_out |= made.key == key && made.erase && id.first >= op.sequence && id.first <= applied;
       if (has < op.sequence && !taken_out) {
         return Break(i, "lacks entry " + key + " of operation " + std::to_string(op.sequence) +
                             ", has " + std::to_string(has) + " applied " + std::to_string(applied));
