--- a/src/codec/copies.cpp
+++ b/src/codec/copies.cpp
@@ -21,15 +21,15 @@
   w.Number(2, f.epoch);
   w.Number(3, f.store_id);
   w.Number(4, f.sequence);
-  w.Number(5, f.commit);
-  w.Number(6, f.end);
+  w.Number(5, f.commit_index);
+  w.Number(6, f.end_sequence);
   w.Number(7, f.sequence_epoch);
   w.Number(8, f.end_epoch);
-  w.Number(9, f.number);
+  w.Number(9, f.query_number);
   w.Number(10, f.process_incarnation);
   w.Number(11, f.snapshot_id);
   w.Number(12, f.chunk);
-  w.Number(13, static_cast<std::uint8_t>(f.last));
+  w.Number(13, static_cast<std::uint8_t>(f.last_chunk));
   w.Number(14, static_cast<std::uint8_t>(f.matched));
   for (const copies::Operation& op : f.operations) {
     Writer inner;
@@ -54,18 +54,18 @@
                                   &f.epoch,
                                   &f.store_id,
                                   &f.sequence,
-                                  &f.commit,
-                                  &f.end,
+                                  &f.commit_index,
+                                  &f.end_sequence,
                                   &f.sequence_epoch,
                                   &f.end_epoch,
-                                  &f.number,
+                                  &f.query_number,
                                   &f.process_incarnation,
                                   &f.snapshot_id,
                                   &f.chunk};
   Reader r(bytes.substr(1));
   while (r.Next()) {
     if (r.field() >= 1 && r.field() <= 12) *words[r.field()] = r.Raw<std::uint64_t>();
-    if (r.field() == 13) f.last = r.Raw<std::uint8_t>() != 0;
+    if (r.field() == 13) f.last_chunk = r.Raw<std::uint8_t>() != 0;
     if (r.field() == 14) f.matched = r.Raw<std::uint8_t>() != 0;
     if (r.field() != 15) continue;
     if (f.operations.size() >= kMaxOperations) return std::nullopt;
--- a/src/copies/records.h
+++ b/src/copies/records.h
@@ -53,13 +53,13 @@
   LogId log = 0;
   std::uint64_t epoch = 0;  // in which the owner became it
   std::uint64_t store_id = 0;   // of the holder: whose it is, or for whom
-  SequenceNumber sequence = 0, commit = 0, end = 0;
+  SequenceNumber sequence = 0, commit_index = 0, end_sequence = 0;
   std::uint64_t sequence_epoch = 0, end_epoch = 0;
-  std::uint64_t number = 0;  // of a kStatusQuery, and of the kStatus that answers it
+  std::uint64_t query_number = 0;  // of a kStatusQuery, and of the kStatus that answers it
   membership::ProcessIncarnation process_incarnation = 0;  // of the process that says kStatus
   // Which snapshot, and which part; kStatus: how many parts it has.
   std::uint64_t snapshot_id = 0, chunk = 0;
-  bool last = false, matched = false;
+  bool last_chunk = false, matched = false;
   std::vector<Operation> operations = {};
 };
 
--- a/src/copies/replication.cpp
+++ b/src/copies/replication.cpp
@@ -48,9 +48,9 @@
                        .store_id = o_.store_id};
   f.sequence = matched ? std::min(log.matched, log.stored) : log.head.applied;
   f.matched = matched;
-  f.commit = log.head.applied;
-  f.end = log.End();
-  f.end_epoch = log.EpochAt(f.end);
+  f.commit_index = log.head.applied;
+  f.end_sequence = log.End();
+  f.end_epoch = log.EpochAt(f.end_sequence);
   f.process_incarnation = o_.process_incarnation;
   f.snapshot_id = log.snapshot_id;
   f.chunk = log.chunk_stored;
@@ -64,7 +64,7 @@
                        .log = id,
                        .epoch = log.since,
                        .store_id = peer->store_id};
-  f.number = peer->asked;
+  f.query_number = peer->asked;
   actions->send.emplace_back(to, std::move(f));
 }
 
@@ -81,7 +81,7 @@
                        .store_id = peer->store_id};
   f.sequence = peer->next - 1;
   f.sequence_epoch = log->EpochAt(f.sequence);
-  f.commit = log->commit;
+  f.commit_index = log->commit;
   std::size_t bytes = 0;
   for (std::size_t n = 0; n < o_.max_message_operations && peer->next <= log->End(); ++n) {
     const Operation& op = *log->At(peer->next);
@@ -126,7 +126,7 @@
          .store_id = peer.store_id};
     f.snapshot_id = snapshot_id;
     f.chunk = peer.chunk;
-    f.last = last;
+    f.last_chunk = last;
     f.sequence = peer.snapshot_sequence;
     f.sequence_epoch = it->second.EpochAt(peer.snapshot_sequence);
     if (!entries.empty()) peer.after = entries.back().key;
@@ -154,7 +154,7 @@
     batch_.push_back({StoreWrite::Kind::kPut, EntryKey(f.log, next, op.key), Encode(op)});
   }
   log.chunk += 1;
-  if (f.last) {
+  if (f.last_chunk) {
     batch_.push_back(
         {StoreWrite::Kind::kErasePrefix, EntryPrefix(f.log, log.head.snapshot_generation), ""});
     // Later ones stay: they may have been answered.
@@ -184,7 +184,7 @@
     // find frames that waited as long; one that is not waited for hears of it when it may.
     const LogAssignment* place = view_.Log(f.log);
     const LogReplica* self = place == nullptr ? nullptr : place->Find(o_.self);
-    if (self == nullptr || self->store_id != o_.store_id || f.commit > log->End()) {
+    if (self == nullptr || self->store_id != o_.store_id || f.commit_index > log->End()) {
       log->late = std::max(log->late, f.operations.back().sequence);
     } else {
       log->Mark(before_ - kOnItsWayS);
@@ -200,7 +200,7 @@
     Put(f.log, op);
   }
   log->matched = std::max(log->matched, upto);
-  Apply(f.log, log, std::min(f.commit, std::min(log->matched, log->stored)));
+  Apply(f.log, log, std::min(f.commit_index, std::min(log->matched, log->stored)));
   Flush(actions);
   if (log->stored >= log->matched) return SendStatus(from, f.log, *log, true, actions);
   answer_to_[f.log] = from;
@@ -235,7 +235,7 @@
     case ReplicationMessage::Kind::kStatusQuery:
       Flush(actions);
       SendStatus(from, f.log, log, false, actions);
-      actions->send.back().second.number = f.number;
+      actions->send.back().second.query_number = f.query_number;
       return;
     case ReplicationMessage::Kind::kAppend:
       return OnAppend(from, f, &log, actions);
@@ -258,13 +258,13 @@
     peer.Forget();
   }
   if (!peer.met) {
-    if (f.number == 0 || f.number != peer.asked) return;
+    if (f.query_number == 0 || f.query_number != peer.asked) return;
     peer.met = true;
     peer.process_incarnation = f.process_incarnation;
     peer.next = peer.first = f.sequence + 1;
-    peer.end = {f.end_epoch, f.end};
+    peer.end = {f.end_epoch, f.end_sequence};
     // It has less than it said that it had on disk.
-    if (f.end < peer.acked) {
+    if (f.end_sequence < peer.acked) {
       actions->send.emplace_back(from,
                                  ReplicationMessage{.kind = ReplicationMessage::Kind::kStaleStore,
                                                     .log = f.log,
@@ -273,20 +273,20 @@
       return;
     }
   }
-  if (f.commit > log.End()) return AbandonStore(actions);
+  if (f.commit_index > log.End()) return AbandonStore(actions);
   if (peer.snapshot_id != 0) {
-    if (f.commit > peer.snapshot_sequence) {  // it has more than the snapshot holds
+    if (f.commit_index > peer.snapshot_sequence) {  // it has more than the snapshot holds
       peer.Forget();
       return;
     }
     if (f.snapshot_id != peer.snapshot_id || f.chunk != peer.chunk + 1 || peer.reading) return;
     peer.chunk += 1;
     peer.chunk_at = now + o_.snapshot_chunk_interval_s;
-    if (!peer.part.last) return;
+    if (!peer.part.last_chunk) return;
     peer.snapshot_id = 0;  // it has all of it
     peer.acked = peer.snapshot_sequence;
     peer.next = peer.first = peer.snapshot_sequence + 1;
-  } else if (f.number == 0 && !f.matched) {
+  } else if (f.query_number == 0 && !f.matched) {
     peer.Forget();  // ours did not fit to what it has; this word of it may be late itself
     return;
   } else if (f.matched) {
@@ -298,7 +298,7 @@
     log.pass_to = from;
   }
   Commit(now, f.log, &log, actions);
-  if (peer.next <= log.End() || f.number != 0) SendAppend(now, f.log, &log, from, &peer, actions);
+  if (peer.next <= log.End() || f.query_number != 0) SendAppend(now, f.log, &log, from, &peer, actions);
   Flush(actions);
 }
 
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -83,8 +83,8 @@
                                .sequence = 6,
                                .commit = 5};
   f.sequence_epoch = 3;
-  f.number = 8;
-  f.last = f.matched = true;
+  f.query_number = 8;
+  f.last_chunk = f.matched = true;
   f.operations = {{7, 4, "H:a:1", std::string(2000, 'x'), false}, {8, 4, "H:a:2", "", true}};
   return f;
 }
