--- a/src/copies/replicated_logs.cpp
+++ b/src/copies/replicated_logs.cpp
@@ -144,7 +144,7 @@
     *reason = AppendError::kFull;
   }
   if (*reason != AppendError::kNone) {
-    counters_.refusals += 1;
+    counters_.rejected_appends += 1;
     return 0;
   }
   Log& log = it->second;
@@ -167,14 +167,14 @@
 std::vector<ReplicatedLogs::LogStatus> ReplicatedLogs::LogStatuses() const {
   std::vector<LogStatus> all;
   for (const auto& [id, log] : logs_) {
-    LogStatus held{.log = id, .own = log.own};
+    LogStatus status{.log = id, .is_owner = log.own};
     for (const auto& [who, peer] : log.peers) {
-      held.holders += peer.holder;
-      held.receiving_snapshot += peer.snapshot_id != 0;
+      status.replicas += peer.holder;
+      status.receiving_snapshot += peer.snapshot_id != 0;
       if (peer.holder)
-        held.behind = std::max(held.behind, log.End() - std::min(peer.acked, log.End()));
+        status.max_lag = std::max(status.max_lag, log.End() - std::min(peer.acked, log.End()));
     }
-    all.push_back(held);
+    all.push_back(status);
   }
   return all;
 }
--- a/src/copies/replicated_logs.h
+++ b/src/copies/replicated_logs.h
@@ -40,7 +40,7 @@
 };
 
 struct Counters {
-  std::uint64_t promises = 0, adoptions = 0, refusals = 0, snapshot_transfers = 0, stale_stores = 0;
+  std::uint64_t committed_operations = 0, takeovers = 0, rejected_appends = 0, snapshot_transfers = 0, stale_stores = 0;
 };
 
 class ReplicatedLogs {
@@ -99,9 +99,9 @@
   std::string DescribeReplicas(LogId id) const;  // for a log line: how far its holders are
   struct LogStatus {                             // of one log, for figures
     LogId log = 0;
-    bool own = false;
-    std::size_t holders = 0, receiving_snapshot = 0;
-    SequenceNumber behind = 0;  // operations that some holder lacks
+    bool is_owner = false;
+    std::size_t replicas = 0, receiving_snapshot = 0;
+    SequenceNumber max_lag = 0;  // operations that some holder lacks
   };
   std::vector<LogStatus> LogStatuses() const;
   const Counters& counters() const { return counters_; }
--- a/src/copies/replication.cpp
+++ b/src/copies/replication.cpp
@@ -27,14 +27,14 @@
     if (who != o_.self && !log->peers.contains(who)) commit = 0;
   }
   if (commit > log->commit && place->replicas.size() >= o_.min_replicas) {
-    counters_.promises += commit - std::max(log->commit, std::min(log->base, commit));
+    counters_.committed_operations += commit - std::max(log->commit, std::min(log->base, commit));
     log->commit = commit;
     actions->committed.emplace_back(id, commit);
     Apply(id, log, commit);
   }
   if (!log->begun && log->commit >= log->base && log->pass_to == 0 && !log->passing) {
     log->begun = true;
-    counters_.adoptions += 1;
+    counters_.takeovers += 1;
     actions->acquired.push_back(id);
   }
   RequestReplicas(now, log, *place);
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -443,15 +443,15 @@
     const copies::ReplicatedLogs& c = copies_->decisions();
     std::uint64_t own = 0, behind = 0;
     for (const auto& held : c.LogStatuses()) {
-      own += held.own;
-      behind = std::max<std::uint64_t>(behind, held.behind);
+      own += held.is_owner;
+      behind = std::max<std::uint64_t>(behind, held.max_lag);
     }
     count("copies.logs_held", c.LogStatuses().size(), 'g');
     count("copies.logs_owned", own, 'g');
     count("copies.most_behind", behind, 'g');
-    count("copies.promises", c.counters().promises);
-    count("copies.adoptions", c.counters().adoptions);
-    count("copies.refusals", c.counters().refusals);
+    count("copies.promises", c.counters().committed_operations);
+    count("copies.adoptions", c.counters().takeovers);
+    count("copies.refusals", c.counters().rejected_appends);
     count("copies.fillings", c.counters().snapshot_transfers);
     count("copies.lies", c.counters().stale_stores);
     count("copies.store_failed", store_->failed() ? 1 : 0, 'g');
