--- a/src/copies/durable_job_queue.cpp
+++ b/src/copies/durable_job_queue.cpp
@@ -46,8 +46,8 @@
 std::string Encode(const JobRecord& job) {
   encoding::Writer w;
   w.Text(1, job.function);
-  w.Text(2, job.unique);
-  w.Text(3, job.cls);
+  w.Text(2, job.unique_id);
+  w.Text(3, job.class_name);
   w.Text(4, job.tenant);
   w.Text(5, job.body);
   w.Number(6, job.priority);
@@ -62,8 +62,8 @@
   encoding::Reader r(bytes);
   while (r.Next()) {
     if (r.field() == 1) job.function = r.value();
-    if (r.field() == 2) job.unique = r.value();
-    if (r.field() == 3) job.cls = r.value();
+    if (r.field() == 2) job.unique_id = r.value();
+    if (r.field() == 3) job.class_name = r.value();
     if (r.field() == 4) job.tenant = r.value();
     if (r.field() == 5) job.body = r.value();
     if (r.field() == 6) job.priority = std::min<std::uint8_t>(r.Raw<std::uint8_t>(), 2);
@@ -84,7 +84,7 @@
 }
 
 std::size_t DurableJobQueue::SizeOf(const JobRecord& job) {
-  return kOverhead + job.handle.size() + job.function.size() + 2 * job.unique.size() +
+  return kOverhead + job.handle.size() + job.function.size() + 2 * job.unique_id.size() +
          job.body.size();
 }
 
@@ -94,8 +94,8 @@
   load.bytes += SizeOf(record);
   bytes_ += SizeOf(record);
   logs_[log].jobs += 1;
-  if (!record.unique.empty())
-    uniques_.emplace(std::pair(record.function, record.unique), record.handle);
+  if (!record.unique_id.empty())
+    uniques_.emplace(std::pair(record.function, record.unique_id), record.handle);
   std::string handle = record.handle;
   Job& job = jobs_[std::move(handle)];
   job.record = std::move(record);
@@ -117,7 +117,7 @@
   ending_ -= job.state == State::kEnding;
   later_.erase({job.at, it->first});
   LeaveLine(job);
-  const auto unique = uniques_.find({job.record.function, job.record.unique});
+  const auto unique = uniques_.find({job.record.function, job.record.unique_id});
   if (unique != uniques_.end() && unique->second == it->first) uniques_.erase(unique);
   JobRecord record = std::move(job.record);
   jobs_.erase(it);
@@ -157,18 +157,18 @@
 DurableJobQueue::RejectReason DurableJobQueue::RejectReasonOf(ReplicatedLogs::AppendError reason) {
   return reason == ReplicatedLogs::AppendError::kTooFewReplicas ? RejectReason::kTooFewReplicas
          : reason == ReplicatedLogs::AppendError::kFull         ? RejectReason::kFull
-         : reason == ReplicatedLogs::AppendError::kStoreFailed  ? RejectReason::kStore
+         : reason == ReplicatedLogs::AppendError::kStoreFailed  ? RejectReason::kStoreFailed
                                                                 : RejectReason::kNoLog;
 }
 
 void DurableJobQueue::Submit(double now, JobRecord record, Then then) {
   const auto refuse = [&](RejectReason reason) {
-    counters_.refused += 1;
+    counters_.rejected += 1;
     then(record.handle, reason, kReturnS);
   };
   if (main_ == 0 || stopping_) return refuse(RejectReason::kNoLog);
-  if (const std::string same = Find(record.function, record.unique);
-      !record.unique.empty() && !same.empty()) {
+  if (const std::string same = Find(record.function, record.unique_id);
+      !record.unique_id.empty() && !same.empty()) {
     Job& job = jobs_[same];
     if (job.state != State::kAsked) return then(same, RejectReason::kNone, 0);
     logs_[job.log].pending_commits.emplace(
@@ -200,8 +200,8 @@
     if (owed.end) {
       if (job == jobs_.end()) continue;
       const JobOutcome outcome = job->second.outcome;
-      (outcome == JobOutcome::kCompleted ? counters_.served : counters_.failed) += 1;
-      hooks_.ended(Remove(job), outcome);
+      (outcome == JobOutcome::kCompleted ? counters_.completed : counters_.failed) += 1;
+      hooks_.on_ended(Remove(job), outcome);
     } else if (owed.then) {
       counters_.accepted += 1;
       if (job != jobs_.end() && job->second.state == State::kAsked) SetReady(&job->second);
@@ -240,7 +240,7 @@
   counters_.rounds += 1;
   Round round{.job = &job->record, .number = ++rounds_, .ages_s = {}};
   for (const AttemptRecord& t : job->record.attempts) {
-    round.ages_s.push_back(hooks_.age(job->log, t.sequence == 0 ? job->put : t.sequence));
+    round.ages_s.push_back(hooks_.max_age_s(job->log, t.sequence == 0 ? job->put : t.sequence));
   }
   hooks_.run(round);
 }
@@ -334,7 +334,7 @@
     Job* job = Put(std::move(*record), log);
     job->put = op.sequence;
     job->at = now;
-    counters_.adopted += 1;
+    counters_.recovered += 1;
     SetReady(job);
   }
   Tidy();
@@ -353,11 +353,11 @@
     theirs.push_back(handle);
     if (job.state == State::kRunning) running.push_back(handle);
   }
-  counters_.lost += theirs.size();
+  counters_.handed_over += theirs.size();
   for (const std::string& handle : theirs) Remove(jobs_.find(handle));
   for (const std::string& handle : running) hooks_.abort(handle);
   for (const auto& [sequence, o] : owed) {
-    if (o.then) o.then(o.handle, RejectReason::kLost, kReturnS);
+    if (o.then) o.then(o.handle, RejectReason::kOwnershipLost, kReturnS);
     if (o.sent) o.sent(false);
   }
 }
@@ -410,7 +410,7 @@
 
 // When a log of its own is to be asked for.
 double DurableJobQueue::OpensAt() const {
-  if (!limits_.takes || stopping_ || leased_since_ < 0 || !logs_.empty()) return kInf;
+  if (!limits_.accepts_jobs || stopping_ || leased_since_ < 0 || !logs_.empty()) return kInf;
   const double settled_at = leased_since_ + limits_.settle_s;
   return opened_ == 0 ? settled_at : std::max(settled_at, opened_at_ + kOpenAgainS);
 }
--- a/src/copies/durable_job_queue.h
+++ b/src/copies/durable_job_queue.h
@@ -31,7 +31,7 @@
 
 struct JobRecord {
   std::string handle;  // unique in the cluster for ever
-  std::string function, unique, cls, tenant, body;
+  std::string function, unique_id, class_name, tenant, body;
   std::uint8_t priority = 1;            // 0 high, 1 normal, 2 low
   std::vector<AttemptRecord> attempts;  // and may have run, oldest first
 };
@@ -54,7 +54,7 @@
     std::size_t running = 64;                     // at once; the others wait here
     double retry_min_s = 0.1, retry_max_s = 5.0;  // between two rounds of one job
     double settle_s = 1.0;  // a lease held for so long without a log of jobs: one is opened
-    bool takes = true;      // else it opens none, and only has what it adopts
+    bool accepts_jobs = true;      // else it opens none, and only has what it adopts
   };
   enum class RejectReason : std::uint8_t {
     kNone,
@@ -62,8 +62,8 @@
     kTooFewReplicas,
     kFull,
     kTenantFull,
-    kStore,
-    kLost
+    kStoreFailed,
+    kOwnershipLost
   };
   enum class JobOutcome : std::uint8_t { kCompleted, kFailed, kRejected };
   // Whether it is promised now; else why not, and when to come back (seconds).
@@ -80,14 +80,14 @@
         append;
     std::function<bool(LogId)> may_act;  // by a clock read now
     std::function<void(LogId)> open, close;
-    std::function<double(LogId, SequenceNumber)> age;  // as LogReplicator::MaxAge
+    std::function<double(LogId, SequenceNumber)> max_age_s;  // as LogReplicator::MaxAge
     std::function<void(const Round&)> run;
     std::function<void(const std::string& handle)> abort;  // it is another member's now
-    std::function<void(const JobRecord&, JobOutcome)> ended = [](const JobRecord&, JobOutcome) {};
+    std::function<void(const JobRecord&, JobOutcome)> on_ended = [](const JobRecord&, JobOutcome) {};
   };
   struct Counters {
-    std::uint64_t accepted = 0, refused = 0, adopted = 0, rounds = 0, served = 0, failed = 0,
-                  lost = 0;  // lost: given over to another member
+    std::uint64_t accepted = 0, rejected = 0, recovered = 0, rounds = 0, completed = 0, failed = 0,
+                  handed_over = 0;  // jobs of logs that another member owns now
   };
 
   // `number` is never another process's: names of logs and jobs are made of it.
--- a/src/net/cluster/promised_jobs.cpp
+++ b/src/net/cluster/promised_jobs.cpp
@@ -27,9 +27,9 @@
       return "queue full";
     case DurableJobQueue::RejectReason::kTenantFull:
       return "tenant's queue full";
-    case DurableJobQueue::RejectReason::kStore:
+    case DurableJobQueue::RejectReason::kStoreFailed:
       return "store failed";
-    case DurableJobQueue::RejectReason::kLost:
+    case DurableJobQueue::RejectReason::kOwnershipLost:
       break;
   }
   return "not known whether kept";
@@ -53,7 +53,7 @@
              .may_act = [this](copies::LogId log) { return member_->copies()->Acts(log); },
              .open = [this](copies::LogId log) { member_->copies()->Open(log); },
              .close = [this](copies::LogId log) { member_->copies()->Close(log); },
-             .age = [this](
+             .max_age_s = [this](
                         copies::LogId log,
                         copies::SequenceNumber seq) { return member_->copies()->MaxAge(log, seq); },
              .run = [this](const DurableJobQueue::Round& round) { Run(round); },
@@ -61,7 +61,7 @@
                  [this](const std::string& handle) {
                    if (runner_ != nullptr) runner_->Abort(handle);
                  },
-             .ended =
+             .on_ended =
                  [](const copies::JobRecord& job, DurableJobQueue::JobOutcome how) {
                    Events().info(
                        "cluster job={} function={} tenant={} ended={}", job.handle, job.function,
@@ -109,8 +109,8 @@
   copies::JobRecord record;
   record.handle = jobs_.NewHandle("H:" + name_ + ":");
   record.function = std::move(job.function);
-  record.unique = std::move(job.unique);
-  record.cls = std::move(job.cls);
+  record.unique_id = std::move(job.unique);
+  record.class_name = std::move(job.cls);
   record.tenant = std::move(job.tenant);
   record.body = std::move(job.body);
   record.priority = static_cast<std::uint8_t>(std::clamp(job.priority, 0, 2));
@@ -157,8 +157,8 @@
   job.handle = record.handle;
   job.wire_id = record.handle + tail;
   job.function = record.function;
-  job.unique = record.unique;
-  job.cls = record.cls;
+  job.unique = record.unique_id;
+  job.cls = record.class_name;
   job.tenant = record.tenant;
   job.body = record.body;
   job.priority = record.priority;
@@ -183,12 +183,12 @@
   count("running", jobs_.running(), 'g');
   count("logs", jobs_.logs(), 'g');
   count("accepted", c.accepted);
-  count("refused", c.refused);
-  count("adopted", c.adopted);
+  count("refused", c.rejected);
+  count("adopted", c.recovered);
   count("rounds", c.rounds);
-  count("served", c.served);
+  count("served", c.completed);
   count("failed", c.failed);
-  count("given_over", c.lost);
+  count("given_over", c.handed_over);
   return out.str();
 }
 
--- a/src/node/node_cluster.cpp
+++ b/src/node/node_cluster.cpp
@@ -34,7 +34,7 @@
 
 void Node::StartDurableJobs() {
   copies::DurableJobQueue::Limits limits = config_.cluster.jobs;
-  limits.takes = gearman_ != nullptr;
+  limits.accepts_jobs = gearman_ != nullptr;
   const std::uint64_t high = std::random_device{}();
   const std::uint64_t low = std::random_device{}();
   promised_ = std::make_unique<cluster::PromisedJobs>(&loop_, member_.get(), limits, config_.name,
--- a/tests/durable_job_queue_test.cpp
+++ b/tests/durable_job_queue_test.cpp
@@ -108,13 +108,13 @@
             .may_act = [this, i](LogId log) { return copies_.Acts(i, log); },
             .open = [this, i](LogId log) { copies_.Open(i, log); },
             .close = [this, i](LogId log) { copies_.Close(i, log); },
-            .age =
+            .max_age_s =
                 [this, i](LogId log, SequenceNumber sequence) {
                   return copies_.At(i)->MaxAge(world_.now(), log, sequence);
                 },
             .run = [this, i](const DurableJobQueue::Round& round) { Run(i, round); },
             .abort = [this](const std::string&) { lost += 1; },
-            .ended = [this](const JobRecord& job,
+            .on_ended = [this](const JobRecord& job,
                             DurableJobQueue::JobOutcome outcome) { Ended(job, outcome); }});
     Beat(i);
   }
@@ -245,13 +245,13 @@
   for (const bool takes : {false, true}) {
     std::vector<LogId> opened;
     DurableJobQueue::Limits limits;
-    limits.takes = takes;
+    limits.accepts_jobs = takes;
     DurableJobQueue jobs(limits, 7,
                          {.append = {},
                           .may_act = {},
                           .open = [&](LogId log) { opened.push_back(log); },
                           .close = {},
-                          .age = {},
+                          .max_age_s = {},
                           .run = {},
                           .abort = {}});
     jobs.OnLease(100, true);
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -244,8 +244,8 @@
 inline copies::JobRecord SampleJob() {
   return {.handle = "H:a:1",
           .function = "charge",
-          .unique = "u-1",
-          .cls = "cobro",
+          .unique_id = "u-1",
+          .class_name = "cobro",
           .tenant = "andes",
           .body = std::string("b\0y", 3),
           .priority = 2,
