--- a/src/net/cluster/async_record_store.h
+++ b/src/net/cluster/async_record_store.h
@@ -49,7 +49,7 @@
 
   std::uint64_t disk() const { return failed_ || !store_ ? 0 : store_->store_id(); }
   bool failed() const { return failed_; }
-  double used() const { return store_ ? store_->used() : 0; }  // of max_bytes, 0 to 1
+  double used() const { return store_ ? store_->used_fraction() : 0; }  // of max_bytes, 0 to 1
   const Figures& figures() const { return figures_; }
 
  private:
--- a/src/store/record_store.cpp
+++ b/src/store/record_store.cpp
@@ -239,7 +239,7 @@
   }
   if (!Run("COMMIT")) return false;
   const std::int64_t pages = Number("PRAGMA page_count"), free = Number("PRAGMA freelist_count");
-  used_ = static_cast<double>(pages - free) / static_cast<double>(max_pages_);
+  used_fraction_ = static_cast<double>(pages - free) / static_cast<double>(max_pages_);
   return true;
 }
 
--- a/src/store/record_store.h
+++ b/src/store/record_store.h
@@ -63,7 +63,7 @@
   // Sees all that was given to Write before.
   void Read(std::string prefix, std::string after, std::size_t max_records, Found found);
   // Of `max_bytes`, 0 to 1: as of the last commit. At 1 a write would fail.
-  double used() const { return used_.load(); }
+  double used_fraction() const { return used_fraction_.load(); }
 
  private:
   struct Job {
@@ -104,7 +104,7 @@
   std::deque<Job> jobs_;
   bool stop_ = false, failed_ = false;
   int code_ = 0;  // SQLite's, of what failed last
-  std::atomic<double> used_ = 0;
+  std::atomic<double> used_fraction_ = 0;
 };
 
 }  // namespace millethollow::store
--- a/tests/record_store_test.cpp
+++ b/tests/record_store_test.cpp
@@ -223,7 +223,7 @@
     ++n;
   EXPECT_GT(n, 500);
   EXPECT_LT(n, 1700);
-  EXPECT_GT(store->used(), 0.9);
+  EXPECT_GT(store->used_fraction(), 0.9);
   EXPECT_FALSE(Put({PutOf(copies::EntryKey(kLog, 0, "0"), "")}))
       << "after a failure the disk may hold either state";
   ASSERT_TRUE(Open(folder)) << error;
