--- a/src/copies/idempotency_key_client.cpp
+++ b/src/copies/idempotency_key_client.cpp
@@ -73,7 +73,7 @@
 
 void IdempotencyKeyClient::OnMessage(const IdempotencyMessage& message) {
   const ClaimId& id = message.claim;
-  if (id.who != self_ || id.process_incarnation != process_incarnation_) return;
+  if (id.node != self_ || id.process_incarnation != process_incarnation_) return;
   const auto it = claims_.find(id.number);
   if (it == claims_.end() || it->second.request.key != message.key) return;
   OpenClaim& claim = it->second;
--- a/src/copies/idempotency_key_registry.cpp
+++ b/src/copies/idempotency_key_registry.cpp
@@ -74,13 +74,13 @@
 
 template <typename Body>
 void IdempotencyKeyRegistry::Reply(const IdempotencyMessage& message, Body body) {
-  hooks_.send(message.claim.who, {message.log, message.key, message.claim, std::move(body)});
+  hooks_.send(message.claim.node, {message.log, message.key, message.claim, std::move(body)});
 }
 
 template <typename Body>
 void IdempotencyKeyRegistry::Send(const std::string& key, const Record& record, const ClaimId& to,
                                   Body body) {
-  hooks_.send(to.who, {record.log, key, to, std::move(body)});
+  hooks_.send(to.node, {record.log, key, to, std::move(body)});
 }
 
 ClaimGranted IdempotencyKeyRegistry::Grant(const Record& record) const {
@@ -93,7 +93,7 @@
 }
 
 void IdempotencyKeyRegistry::OnMessage(double now, NodeId from, const IdempotencyMessage& message) {
-  if (message.claim.who != from) return;
+  if (message.claim.node != from) return;
   const auto* claim = std::get_if<ClaimRequest>(&message.body);
   const auto* attempt = std::get_if<AttemptRequest>(&message.body);
   const auto* release = std::get_if<ReleaseRequest>(&message.body);
@@ -156,7 +156,7 @@
 // that wait may run it.
 void IdempotencyKeyRegistry::PassToNextWaiting(double now, const std::string& key, Record* record) {
   if (record->stored.answered || record->erasing) return;
-  if (record->stored.claim.who != 0) {
+  if (record->stored.claim.node != 0) {
     if (hooks_.alive(record->stored.claim)) return;
     record->stored.claim = {};
     record->attempt = 0;
@@ -247,7 +247,7 @@
   const std::uint64_t last_attempt = std::exchange(record->attempt, 0);
   record->expires_at = now + record->stored.window_s;
   PassToNextWaiting(now, key, record);
-  if (record->stored.claim.who != 0) return;
+  if (record->stored.claim.node != 0) return;
   if (record->stored.attempts.empty() ? Erase(key, record) : Write(key, record)) return;
   record->stored = before;  // the request is sent again
   record->attempt = last_attempt;
@@ -282,7 +282,7 @@
     }
   } else if (record.attempt > 0) {
     Send(key, record, claim, AttemptAllowed{record.attempt});
-  } else if (claim.who != 0) {
+  } else if (claim.node != 0) {
     Send(key, record, claim, Grant(record));
   }
 }
@@ -291,7 +291,7 @@
   std::vector<std::string> open, expired;
   for (const auto& [key, record] : records_) {
     if (!record.committed || record.erasing) continue;
-    const bool claimed = record.stored.claim.who != 0;
+    const bool claimed = record.stored.claim.node != 0;
     const bool answered = record.stored.answered;
     if (!answered && (claimed || !record.waiting.empty())) open.push_back(key);
     const bool over = (answered || !claimed) && now >= record.expires_at;
--- a/src/copies/idempotency_record.cpp
+++ b/src/copies/idempotency_record.cpp
@@ -13,7 +13,7 @@
 
 std::string Encode(const ClaimId& claim) {
   encoding::Writer writer;
-  writer.Raw(claim.who);
+  writer.Raw(claim.node);
   writer.Raw(claim.process_incarnation);
   writer.Raw(claim.number);
   return writer.Take();
@@ -21,7 +21,7 @@
 
 ClaimId TakeClaim(encoding::Reader* reader) {
   ClaimId claim;
-  claim.who = reader->Raw<std::uint64_t>();
+  claim.node = reader->Raw<std::uint64_t>();
   claim.process_incarnation = reader->Raw<std::uint64_t>();
   claim.number = reader->Raw<std::uint64_t>();
   return claim;
@@ -31,7 +31,7 @@
 
 std::string Encode(const IdempotencyRecord& record) {
   encoding::Writer writer;
-  if (record.claim.who != 0) writer.Nested(kClaim, Encode(record.claim));
+  if (record.claim.node != 0) writer.Nested(kClaim, Encode(record.claim));
   for (const AttemptRecord& attempt : record.attempts) writer.Nested(kAttempt, Encode(attempt));
   writer.Number(kWindow, record.window_s);
   writer.Number(kAnswered, static_cast<std::uint8_t>(record.answered));
--- a/src/copies/idempotency_record.h
+++ b/src/copies/idempotency_record.h
@@ -16,7 +16,7 @@
 // One request with a key: the member that a client asked, its process, and the number of the claim
 // within that process.
 struct ClaimId {
-  NodeId who = 0;  // 0: nobody
+  NodeId node = 0;  // 0: nobody
   ProcessIncarnation process_incarnation = 0;
   std::uint64_t number = 0;
   auto operator<=>(const ClaimId&) const = default;
--- a/tests/idempotency_keys_test.cpp
+++ b/tests/idempotency_keys_test.cpp
@@ -103,7 +103,7 @@
                 },
             .alive =
                 [this, i](const ClaimId& c) {
-                  const auto* member = world_.ViewOf(i).Find(c.who);
+                  const auto* member = world_.ViewOf(i).Find(c.node);
                   return member != nullptr && member->process_incarnation == c.process_incarnation;
                 },
             .send = [this, i](NodeId to,
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -253,7 +253,7 @@
                        {.worker = "toy-2", .local_worker = false, .sequence = 0}}};
 }
 inline copies::IdempotencyRecord SampleKey() {
-  return {.claim = {.who = 3, .process_incarnation = 31, .number = 6},
+  return {.claim = {.node = 3, .process_incarnation = 31, .number = 6},
           .attempts = {{.worker = "toy-1", .local_worker = false, .sequence = 44}},
           .window_s = 40,
           .answered = true,
