--- a/src/copies/replica_assignment.cpp
+++ b/src/copies/replica_assignment.cpp
@@ -103,7 +103,7 @@
     if (peer.holder || !peer.met || peer.acked < must || log->pass_to != 0 || member == nullptr ||
         member->store_id != peer.store_id)
       continue;
-    if (now - peer.heard_at <= o_.replica_timeout_s && holders.size() < o_.copies)
+    if (now - peer.heard_at <= o_.replica_timeout_s && holders.size() < o_.replica_count)
       holders.push_back({who, peer.store_id});
   }
   // Not fewer than must be: who is silent may come back with all of it.
--- a/src/copies/replicated_logs.cpp
+++ b/src/copies/replicated_logs.cpp
@@ -188,7 +188,7 @@
     if (!log.own || place == nullptr || !leased_) continue;
     std::size_t copies = 1;
     for (const auto& [who, peer] : log.peers) copies += now - peer.heard_at <= o_.replica_timeout_s;
-    if (copies < o_.copies) {
+    if (copies < o_.replica_count) {
       if (const NodeId who = Candidate(now, id, log)) {
         Peer& peer = log.peers[who];
         peer.store_id = view_.Find(who)->store_id;
--- a/src/copies/replicated_logs.h
+++ b/src/copies/replicated_logs.h
@@ -28,7 +28,7 @@
   NodeId self = 0;
   ProcessIncarnation process_incarnation = 0;
   std::uint64_t store_id = 0;  // the number of this member's store
-  std::size_t copies = 3, min_replicas = 2;
+  std::size_t replica_count = 3, min_replicas = 2;
   double replica_timeout_s = 1.0;             // a holder silent for so long is to be put out
   double resend_interval_s = 0.25;            // what is not answered goes out again
   double snapshot_chunk_interval_s = 0.01;    // between two chunks of a snapshot
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -151,7 +151,7 @@
   copies::Options o;
   o.self = self_;
   o.process_incarnation = process_incarnation_;
-  o.copies = options_.copies;
+  o.replica_count = options_.copies;
   o.min_replicas = options_.min_replicas;
   copies_ = std::make_unique<LogReplicator>(
       loop_, store_.get(), o,
