--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -159,11 +159,11 @@
   bool Open(std::uint64_t cluster = 1, membership::NodeId self = 2) {
     file = std::make_unique<store::VoteFile>();
     votes = {};
-    return file->Open(folder, cluster, self, Written(), &votes, &damaged, &error);
+    return file->Open(folder, cluster, self, WriteCallback(), &votes, &damaged, &error);
   }
   bool Write(const membership::PersistentVoterState& v) {
     file->Write(v, 7);
-    return Waits(7);
+    return WaitForWrite(7);
   }
   static membership::PersistentVoterState Some() {
     return {.promised = {3, 2},
@@ -197,9 +197,9 @@
   ASSERT_TRUE(Open());
   Write(Some());
   file.reset();
-  const std::string whole = Bytes("votes");
+  const std::string whole = FileContents("votes");
   for (std::size_t n = 0; n < whole.size(); ++n) {
-    Put("votes", whole.substr(0, n));
+    WriteFile("votes", whole.substr(0, n));
     ASSERT_TRUE(Open()) << error;
     EXPECT_TRUE(damaged) << n;
     EXPECT_EQ(votes.storage_identity.number, 0U) << n;
@@ -212,7 +212,7 @@
   ASSERT_TRUE(Open());
   Write(Some());
   file.reset();
-  const std::string whole = Bytes("votes");
+  const std::string whole = FileContents("votes");
   EXPECT_FALSE(Open(5, 2));
   EXPECT_NE(error.find("another cluster"), std::string::npos) << error;
   EXPECT_FALSE(Open(1, 5));
@@ -221,10 +221,10 @@
   later[7] = 9;
   encoding::Writer hash;
   hash.Raw(codec::Hash(later));
-  Put("votes", later + hash.bytes());
+  WriteFile("votes", later + hash.bytes());
   EXPECT_FALSE(Open());
   EXPECT_NE(error.find("of schema 9"), std::string::npos) << error;
-  EXPECT_EQ(Bytes("votes"), later + hash.bytes()) << "nothing was overwritten";
+  EXPECT_EQ(FileContents("votes"), later + hash.bytes()) << "nothing was overwritten";
 }
 
 TEST(ClusterSection, EachMistakeIsOneClearLine) {
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -264,22 +264,22 @@
   store::VoteFile file;
   membership::PersistentVoterState votes;
   bool damaged = true;
-  ASSERT_TRUE(file.Open(folder, cluster, self, Written(), &votes, &damaged, &error)) << error;
+  ASSERT_TRUE(file.Open(folder, cluster, self, WriteCallback(), &votes, &damaged, &error)) << error;
   EXPECT_FALSE(damaged);
   EXPECT_GT(votes.writes, 0U);
   EXPECT_EQ(votes.accepted.members.size(), 3U);
   EXPECT_EQ(votes.accepted.logs.size(), 3U);
   EXPECT_EQ(votes.known_identities.size(), 2U);
   EXPECT_GT(votes.promised.round, 0U);
-  const std::string before = Bytes("votes");
+  const std::string before = FileContents("votes");
   file.Write(votes, 1);
-  ASSERT_TRUE(Waits(1));
-  EXPECT_EQ(Bytes("votes"), before);
+  ASSERT_TRUE(WaitForWrite(1));
+  EXPECT_EQ(FileContents("votes"), before);
 }
 
 TEST_F(MemberFolder, LogsAndWorkersOutByHandAreRead) {
   store::RecordStore store;
-  ASSERT_TRUE(store.Open(folder, {cluster, self, 1}, 16 << 20, Written(), &error)) << error;
+  ASSERT_TRUE(store.Open(folder, {cluster, self, 1}, 16 << 20, WriteCallback(), &error)) << error;
   EXPECT_NE(store.store_id(), 1U) << "the file was made anew";
   store::RecordStore::Records records;
   Lines damaged;
--- a/tests/record_store_test.cpp
+++ b/tests/record_store_test.cpp
@@ -25,11 +25,11 @@
     store.reset();
     store = std::make_unique<RecordStore>();
     error.clear();
-    return store->Open(at, who, max_bytes, Written(), &error);
+    return store->Open(at, who, max_bytes, WriteCallback(), &error);
   }
   bool Put(std::vector<StoreWrite> batch) {  // waits until it is there
     store->Write(std::move(batch), ++tickets);
-    return Waits(tickets);
+    return WaitForWrite(tickets);
   }
   Model All(const std::string& prefix, std::size_t max_records = 3) {
     Model all;
@@ -166,13 +166,13 @@
   }
   ASSERT_TRUE(Put(batch));
   store.reset();  // all of it is in the file now
-  const std::string bytes = Bytes("copies.db");
+  const std::string bytes = FileContents("copies.db");
   membership::Random random(3);
   std::size_t noticed = 0, refused = 0;
   for (int n = 0; n < 150; ++n) {
     std::string off = bytes;
     off[random.Below(off.size())] ^= static_cast<char>(1 << random.Below(8));
-    Folder::Put("copies.db", off);
+    Folder::WriteFile("copies.db", off);
     if (!Open(folder)) {
       EXPECT_NE(error.find("copies' store"), std::string::npos) << error;
       EXPECT_EQ(error.find('\n'), std::string::npos);
@@ -211,7 +211,7 @@
   refuses({1, 9, 5}, "of another member");
   Sql("UPDATE about SET number=9 WHERE what='schema'");
   refuses({1, 2, 5}, "of schema 9, this build reads up to 1");
-  Folder::Put("copies.db", std::string(5000, 'x'));
+  Folder::WriteFile("copies.db", std::string(5000, 'x'));
   refuses({1, 2, 5}, "not a database");
 }
 
--- a/tests/support/folder.h
+++ b/tests/support/folder.h
@@ -21,7 +21,7 @@
   }
   ~Folder() override { std::filesystem::remove_all(folder); }
   // For a store that is opened now: what its thread has written.
-  auto Written() {
+  auto WriteCallback() {
     done = 0;
     failed = false;
     return [this](std::uint64_t ticket, bool ok) {
@@ -31,17 +31,17 @@
       changed.notify_all();
     };
   }
-  bool Waits(std::uint64_t ticket) {  // until it is there; false: it will not be
+  bool WaitForWrite(std::uint64_t ticket) {  // until it is there; false: it will not be
     std::unique_lock lock(mutex);
     changed.wait(lock, [&] { return done >= ticket || failed; });
     return !failed;
   }
-  std::string Bytes(const std::string& file) const {
+  std::string FileContents(const std::string& file) const {
     std::stringstream text;
     text << std::ifstream(folder + "/" + file, std::ios::binary).rdbuf();
     return text.str();
   }
-  void Put(const std::string& file, const std::string& bytes) const {
+  void WriteFile(const std::string& file, const std::string& bytes) const {
     std::ofstream(folder + "/" + file, std::ios::binary) << bytes;
   }
   std::string folder, error;
