--- a/tests/cluster/days_test.cpp
+++ b/tests/cluster/days_test.cpp
@@ -22,7 +22,7 @@
         jobs_(&harness_, kWorkers) {
     for (std::size_t w = 0; w < kWorkers; ++w) {
       harness_.worker(w).act = [this](const ToyWorker::Got& got) {
-        jobs_.served.insert(got.body);
+        jobs_.completed_bodies.insert(got.body);
         ToyWorker::Done(got, "ok");
       };
     }
@@ -55,17 +55,17 @@
     const auto done = [&] {
       if (harness_.now() < look_at) return false;
       look_at = harness_.now() + 0.5;
-      return jobs_.Held() == 0 && jobs_.Wrong().empty();
+      return jobs_.HeldJobs() == 0 && jobs_.Violations().empty();
     };
     if (!harness_.Until(done, 30)) Wrong("promised jobs are left");
-    for (const std::string& w : jobs_.Wrong()) Wrong(w);
+    for (const std::string& w : jobs_.Violations()) Wrong(w);
     for (const std::string& w : history_.Wrong()) Wrong(w);
     for (const std::string& w : harness_.broken()) Wrong(w);
   }
   const std::string& wrong() const { return wrong_; }
   const std::string& script() const { return script_; }
   std::size_t asked() const { return history_.asked(); }
-  std::size_t promised() const { return jobs_.promised(); }
+  std::size_t promised() const { return jobs_.accepted(); }
   std::string Describe() {
     std::string all;
     for (std::size_t i = 0; i < members_; ++i) {
@@ -94,7 +94,7 @@
             if (history_.asked() % 2 == 0) jobs_.SubmitAny();
           }
           history_.Gather();
-          jobs_.Gather();
+          jobs_.CollectAnswers();
           return done();
         },
         timeout_s);
--- a/tests/cluster/jobs_test.cpp
+++ b/tests/cluster/jobs_test.cpp
@@ -24,7 +24,7 @@
     for (std::size_t w = 0; w < kWorkers; ++w) {
       harness->worker(w).act = [this](const ToyWorker::Got& got) {
         if (hold) return;  // it runs, and will not end
-        jobs->served.insert(got.body);
+        jobs->completed_bodies.insert(got.body);
         ToyWorker::Done(got, "ok");
       };
     }
@@ -66,19 +66,19 @@
   // So many jobs to one node, and what it says to them.
   void Submit(std::size_t node, std::size_t count) {
     for (std::size_t n = 0; n < count; ++n) jobs->Submit(node, n % 2 == 0);
-    EXPECT_TRUE(harness->Until([&] { return jobs->Gather(), jobs->AllAnswered(); }, 15));
+    EXPECT_TRUE(harness->Until([&] { return jobs->CollectAnswers(), jobs->AllAnswered(); }, 15));
   }
   void AllDone(double timeout_s = 30) {
     double ask_at = 0;
     EXPECT_TRUE(harness->Until(
         [&] {
-          jobs->Gather();
+          jobs->CollectAnswers();
           if (!jobs->AllAnswered() || harness->now() < ask_at) return false;
           ask_at = harness->now() + 0.3;
-          return jobs->Held() == 0 && jobs->Wrong().empty();
+          return jobs->HeldJobs() == 0 && jobs->Violations().empty();
         },
         timeout_s));
-    EXPECT_EQ(jobs->Wrong(), std::vector<std::string>{});
+    EXPECT_EQ(jobs->Violations(), std::vector<std::string>{});
   }
   std::size_t Deliveries() {
     std::size_t n = 0;
@@ -94,7 +94,7 @@
   Begin();
   hold = true;
   Submit(0, 60);
-  EXPECT_EQ(jobs->promised(), 60U);
+  EXPECT_EQ(jobs->accepted(), 60U);
   harness->Kill(0);
   harness->TakeFolder(0);
   hold = false;
@@ -117,7 +117,7 @@
   EXPECT_TRUE(harness->Until([&] { return harness->Whole() && Ready(3); }, 30));
   Submit(0, 10);
   AllDone();
-  EXPECT_EQ(jobs->promised(), 40U);
+  EXPECT_EQ(jobs->accepted(), 40U);
 }
 
 TEST_F(PromisedJobs, OutliveTheDeathOfAllAndOfOneFolderBesides) {
@@ -129,7 +129,7 @@
   harness->Start(1);
   harness->Start(2);  // a majority's folders alone
   AllDone();
-  EXPECT_EQ(jobs->promised(), 60U);
+  EXPECT_EQ(jobs->accepted(), 60U);
   harness->TakeFolder(0);
   harness->Start(0);
   EXPECT_TRUE(harness->Until([&] { return harness->Whole() && Ready(3); }, 30));
@@ -142,7 +142,7 @@
     return harness->Until(
         [&] {
           if (harness->now() >= next) jobs->SubmitAny(), next = harness->now() + 0.04;
-          jobs->Gather();
+          jobs->CollectAnswers();
           return done();
         },
         timeout_s);
@@ -154,7 +154,7 @@
     ASSERT_TRUE(serve([&] { return harness->Whole() && Ready(3); }, 30));
   }
   AllDone();
-  EXPECT_GT(jobs->promised(), 100U);
+  EXPECT_GT(jobs->accepted(), 100U);
   // The module may send a second copy of one round, but there is one round of each.
   std::map<std::string, std::set<std::string>> rounds;
   for (std::size_t w = 0; w < kWorkers; ++w) {
@@ -170,13 +170,13 @@
   harness->Kill(2);
   ASSERT_TRUE(harness->Until([&] { return !harness->Leased(0); }, 8));
   Submit(0, 2);
-  EXPECT_EQ(jobs->promised(), 0U);
-  EXPECT_EQ(jobs->refusal(0), "no majority, or not ready yet: try again after 1.0 s");
+  EXPECT_EQ(jobs->accepted(), 0U);
+  EXPECT_EQ(jobs->rejection(0), "no majority, or not ready yet: try again after 1.0 s");
   EXPECT_LT(jobs->latency_s(0), 0.5);
   harness->StartAll();
   ASSERT_TRUE(harness->Until([&] { return harness->Whole() && Ready(3); }, 30));
   Submit(0, 2);
-  EXPECT_EQ(jobs->promised(), 2U);
+  EXPECT_EQ(jobs->accepted(), 2U);
   AllDone();
 }
 
@@ -184,14 +184,14 @@
   Begin({.members = 3, .voters = 3, .shim = true});
   harness->shim(1).slow_syncs_ms = 200;
   Submit(0, 6);
-  EXPECT_EQ(jobs->promised(), 6U);
+  EXPECT_EQ(jobs->accepted(), 6U);
   EXPECT_GT(jobs->latency_s(0), 0.15) << "answered before the slow disk had it";
   harness->shim(1).slow_syncs_ms = 0;
   hold = true;
   Submit(0, 10);
   harness->shim(0).fail_syncs = 1;
   Submit(0, 2);
-  EXPECT_EQ(jobs->promised(), 16U) << "one whose disk fails promises nothing";
+  EXPECT_EQ(jobs->accepted(), 16U) << "one whose disk fails promises nothing";
   hold = false;
   AllDone();
   EXPECT_NE(harness->LogOf(0).find("cluster store-failed"), std::string::npos);
@@ -219,7 +219,7 @@
   EXPECT_TRUE(harness->Until([&] { return harness->Whole() && Ready(3); }, 30)) << "filled anew";
   Submit(1, 10);
   AllDone();
-  EXPECT_EQ(jobs->promised(), 50U);
+  EXPECT_EQ(jobs->accepted(), 50U);
 }
 
 // make copies-figures: what a promise costs at one, two and three copies, and how long a kill
@@ -275,8 +275,8 @@
     harness->Kill(0);
     harness->For(1);  // what it had sent comes to nothing
     hold = false;
-    const std::size_t before = jobs->served.size();
-    ASSERT_TRUE(harness->Until([&] { return jobs->served.size() > before; }, 30));
+    const std::size_t before = jobs->completed_bodies.size();
+    ASSERT_TRUE(harness->Until([&] { return jobs->completed_bodies.size() > before; }, 30));
     stalls.push_back(harness->now() - at);
     harness->Start(0);
     ASSERT_TRUE(harness->Until([&] { return harness->Whole() && Ready(3); }, 60));
--- a/tests/support/job_history.h
+++ b/tests/support/job_history.h
@@ -17,7 +17,7 @@
  public:
   JobHistory(ClusterHarness* harness, std::size_t workers) : harness_(harness), workers_(workers) {}
 
-  std::set<std::string> served;  // bodies that a worker was done with
+  std::set<std::string> completed_bodies;  // bodies that a worker was done with
 
   // A background job to a node that runs. Its body names it.
   bool Submit(std::size_t node, bool charge) {
@@ -35,7 +35,7 @@
     return Submit(harness_->random().Below(harness_->size()), harness_->random().Below(2) == 0);
   }
   // Takes in what was answered.
-  void Gather() {
+  void CollectAnswers() {
     for (Asked& a : asked_) {
       if (!a.peer) continue;
       const auto created = a.peer->Of(gearman::Type::kJobCreated),
@@ -43,7 +43,7 @@
       const bool over = a.peer->ended || harness_->now() - a.at > kAnswerS;
       if (created.empty() && refused.empty() && !over) continue;
       if (!created.empty()) a.handle = created[0];
-      if (!refused.empty()) a.refusal = refused[0].substr(refused[0].find('\0') + 1);
+      if (!refused.empty()) a.rejection = refused[0].substr(refused[0].find('\0') + 1);
       a.latency_s = harness_->now() - a.at;
       a.peer.reset();
     }
@@ -53,15 +53,15 @@
                         [](const Asked& a) { return a.peer != nullptr; });
   }
   std::size_t asked() const { return asked_.size(); }
-  std::size_t promised() const {
+  std::size_t accepted() const {
     return static_cast<std::size_t>(std::count_if(
         asked_.begin(), asked_.end(), [](const Asked& a) { return !a.handle.empty(); }));
   }
-  const std::string& refusal(std::size_t n) const { return asked_[n].refusal; }
+  const std::string& rejection(std::size_t n) const { return asked_[n].rejection; }
   const std::string& handle(std::size_t n) const { return asked_[n].handle; }
   double latency_s(std::size_t n) const { return asked_[n].latency_s; }
   // Jobs that the nodes which run still hold; -1 where one does not say.
-  long Held() {
+  long HeldJobs() {
     long held = 0;
     for (std::size_t i = 0; i < harness_->size(); ++i) {
       if (!harness_->Serves(i)) continue;
@@ -72,7 +72,7 @@
     return held;
   }
   // Each promise that was not kept, in words. To be asked when nothing is held any more.
-  std::vector<std::string> Wrong() const {
+  std::vector<std::string> Violations() const {
     std::map<std::string, std::set<std::size_t>> cells;  // in which a job ran
     for (std::size_t w = 0; w < workers_; ++w) {
       for (const auto& got : harness_->worker(w).got) cells[got.body].insert(w / 2);
@@ -87,7 +87,7 @@
       const bool failed =
           logs.find("job=" + a.handle + " function=" + (a.charge ? "charge" : "look") +
                     " tenant=andes ended=failed") != std::string::npos;
-      const bool done = served.contains(a.body);
+      const bool done = completed_bodies.contains(a.body);
       if (!a.handle.empty() && !done && !failed)
         wrong.push_back(which + "promised, and no worker was done with it");
       if (!a.handle.empty() && !a.charge && failed)
@@ -101,7 +101,7 @@
  private:
   static constexpr double kAnswerS = 12;
   struct Asked {
-    std::string body, handle, refusal;
+    std::string body, handle, rejection;
     std::size_t node = 0;
     bool charge = false;
     double at = 0, latency_s = 0;
