--- a/src/codec/copies.cpp
+++ b/src/codec/copies.cpp
@@ -10,77 +10,79 @@
 using encoding::Reader;
 using encoding::Writer;
 
-constexpr auto kLast = copies::ReplicationMessage::Kind::kStaleStore;
+constexpr auto kLastKind = copies::ReplicationMessage::Kind::kStaleStore;
 
 }  // namespace
 
-std::string Encode(const copies::ReplicationMessage& f) {
-  Writer w;
-  w.Raw(static_cast<std::uint8_t>(f.kind));
-  w.Number(1, f.log);
-  w.Number(2, f.epoch);
-  w.Number(3, f.store_id);
-  w.Number(4, f.sequence);
-  w.Number(5, f.commit_index);
-  w.Number(6, f.end_sequence);
-  w.Number(7, f.sequence_epoch);
-  w.Number(8, f.end_epoch);
-  w.Number(9, f.query_number);
-  w.Number(10, f.process_incarnation);
-  w.Number(11, f.snapshot_id);
-  w.Number(12, f.chunk);
-  w.Number(13, static_cast<std::uint8_t>(f.last_chunk));
-  w.Number(14, static_cast<std::uint8_t>(f.matched));
-  for (const copies::Operation& op : f.operations) {
-    Writer inner;
-    inner.Number(1, op.sequence);
-    inner.Number(2, op.epoch);
-    inner.Text(3, op.key);
-    inner.Text(4, op.value);
-    inner.Number(5, static_cast<std::uint8_t>(op.erase));
-    w.Nested(15, inner.bytes());
+std::string Encode(const copies::ReplicationMessage& message) {
+  Writer writer;
+  writer.Raw(static_cast<std::uint8_t>(message.kind));
+  writer.Number(1, message.log);
+  writer.Number(2, message.epoch);
+  writer.Number(3, message.store_id);
+  writer.Number(4, message.sequence);
+  writer.Number(5, message.commit_index);
+  writer.Number(6, message.end_sequence);
+  writer.Number(7, message.sequence_epoch);
+  writer.Number(8, message.end_epoch);
+  writer.Number(9, message.query_number);
+  writer.Number(10, message.process_incarnation);
+  writer.Number(11, message.snapshot_id);
+  writer.Number(12, message.chunk);
+  writer.Number(13, static_cast<std::uint8_t>(message.last_chunk));
+  writer.Number(14, static_cast<std::uint8_t>(message.matched));
+  for (const copies::Operation& operation : message.operations) {
+    Writer operation_writer;
+    operation_writer.Number(1, operation.sequence);
+    operation_writer.Number(2, operation.epoch);
+    operation_writer.Text(3, operation.key);
+    operation_writer.Text(4, operation.value);
+    operation_writer.Number(5, static_cast<std::uint8_t>(operation.erase));
+    writer.Nested(15, operation_writer.bytes());
   }
-  return w.Take();
+  return writer.Take();
 }
 
 std::optional<copies::ReplicationMessage> DecodeReplicationMessage(std::string_view bytes) {
-  if (bytes.empty() || static_cast<std::uint8_t>(bytes[0]) > static_cast<std::uint8_t>(kLast)) {
+  if (bytes.empty() || static_cast<std::uint8_t>(bytes[0]) > static_cast<std::uint8_t>(kLastKind)) {
     return std::nullopt;
   }
-  copies::ReplicationMessage f;
-  f.kind = static_cast<copies::ReplicationMessage::Kind>(bytes[0]);
-  std::uint64_t* const words[] = {nullptr,
-                                  &f.log,
-                                  &f.epoch,
-                                  &f.store_id,
-                                  &f.sequence,
-                                  &f.commit_index,
-                                  &f.end_sequence,
-                                  &f.sequence_epoch,
-                                  &f.end_epoch,
-                                  &f.query_number,
-                                  &f.process_incarnation,
-                                  &f.snapshot_id,
-                                  &f.chunk};
-  Reader r(bytes.substr(1));
-  while (r.Next()) {
-    if (r.field() >= 1 && r.field() <= 12) *words[r.field()] = r.Raw<std::uint64_t>();
-    if (r.field() == 13) f.last_chunk = r.Raw<std::uint8_t>() != 0;
-    if (r.field() == 14) f.matched = r.Raw<std::uint8_t>() != 0;
-    if (r.field() != 15) continue;
-    if (f.operations.size() >= kMaxOperations) return std::nullopt;
-    copies::Operation& op = f.operations.emplace_back();
-    Reader in(r.value());
-    while (in.Next()) {
-      if (in.field() == 1) op.sequence = in.Raw<std::uint64_t>();
-      if (in.field() == 2) op.epoch = in.Raw<std::uint64_t>();
-      if (in.field() == 3) op.key = in.value();
-      if (in.field() == 4) op.value = in.value();
-      if (in.field() == 5) op.erase = in.Raw<std::uint8_t>() != 0;
+  copies::ReplicationMessage message;
+  message.kind = static_cast<copies::ReplicationMessage::Kind>(bytes[0]);
+  std::uint64_t* const integers[] = {nullptr,
+                                     &message.log,
+                                     &message.epoch,
+                                     &message.store_id,
+                                     &message.sequence,
+                                     &message.commit_index,
+                                     &message.end_sequence,
+                                     &message.sequence_epoch,
+                                     &message.end_epoch,
+                                     &message.query_number,
+                                     &message.process_incarnation,
+                                     &message.snapshot_id,
+                                     &message.chunk};
+  Reader reader(bytes.substr(1));
+  while (reader.Next()) {
+    if (reader.field() >= 1 && reader.field() <= 12)
+      *integers[reader.field()] = reader.Raw<std::uint64_t>();
+    if (reader.field() == 13) message.last_chunk = reader.Raw<std::uint8_t>() != 0;
+    if (reader.field() == 14) message.matched = reader.Raw<std::uint8_t>() != 0;
+    if (reader.field() != 15) continue;
+    if (message.operations.size() >= kMaxOperations) return std::nullopt;
+    copies::Operation& operation = message.operations.emplace_back();
+    Reader operation_reader(reader.value());
+    while (operation_reader.Next()) {
+      if (operation_reader.field() == 1) operation.sequence = operation_reader.Raw<std::uint64_t>();
+      if (operation_reader.field() == 2) operation.epoch = operation_reader.Raw<std::uint64_t>();
+      if (operation_reader.field() == 3) operation.key = operation_reader.value();
+      if (operation_reader.field() == 4) operation.value = operation_reader.value();
+      if (operation_reader.field() == 5)
+        operation.erase = operation_reader.Raw<std::uint8_t>() != 0;
     }
-    if (!in.ok() || op.key.size() > kMaxKeyBytes) return std::nullopt;
+    if (!operation_reader.ok() || operation.key.size() > kMaxKeyBytes) return std::nullopt;
   }
-  return r.ok() ? std::optional(std::move(f)) : std::nullopt;
+  return reader.ok() ? std::optional(std::move(message)) : std::nullopt;
 }
 
 }  // namespace millethollow::codec
--- a/src/codec/copies.h
+++ b/src/codec/copies.h
@@ -1,4 +1,5 @@
-// Frames of the copies' logs as fields, for links.
+// The wire encoding of replication messages: numbered fields (encoding/fields.h). A field with its
+// default value is left out.
 #ifndef MILLETHOLLOW_CODEC_COPIES_H_
 #define MILLETHOLLOW_CODEC_COPIES_H_
 
@@ -10,10 +11,11 @@
 
 namespace millethollow::codec {
 
-// What bounds the memory that a frame can make us hold.
+// Limits of a decoded message, which bound the memory that a peer can make this process use.
 constexpr std::size_t kMaxOperations = 4096, kMaxKeyBytes = 1024;
 
-std::string Encode(const copies::ReplicationMessage& frame);
+std::string Encode(const copies::ReplicationMessage& message);
+// Returns nothing if the bytes are damaged or exceed a limit.
 std::optional<copies::ReplicationMessage> DecodeReplicationMessage(std::string_view bytes);
 
 }  // namespace millethollow::codec
--- a/src/codec/membership.cpp
+++ b/src/codec/membership.cpp
@@ -17,166 +17,168 @@
 
 using namespace membership;
 
-constexpr auto kLastProbe = SwimMessage::Kind::kGossip;
+constexpr auto kLastSwimKind = SwimMessage::Kind::kGossip;
 
-std::string Pair(std::uint64_t a, std::uint64_t b) {
-  Writer w;
-  w.Raw(a);
-  w.Raw(b);
-  return w.Take();
-}
-void Put(Writer* w, std::uint8_t field, const Ballot& b) {
-  if (b != Ballot{}) w->Nested(field, Pair(b.round, b.proposer));
-}
-Ballot TakeBallot(Reader* r) {
-  Ballot b;
-  b.round = r->Raw<std::uint64_t>();
-  b.proposer = r->Raw<std::uint64_t>();
-  return b;
-}
-void Put(Writer* w, std::uint8_t field, const StorageIdentity& m) {
-  if (m == StorageIdentity{}) return;
-  Writer inner;
-  inner.Raw(m.number);
-  inner.Raw(m.nonce);
-  w->Nested(field, inner.bytes());
-}
-StorageIdentity TakeStorageIdentity(Reader* r) {
-  StorageIdentity m;
-  m.number = r->Raw<std::uint32_t>();
-  m.nonce = r->Raw<std::uint64_t>();
-  return m;
-}
-void Put(Writer* w, std::uint8_t field, const VoterIdentities& identities) {
+std::string EncodePair(std::uint64_t a, std::uint64_t b) {
+  Writer writer;
+  writer.Raw(a);
+  writer.Raw(b);
+  return writer.Take();
+}
+void Put(Writer* writer, std::uint8_t field, const Ballot& ballot) {
+  if (ballot != Ballot{}) writer->Nested(field, EncodePair(ballot.round, ballot.proposer));
+}
+Ballot TakeBallot(Reader* reader) {
+  Ballot ballot;
+  ballot.round = reader->Raw<std::uint64_t>();
+  ballot.proposer = reader->Raw<std::uint64_t>();
+  return ballot;
+}
+void Put(Writer* writer, std::uint8_t field, const StorageIdentity& identity) {
+  if (identity == StorageIdentity{}) return;
+  Writer identity_writer;
+  identity_writer.Raw(identity.number);
+  identity_writer.Raw(identity.nonce);
+  writer->Nested(field, identity_writer.bytes());
+}
+StorageIdentity TakeStorageIdentity(Reader* reader) {
+  StorageIdentity identity;
+  identity.number = reader->Raw<std::uint32_t>();
+  identity.nonce = reader->Raw<std::uint64_t>();
+  return identity;
+}
+void Put(Writer* writer, std::uint8_t field, const VoterIdentities& identities) {
   for (const VoterIdentity& identity : identities) {
-    Writer inner;
-    inner.Raw(identity.id);
-    inner.Raw(identity.storage_identity.number);
-    inner.Raw(identity.storage_identity.nonce);
-    w->Nested(field, inner.bytes());
+    Writer identity_writer;
+    identity_writer.Raw(identity.id);
+    identity_writer.Raw(identity.storage_identity.number);
+    identity_writer.Raw(identity.storage_identity.nonce);
+    writer->Nested(field, identity_writer.bytes());
   }
 }
-void Take(Reader* r, VoterIdentities* identities) {
-  const auto id = r->Raw<std::uint64_t>();
-  const StorageIdentity identity = TakeStorageIdentity(r);
-  if (identities->size() >= kMaxVoters) return r->Fail();
+void Take(Reader* reader, VoterIdentities* identities) {
+  const auto id = reader->Raw<std::uint64_t>();
+  const StorageIdentity identity = TakeStorageIdentity(reader);
+  if (identities->size() >= kMaxVoters) return reader->Fail();
   identities->push_back({id, identity});
 }
-void Put(Writer* w, std::uint8_t field, const std::vector<LogAssignment>& logs) {
-  for (const LogAssignment& l : logs) {
-    Writer log;
-    log.Number(1, l.log);
-    log.Number(2, l.owner);
-    log.Number(3, l.process_incarnation);
-    log.Number(4, l.owner_epoch);
-    log.Number(5, l.version);
-    for (const LogReplica& h : l.replicas) {
-      Writer holder;
-      holder.Raw(h.id);
-      holder.Raw(h.store_id);
-      log.Nested(6, holder.bytes());
+void Put(Writer* writer, std::uint8_t field, const std::vector<LogAssignment>& logs) {
+  for (const LogAssignment& assignment : logs) {
+    Writer log_writer;
+    log_writer.Number(1, assignment.log);
+    log_writer.Number(2, assignment.owner);
+    log_writer.Number(3, assignment.process_incarnation);
+    log_writer.Number(4, assignment.owner_epoch);
+    log_writer.Number(5, assignment.version);
+    for (const LogReplica& replica : assignment.replicas) {
+      Writer replica_writer;
+      replica_writer.Raw(replica.id);
+      replica_writer.Raw(replica.store_id);
+      log_writer.Nested(6, replica_writer.bytes());
     }
-    w->Nested(field, log.bytes());
+    writer->Nested(field, log_writer.bytes());
   }
 }
 bool Take(std::string_view bytes, std::vector<LogAssignment>* logs) {
   if (logs->size() >= kMaxLogs) return false;
-  LogAssignment& l = logs->emplace_back();
-  Reader r(bytes);
-  while (r.Next()) {
-    if (r.field() == 1) l.log = r.Raw<std::uint64_t>();
-    if (r.field() == 2) l.owner = r.Raw<std::uint64_t>();
-    if (r.field() == 3) l.process_incarnation = r.Raw<std::uint64_t>();
-    if (r.field() == 4) l.owner_epoch = r.Raw<std::uint64_t>();
-    if (r.field() == 5) l.version = r.Raw<std::uint64_t>();
-    if (r.field() != 6) continue;
-    if (l.replicas.size() >= kMaxReplicasPerLog) return false;
-    const auto id = r.Raw<std::uint64_t>();
-    l.replicas.push_back({id, r.Raw<std::uint64_t>()});
+  LogAssignment& assignment = logs->emplace_back();
+  Reader reader(bytes);
+  while (reader.Next()) {
+    if (reader.field() == 1) assignment.log = reader.Raw<std::uint64_t>();
+    if (reader.field() == 2) assignment.owner = reader.Raw<std::uint64_t>();
+    if (reader.field() == 3) assignment.process_incarnation = reader.Raw<std::uint64_t>();
+    if (reader.field() == 4) assignment.owner_epoch = reader.Raw<std::uint64_t>();
+    if (reader.field() == 5) assignment.version = reader.Raw<std::uint64_t>();
+    if (reader.field() != 6) continue;
+    if (assignment.replicas.size() >= kMaxReplicasPerLog) return false;
+    const auto id = reader.Raw<std::uint64_t>();
+    assignment.replicas.push_back({id, reader.Raw<std::uint64_t>()});
   }
-  return r.ok();
-}
-void Put(Writer* w, std::uint8_t field, const View& v) {
-  if (v.epoch == 0) return;
-  Writer inner;
-  inner.Number(1, v.epoch);
-  inner.Number(3, v.settled_epoch);
-  for (const ViewMember& m : v.members) {
-    Writer member;
-    member.Number(1, m.id);
-    member.Number(2, m.process_incarnation);
-    member.Text(3, m.failure_domain);
-    member.Number(4, m.joined_epoch);
-    member.Number(5, m.store_id);
-    inner.Nested(2, member.bytes());
+  return reader.ok();
+}
+void Put(Writer* writer, std::uint8_t field, const View& view) {
+  if (view.epoch == 0) return;
+  Writer view_writer;
+  view_writer.Number(1, view.epoch);
+  view_writer.Number(3, view.settled_epoch);
+  for (const ViewMember& member : view.members) {
+    Writer member_writer;
+    member_writer.Number(1, member.id);
+    member_writer.Number(2, member.process_incarnation);
+    member_writer.Text(3, member.failure_domain);
+    member_writer.Number(4, member.joined_epoch);
+    member_writer.Number(5, member.store_id);
+    view_writer.Nested(2, member_writer.bytes());
   }
-  Put(&inner, 4, v.logs);
-  w->Nested(field, inner.bytes());
-}
-bool Take(std::string_view bytes, View* v) {
-  Reader r(bytes);
-  while (r.Next()) {
-    if (r.field() == 1) v->epoch = r.Raw<std::uint64_t>();
-    if (r.field() == 3) v->settled_epoch = r.Raw<std::uint64_t>();
-    if (r.field() == 4 && !Take(r.value(), &v->logs)) return false;
-    if (r.field() != 2) continue;
-    if (v->members.size() >= kMaxMembers) return false;
-    ViewMember& m = v->members.emplace_back();
-    Reader in(r.value());
-    while (in.Next()) {
-      if (in.field() == 1) m.id = in.Raw<std::uint64_t>();
-      if (in.field() == 2) m.process_incarnation = in.Raw<std::uint64_t>();
-      if (in.field() == 3) m.failure_domain = in.value();
-      if (in.field() == 4) m.joined_epoch = in.Raw<std::uint64_t>();
-      if (in.field() == 5) m.store_id = in.Raw<std::uint64_t>();
+  Put(&view_writer, 4, view.logs);
+  writer->Nested(field, view_writer.bytes());
+}
+bool Take(std::string_view bytes, View* view) {
+  Reader reader(bytes);
+  while (reader.Next()) {
+    if (reader.field() == 1) view->epoch = reader.Raw<std::uint64_t>();
+    if (reader.field() == 3) view->settled_epoch = reader.Raw<std::uint64_t>();
+    if (reader.field() == 4 && !Take(reader.value(), &view->logs)) return false;
+    if (reader.field() != 2) continue;
+    if (view->members.size() >= kMaxMembers) return false;
+    ViewMember& member = view->members.emplace_back();
+    Reader member_reader(reader.value());
+    while (member_reader.Next()) {
+      if (member_reader.field() == 1) member.id = member_reader.Raw<std::uint64_t>();
+      if (member_reader.field() == 2)
+        member.process_incarnation = member_reader.Raw<std::uint64_t>();
+      if (member_reader.field() == 3) member.failure_domain = member_reader.value();
+      if (member_reader.field() == 4) member.joined_epoch = member_reader.Raw<std::uint64_t>();
+      if (member_reader.field() == 5) member.store_id = member_reader.Raw<std::uint64_t>();
     }
-    if (!in.ok() || m.failure_domain.size() > kMaxFailureDomain) return false;
+    if (!member_reader.ok() || member.failure_domain.size() > kMaxFailureDomainBytes) return false;
   }
-  return r.ok();
+  return reader.ok();
 }
 
-// ---- the fields of each message, by rising number ----
+// The fields of each message, in the order of their numbers.
 
-// Writes fields; what has its default value is left out.
+// Writes fields that do not have their default value.
 struct FieldWriter {
-  Writer* w;
+  Writer* writer;
   template <typename T>
   void operator()(std::uint8_t number, const T& value) const {
     if constexpr (std::is_same_v<T, bool>) {
-      w->Number(number, static_cast<std::uint8_t>(value));
+      writer->Number(number, static_cast<std::uint8_t>(value));
     } else if constexpr (std::is_arithmetic_v<T>) {
-      w->Number(number, value);
+      writer->Number(number, value);
     } else {
-      Put(w, number, value);
+      Put(writer, number, value);
     }
   }
 };
 
-// Reads the field that the reader is at, where it has the number.
+// Reads the current field of the reader if it has the given number.
 struct FieldReader {
-  Reader* r;
+  Reader* reader;
   template <typename T>
   void operator()(std::uint8_t number, T& value) const {
-    if (r->field() != number) return;
+    if (reader->field() != number) return;
     if constexpr (std::is_same_v<T, bool>) {
-      value = r->Raw<std::uint8_t>() != 0;
+      value = reader->Raw<std::uint8_t>() != 0;
     } else if constexpr (std::is_arithmetic_v<T>) {
-      value = r->Raw<T>();
+      value = reader->Raw<T>();
     } else if constexpr (std::is_same_v<T, Ballot>) {
-      value = TakeBallot(r);
+      value = TakeBallot(reader);
     } else if constexpr (std::is_same_v<T, StorageIdentity>) {
-      value = TakeStorageIdentity(r);
+      value = TakeStorageIdentity(reader);
     } else if constexpr (std::is_same_v<T, VoterIdentities>) {
-      Take(r, &value);
-    } else if (!Take(r->value(), &value)) {
-      r->Fail();
+      Take(reader, &value);
+    } else if (!Take(reader->value(), &value)) {
+      reader->Fail();
     }
   }
 };
 
 template <typename T, typename Message>
-concept Of = std::is_same_v<std::remove_const_t<T>, Message>;
+concept SameMessage = std::is_same_v<std::remove_const_t<T>, Message>;
 
+// Fields that the messages of voters have in common.
 template <typename Visit>
 void VisitIdentities(auto& header, Visit visit) {
   visit(4, header.storage_identity);
@@ -188,140 +190,141 @@
   visit(16, header.features);
 }
 
-template <Of<IdentityQuery> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  VisitIdentities(m.voter, visit);
-  visit(7, m.nonce);
-  VisitBuild(m.voter, visit);
-}
-template <Of<IdentityReply> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  VisitIdentities(m.voter, visit);
-  visit(7, m.nonce);
-  visit(8, m.writes_seen);
-  visit(12, m.never_promised);
-  visit(16, m.voter.features);
-}
-template <Of<IdentityClaim> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  VisitIdentities(m.voter, visit);
-  visit(7, m.nonce);
-  VisitBuild(m.voter, visit);
-}
-template <Of<IdentityClaimAck> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  visit(1, m.promised);
-  visit(2, m.accepted_by);
-  visit(3, m.accepted);
-  VisitIdentities(m.voter, visit);
-  VisitBuild(m.voter, visit);
-}
-template <Of<LeaderLossQuery> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  VisitIdentities(m.voter, visit);
-  visit(7, m.query_number);
-  VisitBuild(m.voter, visit);
-}
-template <Of<LeaderLossReply> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  visit(1, m.promised);
-  VisitIdentities(m.voter, visit);
-  visit(7, m.query_number);
-  visit(8, m.voter.writes);
-  visit(12, m.leader_lost);
-  visit(16, m.voter.features);
-}
-template <Of<Prepare> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  visit(1, m.ballot);
-  VisitIdentities(m.voter, visit);
-  VisitBuild(m.voter, visit);
-}
-template <Of<Promise> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  visit(1, m.ballot);
-  visit(2, m.accepted_by);
-  visit(3, m.accepted);
-  VisitIdentities(m.voter, visit);
-  VisitBuild(m.voter, visit);
-}
-template <Of<Propose> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  visit(1, m.ballot);
-  visit(3, m.view);
-  VisitIdentities(m.voter, visit);
-  visit(6, m.quorum);
-  VisitBuild(m.voter, visit);
-}
-template <Of<Accepted> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  visit(1, m.ballot);
-  VisitIdentities(m.voter, visit);
-  visit(7, m.epoch);
-  VisitBuild(m.voter, visit);
-}
-template <Of<Rejection> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  visit(1, m.promised);
-  VisitIdentities(m.voter, visit);
-  VisitBuild(m.voter, visit);
-}
-template <Of<Heartbeat> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  visit(1, m.ballot);
-  VisitIdentities(m.voter, visit);
-  visit(6, m.quorum);
-  visit(7, m.sequence);
-  VisitBuild(m.voter, visit);
-}
-template <Of<HeartbeatAck> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  visit(1, m.ballot);
-  VisitIdentities(m.voter, visit);
-  visit(7, m.sequence);
-  VisitBuild(m.voter, visit);
-}
-template <Of<ViewDecided> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  visit(3, m.view);
-  visit(13, m.origin);
-}
-template <Of<LeaseRequest> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  visit(7, m.epoch);
-  visit(9, m.process_incarnation);
-  visit(10, m.requested_at_s);
-  visit(13, m.origin);
-  visit(14, m.store_id);
-  visit(15, m.wanted_logs);
-}
-template <Of<LeaseGrant> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  visit(1, m.ballot);
-  visit(7, m.epoch);
-  visit(9, m.process_incarnation);
-  visit(10, m.requested_at_s);
-  visit(11, m.duration_s);
-  visit(13, m.origin);
-}
-template <Of<LeaderRedirect> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  visit(1, m.ballot);
-  visit(13, m.origin);
-}
-template <Of<IdentityConflict> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  visit(9, m.process_incarnation);
-  visit(12, m.both_present);
-  visit(13, m.origin);
-}
-template <Of<LeaseRelease> Message, typename Visit>
-void VisitFields(Message& m, Visit visit) {
-  visit(9, m.process_incarnation);
-  visit(13, m.origin);
+template <SameMessage<IdentityQuery> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  VisitIdentities(message.voter, visit);
+  visit(7, message.nonce);
+  VisitBuild(message.voter, visit);
+}
+template <SameMessage<IdentityReply> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  VisitIdentities(message.voter, visit);
+  visit(7, message.nonce);
+  visit(8, message.writes_seen);
+  visit(12, message.never_promised);
+  visit(16, message.voter.features);
+}
+template <SameMessage<IdentityClaim> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  VisitIdentities(message.voter, visit);
+  visit(7, message.nonce);
+  VisitBuild(message.voter, visit);
+}
+template <SameMessage<IdentityClaimAck> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  visit(1, message.promised);
+  visit(2, message.accepted_by);
+  visit(3, message.accepted);
+  VisitIdentities(message.voter, visit);
+  VisitBuild(message.voter, visit);
+}
+template <SameMessage<LeaderLossQuery> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  VisitIdentities(message.voter, visit);
+  visit(7, message.query_number);
+  VisitBuild(message.voter, visit);
+}
+template <SameMessage<LeaderLossReply> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  visit(1, message.promised);
+  VisitIdentities(message.voter, visit);
+  visit(7, message.query_number);
+  visit(8, message.voter.writes);
+  visit(12, message.leader_lost);
+  visit(16, message.voter.features);
+}
+template <SameMessage<Prepare> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  visit(1, message.ballot);
+  VisitIdentities(message.voter, visit);
+  VisitBuild(message.voter, visit);
+}
+template <SameMessage<Promise> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  visit(1, message.ballot);
+  visit(2, message.accepted_by);
+  visit(3, message.accepted);
+  VisitIdentities(message.voter, visit);
+  VisitBuild(message.voter, visit);
+}
+template <SameMessage<Propose> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  visit(1, message.ballot);
+  visit(3, message.view);
+  VisitIdentities(message.voter, visit);
+  visit(6, message.quorum);
+  VisitBuild(message.voter, visit);
+}
+template <SameMessage<Accepted> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  visit(1, message.ballot);
+  VisitIdentities(message.voter, visit);
+  visit(7, message.epoch);
+  VisitBuild(message.voter, visit);
+}
+template <SameMessage<Rejection> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  visit(1, message.promised);
+  VisitIdentities(message.voter, visit);
+  VisitBuild(message.voter, visit);
+}
+template <SameMessage<Heartbeat> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  visit(1, message.ballot);
+  VisitIdentities(message.voter, visit);
+  visit(6, message.quorum);
+  visit(7, message.sequence);
+  VisitBuild(message.voter, visit);
+}
+template <SameMessage<HeartbeatAck> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  visit(1, message.ballot);
+  VisitIdentities(message.voter, visit);
+  visit(7, message.sequence);
+  VisitBuild(message.voter, visit);
+}
+template <SameMessage<ViewDecided> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  visit(3, message.view);
+  visit(13, message.origin);
+}
+template <SameMessage<LeaseRequest> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  visit(7, message.epoch);
+  visit(9, message.process_incarnation);
+  visit(10, message.requested_at_s);
+  visit(13, message.origin);
+  visit(14, message.store_id);
+  visit(15, message.wanted_logs);
+}
+template <SameMessage<LeaseGrant> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  visit(1, message.ballot);
+  visit(7, message.epoch);
+  visit(9, message.process_incarnation);
+  visit(10, message.requested_at_s);
+  visit(11, message.duration_s);
+  visit(13, message.origin);
+}
+template <SameMessage<LeaderRedirect> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  visit(1, message.ballot);
+  visit(13, message.origin);
+}
+template <SameMessage<IdentityConflict> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  visit(9, message.process_incarnation);
+  visit(12, message.both_present);
+  visit(13, message.origin);
+}
+template <SameMessage<LeaseRelease> Message, typename Visit>
+void VisitFields(Message& message, Visit visit) {
+  visit(9, message.process_incarnation);
+  visit(13, message.origin);
 }
 
-// An empty message of the kind that a number on the wire names; none: of a later build.
+// An empty message of the kind that has this number on the wire; nothing if a later version sent
+// it.
 template <std::size_t kIndex = 0>
 std::optional<AgreementMessage> MessageOfKind(std::size_t kind) {
   if constexpr (kIndex == std::variant_size_v<AgreementMessage>) {
@@ -339,156 +342,158 @@
   return hash == 0 ? 1 : hash;
 }
 
-std::string Encode(const PersistentVoterState& v) {
-  Writer w;
-  Put(&w, 1, v.promised);
-  Put(&w, 2, v.accepted_by);
-  Put(&w, 3, v.accepted);
-  Put(&w, 4, v.storage_identity);
-  Put(&w, 5, v.known_identities);
-  w.Number(6, v.writes);
-  return w.Take();
+std::string Encode(const PersistentVoterState& state) {
+  Writer writer;
+  Put(&writer, 1, state.promised);
+  Put(&writer, 2, state.accepted_by);
+  Put(&writer, 3, state.accepted);
+  Put(&writer, 4, state.storage_identity);
+  Put(&writer, 5, state.known_identities);
+  writer.Number(6, state.writes);
+  return writer.Take();
 }
 
 std::optional<PersistentVoterState> DecodeVoterState(std::string_view bytes) {
-  PersistentVoterState v;
-  Reader r(bytes);
-  while (r.Next()) {
-    switch (r.field()) {
+  PersistentVoterState state;
+  Reader reader(bytes);
+  while (reader.Next()) {
+    switch (reader.field()) {
       case 1:
-        v.promised = TakeBallot(&r);
+        state.promised = TakeBallot(&reader);
         break;
       case 2:
-        v.accepted_by = TakeBallot(&r);
+        state.accepted_by = TakeBallot(&reader);
         break;
       case 3:
-        if (!Take(r.value(), &v.accepted)) return std::nullopt;
+        if (!Take(reader.value(), &state.accepted)) return std::nullopt;
         break;
       case 4:
-        v.storage_identity = TakeStorageIdentity(&r);
+        state.storage_identity = TakeStorageIdentity(&reader);
         break;
       case 5:
-        Take(&r, &v.known_identities);
+        Take(&reader, &state.known_identities);
         break;
       case 6:
-        v.writes = r.Raw<std::uint64_t>();
+        state.writes = reader.Raw<std::uint64_t>();
         break;
       default:
         break;
     }
   }
-  return r.ok() ? std::optional(std::move(v)) : std::nullopt;
+  return reader.ok() ? std::optional(std::move(state)) : std::nullopt;
 }
 
-std::string Encode(const SwimMessage& p) {
-  Writer w;
-  w.Raw(static_cast<std::uint8_t>(p.kind));
-  w.Number(1, p.sequence);
-  w.Number(2, p.subject);
-  w.Number(3, p.incarnation);
-  w.Number(4, p.digest);
-  for (const GossipUpdate& n : p.updates) {
-    Writer inner;
-    inner.Raw(n.member);
-    inner.Raw(n.incarnation);
-    inner.Raw(static_cast<std::uint8_t>(n.health));
-    if (n.suspected_by != 0) inner.Raw(n.suspected_by);
-    w.Nested(5, inner.bytes());
+std::string Encode(const SwimMessage& message) {
+  Writer writer;
+  writer.Raw(static_cast<std::uint8_t>(message.kind));
+  writer.Number(1, message.sequence);
+  writer.Number(2, message.subject);
+  writer.Number(3, message.incarnation);
+  writer.Number(4, message.digest);
+  for (const GossipUpdate& update : message.updates) {
+    Writer update_writer;
+    update_writer.Raw(update.member);
+    update_writer.Raw(update.incarnation);
+    update_writer.Raw(static_cast<std::uint8_t>(update.health));
+    if (update.suspected_by != 0) update_writer.Raw(update.suspected_by);
+    writer.Nested(5, update_writer.bytes());
   }
-  return w.Take();
+  return writer.Take();
 }
 
 std::optional<SwimMessage> DecodeSwimMessage(std::string_view bytes) {
   if (bytes.empty() ||
-      static_cast<std::uint8_t>(bytes[0]) > static_cast<std::uint8_t>(kLastProbe)) {
+      static_cast<std::uint8_t>(bytes[0]) > static_cast<std::uint8_t>(kLastSwimKind)) {
     return std::nullopt;
   }
-  SwimMessage p;
-  p.kind = static_cast<SwimMessage::Kind>(bytes[0]);
-  Reader r(bytes.substr(1));
-  while (r.Next()) {
-    if (r.field() == 1) p.sequence = r.Raw<std::uint32_t>();
-    if (r.field() == 2) p.subject = r.Raw<std::uint64_t>();
-    if (r.field() == 3) p.incarnation = r.Raw<std::uint32_t>();
-    if (r.field() == 4) p.digest = r.Raw<std::uint64_t>();
-    if (r.field() != 5) continue;
-    GossipUpdate n;
-    n.member = r.Raw<std::uint64_t>();
-    n.incarnation = r.Raw<std::uint32_t>();
-    const auto health = r.Raw<std::uint8_t>();
-    if (health > static_cast<std::uint8_t>(Health::kLeft)) continue;  // of a later build
-    n.health = static_cast<Health>(health);
-    if (!r.value().empty()) n.suspected_by = r.Raw<std::uint64_t>();
-    if (p.updates.size() < SwimMessage::kMaxUpdates) p.updates.push_back(n);
+  SwimMessage message;
+  message.kind = static_cast<SwimMessage::Kind>(bytes[0]);
+  Reader reader(bytes.substr(1));
+  while (reader.Next()) {
+    if (reader.field() == 1) message.sequence = reader.Raw<std::uint32_t>();
+    if (reader.field() == 2) message.subject = reader.Raw<std::uint64_t>();
+    if (reader.field() == 3) message.incarnation = reader.Raw<std::uint32_t>();
+    if (reader.field() == 4) message.digest = reader.Raw<std::uint64_t>();
+    if (reader.field() != 5) continue;
+    GossipUpdate update;
+    update.member = reader.Raw<std::uint64_t>();
+    update.incarnation = reader.Raw<std::uint32_t>();
+    const auto health = reader.Raw<std::uint8_t>();
+    if (health > static_cast<std::uint8_t>(Health::kLeft)) continue;  // sent by a later version
+    update.health = static_cast<Health>(health);
+    if (!reader.value().empty()) update.suspected_by = reader.Raw<std::uint64_t>();
+    if (message.updates.size() < SwimMessage::kMaxUpdates) message.updates.push_back(update);
   }
-  return r.ok() ? std::optional(std::move(p)) : std::nullopt;
+  return reader.ok() ? std::optional(std::move(message)) : std::nullopt;
 }
 
 std::string Encode(const AgreementMessage& message) {
-  Writer w;
-  w.Raw(static_cast<std::uint8_t>(message.index()));
-  std::visit([&w](const auto& m) { VisitFields(m, FieldWriter{&w}); }, message);
-  return w.Take();
+  Writer writer;
+  writer.Raw(static_cast<std::uint8_t>(message.index()));
+  std::visit([&writer](const auto& body) { VisitFields(body, FieldWriter{&writer}); }, message);
+  return writer.Take();
 }
 
 std::optional<AgreementMessage> DecodeAgreementMessage(std::string_view bytes) {
   if (bytes.empty()) return std::nullopt;
   std::optional<AgreementMessage> message = MessageOfKind(static_cast<std::uint8_t>(bytes[0]));
   if (!message) return std::nullopt;
-  Reader r(bytes.substr(1));
-  while (r.Next()) {
-    std::visit([&r](auto& m) { VisitFields(m, FieldReader{&r}); }, *message);
+  Reader reader(bytes.substr(1));
+  while (reader.Next()) {
+    std::visit([&reader](auto& body) { VisitFields(body, FieldReader{&reader}); }, *message);
   }
-  return r.ok() ? std::move(message) : std::nullopt;
+  return reader.ok() ? std::move(message) : std::nullopt;
 }
 
-std::string Encode(const MaintenanceGossip& n) {
-  Writer w;
-  w.Number(1, n.digest);
-  w.Number(2, n.sequence);
-  w.Number(3, n.acked_sequence);
-  w.Number(4, static_cast<std::uint8_t>(n.request_all));
-  for (const MaintenanceRecord& f : n.records) {
-    Writer fact;
-    fact.Text(1, f.worker);
-    for (const auto& [process_incarnation, calls] : f.decisions) {
-      Writer call;
-      call.Raw(process_incarnation);
-      call.Raw(calls.taken_out);
-      call.Raw(calls.put_back);
-      fact.Nested(2, call.bytes());
+std::string Encode(const MaintenanceGossip& gossip) {
+  Writer writer;
+  writer.Number(1, gossip.digest);
+  writer.Number(2, gossip.sequence);
+  writer.Number(3, gossip.acked_sequence);
+  writer.Number(4, static_cast<std::uint8_t>(gossip.request_all));
+  for (const MaintenanceRecord& record : gossip.records) {
+    Writer record_writer;
+    record_writer.Text(1, record.worker);
+    for (const auto& [process_incarnation, decision] : record.decisions) {
+      Writer decision_writer;
+      decision_writer.Raw(process_incarnation);
+      decision_writer.Raw(decision.taken_out);
+      decision_writer.Raw(decision.put_back);
+      record_writer.Nested(2, decision_writer.bytes());
     }
-    fact.Number(3, f.started_at_s);
-    fact.Number(4, static_cast<std::uint8_t>(f.drain_state));
-    w.Nested(5, fact.bytes());
+    record_writer.Number(3, record.started_at_s);
+    record_writer.Number(4, static_cast<std::uint8_t>(record.drain_state));
+    writer.Nested(5, record_writer.bytes());
   }
-  return w.Take();
+  return writer.Take();
 }
 
 std::optional<MaintenanceGossip> DecodeMaintenanceGossip(std::string_view bytes) {
-  MaintenanceGossip n;
-  Reader r(bytes);
-  while (r.Next()) {
-    if (r.field() == 1) n.digest = r.Raw<std::uint64_t>();
-    if (r.field() == 2) n.sequence = r.Raw<std::uint64_t>();
-    if (r.field() == 3) n.acked_sequence = r.Raw<std::uint64_t>();
-    if (r.field() == 4) n.request_all = r.Raw<std::uint8_t>() != 0;
-    if (r.field() != 5 || n.records.size() >= MaintenanceGossip::kMaxRecords) continue;
-    MaintenanceRecord& f = n.records.emplace_back();
-    Reader in(r.value());
-    while (in.Next()) {
-      if (in.field() == 1) f.worker = in.value();
-      if (in.field() == 3) f.started_at_s = in.Raw<double>();
-      if (in.field() == 4)
-        f.drain_state = static_cast<DrainState>(std::min<std::uint8_t>(in.Raw<std::uint8_t>(), 2));
-      if (in.field() != 2 || f.decisions.size() >= kMaxCallers) continue;
-      const auto process_incarnation = in.Raw<std::uint64_t>();
-      const auto out = in.Raw<std::uint32_t>();
-      f.decisions[process_incarnation] = {out, in.Raw<std::uint32_t>()};
+  MaintenanceGossip gossip;
+  Reader reader(bytes);
+  while (reader.Next()) {
+    if (reader.field() == 1) gossip.digest = reader.Raw<std::uint64_t>();
+    if (reader.field() == 2) gossip.sequence = reader.Raw<std::uint64_t>();
+    if (reader.field() == 3) gossip.acked_sequence = reader.Raw<std::uint64_t>();
+    if (reader.field() == 4) gossip.request_all = reader.Raw<std::uint8_t>() != 0;
+    if (reader.field() != 5 || gossip.records.size() >= MaintenanceGossip::kMaxRecords) continue;
+    MaintenanceRecord& record = gossip.records.emplace_back();
+    Reader record_reader(reader.value());
+    while (record_reader.Next()) {
+      if (record_reader.field() == 1) record.worker = record_reader.value();
+      if (record_reader.field() == 3) record.started_at_s = record_reader.Raw<double>();
+      if (record_reader.field() == 4)
+        record.drain_state =
+            static_cast<DrainState>(std::min<std::uint8_t>(record_reader.Raw<std::uint8_t>(), 2));
+      if (record_reader.field() != 2 || record.decisions.size() >= kMaxDecisionsPerWorker) continue;
+      const auto process_incarnation = record_reader.Raw<std::uint64_t>();
+      const auto taken_out = record_reader.Raw<std::uint32_t>();
+      record.decisions[process_incarnation] = {taken_out, record_reader.Raw<std::uint32_t>()};
     }
-    if (!in.ok() || f.worker.empty() || f.worker.size() > kMaxName) return std::nullopt;
+    if (!record_reader.ok() || record.worker.empty() || record.worker.size() > kMaxNameBytes)
+      return std::nullopt;
   }
-  return r.ok() ? std::optional(std::move(n)) : std::nullopt;
+  return reader.ok() ? std::optional(std::move(gossip)) : std::nullopt;
 }
 
 }  // namespace millethollow::codec
--- a/src/codec/quota.cpp
+++ b/src/codec/quota.cpp
@@ -24,132 +24,133 @@
 };
 enum GrantField : std::uint8_t {
   kGrantEpoch = 1,
-  kGrantAnswers = 2,
-  kGrantWantFull = 3,
-  kGrantSpan = 4,
+  kGrantAckedSequence = 2,
+  kGrantRequestFullReport = 3,
+  kGrantLeaseDuration = 4,
   kGrantAssignment = 5,
-  kGrantLife = 6,
+  kGrantProcessIncarnation = 6,
 };
 
-// Entries are plain values in a row; a later build may append more to each.
+// An entry is a sequence of values without field numbers, to which a later version may append.
 std::string EncodeEntry(const TenantUsage& usage) {
-  Writer w;
-  w.Raw(usage.tenant);
-  w.Raw(usage.demand_rps);
-  w.Raw(usage.lease_rps);
-  w.Raw(usage.lease_remaining_s);
-  w.Raw(usage.grant_number);
-  return w.Take();
+  Writer writer;
+  writer.Raw(usage.tenant);
+  writer.Raw(usage.demand_rps);
+  writer.Raw(usage.lease_rps);
+  writer.Raw(usage.lease_remaining_s);
+  writer.Raw(usage.grant_number);
+  return writer.Take();
 }
 
-void DecodeEntry(Reader* r, TenantUsage* usage) {
-  usage->tenant = r->Raw<std::uint64_t>();
-  usage->demand_rps = r->Raw<double>();
-  usage->lease_rps = r->Raw<double>();
-  usage->lease_remaining_s = r->Raw<double>();
-  usage->grant_number = r->Raw<std::uint64_t>();
+void DecodeEntry(Reader* reader, TenantUsage* usage) {
+  usage->tenant = reader->Raw<std::uint64_t>();
+  usage->demand_rps = reader->Raw<double>();
+  usage->lease_rps = reader->Raw<double>();
+  usage->lease_remaining_s = reader->Raw<double>();
+  usage->grant_number = reader->Raw<std::uint64_t>();
 }
 
 std::string EncodeEntry(const Assignment& assignment) {
-  Writer w;
-  w.Raw(assignment.tenant);
-  w.Raw(assignment.rate_rps);
-  w.Raw(assignment.grant_number);
-  return w.Take();
+  Writer writer;
+  writer.Raw(assignment.tenant);
+  writer.Raw(assignment.rate_rps);
+  writer.Raw(assignment.grant_number);
+  return writer.Take();
 }
 
-void DecodeEntry(Reader* r, Assignment* assignment) {
-  assignment->tenant = r->Raw<std::uint64_t>();
-  assignment->rate_rps = r->Raw<double>();
-  assignment->grant_number = r->Raw<std::uint64_t>();
+void DecodeEntry(Reader* reader, Assignment* assignment) {
+  assignment->tenant = reader->Raw<std::uint64_t>();
+  assignment->rate_rps = reader->Raw<double>();
+  assignment->grant_number = reader->Raw<std::uint64_t>();
 }
 
 template <typename Entry>
-void AppendEntry(Reader* r, std::vector<Entry>* entries) {
-  if (entries->size() >= quota::kMaxEntries) return r->Fail();
-  DecodeEntry(r, &entries->emplace_back());
+void AppendEntry(Reader* reader, std::vector<Entry>* entries) {
+  if (entries->size() >= quota::kMaxEntries) return reader->Fail();
+  DecodeEntry(reader, &entries->emplace_back());
 }
 
-void EncodeFields(const UsageReport& report, Writer* w) {
-  w->Raw(std::uint8_t{kReport});
-  w->Number(kReportEpoch, report.epoch);
-  w->Number(kReportSequence, report.sequence);
-  w->Number(kReportFull, static_cast<std::uint8_t>(report.full));
-  for (const TenantUsage& usage : report.usages) w->Nested(kReportUsage, EncodeEntry(usage));
+void EncodeFields(const UsageReport& report, Writer* writer) {
+  writer->Raw(std::uint8_t{kReport});
+  writer->Number(kReportEpoch, report.epoch);
+  writer->Number(kReportSequence, report.sequence);
+  writer->Number(kReportFull, static_cast<std::uint8_t>(report.full));
+  for (const TenantUsage& usage : report.usages) writer->Nested(kReportUsage, EncodeEntry(usage));
 }
 
-void EncodeFields(const Grant& grant, Writer* w) {
-  w->Raw(std::uint8_t{kGrant});
-  w->Number(kGrantEpoch, grant.epoch);
-  w->Number(kGrantAnswers, grant.acked_sequence);
-  w->Number(kGrantWantFull, static_cast<std::uint8_t>(grant.request_full_report));
-  w->Number(kGrantSpan, grant.lease_duration_s);
-  w->Number(kGrantLife, grant.process_incarnation);
-  for (const Assignment& a : grant.assignments) w->Nested(kGrantAssignment, EncodeEntry(a));
+void EncodeFields(const Grant& grant, Writer* writer) {
+  writer->Raw(std::uint8_t{kGrant});
+  writer->Number(kGrantEpoch, grant.epoch);
+  writer->Number(kGrantAckedSequence, grant.acked_sequence);
+  writer->Number(kGrantRequestFullReport, static_cast<std::uint8_t>(grant.request_full_report));
+  writer->Number(kGrantLeaseDuration, grant.lease_duration_s);
+  writer->Number(kGrantProcessIncarnation, grant.process_incarnation);
+  for (const Assignment& assignment : grant.assignments)
+    writer->Nested(kGrantAssignment, EncodeEntry(assignment));
 }
 
 std::optional<quota::Message> DecodeReport(std::string_view fields) {
   UsageReport report;
-  Reader r(fields);
-  while (r.Next()) {
-    switch (r.field()) {
+  Reader reader(fields);
+  while (reader.Next()) {
+    switch (reader.field()) {
       case kReportEpoch:
-        report.epoch = r.Raw<std::uint64_t>();
+        report.epoch = reader.Raw<std::uint64_t>();
         break;
       case kReportSequence:
-        report.sequence = r.Raw<std::uint64_t>();
+        report.sequence = reader.Raw<std::uint64_t>();
         break;
       case kReportFull:
-        report.full = r.Raw<std::uint8_t>() != 0;
+        report.full = reader.Raw<std::uint8_t>() != 0;
         break;
       case kReportUsage:
-        AppendEntry(&r, &report.usages);
+        AppendEntry(&reader, &report.usages);
         break;
       default:
         break;
     }
   }
-  if (!r.ok()) return std::nullopt;
+  if (!reader.ok()) return std::nullopt;
   return report;
 }
 
 std::optional<quota::Message> DecodeGrant(std::string_view fields) {
   Grant grant;
-  Reader r(fields);
-  while (r.Next()) {
-    switch (r.field()) {
+  Reader reader(fields);
+  while (reader.Next()) {
+    switch (reader.field()) {
       case kGrantEpoch:
-        grant.epoch = r.Raw<std::uint64_t>();
+        grant.epoch = reader.Raw<std::uint64_t>();
         break;
-      case kGrantAnswers:
-        grant.acked_sequence = r.Raw<std::uint64_t>();
+      case kGrantAckedSequence:
+        grant.acked_sequence = reader.Raw<std::uint64_t>();
         break;
-      case kGrantWantFull:
-        grant.request_full_report = r.Raw<std::uint8_t>() != 0;
+      case kGrantRequestFullReport:
+        grant.request_full_report = reader.Raw<std::uint8_t>() != 0;
         break;
-      case kGrantSpan:
-        grant.lease_duration_s = r.Raw<double>();
+      case kGrantLeaseDuration:
+        grant.lease_duration_s = reader.Raw<double>();
         break;
       case kGrantAssignment:
-        AppendEntry(&r, &grant.assignments);
+        AppendEntry(&reader, &grant.assignments);
         break;
-      case kGrantLife:
-        grant.process_incarnation = r.Raw<std::uint64_t>();
+      case kGrantProcessIncarnation:
+        grant.process_incarnation = reader.Raw<std::uint64_t>();
         break;
       default:
         break;
     }
   }
-  if (!r.ok()) return std::nullopt;
+  if (!reader.ok()) return std::nullopt;
   return grant;
 }
 
 }  // namespace
 
 std::string Encode(const quota::Message& message) {
-  Writer w;
-  std::visit([&w](const auto& m) { EncodeFields(m, &w); }, message);
-  return w.Take();
+  Writer writer;
+  std::visit([&writer](const auto& body) { EncodeFields(body, &writer); }, message);
+  return writer.Take();
 }
 
 std::optional<quota::Message> DecodeQuota(std::string_view bytes) {
--- a/src/codec/quota.h
+++ b/src/codec/quota.h
@@ -1,4 +1,5 @@
-// Reports and grants of quota leases as fields, for links.
+// The wire encoding of usage reports and grants of quota leases: numbered fields
+// (encoding/fields.h). A field with its default value is left out.
 #ifndef MILLETHOLLOW_CODEC_QUOTA_H_
 #define MILLETHOLLOW_CODEC_QUOTA_H_
 
@@ -11,8 +12,8 @@
 namespace millethollow::codec {
 
 std::string Encode(const quota::Message& message);
-// None where the bytes are not whole, or name more than quota::kMaxEntries entries. Whether the
-// numbers make sense is for quota::Holder and quota::Allocator to say.
+// Returns nothing if the bytes are truncated or have more than quota::kMaxEntries entries.
+// quota::Holder and quota::Allocator validate the values.
 std::optional<quota::Message> DecodeQuota(std::string_view bytes);
 
 }  // namespace millethollow::codec
--- a/src/copies/durable_job_queue.cpp
+++ b/src/copies/durable_job_queue.cpp
@@ -8,11 +8,11 @@
 namespace millethollow::copies {
 namespace {
 
-constexpr double kInf = std::numeric_limits<double>::infinity();
-constexpr double kReturnS = 1.0;        // advised where promises can't be given now
-constexpr double kSayAgainS = 0.5;      // an end that could not be written
-constexpr double kOpenAgainS = 30.0;    // a log that was asked for and never came
-constexpr std::size_t kOverhead = 256;  // of a job beside its bytes
+constexpr double kInfinity = std::numeric_limits<double>::infinity();
+constexpr double kRetryAfterS = 1.0;        // advised to the client when a job is not accepted
+constexpr double kEndRetryIntervalS = 0.5;  // for an end that could not be appended
+constexpr double kReopenIntervalS = 30.0;   // after a requested log was not assigned
+constexpr std::size_t kRecordOverheadBytes = 256;  // per job, beside its bytes
 
 std::string Hex(std::uint64_t number) {
   std::string text;
@@ -24,134 +24,135 @@
 
 }  // namespace
 
-std::string Encode(const AttemptRecord& t) {
-  encoding::Writer w;
-  w.Text(1, t.worker);
-  w.Number(2, static_cast<std::uint8_t>(t.local_worker));
-  w.Number(3, t.sequence);
-  return w.Take();
+std::string Encode(const AttemptRecord& attempt) {
+  encoding::Writer writer;
+  writer.Text(1, attempt.worker);
+  writer.Number(2, static_cast<std::uint8_t>(attempt.local_worker));
+  writer.Number(3, attempt.sequence);
+  return writer.Take();
 }
 
 std::optional<AttemptRecord> DecodeAttempt(std::string_view bytes) {
-  AttemptRecord t;
-  encoding::Reader r(bytes);
-  while (r.Next()) {
-    if (r.field() == 1) t.worker = r.value();
-    if (r.field() == 2) t.local_worker = r.Raw<std::uint8_t>() != 0;
-    if (r.field() == 3) t.sequence = r.Raw<std::uint64_t>();
+  AttemptRecord attempt;
+  encoding::Reader reader(bytes);
+  while (reader.Next()) {
+    if (reader.field() == 1) attempt.worker = reader.value();
+    if (reader.field() == 2) attempt.local_worker = reader.Raw<std::uint8_t>() != 0;
+    if (reader.field() == 3) attempt.sequence = reader.Raw<std::uint64_t>();
   }
-  return r.ok() ? std::optional(std::move(t)) : std::nullopt;
+  return reader.ok() ? std::optional(std::move(attempt)) : std::nullopt;
 }
 
 std::string Encode(const JobRecord& job) {
-  encoding::Writer w;
-  w.Text(1, job.function);
-  w.Text(2, job.unique_id);
-  w.Text(3, job.class_name);
-  w.Text(4, job.tenant);
-  w.Text(5, job.body);
-  w.Number(6, job.priority);
-  for (const AttemptRecord& t : job.attempts) w.Nested(7, Encode(t));
-  return w.Take();
+  encoding::Writer writer;
+  writer.Text(1, job.function);
+  writer.Text(2, job.unique_id);
+  writer.Text(3, job.class_name);
+  writer.Text(4, job.tenant);
+  writer.Text(5, job.body);
+  writer.Number(6, job.priority);
+  for (const AttemptRecord& attempt : job.attempts) writer.Nested(7, Encode(attempt));
+  return writer.Take();
 }
 
 std::optional<JobRecord> DecodeJob(std::string handle, std::string_view bytes) {
   JobRecord job;
   job.handle = std::move(handle);
-  job.priority = 0;  // as left out
-  encoding::Reader r(bytes);
-  while (r.Next()) {
-    if (r.field() == 1) job.function = r.value();
-    if (r.field() == 2) job.unique_id = r.value();
-    if (r.field() == 3) job.class_name = r.value();
-    if (r.field() == 4) job.tenant = r.value();
-    if (r.field() == 5) job.body = r.value();
-    if (r.field() == 6) job.priority = std::min<std::uint8_t>(r.Raw<std::uint8_t>(), 2);
-    if (r.field() != 7) continue;
+  job.priority = 0;  // the encoding leaves out 0
+  encoding::Reader reader(bytes);
+  while (reader.Next()) {
+    if (reader.field() == 1) job.function = reader.value();
+    if (reader.field() == 2) job.unique_id = reader.value();
+    if (reader.field() == 3) job.class_name = reader.value();
+    if (reader.field() == 4) job.tenant = reader.value();
+    if (reader.field() == 5) job.body = reader.value();
+    if (reader.field() == 6) job.priority = std::min<std::uint8_t>(reader.Raw<std::uint8_t>(), 2);
+    if (reader.field() != 7) continue;
     if (job.attempts.size() >= kMaxAttempts) return std::nullopt;
-    auto attempt = DecodeAttempt(r.value());
+    auto attempt = DecodeAttempt(reader.value());
     if (!attempt) return std::nullopt;
     job.attempts.push_back(std::move(*attempt));
   }
-  return r.ok() ? std::optional(std::move(job)) : std::nullopt;
+  return reader.ok() ? std::optional(std::move(job)) : std::nullopt;
 }
 
 DurableJobQueue::DurableJobQueue(const Limits& limits, std::uint64_t number, Hooks hooks)
-    : limits_(limits), number_(number), hooks_(std::move(hooks)) {}
+    : limits_(limits), process_number_(number), hooks_(std::move(hooks)) {}
 
 std::string DurableJobQueue::NewHandle(const std::string& prefix) {
-  return prefix + Hex(number_) + ":" + std::to_string(++order_);
+  return prefix + Hex(process_number_) + ":" + std::to_string(++last_order_);
 }
 
 std::size_t DurableJobQueue::SizeOf(const JobRecord& job) {
-  return kOverhead + job.handle.size() + job.function.size() + 2 * job.unique_id.size() +
+  return kRecordOverheadBytes + job.handle.size() + job.function.size() + 2 * job.unique_id.size() +
          job.body.size();
 }
 
-DurableJobQueue::Job* DurableJobQueue::Put(JobRecord record, LogId log) {
-  Load& load = load_[record.tenant];
-  load.jobs += 1;
-  load.bytes += SizeOf(record);
+DurableJobQueue::Job* DurableJobQueue::AddJob(JobRecord record, LogId log) {
+  TenantUsage& usage = tenant_usage_[record.tenant];
+  usage.jobs += 1;
+  usage.bytes += SizeOf(record);
   bytes_ += SizeOf(record);
   logs_[log].jobs += 1;
   if (!record.unique_id.empty())
-    uniques_.emplace(std::pair(record.function, record.unique_id), record.handle);
+    handles_by_unique_id_.emplace(std::pair(record.function, record.unique_id), record.handle);
   std::string handle = record.handle;
   Job& job = jobs_[std::move(handle)];
   job.record = std::move(record);
   job.log = log;
-  job.order = ++order_;
+  job.order = ++last_order_;
   return &job;
 }
 
-JobRecord DurableJobQueue::Remove(std::map<std::string, Job>::iterator it) {
+JobRecord DurableJobQueue::RemoveJob(std::map<std::string, Job>::iterator it) {
   Job& job = it->second;
   const std::size_t size = SizeOf(job.record);
-  const auto load = load_.find(job.record.tenant);
-  load->second.jobs -= 1;
-  load->second.bytes -= size;
+  const auto usage = tenant_usage_.find(job.record.tenant);
+  usage->second.jobs -= 1;
+  usage->second.bytes -= size;
   bytes_ -= size;
-  if (load->second.jobs == 0) load_.erase(load);
+  if (usage->second.jobs == 0) tenant_usage_.erase(usage);
   if (const auto log = logs_.find(job.log); log != logs_.end()) log->second.jobs -= 1;
   running_ -= job.state == State::kRunning;
   ending_ -= job.state == State::kEnding;
-  later_.erase({job.at, it->first});
-  LeaveLine(job);
-  const auto unique = uniques_.find({job.record.function, job.record.unique_id});
-  if (unique != uniques_.end() && unique->second == it->first) uniques_.erase(unique);
+  timers_.erase({job.due_at, it->first});
+  RemoveFromReady(job);
+  const auto unique = handles_by_unique_id_.find({job.record.function, job.record.unique_id});
+  if (unique != handles_by_unique_id_.end() && unique->second == it->first)
+    handles_by_unique_id_.erase(unique);
   JobRecord record = std::move(job.record);
   jobs_.erase(it);
   return record;
 }
 
-void DurableJobQueue::LeaveLine(const Job& job) {
-  const auto line = ready_.find(job.record.tenant);
-  if (line == ready_.end()) return;
-  line->second.erase({job.record.priority, job.order});
-  if (line->second.empty()) ready_.erase(line);
+void DurableJobQueue::RemoveFromReady(const Job& job) {
+  const auto queue = ready_.find(job.record.tenant);
+  if (queue == ready_.end()) return;
+  queue->second.erase({job.record.priority, job.order});
+  if (queue->second.empty()) ready_.erase(queue);
 }
 
 std::string DurableJobQueue::Find(const std::string& function, const std::string& unique) const {
-  const auto it = uniques_.find({function, unique});
-  return it == uniques_.end() ? "" : it->second;
+  const auto it = handles_by_unique_id_.find({function, unique});
+  return it == handles_by_unique_id_.end() ? "" : it->second;
 }
 
 bool DurableJobQueue::Idle() const {
   return running_ == 0 && ending_ == 0 &&
          std::all_of(logs_.begin(), logs_.end(),
-                     [](const auto& l) { return l.second.pending_commits.empty(); });
+                     [](const auto& entry) { return entry.second.pending_commits.empty(); });
 }
 
 DurableJobQueue::RejectReason DurableJobQueue::CheckCapacity(const JobRecord& job) const {
   if (jobs_.size() >= limits_.jobs || bytes_ + SizeOf(job) > limits_.bytes)
     return RejectReason::kFull;
-  const auto load = load_.find(job.tenant);
-  if (load == load_.end()) return RejectReason::kNone;
-  const bool many = static_cast<double>(load->second.jobs) >=
-                    limits_.tenant_share * static_cast<double>(limits_.jobs);
-  const bool much = static_cast<double>(load->second.bytes + SizeOf(job)) >
-                    limits_.tenant_share * static_cast<double>(limits_.bytes);
-  return many || much ? RejectReason::kTenantFull : RejectReason::kNone;
+  const auto usage = tenant_usage_.find(job.tenant);
+  if (usage == tenant_usage_.end()) return RejectReason::kNone;
+  const bool too_many_jobs = static_cast<double>(usage->second.jobs) >=
+                             limits_.tenant_share * static_cast<double>(limits_.jobs);
+  const bool too_many_bytes = static_cast<double>(usage->second.bytes + SizeOf(job)) >
+                              limits_.tenant_share * static_cast<double>(limits_.bytes);
+  return too_many_jobs || too_many_bytes ? RejectReason::kTenantFull : RejectReason::kNone;
 }
 
 DurableJobQueue::RejectReason DurableJobQueue::RejectReasonOf(ReplicatedLogs::AppendError reason) {
@@ -161,66 +162,69 @@
                                                                 : RejectReason::kNoLog;
 }
 
-void DurableJobQueue::Submit(double now, JobRecord record, Then then) {
-  const auto refuse = [&](RejectReason reason) {
+void DurableJobQueue::Submit(double now, JobRecord record, SubmitCallback on_result) {
+  const auto reject = [&](RejectReason reason) {
     counters_.rejected += 1;
-    then(record.handle, reason, kReturnS);
+    on_result(record.handle, reason, kRetryAfterS);
   };
-  if (main_ == 0 || stopping_) return refuse(RejectReason::kNoLog);
-  if (const std::string same = Find(record.function, record.unique_id);
-      !record.unique_id.empty() && !same.empty()) {
-    Job& job = jobs_[same];
-    if (job.state != State::kAsked) return then(same, RejectReason::kNone, 0);
+  if (default_log_ == 0 || stopping_) return reject(RejectReason::kNoLog);
+  if (const std::string existing = Find(record.function, record.unique_id);
+      !record.unique_id.empty() && !existing.empty()) {
+    Job& job = jobs_[existing];
+    if (job.state != State::kUncommitted) return on_result(existing, RejectReason::kNone, 0);
     logs_[job.log].pending_commits.emplace(
-        job.put, PendingCommit{.handle = same, .then = std::move(then), .sent = {}});
+        job.last_write,
+        PendingCommit{.handle = existing, .on_result = std::move(on_result), .on_recorded = {}});
     return;
   }
   if (const RejectReason reason = CheckCapacity(record); reason != RejectReason::kNone)
-    return refuse(reason);
+    return reject(reason);
   ReplicatedLogs::AppendError reason{};
-  const LogId log = main_;
+  const LogId log = default_log_;
   const SequenceNumber sequence = hooks_.append(log, record.handle, Encode(record), false, &reason);
-  if (sequence == 0) return refuse(RejectReasonOf(reason));
-  Job* job = Put(std::move(record), log);
-  job->put = sequence;
-  job->at = now;
-  logs_[log].pending_commits.emplace(
-      sequence, PendingCommit{.handle = job->record.handle, .then = std::move(then), .sent = {}});
+  if (sequence == 0) return reject(RejectReasonOf(reason));
+  Job* job = AddJob(std::move(record), log);
+  job->last_write = sequence;
+  job->due_at = now;
+  logs_[log].pending_commits.emplace(sequence, PendingCommit{.handle = job->record.handle,
+                                                             .on_result = std::move(on_result),
+                                                             .on_recorded = {}});
 }
 
 void DurableJobQueue::OnCommitted(double, LogId log, SequenceNumber sequence) {
-  // What is told may end the log, or give it more to owe.
+  // A callback may release the log or append to it, so it is looked up again for each operation.
   while (true) {
     const auto it = logs_.find(log);
     if (it == logs_.end() || it->second.pending_commits.empty()) break;
     if (it->second.pending_commits.begin()->first > sequence) break;
-    const PendingCommit owed = std::move(it->second.pending_commits.begin()->second);
+    const PendingCommit pending = std::move(it->second.pending_commits.begin()->second);
     it->second.pending_commits.erase(it->second.pending_commits.begin());
-    const auto job = jobs_.find(owed.handle);
-    if (owed.end) {
+    const auto job = jobs_.find(pending.handle);
+    if (pending.is_end) {
       if (job == jobs_.end()) continue;
       const JobOutcome outcome = job->second.outcome;
       (outcome == JobOutcome::kCompleted ? counters_.completed : counters_.failed) += 1;
-      hooks_.on_ended(Remove(job), outcome);
-    } else if (owed.then) {
+      hooks_.on_ended(RemoveJob(job), outcome);
+    } else if (pending.on_result) {
       counters_.accepted += 1;
-      if (job != jobs_.end() && job->second.state == State::kAsked) SetReady(&job->second);
-      owed.then(owed.handle, RejectReason::kNone, 0);
-    } else if (owed.sent) {
-      owed.sent(true);
+      if (job != jobs_.end() && job->second.state == State::kUncommitted) SetReady(&job->second);
+      pending.on_result(pending.handle, RejectReason::kNone, 0);
+    } else if (pending.on_recorded) {
+      pending.on_recorded(true);
     }
   }
-  Tidy();
-  StartMore();
+  CloseEmptyLogs();
+  StartReadyJobs();
 }
 
 void DurableJobQueue::SetReady(Job* job) {
   job->state = State::kReady;
-  ready_[job->record.tenant].emplace(Line{job->record.priority, job->order}, job->record.handle);
+  ready_[job->record.tenant].emplace(QueuePosition{job->record.priority, job->order},
+                                     job->record.handle);
 }
 
-// By turns among tenants, within one by priority and then in order.
-void DurableJobQueue::StartMore() {
+// Starts ready jobs: round robin over the tenants, within a tenant by priority and then in order.
+void DurableJobQueue::StartReadyJobs() {
   if (std::exchange(starting_, true)) return;
   while (!stopping_ && running_ < limits_.running && !ready_.empty()) {
     auto tenant = ready_.upper_bound(last_tenant_);
@@ -238,9 +242,10 @@
   job->state = State::kRunning;
   running_ += 1;
   counters_.rounds += 1;
-  Round round{.job = &job->record, .number = ++rounds_, .ages_s = {}};
-  for (const AttemptRecord& t : job->record.attempts) {
-    round.ages_s.push_back(hooks_.max_age_s(job->log, t.sequence == 0 ? job->put : t.sequence));
+  Round round{.job = &job->record, .number = ++last_round_, .ages_s = {}};
+  for (const AttemptRecord& attempt : job->record.attempts) {
+    round.ages_s.push_back(
+        hooks_.max_age_s(job->log, attempt.sequence == 0 ? job->last_write : attempt.sequence));
   }
   hooks_.run(round);
 }
@@ -249,12 +254,12 @@
   const auto it = jobs_.find(handle);
   if (it == jobs_.end() || stopping_) return false;
   Job& job = it->second;
-  if (job.state == State::kWaiting) {
-    later_.erase({job.at, handle});
-    job.at = now;
+  if (job.state == State::kBackoff) {
+    timers_.erase({job.due_at, handle});
+    job.due_at = now;
     Start(&job);
   } else if (job.state == State::kReady) {
-    LeaveLine(job);
+    RemoveFromReady(job);
     Start(&job);
   }
   return job.state == State::kRunning;
@@ -266,21 +271,23 @@
 }
 
 void DurableJobQueue::RecordAttempt(double, const std::string& handle, const std::string& worker,
-                                    bool local_worker, std::function<void(bool)> then) {
+                                    bool local_worker, std::function<void(bool)> on_recorded) {
   const auto it = jobs_.find(handle);
-  if (it == jobs_.end() || it->second.state != State::kRunning) return then(false);
+  if (it == jobs_.end() || it->second.state != State::kRunning) return on_recorded(false);
   Job& job = it->second;
   JobRecord next = job.record;
-  if (!next.attempts.empty() && next.attempts.back().sequence == 0) next.attempts.back().sequence = job.put;
-  if (next.attempts.size() >= kMaxAttempts) return then(false);
+  if (!next.attempts.empty() && next.attempts.back().sequence == 0)
+    next.attempts.back().sequence = job.last_write;
+  if (next.attempts.size() >= kMaxAttempts) return on_recorded(false);
   next.attempts.push_back({worker, local_worker, 0});
   ReplicatedLogs::AppendError reason{};
   const SequenceNumber sequence = hooks_.append(job.log, handle, Encode(next), false, &reason);
-  if (sequence == 0) return then(false);
+  if (sequence == 0) return on_recorded(false);
   job.record.attempts = std::move(next.attempts);
-  job.put = sequence;
+  job.last_write = sequence;
   logs_[job.log].pending_commits.emplace(
-      sequence, PendingCommit{.handle = handle, .then = {}, .sent = std::move(then)});
+      sequence,
+      PendingCommit{.handle = handle, .on_result = {}, .on_recorded = std::move(on_recorded)});
 }
 
 void DurableJobQueue::OnJobEnded(double now, const std::string& handle, JobOutcome outcome,
@@ -291,83 +298,86 @@
   running_ -= 1;
   job.outcome = outcome;
   if (outcome == JobOutcome::kRejected) {
-    std::erase_if(job.record.attempts, [&](const AttemptRecord& t) {
-      return std::find(ran_at.begin(), ran_at.end(), t.worker) == ran_at.end();
+    std::erase_if(job.record.attempts, [&](const AttemptRecord& attempt) {
+      return std::find(ran_at.begin(), ran_at.end(), attempt.worker) == ran_at.end();
     });
-    job.wait_s = std::clamp(std::max(retry_after_s, 2 * job.wait_s), limits_.retry_min_s,
-                            limits_.retry_max_s);
-    job.state = State::kWaiting;
-    job.at = now + job.wait_s;
-    later_.emplace(job.at, handle);
+    job.backoff_s = std::clamp(std::max(retry_after_s, 2 * job.backoff_s), limits_.retry_min_s,
+                               limits_.retry_max_s);
+    job.state = State::kBackoff;
+    job.due_at = now + job.backoff_s;
+    timers_.emplace(job.due_at, handle);
   } else {
     job.state = State::kEnding;
     ending_ += 1;
-    End(now, &job);
+    WriteEnd(now, &job);
   }
-  StartMore();
+  StartReadyJobs();
 }
 
-// Written down; where that can't be done now it is said again, until another has the log.
-void DurableJobQueue::End(double now, Job* job) {
+// Appends the erasure of an ended job. If that is rejected now, it is retried until it succeeds or
+// another member owns the log.
+void DurableJobQueue::WriteEnd(double now, Job* job) {
   ReplicatedLogs::AppendError reason{};
   const LogId log = job->log;
   const std::string handle = job->record.handle;
   const SequenceNumber sequence = hooks_.append(log, handle, "", true, &reason);
   if (sequence != 0) {
     logs_[log].pending_commits.emplace(
-        sequence, PendingCommit{.handle = handle, .then = {}, .sent = {}, .end = true});
+        sequence,
+        PendingCommit{.handle = handle, .on_result = {}, .on_recorded = {}, .is_end = true});
     return;
   }
   const auto it = jobs_.find(handle);
-  if (it == jobs_.end()) return;  // refused, as another has the log
-  it->second.at = now + kSayAgainS;
-  later_.emplace(it->second.at, handle);
+  if (it == jobs_.end()) return;  // rejected because another member owns the log
+  it->second.due_at = now + kEndRetryIntervalS;
+  timers_.emplace(it->second.due_at, handle);
 }
 
 void DurableJobQueue::OnLogAcquired(double now, LogId log, const std::vector<Operation>& entries) {
   logs_[log];
-  if (main_ == 0) main_ = log;
-  opened_ = 0;
-  for (const Operation& op : entries) {
-    auto record = DecodeJob(op.key, op.value);
-    if (!record || jobs_.contains(op.key)) continue;
-    Job* job = Put(std::move(*record), log);
-    job->put = op.sequence;
-    job->at = now;
+  if (default_log_ == 0) default_log_ = log;
+  requested_log_ = 0;
+  for (const Operation& operation : entries) {
+    auto record = DecodeJob(operation.key, operation.value);
+    if (!record || jobs_.contains(operation.key)) continue;
+    Job* job = AddJob(std::move(*record), log);
+    job->last_write = operation.sequence;
+    job->due_at = now;
     counters_.recovered += 1;
     SetReady(job);
   }
-  Tidy();
-  StartMore();
+  CloseEmptyLogs();
+  StartReadyJobs();
 }
 
 void DurableJobQueue::OnLogReleased(LogId log) {
   const auto it = logs_.find(log);
   if (it == logs_.end()) return;
-  const auto owed = std::move(it->second.pending_commits);
+  const auto pending = std::move(it->second.pending_commits);
   logs_.erase(it);
-  if (main_ == log) main_ = logs_.empty() ? 0 : logs_.begin()->first;
-  std::vector<std::string> theirs, running;
+  if (default_log_ == log) default_log_ = logs_.empty() ? 0 : logs_.begin()->first;
+  std::vector<std::string> released, running;
   for (const auto& [handle, job] : jobs_) {
     if (job.log != log) continue;
-    theirs.push_back(handle);
+    released.push_back(handle);
     if (job.state == State::kRunning) running.push_back(handle);
   }
-  counters_.handed_over += theirs.size();
-  for (const std::string& handle : theirs) Remove(jobs_.find(handle));
+  counters_.handed_over += released.size();
+  for (const std::string& handle : released) RemoveJob(jobs_.find(handle));
   for (const std::string& handle : running) hooks_.abort(handle);
-  for (const auto& [sequence, o] : owed) {
-    if (o.then) o.then(o.handle, RejectReason::kOwnershipLost, kReturnS);
-    if (o.sent) o.sent(false);
+  for (const auto& [sequence, commit] : pending) {
+    if (commit.on_result)
+      commit.on_result(commit.handle, RejectReason::kOwnershipLost, kRetryAfterS);
+    if (commit.on_recorded) commit.on_recorded(false);
   }
 }
 
-// Of the logs that came to this member the empty ones end.
-void DurableJobQueue::Tidy() {
+// Closes logs taken over from other members once they are empty.
+void DurableJobQueue::CloseEmptyLogs() {
   if (logs_.size() < 2) return;
   std::vector<LogId> empty;
   for (const auto& [id, log] : logs_) {
-    if (id != main_ && log.pending_commits.empty() && log.jobs == 0) empty.push_back(id);
+    if (id != default_log_ && log.pending_commits.empty() && log.jobs == 0) empty.push_back(id);
   }
   for (const LogId log : empty) {
     logs_.erase(log);
@@ -384,35 +394,36 @@
 }
 
 void DurableJobQueue::Tick(double now) {
-  if (now >= OpensAt()) {
-    opened_at_ = now;
-    opened_ = (membership::Mix(number_ ^ membership::Mix(++order_)) << 8) |
-              static_cast<std::uint64_t>(LogKind::kJobs);
-    hooks_.open(opened_);
+  if (now >= OpenLogAt()) {
+    log_requested_at_ = now;
+    requested_log_ = (membership::Mix(process_number_ ^ membership::Mix(++last_order_)) << 8) |
+                     static_cast<std::uint64_t>(LogKind::kJobs);
+    hooks_.open(requested_log_);
   }
-  while (!later_.empty() && later_.begin()->first <= now) {
-    const std::string handle = later_.begin()->second;
-    later_.erase(later_.begin());
+  while (!timers_.empty() && timers_.begin()->first <= now) {
+    const std::string handle = timers_.begin()->second;
+    timers_.erase(timers_.begin());
     Job& job = jobs_[handle];
     if (job.state == State::kEnding) {
-      End(now, &job);
+      WriteEnd(now, &job);
     } else {
       SetReady(&job);
     }
   }
-  StartMore();
+  StartReadyJobs();
 }
 
 double DurableJobQueue::NextAt() const {
-  double at = later_.empty() ? kInf : later_.begin()->first;
-  return std::min(at, OpensAt());
+  double at = timers_.empty() ? kInfinity : timers_.begin()->first;
+  return std::min(at, OpenLogAt());
 }
 
-// When a log of its own is to be asked for.
-double DurableJobQueue::OpensAt() const {
-  if (!limits_.accepts_jobs || stopping_ || leased_since_ < 0 || !logs_.empty()) return kInf;
-  const double settled_at = leased_since_ + limits_.settle_s;
-  return opened_ == 0 ? settled_at : std::max(settled_at, opened_at_ + kOpenAgainS);
+// When a log for this member is to be requested.
+double DurableJobQueue::OpenLogAt() const {
+  if (!limits_.accepts_jobs || stopping_ || leased_since_ < 0 || !logs_.empty()) return kInfinity;
+  const double settled_at = leased_since_ + limits_.open_delay_s;
+  return requested_log_ == 0 ? settled_at
+                             : std::max(settled_at, log_requested_at_ + kReopenIntervalS);
 }
 
 }  // namespace millethollow::copies
--- a/src/copies/durable_job_queue.h
+++ b/src/copies/durable_job_queue.h
@@ -1,9 +1,11 @@
-// Promised jobs: each is done as its class's rules say, once, though nobody waits for it, and
-// whoever is lost meanwhile. A job is an entry of a log (copies.h); whoever acts on the log runs
-// it. docs/design/copies.md has the promises.
+// Durable jobs: an accepted job runs to its end as its class's rules allow, although no client
+// waits for it and whichever members fail meanwhile. A job is an entry of a replicated log
+// (replicated_logs.h); the member that may act on the log runs it. docs/design/copies.md has the
+// guarantees.
 //
-// Decides only: what logs and the process tell and time go in, calls of Hooks come out. Bounded by
-// Limits, but for what is adopted. Times are seconds on a clock that counts pauses.
+// Pure decisions: events of logs and attempts and the time come in; calls of Hooks go out. State is
+// bounded by Limits, recovered jobs aside. Times are seconds on a clock that includes pauses of the
+// machine.
 #ifndef MILLETHOLLOW_COPIES_DURABLE_JOB_QUEUE_H_
 #define MILLETHOLLOW_COPIES_DURABLE_JOB_QUEUE_H_
 
@@ -22,40 +24,50 @@
 
 namespace millethollow::copies {
 
-// An attempt that went out or was about to.
+// An attempt at a worker that was sent or was about to be.
 struct AttemptRecord {
   std::string worker;
-  bool local_worker = false;  // the worker connected to that node by itself: no other knows it
-  SequenceNumber sequence = 0;  // of the operation that first told of it; 0: the one that it came with
+  bool local_worker = false;    // connected to that node by itself; other nodes do not know it
+  SequenceNumber sequence = 0;  // of the operation that recorded it first; 0: the one it is in
 };
 
+// A durable job as its log stores it.
 struct JobRecord {
-  std::string handle;  // unique in the cluster for ever
+  std::string handle;  // unique in the cluster, and never reused
   std::string function, unique_id, class_name, tenant, body;
   std::uint8_t priority = 1;            // 0 high, 1 normal, 2 low
-  std::vector<AttemptRecord> attempts;  // and may have run, oldest first
+  std::vector<AttemptRecord> attempts;  // that may have run, oldest first
 };
 
-constexpr std::size_t kMaxAttempts = 32;
+constexpr std::size_t kMaxAttempts = 32;  // recorded per job
+// Encodings in the log. Decoding returns nothing if the bytes are damaged.
 std::string Encode(const AttemptRecord& attempt);
 std::optional<AttemptRecord> DecodeAttempt(std::string_view bytes);
-std::string Encode(const JobRecord& job);  // but for the handle, which is its key
+std::string Encode(const JobRecord& job);  // without the handle, which is the key of the entry
 std::optional<JobRecord> DecodeJob(std::string handle, std::string_view bytes);
 
-// Logs say in their numbers what they are for.
+// What a log is used for: the low byte of its id.
 enum class LogKind : std::uint8_t { kJobs = 1, kKeys = 2 };
 inline LogKind KindOf(LogId log) { return static_cast<LogKind>(log & 0xff); }
 
+// The durable jobs of the logs that this member acts on.
+//
+// Invariants:
+// - A job is accepted only once its record is committed in the log, so a member that takes over the
+//   log recovers it (PacificA: Lin, Yang, Zhang, Zhou 2008).
+// - A job leaves the queue as ended only once the erasure of its record is committed.
+// - An attempt that RecordAttempt allows is committed before it is sent.
 class DurableJobQueue {
  public:
   struct Limits {
     std::size_t jobs = 10000, bytes = 64 << 20;
-    double tenant_share = 0.5;                    // of both, that one tenant's jobs may take
-    std::size_t running = 64;                     // at once; the others wait here
+    double tenant_share = 0.5;                    // of both limits, for the jobs of one tenant
+    std::size_t running = 64;                     // at once; further jobs wait here
     double retry_min_s = 0.1, retry_max_s = 5.0;  // between two rounds of one job
-    double settle_s = 1.0;  // a lease held for so long without a log of jobs: one is opened
-    bool accepts_jobs = true;      // else it opens none, and only has what it adopts
+    double open_delay_s = 1.0;  // a log is opened if a lease was held for so long without one
+    bool accepts_jobs = true;   // false: no log is opened, and jobs are only recovered
   };
+  // Why a job was not accepted.
   enum class RejectReason : std::uint8_t {
     kNone,
     kNoLog,
@@ -63,16 +75,19 @@
     kFull,
     kTenantFull,
     kStoreFailed,
-    kOwnershipLost
+    kOwnershipLost  // it is not known whether the job is committed
   };
+  // The result of a round.
   enum class JobOutcome : std::uint8_t { kCompleted, kFailed, kRejected };
-  // Whether it is promised now; else why not, and when to come back (seconds).
-  using Then =
+  // Whether the job is accepted; otherwise why not, and when to submit it again (seconds).
+  using SubmitCallback =
       std::function<void(const std::string& handle, RejectReason reason, double retry_after_s)>;
-  struct Round {  // of one job: to be tried as a request would
+  // One round of a job: it is to be dispatched as a request would be, with retries.
+  struct Round {
     const JobRecord* job = nullptr;
-    std::uint64_t number = 0;    // of this process's rounds: no two have one
-    std::vector<double> ages_s;  // of job->tried: at most so long ago; infinite: not known
+    std::uint64_t number = 0;  // unique among the rounds of this process
+    // The greatest age of each of job->attempts, in seconds; infinite if it is not known.
+    std::vector<double> ages_s;
   };
   struct Hooks {
     std::function<SequenceNumber(LogId, std::string key, std::string value, bool erase,
@@ -82,43 +97,48 @@
     std::function<void(LogId)> open, close;
     std::function<double(LogId, SequenceNumber)> max_age_s;  // as LogReplicator::MaxAge
     std::function<void(const Round&)> run;
-    std::function<void(const std::string& handle)> abort;  // it is another member's now
-    std::function<void(const JobRecord&, JobOutcome)> on_ended = [](const JobRecord&, JobOutcome) {};
+    std::function<void(const std::string& handle)> abort;  // another member owns the job's log now
+    std::function<void(const JobRecord&, JobOutcome)> on_ended = [](const JobRecord&, JobOutcome) {
+    };
   };
+  // Events since the start of the process.
   struct Counters {
     std::uint64_t accepted = 0, rejected = 0, recovered = 0, rounds = 0, completed = 0, failed = 0,
                   handed_over = 0;  // jobs of logs that another member owns now
   };
 
-  // `number` is never another process's: names of logs and jobs are made of it.
+  // `number` is unique to this process: ids of logs and handles of jobs are made from it.
   DurableJobQueue(const Limits& limits, std::uint64_t number, Hooks hooks);
 
-  // Logs, as LogReplicator tells of them.
+  // Events of the logs, as LogReplicator reports them.
   void OnLogAcquired(double now, LogId log, const std::vector<Operation>& entries);
   void OnLogReleased(LogId log);
   void OnCommitted(double now, LogId log, SequenceNumber sequence);
   void OnLease(double now, bool leased);
 
-  // `then` once, maybe at once. One of the same function and unique id is the same job.
-  void Submit(double now, JobRecord job, Then then);
-  // An attempt of the round is about to go out: it may once `then(true)` comes.
+  // Calls `on_result` once, possibly before it returns. A job with the function and unique id of
+  // a queued one is a duplicate of it, and gets its handle.
+  void Submit(double now, JobRecord job, SubmitCallback on_result);
+  // Records an attempt of the current round; it may be sent once `on_recorded(true)` is called.
   void RecordAttempt(double now, const std::string& handle, const std::string& worker,
-                     bool local_worker, std::function<void(bool)> then);
-  // May this process act for the job now?
+                     bool local_worker, std::function<void(bool)> on_recorded);
+  // Whether this process may act for the job now.
   bool MayAct(const std::string& handle) const;
-  // `ran_at`: workers where it may have run, in this round or before it.
+  // The round has ended. `ran_at`: workers where the job may have run, in this round or before it.
   void OnJobEnded(double now, const std::string& handle, JobOutcome outcome, double retry_after_s,
                   const std::vector<std::string>& ran_at);
   void Tick(double now);
   double NextAt() const;
-  // Whoever asks for a job's result waits for it now: it is run at once if it waits. False:
-  // unknown.
+  // A client waits for the result of the job: if it is queued or in backoff it runs at once.
+  // Returns whether it runs.
   bool RunNow(double now, const std::string& handle);
-  // Nothing new is begun; what runs may end. Idle: it has, and that is written down.
+  // Starts no further rounds; those that run may end.
   void Stop() { stopping_ = true; }
+  // Whether no round runs and all ends are committed.
   bool Idle() const;
 
-  std::string Find(const std::string& function, const std::string& unique) const;  // or empty
+  // The handle of the job with that function and unique id; empty if there is none.
+  std::string Find(const std::string& function, const std::string& unique_id) const;
   bool Has(const std::string& handle) const { return jobs_.contains(handle); }
   std::size_t size() const { return jobs_.size(); }
   std::size_t bytes() const { return bytes_; }
@@ -128,58 +148,60 @@
   std::string NewHandle(const std::string& prefix);
 
  private:
-  enum class State : std::uint8_t { kAsked, kReady, kRunning, kWaiting, kEnding };
+  enum class State : std::uint8_t { kUncommitted, kReady, kRunning, kBackoff, kEnding };
   struct Job {
     JobRecord record;
     LogId log = 0;
-    State state = State::kAsked;
-    SequenceNumber put = 0;  // the last operation that wrote it
-    double at = 0, wait_s = 0;
+    State state = State::kUncommitted;
+    SequenceNumber last_write = 0;  // the last operation that wrote the record
+    double due_at = 0, backoff_s = 0;
     std::uint64_t order = 0;
     JobOutcome outcome = JobOutcome::kCompleted;
   };
-  struct PendingCommit {  // by a log, until an operation is kept
+  // What is to be done once an operation is committed.
+  struct PendingCommit {
     std::string handle;
-    Then then;                       // of an Accept
-    std::function<void(bool)> sent;  // of a Try
-    bool end = false;
+    SubmitCallback on_result;               // of Submit
+    std::function<void(bool)> on_recorded;  // of RecordAttempt
+    bool is_end = false;
   };
   struct Log {
     std::multimap<SequenceNumber, PendingCommit> pending_commits;
     std::size_t jobs = 0;
   };
-  struct Load {
+  struct TenantUsage {
     std::size_t jobs = 0, bytes = 0;
   };
-  using Line = std::pair<int, std::uint64_t>;  // in which a tenant's jobs wait: priority and order
+  using QueuePosition = std::pair<int, std::uint64_t>;  // within a tenant: priority and order
 
   static std::size_t SizeOf(const JobRecord& job);
-  Job* Put(JobRecord record, LogId log);
-  JobRecord Remove(std::map<std::string, Job>::iterator it);
+  Job* AddJob(JobRecord record, LogId log);
+  JobRecord RemoveJob(std::map<std::string, Job>::iterator it);
   void SetReady(Job* job);
-  void LeaveLine(const Job& job);
-  void End(double now, Job* job);
-  void StartMore();
+  void RemoveFromReady(const Job& job);
+  void WriteEnd(double now, Job* job);
+  void StartReadyJobs();
   void Start(Job* job);
-  void Tidy();
-  double OpensAt() const;
+  void CloseEmptyLogs();
+  double OpenLogAt() const;
   RejectReason CheckCapacity(const JobRecord& job) const;
   static RejectReason RejectReasonOf(ReplicatedLogs::AppendError reason);
 
   Limits limits_;
-  std::uint64_t number_;
+  std::uint64_t process_number_;
   Hooks hooks_;
-  std::map<LogId, Log> logs_;                                           // on which it acts
-  LogId main_ = 0;                                                      // where new jobs go
-  std::map<std::string, Job> jobs_;                                     // by handle
-  std::map<std::pair<std::string, std::string>, std::string> uniques_;  // function and unique id
-  std::map<std::string, Load> load_;                                    // by tenant
-  std::map<std::string, std::map<Line, std::string>> ready_;            // by tenant
-  std::string last_tenant_;                                             // whose turn was the last
-  std::set<std::pair<double, std::string>> later_;  // jobs that wait, and ends to say again
+  std::map<LogId, Log> logs_;        // that this member acts on
+  LogId default_log_ = 0;            // for new jobs
+  std::map<std::string, Job> jobs_;  // by handle
+  // By function and unique id.
+  std::map<std::pair<std::string, std::string>, std::string> handles_by_unique_id_;
+  std::map<std::string, TenantUsage> tenant_usage_;                    // by tenant
+  std::map<std::string, std::map<QueuePosition, std::string>> ready_;  // by tenant
+  std::string last_tenant_;                                            // that started a job
+  std::set<std::pair<double, std::string>> timers_;  // ends of backoffs, and retries of WriteEnd
   std::size_t bytes_ = 0, running_ = 0, ending_ = 0;
-  std::uint64_t order_ = 0, rounds_ = 0, opened_ = 0;
-  double leased_since_ = -1, opened_at_ = 0;
+  std::uint64_t last_order_ = 0, last_round_ = 0, requested_log_ = 0;
+  double leased_since_ = -1, log_requested_at_ = 0;
   bool stopping_ = false, starting_ = false;
   Counters counters_;
 };
--- a/src/copies/idempotency_key_client.cpp
+++ b/src/copies/idempotency_key_client.cpp
@@ -8,9 +8,9 @@
 
 constexpr double kInfinity = std::numeric_limits<double>::infinity();
 constexpr double kResendIntervalS = 0.25;
-constexpr double kMaxTransitS = 3.0;  // a message is no older when it comes
+constexpr double kMaxTransitS = 3.0;  // the greatest age of a message on arrival
 constexpr double kClaimTimeoutS = 2.0;
-constexpr double kReleaseBackoff = 0.05;  // of a release's age, the least time to its next sending
+constexpr double kReleaseBackoff = 0.05;  // part of a release's age until it is sent again
 
 }  // namespace
 
@@ -65,7 +65,7 @@
   claim.on_result = nullptr;
   claim.on_decision = nullptr;
   claim.since = now;
-  // A claim that was never granted does not know what was tried before it.
+  // A claim that was never granted does not know the attempts made before it.
   if (!claim.granted) ran_at = {kAnyWorker};
   claim.request.body = ReleaseRequest{answered, std::move(result), std::move(ran_at)};
   Send(now, &claim);
--- a/src/copies/idempotency_key_client.h
+++ b/src/copies/idempotency_key_client.h
@@ -1,8 +1,9 @@
-// The claimer's side of the claim protocol (idempotency_messages.h): of the member that a client
-// asked with an idempotency key.
+// The claimant's side of the claim protocol (idempotency_messages.h): the member that received a
+// client's request with an idempotency key.
 //
-// Decides only: requests, messages and time in; calls of Hooks and of the requests' callbacks out.
-// Times are seconds on a clock that never runs back and counts pauses.
+// Pure decisions: requests, messages and the time come in; calls of Hooks and of the requests'
+// callbacks go out. Times are seconds on a clock that never runs backwards and includes pauses of
+// the machine.
 #ifndef MILLETHOLLOW_COPIES_IDEMPOTENCY_KEY_CLIENT_H_
 #define MILLETHOLLOW_COPIES_IDEMPOTENCY_KEY_CLIENT_H_
 
@@ -17,35 +18,41 @@
 
 namespace millethollow::copies {
 
+// The claims of this process that are not yet released.
+//
+// Invariants: a message is sent again until it is answered; the callback of a claim is called at
+// most once; an attempt is allowed only after the owner has committed its record, so that a request
+// has an effect at most once within the key's window.
 class IdempotencyKeyClient {
  public:
-  // What a claim came to.
+  // The result of a claim.
   struct Result {
     enum class Kind : std::uint8_t { kGranted, kAnswered, kRejected };
     Kind kind = Kind::kRejected;
-    std::vector<AttemptRecord> attempts;  // kGranted: made before, which may have run
-    std::vector<double> ages_s;           // of each, at most; infinite: not known
+    std::vector<AttemptRecord> attempts;  // kGranted: earlier ones that may have run
+    std::vector<double> ages_s;           // the greatest age of each; infinite: not known
     std::string result;                   // kAnswered
   };
   using ClaimCallback = std::function<void(const Result&)>;
   using AttemptCallback = std::function<void(bool allowed)>;
   struct Hooks {
-    std::function<NodeId(LogId)> owner;  // as the view has it, with a lease held now; 0: none
+    std::function<NodeId(LogId)> owner;  // by the view, under a current lease; 0: none
     std::function<void(NodeId, const IdempotencyMessage&)> send;
   };
   IdempotencyKeyClient(NodeId self, ProcessIncarnation process_incarnation, Hooks hooks)
       : self_(self), process_incarnation_(process_incarnation), hooks_(std::move(hooks)) {}
 
-  // Calls `on_result` once, maybe at once, unless Release comes first. Returns the claim's number;
-  // 0: rejected.
+  // Claims the key. Calls `on_result` once, possibly before it returns, unless Release is called
+  // first. Returns the number of the claim, or 0 if it is rejected.
   std::uint64_t Claim(double now, const std::string& key, double window_s, ClaimCallback on_result);
-  // An attempt may go out once `on_decision(true)` is called.
+  // Records an attempt. It may be sent once `on_decision(true)` is called.
   void RequestAttempt(double now, std::uint64_t number, const std::string& worker,
                       bool local_worker, AttemptCallback on_decision);
-  // The request has ended here, answered or not; or nobody waits for it any more.
+  // The request has ended here, answered or not, or its client is gone. `ran_at`: the workers where
+  // it may have run, if it was not answered.
   void Release(double now, std::uint64_t number, bool answered, std::string result,
                std::vector<std::string> ran_at);
-  // Does another claim run the request, as far as is known?
+  // Whether, as far as is known, another claim runs the request.
   bool IsPending(std::uint64_t number) const;
   void OnMessage(const IdempotencyMessage& message);
   void Tick(double now);
--- a/src/copies/idempotency_key_registry.cpp
+++ b/src/copies/idempotency_key_registry.cpp
@@ -43,13 +43,14 @@
   }
 }
 
-// The last attempt came with the last write: to be noted before there is another.
+// Records the sequence number of the last attempt, which is that of the last write, before the
+// record is written again.
 void IdempotencyKeyRegistry::DateLastAttempt(Record* record) {
   if (record->stored.attempts.empty() || record->stored.attempts.back().sequence != 0) return;
   record->stored.attempts.back().sequence = record->last_write;
 }
 
-// False: it can't be written now.
+// Appends the record. Returns false if the log rejects it.
 bool IdempotencyKeyRegistry::Write(const std::string& key, Record* record) {
   ReplicatedLogs::AppendError reason{};
   const SequenceNumber sequence =
@@ -97,7 +98,7 @@
   const auto* claim = std::get_if<ClaimRequest>(&message.body);
   const auto* attempt = std::get_if<AttemptRequest>(&message.body);
   const auto* release = std::get_if<ReleaseRequest>(&message.body);
-  if (!owned_logs_.contains(message.log)) {  // not this member's, or not yet
+  if (!owned_logs_.contains(message.log)) {  // this member does not act on the log, or not yet
     if (attempt != nullptr) Reply(message, AttemptRejected{attempt->attempt});
     return;
   }
@@ -111,7 +112,7 @@
   const auto found = records_.find(message.key);
   if (found == records_.end()) return OnNewKey(message, request);
   Record& record = found->second;
-  if (record.erasing) return;  // asked again, the key is new
+  if (record.erasing) return;  // the claim is sent again and finds a new key
   if (record.stored.answered) {
     if (!record.committed) return;
     counters_.repeated += 1;
@@ -132,7 +133,7 @@
   record.stored.window_s = request.window_s;
   const bool full = records_.size() >= limits_.keys || bytes_ >= limits_.bytes;
   if (full || !Write(message.key, &record)) {
-    counters_.refused += 1;
+    counters_.rejected += 1;
     return Reply(message, ClaimRejected{});
   }
   counters_.claims += 1;
@@ -152,8 +153,8 @@
   if (record->stored.claim != message.claim) Reply(message, ClaimPending{});
 }
 
-// Where no claim runs the request, or the process of the one that did is gone, the first of those
-// that wait may run it.
+// If no claim runs the request, or the process of the one that does has left the view, passes the
+// request to the first waiting claim.
 void IdempotencyKeyRegistry::PassToNextWaiting(double now, const std::string& key, Record* record) {
   if (record->stored.answered || record->erasing) return;
   if (record->stored.claim.node != 0) {
@@ -210,7 +211,8 @@
   if (found == records_.end()) return Reply(message, ClaimReleased{});
   Record& record = found->second;
   std::erase(record.waiting, message.claim);
-  // Only once the end is on the replicas: else whoever adopts the log takes it for one that runs.
+  // Acknowledged only once the end is committed: otherwise a new owner of the log would still see
+  // the claim as running.
   if (record.stored.claim != message.claim || record.stored.answered || record.erasing) {
     if (record.committed) Reply(message, ClaimReleased{});
     return;
@@ -268,11 +270,12 @@
 
 void IdempotencyKeyRegistry::OnWriteCommitted(const std::string& key, SequenceNumber sequence) {
   const auto found = records_.find(key);
-  if (found == records_.end() || found->second.last_write != sequence) return;  // written again since
+  if (found == records_.end() || found->second.last_write != sequence)
+    return;  // it was written again
   Record& record = found->second;
   record.committed = true;
   const ClaimId claim = record.stored.claim;
-  if (record.erasing) {  // claims that wait ask again
+  if (record.erasing) {  // waiting claims are sent again
     bytes_ -= SizeOf(key, record.stored);
     records_.erase(found);
   } else if (record.stored.answered) {
--- a/src/copies/idempotency_key_registry.h
+++ b/src/copies/idempotency_key_registry.h
@@ -1,9 +1,10 @@
-// The owner's side of the claim protocol (idempotency_messages.h): who may run the request of a
-// key, what was tried, and what the answer was. A key's record is an entry of one of a fixed set of
+// The owner's side of the claim protocol (idempotency_messages.h): which claim may run the request
+// of a key, its attempts, and its answer. The record of a key is an entry of one of a fixed set of
 // replicated logs; docs/design/copies.md has the guarantees.
 //
-// Decides only: messages, log events and time in; calls of Hooks out. State is bounded by Limits.
-// Times are seconds on a clock that never runs back and counts pauses.
+// Pure decisions: messages, log events and the time come in; calls of Hooks go out. State is
+// bounded by Limits. Times are seconds on a clock that never runs backwards and includes pauses of
+// the machine.
 #ifndef MILLETHOLLOW_COPIES_IDEMPOTENCY_KEY_REGISTRY_H_
 #define MILLETHOLLOW_COPIES_IDEMPOTENCY_KEY_REGISTRY_H_
 
@@ -19,33 +20,39 @@
 
 namespace millethollow::copies {
 
+// The records of the keys in all logs that this member acts on.
+//
+// Invariants: at most one claim runs the request of a key at a time; a grant, an allowed attempt
+// and an answer are sent only once the record that says so is committed. A claim whose process has
+// left the view passes to the first claim that waits. Deduplication covers the key's window after
+// the end of its request.
 class IdempotencyKeyRegistry {
  public:
   struct Limits {
-    std::size_t keys = 100000, bytes = 64 << 20, waiting = 32;  // waiting: claims of one key
+    std::size_t keys = 100000, bytes = 64 << 20, waiting = 32;  // waiting: claims per key
   };
   struct Hooks {
-    // The view is looked at before each call of this class: no log is released within an append.
+    // The caller applies the view before each call of this class: no log is released by an append.
     std::function<SequenceNumber(LogId, std::string key, std::string value, bool erase,
                                  ReplicatedLogs::AppendError*)>
         append;
     std::function<double(LogId, SequenceNumber)> max_age_s;
-    std::function<bool(const ClaimId&)> alive;  // its process is in the view
+    std::function<bool(const ClaimId&)> alive;  // whether its process is in the view
     std::function<void(NodeId, const IdempotencyMessage&)> send;
   };
   struct Counters {
-    std::uint64_t claims = 0, joined = 0, repeated = 0, taken_over = 0, refused = 0;
+    std::uint64_t claims = 0, joined = 0, repeated = 0, taken_over = 0, rejected = 0;
   };
   IdempotencyKeyRegistry(const Limits& limits, Hooks hooks)
       : limits_(limits), hooks_(std::move(hooks)) {}
 
-  // This member acts on the log from now on, whose entries these are; and no more.
+  // This member may act on the log, which has these entries; it no longer may.
   void OnLogAcquired(double now, LogId log, const std::vector<Operation>& entries);
   void OnLogReleased(LogId log);
   // All operations of the log up to this one are on its replicas.
   void OnCommitted(LogId log, SequenceNumber sequence);
   void OnMessage(double now, NodeId from, const IdempotencyMessage& message);
-  // To be called each second or so, and when the view has changed.
+  // To be called about once a second, and after each change of the view.
   void Tick(double now);
 
   std::size_t size() const { return records_.size(); }
@@ -57,13 +64,13 @@
     IdempotencyRecord stored;
     LogId log = 0;
     SequenceNumber last_write = 0;
-    bool committed = false;     // and that is on the replicas
-    std::uint64_t attempt = 0;  // the latest that the claim asked for
-    double expires_at = 0;      // where no claim runs it
+    bool committed = false;     // whether last_write is
+    std::uint64_t attempt = 0;  // the latest that the claim requested
+    double expires_at = 0;      // if no claim runs the request
     bool erasing = false;       // the last write erases it
     std::deque<ClaimId> waiting;
   };
-  // Writes on their way to the replicas: the keys by operation.
+  // Keys by the operations that wrote them and are not yet committed.
   using PendingWrites = std::multimap<SequenceNumber, std::string>;
 
   void OnClaimRequest(double now, const IdempotencyMessage& message, const ClaimRequest& request);
@@ -91,7 +98,7 @@
   Limits limits_;
   Hooks hooks_;
   std::map<std::string, Record> records_;      // by key
-  std::map<LogId, PendingWrites> owned_logs_;  // that this member acts on
+  std::map<LogId, PendingWrites> owned_logs_;  // logs that this member acts on
   std::size_t bytes_ = 0;
   Counters counters_;
 };
--- a/src/copies/idempotency_messages.h
+++ b/src/copies/idempotency_messages.h
@@ -1,6 +1,6 @@
-// The claim protocol between the member that a client asked with an idempotency key and the owner
-// of the key's log. A message may be lost, doubled, late or out of order: requests are sent again
-// until they are answered.
+// The claim protocol between the member that received a request with an idempotency key (the
+// claimant) and the owner of the key's log. Messages may be lost, duplicated, delayed or reordered:
+// requests are sent again until they are answered.
 #ifndef MILLETHOLLOW_COPIES_IDEMPOTENCY_MESSAGES_H_
 #define MILLETHOLLOW_COPIES_IDEMPOTENCY_MESSAGES_H_
 
@@ -13,58 +13,60 @@
 
 namespace millethollow::copies {
 
-// Of ReleaseRequest::ran_at: wherever the request was tried.
+// In ReleaseRequest::ran_at: all workers of recorded attempts.
 constexpr const char* kAnyWorker = "*";
 
-// To the owner: may the request run?
+// To the owner: asks whether the request may run. `window_s`: how long the key is kept, in seconds.
 struct ClaimRequest {
   double window_s = 0;
 };
-// To the owner: an attempt is about to go out.
+// To the owner: an attempt is about to be sent.
 struct AttemptRequest {
-  std::uint64_t attempt = 0;  // rises with each attempt of the claim, from 1
+  std::uint64_t attempt = 0;  // counts the attempts of the claim, from 1
   std::string worker;
   bool local_worker = false;
 };
-// To the owner: the request has ended at the member that claimed it.
+// To the owner: the request has ended at the claimant.
 struct ReleaseRequest {
   bool answered = false;
-  std::string result;               // where answered
-  std::vector<std::string> ran_at;  // else the workers where it may have run, or kAnyWorker
+  std::string result;               // if answered
+  std::vector<std::string> ran_at;  // if not: the workers where it may have run, or kAnyWorker
 };
 
-// To the claimer: run it.
+// To the claimant: it may run the request.
 struct ClaimGranted {
-  std::vector<AttemptRecord> attempts;  // made before, which may have run
-  std::vector<double> ages_s;           // of each, at most; infinite: not known
+  std::vector<AttemptRecord> attempts;  // earlier ones that may have run
+  std::vector<double> ages_s;           // the greatest age of each; infinite: not known
 };
-// To the claimer: another claim runs it; another message will follow.
+// To the claimant: another claim runs the request; a further message follows.
 struct ClaimPending {};
-// To the claimer: not now, or not at this member.
+// To the claimant: the request may not run now, or this member is not the owner.
 struct ClaimRejected {};
-// To the claimer: it was answered already.
+// To the claimant: the request was answered already.
 struct ClaimAnswered {
   std::string result;
 };
-// To the claimer: the attempt may go out.
+// To the claimant: the attempt may be sent.
 struct AttemptAllowed {
   std::uint64_t attempt = 0;
 };
-// To the claimer: the attempt may not go out.
+// To the claimant: the attempt may not be sent.
 struct AttemptRejected {
   std::uint64_t attempt = 0;
 };
-// To the claimer: the release is on the log's replicas.
+// To the claimant: the release is committed.
 struct ClaimReleased {};
 
+// One message of the protocol.
 struct IdempotencyMessage {
   LogId log = 0;
   std::string key;
-  ClaimId claim;  // the claim that asks, or is answered
+  ClaimId claim;  // the sender or receiver
   std::variant<ClaimRequest, AttemptRequest, ReleaseRequest, ClaimGranted, ClaimPending,
                ClaimRejected, ClaimAnswered, AttemptAllowed, AttemptRejected, ClaimReleased>
       body;
 
+  // Whether it is sent to the owner of the log rather than to the claimant.
   bool ToOwner() const {
     return std::holds_alternative<ClaimRequest>(body) ||
            std::holds_alternative<AttemptRequest>(body) ||
--- a/src/copies/idempotency_record.h
+++ b/src/copies/idempotency_record.h
@@ -1,4 +1,4 @@
-// The entry that a log of idempotency keys holds for a key, and which log a key belongs to. No I/O.
+// The record of an idempotency key in its replicated log, and the mapping of keys to logs. No I/O.
 #ifndef MILLETHOLLOW_COPIES_IDEMPOTENCY_RECORD_H_
 #define MILLETHOLLOW_COPIES_IDEMPOTENCY_RECORD_H_
 
@@ -13,34 +13,35 @@
 
 namespace millethollow::copies {
 
-// One request with a key: the member that a client asked, its process, and the number of the claim
-// within that process.
+// Identifies the claim of one request: the member that received it, that member's process, and the
+// number of the claim within the process.
 struct ClaimId {
-  NodeId node = 0;  // 0: nobody
+  NodeId node = 0;  // 0: no claim
   ProcessIncarnation process_incarnation = 0;
   std::uint64_t number = 0;
   auto operator<=>(const ClaimId&) const = default;
 };
 
+// The state of a key.
 struct IdempotencyRecord {
-  ClaimId claim;                        // whose request may run now; nobody's: none
+  ClaimId claim;                        // the claim that may run the request now, if any
   std::vector<AttemptRecord> attempts;  // that may have run, oldest first
-  double window_s = 0;                  // how long the key is kept after its request ended
+  double window_s = 0;  // how long the key is kept after the end of its request, in seconds
   bool answered = false;
   std::string result;  // of the answer
 };
 
-// The bytes of a record in a log.
+// The encoding of a record in its log.
 std::string Encode(const IdempotencyRecord& record);
-// None where the bytes are damaged or name more than kMaxAttempts attempts.
+// Returns nothing if the bytes are damaged or have more than kMaxAttempts attempts.
 std::optional<IdempotencyRecord> DecodeIdempotencyRecord(std::string_view bytes);
 
-// How many logs the keys are spread over.
+// The number of logs over which the keys are distributed.
 constexpr LogId kKeyLogs = 8;
-// The log that holds the key: the same at every member.
+// The log of the key, which is the same at every member.
 LogId LogOfKey(std::string_view key);
-// The member that opens the log where the view has none: by rendezvous hashing over the members
-// with a store. 0: no member has one.
+// The member that opens the log if the view does not have it, by rendezvous hashing over the
+// members with a store. 0: no member has one.
 NodeId PreferredOpener(LogId log, const View& view);
 
 }  // namespace millethollow::copies
--- a/src/copies/replicated_logs.cpp
+++ b/src/copies/replicated_logs.cpp
@@ -7,17 +7,17 @@
 namespace millethollow::copies {
 namespace {
 
-constexpr double kTickS = 0.05;
+constexpr double kTickIntervalS = 0.05;
 
 }  // namespace
 
 double ReplicatedLogs::MaxAge(double now, LogId id, SequenceNumber sequence) const {
   const auto it = logs_.find(id);
-  if (it != logs_.end() && sequence > it->second.late) {
-    const auto& marks = it->second.marks;
+  if (it != logs_.end() && sequence > it->second.undated_end) {
+    const auto& age_marks = it->second.age_marks;
     // clang 14 does not compile std::views::reverse of this library.
     // NOLINTNEXTLINE(modernize-loop-convert)
-    for (auto mark = marks.rbegin(); mark != marks.rend(); ++mark) {
+    for (auto mark = age_marks.rbegin(); mark != age_marks.rend(); ++mark) {
       if (mark->second < sequence) return now - mark->first;
     }
   }
@@ -26,7 +26,7 @@
 
 ReplicatedLogs::ReplicatedLogs(const Options& options,
                                const std::vector<std::pair<std::string, std::string>>& records)
-    : o_(options) {
+    : options_(options) {
   for (const auto& [key, value] : records) {
     const auto parts = ParseStoreKey(key);
     if (!parts || parts->type != 'h') continue;
@@ -36,49 +36,51 @@
     const auto parts = ParseStoreKey(key);
     if (!parts || parts->type != 'o' || !logs_.contains(parts->log)) continue;
     Log& log = logs_[parts->log];
-    auto op = DecodeOperation(value);
-    // One that is missing ends what is known: what follows it can't be told from another's.
-    if (op && op->sequence == log.End() + 1) log.operations.push_back(std::move(*op));
+    auto operation = DecodeOperation(value);
+    // A gap ends the known log: operations after it may be those of another owner.
+    if (operation && operation->sequence == log.End() + 1)
+      log.operations.push_back(std::move(*operation));
   }
   for (auto& [id, log] : logs_) {
-    log.before = log.head.applied_epoch;
-    log.stored = log.late = log.End();
-    log.head_stored = log.head.applied;
+    log.previous_epoch = log.head.applied_epoch;
+    log.stored = log.undated_end = log.End();
+    log.stored_applied = log.head.applied;
   }
 }
 
 void ReplicatedLogs::OnView(double now, const View& view, bool leased, Actions* actions) {
   leased_ = leased;
-  before_ = std::exchange(looked_at_, now);
-  if (view.epoch == view_.epoch && looked_) return;
-  looked_ = true;
+  previous_event_at_ = std::exchange(event_at_, now);
+  if (view.epoch == view_.epoch && view_known_) return;
+  view_known_ = true;
   view_ = view;
-  for (const LogAssignment& place : view_.logs) {
-    opened_.erase(place.log);
-    const bool ours = place.owner == o_.self &&
-                      place.process_incarnation == o_.process_incarnation &&
-                      place.Find(o_.self) != nullptr && place.Find(o_.self)->store_id == o_.store_id;
-    auto it = logs_.find(place.log);
-    if (ours && it == logs_.end()) {
-      it = logs_.emplace(place.log, Log{}).first;  // a new one
-      PutHead(place.log, it->second);
+  for (const LogAssignment& assignment : view_.logs) {
+    logs_to_open_.erase(assignment.log);
+    const bool owned_here = assignment.owner == options_.self &&
+                            assignment.process_incarnation == options_.process_incarnation &&
+                            assignment.Find(options_.self) != nullptr &&
+                            assignment.Find(options_.self)->store_id == options_.store_id;
+    auto it = logs_.find(assignment.log);
+    if (owned_here && it == logs_.end()) {
+      it = logs_.emplace(assignment.log, Log{}).first;  // a new log
+      WriteHead(assignment.log, it->second);
     }
     if (it == logs_.end()) continue;
     Log& log = it->second;
-    if (!ours) {
-      StepDown(place.log, &log, actions);
+    if (!owned_here) {
+      StepDown(assignment.log, &log, actions);
       continue;
     }
-    if (!log.own || log.since != place.owner_epoch)
-      BecomeOwner(now, place.log, &log, place, actions);
-    if (place.version == log.version) log.wanted.clear();
-    log.asked.clear();
-    log.passing = log.pass_to != 0;
-    for (const LogReplica& h : log.wanted) log.asked.insert(h.id);
-    SetPeers(now, &log, place);
-    Commit(now, place.log, &log, actions);
+    if (!log.is_owner || log.owner_epoch != assignment.owner_epoch)
+      BecomeOwner(now, assignment.log, &log, assignment, actions);
+    if (assignment.version == log.request_version) log.requested_replicas.clear();
+    log.requested_nodes.clear();
+    log.transfer_requested = log.transfer_to != 0;
+    for (const LogReplica& replica : log.requested_replicas) log.requested_nodes.insert(replica.id);
+    SetPeers(now, &log, assignment);
+    Commit(now, assignment.log, &log, actions);
   }
-  // What the view does not have is at its end.
+  // Logs that are no longer in the view have been closed.
   for (auto it = logs_.begin(); it != logs_.end();) {
     if (view_.epoch == 0 || view_.Log(it->first) != nullptr ||
         it->second.head.epoch > view_.epoch) {
@@ -86,7 +88,7 @@
       continue;
     }
     StepDown(it->first, &it->second, actions);
-    batch_.push_back({StoreWrite::Kind::kErasePrefix, LogPrefix(it->first), ""});
+    pending_writes_.push_back({StoreWrite::Kind::kErasePrefix, LogPrefix(it->first), ""});
     it = logs_.erase(it);
   }
   Flush(actions);
@@ -96,16 +98,19 @@
   const auto it = logs_.find(id);
   if (it == logs_.end()) return "none";
   const Log& log = it->second;
-  std::string text = "since=" + std::to_string(log.since) + " end=" + std::to_string(log.End()) +
-                     " stored=" + std::to_string(log.stored) + " base=" + std::to_string(log.base) +
-                     " commit=" + std::to_string(log.commit);
-  for (const auto& [who, peer] : log.peers) {
-    text += " " + std::to_string(who) + (peer.holder ? ":holder" : ":candidate") +
-            (peer.met ? "" : ",not-met") + (peer.snapshot_id != 0 ? ",filling" : "") +
-            ",acked=" + std::to_string(peer.acked) + ",next=" + std::to_string(peer.next);
+  std::string text = "since=" + std::to_string(log.owner_epoch) +
+                     " end=" + std::to_string(log.End()) + " stored=" + std::to_string(log.stored) +
+                     " base=" + std::to_string(log.takeover_end) +
+                     " commit=" + std::to_string(log.commit_index);
+  for (const auto& [node, peer] : log.peers) {
+    text += " " + std::to_string(node) + (peer.is_replica ? ":holder" : ":candidate") +
+            (peer.status_known ? "" : ",not-met") + (peer.snapshot_id != 0 ? ",filling" : "") +
+            ",acked=" + std::to_string(peer.acked_sequence) +
+            ",next=" + std::to_string(peer.next_sequence);
   }
-  for (const LogReplica& h : log.wanted) text += " wants=" + std::to_string(h.id);
-  if (log.pass_to != 0) text += " pass_to=" + std::to_string(log.pass_to);
+  for (const LogReplica& replica : log.requested_replicas)
+    text += " wants=" + std::to_string(replica.id);
+  if (log.transfer_to != 0) text += " pass_to=" + std::to_string(log.transfer_to);
   return text;
 }
 
@@ -116,31 +121,31 @@
 
 bool ReplicatedLogs::MayAct(LogId id) const {
   const auto it = logs_.find(id);
-  return leased_ && !failed_ && it != logs_.end() && it->second.own && it->second.begun;
+  return leased_ && !store_failed_ && it != logs_.end() && it->second.is_owner && it->second.active;
 }
 
 std::size_t ReplicatedLogs::ReachableReplicas(double now, const Log& log,
-                                              const LogAssignment& place) const {
-  std::size_t there = 1;
-  for (const auto& [who, peer] : log.peers) {
-    there +=
-        peer.holder && place.Find(who) != nullptr && now - peer.heard_at <= o_.replica_timeout_s;
+                                              const LogAssignment& assignment) const {
+  std::size_t reachable = 1;
+  for (const auto& [node, peer] : log.peers) {
+    reachable += peer.is_replica && assignment.Find(node) != nullptr &&
+                 now - peer.last_status_at <= options_.replica_timeout_s;
   }
-  return there;
+  return reachable;
 }
 
 SequenceNumber ReplicatedLogs::Append(double now, LogId id, std::string key, std::string value,
                                       bool erase, AppendError* reason, Actions* actions) {
   const auto it = logs_.find(id);
   *reason = AppendError::kNone;
-  const LogAssignment* place = view_.Log(id);
-  if (failed_) {
+  const LogAssignment* assignment = view_.Log(id);
+  if (store_failed_) {
     *reason = AppendError::kStoreFailed;
-  } else if (!MayAct(id) || place == nullptr || it->second.closing) {
+  } else if (!MayAct(id) || assignment == nullptr || it->second.closing) {
     *reason = AppendError::kNotOwner;
-  } else if (ReachableReplicas(now, it->second, *place) < o_.min_replicas) {
+  } else if (ReachableReplicas(now, it->second, *assignment) < options_.min_replicas) {
     *reason = AppendError::kTooFewReplicas;
-  } else if (it->second.End() - it->second.commit >= o_.max_uncommitted_operations) {
+  } else if (it->second.End() - it->second.commit_index >= options_.max_uncommitted_operations) {
     *reason = AppendError::kFull;
   }
   if (*reason != AppendError::kNone) {
@@ -148,18 +153,19 @@
     return 0;
   }
   Log& log = it->second;
-  log.Mark(now);
-  log.operations.push_back({log.End() + 1, log.since, std::move(key), std::move(value), erase});
-  Put(id, log.operations.back());
+  log.AddAgeMark(now);
+  log.operations.push_back(
+      {log.End() + 1, log.owner_epoch, std::move(key), std::move(value), erase});
+  WriteOperation(id, log.operations.back());
   Flush(actions);
-  for (auto& [who, peer] : log.peers) SendAppend(now, id, &log, who, &peer, actions);
+  for (auto& [node, peer] : log.peers) SendAppend(now, id, &log, node, &peer, actions);
   return log.End();
 }
 
 std::vector<LogId> ReplicatedLogs::Owned() const {
   std::vector<LogId> owned;
   for (const auto& [id, log] : logs_) {
-    if (log.own && log.begun) owned.push_back(id);
+    if (log.is_owner && log.active) owned.push_back(id);
   }
   return owned;
 }
@@ -167,12 +173,13 @@
 std::vector<ReplicatedLogs::LogStatus> ReplicatedLogs::LogStatuses() const {
   std::vector<LogStatus> all;
   for (const auto& [id, log] : logs_) {
-    LogStatus status{.log = id, .is_owner = log.own};
-    for (const auto& [who, peer] : log.peers) {
-      status.replicas += peer.holder;
+    LogStatus status{.log = id, .is_owner = log.is_owner};
+    for (const auto& [node, peer] : log.peers) {
+      status.replicas += peer.is_replica;
       status.receiving_snapshot += peer.snapshot_id != 0;
-      if (peer.holder)
-        status.max_lag = std::max(status.max_lag, log.End() - std::min(peer.acked, log.End()));
+      if (peer.is_replica)
+        status.max_lag =
+            std::max(status.max_lag, log.End() - std::min(peer.acked_sequence, log.End()));
     }
     all.push_back(status);
   }
@@ -180,47 +187,51 @@
 }
 
 void ReplicatedLogs::Tick(double now, Actions* actions) {
-  if (tick_at_ > now) return;
-  tick_at_ = now + kTickS;
-  if (failed_) return;
+  if (next_tick_at_ > now) return;
+  next_tick_at_ = now + kTickIntervalS;
+  if (store_failed_) return;
   for (auto& [id, log] : logs_) {
-    const LogAssignment* place = view_.Log(id);
-    if (!log.own || place == nullptr || !leased_) continue;
-    std::size_t copies = 1;
-    for (const auto& [who, peer] : log.peers) copies += now - peer.heard_at <= o_.replica_timeout_s;
-    if (copies < o_.replica_count) {
-      if (const NodeId who = Candidate(now, id, log)) {
-        Peer& peer = log.peers[who];
-        peer.store_id = view_.Find(who)->store_id;
-        peer.heard_at = now;
+    const LogAssignment* assignment = view_.Log(id);
+    if (!log.is_owner || assignment == nullptr || !leased_) continue;
+    std::size_t reachable = 1;
+    for (const auto& [node, peer] : log.peers)
+      reachable += now - peer.last_status_at <= options_.replica_timeout_s;
+    if (reachable < options_.replica_count) {
+      if (const NodeId node = ChooseCandidate(now, id, log)) {
+        Peer& peer = log.peers[node];
+        peer.store_id = view_.Find(node)->store_id;
+        peer.last_status_at = now;
       }
     }
     for (auto it = log.peers.begin(); it != log.peers.end();) {
-      auto& [who, peer] = *it;
-      // A candidate that says nothing makes room for another.
-      if (!peer.holder && !log.asked.contains(who) &&
-          now - peer.heard_at > 2 * o_.replica_timeout_s) {
+      auto& [node, peer] = *it;
+      // A silent candidate is dropped, so that another one can be chosen.
+      if (!peer.is_replica && !log.requested_nodes.contains(node) &&
+          now - peer.last_status_at > 2 * options_.replica_timeout_s) {
         it = log.peers.erase(it);
         continue;
       }
       if (peer.snapshot_id != 0) {
-        const bool trimmed = !log.operations.empty() && log.operations.front().sequence > peer.snapshot_sequence + 1;
-        if (trimmed || now - peer.heard_at > o_.replica_timeout_s) {
-          peer.Forget();
-        } else if (!peer.reading && peer.chunk > peer.part.chunk && now >= peer.chunk_at) {
-          peer.reading = true;
+        const bool trimmed =
+            !log.operations.empty() && log.operations.front().sequence > peer.snapshot_sequence + 1;
+        if (trimmed || now - peer.last_status_at > options_.replica_timeout_s) {
+          peer.ResetStatus();
+        } else if (!peer.reading_chunk && peer.chunk > peer.chunk_message.chunk &&
+                   now >= peer.next_chunk_at) {
+          peer.reading_chunk = true;
           actions->read.push_back(
               {id, peer.snapshot_id, EntryPrefix(id, log.head.snapshot_generation),
-               peer.after.empty() ? "" : EntryKey(id, log.head.snapshot_generation, peer.after)});
-        } else if (!peer.reading && peer.chunk == peer.part.chunk &&
-                   now - peer.sent_at > o_.resend_interval_s) {
-          peer.sent_at = now;
-          actions->send.emplace_back(who, peer.part);
+               peer.last_key.empty() ? ""
+                                     : EntryKey(id, log.head.snapshot_generation, peer.last_key)});
+        } else if (!peer.reading_chunk && peer.chunk == peer.chunk_message.chunk &&
+                   now - peer.last_sent_at > options_.resend_interval_s) {
+          peer.last_sent_at = now;
+          actions->send.emplace_back(node, peer.chunk_message);
         }
-      } else if (now - peer.sent_at > o_.resend_interval_s) {
-        peer.sent_at = now;
-        peer.next = std::max(peer.acked + 1, peer.first);
-        SendAppend(now, id, &log, who, &peer, actions);
+      } else if (now - peer.last_sent_at > options_.resend_interval_s) {
+        peer.last_sent_at = now;
+        peer.next_sequence = std::max(peer.acked_sequence + 1, peer.first_sequence);
+        SendAppend(now, id, &log, node, &peer, actions);
       }
       ++it;
     }
--- a/src/copies/replicated_logs.h
+++ b/src/copies/replicated_logs.h
@@ -1,9 +1,11 @@
-// Logs of promises and their copies, as one member has them: an owner and its holders under the
-// agreed view. The protocol is PacificA's (Lin, Yang, Zhang, Zhou 2008), with Raft's rule for
-// beginnings that match (Ongaro, Ousterhout 2014); docs/design/copies.md has the promises.
+// Replicated logs, as one member sees them: each log has an owner (the primary) and replicas under
+// the agreed view. The protocol is PacificA's primary/backup replication (Lin, Yang, Zhang, Zhou
+// 2008), with the log matching rule of Raft (Ongaro, Ousterhout 2014); docs/design/copies.md has
+// the guarantees.
 //
-// Decides only: views, operations, frames and time in; frames, writes and answers out. State is
-// bounded by Options. Times are seconds on a clock that never runs back and counts pauses.
+// Pure decisions: views, operations, messages and the time come in; messages, store writes and
+// committed operations go out. State is bounded by Options. Times are seconds on a clock that never
+// runs backwards and includes pauses of the machine.
 #ifndef MILLETHOLLOW_COPIES_REPLICATED_LOGS_H_
 #define MILLETHOLLOW_COPIES_REPLICATED_LOGS_H_
 
@@ -24,184 +26,220 @@
 using membership::ProcessIncarnation;
 using membership::View;
 
+// Settings of ReplicatedLogs.
 struct Options {
   NodeId self = 0;
   ProcessIncarnation process_incarnation = 0;
-  std::uint64_t store_id = 0;  // the number of this member's store
+  std::uint64_t store_id = 0;  // of this member's store
   std::size_t replica_count = 3, min_replicas = 2;
-  double replica_timeout_s = 1.0;             // a holder silent for so long is to be put out
-  double resend_interval_s = 0.25;            // what is not answered goes out again
-  double snapshot_chunk_interval_s = 0.01;    // between two chunks of a snapshot
-  std::size_t snapshot_chunk_entries = 64;    // in a chunk
-  std::size_t max_message_operations = 64;    // in a frame
-  std::size_t max_message_bytes = 96 * 1024;  // of their keys and values; one may be over it alone
-  std::size_t retained_operations = 4096;     // of a log, kept for holders that are behind
-  std::size_t max_uncommitted_operations = 1024;  // of a log, not yet answered
+  double replica_timeout_s = 1.0;           // a replica silent for longer is to be removed
+  double resend_interval_s = 0.25;          // for messages that are not answered
+  double snapshot_chunk_interval_s = 0.01;  // between two chunks of a snapshot
+  std::size_t snapshot_chunk_entries = 64;  // per chunk
+  std::size_t max_message_operations = 64;  // per message
+  // Keys and values of one message; a single larger operation is sent alone.
+  std::size_t max_message_bytes = 96 * 1024;
+  std::size_t retained_operations = 4096;         // per log, kept for the catch-up of replicas
+  std::size_t max_uncommitted_operations = 1024;  // per log
 };
 
+// Events since the start of the process.
 struct Counters {
-  std::uint64_t committed_operations = 0, takeovers = 0, rejected_appends = 0, snapshot_transfers = 0, stale_stores = 0;
+  std::uint64_t committed_operations = 0, takeovers = 0, rejected_appends = 0,
+                snapshot_transfers = 0, stale_stores = 0;
 };
 
+// The state of all logs that this member owns or replicates.
+//
+// Invariants:
+// - An operation is committed once it is stored by the owner, by all replicas of the view and by
+//   all nodes that the owner asked to be replicas under this view (PacificA's commit rule).
+// - A new owner acts on a log only after its replicas have all operations that it had itself when
+//   it became the owner (PacificA's reconciliation).
+// - A member acknowledges only what its store has written durably.
 class ReplicatedLogs {
  public:
-  struct Read {  // entries after a key, up to Options::snapshot_chunk_entries of them; then Chunk()
+  // A request to read the entries after a key, at most Options::snapshot_chunk_entries of them. The
+  // result goes to OnSnapshotChunkRead.
+  struct Read {
     LogId log = 0;
     std::uint64_t snapshot_id = 0;
-    std::string prefix, after;  // keys with this prefix, after this one; empty: from the first
+    std::string prefix, after;  // keys with this prefix, after this key; empty: from the first
   };
+  // What the caller is to do after an event.
   struct Actions {
     std::vector<std::pair<NodeId, ReplicationMessage>> send;
-    std::vector<StoreWrite>
-        write;  // all or none, after all before; then Stored(ticket) or StoreFailed
+    // To be written atomically and after all earlier writes; then OnStored(ticket) or
+    // OnStoreFailed.
+    std::vector<StoreWrite> write;
     std::uint64_t ticket = 0;
-    std::vector<std::pair<LogId, SequenceNumber>> committed;  // answered: all up to this operation
-    std::vector<LogId>
-        acquired;  // this member may act on it; the store has its entries by `ticket`
-    std::vector<LogId> released;  // and no more
+    // Operations up to this one are committed.
+    std::vector<std::pair<LogId, SequenceNumber>> committed;
+    // This member may act on the log from now on; the store has its entries once `ticket` is
+    // written.
+    std::vector<LogId> acquired;
+    std::vector<LogId> released;  // this member may no longer act on the log
     std::vector<Read> read;
-    bool store_is_stale =
-        false;  // this member's disk is older than what it said: it needs a new one
+    // The store has less than this member acknowledged; it must be replaced by a new one.
+    bool store_is_stale = false;
   };
   enum class AppendError : std::uint8_t { kNone, kNotOwner, kTooFewReplicas, kFull, kStoreFailed };
 
-  // `records`: all that the store has under keys of heads and operations.
+  // `records`: all records that the store has under keys of heads and operations.
   ReplicatedLogs(const Options& options,
                  const std::vector<std::pair<std::string, std::string>>& records);
 
-  // To be called before each other event, with a lease looked at just now.
+  // To be called before each other event, with a lease that was checked just now.
   void OnView(double now, const View& view, bool leased, Actions* actions);
-  // This member wants a log of its own; Wants() tells the leader.
-  void Open(LogId log) { opened_.insert(log); }
-  // An empty log that this member acts on is to end; nothing more is taken into it.
+  // Requests a new log that this member owns; RequestedLogs() passes the request to the leader.
+  void Open(LogId log) { logs_to_open_.insert(log); }
+  // Requests the end of an empty log that this member acts on; further appends are rejected.
   void Close(LogId log);
-  // An operation on a log that this member acts on. Its number; 0: refused; `reason` says why.
+  // Appends an operation to a log that this member acts on. Returns its sequence number, or 0 if it
+  // is rejected, with the reason in `reason`.
   SequenceNumber Append(double now, LogId log, std::string key, std::string value, bool erase,
                         AppendError* reason, Actions* actions);
-  void OnMessage(double now, NodeId from, const ReplicationMessage& frame, Actions* actions);
+  void OnMessage(double now, NodeId from, const ReplicationMessage& message, Actions* actions);
+  // All writes up to this ticket are durable.
   void OnStored(double now, std::uint64_t ticket, Actions* actions);
-  void OnStoreFailed() { failed_ = true; }
-  // What a Read found, by rising keys; `last`: there is no more.
+  // A write failed: this member stores and acknowledges nothing any more.
+  void OnStoreFailed() { store_failed_ = true; }
+  // The result of a Read, in the order of the keys; `last`: there are no further entries.
   void OnSnapshotChunkRead(double now, LogId log, std::uint64_t snapshot_id,
                            std::vector<Operation> entries, bool last, Actions* actions);
   void Tick(double now, Actions* actions);
-  double NextAt() const { return tick_at_; }
+  double NextAt() const { return next_tick_at_; }
 
-  // What the leader is to be asked for.
+  // The assignments that the leader is to be asked for.
   std::vector<LogAssignment> RequestedLogs() const;
-  // Where the entries of a log that it acts on lie in the store.
+  // The store prefix of the entries of a log that this member acts on.
   std::string EntryPrefixOf(LogId log) const;
-  // May this member act on the log now? To be asked after Look.
+  // Whether this member may act on the log now. To be called after OnView.
   bool MayAct(LogId log) const;
-  std::vector<LogId> Owned() const;  // those that it acts on, with a lease
-  // An operation that this process has was made or heard at most so long ago; infinite: not known.
+  std::vector<LogId> Owned() const;  // the logs that it acts on while it holds a lease
+  // The greatest age, in seconds, of an operation since it was appended or received here;
+  // infinite if it is not known.
   double MaxAge(double now, LogId log, SequenceNumber sequence) const;
-  std::string DescribeReplicas(LogId id) const;  // for a log line: how far its holders are
-  struct LogStatus {                             // of one log, for figures
+  // The progress of all replicas, for a log line.
+  std::string DescribeReplicas(LogId id) const;
+  // The state of one log, for metrics.
+  struct LogStatus {
     LogId log = 0;
     bool is_owner = false;
     std::size_t replicas = 0, receiving_snapshot = 0;
-    SequenceNumber max_lag = 0;  // operations that some holder lacks
+    SequenceNumber max_lag = 0;  // operations that the slowest replica has not acknowledged
   };
   std::vector<LogStatus> LogStatuses() const;
   const Counters& counters() const { return counters_; }
-  std::uint64_t store_id() const { return failed_ ? 0 : o_.store_id; }
+  // The id of this member's store; 0 after a failure.
+  std::uint64_t store_id() const { return store_failed_ ? 0 : options_.store_id; }
 
  private:
+  // Another member, as the owner of a log sees it: a replica or a candidate in catch-up.
   struct Peer {
-    std::uint64_t store_id = 0, asked = 0;  // asked: the number of the latest kStatusQuery
+    std::uint64_t store_id = 0, query_number = 0;  // query_number: of the latest kStatusQuery
     ProcessIncarnation process_incarnation = 0;
-    bool holder = false;  // in the view
-    bool met = false;     // it has told how far it is
-    std::pair<std::uint64_t, SequenceNumber>
-        end;  // its last operation as it first told: epoch and number
-    SequenceNumber acked = 0, next = 1, first = 1;  // first: after what it had when it was met
-    double heard_at = 0, sent_at = -1;
-    // A snapshot transfer: which, how far, and what it began with.
+    bool is_replica = false;    // in the view
+    bool status_known = false;  // it answered the latest kStatusQuery
+    // Its last operation when it first answered: epoch and sequence number.
+    std::pair<std::uint64_t, SequenceNumber> initial_end;
+    // first_sequence: the operation after those that it had when it answered.
+    SequenceNumber acked_sequence = 0, next_sequence = 1, first_sequence = 1;
+    double last_status_at = 0, last_sent_at = -1;
+    // The snapshot transfer: its id, the chunks acknowledged, and the last operation in it.
     std::uint64_t snapshot_id = 0, chunk = 0;
-    bool reading = false;
+    bool reading_chunk = false;
     SequenceNumber snapshot_sequence = 0;
-    std::string after;
-    double chunk_at = 0;
-    ReplicationMessage part;  // the chunk that waits for its answer
-    // It is to be asked anew how far it is; answers to what it was asked before don't count.
-    void Forget() {
-      met = false;
-      asked = snapshot_id = 0;
+    std::string last_key;
+    double next_chunk_at = 0;
+    ReplicationMessage chunk_message;  // the chunk that waits for its acknowledgement
+    // Its status must be queried again; answers to earlier queries no longer count.
+    void ResetStatus() {
+      status_known = false;
+      query_number = snapshot_id = 0;
     }
   };
+  // A log that this member owns or replicates.
   struct Log {
     LogHead head;
-    std::deque<Operation> operations;  // after the first that is kept; some may be applied already
-    std::uint64_t before = 0;   // the epoch of the one before these
-    void Drop() {               // the first of them
-      before = operations.front().epoch;
+    std::deque<Operation> operations;  // retained ones; some of them may be applied already
+    std::uint64_t previous_epoch = 0;  // the epoch of the operation before the first retained one
+    void DropFirst() {
+      previous_epoch = operations.front().epoch;
       operations.pop_front();
     }
-    SequenceNumber stored = 0;       // on this disk
-    SequenceNumber head_stored = 0;  // applied, as the disk has it
-    SequenceNumber matched = 0;      // as a holder: as the owner has it, in head.epoch
-    std::uint64_t snapshot_id = 0, chunk = 0, chunk_stored = 0;
-    // When this was the last number here: what follows it was made later. Up to `late` it is not
-    // known when.
-    std::deque<std::pair<double, SequenceNumber>> marks;
-    SequenceNumber late = 0;
-    void Mark(double since_s);
+    SequenceNumber stored = 0;          // the last durable operation in this member's store
+    SequenceNumber stored_applied = 0;  // the durable value of head.applied
+    SequenceNumber matched = 0;         // as a replica: matches the log of the owner of head.epoch
+    std::uint64_t snapshot_id = 0, received_chunks = 0, stored_chunks = 0;
+    // Times at which the log ended at a sequence number: what follows it is younger. Operations up
+    // to `undated_end` have no known age.
+    std::deque<std::pair<double, SequenceNumber>> age_marks;
+    SequenceNumber undated_end = 0;
+    void AddAgeMark(double time_s);
     // As the owner:
-    bool own = false, begun = false, closing = false;
-    std::uint64_t since = 0;
-    SequenceNumber base = 0, commit = 0;
-    double owned_at = 0;
+    bool is_owner = false, active = false, closing = false;
+    std::uint64_t owner_epoch = 0;
+    // takeover_end: End() when this member became the owner.
+    SequenceNumber takeover_end = 0, commit_index = 0;
+    double owner_since = 0;
     std::map<NodeId, Peer> peers;
-    std::uint64_t version = 0;       // of what is wanted
-    std::vector<LogReplica> wanted;  // holders; empty: as the view has it
-    NodeId pass_to = 0;              // it is to be the owner
-    bool passing = false;            // that was asked for under this view, and may come to be
-    std::set<NodeId> asked;          // under this view; they are waited for until the next
-    SequenceNumber End() const { return operations.empty() ? head.applied : operations.back().sequence; }
+    std::uint64_t request_version = 0;           // of the latest request to the leader
+    std::vector<LogReplica> requested_replicas;  // empty: those of the view
+    NodeId transfer_to = 0;                      // the member that is to become the owner
+    bool transfer_requested = false;  // under this view: the transfer may still be decided
+    // Requested as replicas under this view: commits wait for them until the next view.
+    std::set<NodeId> requested_nodes;
+    SequenceNumber End() const {
+      return operations.empty() ? head.applied : operations.back().sequence;
+    }
     const Operation* At(SequenceNumber sequence) const;
     std::uint64_t EpochAt(SequenceNumber sequence) const;
   };
-  struct Reach {  // what is there once a write is
+  // The state of a log in the store once a write is durable.
+  struct StoredState {
     SequenceNumber end = 0, applied = 0;
     std::uint64_t snapshot_id = 0, chunk = 0;
   };
-  struct Flight {  // a write under way
+  // A write that is not yet durable.
+  struct WriteInFlight {
     std::uint64_t ticket = 0;
-    std::map<LogId, Reach> reaches;
+    std::map<LogId, StoredState> stored_states;
   };
 
-  void Put(LogId id, const Operation& op);
-  void PutHead(LogId id, const Log& log);
-  void Apply(LogId id, Log* log, SequenceNumber commit);
+  void WriteOperation(LogId id, const Operation& operation);
+  void WriteHead(LogId id, const Log& log);
+  void Apply(LogId id, Log* log, SequenceNumber commit_index);
   void Truncate(LogId id, Log* log, SequenceNumber from);
   void Flush(Actions* actions);
-  void BecomeOwner(double now, LogId id, Log* log, const LogAssignment& place, Actions* actions);
+  void BecomeOwner(double now, LogId id, Log* log, const LogAssignment& assignment,
+                   Actions* actions);
   void StepDown(LogId id, Log* log, Actions* actions);
-  void SetPeers(double now, Log* log, const LogAssignment& place);
+  void SetPeers(double now, Log* log, const LogAssignment& assignment);
   void SendStatusQuery(LogId id, const Log& log, NodeId to, Peer* peer, Actions* actions);
   void SendAppend(double now, LogId id, Log* log, NodeId to, Peer* peer, Actions* actions);
-  void OnAppend(NodeId from, const ReplicationMessage& f, Log* log, Actions* actions);
-  void OnSnapshotChunk(NodeId from, const ReplicationMessage& f, Actions* actions);
-  void OnStatus(double now, NodeId from, const ReplicationMessage& f, Actions* actions);
+  void OnAppend(NodeId from, const ReplicationMessage& message, Log* log, Actions* actions);
+  void OnSnapshotChunk(NodeId from, const ReplicationMessage& message, Actions* actions);
+  void OnStatus(double now, NodeId from, const ReplicationMessage& message, Actions* actions);
   void StartSnapshot(double now, LogId id, Log* log, Peer* peer, Actions* actions);
   void SendStatus(NodeId to, LogId id, const Log& log, bool matched, Actions* actions) const;
   void Commit(double now, LogId id, Log* log, Actions* actions);
   void AbandonStore(Actions* actions);
-  std::size_t ReachableReplicas(double now, const Log& log, const LogAssignment& place) const;
-  void RequestReplicas(double now, Log* log, const LogAssignment& place);
-  NodeId Candidate(double now, LogId id, const Log& log) const;
+  std::size_t ReachableReplicas(double now, const Log& log, const LogAssignment& assignment) const;
+  void RequestReplicas(double now, Log* log, const LogAssignment& assignment);
+  NodeId ChooseCandidate(double now, LogId id, const Log& log) const;
 
-  Options o_;
+  Options options_;
   View view_;
-  bool leased_ = false, failed_ = false, looked_ = false;
+  bool leased_ = false, store_failed_ = false, view_known_ = false;
   std::map<LogId, Log> logs_;
-  std::set<LogId> opened_;
-  std::map<LogId, NodeId> answer_to_;  // owners that wait for what is on its way to disk
-  std::vector<StoreWrite> batch_;
-  std::deque<Flight> flights_;
-  std::uint64_t ticket_ = 0, last_snapshot_id_ = 0, numbers_ = 0;
-  double tick_at_ = 0, looked_at_ = 0, before_ = 0;  // before: of the event before this one
+  std::set<LogId> logs_to_open_;
+  // Owners that are acknowledged once the operations or chunks received from them are durable.
+  std::map<LogId, NodeId> pending_acknowledgements_;
+  std::vector<StoreWrite> pending_writes_;
+  std::deque<WriteInFlight> writes_in_flight_;
+  std::uint64_t last_ticket_ = 0, last_snapshot_id_ = 0, last_query_number_ = 0;
+  double next_tick_at_ = 0, event_at_ = 0, previous_event_at_ = 0;
   Counters counters_;
 };
 
--- a/src/copies/replication.cpp
+++ b/src/copies/replication.cpp
@@ -1,4 +1,5 @@
-// Operations from the owner of a log to its holders: sending, snapshots, acknowledging, committing.
+// Replication from the owner of a log to its replicas: appends, snapshot transfer, acknowledgements
+// and commits.
 #include <algorithm>
 #include <iterator>
 #include <utility>
@@ -9,104 +10,110 @@
 namespace millethollow::copies {
 namespace {
 
-// A frame is no older when it comes, but for a stop of this process.
-constexpr double kOnItsWayS = 3.0;
+// The greatest age of a message on arrival, pauses of this process aside.
+constexpr double kMaxTransitS = 3.0;
 
 }  // namespace
 
-// What all holders have, and whoever was asked for as one, and this disk too.
+// Commits the operations that are durable here, at all replicas of the view, and at all nodes
+// requested as replicas.
 void ReplicatedLogs::Commit(double now, LogId id, Log* log, Actions* actions) {
-  const LogAssignment* place = view_.Log(id);
-  if (!log->own || place == nullptr || failed_ || !leased_) return;
-  SequenceNumber commit = log->stored;
-  for (const auto& [who, peer] : log->peers) {
-    if (peer.holder || log->asked.contains(who))
-      commit = std::min(commit, peer.met ? peer.acked : 0);
+  const LogAssignment* assignment = view_.Log(id);
+  if (!log->is_owner || assignment == nullptr || store_failed_ || !leased_) return;
+  SequenceNumber committed = log->stored;
+  for (const auto& [node, peer] : log->peers) {
+    if (peer.is_replica || log->requested_nodes.contains(node))
+      committed = std::min(committed, peer.status_known ? peer.acked_sequence : 0);
   }
-  for (const NodeId who : log->asked) {
-    if (who != o_.self && !log->peers.contains(who)) commit = 0;
+  for (const NodeId node : log->requested_nodes) {
+    if (node != options_.self && !log->peers.contains(node)) committed = 0;
   }
-  if (commit > log->commit && place->replicas.size() >= o_.min_replicas) {
-    counters_.committed_operations += commit - std::max(log->commit, std::min(log->base, commit));
-    log->commit = commit;
-    actions->committed.emplace_back(id, commit);
-    Apply(id, log, commit);
+  if (committed > log->commit_index && assignment->replicas.size() >= options_.min_replicas) {
+    counters_.committed_operations +=
+        committed - std::max(log->commit_index, std::min(log->takeover_end, committed));
+    log->commit_index = committed;
+    actions->committed.emplace_back(id, committed);
+    Apply(id, log, committed);
   }
-  if (!log->begun && log->commit >= log->base && log->pass_to == 0 && !log->passing) {
-    log->begun = true;
+  if (!log->active && log->commit_index >= log->takeover_end && log->transfer_to == 0 &&
+      !log->transfer_requested) {
+    log->active = true;
     counters_.takeovers += 1;
     actions->acquired.push_back(id);
   }
-  RequestReplicas(now, log, *place);
+  RequestReplicas(now, log, *assignment);
 }
 
 void ReplicatedLogs::SendStatus(NodeId to, LogId id, const Log& log, bool matched,
                                 Actions* actions) const {
-  ReplicationMessage f{.kind = ReplicationMessage::Kind::kStatus,
-                       .log = id,
-                       .epoch = log.head.epoch,
-                       .store_id = o_.store_id};
-  f.sequence = matched ? std::min(log.matched, log.stored) : log.head.applied;
-  f.matched = matched;
-  f.commit_index = log.head.applied;
-  f.end_sequence = log.End();
-  f.end_epoch = log.EpochAt(f.end_sequence);
-  f.process_incarnation = o_.process_incarnation;
-  f.snapshot_id = log.snapshot_id;
-  f.chunk = log.chunk_stored;
-  actions->send.emplace_back(to, std::move(f));
+  ReplicationMessage message{.kind = ReplicationMessage::Kind::kStatus,
+                             .log = id,
+                             .epoch = log.head.epoch,
+                             .store_id = options_.store_id};
+  message.sequence = matched ? std::min(log.matched, log.stored) : log.head.applied;
+  message.matched = matched;
+  message.commit_index = log.head.applied;
+  message.end_sequence = log.End();
+  message.end_epoch = log.EpochAt(message.end_sequence);
+  message.process_incarnation = options_.process_incarnation;
+  message.snapshot_id = log.snapshot_id;
+  message.chunk = log.stored_chunks;
+  actions->send.emplace_back(to, std::move(message));
 }
 
 void ReplicatedLogs::SendStatusQuery(LogId id, const Log& log, NodeId to, Peer* peer,
                                      Actions* actions) {
-  peer->asked = ++numbers_;
-  ReplicationMessage f{.kind = ReplicationMessage::Kind::kStatusQuery,
-                       .log = id,
-                       .epoch = log.since,
-                       .store_id = peer->store_id};
-  f.query_number = peer->asked;
-  actions->send.emplace_back(to, std::move(f));
+  peer->query_number = ++last_query_number_;
+  ReplicationMessage message{.kind = ReplicationMessage::Kind::kStatusQuery,
+                             .log = id,
+                             .epoch = log.owner_epoch,
+                             .store_id = peer->store_id};
+  message.query_number = peer->query_number;
+  actions->send.emplace_back(to, std::move(message));
 }
 
-// What a holder has not got yet, as much as one frame takes; nothing new: it is asked again.
+// Sends operations that the peer does not have yet, as many as fit into one message. Without new
+// operations the message asks for its progress again.
 void ReplicatedLogs::SendAppend(double now, LogId id, Log* log, NodeId to, Peer* peer,
                                 Actions* actions) {
-  if (!peer->met) return SendStatusQuery(id, *log, to, peer, actions);
+  if (!peer->status_known) return SendStatusQuery(id, *log, to, peer, actions);
   if (peer->snapshot_id != 0) return;
-  const SequenceNumber first = log->operations.empty() ? log->head.applied + 1 : log->operations.front().sequence;
-  if (peer->next < first) return StartSnapshot(now, id, log, peer, actions);
-  ReplicationMessage f{.kind = ReplicationMessage::Kind::kAppend,
-                       .log = id,
-                       .epoch = log->since,
-                       .store_id = peer->store_id};
-  f.sequence = peer->next - 1;
-  f.sequence_epoch = log->EpochAt(f.sequence);
-  f.commit_index = log->commit;
+  const SequenceNumber first =
+      log->operations.empty() ? log->head.applied + 1 : log->operations.front().sequence;
+  if (peer->next_sequence < first) return StartSnapshot(now, id, log, peer, actions);
+  ReplicationMessage message{.kind = ReplicationMessage::Kind::kAppend,
+                             .log = id,
+                             .epoch = log->owner_epoch,
+                             .store_id = peer->store_id};
+  message.sequence = peer->next_sequence - 1;
+  message.sequence_epoch = log->EpochAt(message.sequence);
+  message.commit_index = log->commit_index;
   std::size_t bytes = 0;
-  for (std::size_t n = 0; n < o_.max_message_operations && peer->next <= log->End(); ++n) {
-    const Operation& op = *log->At(peer->next);
-    bytes += op.key.size() + op.value.size();
-    if (n > 0 && bytes > o_.max_message_bytes) break;
-    f.operations.push_back(op);
-    peer->next += 1;
+  for (std::size_t count = 0;
+       count < options_.max_message_operations && peer->next_sequence <= log->End(); ++count) {
+    const Operation& operation = *log->At(peer->next_sequence);
+    bytes += operation.key.size() + operation.value.size();
+    if (count > 0 && bytes > options_.max_message_bytes) break;
+    message.operations.push_back(operation);
+    peer->next_sequence += 1;
   }
-  peer->sent_at = now;
-  actions->send.emplace_back(to, std::move(f));
+  peer->last_sent_at = now;
+  actions->send.emplace_back(to, std::move(message));
 }
 
 void ReplicatedLogs::StartSnapshot(double now, LogId id, Log* log, Peer* peer, Actions* actions) {
-  // The snapshot must not hold less than what the replica has.
-  const SequenceNumber from = std::min(log->head_stored, log->head.applied);
-  if (from + 1 < peer->next) return;
+  // The snapshot must contain at least the operations that the replica has.
+  const SequenceNumber from = std::min(log->stored_applied, log->head.applied);
+  if (from + 1 < peer->next_sequence) return;
   counters_.snapshot_transfers += 1;
   peer->snapshot_id = ++last_snapshot_id_;
   peer->chunk = 0;
-  peer->after.clear();
+  peer->last_key.clear();
   peer->snapshot_sequence = from;
-  peer->acked = 0;
-  peer->reading = true;
-  peer->chunk_at = now;
-  peer->part = {};
+  peer->acked_sequence = 0;
+  peer->reading_chunk = true;
+  peer->next_chunk_at = now;
+  peer->chunk_message = {};
   actions->read.push_back(
       {id, peer->snapshot_id, EntryPrefix(id, log->head.snapshot_generation), ""});
 }
@@ -115,196 +122,216 @@
                                          std::vector<Operation> entries, bool last,
                                          Actions* actions) {
   const auto it = logs_.find(id);
-  if (it == logs_.end() || !it->second.own) return;
-  for (auto& [who, peer] : it->second.peers) {
-    if (peer.snapshot_id != snapshot_id || !peer.reading) continue;
-    peer.reading = false;
-    ReplicationMessage& f = peer.part;
-    f = {.kind = ReplicationMessage::Kind::kSnapshotChunk,
-         .log = id,
-         .epoch = it->second.since,
-         .store_id = peer.store_id};
-    f.snapshot_id = snapshot_id;
-    f.chunk = peer.chunk;
-    f.last_chunk = last;
-    f.sequence = peer.snapshot_sequence;
-    f.sequence_epoch = it->second.EpochAt(peer.snapshot_sequence);
-    if (!entries.empty()) peer.after = entries.back().key;
-    f.operations = std::move(entries);
-    peer.sent_at = now;
-    actions->send.emplace_back(who, f);
+  if (it == logs_.end() || !it->second.is_owner) return;
+  for (auto& [node, peer] : it->second.peers) {
+    if (peer.snapshot_id != snapshot_id || !peer.reading_chunk) continue;
+    peer.reading_chunk = false;
+    ReplicationMessage& message = peer.chunk_message;
+    message = {.kind = ReplicationMessage::Kind::kSnapshotChunk,
+               .log = id,
+               .epoch = it->second.owner_epoch,
+               .store_id = peer.store_id};
+    message.snapshot_id = snapshot_id;
+    message.chunk = peer.chunk;
+    message.last_chunk = last;
+    message.sequence = peer.snapshot_sequence;
+    message.sequence_epoch = it->second.EpochAt(peer.snapshot_sequence);
+    if (!entries.empty()) peer.last_key = entries.back().key;
+    message.operations = std::move(entries);
+    peer.last_sent_at = now;
+    actions->send.emplace_back(node, message);
     return;
   }
 }
 
-// Entries of a snapshot are kept apart until all are there: what this disk has counts until then.
-void ReplicatedLogs::OnSnapshotChunk(NodeId from, const ReplicationMessage& f, Actions* actions) {
-  Log& log = logs_[f.log];
-  const std::uint64_t next = log.head.snapshot_generation + 1;
-  if (f.snapshot_id < log.snapshot_id) return;  // late
-  if (f.chunk == 0 && log.snapshot_id != f.snapshot_id) {
-    batch_.push_back({StoreWrite::Kind::kErasePrefix, EntryPrefix(f.log, next), ""});
-    log.snapshot_id = f.snapshot_id;
-    log.chunk = log.chunk_stored = 0;
+// Entries of a snapshot are stored under a separate prefix until it is complete; until then the
+// existing entries count.
+void ReplicatedLogs::OnSnapshotChunk(NodeId from, const ReplicationMessage& message,
+                                     Actions* actions) {
+  Log& log = logs_[message.log];
+  const std::uint64_t next_generation = log.head.snapshot_generation + 1;
+  if (message.snapshot_id < log.snapshot_id) return;  // an outdated message
+  if (message.chunk == 0 && log.snapshot_id != message.snapshot_id) {
+    pending_writes_.push_back(
+        {StoreWrite::Kind::kErasePrefix, EntryPrefix(message.log, next_generation), ""});
+    log.snapshot_id = message.snapshot_id;
+    log.received_chunks = log.stored_chunks = 0;
   }
-  if (log.snapshot_id != f.snapshot_id || f.chunk != log.chunk || f.sequence < log.head.applied) {
-    return SendStatus(from, f.log, log, false, actions);
+  if (log.snapshot_id != message.snapshot_id || message.chunk != log.received_chunks ||
+      message.sequence < log.head.applied) {
+    return SendStatus(from, message.log, log, false, actions);
   }
-  for (const Operation& op : f.operations) {
-    batch_.push_back({StoreWrite::Kind::kPut, EntryKey(f.log, next, op.key), Encode(op)});
+  for (const Operation& operation : message.operations) {
+    pending_writes_.push_back({StoreWrite::Kind::kPut,
+                               EntryKey(message.log, next_generation, operation.key),
+                               Encode(operation)});
   }
-  log.chunk += 1;
-  if (f.last_chunk) {
-    batch_.push_back(
-        {StoreWrite::Kind::kErasePrefix, EntryPrefix(f.log, log.head.snapshot_generation), ""});
-    // Later ones stay: they may have been answered.
-    while (!log.operations.empty() && log.operations.front().sequence <= f.sequence) {
-      batch_.push_back({StoreWrite::Kind::kErase, OperationKey(f.log, log.operations.front().sequence), ""});
-      log.Drop();
+  log.received_chunks += 1;
+  if (message.last_chunk) {
+    pending_writes_.push_back({StoreWrite::Kind::kErasePrefix,
+                               EntryPrefix(message.log, log.head.snapshot_generation), ""});
+    // Operations after the snapshot stay: they may have been committed.
+    while (!log.operations.empty() && log.operations.front().sequence <= message.sequence) {
+      pending_writes_.push_back({StoreWrite::Kind::kErase,
+                                 OperationKey(message.log, log.operations.front().sequence), ""});
+      log.DropFirst();
     }
-    log.head.snapshot_generation = next;
-    log.late = std::max(log.late, log.End());
-    log.head.applied = f.sequence;
-    log.head.applied_epoch = log.before = f.sequence_epoch;
-    log.matched = f.sequence;
-    PutHead(f.log, log);
+    log.head.snapshot_generation = next_generation;
+    log.undated_end = std::max(log.undated_end, log.End());
+    log.head.applied = message.sequence;
+    log.head.applied_epoch = log.previous_epoch = message.sequence_epoch;
+    log.matched = message.sequence;
+    WriteHead(message.log, log);
   }
-  answer_to_[f.log] = from;
+  pending_acknowledgements_[message.log] = from;
   Flush(actions);
 }
 
-// Raft's rule: what follows an operation that both have in the same epoch follows it in both.
-void ReplicatedLogs::OnAppend(NodeId from, const ReplicationMessage& f, Log* log,
+// Raft's log matching rule: if both logs have an operation with the same sequence number and epoch,
+// they are equal up to it, and the operations sent after it replace conflicting ones.
+void ReplicatedLogs::OnAppend(NodeId from, const ReplicationMessage& message, Log* log,
                               Actions* actions) {
-  const bool known = f.sequence < log->head.applied || log->EpochAt(f.sequence) == f.sequence_epoch;
-  if (f.sequence > log->End() || !known) return SendStatus(from, f.log, *log, false, actions);
-  SequenceNumber upto = f.sequence;
-  if (!f.operations.empty()) {
-    // A holder that is waited for hears of an operation before it counts. One that was stopped may
-    // find frames that waited as long; one that is not waited for hears of it when it may.
-    const LogAssignment* place = view_.Log(f.log);
-    const LogReplica* self = place == nullptr ? nullptr : place->Find(o_.self);
-    if (self == nullptr || self->store_id != o_.store_id || f.commit_index > log->End()) {
-      log->late = std::max(log->late, f.operations.back().sequence);
+  const bool known = message.sequence < log->head.applied ||
+                     log->EpochAt(message.sequence) == message.sequence_epoch;
+  if (message.sequence > log->End() || !known)
+    return SendStatus(from, message.log, *log, false, actions);
+  SequenceNumber last_sequence = message.sequence;
+  if (!message.operations.empty()) {
+    // Commits wait for a replica of the view, so it receives an operation before it is committed,
+    // at most kMaxTransitS after it was sent; messages that waited while this process was paused
+    // are dated back to the previous event. A member that commits do not wait for may receive
+    // an operation at any later time, so its age is not known.
+    const LogAssignment* assignment = view_.Log(message.log);
+    const LogReplica* self = assignment == nullptr ? nullptr : assignment->Find(options_.self);
+    if (self == nullptr || self->store_id != options_.store_id ||
+        message.commit_index > log->End()) {
+      log->undated_end = std::max(log->undated_end, message.operations.back().sequence);
     } else {
-      log->Mark(before_ - kOnItsWayS);
+      log->AddAgeMark(previous_event_at_ - kMaxTransitS);
     }
   }
-  for (const Operation& op : f.operations) {
-    if (op.sequence != ++upto) return;  // no frame of ours
-    if (op.sequence <= log->head.applied) continue;
-    const Operation* mine = log->At(op.sequence);
-    if (mine != nullptr && mine->epoch == op.epoch) continue;
-    if (mine != nullptr) Truncate(f.log, log, op.sequence);
-    log->operations.push_back(op);
-    Put(f.log, op);
+  for (const Operation& operation : message.operations) {
+    if (operation.sequence != ++last_sequence) return;  // not a valid message
+    if (operation.sequence <= log->head.applied) continue;
+    const Operation* existing = log->At(operation.sequence);
+    if (existing != nullptr && existing->epoch == operation.epoch) continue;
+    if (existing != nullptr) Truncate(message.log, log, operation.sequence);
+    log->operations.push_back(operation);
+    WriteOperation(message.log, operation);
   }
-  log->matched = std::max(log->matched, upto);
-  Apply(f.log, log, std::min(f.commit_index, std::min(log->matched, log->stored)));
+  log->matched = std::max(log->matched, last_sequence);
+  Apply(message.log, log, std::min(message.commit_index, std::min(log->matched, log->stored)));
   Flush(actions);
-  if (log->stored >= log->matched) return SendStatus(from, f.log, *log, true, actions);
-  answer_to_[f.log] = from;
+  if (log->stored >= log->matched) return SendStatus(from, message.log, *log, true, actions);
+  pending_acknowledgements_[message.log] = from;
 }
 
-void ReplicatedLogs::OnMessage(double now, NodeId from, const ReplicationMessage& f,
+void ReplicatedLogs::OnMessage(double now, NodeId from, const ReplicationMessage& message,
                                Actions* actions) {
-  if (failed_) return;
-  if (f.kind == ReplicationMessage::Kind::kStatus) return OnStatus(now, from, f, actions);
-  if (f.store_id != o_.store_id) return;
-  // One that was its owner and does not know that it is no more; or one whose view is to come.
-  const LogAssignment* place = view_.Log(f.log);
-  if (place != nullptr && place->owner_epoch > f.epoch) return;
-  auto it = logs_.find(f.log);
+  if (store_failed_) return;
+  if (message.kind == ReplicationMessage::Kind::kStatus)
+    return OnStatus(now, from, message, actions);
+  if (message.store_id != options_.store_id) return;
+  // Messages of a former owner are ignored; the view of a newer owner may still be on its way.
+  const LogAssignment* assignment = view_.Log(message.log);
+  if (assignment != nullptr && assignment->owner_epoch > message.epoch) return;
+  auto it = logs_.find(message.log);
   if (it == logs_.end()) {
-    if (f.epoch < view_.epoch && place == nullptr) return;  // at its end
+    if (message.epoch < view_.epoch && assignment == nullptr) return;  // the log was closed
     if (logs_.size() >= membership::kMaxLogs) return;
-    it = logs_.emplace(f.log, Log{}).first;
+    it = logs_.emplace(message.log, Log{}).first;
   }
   Log& log = it->second;
-  if (f.epoch < log.head.epoch || (log.own && f.epoch <= log.since)) return;
-  if (log.own) StepDown(f.log, &log, actions);
-  if (f.epoch > log.head.epoch) {
-    log.head.epoch = f.epoch;
-    log.matched = log.snapshot_id = log.chunk = log.chunk_stored = 0;
-    for (Flight& flight : flights_) flight.reaches[f.log].snapshot_id = 0;  // numbered by another
-    PutHead(f.log, log);
+  if (message.epoch < log.head.epoch || (log.is_owner && message.epoch <= log.owner_epoch)) return;
+  if (log.is_owner) StepDown(message.log, &log, actions);
+  if (message.epoch > log.head.epoch) {
+    log.head.epoch = message.epoch;
+    log.matched = log.snapshot_id = log.received_chunks = log.stored_chunks = 0;
+    for (WriteInFlight& write : writes_in_flight_)
+      write.stored_states[message.log].snapshot_id = 0;  // the ids are of another owner
+    WriteHead(message.log, log);
   }
-  switch (f.kind) {
+  switch (message.kind) {
     case ReplicationMessage::Kind::kStaleStore:
       return AbandonStore(actions);
     case ReplicationMessage::Kind::kStatusQuery:
       Flush(actions);
-      SendStatus(from, f.log, log, false, actions);
-      actions->send.back().second.query_number = f.query_number;
+      SendStatus(from, message.log, log, false, actions);
+      actions->send.back().second.query_number = message.query_number;
       return;
     case ReplicationMessage::Kind::kAppend:
-      return OnAppend(from, f, &log, actions);
+      return OnAppend(from, message, &log, actions);
     default:
-      return OnSnapshotChunk(from, f, actions);
+      return OnSnapshotChunk(from, message, actions);
   }
 }
 
-void ReplicatedLogs::OnStatus(double now, NodeId from, const ReplicationMessage& f,
+void ReplicatedLogs::OnStatus(double now, NodeId from, const ReplicationMessage& message,
                               Actions* actions) {
-  const auto it = logs_.find(f.log);
-  if (it == logs_.end() || !it->second.own || f.epoch != it->second.since) return;
+  const auto it = logs_.find(message.log);
+  if (it == logs_.end() || !it->second.is_owner || message.epoch != it->second.owner_epoch) return;
   Log& log = it->second;
-  const auto p = log.peers.find(from);
-  if (p == log.peers.end() || p->second.store_id != f.store_id) return;
-  Peer& peer = p->second;
-  peer.heard_at = now;
-  // Another process on that disk: what is on it is to be asked for anew.
-  if (peer.met && f.process_incarnation != peer.process_incarnation) {
-    peer.Forget();
+  const auto found = log.peers.find(from);
+  if (found == log.peers.end() || found->second.store_id != message.store_id) return;
+  Peer& peer = found->second;
+  peer.last_status_at = now;
+  // Another process runs on that store: its status must be queried again.
+  if (peer.status_known && message.process_incarnation != peer.process_incarnation) {
+    peer.ResetStatus();
   }
-  if (!peer.met) {
-    if (f.query_number == 0 || f.query_number != peer.asked) return;
-    peer.met = true;
-    peer.process_incarnation = f.process_incarnation;
-    peer.next = peer.first = f.sequence + 1;
-    peer.end = {f.end_epoch, f.end_sequence};
-    // It has less than it said that it had on disk.
-    if (f.end_sequence < peer.acked) {
+  if (!peer.status_known) {
+    if (message.query_number == 0 || message.query_number != peer.query_number) return;
+    peer.status_known = true;
+    peer.process_incarnation = message.process_incarnation;
+    peer.next_sequence = peer.first_sequence = message.sequence + 1;
+    peer.initial_end = {message.end_epoch, message.end_sequence};
+    // The store has less than the replica acknowledged.
+    if (message.end_sequence < peer.acked_sequence) {
       actions->send.emplace_back(from,
                                  ReplicationMessage{.kind = ReplicationMessage::Kind::kStaleStore,
-                                                    .log = f.log,
-                                                    .epoch = log.since,
-                                                    .store_id = f.store_id});
+                                                    .log = message.log,
+                                                    .epoch = log.owner_epoch,
+                                                    .store_id = message.store_id});
       return;
     }
   }
-  if (f.commit_index > log.End()) return AbandonStore(actions);
+  if (message.commit_index > log.End()) return AbandonStore(actions);
   if (peer.snapshot_id != 0) {
-    if (f.commit_index > peer.snapshot_sequence) {  // it has more than the snapshot holds
-      peer.Forget();
+    if (message.commit_index > peer.snapshot_sequence) {  // it has more than the snapshot
+      peer.ResetStatus();
       return;
     }
-    if (f.snapshot_id != peer.snapshot_id || f.chunk != peer.chunk + 1 || peer.reading) return;
+    if (message.snapshot_id != peer.snapshot_id || message.chunk != peer.chunk + 1 ||
+        peer.reading_chunk)
+      return;
     peer.chunk += 1;
-    peer.chunk_at = now + o_.snapshot_chunk_interval_s;
-    if (!peer.part.last_chunk) return;
-    peer.snapshot_id = 0;  // it has all of it
-    peer.acked = peer.snapshot_sequence;
-    peer.next = peer.first = peer.snapshot_sequence + 1;
-  } else if (f.query_number == 0 && !f.matched) {
-    peer.Forget();  // ours did not fit to what it has; this word of it may be late itself
+    peer.next_chunk_at = now + options_.snapshot_chunk_interval_s;
+    if (!peer.chunk_message.last_chunk) return;
+    peer.snapshot_id = 0;  // the transfer is complete
+    peer.acked_sequence = peer.snapshot_sequence;
+    peer.next_sequence = peer.first_sequence = peer.snapshot_sequence + 1;
+  } else if (message.query_number == 0 && !message.matched) {
+    peer.ResetStatus();  // the logs do not match; this status may itself be outdated
     return;
-  } else if (f.matched) {
-    peer.acked = std::max(peer.acked, f.sequence);
-    peer.next = std::max(peer.next, peer.acked + 1);
+  } else if (message.matched) {
+    peer.acked_sequence = std::max(peer.acked_sequence, message.sequence);
+    peer.next_sequence = std::max(peer.next_sequence, peer.acked_sequence + 1);
   }
-  // What was answered by the one before may be more than we have, if our disk was put back.
-  if (!log.begun && peer.holder && peer.end > std::pair(log.EpochAt(log.End()), log.End())) {
-    log.pass_to = from;
+  // The previous owner may have committed more than this member has, if its store was restored
+  // from an old copy.
+  if (!log.active && peer.is_replica &&
+      peer.initial_end > std::pair(log.EpochAt(log.End()), log.End())) {
+    log.transfer_to = from;
   }
-  Commit(now, f.log, &log, actions);
-  if (peer.next <= log.End() || f.query_number != 0) SendAppend(now, f.log, &log, from, &peer, actions);
+  Commit(now, message.log, &log, actions);
+  if (peer.next_sequence <= log.End() || message.query_number != 0)
+    SendAppend(now, message.log, &log, from, &peer, actions);
   Flush(actions);
 }
 
 void ReplicatedLogs::AbandonStore(Actions* actions) {
   actions->store_is_stale = true;
-  failed_ = true;
+  store_failed_ = true;
   counters_.stale_stores += 1;
 }
 
--- a/src/store/record_store.h
+++ b/src/store/record_store.h
@@ -1,7 +1,7 @@
-// The store of copies: records under keys in one file of SQLite's, in a folder of this member's.
-// Batches are written in order by a thread of its own, several in one commit where they wait for
-// the disk; a batch is done when its commit is on the disk (write-ahead log, synchronous). Each
-// record carries the hash of its key and value. docs/design/copies.md says why this library.
+// The store of the replicated logs: records by key in one SQLite file, in a folder of this member.
+// Batches are written in order by a writer thread, several in one transaction when they queue up. A
+// batch is durable once its transaction is committed (write-ahead log, fsync at each commit). Each
+// record carries the hash of its key and value. docs/design/copies.md has the reasons for SQLite.
 #ifndef MILLETHOLLOW_STORE_RECORD_STORE_H_
 #define MILLETHOLLOW_STORE_RECORD_STORE_H_
 
@@ -25,85 +25,95 @@
 
 namespace millethollow::store {
 
+// A durable key-value store.
+//
+// Invariants: a batch is stored completely or not at all, and batches become durable in the order
+// of Write. After the first failed write nothing is written any more. A damaged record is never
+// returned as a value.
 class RecordStore {
  public:
   using Records = std::vector<std::pair<std::string, std::string>>;
-  // What a write came to: all up to this ticket, or none from it on. On the writer's thread.
-  using Written = std::function<void(std::uint64_t ticket, bool ok)>;
-  // Records of a read, by rising keys; `last`: there are no more; `damaged`: keys whose record is
-  // not what was written, left out. On the writer's thread.
-  using Found = std::function<void(Records records, bool last, std::vector<std::string> damaged)>;
+  // The result of writes, on the writer thread: all up to this ticket are durable, or none from
+  // this ticket on.
+  using WriteCallback = std::function<void(std::uint64_t ticket, bool ok)>;
+  // The result of a read, on the writer thread: records in the order of their keys. `last`: there
+  // are no further ones; `damaged`: keys of records with a wrong hash, which are left out.
+  using ReadCallback =
+      std::function<void(Records records, bool last, std::vector<std::string> damaged)>;
+  // Whom the file belongs to.
   struct Identity {
     std::uint64_t cluster = 0, member = 0;
-    std::uint64_t new_store_id = 0;  // the number of the store where it is made now; not 0
+    std::uint64_t new_store_id = 0;  // the id of the store if the file is created now; not 0
   };
-  static constexpr std::uint32_t kSchema = 1;
+  static constexpr std::uint32_t kSchema = 1;  // the version of the file format
 
   RecordStore() = default;
-  ~RecordStore();  // what was given to Write is written first
+  ~RecordStore();  // completes the writes that were queued before
   RecordStore(const RecordStore&) = delete;
   RecordStore& operator=(const RecordStore&) = delete;
 
-  // Takes or makes `folder`/copies.db for this process alone, of at most `max_bytes`. False, with
-  // one clear line, if it can't be used, is another's, of a later build, or damaged as a whole.
+  // Opens or creates `folder`/copies.db, exclusively and with at most `max_bytes`. Returns false,
+  // with an error of one line, if the file can't be used, belongs to another cluster or member, has
+  // a later schema, or is damaged as a whole.
   bool Open(const std::string& folder, const Identity& identity, std::uint64_t max_bytes,
-            Written written, std::string* error);
-  // Why Open or a Load failed: the file is not one of SQLite's any more; or the disk takes nothing.
+            WriteCallback callback, std::string* error);
+  // Why Open or a Load failed: the file is not a valid SQLite database, or it can't be written.
   bool damaged() const;
   bool unwritable() const;
-  // Before the first Write: the heads and operations of all logs (not their entries).
+  // Reads the heads and operations of all logs, without their entries. Before the first Write only.
   bool LoadLogs(Records* records, std::vector<std::string>* damaged, std::string* error);
-  // And likewise all under a prefix.
+  // Reads all records with a prefix. Before the first Write only.
   bool Load(const std::string& prefix, Records* records, std::vector<std::string>* damaged,
             std::string* error);
   std::uint64_t store_id() const { return store_id_; }
 
-  // After a failure nothing is written any more: the disk may hold either state.
+  // Queues a batch. After a failure nothing is written any more: the file may have either state.
   void Write(std::vector<copies::StoreWrite> batch, std::uint64_t ticket);
-  // Sees all that was given to Write before.
-  void Read(std::string prefix, std::string after, std::size_t max_records, Found found);
-  // Of `max_bytes`, 0 to 1: as of the last commit. At 1 a write would fail.
+  // Queues a read of at most `max_records` with a prefix, after a key. It sees all earlier writes.
+  void Read(std::string prefix, std::string after, std::size_t max_records, ReadCallback callback);
+  // The part of `max_bytes` in use at the last commit, from 0 to 1. At 1 a write fails.
   double used_fraction() const { return used_fraction_.load(); }
 
  private:
+  // A queued write or read.
   struct Job {
     std::vector<copies::StoreWrite> batch;
     std::uint64_t ticket = 0;
     std::string prefix, after;
     std::size_t max_records = 0;
-    Found found;  // none: a write
+    ReadCallback callback;  // empty: the job is a write
   };
-  struct CloseDb {
+  struct DatabaseCloser {
     void operator()(sqlite3* db) const;
   };
-  struct EndStatement {
+  struct StatementFinalizer {
     void operator()(sqlite3_stmt* statement) const;
   };
-  using Statement = std::unique_ptr<sqlite3_stmt, EndStatement>;
+  using Statement = std::unique_ptr<sqlite3_stmt, StatementFinalizer>;
 
-  bool Run(const char* sql);
-  std::int64_t Number(const char* sql);
+  bool Execute(const char* sql);
+  std::int64_t QueryInteger(const char* sql);
   Statement Prepare(const char* sql);
-  std::string Problem();
-  bool Check(const Identity& identity, std::string* error);
+  std::string ErrorText();
+  bool CheckIdentity(const Identity& identity, std::string* error);
   bool Apply(const copies::StoreWrite& write);
   bool Commit(const std::vector<Job>& jobs);
-  // Up to `most` records with this prefix after a key; false: the file is damaged.
+  // Reads up to `max_records` records with this prefix, after a key; false: the file is damaged.
   bool Scan(const std::string& prefix, const std::string& after, std::size_t max_records,
             Records* records, bool* last, std::vector<std::string>* damaged);
-  void Serve();
+  void RunWriter();
 
-  std::unique_ptr<sqlite3, CloseDb> db_;
+  std::unique_ptr<sqlite3, DatabaseCloser> db_;
   Statement put_, erase_, erase_range_, scan_;
-  std::string name_;
+  std::string error_prefix_;
   std::uint64_t store_id_ = 0, max_pages_ = 0;
-  Written written_;
+  WriteCallback write_callback_;
   std::thread writer_;
   std::mutex mutex_;
   std::condition_variable wake_;
   std::deque<Job> jobs_;
   bool stop_ = false, failed_ = false;
-  int code_ = 0;  // SQLite's, of what failed last
+  int last_error_code_ = 0;  // SQLite's result code
   std::atomic<double> used_fraction_ = 0;
 };
 
--- a/src/store/vote_file.cpp
+++ b/src/store/vote_file.cpp
@@ -17,25 +17,25 @@
 namespace millethollow::store {
 namespace {
 
-// The file: 'mhvotes', schema (4), cluster (8), member (8), the votes, and the hash of all that
-// (8).
-constexpr std::string_view kMark = "mhvotes";
-constexpr std::size_t kHead = 7 + 4 + 8 + 8, kTail = 8;
+// The file: 'mhvotes', the schema (4 bytes), cluster (8) and member (8), the state, and the hash of
+// all of these (8).
+constexpr std::string_view kMagic = "mhvotes";
+constexpr std::size_t kHeaderBytes = 7 + 4 + 8 + 8, kHashBytes = 8;
 
-std::uint64_t Word(std::string_view bytes, std::size_t at, std::size_t size) {
-  encoding::Writer framed;  // as a field, so that one reader serves
-  framed.Nested(1, bytes.substr(at, size));
-  encoding::Reader r(framed.bytes());
-  r.Next();
-  return size == 4 ? r.Raw<std::uint32_t>() : r.Raw<std::uint64_t>();
+std::uint64_t ReadInteger(std::string_view bytes, std::size_t at, std::size_t size) {
+  encoding::Writer field;  // as a field, so that encoding::Reader can be used
+  field.Nested(1, bytes.substr(at, size));
+  encoding::Reader reader(field.bytes());
+  reader.Next();
+  return size == 4 ? reader.Raw<std::uint32_t>() : reader.Raw<std::uint64_t>();
 }
 
 bool WriteAll(int fd, std::string_view bytes) {
   while (!bytes.empty()) {
-    const ssize_t n = write(fd, bytes.data(), bytes.size());
-    if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) return false;
-    bytes.remove_prefix(static_cast<std::size_t>(n));
+    const ssize_t written_bytes = write(fd, bytes.data(), bytes.size());
+    if (written_bytes < 0 && errno == EINTR) continue;
+    if (written_bytes <= 0) return false;
+    bytes.remove_prefix(static_cast<std::size_t>(written_bytes));
   }
   return true;
 }
@@ -51,102 +51,105 @@
     wake_.notify_one();
     writer_.join();
   }
-  if (lock_ >= 0) close(lock_);
+  if (lock_fd_ >= 0) close(lock_fd_);
 }
 
 bool VoteFile::Open(const std::string& folder, std::uint64_t cluster, membership::NodeId self,
-                    Written written, membership::PersistentVoterState* votes, bool* damaged,
+                    WriteCallback written, membership::PersistentVoterState* votes, bool* damaged,
                     std::string* error) {
   folder_ = folder;
   cluster_ = cluster;
   self_ = self;
-  written_ = std::move(written);
+  write_callback_ = std::move(written);
   *damaged = false;
-  const std::string store = "cluster store " + folder + ": ";
+  const std::string error_prefix = "cluster store " + folder + ": ";
   if (mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST) {
-    return *error = store + std::strerror(errno), false;
+    return *error = error_prefix + std::strerror(errno), false;
   }
-  lock_ = open((folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (lock_ < 0) return *error = store + std::strerror(errno), false;
-  if (flock(lock_, LOCK_EX | LOCK_NB) != 0)
-    return *error = store + "in use by another process", false;
+  lock_fd_ = open((folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+  if (lock_fd_ < 0) return *error = error_prefix + std::strerror(errno), false;
+  if (flock(lock_fd_, LOCK_EX | LOCK_NB) != 0)
+    return *error = error_prefix + "in use by another process", false;
   const std::string path = folder + "/votes";
   std::ifstream in(path, std::ios::binary);
   if (in) {
     std::stringstream text;
     text << in.rdbuf();
     const std::string bytes = text.str();
-    const bool whole = bytes.size() >= kHead + kTail && bytes.starts_with(kMark) &&
-                       codec::Hash(std::string_view(bytes).substr(0, bytes.size() - kTail)) ==
-                           Word(bytes, bytes.size() - kTail, 8);
-    if (whole) {
-      // Only a whole file says whose it is; then it is not to be overwritten.
-      const std::uint64_t schema = Word(bytes, 7, 4);
+    const bool intact = bytes.size() >= kHeaderBytes + kHashBytes && bytes.starts_with(kMagic) &&
+                        codec::Hash(std::string_view(bytes).substr(0, bytes.size() - kHashBytes)) ==
+                            ReadInteger(bytes, bytes.size() - kHashBytes, 8);
+    if (intact) {
+      // Only an intact file identifies its owner, and that of another must not be overwritten.
+      const std::uint64_t schema = ReadInteger(bytes, 7, 4);
       if (schema > kSchema) {
-        return *error = store + "of schema " + std::to_string(schema) +
+        return *error = error_prefix + "of schema " + std::to_string(schema) +
                         ", this build reads up to " + std::to_string(kSchema),
                false;
       }
-      if (Word(bytes, 11, 8) != cluster) return *error = store + "of another cluster", false;
-      if (Word(bytes, 19, 8) != self) return *error = store + "of another member", false;
+      if (ReadInteger(bytes, 11, 8) != cluster)
+        return *error = error_prefix + "of another cluster", false;
+      if (ReadInteger(bytes, 19, 8) != self)
+        return *error = error_prefix + "of another member", false;
     }
-    const auto read = whole ? codec::DecodeVoterState(std::string_view(bytes).substr(
-                                  kHead, bytes.size() - kHead - kTail))
-                            : std::nullopt;
-    if (read) {
-      *votes = *read;
+    const auto decoded = intact ? codec::DecodeVoterState(std::string_view(bytes).substr(
+                                      kHeaderBytes, bytes.size() - kHeaderBytes - kHashBytes))
+                                : std::nullopt;
+    if (decoded) {
+      *votes = *decoded;
     } else {
       *damaged = true;
       if (rename(path.c_str(), (path + ".damaged").c_str()) != 0) {
-        return *error = store + "damaged, and can't be put aside: " + std::strerror(errno), false;
+        return *error = error_prefix + "damaged, and can't be renamed: " + std::strerror(errno),
+               false;
       }
     }
   }
-  writer_ = std::thread([this] { Run(); });
+  writer_ = std::thread([this] { RunWriter(); });
   return true;
 }
 
 void VoteFile::Write(const membership::PersistentVoterState& votes, std::uint64_t ticket) {
-  encoding::Writer w;
-  w.Bytes(kMark);
-  w.Raw(kSchema);
-  w.Raw(cluster_);
-  w.Raw(self_);
-  w.Bytes(codec::Encode(votes));
-  w.Raw(codec::Hash(w.bytes()));
+  encoding::Writer writer;
+  writer.Bytes(kMagic);
+  writer.Raw(kSchema);
+  writer.Raw(cluster_);
+  writer.Raw(self_);
+  writer.Bytes(codec::Encode(votes));
+  writer.Raw(codec::Hash(writer.bytes()));
   {
     const std::lock_guard lock(mutex_);
-    job_ = {w.Take(), ticket};
+    pending_write_ = {writer.Take(), ticket};
   }
   wake_.notify_one();
 }
 
-bool VoteFile::Replace(const std::string& bytes) const {
-  const std::string path = folder_ + "/votes", fresh = path + ".new";
-  const int fd = open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
+bool VoteFile::ReplaceFile(const std::string& bytes) const {
+  const std::string path = folder_ + "/votes", new_path = path + ".new";
+  const int fd = open(new_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   if (fd < 0) return false;
   const bool written = WriteAll(fd, bytes) && fdatasync(fd) == 0;
   close(fd);
-  if (!written || rename(fresh.c_str(), path.c_str()) != 0) return false;
-  const int dir = open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-  if (dir < 0) return false;
-  const bool kept = fsync(dir) == 0;
-  close(dir);
-  return kept;
+  if (!written || rename(new_path.c_str(), path.c_str()) != 0) return false;
+  const int folder_fd = open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+  if (folder_fd < 0) return false;
+  const bool synced = fsync(folder_fd) == 0;
+  close(folder_fd);
+  return synced;
 }
 
-void VoteFile::Run() {
+void VoteFile::RunWriter() {
   while (true) {
-    Job job;
+    PendingWrite pending;
     {
       std::unique_lock lock(mutex_);
-      wake_.wait(lock, [this] { return stop_ || job_.has_value(); });
-      if (!job_) return;
-      job = std::move(*job_);
-      job_.reset();
+      wake_.wait(lock, [this] { return stop_ || pending_write_.has_value(); });
+      if (!pending_write_) return;
+      pending = std::move(*pending_write_);
+      pending_write_.reset();
     }
-    const bool ok = Replace(job.bytes);
-    written_(job.ticket, ok);
+    const bool ok = ReplaceFile(pending.bytes);
+    write_callback_(pending.ticket, ok);
     if (!ok) return;
   }
 }
--- a/tests/record_store_test.cpp
+++ b/tests/record_store_test.cpp
@@ -174,7 +174,7 @@
     off[random.Below(off.size())] ^= static_cast<char>(1 << random.Below(8));
     Folder::WriteFile("copies.db", off);
     if (!Open(folder)) {
-      EXPECT_NE(error.find("copies' store"), std::string::npos) << error;
+      EXPECT_NE(error.find("record store"), std::string::npos) << error;
       EXPECT_EQ(error.find('\n'), std::string::npos);
       ++refused;
     } else {
