--- a/tests/support/folder.h
+++ b/tests/support/folder.h
@@ -1,4 +1,4 @@
-// A folder of a test's own, and the waiting for a store's thread.
+// A fixture with a temporary folder, and with waiting for the writer thread of a store.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_FOLDER_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_FOLDER_H_
 
@@ -14,13 +14,14 @@
 
 namespace millethollow {
 
+// Creates a folder for each test and removes it afterwards.
 struct Folder : ::testing::Test {
   Folder() {
     char name[] = "/tmp/millethollow-folder-XXXXXX";
     folder = mkdtemp(name);
   }
   ~Folder() override { std::filesystem::remove_all(folder); }
-  // For a store that is opened now: what its thread has written.
+  // The callback for a store that is opened now; it records the durable writes.
   auto WriteCallback() {
     done = 0;
     failed = false;
@@ -31,16 +32,19 @@
       changed.notify_all();
     };
   }
-  bool WaitForWrite(std::uint64_t ticket) {  // until it is there; false: it will not be
+  // Waits until the write is durable. Returns false if a write failed.
+  bool WaitForWrite(std::uint64_t ticket) {
     std::unique_lock lock(mutex);
     changed.wait(lock, [&] { return done >= ticket || failed; });
     return !failed;
   }
+  // The bytes of a file in the folder.
   std::string FileContents(const std::string& file) const {
     std::stringstream text;
     text << std::ifstream(folder + "/" + file, std::ios::binary).rdbuf();
     return text.str();
   }
+  // Replaces the bytes of a file in the folder.
   void WriteFile(const std::string& file, const std::string& bytes) const {
     std::ofstream(folder + "/" + file, std::ios::binary) << bytes;
   }
