--- a/src/copies/durable_job_queue.h
+++ b/src/copies/durable_job_queue.h
@@ -59,6 +59,7 @@
 // - An attempt that RecordAttempt allows is committed before it is sent.
 class DurableJobQueue {
  public:
+  // Limits of the jobs in the queue, and its timings in seconds.
   struct Limits {
     std::size_t jobs = 10000, bytes = 64 << 20;
     double tenant_share = 0.5;                    // of both limits, for the jobs of one tenant
@@ -89,6 +90,7 @@
     // The greatest age of each of job->attempts, in seconds; infinite if it is not known.
     std::vector<double> ages_s;
   };
+  // What the queue uses of its environment.
   struct Hooks {
     std::function<SequenceNumber(LogId, std::string key, std::string value, bool erase,
                                  ReplicatedLogs::AppendError*)>
@@ -127,6 +129,7 @@
   // The round has ended. `ran_at`: workers where the job may have run, in this round or before it.
   void OnJobEnded(double now, const std::string& handle, JobOutcome outcome, double retry_after_s,
                   const std::vector<std::string>& ran_at);
+  // Starts jobs whose backoff has ended and repeats failed writes. To be called at NextAt().
   void Tick(double now);
   double NextAt() const;
   // A client waits for the result of the job: if it is queued or in backoff it runs at once.
@@ -139,12 +142,15 @@
 
   // The handle of the job with that function and unique id; empty if there is none.
   std::string Find(const std::string& function, const std::string& unique_id) const;
+  // Whether the queue has a job with this handle.
   bool Has(const std::string& handle) const { return jobs_.contains(handle); }
+  // Jobs, their bytes, the running ones, and the logs that this member acts on.
   std::size_t size() const { return jobs_.size(); }
   std::size_t bytes() const { return bytes_; }
   std::size_t running() const { return running_; }
   std::size_t logs() const { return logs_.size(); }
   const Counters& counters() const { return counters_; }
+  // A handle that no other job in the cluster has or will have.
   std::string NewHandle(const std::string& prefix);
 
  private:
--- a/src/copies/idempotency_key_client.h
+++ b/src/copies/idempotency_key_client.h
@@ -35,6 +35,7 @@
   };
   using ClaimCallback = std::function<void(const Result&)>;
   using AttemptCallback = std::function<void(bool allowed)>;
+  // What the client uses of its environment.
   struct Hooks {
     std::function<NodeId(LogId)> owner;  // by the view, under a current lease; 0: none
     std::function<void(NodeId, const IdempotencyMessage&)> send;
@@ -54,7 +55,9 @@
                std::vector<std::string> ran_at);
   // Whether, as far as is known, another claim runs the request.
   bool IsPending(std::uint64_t number) const;
+  // An answer of the owner.
   void OnMessage(const IdempotencyMessage& message);
+  // Sends unanswered messages again and lets claims time out. To be called at NextTickAt().
   void Tick(double now);
   double NextTickAt() const;
   std::size_t size() const { return claims_.size(); }
--- a/src/copies/idempotency_key_registry.h
+++ b/src/copies/idempotency_key_registry.h
@@ -28,18 +28,21 @@
 // the end of its request.
 class IdempotencyKeyRegistry {
  public:
+  // Limits of the records in all logs together.
   struct Limits {
     std::size_t keys = 100000, bytes = 64 << 20, waiting = 32;  // waiting: claims per key
   };
+  // What the registry uses of its environment.
   struct Hooks {
     // The caller applies the view before each call of this class: no log is released by an append.
     std::function<SequenceNumber(LogId, std::string key, std::string value, bool erase,
                                  ReplicatedLogs::AppendError*)>
         append;
-    std::function<double(LogId, SequenceNumber)> max_age_s;
-    std::function<bool(const ClaimId&)> alive;  // whether its process is in the view
+    std::function<double(LogId, SequenceNumber)> max_age_s;  // as ReplicatedLogs::MaxAge
+    std::function<bool(const ClaimId&)> alive;               // whether its process is in the view
     std::function<void(NodeId, const IdempotencyMessage&)> send;
   };
+  // Events since the start of the process.
   struct Counters {
     std::uint64_t claims = 0, joined = 0, repeated = 0, taken_over = 0, rejected = 0;
   };
@@ -51,6 +54,7 @@
   void OnLogReleased(LogId log);
   // All operations of the log up to this one are on its replicas.
   void OnCommitted(LogId log, SequenceNumber sequence);
+  // A message from a claimant. It is ignored if the claim is not one of `from`.
   void OnMessage(double now, NodeId from, const IdempotencyMessage& message);
   // To be called about once a second, and after each change of the view.
   void Tick(double now);
@@ -60,6 +64,7 @@
   const Counters& counters() const { return counters_; }
 
  private:
+  // A key as this member has it.
   struct Record {
     IdempotencyRecord stored;
     LogId log = 0;
--- a/src/copies/replicated_logs.h
+++ b/src/copies/replicated_logs.h
@@ -83,6 +83,7 @@
     // The store has less than this member acknowledged; it must be replaced by a new one.
     bool store_is_stale = false;
   };
+  // Why an append was rejected.
   enum class AppendError : std::uint8_t { kNone, kNotOwner, kTooFewReplicas, kFull, kStoreFailed };
 
   // `records`: all records that the store has under keys of heads and operations.
@@ -99,6 +100,7 @@
   // is rejected, with the reason in `reason`.
   SequenceNumber Append(double now, LogId log, std::string key, std::string value, bool erase,
                         AppendError* reason, Actions* actions);
+  // A message from another node about a log.
   void OnMessage(double now, NodeId from, const ReplicationMessage& message, Actions* actions);
   // All writes up to this ticket are durable.
   void OnStored(double now, std::uint64_t ticket, Actions* actions);
@@ -107,6 +109,7 @@
   // The result of a Read, in the order of the keys; `last`: there are no further entries.
   void OnSnapshotChunkRead(double now, LogId log, std::uint64_t snapshot_id,
                            std::vector<Operation> entries, bool last, Actions* actions);
+  // Resends, transfers snapshots and requests reconfigurations. To be called at NextAt().
   void Tick(double now, Actions* actions);
   double NextAt() const { return next_tick_at_; }
 
