--- a/src/net/cluster/promised_jobs.cpp
+++ b/src/net/cluster/promised_jobs.cpp
@@ -53,9 +53,10 @@
              .may_act = [this](copies::LogId log) { return member_->copies()->Acts(log); },
              .open = [this](copies::LogId log) { member_->copies()->Open(log); },
              .close = [this](copies::LogId log) { member_->copies()->Close(log); },
-             .max_age_s = [this](
-                        copies::LogId log,
-                        copies::SequenceNumber seq) { return member_->copies()->MaxAge(log, seq); },
+             .max_age_s =
+                 [this](copies::LogId log, copies::SequenceNumber seq) {
+                   return member_->copies()->MaxAge(log, seq);
+                 },
              .run = [this](const DurableJobQueue::Round& round) { Run(round); },
              .abort =
                  [this](const std::string& handle) {
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -195,8 +195,9 @@
   all["copies-at"] = f;
   f = {.kind = Kind::kAppend, .log = 0xabc01, .epoch = 8, .store_id = 0xd15c};
   f.sequence = 40, f.commit_index = 38, f.sequence_epoch = 8;
-  f.operations = {{.sequence = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .erase = false},
-           {.sequence = 42, .epoch = 8, .key = "H:a:2", .value = "", .erase = true}};
+  f.operations = {
+      {.sequence = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .erase = false},
+      {.sequence = 42, .epoch = 8, .key = "H:a:2", .value = "", .erase = true}};
   all["copies-ops"] = f;
   f = {.kind = Kind::kSnapshotChunk, .log = 0xabc01, .epoch = 8, .store_id = 0xd15c};
   f.sequence = 40, f.commit_index = 40, f.sequence_epoch = 8;
@@ -239,7 +240,8 @@
   return {.applied = 38, .applied_epoch = 7, .epoch = 8, .snapshot_generation = 2};
 }
 inline copies::Operation SampleOp() {
-  return {.sequence = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .erase = true};
+  return {
+      .sequence = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .erase = true};
 }
 inline copies::JobRecord SampleJob() {
   return {.handle = "H:a:1",
