--- a/src/copies/idempotency_key_registry.cpp
+++ b/src/copies/idempotency_key_registry.cpp
@@ -25,7 +25,7 @@
     bytes_ += SizeOf(entry.key, *stored);
     record.stored = std::move(*stored);
     record.log = log;
-    record.last_write = entry.seq;
+    record.last_write = entry.sequence;
     record.committed = true;
     record.expires_at = now + record.stored.window_s;
   }
@@ -43,61 +43,62 @@
   }
 }
 
-// The last attempt came with the last write: to be noted before there is another.
+// Records the sequence number of the last attempt, which is that of the last write, before the
+// record is written again.
 void IdempotencyKeyRegistry::DateLastAttempt(Record* record) {
-  if (record->stored.attempts.empty() || record->stored.attempts.back().seq != 0) return;
-  record->stored.attempts.back().seq = record->last_write;
+  if (record->stored.attempts.empty() || record->stored.attempts.back().sequence != 0) return;
+  record->stored.attempts.back().sequence = record->last_write;
 }
 
-// False: it can't be written now.
+// Appends the record. Returns false if the log rejects it.
 bool IdempotencyKeyRegistry::Write(const std::string& key, Record* record) {
   ReplicatedLogs::AppendError reason{};
-  const SequenceNumber seq =
+  const SequenceNumber sequence =
       hooks_.append(record->log, key, Encode(record->stored), false, &reason);
-  if (seq == 0) return false;
-  record->last_write = seq;
+  if (sequence == 0) return false;
+  record->last_write = sequence;
   record->committed = false;
-  owned_logs_[record->log].emplace(seq, key);
+  owned_logs_[record->log].emplace(sequence, key);
   return true;
 }
 
 bool IdempotencyKeyRegistry::Erase(const std::string& key, Record* record) {
   ReplicatedLogs::AppendError reason{};
-  const SequenceNumber seq = hooks_.append(record->log, key, "", true, &reason);
-  if (seq == 0) return false;
-  record->last_write = seq;
+  const SequenceNumber sequence = hooks_.append(record->log, key, "", true, &reason);
+  if (sequence == 0) return false;
+  record->last_write = sequence;
   record->committed = false;
   record->erasing = true;
-  owned_logs_[record->log].emplace(seq, key);
+  owned_logs_[record->log].emplace(sequence, key);
   return true;
 }
 
 template <typename Body>
 void IdempotencyKeyRegistry::Reply(const IdempotencyMessage& message, Body body) {
-  hooks_.send(message.claim.who, {message.log, message.key, message.claim, std::move(body)});
+  hooks_.send(message.claim.node, {message.log, message.key, message.claim, std::move(body)});
 }
 
 template <typename Body>
 void IdempotencyKeyRegistry::Send(const std::string& key, const Record& record, const ClaimId& to,
                                   Body body) {
-  hooks_.send(to.who, {record.log, key, to, std::move(body)});
+  hooks_.send(to.node, {record.log, key, to, std::move(body)});
 }
 
 ClaimGranted IdempotencyKeyRegistry::Grant(const Record& record) const {
   ClaimGranted grant{.attempts = record.stored.attempts, .ages_s = {}};
   for (const AttemptRecord& attempt : grant.attempts) {
-    const SequenceNumber seq = attempt.seq == 0 ? record.last_write : attempt.seq;
-    grant.ages_s.push_back(hooks_.max_age_s(record.log, seq));
+    const SequenceNumber sequence = attempt.sequence == 0 ? record.last_write : attempt.sequence;
+    grant.ages_s.push_back(hooks_.max_age_s(record.log, sequence));
   }
   return grant;
 }
 
 void IdempotencyKeyRegistry::OnMessage(double now, NodeId from, const IdempotencyMessage& message) {
-  if (message.claim.who != from) return;
+  if (message.claim.node != from) return;
   const auto* claim = std::get_if<ClaimRequest>(&message.body);
   const auto* attempt = std::get_if<AttemptRequest>(&message.body);
   const auto* release = std::get_if<ReleaseRequest>(&message.body);
-  if (!owned_logs_.contains(message.log)) {  // not this member's, or not yet
+  if (!owned_logs_.contains(message.log)) {  // this member does not act on the log, or not yet
     if (attempt != nullptr) Reply(message, AttemptRejected{attempt->attempt});
     return;
   }
@@ -111,7 +112,7 @@
   const auto found = records_.find(message.key);
   if (found == records_.end()) return OnNewKey(message, request);
   Record& record = found->second;
-  if (record.erasing) return;  // asked again, the key is new
+  if (record.erasing) return;  // the claim is sent again and finds a new key
   if (record.stored.answered) {
     if (!record.committed) return;
     counters_.repeated += 1;
@@ -132,7 +133,7 @@
   record.stored.window_s = request.window_s;
   const bool full = records_.size() >= limits_.keys || bytes_ >= limits_.bytes;
   if (full || !Write(message.key, &record)) {
-    counters_.refused += 1;
+    counters_.rejected += 1;
     return Reply(message, ClaimRejected{});
   }
   counters_.claims += 1;
@@ -152,11 +153,11 @@
   if (record->stored.claim != message.claim) Reply(message, ClaimPending{});
 }
 
-// Where no claim runs the request, or the process of the one that did is gone, the first of those
-// that wait may run it.
+// If no claim runs the request, or the process of the one that does has left the view, passes the
+// request to the first waiting claim.
 void IdempotencyKeyRegistry::PassToNextWaiting(double now, const std::string& key, Record* record) {
   if (record->stored.answered || record->erasing) return;
-  if (record->stored.claim.who != 0) {
+  if (record->stored.claim.node != 0) {
     if (hooks_.alive(record->stored.claim)) return;
     record->stored.claim = {};
     record->attempt = 0;
@@ -210,7 +211,8 @@
   if (found == records_.end()) return Reply(message, ClaimReleased{});
   Record& record = found->second;
   std::erase(record.waiting, message.claim);
-  // Only once the end is on the replicas: else whoever adopts the log takes it for one that runs.
+  // Acknowledged only once the end is committed: otherwise a new owner of the log would still see
+  // the claim as running.
   if (record.stored.claim != message.claim || record.stored.answered || record.erasing) {
     if (record.committed) Reply(message, ClaimReleased{});
     return;
@@ -247,18 +249,18 @@
   const std::uint64_t last_attempt = std::exchange(record->attempt, 0);
   record->expires_at = now + record->stored.window_s;
   PassToNextWaiting(now, key, record);
-  if (record->stored.claim.who != 0) return;
+  if (record->stored.claim.node != 0) return;
   if (record->stored.attempts.empty() ? Erase(key, record) : Write(key, record)) return;
   record->stored = before;  // the request is sent again
   record->attempt = last_attempt;
 }
 
-void IdempotencyKeyRegistry::OnCommitted(LogId log, SequenceNumber seq) {
+void IdempotencyKeyRegistry::OnCommitted(LogId log, SequenceNumber sequence) {
   while (true) {
     const auto owned = owned_logs_.find(log);
     if (owned == owned_logs_.end() || owned->second.empty()) return;
     PendingWrites& pending = owned->second;
-    if (pending.begin()->first > seq) return;
+    if (pending.begin()->first > sequence) return;
     const SequenceNumber written = pending.begin()->first;
     const std::string key = std::move(pending.begin()->second);
     pending.erase(pending.begin());
@@ -266,13 +268,14 @@
   }
 }
 
-void IdempotencyKeyRegistry::OnWriteCommitted(const std::string& key, SequenceNumber seq) {
+void IdempotencyKeyRegistry::OnWriteCommitted(const std::string& key, SequenceNumber sequence) {
   const auto found = records_.find(key);
-  if (found == records_.end() || found->second.last_write != seq) return;  // written again since
+  if (found == records_.end() || found->second.last_write != sequence)
+    return;  // it was written again
   Record& record = found->second;
   record.committed = true;
   const ClaimId claim = record.stored.claim;
-  if (record.erasing) {  // claims that wait ask again
+  if (record.erasing) {  // waiting claims are sent again
     bytes_ -= SizeOf(key, record.stored);
     records_.erase(found);
   } else if (record.stored.answered) {
@@ -282,7 +285,7 @@
     }
   } else if (record.attempt > 0) {
     Send(key, record, claim, AttemptAllowed{record.attempt});
-  } else if (claim.who != 0) {
+  } else if (claim.node != 0) {
     Send(key, record, claim, Grant(record));
   }
 }
@@ -291,7 +294,7 @@
   std::vector<std::string> open, expired;
   for (const auto& [key, record] : records_) {
     if (!record.committed || record.erasing) continue;
-    const bool claimed = record.stored.claim.who != 0;
+    const bool claimed = record.stored.claim.node != 0;
     const bool answered = record.stored.answered;
     if (!answered && (claimed || !record.waiting.empty())) open.push_back(key);
     const bool over = (answered || !claimed) && now >= record.expires_at;
--- a/src/node/node_cluster.cpp
+++ b/src/node/node_cluster.cpp
@@ -35,7 +35,7 @@
 
 void Node::StartDurableJobs() {
   copies::DurableJobQueue::Limits limits = config_.cluster.jobs;
-  limits.takes = gearman_front_ != nullptr;
+  limits.accepts_jobs = gearman_front_ != nullptr;
   const std::uint64_t high = std::random_device{}();
   const std::uint64_t low = std::random_device{}();
   durable_jobs_ = std::make_unique<cluster::PromisedJobs>(&loop_, member_.get(), limits,
