--- a/src/net/cluster/promised_jobs.cpp
+++ b/src/net/cluster/replicated_durable_jobs.cpp
@@ -1,4 +1,4 @@
-#include "net/cluster/promised_jobs.h"
+#include "net/cluster/replicated_durable_jobs.h"
 
 #include <algorithm>
 #include <cmath>
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-PromisedJobs::PromisedJobs(Loop* loop, Member* member, const DurableJobQueue::Limits& limits,
+ReplicatedDurableJobs::ReplicatedDurableJobs(Loop* loop, Member* member, const DurableJobQueue::Limits& limits,
                            std::string name, std::uint64_t number)
     : loop_(loop),
       member_(member),
@@ -89,12 +89,12 @@
   Arm();
 }
 
-PromisedJobs::~PromisedJobs() {
+ReplicatedDurableJobs::~ReplicatedDurableJobs() {
   loop_->deadlines().Drop(&tick_);
   member_->copies()->SetLedger({});
 }
 
-void PromisedJobs::Arm() {
+void ReplicatedDurableJobs::Arm() {
   loop_->deadlines().Drop(&tick_);
   const double in = std::min(kLookS, jobs_.NextAt() - Member::Now());
   tick_ = loop_->deadlines().At(loop_->Now() + std::max(0.0, in), [this] {
@@ -105,7 +105,7 @@
   });
 }
 
-void PromisedJobs::Accept(DurableJob job, Then then) {
+void ReplicatedDurableJobs::Accept(DurableJob job, Then then) {
   copies::JobRecord record;
   record.handle = jobs_.NewHandle("H:" + name_ + ":");
   record.function = std::move(job.function);
@@ -121,16 +121,16 @@
   Arm();
 }
 
-std::string PromisedJobs::Find(std::string_view function, std::string_view unique) const {
+std::string ReplicatedDurableJobs::Find(std::string_view function, std::string_view unique) const {
   return jobs_.Find(std::string(function), std::string(unique));
 }
 
-void PromisedJobs::RunNow(const std::string& handle) {
+void ReplicatedDurableJobs::RunNow(const std::string& handle) {
   jobs_.RunNow(Member::Now(), handle);
   Arm();
 }
 
-void PromisedJobs::Complete(const std::string& handle, const FinalAnswer& answer) {
+void ReplicatedDurableJobs::Complete(const std::string& handle, const FinalAnswer& answer) {
   using Kind = FinalAnswer::Kind;
   jobs_.OnJobEnded(Member::Now(), handle,
                    answer.kind == Kind::kCompleted  ? DurableJobQueue::JobOutcome::kCompleted
@@ -140,7 +140,7 @@
   Arm();
 }
 
-void PromisedJobs::BeforeSend(const std::string& handle, const std::string& worker, bool own,
+void ReplicatedDurableJobs::RecordAttempt(const std::string& handle, const std::string& worker, bool own,
                               bool repeatable, std::function<void(bool)> then) {
   if (repeatable) return then(jobs_.MayAct(handle));
   jobs_.RecordAttempt(
@@ -148,7 +148,7 @@
       [this, handle, then = std::move(then)](bool kept) { then(kept && jobs_.MayAct(handle)); });
 }
 
-void PromisedJobs::Run(const DurableJobQueue::Round& round) {
+void ReplicatedDurableJobs::Run(const DurableJobQueue::Round& round) {
   DurableJob job;
   const copies::JobRecord& record = *round.job;
   char tail[48];
@@ -172,7 +172,7 @@
   });
 }
 
-std::string PromisedJobs::Figures() const {
+std::string ReplicatedDurableJobs::Metrics() const {
   std::ostringstream out;
   const auto count = [&](const char* name, std::uint64_t value, char kind = 'c') {
     out << "app.cluster.jobs." << name << ':' << value << '|' << kind << '\n';
--- a/src/net/cluster/promised_jobs.h
+++ b/src/net/cluster/replicated_durable_jobs.h
@@ -1,7 +1,7 @@
 // Promised jobs in this process: carries between the decisions of copies::DurableJobQueue, the logs
 // that this member acts on, and the front that runs the jobs.
-#ifndef MILLETHOLLOW_NET_CLUSTER_PROMISED_JOBS_H_
-#define MILLETHOLLOW_NET_CLUSTER_PROMISED_JOBS_H_
+#ifndef MILLETHOLLOW_NET_CLUSTER_REPLICATED_DURABLE_JOBS_H_
+#define MILLETHOLLOW_NET_CLUSTER_REPLICATED_DURABLE_JOBS_H_
 
 #include <cstdint>
 #include <functional>
@@ -15,14 +15,14 @@
 
 namespace millethollow::cluster {
 
-class PromisedJobs final : public DurableJobs {
+class ReplicatedDurableJobs final : public DurableJobs {
  public:
   // `name`: of this node, the beginning of the handles that it gives; `number`: no other process's.
-  PromisedJobs(Loop* loop, Member* member, const copies::DurableJobQueue::Limits& limits,
+  ReplicatedDurableJobs(Loop* loop, Member* member, const copies::DurableJobQueue::Limits& limits,
                std::string name, std::uint64_t number);
-  ~PromisedJobs() override;
-  PromisedJobs(const PromisedJobs&) = delete;
-  PromisedJobs& operator=(const PromisedJobs&) = delete;
+  ~ReplicatedDurableJobs() override;
+  ReplicatedDurableJobs(const ReplicatedDurableJobs&) = delete;
+  ReplicatedDurableJobs& operator=(const ReplicatedDurableJobs&) = delete;
 
   void SetRunner(DurableJobRunner* runner) { runner_ = runner; }
   // Nothing new is begun. Idle(): all that was begun has ended, and is written down.
@@ -38,9 +38,9 @@
   void Complete(const std::string& handle, const FinalAnswer& answer) override;
 
   // For the planner: as AttemptRecorder::Record.
-  void BeforeSend(const std::string& handle, const std::string& worker, bool own, bool repeatable,
+  void RecordAttempt(const std::string& handle, const std::string& worker, bool own, bool repeatable,
                   std::function<void(bool)> then);
-  std::string Figures() const;
+  std::string Metrics() const;
 
  private:
   void Run(const copies::DurableJobQueue::Round& round);
@@ -57,4 +57,4 @@
 
 }  // namespace millethollow::cluster
 
-#endif  // MILLETHOLLOW_NET_CLUSTER_PROMISED_JOBS_H_
+#endif  // MILLETHOLLOW_NET_CLUSTER_REPLICATED_DURABLE_JOBS_H_
--- a/src/node/metrics.h
+++ b/src/node/metrics.h
@@ -7,7 +7,7 @@
 #include "core/planner.h"
 #include "core/request.h"
 #include "net/cluster/member.h"
-#include "net/cluster/promised_jobs.h"
+#include "net/cluster/replicated_durable_jobs.h"
 
 namespace millethollow {
 
@@ -16,7 +16,7 @@
   const Counters& counters;
   const Planner* planner = nullptr;
   const cluster::Member* member = nullptr;
-  const cluster::PromisedJobs* durable_jobs = nullptr;
+  const cluster::ReplicatedDurableJobs* durable_jobs = nullptr;
 };
 
 // One metric a line, `name:value|type` with type c (counter) or g (gauge), as in statsd.
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -15,7 +15,7 @@
 #include "millethollow/error.h"
 #include "net/admin/admin_server.h"
 #include "net/cluster/member.h"
-#include "net/cluster/promised_jobs.h"
+#include "net/cluster/replicated_durable_jobs.h"
 #include "net/discovery.h"
 #include "net/forwarder.h"
 #include "net/gearman/front.h"
@@ -138,7 +138,7 @@
   std::unique_ptr<admin::AdminServer> admin_;
   std::unique_ptr<handover::HotRestart> hot_restart_;
   std::unique_ptr<cluster::Member> member_;
-  std::unique_ptr<cluster::PromisedJobs> promised_;  // where the member has a store
+  std::unique_ptr<cluster::ReplicatedDurableJobs> promised_;  // where the member has a store
   handover::InheritedState inherited_;               // from the process that this one replaces
 
   EventPtr term_, interrupt_, usr1_, hangup_;
--- a/src/node/node_cluster.cpp
+++ b/src/node/node_cluster.cpp
@@ -37,7 +37,7 @@
   limits.takes = gearman_ != nullptr;
   const std::uint64_t high = std::random_device{}();
   const std::uint64_t low = std::random_device{}();
-  promised_ = std::make_unique<cluster::PromisedJobs>(&loop_, member_.get(), limits, config_.name,
+  promised_ = std::make_unique<cluster::ReplicatedDurableJobs>(&loop_, member_.get(), limits, config_.name,
                                                       (high << 32 | low) | 1);
   environment_.parts().durable_jobs = promised_.get();
   promised_->SetRunner(gearman_.get());
--- a/src/node/node_environment.cpp
+++ b/src/node/node_environment.cpp
@@ -39,7 +39,7 @@
 
 void NodeEnvironment::Record(const AttemptRecorder::Attempt& attempt, Done done) {
   if (parts_.durable_jobs == nullptr) return done(false);
-  parts_.durable_jobs->BeforeSend(attempt.durable_job, attempt.worker, attempt.local_worker,
+  parts_.durable_jobs->RecordAttempt(attempt.durable_job, attempt.worker, attempt.local_worker,
                                   attempt.idempotent, std::move(done));
 }
 
--- a/src/node/node_environment.h
+++ b/src/node/node_environment.h
@@ -7,7 +7,7 @@
 
 #include "core/planner_environment.h"
 #include "net/cluster/member.h"
-#include "net/cluster/promised_jobs.h"
+#include "net/cluster/replicated_durable_jobs.h"
 #include "net/discovery.h"
 #include "net/handover/hot_restart.h"
 #include "net/loop.h"
@@ -26,7 +26,7 @@
     Peers* peers = nullptr;
     handover::HotRestart* hot_restart = nullptr;
     cluster::Member* member = nullptr;
-    cluster::PromisedJobs* durable_jobs = nullptr;
+    cluster::ReplicatedDurableJobs* durable_jobs = nullptr;
   };
 
   // For the node, which fills them in as it makes them.
