--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -137,7 +137,7 @@
       std::make_unique<membership::MembershipNode>(o, std::move(votes), random.NextUint64(), Now());
   for (const membership::MaintenanceRecord& f : facts) {
     cluster_->Restore(Now(), f);
-    if (f.InMaintenance()) hooks_.maintain(f.worker, true);
+    if (f.InMaintenance()) hooks_.set_maintenance(f.worker, true);
   }
   Events().info("cluster start name={} self={} life={:x} members={}", options_.name, options_.self,
                 process_incarnation_, options_.members.size());
@@ -158,7 +158,7 @@
       LogReplicator::Hooks{
           .now = [] { return Now(); },
           .view = [this]() -> const membership::View& { return cluster_->agreement().view(); },
-          .leased = [this] { return Leased(); },
+          .leased = [this] { return HoldsLease(); },
           .send = [this](NodeId to, const copies::ReplicationMessage& frame) { Send(to, frame); },
           .want =
               [this](std::uint64_t disk, std::vector<membership::LogAssignment> logs) {
@@ -184,7 +184,7 @@
       QuotaKeeper::Hooks{
           .now = [] { return Now(); },
           .view = [this]() -> const membership::View& { return cluster_->agreement().view(); },
-          .leased = [this] { return Leased(); },
+          .leased = [this] { return HoldsLease(); },
           .send = [this](NodeId to, const quota::Message& message) { Send(to, message); },
           .demand = hooks_.tenant_demand});
   quota_->Start();
@@ -311,10 +311,12 @@
     Events().log(level, "cluster member={} health={} incarnation={} epoch={}", NameOf(c.member),
                  NameOfHealth(c.health), c.incarnation, view.epoch);
   }
-  for (const std::string& worker : actions->maintenance.taken_out) hooks_.maintain(worker, true);
-  for (const std::string& worker : actions->maintenance.put_back) hooks_.maintain(worker, false);
+  for (const std::string& worker : actions->maintenance.taken_out)
+    hooks_.set_maintenance(worker, true);
+  for (const std::string& worker : actions->maintenance.put_back)
+    hooks_.set_maintenance(worker, false);
   for (const membership::MaintenanceRecord& f : actions->maintenance.drains) {
-    hooks_.down(f.worker, f.started_at_s, f.drain_state == membership::DrainState::kGone);
+    hooks_.on_worker_down(f.worker, f.started_at_s, f.drain_state == membership::DrainState::kGone);
   }
   for (const std::uint64_t number : actions->maintenance.replicated) {
     const auto waiting = waiting_.find(number);
@@ -331,7 +333,7 @@
     Events().error("cluster yield self={} another process is this member: this one takes no part",
                    options_.self);
   }
-  const bool leased = Leased();
+  const bool leased = HoldsLease();
   if (leased != was_leased_) {
     was_leased_ = leased;
     Events().info("cluster lease={} epoch={}", leased ? "held" : "lost", view.epoch);
@@ -396,11 +398,11 @@
   CarryOut(&actions);
 }
 
-bool Member::Leased() const { return cluster_ && cluster_->agreement().HoldsLease(Now()); }
-double Member::LeaseLeft() const {
+bool Member::HoldsLease() const { return cluster_ && cluster_->agreement().HoldsLease(Now()); }
+double Member::LeaseRemaining() const {
   return cluster_ ? cluster_->agreement().LeaseRemaining(Now()) : 0;
 }
-balancing::FleetShare Member::Parts() const {
+balancing::FleetShare Member::CurrentFleetShare() const {
   const double now = Now();
   const membership::ViewAgreement& a = cluster_->agreement();
   const int members = a.HoldsLease(now) ? static_cast<int>(a.view().members.size()) : 0;
@@ -410,7 +412,7 @@
   return parts;
 }
 
-std::string Member::Figures() const {
+std::string Member::Metrics() const {
   std::ostringstream out;
   const auto count = [&](const char* name, std::uint64_t value, char kind = 'c') {
     out << "app.cluster." << name << ':' << value << '|' << kind << '\n';
@@ -419,7 +421,7 @@
   const auto& a = cluster_->agreement().counters();
   const TransportCounters& t = transport_.counters();
   count("epoch", cluster_->agreement().view().epoch, 'g');
-  count("leased", Leased() ? 1 : 0, 'g');
+  count("leased", HoldsLease() ? 1 : 0, 'g');
   count("slowness", static_cast<std::uint64_t>(cluster_->detector().local_health_multiplier()),
         'g');
   count("probes", d.probes);
@@ -475,7 +477,7 @@
   return out.str();
 }
 
-std::string Member::Json() const {
+std::string Member::MembersJson() const {
   using nlohmann::json;
   const double now = Now();
   const membership::ViewAgreement& a = cluster_->agreement();
--- a/src/net/cluster/member.h
+++ b/src/net/cluster/member.h
@@ -37,8 +37,8 @@
  public:
   // What others said, to be done here too.
   struct Hooks {
-    std::function<void(const std::string& worker, bool in_maintenance)> maintain;
-    std::function<void(const std::string& worker, double started_at_s, bool gone)> down;
+    std::function<void(const std::string& worker, bool in_maintenance)> set_maintenance;
+    std::function<void(const std::string& worker, double started_at_s, bool gone)> on_worker_down;
     // By tenant, where quotas are leased: jobs per second that came in lately.
     std::function<std::vector<double>()> tenant_demand = {};
   };
@@ -72,15 +72,15 @@
   void SetQuotas(const std::vector<double>& quotas);
 
   // With a clock read now, so that a stop that nobody noticed counts.
-  bool Leased() const;
-  double LeaseLeft() const;             // seconds
-  balancing::FleetShare Parts() const;  // of what the whole cluster may do
+  bool HoldsLease() const;
+  double LeaseRemaining() const;                    // seconds
+  balancing::FleetShare CurrentFleetShare() const;  // of what the whole cluster may do
   const membership::MembershipNode& decisions() const { return *cluster_; }
   // Copies of what members hold for others; null: this one has no store.
-  LogReplicator* copies() const { return copies_.get(); }
-  static double Now();          // of the machine, counts its pauses
-  std::string Figures() const;  // one a line, as at the second address
-  std::string Json() const;     // of GET /members
+  LogReplicator* log_replicator() const { return copies_.get(); }
+  static double Now();              // of the machine, counts its pauses
+  std::string Metrics() const;      // one a line, as at the second address
+  std::string MembersJson() const;  // of GET /members
 
  private:
   // Which numbers of a sender's frames have come: a frame that comes twice is counted and dropped.
--- a/src/net/cluster/replicated_durable_jobs.cpp
+++ b/src/net/cluster/replicated_durable_jobs.cpp
@@ -37,8 +37,9 @@
 
 }  // namespace
 
-ReplicatedDurableJobs::ReplicatedDurableJobs(Loop* loop, Member* member, const DurableJobQueue::Limits& limits,
-                           std::string name, std::uint64_t number)
+ReplicatedDurableJobs::ReplicatedDurableJobs(Loop* loop, Member* member,
+                                             const DurableJobQueue::Limits& limits,
+                                             std::string name, std::uint64_t number)
     : loop_(loop),
       member_(member),
       name_(std::move(name)),
@@ -47,15 +48,16 @@
             {.append =
                  [this](copies::LogId log, std::string key, std::string value, bool gone,
                         copies::ReplicatedLogs::AppendError* reason) {
-                   return member_->copies()->Append(log, std::move(key), std::move(value), gone,
-                                                    reason);
+                   return member_->log_replicator()->Append(log, std::move(key), std::move(value),
+                                                            gone, reason);
+                 },
+             .may_act = [this](copies::LogId log) { return member_->log_replicator()->Acts(log); },
+             .open = [this](copies::LogId log) { member_->log_replicator()->Open(log); },
+             .close = [this](copies::LogId log) { member_->log_replicator()->Close(log); },
+             .age =
+                 [this](copies::LogId log, copies::SequenceNumber seq) {
+                   return member_->log_replicator()->MaxAge(log, seq);
                  },
-             .may_act = [this](copies::LogId log) { return member_->copies()->Acts(log); },
-             .open = [this](copies::LogId log) { member_->copies()->Open(log); },
-             .close = [this](copies::LogId log) { member_->copies()->Close(log); },
-             .age = [this](
-                        copies::LogId log,
-                        copies::SequenceNumber seq) { return member_->copies()->MaxAge(log, seq); },
              .run = [this](const DurableJobQueue::Round& round) { Run(round); },
              .abort =
                  [this](const std::string& handle) {
@@ -68,7 +70,7 @@
                        job.tenant,
                        how == DurableJobQueue::JobOutcome::kCompleted ? "served" : "failed");
                  }}) {
-  member_->copies()->SetLedger(
+  member_->log_replicator()->SetLedger(
       {.acquired =
            [this](copies::LogId log, const std::vector<copies::Operation>& entries) {
              if (copies::KindOf(log) == copies::LogKind::kJobs) {
@@ -91,7 +93,7 @@
 
 ReplicatedDurableJobs::~ReplicatedDurableJobs() {
   loop_->deadlines().Drop(&tick_);
-  member_->copies()->SetLedger({});
+  member_->log_replicator()->SetLedger({});
 }
 
 void ReplicatedDurableJobs::Arm() {
@@ -99,7 +101,7 @@
   const double in = std::min(kLookS, jobs_.NextAt() - Member::Now());
   tick_ = loop_->deadlines().At(loop_->Now() + std::max(0.0, in), [this] {
     tick_ = Deadlines::kNone;
-    jobs_.OnLease(Member::Now(), member_->Leased());
+    jobs_.OnLease(Member::Now(), member_->HoldsLease());
     jobs_.Tick(Member::Now());
     Arm();
   });
@@ -140,8 +142,9 @@
   Arm();
 }
 
-void ReplicatedDurableJobs::RecordAttempt(const std::string& handle, const std::string& worker, bool own,
-                              bool repeatable, std::function<void(bool)> then) {
+void ReplicatedDurableJobs::RecordAttempt(const std::string& handle, const std::string& worker,
+                                          bool own, bool repeatable,
+                                          std::function<void(bool)> then) {
   if (repeatable) return then(jobs_.MayAct(handle));
   jobs_.RecordAttempt(
       Member::Now(), handle, worker, own,
--- a/src/net/cluster/replicated_durable_jobs.h
+++ b/src/net/cluster/replicated_durable_jobs.h
@@ -19,7 +19,7 @@
  public:
   // `name`: of this node, the beginning of the handles that it gives; `number`: no other process's.
   ReplicatedDurableJobs(Loop* loop, Member* member, const copies::DurableJobQueue::Limits& limits,
-               std::string name, std::uint64_t number);
+                        std::string name, std::uint64_t number);
   ~ReplicatedDurableJobs() override;
   ReplicatedDurableJobs(const ReplicatedDurableJobs&) = delete;
   ReplicatedDurableJobs& operator=(const ReplicatedDurableJobs&) = delete;
@@ -38,8 +38,8 @@
   void Complete(const std::string& handle, const FinalAnswer& answer) override;
 
   // For the planner: as AttemptRecorder::Record.
-  void RecordAttempt(const std::string& handle, const std::string& worker, bool own, bool repeatable,
-                  std::function<void(bool)> then);
+  void RecordAttempt(const std::string& handle, const std::string& worker, bool own,
+                     bool repeatable, std::function<void(bool)> then);
   std::string Metrics() const;
 
  private:
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -87,7 +87,7 @@
     PrintPeers(counters, balancer.RejectedPeerMessages(), &out);
     if (balancer.on()) PrintScheduling(*sources.planner, &out);
   }
-  if (sources.member != nullptr) out << sources.member->Figures();
+  if (sources.member != nullptr) out << sources.member->Metrics();
   if (sources.durable_jobs != nullptr) out << sources.durable_jobs->Metrics();
   Counter("app.config_reloads", counters.reloads, &out);
   Counter("app.config_reload_errors", counters.reload_errors, &out);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -89,7 +89,7 @@
                           admin::AdminServer::Hooks::Answer answer) {
     SetMaintenanceEverywhere(worker, in_maintenance, std::move(answer));
   };
-  if (member_) hooks.members = [this] { return member_->Json(); };
+  if (member_) hooks.members = [this] { return member_->MembersJson(); };
   admin_ = std::make_unique<admin::AdminServer>(&loop_, std::move(hooks));
   std::string reason;
   if (!admin_->Listen(config_.admin, &reason)) return MakeError(ErrorCode::kUnavailable, reason);
--- a/src/node/node_cluster.cpp
+++ b/src/node/node_cluster.cpp
@@ -14,10 +14,10 @@
 
 Status Node::StartMember() {
   cluster::Member::Hooks hooks;
-  hooks.maintain = [this](const std::string& worker, bool in_maintenance) {
+  hooks.set_maintenance = [this](const std::string& worker, bool in_maintenance) {
     SetMaintenance(worker, in_maintenance);
   };
-  hooks.down = [this](const std::string& worker, double started_at_s, bool gone) {
+  hooks.on_worker_down = [this](const std::string& worker, double started_at_s, bool gone) {
     planner_->OnPeerWorkerDown(worker, started_at_s, gone);
   };
   hooks.tenant_demand = [this] { return planner_->TenantDemand(); };
@@ -26,7 +26,7 @@
   environment_.parts().member = member_.get();
   std::string reason;
   if (!member_->Start(&reason)) return MakeError(ErrorCode::kUnavailable, reason);
-  if (member_->copies() != nullptr) StartDurableJobs();
+  if (member_->log_replicator() != nullptr) StartDurableJobs();
   if (front_) front_->SetServing(false);
   ServeOnceSynced(loop_.Now() + kSyncS);
   return {};
@@ -37,8 +37,8 @@
   limits.takes = gearman_ != nullptr;
   const std::uint64_t high = std::random_device{}();
   const std::uint64_t low = std::random_device{}();
-  promised_ = std::make_unique<cluster::ReplicatedDurableJobs>(&loop_, member_.get(), limits, config_.name,
-                                                      (high << 32 | low) | 1);
+  promised_ = std::make_unique<cluster::ReplicatedDurableJobs>(
+      &loop_, member_.get(), limits, config_.name, (high << 32 | low) | 1);
   environment_.parts().durable_jobs = promised_.get();
   promised_->SetRunner(gearman_.get());
   if (gearman_) gearman_->SetPromises(promised_.get());
--- a/src/node/node_environment.cpp
+++ b/src/node/node_environment.cpp
@@ -28,7 +28,7 @@
 
 std::optional<balancing::FleetShare> NodeEnvironment::FleetShare() {
   if (!parts_.in_cluster) return std::nullopt;
-  return parts_.member != nullptr ? parts_.member->Parts() : balancing::FleetShare{};
+  return parts_.member != nullptr ? parts_.member->CurrentFleetShare() : balancing::FleetShare{};
 }
 
 void NodeEnvironment::OnWireIdTaken(const std::string& wire_id) {
@@ -40,7 +40,7 @@
 void NodeEnvironment::Record(const AttemptRecorder::Attempt& attempt, Done done) {
   if (parts_.durable_jobs == nullptr) return done(false);
   parts_.durable_jobs->RecordAttempt(attempt.durable_job, attempt.worker, attempt.local_worker,
-                                  attempt.idempotent, std::move(done));
+                                     attempt.idempotent, std::move(done));
 }
 
 }  // namespace millethollow
