--- a/src/net/handover/hot_restart.cpp
+++ b/src/net/handover/hot_restart.cpp
@@ -59,19 +59,19 @@
         k.maintenance_since = f.Real();
         ListEntry e{.member = k.member, .address = f.Text(), .max_in_flight = f.U64()};
         if (!f.Whole()) break;
-        if (k.member.readiness != Readiness::kGone) got.list.push_back(std::move(e));
-        got.known.push_back(std::move(k));
+        if (k.member.readiness != Readiness::kGone) got.endpoints.push_back(std::move(e));
+        got.workers.push_back(std::move(k));
         break;
       }
       case Kind::kIds:
-        for (std::string id = f.Text(); f.ok(); id = f.Text()) got.ids.push_back(id);
+        for (std::string id = f.Text(); f.ok(); id = f.Text()) got.wire_ids.push_back(id);
         break;
       case Kind::kLearned:
-        got.learned += f.Rest();
+        got.planner_state += f.Rest();
         break;
       case Kind::kStateEnd:
-        got.version = static_cast<long long>(f.U64());
-        got.whole = f.Whole();
+        got.endpoint_list_version = static_cast<long long>(f.U64());
+        got.complete = f.Whole();
         break;
       default:  // other kinds are for a sibling that serves: what counts is sent again
         break;
@@ -79,7 +79,7 @@
     if (fd >= 0) close(fd);
   };
   if (!link->Receive(
-          take, [&got] { return got.whole; }, loop_->Now() + kRequestStateS, while_waiting)) {
+          take, [&got] { return got.complete; }, loop_->Now() + kRequestStateS, while_waiting)) {
     LogLine(Level::kWarn) << "the process that serves tells us nothing: starting alone";
     for (const int fd : {got.client_listener, got.gearman_listener, got.peer_socket}) {
       if (fd >= 0) close(fd);
@@ -91,8 +91,8 @@
   return got;
 }
 
-void HotRestart::Serve(Parts parts) {
-  parts_ = std::move(parts);
+void HotRestart::Serve(Dependencies dependencies) {
+  dependencies_ = std::move(dependencies);
   if (predecessor_ != nullptr) {
     Watch(&predecessor_);
     predecessor_->link->Send(Writer(Kind::kServing).Done());
@@ -121,14 +121,14 @@
     const int copy = fd >= 0 ? fcntl(fd, F_DUPFD_CLOEXEC, 0) : -1;
     if (copy >= 0) link.Send(Writer(Kind::kSocket).U8(which).Done(), copy);
   };
-  socket(kClients, parts_.front->listener());
-  if (parts_.gearman != nullptr) socket(kGearman, parts_.gearman->listener());
-  if (parts_.peers != nullptr) socket(kPeers, parts_.peers->descriptor());
-  for (const std::string& name : *parts_.classes) {
+  socket(kClients, dependencies_.front->listener());
+  if (dependencies_.gearman != nullptr) socket(kGearman, dependencies_.gearman->listener());
+  if (dependencies_.peers != nullptr) socket(kPeers, dependencies_.peers->descriptor());
+  for (const std::string& name : *dependencies_.classes) {
     link.Send(Writer(Kind::kClass).Text(name).Done());
   }
-  for (const Planner::WorkerSnapshot& k : parts_.planner->ExportWorkers()) {
-    const auto [address, max_in_flight] = parts_.pool->Address(k.member.worker);
+  for (const Planner::WorkerSnapshot& k : dependencies_.planner->ExportWorkers()) {
+    const auto [address, max_in_flight] = dependencies_.pool->Address(k.member.worker);
     link.Send(Writer(Kind::kKnown)
                   .Put(k.member)
                   .Real(k.drain_notified_at)
@@ -138,33 +138,34 @@
                   .Done());
   }
   std::string ids;
-  for (const std::string& id : parts_.planner->WireIds()) {
+  for (const std::string& id : dependencies_.planner->WireIds()) {
     const std::string one = Writer(Kind::kId).Text(id).Done().substr(5);  // its field alone
     if (ids.size() + one.size() > kMaxTextBytes)
       link.Send(Frame(Kind::kIds, std::exchange(ids, {})));
     ids += one;
   }
   link.Send(Frame(Kind::kIds, ids));
-  const std::string learned = parts_.planner->SaveState();
+  const std::string learned = dependencies_.planner->SaveState();
   for (std::size_t at = 0; at < learned.size(); at += kMaxTextBytes) {
     link.Send(Frame(Kind::kLearned, learned.substr(at, kMaxTextBytes)));
   }
-  const long long version = parts_.discovery != nullptr ? parts_.discovery->version() : 0;
+  const long long version =
+      dependencies_.discovery != nullptr ? dependencies_.discovery->version() : 0;
   link.Send(Writer(Kind::kStateEnd).U64(static_cast<std::uint64_t>(version)).Done());
 }
 
 // The new one serves. What it now accepts we would only share with it.
 void HotRestart::Leave() {
-  leaving_ = true;
+  replaced_ = true;
   server_.reset();  // its place is taken already
   LogLine(Level::kInfo) << "another process serves: taking nothing new";
-  if (parts_.peers != nullptr) parts_.peers->Listen(false);
-  if (parts_.gearman != nullptr) parts_.gearman->SetAccepting(false);
-  parts_.front->HandOver([this](int fd, bool served, const std::string& unread) {
+  if (dependencies_.peers != nullptr) dependencies_.peers->Listen(false);
+  if (dependencies_.gearman != nullptr) dependencies_.gearman->SetAccepting(false);
+  dependencies_.front->HandOver([this](int fd, bool served, const std::string& unread) {
     const std::string frame = Writer(Kind::kClient).U8(served).Raw(unread).Done();
     successor_->link->Send(frame, fd);
   });
-  parts_.pool->HandOver([this](const std::string& worker, double since, int fd) {
+  dependencies_.pool->HandOver([this](const std::string& worker, double since, int fd) {
     successor_->link->Send(Writer(Kind::kIdleWorker).Text(worker).Real(since).Done(), fd);
   });
   OnSiblingsChanged();
@@ -185,24 +186,25 @@
       if (sibling == successor_.get() && f.I32() == kForm && f.Whole()) SendState(sibling);
       break;
     case Kind::kServing:
-      if (sibling == successor_.get() && !leaving_) Leave();
+      if (sibling == successor_.get() && !replaced_) Leave();
       break;
     case Kind::kClient: {
       const bool served = f.U8() != 0;
       const std::string unread = f.Rest();
       if (fd < 0 || !f.ok()) break;
-      parts_.front->AdoptClient(std::exchange(unused, -1), served, unread);
+      dependencies_.front->AdoptClient(std::exchange(unused, -1), served, unread);
       break;
     }
     case Kind::kIdleWorker: {
       const std::string worker = f.Text();
       const double since = f.Real();
       if (fd < 0 || !f.Whole()) break;
-      parts_.pool->AdoptIdle(worker, since, std::exchange(unused, -1));
+      dependencies_.pool->AdoptIdle(worker, since, std::exchange(unused, -1));
       break;
     }
     case Kind::kPeerMessage:
-      parts_.planner->OnPeerMessage(parts_.planner->settings().dispatcher_index, f.Rest());
+      dependencies_.planner->OnPeerMessage(dependencies_.planner->settings().dispatcher_index,
+                                           f.Rest());
       break;
     case Kind::kUse:
       sibling->clients = f.U64();
@@ -217,12 +219,12 @@
     }
     case Kind::kDown: {
       const Endpoint member = f.GetMember();
-      if (f.Whole()) parts_.planner->OnSiblingWorkerDown(member);
+      if (f.Whole()) dependencies_.planner->OnSiblingWorkerDown(member);
       break;
     }
     case Kind::kId: {
       const std::string id = f.Text();
-      if (f.Whole()) parts_.planner->MarkWireIdUsed(id);
+      if (f.Whole()) dependencies_.planner->MarkWireIdUsed(id);
       break;
     }
     default:
@@ -234,16 +236,16 @@
 void HotRestart::Lost(Sibling* sibling) {
   SiblingPtr& slot = sibling == successor_.get() ? successor_ : predecessor_;
   if (slot.get() != sibling) return;
-  const bool replaced = sibling == successor_.get() && leaving_;
+  const bool replaced = sibling == successor_.get() && replaced_;
   slot.reset();
   if (replaced) {  // it died before we did: we go on
-    leaving_ = false;
+    replaced_ = false;
     LogLine(Level::kWarn) << "the process that replaced us is gone: serving again";
-    if (parts_.peers != nullptr) parts_.peers->Listen(true);
-    if (parts_.gearman != nullptr) parts_.gearman->SetAccepting(true);
-    parts_.pool->HandOver({});
-    parts_.front->HandOver({});
-    parts_.deserted();
+    if (dependencies_.peers != nullptr) dependencies_.peers->Listen(true);
+    if (dependencies_.gearman != nullptr) dependencies_.gearman->SetAccepting(true);
+    dependencies_.pool->HandOver({});
+    dependencies_.front->HandOver({});
+    dependencies_.on_successor_lost();
     AwaitNext();
   }
   OnSiblingsChanged();
@@ -258,10 +260,10 @@
     budget.workers_elsewhere += m->workers;
   }
   loop_->NotifyClientCapacity();
-  const bool present = predecessor_ != nullptr || leaving_;
+  const bool present = predecessor_ != nullptr || replaced_;
   if (std::exchange(reported_present_, present) != present ||
-      std::exchange(reported_leaving_, leaving_) != leaving_) {
-    parts_.planner->OnSiblingProcess(present, leaving_);
+      std::exchange(reported_replaced_, replaced_) != replaced_) {
+    dependencies_.planner->OnSiblingProcess(present, replaced_);
   }
   if (present && beat_ == Deadlines::kNone) Beat();
 }
@@ -289,13 +291,13 @@
 
 void HotRestart::ForwardMaintenance(const std::string& worker, bool in_maintenance,
                                     const Sibling* from) {
-  if (from != nullptr) parts_.planner->SetMaintenance(worker, in_maintenance);
+  if (from != nullptr) dependencies_.planner->SetMaintenance(worker, in_maintenance);
   Send(Writer(Kind::kMaintenance).Text(worker).U8(in_maintenance).Done(), from);
 }
 
 void HotRestart::SendWorkersDown() {
   if (predecessor_ == nullptr && successor_ == nullptr) return;
-  for (const Planner::WorkerSnapshot& k : parts_.planner->ExportWorkers()) {
+  for (const Planner::WorkerSnapshot& k : dependencies_.planner->ExportWorkers()) {
     if (k.member.readiness == Readiness::kReady || k.drain_notified_at < workers_down_sent_at_)
       continue;
     Send(Writer(Kind::kDown).Put(k.member).Done());
--- a/src/net/handover/hot_restart.h
+++ b/src/net/handover/hot_restart.h
@@ -24,18 +24,18 @@
 struct InheritedState {
   int client_listener = -1, gearman_listener = -1, peer_socket = -1;
   std::vector<std::string> classes;
-  std::vector<Planner::WorkerSnapshot> known;
-  std::vector<ListEntry> list;  // those of them that are on the list
-  std::vector<std::string> ids;
-  std::string learned;
-  long long version = 0;
-  bool whole = false;
+  std::vector<Planner::WorkerSnapshot> workers;
+  std::vector<ListEntry> endpoints;  // those of them that are on the list
+  std::vector<std::string> wire_ids;
+  std::string planner_state;
+  long long endpoint_list_version = 0;
+  bool complete = false;
 };
 
 class HotRestart {
  public:
   // The parts of this process. All but the planner, the front and the pool may be missing.
-  struct Parts {
+  struct Dependencies {
     Planner* planner = nullptr;
     http::ClientFront* front = nullptr;
     http::WorkerPool* pool = nullptr;
@@ -43,7 +43,7 @@
     Peers* peers = nullptr;
     Discovery* discovery = nullptr;
     const std::vector<std::string>* classes = nullptr;  // by index
-    std::function<void()> deserted;                     // the process that replaced us is gone
+    std::function<void()> on_successor_lost;            // the process that replaced us is gone
   };
 
   HotRestart(Loop* loop, std::string path) : loop_(loop), path_(std::move(path)) {}
@@ -55,9 +55,9 @@
   // then we start alone.
   InheritedState RequestState(const std::function<void()>& while_waiting);
   // This process serves: the old one may leave, and the next one may come.
-  void Serve(Parts parts);
+  void Serve(Dependencies dependencies);
 
-  bool leaving() const { return leaving_; }
+  bool replaced() const { return replaced_; }
   bool Flushed() const { return successor_ == nullptr || successor_->link->Flushed(); }
   void SendPeerMessage(const std::string& body);
   void SendMaintenance(const std::string& worker, bool in_maintenance) {
@@ -85,12 +85,12 @@
 
   Loop* loop_;
   std::string path_;
-  Parts parts_;
+  Dependencies dependencies_;
   SiblingPtr predecessor_, successor_;
   std::unique_ptr<Server> server_;
   std::string last_use_frame_;
   double workers_down_sent_at_ = 0;
-  bool leaving_ = false, reported_present_ = false, reported_leaving_ = false;
+  bool replaced_ = false, reported_present_ = false, reported_replaced_ = false;
   Deadlines::Ticket beat_ = Deadlines::kNone;
 };
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -72,7 +72,7 @@
                        .peers = peers_.get(),
                        .discovery = discovery_.get(),
                        .classes = &config_.classes,
-                       .deserted = [this] {
+                       .on_successor_lost = [this] {
                          if (stopping_) front_->CloseIdle();
                        }});
 }
@@ -156,7 +156,7 @@
 
 void Node::CheckStopped() {
   // With the process that replaces this one at the same address, idle connections may stay.
-  if (front_ && !(hot_restart_ && hot_restart_->leaving())) front_->CloseIdle();
+  if (front_ && !(hot_restart_ && hot_restart_->replaced())) front_->CloseIdle();
   const bool done = forwarder_ ? forwarder_->open() == 0 && front_->connections() == 0
                                : planner_->open_requests() == 0;
   const bool handed_over = !hot_restart_ || hot_restart_->Flushed();
--- a/src/node/node_planner.cpp
+++ b/src/node/node_planner.cpp
@@ -49,15 +49,15 @@
       !ReadServerList(config_.known, config_.zones, config_.kinds, &known, &reason)) {
     return MakeError(ErrorCode::kInvalidArgument, reason);
   }
-  if (inherited_.whole && !inherited_.list.empty()) {
-    known.entries = inherited_.list;
-    known.version = inherited_.version;
+  if (inherited_.complete && !inherited_.endpoints.empty()) {
+    known.entries = inherited_.endpoints;
+    known.version = inherited_.endpoint_list_version;
   }
-  if (inherited_.whole) ImportInheritedState();
+  if (inherited_.complete) ImportInheritedState();
   for (const ListEntry& e : known.entries) SetAddress(e.member.worker, e.address, e.max_in_flight);
   if (discovery_) discovery_->SetVersion(known.version);
   // A process that replaces another has its list, which was kept current until now.
-  if (discovery_ && forwarder_ && !inherited_.whole) AwaitFirstList();
+  if (discovery_ && forwarder_ && !inherited_.complete) AwaitFirstList();
   planner_->Start(known.Members());
   if (front_) front_->SetServing(true);
   return {};
@@ -136,9 +136,9 @@
 }
 
 void Node::ImportInheritedState() {
-  planner_->ImportState(inherited_.known, inherited_.learned,
+  planner_->ImportState(inherited_.workers, inherited_.planner_state,
                         MapClasses(config_.classes, inherited_.classes));
-  for (const std::string& id : inherited_.ids) planner_->MarkWireIdUsed(id);
+  for (const std::string& id : inherited_.wire_ids) planner_->MarkWireIdUsed(id);
 }
 
 // ---- endpoint lists ----
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -401,25 +401,25 @@
     host.deadlines().At(host.Now() + 0.001, [] {});
     host.Turn();
   });
-  ASSERT_TRUE(inherited.whole);
+  ASSERT_TRUE(inherited.complete);
   EXPECT_GE(inherited.client_listener, 0);
   EXPECT_GE(inherited.peer_socket, 0);
   EXPECT_EQ(inherited.gearman_listener, -1);
   for (const int fd : {inherited.client_listener, inherited.peer_socket}) close(fd);
   EXPECT_EQ(inherited.classes, (Lines{"consulta-plan", "cobro-envio"}));
-  ASSERT_EQ(inherited.known.size(), 2U);
-  EXPECT_EQ(inherited.known[0].member.worker, "toy-0");
-  EXPECT_LT(inherited.known[0].maintenance_since, 0);
-  EXPECT_EQ(inherited.known[1].member.worker, "toy-1");
-  EXPECT_GT(inherited.known[1].maintenance_since, 0);
-  ASSERT_EQ(inherited.list.size(), 2U);
-  EXPECT_EQ(inherited.list[0].address, "127.0.0.1:23405");
-  EXPECT_EQ(inherited.ids.size(), 30U);
-  EXPECT_EQ(inherited.version, 0);
+  ASSERT_EQ(inherited.workers.size(), 2U);
+  EXPECT_EQ(inherited.workers[0].member.worker, "toy-0");
+  EXPECT_LT(inherited.workers[0].maintenance_since, 0);
+  EXPECT_EQ(inherited.workers[1].member.worker, "toy-1");
+  EXPECT_GT(inherited.workers[1].maintenance_since, 0);
+  ASSERT_EQ(inherited.endpoints.size(), 2U);
+  EXPECT_EQ(inherited.endpoints[0].address, "127.0.0.1:23405");
+  EXPECT_EQ(inherited.wire_ids.size(), 30U);
+  EXPECT_EQ(inherited.endpoint_list_version, 0);
   const Config config = HandoverConfig();
   balancing::LoadBalancer balancer(config.settings, 5);
-  ASSERT_TRUE(balancer.RestoreState(inherited.learned, {0, 1}));
-  EXPECT_EQ(balancer.SaveState(), inherited.learned);
+  ASSERT_TRUE(balancer.RestoreState(inherited.planner_state, {0, 1}));
+  EXPECT_EQ(balancer.SaveState(), inherited.planner_state);
 }
 
 TEST_F(Handover, TheOldProcessSendsWhatTheOldProgramSent) {
