--- a/src/net/link/link.cpp
+++ b/src/net/link/link.cpp
@@ -60,9 +60,10 @@
     Adopt(fd);
     number_ = server->planner_->AddForwarder(this, false);
     Framed::Send(Writer(Kind::kWelcome).U64(number_).Done());
-    for (const auto& [name, at] : server->addresses_) SetAddress(name, at.first, at.second);
+    for (const auto& [name, at] : server->addresses_) SetWorkerAddress(name, at.first, at.second);
   }
-  void SetAddress(const std::string& name, const std::string& address, std::size_t max_in_flight) {
+  void SetWorkerAddress(const std::string& name, const std::string& address,
+                        std::size_t max_in_flight) {
     Framed::Send(Writer(Kind::kAddress).Text(name).Text(address).U64(max_in_flight).Done());
   }
 
@@ -173,13 +174,14 @@
       error);
 }
 
-void PlannerServer::SetAddress(const std::string& worker, const std::string& address,
-                               std::size_t max_in_flight) {
+void PlannerServer::SetWorkerAddress(const std::string& worker, const std::string& address,
+                                     std::size_t max_in_flight) {
   const auto at = std::pair{address, max_in_flight};
   auto [it, fresh] = addresses_.try_emplace(worker, at);
   if (!fresh && it->second == at) return;
   it->second = at;
-  for (const auto& [raw, channel] : channels_) raw->SetAddress(worker, address, max_in_flight);
+  for (const auto& [raw, channel] : channels_)
+    raw->SetWorkerAddress(worker, address, max_in_flight);
 }
 
 void PlannerServer::Drop(Channel* channel) {
@@ -204,14 +206,14 @@
         forwarder.SetLink(client_, number);
         client_->linked_ = true;
         client_->failures_ = 0;
-        client_->hooks_.linked(true);
+        client_->hooks_.on_connection_changed(true);
         return true;
       }
       case Kind::kAddress: {
         const std::string worker = f.Text(), address = f.Text();
         const std::uint64_t max_in_flight = f.U64();
         if (!f.Whole()) return false;
-        client_->hooks_.address(worker, address, max_in_flight);
+        client_->hooks_.on_worker_address(worker, address, max_in_flight);
         return true;
       }
       case Kind::kSend: {
@@ -267,7 +269,7 @@
   if (std::exchange(linked_, false)) {
     LogLine(Level::kWarn) << "planner lost: " << paths_[next_ % paths_.size()];
     ++next_;  // another may be alive
-    hooks_.linked(false);
+    hooks_.on_connection_changed(false);
     forwarder_->OnPlannerLost();
   }
   // At the start all come up at once: a planner gets a moment before another takes its forwarders.
--- a/src/net/link/link.h
+++ b/src/net/link/link.h
@@ -24,8 +24,9 @@
   ~PlannerServer();
   bool Listen(const std::string& path, std::string* error);
   // Every forwarder must know where a worker is before the planner sends to it.
-  void SetAddress(const std::string& worker, const std::string& address, std::size_t max_in_flight);
-  std::size_t forwarders() const { return channels_.size(); }
+  void SetWorkerAddress(const std::string& worker, const std::string& address,
+                        std::size_t max_in_flight);
+  std::size_t forwarder_count() const { return channels_.size(); }
 
  private:
   friend class Channel;
@@ -45,8 +46,8 @@
   struct Hooks {
     std::function<void(const std::string& worker, const std::string& address,
                        std::size_t max_in_flight)>
-        address;
-    std::function<void(bool)> linked;  // a planner is there, or is lost
+        on_worker_address;
+    std::function<void(bool connected)> on_connection_changed;  // a planner is there, or is lost
     std::function<std::string(int)> class_name;
   };
   PlannerClient(Forwarder* forwarder, std::vector<std::string> paths, std::size_t first,
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -173,7 +173,7 @@
   std::ostringstream text;
   text << "counters " << config_.name << ' ' << CountersText(counters_);
   if (front_) text << " clients=" << front_->connections() << " workers=" << pool_->connections();
-  if (server_) text << " forwarders=" << server_->forwarders();
+  if (server_) text << " forwarders=" << server_->forwarder_count();
   text << '\n' << Figures();
   out << text.str() << std::flush;  // in one piece: processes share the stream
 }
--- a/src/node/node_forwarder.cpp
+++ b/src/node/node_forwarder.cpp
@@ -71,11 +71,11 @@
   std::vector<std::string> paths;
   for (int p = 0; p < config_.planners; ++p) paths.push_back(PlannerSocketPath(config_, p));
   link::PlannerClient::Hooks hooks;
-  hooks.address = [this](const std::string& worker, const std::string& address,
-                         std::size_t max_in_flight) {
+  hooks.on_worker_address = [this](const std::string& worker, const std::string& address,
+                                   std::size_t max_in_flight) {
     pool_->SetAddress(worker, address, max_in_flight);
   };
-  hooks.linked = [this](bool linked) {
+  hooks.on_connection_changed = [this](bool linked) {
     front_->SetServing(linked);
     if (linked && gearman_) gearman_->AnnounceWorkers();
   };
--- a/src/node/node_planner.cpp
+++ b/src/node/node_planner.cpp
@@ -159,7 +159,7 @@
                       std::size_t max_in_flight) {
   if (address.empty()) return;
   if (pool_) pool_->SetAddress(worker, address, max_in_flight);
-  if (server_) server_->SetAddress(worker, address, max_in_flight);
+  if (server_) server_->SetWorkerAddress(worker, address, max_in_flight);
 }
 
 void Node::OnList(balancing::EndpointListKind kind, const ServerList& list) {
