--- a/src/net/handover/handover.h
+++ b/src/net/handover/handover.h
@@ -1,6 +1,6 @@
-// Replacing the process under load: the link between the old process and the new one, and what
-// goes over it. Messages with descriptors (SCM_RIGHTS) can't pass through a bufferevent; this is a
-// socket of packets with an event of its own.
+// The connection between the two processes of a hot restart. It passes file descriptors
+// (SCM_RIGHTS), which a bufferevent can't do, so it is a SOCK_SEQPACKET Unix socket with events of
+// its own. Everything here runs on the loop's thread.
 #ifndef MILLETHOLLOW_NET_HANDOVER_HANDOVER_H_
 #define MILLETHOLLOW_NET_HANDOVER_HANDOVER_H_
 
@@ -15,58 +15,63 @@
 
 namespace millethollow::handover {
 
-// One end. Packets keep their bounds and order; none is larger than kMaxPacketBytes.
-class Link {
+// One end of the connection; owns its socket. Each packet is one frame, of at most kMaxPacketBytes;
+// order is kept.
+class SiblingConnection {
  public:
   static constexpr std::size_t kMaxPacketBytes = 48 * 1024;
-  // `fd` is the descriptor that came with it, the callee's to close, or -1.
-  using OnFrame = std::function<void(link::Reader& frame, int fd)>;
+  // `fd`: the descriptor that came with the frame, which the callee must close, or -1.
+  using FrameHandler = std::function<void(link::Reader& frame, int fd)>;
 
-  Link(Loop* loop, int fd) : loop_(loop), fd_(fd) {}
-  ~Link();
-  Link(const Link&) = delete;
-  Link& operator=(const Link&) = delete;
-  // To the process that listens at `path`; null if there is none.
-  static std::unique_ptr<Link> To(Loop* loop, const std::string& path);
+  SiblingConnection(Loop* loop, int fd) : loop_(loop), fd_(fd) {}
+  ~SiblingConnection();
+  SiblingConnection(const SiblingConnection&) = delete;
+  SiblingConnection& operator=(const SiblingConnection&) = delete;
+  // Connects to the process that listens at `path`; null if there is none.
+  static std::unique_ptr<SiblingConnection> ConnectTo(Loop* loop, const std::string& path);
 
-  // Before Start: waits up to `until` on the loop's clock, without turning it. False if the other
-  // end is lost or stays silent.
-  bool Receive(const OnFrame& on_frame, const std::function<bool()>& done, double until,
+  // Only before Start: blocks without running the loop until `done` or until `deadline`, in seconds
+  // of the loop's clock. Calls `while_waiting` every few milliseconds. False on timeout, or if the
+  // connection is lost.
+  bool Receive(const FrameHandler& on_frame, const std::function<bool()>& done, double deadline,
                const std::function<void()>& while_waiting);
-  void Start(OnFrame on_frame, std::function<void()> on_lost);
-  // `fd`, if there is one, is closed once it is on its way.
+  // From now on the loop reads and writes. `on_lost` is called once, in a later turn of the loop.
+  void Start(FrameHandler on_frame, std::function<void()> on_lost);
+  // Queues a frame. Takes over `fd`, if there is one, and closes it after sending.
   void Send(std::string frame, int fd = -1);
   bool Flushed() const { return queue_.empty(); }
   bool lost() const { return lost_; }
 
  private:
-  enum class Got : std::uint8_t { kFrame, kNothing, kEnd };
-  Got ReceiveOne(const OnFrame& on_frame);
-  void Readable();
+  enum class ReceiveResult : std::uint8_t { kFrame, kNoData, kClosed };
+  ReceiveResult ReceiveOne(const FrameHandler& on_frame);
+  void OnReadable();
   void Flush();
-  void Lose();
+  void MarkLost();
   Loop* loop_;
   int fd_;
   bool lost_ = false;
   EventPtr readable_, writable_;
-  OnFrame on_frame_;
+  FrameHandler on_frame_;
   std::function<void()> on_lost_;
   std::deque<std::pair<std::string, int>> queue_;
 };
 
-// Where the process that will replace this one finds it.
-class Server {
+// Listens for the process that will replace this one.
+class SiblingListener {
  public:
-  using Accepted = std::function<void(std::unique_ptr<Link>)>;
-  Server(Loop* loop, Accepted accepted) : loop_(loop), accepted_(std::move(accepted)) {}
-  ~Server();
-  Server(const Server&) = delete;
-  Server& operator=(const Server&) = delete;
-  bool Listen(const std::string& path);  // in place of whoever listened there
+  using AcceptHandler = std::function<void(std::unique_ptr<SiblingConnection>)>;
+  SiblingListener(Loop* loop, AcceptHandler on_accept)
+      : loop_(loop), on_accept_(std::move(on_accept)) {}
+  ~SiblingListener();
+  SiblingListener(const SiblingListener&) = delete;
+  SiblingListener& operator=(const SiblingListener&) = delete;
+  // Replaces the socket of any process that listened at `path` before.
+  bool Listen(const std::string& path);
 
  private:
   Loop* loop_;
-  Accepted accepted_;
+  AcceptHandler on_accept_;
   int fd_ = -1;
   EventPtr readable_;
 };
--- a/src/net/handover/hot_restart.cpp
+++ b/src/net/handover/hot_restart.cpp
@@ -12,241 +12,263 @@
 
 using balancing::Endpoint;
 using balancing::Readiness;
-using link::Kind;
+using link::FrameKind;
 using link::Reader;
 using link::Writer;
 
 namespace {
 
-constexpr int kForm = 1;  // of what goes over the link: another's is not understood
-// The new process is to serve within 6 s, with or without the old one.
-constexpr double kRequestStateS = 1.5;
-constexpr double kBeatS = 0.1;
-constexpr std::size_t kMaxTextBytes = Link::kMaxPacketBytes - 1024;  // of one packet's text
+// A state request with another version is not answered.
+constexpr int kProtocolVersion = 1;
+// A new process must serve within 6 s of its start, with or without the state of the old one.
+constexpr double kStateTimeoutS = 1.5;
+constexpr double kDescriptorReportIntervalS = 0.1;
+// The payload of one packet; the rest is for the frame's header.
+constexpr std::size_t kMaxPayloadBytes = SiblingConnection::kMaxPacketBytes - 1024;
 
-enum Socket : std::uint8_t { kClients, kGearman, kPeers };
+// The numbers are part of the protocol.
+enum SharedSocket : std::uint8_t { kClientListener, kGearmanListener, kPeerSocket };
 
-std::string Frame(Kind kind, const std::string& rest) { return Writer(kind).Raw(rest).Done(); }
+std::string RawFrame(FrameKind kind, const std::string& payload) {
+  return Writer(kind).Raw(payload).Finish();
+}
 
 }  // namespace
 
-HotRestart::~HotRestart() { loop_->deadlines().Drop(&beat_); }
+HotRestart::~HotRestart() { loop_->deadlines().Drop(&descriptor_report_timer_); }
 
 // ---- the new process ----
 
 InheritedState HotRestart::RequestState(const std::function<void()>& while_waiting) {
-  InheritedState got;
-  auto link = Link::To(loop_, path_);
-  if (link == nullptr) return got;
-  link->Send(Writer(Kind::kHello).I32(kForm).Done());
-  const auto take = [&got](Reader& f, int fd) {
-    switch (f.kind()) {
-      case Kind::kSocket: {
-        const std::uint8_t which = f.U8();
-        int& slot = which == kClients   ? got.client_listener
-                    : which == kGearman ? got.gearman_listener
-                                        : got.peer_socket;
+  InheritedState inherited;
+  auto connection = SiblingConnection::ConnectTo(loop_, socket_path_);
+  if (connection == nullptr) return inherited;
+  connection->Send(Writer(FrameKind::kStateRequest).I32(kProtocolVersion).Finish());
+  const auto on_frame = [&inherited](Reader& frame, int fd) {
+    switch (frame.kind()) {
+      case FrameKind::kSharedSocket: {
+        const std::uint8_t socket = frame.U8();
+        int& slot = socket == kClientListener    ? inherited.client_listener
+                    : socket == kGearmanListener ? inherited.gearman_listener
+                                                 : inherited.peer_socket;
         std::swap(slot, fd);
         break;
       }
-      case Kind::kClass:
-        got.classes.push_back(f.Text());
+      case FrameKind::kClassName:
+        inherited.classes.push_back(frame.Text());
         break;
-      case Kind::kKnown: {
-        Planner::WorkerSnapshot k;
-        k.member = f.GetMember();
-        k.drain_notified_at = f.Real();
-        k.maintenance_since = f.Real();
-        ListEntry e{.member = k.member, .address = f.Text(), .max_in_flight = f.U64()};
-        if (!f.Whole()) break;
-        if (k.member.readiness != Readiness::kGone) got.endpoints.push_back(std::move(e));
-        got.workers.push_back(std::move(k));
+      case FrameKind::kWorkerState: {
+        Planner::WorkerSnapshot worker;
+        worker.member = frame.GetEndpoint();
+        worker.drain_notified_at = frame.F64();
+        worker.maintenance_since = frame.F64();
+        ListEntry endpoint{
+            .member = worker.member, .address = frame.Text(), .max_in_flight = frame.U64()};
+        if (!frame.Complete()) break;
+        if (worker.member.readiness != Readiness::kGone)
+          inherited.endpoints.push_back(std::move(endpoint));
+        inherited.workers.push_back(std::move(worker));
         break;
       }
-      case Kind::kIds:
-        for (std::string id = f.Text(); f.ok(); id = f.Text()) got.wire_ids.push_back(id);
+      case FrameKind::kWireIds:
+        for (std::string id = frame.Text(); frame.ok(); id = frame.Text())
+          inherited.wire_ids.push_back(id);
         break;
-      case Kind::kLearned:
-        got.planner_state += f.Rest();
+      case FrameKind::kPlannerState:
+        inherited.planner_state += frame.Rest();
         break;
-      case Kind::kStateEnd:
-        got.endpoint_list_version = static_cast<long long>(f.U64());
-        got.complete = f.Whole();
+      case FrameKind::kStateEnd:
+        inherited.endpoint_list_version = static_cast<long long>(frame.U64());
+        inherited.complete = frame.Complete();
         break;
-      default:  // other kinds are for a sibling that serves: what counts is sent again
+      default:  // meant for a sibling that serves already; what matters is sent again later
         break;
     }
     if (fd >= 0) close(fd);
   };
-  if (!link->Receive(
-          take, [&got] { return got.complete; }, loop_->Now() + kRequestStateS, while_waiting)) {
-    LogLine(Level::kWarn) << "the process that serves tells us nothing: starting alone";
-    for (const int fd : {got.client_listener, got.gearman_listener, got.peer_socket}) {
+  if (!connection->Receive(
+          on_frame, [&inherited] { return inherited.complete; }, loop_->Now() + kStateTimeoutS,
+          while_waiting)) {
+    LogLine(Level::kWarn)
+        << "hot restart: no complete state from the running process, starting without it";
+    for (const int fd :
+         {inherited.client_listener, inherited.gearman_listener, inherited.peer_socket}) {
       if (fd >= 0) close(fd);
     }
     return {};
   }
   predecessor_ = std::make_unique<Sibling>();
-  predecessor_->link = std::move(link);
-  return got;
+  predecessor_->connection = std::move(connection);
+  return inherited;
 }
 
 void HotRestart::Serve(Dependencies dependencies) {
   dependencies_ = std::move(dependencies);
   if (predecessor_ != nullptr) {
-    Watch(&predecessor_);
-    predecessor_->link->Send(Writer(Kind::kServing).Done());
+    StartConnection(&predecessor_);
+    predecessor_->connection->Send(Writer(FrameKind::kSuccessorServing).Finish());
     OnSiblingsChanged();
-    LogLine(Level::kInfo) << "serving in place of the process before";
+    LogLine(Level::kInfo) << "hot restart: serving in place of the previous process";
   }
-  AwaitNext();
+  ListenForSuccessor();
 }
 
-void HotRestart::AwaitNext() {
-  server_ = std::make_unique<Server>(loop_, [this](std::unique_ptr<Link> link) {
-    // One at a time: whoever comes while another is on its way starts alone.
-    if (successor_ != nullptr) return;
-    successor_ = std::make_unique<Sibling>();
-    successor_->link = std::move(link);
-    Watch(&successor_);
-  });
-  if (!server_->Listen(path_)) LogLine(Level::kWarn) << "no handover: cannot listen at " << path_;
+void HotRestart::ListenForSuccessor() {
+  listener_ = std::make_unique<SiblingListener>(
+      loop_, [this](std::unique_ptr<SiblingConnection> connection) {
+        // Only one successor at a time: any further process starts without the state.
+        if (successor_ != nullptr) return;
+        successor_ = std::make_unique<Sibling>();
+        successor_->connection = std::move(connection);
+        StartConnection(&successor_);
+      });
+  if (!listener_->Listen(socket_path_))
+    LogLine(Level::kWarn) << "hot restart is not possible: cannot listen at " << socket_path_;
 }
 
 // ---- the old process ----
 
 void HotRestart::SendState(Sibling* sibling) {
-  Link& link = *sibling->link;
-  const auto socket = [&link](Socket which, int fd) {
+  SiblingConnection& connection = *sibling->connection;
+  const auto send_socket = [&connection](SharedSocket socket, int fd) {
     const int copy = fd >= 0 ? fcntl(fd, F_DUPFD_CLOEXEC, 0) : -1;
-    if (copy >= 0) link.Send(Writer(Kind::kSocket).U8(which).Done(), copy);
+    if (copy >= 0) connection.Send(Writer(FrameKind::kSharedSocket).U8(socket).Finish(), copy);
   };
-  socket(kClients, dependencies_.front->listener());
-  if (dependencies_.gearman != nullptr) socket(kGearman, dependencies_.gearman->listener());
-  if (dependencies_.peers != nullptr) socket(kPeers, dependencies_.peers->descriptor());
+  send_socket(kClientListener, dependencies_.front->listener());
+  if (dependencies_.gearman != nullptr)
+    send_socket(kGearmanListener, dependencies_.gearman->listener());
+  if (dependencies_.peers != nullptr) send_socket(kPeerSocket, dependencies_.peers->descriptor());
   for (const std::string& name : *dependencies_.classes) {
-    link.Send(Writer(Kind::kClass).Text(name).Done());
+    connection.Send(Writer(FrameKind::kClassName).Text(name).Finish());
   }
-  for (const Planner::WorkerSnapshot& k : dependencies_.planner->ExportWorkers()) {
-    const auto [address, max_in_flight] = dependencies_.pool->Address(k.member.worker);
-    link.Send(Writer(Kind::kKnown)
-                  .Put(k.member)
-                  .Real(k.drain_notified_at)
-                  .Real(k.maintenance_since)
-                  .Text(address)
-                  .U64(max_in_flight)
-                  .Done());
+  for (const Planner::WorkerSnapshot& worker : dependencies_.planner->ExportWorkers()) {
+    const auto [address, max_in_flight] = dependencies_.pool->Address(worker.member.worker);
+    connection.Send(Writer(FrameKind::kWorkerState)
+                        .Put(worker.member)
+                        .F64(worker.drain_notified_at)
+                        .F64(worker.maintenance_since)
+                        .Text(address)
+                        .U64(max_in_flight)
+                        .Finish());
   }
-  std::string ids;
+  std::string wire_ids;
   for (const std::string& id : dependencies_.planner->WireIds()) {
-    const std::string one = Writer(Kind::kId).Text(id).Done().substr(5);  // its field alone
-    if (ids.size() + one.size() > kMaxTextBytes)
-      link.Send(Frame(Kind::kIds, std::exchange(ids, {})));
-    ids += one;
+    const std::string field =
+        Writer(FrameKind::kWireIdUsed).Text(id).Finish().substr(5);  // without length and kind
+    if (wire_ids.size() + field.size() > kMaxPayloadBytes)
+      connection.Send(RawFrame(FrameKind::kWireIds, std::exchange(wire_ids, {})));
+    wire_ids += field;
   }
-  link.Send(Frame(Kind::kIds, ids));
-  const std::string learned = dependencies_.planner->SaveState();
-  for (std::size_t at = 0; at < learned.size(); at += kMaxTextBytes) {
-    link.Send(Frame(Kind::kLearned, learned.substr(at, kMaxTextBytes)));
+  connection.Send(RawFrame(FrameKind::kWireIds, wire_ids));
+  const std::string planner_state = dependencies_.planner->SaveState();
+  for (std::size_t at = 0; at < planner_state.size(); at += kMaxPayloadBytes) {
+    connection.Send(RawFrame(FrameKind::kPlannerState, planner_state.substr(at, kMaxPayloadBytes)));
   }
-  const long long version =
+  const long long list_version =
       dependencies_.discovery != nullptr ? dependencies_.discovery->version() : 0;
-  link.Send(Writer(Kind::kStateEnd).U64(static_cast<std::uint64_t>(version)).Done());
+  connection.Send(
+      Writer(FrameKind::kStateEnd).U64(static_cast<std::uint64_t>(list_version)).Finish());
 }
 
-// The new one serves. What it now accepts we would only share with it.
-void HotRestart::Leave() {
+// Called once the successor serves. Both processes hold the same listening sockets, so that
+// connections accepted here would be taken from the successor.
+void HotRestart::HandOver() {
   replaced_ = true;
-  server_.reset();  // its place is taken already
-  LogLine(Level::kInfo) << "another process serves: taking nothing new";
+  listener_.reset();  // the successor listens at the same path
+  LogLine(Level::kInfo) << "hot restart: the new process serves, accepting no new work";
   if (dependencies_.peers != nullptr) dependencies_.peers->Listen(false);
   if (dependencies_.gearman != nullptr) dependencies_.gearman->SetAccepting(false);
-  dependencies_.front->HandOver([this](int fd, bool served, const std::string& unread) {
-    const std::string frame = Writer(Kind::kClient).U8(served).Raw(unread).Done();
-    successor_->link->Send(frame, fd);
-  });
-  dependencies_.pool->HandOver([this](const std::string& worker, double since, int fd) {
-    successor_->link->Send(Writer(Kind::kIdleWorker).Text(worker).Real(since).Done(), fd);
+  dependencies_.front->HandOver(
+      [this](int fd, bool served_before, const std::string& unread_bytes) {
+        const std::string frame =
+            Writer(FrameKind::kClientConnection).U8(served_before).Raw(unread_bytes).Finish();
+        successor_->connection->Send(frame, fd);
+      });
+  dependencies_.pool->HandOver([this](const std::string& worker, double idle_since, int fd) {
+    successor_->connection->Send(
+        Writer(FrameKind::kWorkerConnection).Text(worker).F64(idle_since).Finish(), fd);
   });
   OnSiblingsChanged();
 }
 
 // ---- both ----
 
-void HotRestart::Watch(SiblingPtr* sibling) {
+void HotRestart::StartConnection(SiblingPtr* sibling) {
   Sibling* raw = sibling->get();
-  raw->link->Start([this, raw](Reader& f, int fd) { OnFrame(raw, f, fd); },
-                   [this, raw] { Lost(raw); });
+  raw->connection->Start([this, raw](Reader& frame, int fd) { OnFrame(raw, frame, fd); },
+                         [this, raw] { OnSiblingLost(raw); });
 }
 
-void HotRestart::OnFrame(Sibling* sibling, Reader& f, int fd) {
-  int unused = fd;
-  switch (f.kind()) {
-    case Kind::kHello:
-      if (sibling == successor_.get() && f.I32() == kForm && f.Whole()) SendState(sibling);
+void HotRestart::OnFrame(Sibling* sibling, Reader& frame, int fd) {
+  int unclaimed_fd = fd;
+  switch (frame.kind()) {
+    case FrameKind::kStateRequest:
+      if (sibling == successor_.get() && frame.I32() == kProtocolVersion && frame.Complete())
+        SendState(sibling);
       break;
-    case Kind::kServing:
-      if (sibling == successor_.get() && !replaced_) Leave();
+    case FrameKind::kSuccessorServing:
+      if (sibling == successor_.get() && !replaced_) HandOver();
       break;
-    case Kind::kClient: {
-      const bool served = f.U8() != 0;
-      const std::string unread = f.Rest();
-      if (fd < 0 || !f.ok()) break;
-      dependencies_.front->AdoptClient(std::exchange(unused, -1), served, unread);
+    case FrameKind::kClientConnection: {
+      const bool served_before = frame.U8() != 0;
+      const std::string unread_bytes = frame.Rest();
+      if (fd < 0 || !frame.ok()) break;
+      dependencies_.front->AdoptClient(std::exchange(unclaimed_fd, -1), served_before,
+                                       unread_bytes);
       break;
     }
-    case Kind::kIdleWorker: {
-      const std::string worker = f.Text();
-      const double since = f.Real();
-      if (fd < 0 || !f.Whole()) break;
-      dependencies_.pool->AdoptIdle(worker, since, std::exchange(unused, -1));
+    case FrameKind::kWorkerConnection: {
+      const std::string worker = frame.Text();
+      const double idle_since = frame.F64();
+      if (fd < 0 || !frame.Complete()) break;
+      dependencies_.pool->AdoptIdle(worker, idle_since, std::exchange(unclaimed_fd, -1));
       break;
     }
-    case Kind::kPeerMessage:
+    case FrameKind::kPeerMessage:
       dependencies_.planner->OnPeerMessage(dependencies_.planner->settings().dispatcher_index,
-                                           f.Rest());
+                                           frame.Rest());
       break;
-    case Kind::kUse:
-      sibling->clients = f.U64();
-      sibling->workers = f.U64();
+    case FrameKind::kDescriptorUse:
+      sibling->clients = frame.U64();
+      sibling->workers = frame.U64();
       OnSiblingsChanged();
       break;
-    case Kind::kMaintenance: {
-      const std::string worker = f.Text();
-      const bool in_maintenance = f.U8() != 0;
-      if (f.Whole()) ForwardMaintenance(worker, in_maintenance, sibling);
+    case FrameKind::kMaintenance: {
+      const std::string worker = frame.Text();
+      const bool in_maintenance = frame.U8() != 0;
+      if (frame.Complete()) ForwardMaintenance(worker, in_maintenance, sibling);
       break;
     }
-    case Kind::kDown: {
-      const Endpoint member = f.GetMember();
-      if (f.Whole()) dependencies_.planner->OnSiblingWorkerDown(member);
+    case FrameKind::kWorkerDown: {
+      const Endpoint endpoint = frame.GetEndpoint();
+      if (frame.Complete()) dependencies_.planner->OnSiblingWorkerDown(endpoint);
       break;
     }
-    case Kind::kId: {
-      const std::string id = f.Text();
-      if (f.Whole()) dependencies_.planner->MarkWireIdUsed(id);
+    case FrameKind::kWireIdUsed: {
+      const std::string id = frame.Text();
+      if (frame.Complete()) dependencies_.planner->MarkWireIdUsed(id);
       break;
     }
     default:
       break;
   }
-  if (unused >= 0) close(unused);
+  if (unclaimed_fd >= 0) close(unclaimed_fd);
 }
 
-void HotRestart::Lost(Sibling* sibling) {
+void HotRestart::OnSiblingLost(Sibling* sibling) {
   SiblingPtr& slot = sibling == successor_.get() ? successor_ : predecessor_;
   if (slot.get() != sibling) return;
-  const bool replaced = sibling == successor_.get() && replaced_;
+  const bool was_replaced = sibling == successor_.get() && replaced_;
   slot.reset();
-  if (replaced) {  // it died before we did: we go on
+  if (was_replaced) {  // the successor ended first: this process serves again
     replaced_ = false;
-    LogLine(Level::kWarn) << "the process that replaced us is gone: serving again";
+    LogLine(Level::kWarn) << "hot restart: the new process is lost, serving again";
     if (dependencies_.peers != nullptr) dependencies_.peers->Listen(true);
     if (dependencies_.gearman != nullptr) dependencies_.gearman->SetAccepting(true);
     dependencies_.pool->HandOver({});
     dependencies_.front->HandOver({});
     dependencies_.on_successor_lost();
-    AwaitNext();
+    ListenForSuccessor();
   }
   OnSiblingsChanged();
 }
@@ -254,10 +276,10 @@
 void HotRestart::OnSiblingsChanged() {
   DescriptorBudget& budget = loop_->budget();
   budget.clients_elsewhere = budget.workers_elsewhere = 0;
-  for (const Sibling* m : {predecessor_.get(), successor_.get()}) {
-    if (m == nullptr) continue;
-    budget.clients_elsewhere += m->clients;
-    budget.workers_elsewhere += m->workers;
+  for (const Sibling* sibling : {predecessor_.get(), successor_.get()}) {
+    if (sibling == nullptr) continue;
+    budget.clients_elsewhere += sibling->clients;
+    budget.workers_elsewhere += sibling->workers;
   }
   loop_->NotifyClientCapacity();
   const bool present = predecessor_ != nullptr || replaced_;
@@ -265,42 +287,48 @@
       std::exchange(reported_replaced_, replaced_) != replaced_) {
     dependencies_.planner->OnSiblingProcess(present, replaced_);
   }
-  if (present && beat_ == Deadlines::kNone) Beat();
+  if (present && descriptor_report_timer_ == Deadlines::kNone) ReportDescriptorUse();
 }
 
-// The budget of descriptors is one for both: each says what it holds.
-void HotRestart::Beat() {
-  beat_ = Deadlines::kNone;
+// The limit on descriptors holds for the sum of both processes, so each reports its own use.
+void HotRestart::ReportDescriptorUse() {
+  descriptor_report_timer_ = Deadlines::kNone;
   if (predecessor_ == nullptr && successor_ == nullptr) return;
   const DescriptorBudget& budget = loop_->budget();
-  const std::string frame = Writer(Kind::kUse).U64(budget.clients).U64(budget.workers).Done();
-  if (frame != std::exchange(last_use_frame_, frame)) Send(frame);
-  beat_ = loop_->deadlines().At(loop_->Now() + kBeatS, [this] { Beat(); });
+  const std::string frame =
+      Writer(FrameKind::kDescriptorUse).U64(budget.clients).U64(budget.workers).Finish();
+  if (frame != std::exchange(last_descriptor_report_, frame)) Send(frame);
+  descriptor_report_timer_ = loop_->deadlines().At(loop_->Now() + kDescriptorReportIntervalS,
+                                                   [this] { ReportDescriptorUse(); });
 }
 
-void HotRestart::Send(const std::string& frame, const Sibling* but) {
-  if (predecessor_ != nullptr && predecessor_.get() != but) predecessor_->link->Send(frame);
-  if (successor_ != nullptr && successor_.get() != but) successor_->link->Send(frame);
+void HotRestart::Send(const std::string& frame, const Sibling* excluded) {
+  if (predecessor_ != nullptr && predecessor_.get() != excluded)
+    predecessor_->connection->Send(frame);
+  if (successor_ != nullptr && successor_.get() != excluded) successor_->connection->Send(frame);
 }
 
-void HotRestart::SendPeerMessage(const std::string& body) { Send(Frame(Kind::kPeerMessage, body)); }
+void HotRestart::SendPeerMessage(const std::string& body) {
+  Send(RawFrame(FrameKind::kPeerMessage, body));
+}
 void HotRestart::SendWireId(const std::string& wire_id) {
   if (predecessor_ != nullptr || successor_ != nullptr)
-    Send(Writer(Kind::kId).Text(wire_id).Done());
+    Send(Writer(FrameKind::kWireIdUsed).Text(wire_id).Finish());
 }
 
 void HotRestart::ForwardMaintenance(const std::string& worker, bool in_maintenance,
                                     const Sibling* from) {
   if (from != nullptr) dependencies_.planner->SetMaintenance(worker, in_maintenance);
-  Send(Writer(Kind::kMaintenance).Text(worker).U8(in_maintenance).Done(), from);
+  Send(Writer(FrameKind::kMaintenance).Text(worker).U8(in_maintenance).Finish(), from);
 }
 
 void HotRestart::SendWorkersDown() {
   if (predecessor_ == nullptr && successor_ == nullptr) return;
-  for (const Planner::WorkerSnapshot& k : dependencies_.planner->ExportWorkers()) {
-    if (k.member.readiness == Readiness::kReady || k.drain_notified_at < workers_down_sent_at_)
+  for (const Planner::WorkerSnapshot& worker : dependencies_.planner->ExportWorkers()) {
+    if (worker.member.readiness == Readiness::kReady ||
+        worker.drain_notified_at < workers_down_sent_at_)
       continue;
-    Send(Writer(Kind::kDown).Put(k.member).Done());
+    Send(Writer(FrameKind::kWorkerDown).Put(worker.member).Finish());
   }
   workers_down_sent_at_ = loop_->Now();
 }
--- a/src/net/handover/hot_restart.h
+++ b/src/net/handover/hot_restart.h
@@ -1,6 +1,8 @@
-// One node in two processes, while one replaces the other. The new process requests the state of
-// the old one; once it serves, the old one takes nothing new, hands over each connection as it
-// comes to rest, and finishes what it took. Both tell each other of all that must hold for the sum.
+// Hot restart: a new process replaces the running one under load. The new process requests the
+// state of the old one. Once the new process serves, the old one accepts nothing new, passes on
+// each connection when it is idle, and finishes the requests it has. While both run, they exchange
+// what must hold for the node as a whole: maintenance, used request ids, workers that are down, and
+// descriptors in use.
 #ifndef MILLETHOLLOW_NET_HANDOVER_HOT_RESTART_H_
 #define MILLETHOLLOW_NET_HANDOVER_HOT_RESTART_H_
 
@@ -20,21 +22,25 @@
 
 namespace millethollow::handover {
 
-// What the new process gets before it starts.
+// What the new process receives from the old one before it starts. The descriptors are the
+// caller's to close.
 struct InheritedState {
   int client_listener = -1, gearman_listener = -1, peer_socket = -1;
-  std::vector<std::string> classes;
+  std::vector<std::string> classes;  // names, by the old process's index
   std::vector<Planner::WorkerSnapshot> workers;
-  std::vector<ListEntry> endpoints;  // those of them that are on the list
-  std::vector<std::string> wire_ids;
-  std::string planner_state;
+  std::vector<ListEntry> endpoints;   // those of `workers` that are on the endpoint list
+  std::vector<std::string> wire_ids;  // request ids that must not be accepted again
+  std::string planner_state;          // as Planner::SaveState returned it
   long long endpoint_list_version = 0;
-  bool complete = false;
+  bool complete = false;  // false: there is no state, and the other fields are empty
 };
 
+// This process's part in hot restarts, first as the successor of a running process and later as the
+// predecessor of the next one. All calls are on the loop's thread.
 class HotRestart {
  public:
-  // The parts of this process. All but the planner, the front and the pool may be missing.
+  // The components that hand over or take over; not owned. All but the planner, the front and the
+  // pool may be null.
   struct Dependencies {
     Planner* planner = nullptr;
     http::ClientFront* front = nullptr;
@@ -42,56 +48,65 @@
     gearman::Front* gearman = nullptr;
     Peers* peers = nullptr;
     Discovery* discovery = nullptr;
-    const std::vector<std::string>* classes = nullptr;  // by index
-    std::function<void()> on_successor_lost;            // the process that replaced us is gone
+    const std::vector<std::string>* classes = nullptr;  // names, by index
+    // The successor was lost after it had taken over: this process serves again.
+    std::function<void()> on_successor_lost;
   };
 
-  HotRestart(Loop* loop, std::string path) : loop_(loop), path_(std::move(path)) {}
+  // `path`: the Unix socket at which the running process of this node is found.
+  HotRestart(Loop* loop, std::string path) : loop_(loop), socket_path_(std::move(path)) {}
   ~HotRestart();
   HotRestart(const HotRestart&) = delete;
   HotRestart& operator=(const HotRestart&) = delete;
 
-  // From the process that serves now. Not `whole` where there is none, or it is silent or foreign:
-  // then we start alone.
+  // Requests the state of the running process and waits for it, without running the loop. The
+  // result is not complete if there is no such process, it does not answer in time, or it speaks
+  // another protocol version: then this process starts without the state.
   InheritedState RequestState(const std::function<void()>& while_waiting);
-  // This process serves: the old one may leave, and the next one may come.
+  // To be called once this process serves: the predecessor may stop accepting, and a successor may
+  // connect.
   void Serve(Dependencies dependencies);
 
+  // Whether a successor serves, so that this process only finishes what it has.
   bool replaced() const { return replaced_; }
-  bool Flushed() const { return successor_ == nullptr || successor_->link->Flushed(); }
+  // Whether all frames to the successor, with their descriptors, have been sent.
+  bool Flushed() const { return successor_ == nullptr || successor_->connection->Flushed(); }
+  // The following go to the sibling processes, if there are any.
   void SendPeerMessage(const std::string& body);
   void SendMaintenance(const std::string& worker, bool in_maintenance) {
     ForwardMaintenance(worker, in_maintenance, nullptr);
   }
   void SendWireId(const std::string& wire_id);
-  void SendWorkersDown();  // whatever the list has brought
+  // Sends the workers whose drain or removal was noticed since the last call. To be called after
+  // each update of the endpoint list.
+  void SendWorkersDown();
 
  private:
   struct Sibling {
-    std::unique_ptr<Link> link;
-    std::size_t clients = 0, workers = 0;
+    std::unique_ptr<SiblingConnection> connection;
+    std::size_t clients = 0, workers = 0;  // descriptors that it has in use
   };
   using SiblingPtr = std::unique_ptr<Sibling>;
   void OnFrame(Sibling* sibling, link::Reader& frame, int fd);
-  void Lost(Sibling* sibling);
+  void OnSiblingLost(Sibling* sibling);
   void SendState(Sibling* sibling);
-  void AwaitNext();
-  void Leave();
+  void ListenForSuccessor();
+  void HandOver();
   void ForwardMaintenance(const std::string& worker, bool in_maintenance, const Sibling* from);
-  void Send(const std::string& frame, const Sibling* but = nullptr);
-  void Watch(SiblingPtr* sibling);
-  void Beat();
+  void Send(const std::string& frame, const Sibling* excluded = nullptr);
+  void StartConnection(SiblingPtr* sibling);
+  void ReportDescriptorUse();
   void OnSiblingsChanged();
 
   Loop* loop_;
-  std::string path_;
+  std::string socket_path_;
   Dependencies dependencies_;
   SiblingPtr predecessor_, successor_;
-  std::unique_ptr<Server> server_;
-  std::string last_use_frame_;
-  double workers_down_sent_at_ = 0;
+  std::unique_ptr<SiblingListener> listener_;
+  std::string last_descriptor_report_;  // the frame
+  double workers_down_sent_at_ = 0;     // seconds of the loop's clock
   bool replaced_ = false, reported_present_ = false, reported_replaced_ = false;
-  Deadlines::Ticket beat_ = Deadlines::kNone;
+  Deadlines::Ticket descriptor_report_timer_ = Deadlines::kNone;
 };
 
 }  // namespace millethollow::handover
--- a/src/net/link/frame.h
+++ b/src/net/link/frame.h
@@ -1,8 +1,9 @@
-// Frames of the link between forwarders and planners. Pure: bytes in, frames out, no socket.
+// Framing of the messages between forwarders and planners, and between the two processes of a hot
+// restart. Encoding and decoding only: no sockets, no clock, not thread-safe.
 //
-// Form: length of the rest (32 bits), type (8 bits), fields. Numbers are big-endian, text has a
-// 16-bit length before it. Both ends are of one build and on one machine; a frame that does not
-// read right ends the link.
+// A frame is the length of what follows (32 bits), the kind (8 bits) and the fields of that kind.
+// Integers are big-endian; text is preceded by its length in bytes (16 bits). A frame that does not
+// decode ends the connection. A planner and its forwarders run the same build on one machine.
 #ifndef MILLETHOLLOW_NET_LINK_FRAME_H_
 #define MILLETHOLLOW_NET_LINK_FRAME_H_
 
@@ -15,78 +16,84 @@
 
 namespace millethollow::link {
 
-enum class Kind : std::uint8_t {
-  // forwarder to planner
-  kTaken = 1,
-  kClientGone,
-  kBegan,
-  kEnded,
-  kProbed,
-  kWorker,
-  // planner to forwarder
-  kWelcome = 32,
-  kAddress,
-  kSend,
-  kCancel,
-  kProbe,
-  kAnswer,
-  // between two processes of one node, while one replaces the other
-  kHello = 64,  // new to old: I am here, tell me
-  kSocket,      // a listening or peer socket goes with it
-  kClass,
-  kKnown,  // a worker with its address, drain and maintenance
-  kIds,
-  kLearned,
-  kStateEnd,     // end of the state; the list's version
-  kServing,      // new to old: I serve
-  kClient,       // a resting connection of a client, or
-  kIdleWorker,   // of a worker, goes with it
-  kPeerMessage,  // a planner's message to the planner of the sibling process
-  kUse,          // descriptors in use
+// The numbers are part of the protocol: a hot restart may join two different builds.
+enum class FrameKind : std::uint8_t {
+  // From a forwarder to its planner.
+  kRequestReceived = 1,
+  kRequestCancelled,
+  kAttemptStarted,
+  kAttemptEnded,
+  kProbeAnswered,
+  kWorkerChanged,
+  // From a planner to a forwarder.
+  kForwarderNumber = 32,  // the first frame of a connection
+  kWorkerAddress,
+  kSendAttempt,
+  kCancelAttempt,
+  kSendProbe,
+  kFinalAnswer,
+  // Between the sibling processes of a hot restart.
+  kStateRequest = 64,  // from the new process, with the version of the protocol
+  kSharedSocket,       // carries the descriptor of a listening socket or of the peer socket
+  kClassName,
+  kWorkerState,  // a worker with its address, drain and maintenance
+  kWireIds,
+  kPlannerState,
+  kStateEnd,          // the last frame of the state, with the version of the endpoint list
+  kSuccessorServing,  // from the new process: the old one may stop accepting
+  kClientConnection,  // carries the descriptor of an idle client connection
+  kWorkerConnection,  // carries the descriptor of an idle connection to a worker
+  kPeerMessage,       // a message of one planner to the planner of the sibling process
+  kDescriptorUse,     // numbers of descriptors in use
   kMaintenance,
-  kDown,
-  kId,
+  kWorkerDown,
+  kWireIdUsed,
 };
 
+// Encodes one frame.
 class Writer {
  public:
-  explicit Writer(Kind kind) : bytes_(4, '\0') { U8(static_cast<std::uint8_t>(kind)); }
-  Writer& U8(std::uint8_t v) { return Number(v, 1); }
-  Writer& U64(std::uint64_t v) { return Number(v, 8); }
-  Writer& I32(int v) { return Number(static_cast<std::uint32_t>(v), 4); }
-  Writer& Real(double v);
-  Writer& Text(std::string_view v);
-  Writer& Put(const Outcome& o);
-  Writer& Put(const balancing::Endpoint& m);
-  Writer& Raw(std::string_view v);  // the rest of the frame
-  std::string Done();
+  explicit Writer(FrameKind kind) : bytes_(4, '\0') { U8(static_cast<std::uint8_t>(kind)); }
+  Writer& U8(std::uint8_t value) { return Number(value, 1); }
+  Writer& U64(std::uint64_t value) { return Number(value, 8); }
+  Writer& I32(int value) { return Number(static_cast<std::uint32_t>(value), 4); }
+  Writer& F64(double value);
+  Writer& Text(std::string_view value);  // at most 65535 bytes; the rest is cut off
+  Writer& Put(const Outcome& outcome);
+  Writer& Put(const balancing::Endpoint& endpoint);
+  // Appends bytes without a length; only as the last field, read by Reader::Rest.
+  Writer& Raw(std::string_view value);
+  // Fills in the length and returns the frame. The writer must not be used afterwards.
+  std::string Finish();
 
  private:
-  Writer& Number(std::uint64_t v, int bytes);
+  Writer& Number(std::uint64_t value, int bytes);
   std::string bytes_;
 };
 
-// Reads the fields of one frame. A field that is not there leaves ok() false and reads as zero.
+// Decodes the fields of one frame, given without its length. A field that is missing or invalid
+// clears ok() and reads as zero or empty. The frame's bytes must outlive the reader.
 class Reader {
  public:
-  explicit Reader(std::string_view frame) : rest_(frame) { kind_ = static_cast<Kind>(U8()); }
-  Kind kind() const { return kind_; }
+  explicit Reader(std::string_view frame) : unread_(frame) { kind_ = static_cast<FrameKind>(U8()); }
+  FrameKind kind() const { return kind_; }
   std::uint8_t U8() { return static_cast<std::uint8_t>(Number(1)); }
   std::uint64_t U64() { return Number(8); }
   int I32() { return static_cast<int>(static_cast<std::uint32_t>(Number(4))); }
-  double Real();  // finite, or the frame is bad
+  double F64();  // a value that is not finite is invalid
   std::string Text();
   Outcome GetOutcome();
-  balancing::Endpoint GetMember();
-  std::string Rest();
+  balancing::Endpoint GetEndpoint();
+  std::string Rest();  // all that has not been read yet
   bool ok() const { return ok_; }
-  bool Whole() const { return ok_ && rest_.empty(); }  // all read, and nothing left over
-  void Bad() { ok_ = false; }
+  // Whether all fields were valid and the whole frame has been read.
+  bool Complete() const { return ok_ && unread_.empty(); }
+  void MarkInvalid() { ok_ = false; }
 
  private:
   std::uint64_t Number(std::size_t bytes);
-  std::string_view rest_;
-  Kind kind_;
+  std::string_view unread_;
+  FrameKind kind_;
   bool ok_ = true;
 };
 
@@ -94,14 +101,15 @@
 class FrameDecoder {
  public:
   static constexpr std::size_t kMaxFrameBytes = 64 * 1024;
-  void Feed(std::string_view bytes) { held_.append(bytes); }
-  // The next frame's type and fields; none if it has not all come, or the stream is bad.
+  void Feed(std::string_view bytes) { buffer_.append(bytes); }
+  // The kind and fields of the next frame; none if it is incomplete, or the stream is malformed.
   std::optional<std::string> Next();
-  bool bad() const { return bad_; }
+  // Set for good by a frame whose length is 0 or above kMaxFrameBytes.
+  bool malformed() const { return malformed_; }
 
  private:
-  std::string held_;
-  bool bad_ = false;
+  std::string buffer_;
+  bool malformed_ = false;
 };
 
 }  // namespace millethollow::link
--- a/src/net/link/link.cpp
+++ b/src/net/link/link.cpp
@@ -9,19 +9,22 @@
 namespace millethollow::link {
 namespace {
 
-constexpr std::size_t kMaxUnsentBytes = 16 * 1024 * 1024;  // a peer that does not read is lost
-constexpr double kRetryS = 0.1;
-constexpr int kPatience = 4;
+// Backpressure limit: with more than this unsent, the other end counts as lost.
+constexpr std::size_t kMaxUnsentBytes = 16 * 1024 * 1024;
+constexpr double kReconnectDelayS = 0.1;
+constexpr int kMaxConnectFailures = 4;  // in a row; then the next planner is tried
 
-// Either end: a stream of frames.
-class Framed : public Connection {
+// A connection that carries frames, the common part of both ends. Runs on the loop's thread.
+class FramedConnection : public Connection {
  public:
   using Connection::Connection;
+  // Queues a frame. Closes the connection if too much is unsent already.
   void Send(const std::string& frame) {
     if (closed()) return;
     Write(frame);
     if (Unsent() > kMaxUnsentBytes) Fail("reads-too-slowly");
   }
+  // Closes the connection, logging `reason`, and calls OnLost.
   void Fail(const char* reason) {
     if (closed()) return;
     Close(reason);
@@ -29,7 +32,9 @@
   }
 
  protected:
-  virtual bool OnFrame(Reader& frame) = 0;  // false: the frame is bad
+  // Returns false for a malformed frame, which ends the connection.
+  virtual bool OnFrame(Reader& frame) = 0;
+  // Called once, when the connection has been closed by either end.
   virtual void OnLost() = 0;
 
  private:
@@ -42,7 +47,7 @@
         Reader reader(*frame);
         if (!OnFrame(reader)) return Fail("bad-frame");
       }
-      if (decoder_.bad()) return Fail("bad-frame");
+      if (decoder_.malformed()) return Fail("bad-frame");
     }
   }
   void OnEnd(const char* reason) override { Fail(reason); }
@@ -53,111 +58,114 @@
 
 // ---- the planner's end ----
 
-class Channel final : public Framed, public ForwarderPort {
+// A connection from one forwarder. Owned by the PlannerServer.
+class ForwarderConnection final : public FramedConnection, public ForwarderPort {
  public:
-  Channel(PlannerServer* server, Loop* loop, evutil_socket_t fd)
-      : Framed(loop, "forwarder"), server_(server) {
+  ForwarderConnection(PlannerServer* server, Loop* loop, evutil_socket_t fd)
+      : FramedConnection(loop, "forwarder"), server_(server) {
     Adopt(fd);
-    number_ = server->planner_->AddForwarder(this, false);
-    Framed::Send(Writer(Kind::kWelcome).U64(number_).Done());
+    forwarder_number_ = server->planner_->AddForwarder(this, false);
+    FramedConnection::Send(Writer(FrameKind::kForwarderNumber).U64(forwarder_number_).Finish());
     for (const auto& [name, at] : server->addresses_) SetWorkerAddress(name, at.first, at.second);
   }
   void SetWorkerAddress(const std::string& name, const std::string& address,
                         std::size_t max_in_flight) {
-    Framed::Send(Writer(Kind::kAddress).Text(name).Text(address).U64(max_in_flight).Done());
+    FramedConnection::Send(
+        Writer(FrameKind::kWorkerAddress).Text(name).Text(address).U64(max_in_flight).Finish());
   }
 
   void Send(RequestId id, int attempt, const std::string& worker) override {
-    Framed::Send(Writer(Kind::kSend).U64(id).I32(attempt).Text(worker).Done());
+    FramedConnection::Send(
+        Writer(FrameKind::kSendAttempt).U64(id).I32(attempt).Text(worker).Finish());
   }
   void Cancel(RequestId id, int attempt) override {
-    Framed::Send(Writer(Kind::kCancel).U64(id).I32(attempt).Done());
+    FramedConnection::Send(Writer(FrameKind::kCancelAttempt).U64(id).I32(attempt).Finish());
   }
   void Probe(const std::string& worker) override {
-    Framed::Send(Writer(Kind::kProbe).Text(worker).Done());
+    FramedConnection::Send(Writer(FrameKind::kSendProbe).Text(worker).Finish());
   }
-  void Answer(RequestId id, const FinalAnswer& a) override {
-    Framed::Send(Writer(Kind::kAnswer)
-                     .U64(id)
-                     .U8(static_cast<std::uint8_t>(a.kind))
-                     .I32(a.attempt)
-                     .Real(a.retry_after_s)
-                     .Done());
+  void Answer(RequestId id, const FinalAnswer& answer) override {
+    FramedConnection::Send(Writer(FrameKind::kFinalAnswer)
+                               .U64(id)
+                               .U8(static_cast<std::uint8_t>(answer.kind))
+                               .I32(answer.attempt)
+                               .F64(answer.retry_after_s)
+                               .Finish());
   }
 
  private:
-  bool Mine(RequestId id) const { return id >> kForwarderShift == number_; }
+  bool OwnsRequest(RequestId id) const { return id >> kForwarderShift == forwarder_number_; }
 
-  bool OnFrame(Reader& f) override {
+  bool OnFrame(Reader& frame) override {
     Planner& planner = *server_->planner_;
-    switch (f.kind()) {
-      case Kind::kTaken: {
-        Request e;
-        e.id = f.U64();
-        const std::string cls = f.Text();
-        e.tenant = f.I32();
-        e.wire_id = f.Text();
-        e.affinity = f.Text();
-        // As time left: the two processes' clocks began at different moments.
-        e.expires_at = loop_->Now() + f.Real();
-        e.slots = f.Real();
-        e.memory = f.Real();
-        e.size_hint_s = f.Real();
-        e.retry = f.U8() != 0;
-        e.body_bytes = f.U64();
-        if (!f.Whole() || !Mine(e.id)) return false;
-        e.cls = planner.ClassIndex(cls);
-        if (e.cls < 0) {  // of a file that only one of the two has read yet
-          Answer(e.id, {.kind = FinalAnswer::Kind::kRejected});
+    switch (frame.kind()) {
+      case FrameKind::kRequestReceived: {
+        Request request;
+        request.id = frame.U64();
+        const std::string cls = frame.Text();
+        request.tenant = frame.I32();
+        request.wire_id = frame.Text();
+        request.affinity = frame.Text();
+        // Sent as the time left, because the clocks of the two processes have different origins.
+        request.expires_at = loop_->Now() + frame.F64();
+        request.slots = frame.F64();
+        request.memory = frame.F64();
+        request.size_hint_s = frame.F64();
+        request.retry = frame.U8() != 0;
+        request.body_bytes = frame.U64();
+        if (!frame.Complete() || !OwnsRequest(request.id)) return false;
+        request.cls = planner.ClassIndex(cls);
+        if (request.cls < 0) {  // only one of the two processes has reloaded its configuration
+          Answer(request.id, {.kind = FinalAnswer::Kind::kRejected});
           return true;
         }
-        planner.OnRequest(e);
+        planner.OnRequest(request);
         return true;
       }
-      case Kind::kClientGone: {
-        const RequestId id = f.U64();
-        if (!f.Whole() || !Mine(id)) return false;
+      case FrameKind::kRequestCancelled: {
+        const RequestId id = frame.U64();
+        if (!frame.Complete() || !OwnsRequest(id)) return false;
         planner.OnRequestCancelled(id);
         return true;
       }
-      case Kind::kBegan: {
-        const RequestId id = f.U64();
-        const int attempt = f.I32();
-        if (!f.Whole() || !Mine(id) || attempt < 0) return false;
+      case FrameKind::kAttemptStarted: {
+        const RequestId id = frame.U64();
+        const int attempt = frame.I32();
+        if (!frame.Complete() || !OwnsRequest(id) || attempt < 0) return false;
         planner.OnAttemptStarted(id, attempt);
         return true;
       }
-      case Kind::kEnded: {
-        const RequestId id = f.U64();
-        const int attempt = f.I32();
-        const Outcome outcome = f.GetOutcome();
-        if (!f.Whole() || !Mine(id) || attempt < 0) return false;
+      case FrameKind::kAttemptEnded: {
+        const RequestId id = frame.U64();
+        const int attempt = frame.I32();
+        const Outcome outcome = frame.GetOutcome();
+        if (!frame.Complete() || !OwnsRequest(id) || attempt < 0) return false;
         planner.OnAttemptEnded(id, attempt, outcome);
         return true;
       }
-      case Kind::kProbed: {
-        const std::string worker = f.Text();
-        const Outcome outcome = f.GetOutcome();
-        if (!f.Whole()) return false;
+      case FrameKind::kProbeAnswered: {
+        const std::string worker = frame.Text();
+        const Outcome outcome = frame.GetOutcome();
+        if (!frame.Complete()) return false;
         planner.OnProbeAnswered(worker, outcome);
         return true;
       }
-      case Kind::kWorker: {
-        balancing::Endpoint member = f.GetMember();
-        member.slots = f.Real();
-        if (!f.Whole()) return false;
-        planner.OnLocalWorkerChanged(number_, member);
+      case FrameKind::kWorkerChanged: {
+        balancing::Endpoint endpoint = frame.GetEndpoint();
+        endpoint.slots = frame.F64();
+        if (!frame.Complete()) return false;
+        planner.OnLocalWorkerChanged(forwarder_number_, endpoint);
         return true;
       }
       default:
         return false;
     }
   }
-  void OnLost() override { server_->Drop(this); }
+  void OnLost() override { server_->OnForwarderConnectionLost(this); }
 
   friend class PlannerServer;
   PlannerServer* server_;
-  std::uint64_t number_ = 0;
+  std::uint64_t forwarder_number_ = 0;
 };
 
 PlannerServer::PlannerServer(Loop* loop, Planner* planner) : loop_(loop), planner_(planner) {}
@@ -167,9 +175,9 @@
   return listener_.OpenUnix(
       loop_, path,
       [this](evutil_socket_t fd) {
-        auto channel = std::make_unique<Channel>(this, loop_, fd);
-        Channel* raw = channel.get();
-        if (!raw->closed()) channels_.emplace(raw, std::move(channel));
+        auto connection = std::make_unique<ForwarderConnection>(this, loop_, fd);
+        ForwarderConnection* raw = connection.get();
+        if (!raw->closed()) connections_.emplace(raw, std::move(connection));
       },
       error);
 }
@@ -180,68 +188,70 @@
   auto [it, fresh] = addresses_.try_emplace(worker, at);
   if (!fresh && it->second == at) return;
   it->second = at;
-  for (const auto& [raw, channel] : channels_)
+  for (const auto& [raw, connection] : connections_)
     raw->SetWorkerAddress(worker, address, max_in_flight);
 }
 
-void PlannerServer::Drop(Channel* channel) {
-  planner_->OnForwarderLost(channel->number_);
-  loop_->Later([this, channel] { channels_.erase(channel); });
+void PlannerServer::OnForwarderConnectionLost(ForwarderConnection* connection) {
+  planner_->OnForwarderLost(connection->forwarder_number_);
+  loop_->Later([this, connection] { connections_.erase(connection); });
 }
 
 // ---- the forwarder's end ----
 
-class PlannerConnection final : public Framed {
+// The connection to the current planner. Owned by the PlannerClient.
+class PlannerConnection final : public FramedConnection {
  public:
-  PlannerConnection(PlannerClient* client, Loop* loop) : Framed(loop, "planner"), client_(client) {}
+  PlannerConnection(PlannerClient* client, Loop* loop)
+      : FramedConnection(loop, "planner"), client_(client) {}
   bool Open(const std::string& path) { return ConnectUnix(path); }
 
  private:
-  bool OnFrame(Reader& f) override {
+  bool OnFrame(Reader& frame) override {
     Forwarder& forwarder = *client_->forwarder_;
-    switch (f.kind()) {
-      case Kind::kWelcome: {
-        const std::uint64_t number = f.U64();
-        if (!f.Whole()) return false;
+    switch (frame.kind()) {
+      case FrameKind::kForwarderNumber: {
+        const std::uint64_t number = frame.U64();
+        if (!frame.Complete()) return false;
         forwarder.SetLink(client_, number);
-        client_->linked_ = true;
+        client_->connected_ = true;
         client_->failures_ = 0;
         client_->hooks_.on_connection_changed(true);
         return true;
       }
-      case Kind::kAddress: {
-        const std::string worker = f.Text(), address = f.Text();
-        const std::uint64_t max_in_flight = f.U64();
-        if (!f.Whole()) return false;
+      case FrameKind::kWorkerAddress: {
+        const std::string worker = frame.Text(), address = frame.Text();
+        const std::uint64_t max_in_flight = frame.U64();
+        if (!frame.Complete()) return false;
         client_->hooks_.on_worker_address(worker, address, max_in_flight);
         return true;
       }
-      case Kind::kSend: {
-        const RequestId id = f.U64();
-        const int attempt = f.I32();
-        const std::string worker = f.Text();
-        if (!f.Whole()) return false;
+      case FrameKind::kSendAttempt: {
+        const RequestId id = frame.U64();
+        const int attempt = frame.I32();
+        const std::string worker = frame.Text();
+        if (!frame.Complete()) return false;
         forwarder.Send(id, attempt, worker);
         return true;
       }
-      case Kind::kCancel: {
-        const RequestId id = f.U64();
-        const int attempt = f.I32();
-        if (!f.Whole()) return false;
+      case FrameKind::kCancelAttempt: {
+        const RequestId id = frame.U64();
+        const int attempt = frame.I32();
+        if (!frame.Complete()) return false;
         forwarder.Cancel(id, attempt);
         return true;
       }
-      case Kind::kProbe: {
-        const std::string worker = f.Text();
-        if (!f.Whole()) return false;
+      case FrameKind::kSendProbe: {
+        const std::string worker = frame.Text();
+        if (!frame.Complete()) return false;
         forwarder.Probe(worker);
         return true;
       }
-      case Kind::kAnswer: {
-        const RequestId id = f.U64();
-        const std::uint8_t kind = f.U8();
-        FinalAnswer answer{.attempt = f.I32(), .retry_after_s = f.Real()};
-        if (!f.Whole() || kind > static_cast<std::uint8_t>(FinalAnswer::Kind::kDuplicateId))
+      case FrameKind::kFinalAnswer: {
+        const RequestId id = frame.U64();
+        const std::uint8_t kind = frame.U8();
+        FinalAnswer answer{.attempt = frame.I32(), .retry_after_s = frame.F64()};
+        if (!frame.Complete() || kind > static_cast<std::uint8_t>(FinalAnswer::Kind::kDuplicateId))
           return false;
         answer.kind = static_cast<FinalAnswer::Kind>(kind);
         forwarder.Answer(id, answer);
@@ -251,72 +261,77 @@
         return false;
     }
   }
-  void OnLost() override { client_->Lost(); }
+  void OnLost() override { client_->OnConnectionLost(); }
   PlannerClient* client_;
 };
 
 PlannerClient::PlannerClient(Forwarder* forwarder, std::vector<std::string> paths,
                              std::size_t first, Hooks hooks)
-    : forwarder_(forwarder), paths_(std::move(paths)), next_(first), hooks_(std::move(hooks)) {}
-PlannerClient::~PlannerClient() { forwarder_->loop()->deadlines().Drop(&retry_); }
+    : forwarder_(forwarder),
+      paths_(std::move(paths)),
+      planner_index_(first),
+      hooks_(std::move(hooks)) {}
+PlannerClient::~PlannerClient() { forwarder_->loop()->deadlines().Drop(&reconnect_timer_); }
 
 void PlannerClient::Start() {
   connection_ = std::make_unique<PlannerConnection>(this, forwarder_->loop());
-  if (!connection_->Open(paths_[next_ % paths_.size()])) connection_->Fail("no-connection");
+  if (!connection_->Open(paths_[planner_index_ % paths_.size()]))
+    connection_->Fail("no-connection");
 }
 
-void PlannerClient::Lost() {
-  if (std::exchange(linked_, false)) {
-    LogLine(Level::kWarn) << "planner lost: " << paths_[next_ % paths_.size()];
-    ++next_;  // another may be alive
+void PlannerClient::OnConnectionLost() {
+  if (std::exchange(connected_, false)) {
+    LogLine(Level::kWarn) << "planner lost: " << paths_[planner_index_ % paths_.size()];
+    ++planner_index_;  // fail over to the next planner
     hooks_.on_connection_changed(false);
     forwarder_->OnPlannerLost();
   }
-  // At the start all come up at once: a planner gets a moment before another takes its forwarders.
-  if (++failures_ % kPatience == 0) ++next_;
+  // All processes start at the same time: a planner gets a few attempts before its forwarders fail
+  // over to another one.
+  if (++failures_ % kMaxConnectFailures == 0) ++planner_index_;
   std::shared_ptr<PlannerConnection> old(std::move(connection_));
   Loop* loop = forwarder_->loop();
   loop->Later([old] {});
-  loop->deadlines().Drop(&retry_);
-  retry_ = loop->deadlines().At(loop->Now() + kRetryS, [this] {
-    retry_ = Deadlines::kNone;
+  loop->deadlines().Drop(&reconnect_timer_);
+  reconnect_timer_ = loop->deadlines().At(loop->Now() + kReconnectDelayS, [this] {
+    reconnect_timer_ = Deadlines::kNone;
     Start();
   });
 }
 
 void PlannerClient::Write(const std::string& frame) {
-  if (connection_ != nullptr && linked_) connection_->Send(frame);
+  if (connection_ != nullptr && connected_) connection_->Send(frame);
 }
 
-void PlannerClient::OnRequest(const Request& e) {
-  Write(Writer(Kind::kTaken)
-            .U64(e.id)
-            .Text(hooks_.class_name(e.cls))
-            .I32(e.tenant)
-            .Text(e.wire_id)
-            .Text(e.affinity)
-            .Real(e.expires_at - forwarder_->loop()->Now())
-            .Real(e.slots)
-            .Real(e.memory)
-            .Real(e.size_hint_s)
-            .U8(e.retry)
-            .U64(e.body.size())
-            .Done());
+void PlannerClient::OnRequest(const Request& request) {
+  Write(Writer(FrameKind::kRequestReceived)
+            .U64(request.id)
+            .Text(hooks_.class_name(request.cls))
+            .I32(request.tenant)
+            .Text(request.wire_id)
+            .Text(request.affinity)
+            .F64(request.expires_at - forwarder_->loop()->Now())
+            .F64(request.slots)
+            .F64(request.memory)
+            .F64(request.size_hint_s)
+            .U8(request.retry)
+            .U64(request.body.size())
+            .Finish());
 }
 void PlannerClient::OnRequestCancelled(RequestId id) {
-  Write(Writer(Kind::kClientGone).U64(id).Done());
+  Write(Writer(FrameKind::kRequestCancelled).U64(id).Finish());
 }
 void PlannerClient::OnAttemptStarted(RequestId id, int attempt) {
-  Write(Writer(Kind::kBegan).U64(id).I32(attempt).Done());
+  Write(Writer(FrameKind::kAttemptStarted).U64(id).I32(attempt).Finish());
 }
 void PlannerClient::OnAttemptEnded(RequestId id, int attempt, const Outcome& outcome) {
-  Write(Writer(Kind::kEnded).U64(id).I32(attempt).Put(outcome).Done());
+  Write(Writer(FrameKind::kAttemptEnded).U64(id).I32(attempt).Put(outcome).Finish());
 }
 void PlannerClient::OnProbeAnswered(const std::string& worker, const Outcome& outcome) {
-  Write(Writer(Kind::kProbed).Text(worker).Put(outcome).Done());
+  Write(Writer(FrameKind::kProbeAnswered).Text(worker).Put(outcome).Finish());
 }
-void PlannerClient::OnWorkerChanged(const balancing::Endpoint& member) {
-  Write(Writer(Kind::kWorker).Put(member).Real(member.slots).Done());
+void PlannerClient::OnWorkerChanged(const balancing::Endpoint& endpoint) {
+  Write(Writer(FrameKind::kWorkerChanged).Put(endpoint).F64(endpoint.slots).Finish());
 }
 
 }  // namespace millethollow::link
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -148,14 +148,14 @@
     if (type == 'B') writer.U8(reader.U8());
     if (type == 'U') writer.U64(reader.U64());
     if (type == 'I') writer.I32(reader.I32());
-    if (type == 'R') writer.Real(reader.Real());
+    if (type == 'R') writer.F64(reader.F64());
     if (type == 'T') writer.Text(reader.Text());
     if (type == 'O') writer.Put(reader.GetOutcome());
-    if (type == 'E') writer.Put(reader.GetMember());
+    if (type == 'E') writer.Put(reader.GetEndpoint());
     if (type == '*') writer.Raw(reader.Rest());
   }
-  EXPECT_TRUE(reader.Whole());
-  return writer.Done();
+  EXPECT_TRUE(reader.Complete());
+  return writer.Finish();
 }
 
 TEST(LinkFrames, OfEachKindReadAndWriteAsBefore) {
@@ -381,12 +381,12 @@
 };
 
 TEST_F(Handover, TheNewProcessTakesWhatTheOldProgramSent) {
-  std::unique_ptr<handover::Link> old;
-  handover::Server server(&host, [&](std::unique_ptr<handover::Link> link) {
+  std::unique_ptr<handover::SiblingConnection> old;
+  handover::SiblingListener server(&host, [&](std::unique_ptr<handover::SiblingConnection> link) {
     old = std::move(link);
     old->Start(
         [&](link::Reader& frame, int) {
-          if (frame.kind() != link::Kind::kHello) return;
+          if (frame.kind() != link::FrameKind::kStateRequest) return;
           for (const RecordedPacket& packet : RecordedSession()) {
             old->Send(packet.bytes, packet.has_descriptor ? open("/dev/null", O_RDONLY) : -1);
           }
@@ -431,16 +431,16 @@
   ASSERT_TRUE(IsOk(node.Start()));
   Loop loop;
   auto link =
-      handover::Link::To(&loop, folder + "/millethollow-" + config.name + "-127.0.0.1:0.sock");
+      handover::SiblingConnection::ConnectTo(&loop, folder + "/millethollow-" + config.name + "-127.0.0.1:0.sock");
   ASSERT_NE(link, nullptr);
-  link->Send(link::Writer(link::Kind::kHello).I32(1).Done());
-  std::vector<std::pair<link::Kind, std::string>> sent;
+  link->Send(link::Writer(link::FrameKind::kStateRequest).I32(1).Finish());
+  std::vector<std::pair<link::FrameKind, std::string>> sent;
   ASSERT_TRUE(link->Receive(
       [&](link::Reader& frame, int fd) {
         if (fd >= 0) close(fd);
         sent.emplace_back(frame.kind(), frame.Rest());
       },
-      [&] { return !sent.empty() && sent.back().first == link::Kind::kStateEnd; }, loop.Now() + 5,
+      [&] { return !sent.empty() && sent.back().first == link::FrameKind::kStateEnd; }, loop.Now() + 5,
       [&] {
         node.loop().deadlines().At(node.loop().Now() + 0.001, [] {});
         node.loop().Turn();
@@ -449,12 +449,12 @@
   ASSERT_EQ(sent.size(), recorded.size());
   for (std::size_t i = 0; i < sent.size(); ++i) {
     SCOPED_TRACE(i);
-    const auto kind = static_cast<link::Kind>(recorded[i].bytes[4]);
+    const auto kind = static_cast<link::FrameKind>(recorded[i].bytes[4]);
     const std::string fields = recorded[i].bytes.substr(5);
     EXPECT_EQ(sent[i].first, kind);
-    if (kind == link::Kind::kLearned) {
+    if (kind == link::FrameKind::kPlannerState) {
       EXPECT_EQ(sent[i].second.size() > 0, fields.size() > 0);
-    } else if (kind == link::Kind::kIds) {
+    } else if (kind == link::FrameKind::kWireIds) {
       EXPECT_EQ(sent[i].second, "") << "it has served no request";
     } else if (fields.find("toy-1") != std::string::npos) {  // was out by hand since some time
       EXPECT_EQ(sent[i].second.size(), fields.size());
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -92,8 +92,8 @@
 TEST_F(Replace, AnOldProcessThatSaysNothingOrIsGoneKeepsNoneFromItsStart) {
   const std::string path =
       std::string(folder.path) + "/millethollow-t-" + harness.config.listen + ".sock";
-  std::vector<std::unique_ptr<handover::Link>> taken;
-  handover::Server silent(&harness.host, [&](auto link) { taken.push_back(std::move(link)); });
+  std::vector<std::unique_ptr<handover::SiblingConnection>> taken;
+  handover::SiblingListener silent(&harness.host, [&](auto link) { taken.push_back(std::move(link)); });
   ASSERT_TRUE(silent.Listen(path));
   const double began = harness.host.Now();
   ASSERT_TRUE(harness.StartNext());
@@ -108,9 +108,9 @@
   Served(client.get(), "a");
   const std::string path =
       std::string(folder.path) + "/millethollow-t-" + harness.config.listen + ".sock";
-  auto never = handover::Link::To(&harness.host, path);
+  auto never = handover::SiblingConnection::ConnectTo(&harness.host, path);
   ASSERT_NE(never, nullptr);
-  never->Send(link::Writer(link::Kind::kHello).I32(1).Done());
+  never->Send(link::Writer(link::FrameKind::kStateRequest).I32(1).Finish());
   harness.Until([] { return false; }, 0.05);
   Served(client.get(), "b");
   never.reset();
@@ -131,14 +131,14 @@
   std::mt19937 random(11);
   auto client = harness.Client();
   for (int round = 0; round < 40; ++round) {
-    auto link = handover::Link::To(&harness.host, path);
+    auto link = handover::SiblingConnection::ConnectTo(&harness.host, path);
     ASSERT_NE(link, nullptr);
     for (int i = 0; i < 8; ++i) {
       std::string bytes(4 + random() % 60, '\0');
       for (char& c : bytes) c = static_cast<char>(random());
       if (bytes.size() > 4)
         bytes[4] = static_cast<char>(64 + random() % 16);  // a kind that is known
-      if (bytes.size() > 4 && bytes[4] == static_cast<char>(link::Kind::kServing)) bytes[4] = 0;
+      if (bytes.size() > 4 && bytes[4] == static_cast<char>(link::FrameKind::kSuccessorServing)) bytes[4] = 0;
       link->Send(bytes);
     }
     harness.Until([] { return false; }, 0.005);
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using link::FrameDecoder;
-using link::Kind;
+using link::FrameKind;
 using link::Reader;
 using link::Writer;
 
@@ -26,8 +26,8 @@
                                    .cell = -3,
                                    .capacity_hint = 0.5,
                                    .started_at_s = 9};
-  const std::string stream = Writer(Kind::kEnded).U64(1ull << 60).I32(-4).Put(outcome).Done() +
-                             Writer(Kind::kWorker).Put(member).Text(std::string(300, 'x')).Done();
+  const std::string stream = Writer(FrameKind::kAttemptEnded).U64(1ull << 60).I32(-4).Put(outcome).Finish() +
+                             Writer(FrameKind::kWorkerChanged).Put(member).Text(std::string(300, 'x')).Finish();
   for (int round = 0; round < 200; ++round) {
     FrameDecoder decoder;
     std::vector<std::string> frames;
@@ -39,17 +39,17 @@
     }
     ASSERT_EQ(frames.size(), 2u);
     Reader ended(frames[0]), worker(frames[1]);
-    EXPECT_EQ(ended.kind(), Kind::kEnded);
+    EXPECT_EQ(ended.kind(), FrameKind::kAttemptEnded);
     EXPECT_EQ(ended.U64(), 1ull << 60);
     EXPECT_EQ(ended.I32(), -4);
     EXPECT_EQ(ended.GetOutcome().report[3], 7);
-    EXPECT_TRUE(ended.Whole());
-    const balancing::Endpoint m = worker.GetMember();
+    EXPECT_TRUE(ended.Complete());
+    const balancing::Endpoint m = worker.GetEndpoint();
     EXPECT_EQ(m.cell, -3);
     EXPECT_EQ(m.readiness, balancing::Readiness::kDraining);
-    EXPECT_FALSE(worker.Whole());
+    EXPECT_FALSE(worker.Complete());
     EXPECT_EQ(worker.Text().size(), 300u);
-    EXPECT_TRUE(worker.Whole());
+    EXPECT_TRUE(worker.Complete());
     EXPECT_EQ(worker.U64(), 0u);
     EXPECT_FALSE(worker.ok());
   }
@@ -58,7 +58,7 @@
 TEST(LinkFrames, OutliveGarbage) {
   std::mt19937 random(20261201);
   for (int round = 0; round < 2000; ++round) {
-    std::string text = Writer(Kind::kTaken).U64(1).Text("abc").Real(2).Done();
+    std::string text = Writer(FrameKind::kRequestReceived).U64(1).Text("abc").F64(2).Finish();
     for (int hits = 1 + static_cast<int>(random() % 4); hits > 0; --hits) {
       text[random() % text.size()] = static_cast<char>(random());
     }
@@ -66,7 +66,7 @@
     decoder.Feed(text);
     while (const auto frame = decoder.Next()) {
       Reader reader(*frame);
-      reader.GetMember();
+      reader.GetEndpoint();
       reader.GetOutcome();
     }
   }
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -306,60 +306,60 @@
   return m;
 }
 inline std::map<std::string, std::string> SampleLinkFrames() {
-  using link::Kind;
+  using link::FrameKind;
   using link::Writer;
   std::map<std::string, std::string> all;
-  all["link-taken"] = Writer(Kind::kTaken)
+  all["link-taken"] = Writer(FrameKind::kRequestReceived)
                           .U64(5ULL << 48 | 7)
                           .Text("look")
                           .I32(2)
                           .Text("id-7")
                           .Text("about")
-                          .Real(4.5)
-                          .Real(2)
-                          .Real(0.25)
-                          .Real(0.0625)
+                          .F64(4.5)
+                          .F64(2)
+                          .F64(0.25)
+                          .F64(0.0625)
                           .U8(1)
                           .U64(1000)
-                          .Done();
-  all["link-client-gone"] = Writer(Kind::kClientGone).U64(5ULL << 48 | 7).Done();
-  all["link-began"] = Writer(Kind::kBegan).U64(5ULL << 48 | 7).I32(1).Done();
-  all["link-ended"] = Writer(Kind::kEnded).U64(5ULL << 48 | 7).I32(1).Put(SampleOutcome()).Done();
-  all["link-probed"] = Writer(Kind::kProbed).Text("toy-1").Put(SampleOutcome()).Done();
-  all["link-worker"] = Writer(Kind::kWorker).Put(SampleMember()).Real(8).Done();
-  all["link-welcome"] = Writer(Kind::kWelcome).U64(5).Done();
-  all["link-address"] = Writer(Kind::kAddress).Text("toy-1").Text("127.0.0.1:9101").U64(12).Done();
-  all["link-send"] = Writer(Kind::kSend).U64(5ULL << 48 | 7).I32(1).Text("toy-1").Done();
-  all["link-cancel"] = Writer(Kind::kCancel).U64(5ULL << 48 | 7).I32(1).Done();
-  all["link-probe"] = Writer(Kind::kProbe).Text("toy-1").Done();
-  all["link-answer"] = Writer(Kind::kAnswer)
+                          .Finish();
+  all["link-client-gone"] = Writer(FrameKind::kRequestCancelled).U64(5ULL << 48 | 7).Finish();
+  all["link-began"] = Writer(FrameKind::kAttemptStarted).U64(5ULL << 48 | 7).I32(1).Finish();
+  all["link-ended"] = Writer(FrameKind::kAttemptEnded).U64(5ULL << 48 | 7).I32(1).Put(SampleOutcome()).Finish();
+  all["link-probed"] = Writer(FrameKind::kProbeAnswered).Text("toy-1").Put(SampleOutcome()).Finish();
+  all["link-worker"] = Writer(FrameKind::kWorkerChanged).Put(SampleMember()).F64(8).Finish();
+  all["link-welcome"] = Writer(FrameKind::kForwarderNumber).U64(5).Finish();
+  all["link-address"] = Writer(FrameKind::kWorkerAddress).Text("toy-1").Text("127.0.0.1:9101").U64(12).Finish();
+  all["link-send"] = Writer(FrameKind::kSendAttempt).U64(5ULL << 48 | 7).I32(1).Text("toy-1").Finish();
+  all["link-cancel"] = Writer(FrameKind::kCancelAttempt).U64(5ULL << 48 | 7).I32(1).Finish();
+  all["link-probe"] = Writer(FrameKind::kSendProbe).Text("toy-1").Finish();
+  all["link-answer"] = Writer(FrameKind::kFinalAnswer)
                            .U64(5ULL << 48 | 7)
                            .U8(static_cast<std::uint8_t>(FinalAnswer::Kind::kRejected))
                            .I32(-1)
-                           .Real(0.75)
-                           .Done();
-  all["handover-hello"] = Writer(Kind::kHello).I32(1).Done();
-  all["handover-socket"] = Writer(Kind::kSocket).U8(2).Done();
-  all["handover-class"] = Writer(Kind::kClass).Text("look").Done();
-  all["handover-known"] = Writer(Kind::kKnown)
+                           .F64(0.75)
+                           .Finish();
+  all["handover-hello"] = Writer(FrameKind::kStateRequest).I32(1).Finish();
+  all["handover-socket"] = Writer(FrameKind::kSharedSocket).U8(2).Finish();
+  all["handover-class"] = Writer(FrameKind::kClassName).Text("look").Finish();
+  all["handover-known"] = Writer(FrameKind::kWorkerState)
                               .Put(SampleMember())
-                              .Real(12.5)
-                              .Real(-1)
+                              .F64(12.5)
+                              .F64(-1)
                               .Text("127.0.0.1:9101")
                               .U64(12)
-                              .Done();
+                              .Finish();
   all["handover-ids"] =
-      Writer(Kind::kIds).Raw(Writer(Kind::kId).Text("id-7").Done().substr(5)).Done();
-  all["handover-learned"] = Writer(Kind::kLearned).Raw("bytes").Done();
-  all["handover-told"] = Writer(Kind::kStateEnd).U64(44).Done();
-  all["handover-serving"] = Writer(Kind::kServing).Done();
-  all["handover-client"] = Writer(Kind::kClient).U8(1).Raw("GET / HT").Done();
-  all["handover-idle-worker"] = Writer(Kind::kIdleWorker).Text("toy-1").Real(3.5).Done();
-  all["handover-mate"] = Writer(Kind::kPeerMessage).Raw("datagram").Done();
-  all["handover-use"] = Writer(Kind::kUse).U64(10).U64(20).Done();
-  all["handover-ban"] = Writer(Kind::kMaintenance).Text("toy-1").U8(1).Done();
-  all["handover-down"] = Writer(Kind::kDown).Put(SampleMember()).Done();
-  all["handover-id"] = Writer(Kind::kId).Text("id-7").Done();
+      Writer(FrameKind::kWireIds).Raw(Writer(FrameKind::kWireIdUsed).Text("id-7").Finish().substr(5)).Finish();
+  all["handover-learned"] = Writer(FrameKind::kPlannerState).Raw("bytes").Finish();
+  all["handover-told"] = Writer(FrameKind::kStateEnd).U64(44).Finish();
+  all["handover-serving"] = Writer(FrameKind::kSuccessorServing).Finish();
+  all["handover-client"] = Writer(FrameKind::kClientConnection).U8(1).Raw("GET / HT").Finish();
+  all["handover-idle-worker"] = Writer(FrameKind::kWorkerConnection).Text("toy-1").F64(3.5).Finish();
+  all["handover-mate"] = Writer(FrameKind::kPeerMessage).Raw("datagram").Finish();
+  all["handover-use"] = Writer(FrameKind::kDescriptorUse).U64(10).U64(20).Finish();
+  all["handover-ban"] = Writer(FrameKind::kMaintenance).Text("toy-1").U8(1).Finish();
+  all["handover-down"] = Writer(FrameKind::kWorkerDown).Put(SampleMember()).Finish();
+  all["handover-id"] = Writer(FrameKind::kWireIdUsed).Text("id-7").Finish();
   return all;
 }
 
