--- a/src/net/cluster/async_record_store.cpp
+++ b/src/net/cluster/async_record_store.cpp
@@ -11,38 +11,38 @@
 
 namespace millethollow::cluster {
 
-bool AsyncRecordStore::OpenFile(std::uint64_t new_disk, std::string* error) {
-  const std::uint64_t file = ++file_;
+bool AsyncRecordStore::OpenFile(std::uint64_t new_store_id, std::string* error) {
+  const std::uint64_t generation = ++file_generation_;
   store_ = std::make_unique<store::RecordStore>();
   return store_->Open(
-      o_.folder, {o_.cluster, o_.member, new_disk}, o_.max_bytes,
-      [this, file](std::uint64_t ticket, bool ok) {
-        mail_.Post([this, file, ticket, ok] { Written(file, ticket, ok); });
+      options_.folder, {options_.cluster, options_.member, new_store_id}, options_.max_bytes,
+      [this, generation](std::uint64_t ticket, bool ok) {
+        mailbox_.Post([this, generation, ticket, ok] { OnWritten(generation, ticket, ok); });
       },
       error);
 }
 
-void AsyncRecordStore::PutAside() {
+void AsyncRecordStore::SetAside() {
   store_.reset();
-  const std::string file = o_.folder + "/copies.db";
+  const std::string file = options_.folder + "/copies.db";
   (void)rename(file.c_str(), (file + ".damaged").c_str());
   (void)unlink((file + "-wal").c_str());
 }
 
-bool AsyncRecordStore::Open(Loop* loop, const Options& options, std::uint64_t new_disk,
+bool AsyncRecordStore::Open(Loop* loop, const Options& options, std::uint64_t new_store_id,
                             std::string* error) {
   loop_ = loop;
-  o_ = options;
-  if (!mail_.Open(loop, error)) return false;
-  bool opened = OpenFile(new_disk, error);
-  if (!opened && store_->damaged()) {  // others have what was in it
+  options_ = options;
+  if (!mailbox_.Open(loop, error)) return false;
+  bool opened = OpenFile(new_store_id, error);
+  if (!opened && store_->damaged()) {  // its contents are replicated at other members
     Events().error("cluster store-damaged {} kept=copies.db.damaged", *error);
-    PutAside();
+    SetAside();
     error->clear();
-    opened = OpenFile(new_disk, error);
+    opened = OpenFile(new_store_id, error);
   }
-  if (!opened && store_->unwritable()) {  // it serves, and says that it keeps nothing
-    Events().error("cluster store-failed {}: nothing is kept on it", *error);
+  if (!opened && store_->unwritable()) {  // the member runs on without storing anything
+    Events().error("cluster store-failed {}: nothing is stored", *error);
     return failed_ = true;
   }
   return opened;
@@ -64,53 +64,53 @@
   return true;
 }
 
-bool AsyncRecordStore::Renew(std::uint64_t new_disk) {
+bool AsyncRecordStore::Recreate(std::uint64_t new_store_id) {
   if (failed_) return false;
-  PutAside();  // the last writes are on it, and nobody hears of them any more
+  SetAside();  // with it go the writes whose callbacks have not run yet
   std::string error;
-  failed_ = !OpenFile(new_disk, &error);
-  if (failed_) Events().error("cluster store-failed {}: nothing is kept on it", error);
-  for (const Waiting& w : std::exchange(waiting_, {})) w.then(false);
+  failed_ = !OpenFile(new_store_id, &error);
+  if (failed_) Events().error("cluster store-failed {}: nothing is stored", error);
+  for (const PendingWrite& write : std::exchange(pending_writes_, {})) write.callback(false);
   return !failed_;
 }
 
-void AsyncRecordStore::Write(std::vector<copies::StoreWrite> batch, Then then) {
-  if (failed_ || (batch.empty() && waiting_.empty())) return then(!failed_);
-  if (!batch.empty()) store_->Write(std::move(batch), ++ticket_);
-  waiting_.push_back({ticket_, loop_->Now(), std::move(then)});
+void AsyncRecordStore::Write(std::vector<copies::StoreWrite> batch, WriteCallback callback) {
+  if (failed_ || (batch.empty() && pending_writes_.empty())) return callback(!failed_);
+  if (!batch.empty()) store_->Write(std::move(batch), ++last_ticket_);
+  pending_writes_.push_back({last_ticket_, loop_->Now(), std::move(callback)});
 }
 
 void AsyncRecordStore::Read(std::string prefix, std::string after, std::size_t max_records,
-                            Found found) {
-  if (failed_) return found({}, true, true);
-  const std::uint64_t file = file_;
+                            ReadCallback on_records) {
+  if (failed_) return on_records({}, true, true);
+  const std::uint64_t generation = file_generation_;
   store_->Read(std::move(prefix), std::move(after), max_records,
-               [this, file, found = std::move(found)](Records records, bool last,
-                                                      const std::vector<std::string>& damaged) {
-                 mail_.Post([this, file, found, records = std::move(records), last,
-                             bad = !damaged.empty()]() mutable {
-                   if (file == file_) found(std::move(records), last, bad);
+               [this, generation, on_records = std::move(on_records)](
+                   Records records, bool last, const std::vector<std::string>& damaged) {
+                 mailbox_.Post([this, generation, on_records, records = std::move(records), last,
+                                bad = !damaged.empty()]() mutable {
+                   if (generation == file_generation_) on_records(std::move(records), last, bad);
                  });
                });
 }
 
-void AsyncRecordStore::Written(std::uint64_t file, std::uint64_t ticket, bool ok) {
-  if (file != file_) return;
+void AsyncRecordStore::OnWritten(std::uint64_t generation, std::uint64_t ticket, bool ok) {
+  if (generation != file_generation_) return;
   if (!ok && !std::exchange(failed_, true)) {
-    Events().error("cluster store-failed store={} nothing is kept on it any more", o_.folder);
+    Events().error("cluster store-failed store={} nothing more is stored", options_.folder);
   }
-  Answer(failed_ ? std::numeric_limits<std::uint64_t>::max() : ticket);
+  CompleteWrites(failed_ ? std::numeric_limits<std::uint64_t>::max() : ticket);
 }
 
-void AsyncRecordStore::Answer(std::uint64_t ticket) {
-  while (!waiting_.empty() && waiting_.front().ticket <= ticket) {
-    const Waiting done = std::move(waiting_.front());
-    waiting_.pop_front();
+void AsyncRecordStore::CompleteWrites(std::uint64_t ticket) {
+  while (!pending_writes_.empty() && pending_writes_.front().ticket <= ticket) {
+    const PendingWrite done = std::move(pending_writes_.front());
+    pending_writes_.pop_front();
     if (!failed_) {
-      figures_.commits += 1;
-      figures_.took.Add(loop_->Now() - done.asked_at);
+      metrics_.commits += 1;
+      metrics_.commit_latency_s.Add(loop_->Now() - done.requested_at);
     }
-    done.then(!failed_);
+    done.callback(!failed_);
   }
 }
 
--- a/src/net/cluster/async_record_store.h
+++ b/src/net/cluster/async_record_store.h
@@ -1,5 +1,6 @@
-// The store of copies as the loop's thread sees it: opened, written and read in turns of the loop,
-// put aside where it can't be read.
+// The record store as the loop's thread uses it. The store::RecordStore writes and reads on a
+// thread of its own; results are posted back, so that all calls and callbacks here are on the
+// loop's thread. A file that can't be read is set aside, and an empty one is created.
 #ifndef MILLETHOLLOW_NET_CLUSTER_ASYNC_RECORD_STORE_H_
 #define MILLETHOLLOW_NET_CLUSTER_ASYNC_RECORD_STORE_H_
 
@@ -19,58 +20,67 @@
 class AsyncRecordStore {
  public:
   using Records = store::RecordStore::Records;
-  // false: it is not on the disk, and nothing will be any more.
-  using Then = std::function<void(bool kept)>;
-  // Records by rising keys; `last`: there are no more; `damaged`: one was not what was written.
-  using Found = std::function<void(Records records, bool last, bool damaged)>;
+  // `stored` is false if the records are not on the disk; then the store has failed for good.
+  using WriteCallback = std::function<void(bool stored)>;
+  // Records by ascending key. `last`: no more follow. `damaged`: a record failed its checksum.
+  using ReadCallback = std::function<void(Records records, bool last, bool damaged)>;
   struct Options {
     std::string folder;
     std::uint64_t cluster = 0, member = 0, max_bytes = 0;
   };
-  struct Figures {
-    std::uint64_t commits = 0;   // writes that are on the disk
-    scheduling::Quantiles took;  // seconds from asking to the disk
+  struct Metrics {
+    std::uint64_t commits = 0;               // writes that have reached the disk
+    scheduling::Quantiles commit_latency_s;  // seconds from the call of Write to its callback
   };
 
-  // `new_disk` numbers the store where it is made now. One that can't be read is put aside.
-  // False, with one clear line: it is another's, or in use. One whose disk takes nothing is failed.
-  bool Open(Loop* loop, const Options& options, std::uint64_t new_disk, std::string* error);
-  // The heads and operations of all logs; `damaged`: some are not what was written.
+  // Opens the store, or creates it with the id `new_store_id`. A damaged file is set aside and
+  // replaced. False, with a reason of one line, if the store belongs to another cluster or member,
+  // or is in use. A disk that can't be written is not an error here: the store is failed() then.
+  bool Open(Loop* loop, const Options& options, std::uint64_t new_store_id, std::string* error);
+  // Reads the heads and operations of all logs, blocking. `damaged`: a record failed its checksum.
   bool LoadLogs(Records* records, bool* damaged);
-  // All under a prefix, but for what is damaged.
+  // Reads all intact records under a prefix, blocking. `damaged`: how many others there are.
   bool Load(const std::string& prefix, Records* records, std::size_t* damaged);
-  // Puts the file aside and begins a new one under another number. Who waits is told no.
-  bool Renew(std::uint64_t new_disk);
+  // Sets the file aside and creates an empty one with another id. Pending writes fail.
+  bool Recreate(std::uint64_t new_store_id);
 
-  // `then` once these and all that were given before are on the disk; none may be given.
-  void Write(std::vector<copies::StoreWrite> batch, Then then);
-  // Sees all that was given before.
-  void Read(std::string prefix, std::string after, std::size_t max_records, Found found);
+  // Calls `callback` once these writes and all earlier ones are on the disk. With an empty batch it
+  // waits for the earlier ones alone.
+  void Write(std::vector<copies::StoreWrite> batch, WriteCallback callback);
+  // Reads at most `max_records` under `prefix` whose keys are above `after`. Sees all earlier
+  // writes.
+  void Read(std::string prefix, std::string after, std::size_t max_records,
+            ReadCallback on_records);
 
-  std::uint64_t disk() const { return failed_ || !store_ ? 0 : store_->disk(); }
+  // 0 if the store has failed or is not open.
+  std::uint64_t store_id() const { return failed_ || !store_ ? 0 : store_->disk(); }
   bool failed() const { return failed_; }
-  double used() const { return store_ ? store_->used() : 0; }  // of max_bytes, 0 to 1
-  const Figures& figures() const { return figures_; }
+  // The part of max_bytes that is in use, 0 to 1.
+  double used_fraction() const { return store_ ? store_->used() : 0; }
+  const Metrics& metrics() const { return metrics_; }
 
  private:
-  struct Waiting {
+  struct PendingWrite {
     std::uint64_t ticket = 0;
-    double asked_at = 0;
-    Then then;
+    double requested_at = 0;  // seconds of the loop's clock
+    WriteCallback callback;
   };
-  bool OpenFile(std::uint64_t new_disk, std::string* error);
-  void PutAside();
-  void Written(std::uint64_t file, std::uint64_t ticket, bool ok);
-  void Answer(std::uint64_t ticket);
+  bool OpenFile(std::uint64_t new_store_id, std::string* error);
+  void SetAside();
+  void OnWritten(std::uint64_t generation, std::uint64_t ticket, bool ok);
+  void CompleteWrites(std::uint64_t ticket);
 
   Loop* loop_ = nullptr;
-  Options o_;
-  std::deque<Waiting> waiting_;
-  std::uint64_t ticket_ = 0, file_ = 0;  // file: rises with each Renew
+  Options options_;
+  std::deque<PendingWrite> pending_writes_;
+  // file_generation_ rises with each file that is opened, so that results of an earlier file are
+  // told apart.
+  std::uint64_t last_ticket_ = 0, file_generation_ = 0;
   bool failed_ = false;
-  Figures figures_;
-  Mailbox mail_;
-  std::unique_ptr<store::RecordStore> store_;  // goes first: its thread speaks to what is above
+  Metrics metrics_;
+  Mailbox mailbox_;
+  // Declared last, so destroyed first: its thread posts to the mailbox above.
+  std::unique_ptr<store::RecordStore> store_;
 };
 
 }  // namespace millethollow::cluster
--- a/src/net/cluster/frame.h
+++ b/src/net/cluster/frame.h
@@ -1,7 +1,10 @@
-// A frame between members: who speaks, for which cluster, and that it is whole. The header:
-//   'm' 'h', version, kind, body's length (4), cluster (8), sender (8), life (8), number (8),
-//   the body, and the XXH3 hash of all that (8); little-endian.
-// A version that is not ours is refused; a kind that is not known is skipped.
+// Framing of the messages between members of a cluster. Encoding and decoding only: no sockets, no
+// clock. A frame is:
+//   'm' 'h', protocol version (1 byte), kind of the body (1), length of the body (4), cluster (8),
+//   sender (8), the sender's process incarnation (8), sequence number (8), the body, and the XXH3
+//   hash of all before it (8).
+// Integers are little-endian. A frame with another version is refused; one with an unknown kind is
+// skipped.
 #ifndef MILLETHOLLOW_NET_CLUSTER_FRAME_H_
 #define MILLETHOLLOW_NET_CLUSTER_FRAME_H_
 
@@ -17,26 +20,30 @@
 namespace millethollow::cluster {
 
 constexpr std::size_t kHeaderBytes = 40, kHashBytes = 8;
-constexpr std::size_t kMaxDatagramBytes = 1200;     // what is longer goes by TCP
-constexpr std::size_t kMaxFrameBytes = 256 * 1024;  // and more than this not at all
-constexpr std::uint8_t kVersion = 1;
+constexpr std::size_t kMaxDatagramBytes = 1200;     // longer frames go by TCP
+constexpr std::size_t kMaxFrameBytes = 256 * 1024;  // longer frames are not sent at all
+constexpr std::uint8_t kProtocolVersion = 1;
 
 struct Header {
-  std::uint64_t cluster = 0;  // hash of its name
+  std::uint64_t cluster = 0;  // hash of the cluster's name
   membership::NodeId from = 0;
   membership::ProcessIncarnation process_incarnation = 0;
-  std::uint64_t number = 0;  // rises with each frame that the sender makes for this receiver
+  // Rises with each frame that the sender makes for this receiver; a number that was received
+  // before marks a replayed frame.
+  std::uint64_t sequence = 0;
 };
 
-enum class Fault : std::uint8_t { kNone, kShort, kGarbled, kOtherVersion, kUnknownKind };
+enum class DecodeError : std::uint8_t { kNone, kTruncated, kCorrupt, kOtherVersion, kUnknownKind };
 
-// All that members say to each other.
+// The messages that members exchange.
 using Body = std::variant<membership::Frame, copies::ReplicationMessage, quota::Message>;
 
 std::string Encode(const Header& header, const Body& body);
-Fault Decode(std::string_view bytes, Header* header, Body* body);
-// Of a frame whose first kHeaderBytes are here: how long it is; 0: it is none.
-std::size_t LengthOf(std::string_view header);
+// Decodes a whole frame. A body whose fields are not valid counts as kUnknownKind.
+DecodeError Decode(std::string_view bytes, Header* header, Body* body);
+// The length in bytes of the frame that begins with these kHeaderBytes; 0 if it is not a frame, or
+// is longer than kMaxFrameBytes.
+std::size_t FrameLength(std::string_view header);
 
 }  // namespace millethollow::cluster
 
--- a/src/net/cluster/log_replicator.cpp
+++ b/src/net/cluster/log_replicator.cpp
@@ -15,179 +15,190 @@
                              Hooks hooks)
     : loop_(loop), store_(store), options_(options), hooks_(std::move(hooks)) {}
 
-LogReplicator::~LogReplicator() { loop_->deadlines().Drop(&tick_); }
+LogReplicator::~LogReplicator() { loop_->deadlines().Drop(&tick_timer_); }
 
 void LogReplicator::Start() {
   AsyncRecordStore::Records records;
   bool damaged = false;
   if (!store_->LoadLogs(&records, &damaged) && !store_->failed()) damaged = true;
   if (damaged) {
-    // What is left of the logs is not what was told of them: others send a snapshot.
+    // What remains of the logs may lack acknowledged operations: start empty and let other members
+    // send snapshots.
     Events().error("cluster copies-damaged kept=copies.db.damaged");
     records.clear();
-    store_->Renew(hooks_.draw());
-    hooks_.renewed();
+    store_->Recreate(hooks_.new_store_id());
+    hooks_.on_store_recreated();
   }
-  options_.disk = store_->disk();
-  copies_ = std::make_unique<ReplicatedLogs>(options_, records);
-  if (store_->failed()) copies_->OnStoreFailed();
-  Look();
+  options_.disk = store_->store_id();
+  logs_ = std::make_unique<ReplicatedLogs>(options_, records);
+  if (store_->failed()) logs_->OnStoreFailed();
+  Reevaluate();
 }
 
-void LogReplicator::Renew() {
-  store_->Renew(hooks_.draw());
-  hooks_.renewed();
-  run_ += 1;
-  options_.disk = store_->disk();
-  for (const LogId log : copies_->Owned()) {
-    if (ledger_.released) ledger_.released(log);
+void LogReplicator::RecreateStore() {
+  store_->Recreate(hooks_.new_store_id());
+  hooks_.on_store_recreated();
+  store_generation_ += 1;
+  options_.disk = store_->store_id();
+  for (const LogId log : logs_->Owned()) {
+    if (observer_.released) observer_.released(log);
   }
   loading_.clear();
-  copies_ = std::make_unique<ReplicatedLogs>(options_, AsyncRecordStore::Records{});
-  if (store_->failed()) copies_->OnStoreFailed();
-  loop_->Later([this] { Look(); });
+  logs_ = std::make_unique<ReplicatedLogs>(options_, AsyncRecordStore::Records{});
+  if (store_->failed()) logs_->OnStoreFailed();
+  loop_->Later([this] { Reevaluate(); });
 }
 
-void LogReplicator::Do(const std::function<void(ReplicatedLogs*, double, Actions*)>& event) {
+void LogReplicator::RunEvent(const std::function<void(ReplicatedLogs*, double, Actions*)>& event) {
   Actions actions;
   const double now = hooks_.now();
-  copies_->OnView(now, hooks_.view(), hooks_.leased(), &actions);
-  // Each write by itself: what it comes to is told by its ticket.
-  CarryOut(&actions);
-  Actions more;
-  event(copies_.get(), now, &more);
-  CarryOut(&more);
-  hooks_.want(copies_->disk(), copies_->RequestedLogs());
-  Arm();
+  logs_->OnView(now, hooks_.view(), hooks_.holds_lease(), &actions);
+  // Executed separately from the event's own actions, because each set of actions is one write with
+  // one ticket.
+  ExecuteActions(&actions);
+  Actions further;
+  event(logs_.get(), now, &further);
+  ExecuteActions(&further);
+  hooks_.request_logs(logs_->disk(), logs_->RequestedLogs());
+  ScheduleTick();
 }
 
-void LogReplicator::CarryOut(Actions* actions) {
-  const std::uint64_t run = run_;
+void LogReplicator::ExecuteActions(Actions* actions) {
+  const std::uint64_t generation = store_generation_;
   if (!actions->write.empty()) {
-    store_->Write(std::move(actions->write), [this, run, ticket = actions->ticket](bool kept) {
-      if (run != run_) return;
-      if (!kept) return copies_->OnStoreFailed();
-      Do([ticket](ReplicatedLogs* c, double now, Actions* a) { c->OnStored(now, ticket, a); });
-    });
+    store_->Write(std::move(actions->write),
+                  [this, generation, ticket = actions->ticket](bool stored) {
+                    if (generation != store_generation_) return;
+                    if (!stored) return logs_->OnStoreFailed();
+                    RunEvent([ticket](ReplicatedLogs* logs, double now, Actions* further) {
+                      logs->OnStored(now, ticket, further);
+                    });
+                  });
   }
-  for (const auto& [to, frame] : actions->send) hooks_.send(to, frame);
-  for (const ReplicatedLogs::Read& read : actions->read) ReadChunk(read);
+  for (const auto& [to, message] : actions->send) hooks_.send(to, message);
+  for (const ReplicatedLogs::Read& read : actions->read) ReadSnapshotChunk(read);
   for (const LogId log : actions->released) {
     Events().info("cluster log={:x} acts=no", log);
     loading_.erase(log);
-    if (ledger_.released) ledger_.released(log);
+    if (observer_.released) observer_.released(log);
   }
   for (const LogId log : actions->acquired) {
     loading_[log].clear();
-    Load(log, copies_->EntryPrefixOf(log), "");
+    LoadEntries(log, logs_->EntryPrefixOf(log), "");
   }
-  for (const auto& [log, seq] : actions->committed) {
-    if (ledger_.committed) ledger_.committed(log, seq);
+  for (const auto& [log, sequence] : actions->committed) {
+    if (observer_.committed) observer_.committed(log, sequence);
   }
   if (actions->store_is_stale) {
     Events().error(
-        "cluster copies-lied: this disk is older than what it told: kept={}, others fill it anew",
+        "cluster copies-lied: the store is older than what this member acknowledged: kept={}, "
+        "restored "
+        "from other members",
         "copies.db.damaged");
-    loop_->Later([this, run] {
-      if (run == run_) Renew();
+    loop_->Later([this, generation] {
+      if (generation == store_generation_) RecreateStore();
     });
   }
 }
 
-// All entries of a log, before anybody acts on it.
-void LogReplicator::Load(LogId log, const std::string& prefix, const std::string& after) {
-  const std::uint64_t run = run_;
+// Reads all entries of a log in batches, then reports the log as acquired.
+void LogReplicator::LoadEntries(LogId log, const std::string& prefix, const std::string& after) {
+  const std::uint64_t generation = store_generation_;
   store_->Read(
-      prefix, after, kLoadEntries,
-      [this, run, log, prefix](AsyncRecordStore::Records records, bool last, bool damaged) {
+      prefix, after, kLoadBatchEntries,
+      [this, generation, log, prefix](AsyncRecordStore::Records records, bool last, bool damaged) {
         const auto it = loading_.find(log);
-        if (run != run_ || it == loading_.end()) return;
+        if (generation != store_generation_ || it == loading_.end()) return;
         for (const auto& [key, value] : records) {
-          auto op = copies::DecodeOperation(value);
-          if (op) it->second.push_back(std::move(*op));
-          damaged |= !op;
+          auto operation = copies::DecodeOperation(value);
+          if (operation) it->second.push_back(std::move(*operation));
+          damaged |= !operation;
         }
         if (damaged) {
           Events().error("cluster copies-damaged log={:x} kept=copies.db.damaged", log);
-          return Renew();
+          return RecreateStore();
         }
-        if (!last) return Load(log, prefix, records.back().first);
+        if (!last) return LoadEntries(log, prefix, records.back().first);
         std::vector<Operation> entries = std::move(it->second);
         loading_.erase(it);
         Events().info("cluster log={:x} acts=yes entries={}", log, entries.size());
-        if (ledger_.acquired) ledger_.acquired(log, std::move(entries));
+        if (observer_.acquired) observer_.acquired(log, std::move(entries));
       });
 }
 
-void LogReplicator::ReadChunk(const ReplicatedLogs::Read& read) {
-  const std::uint64_t run = run_;
+void LogReplicator::ReadSnapshotChunk(const ReplicatedLogs::Read& read) {
+  const std::uint64_t generation = store_generation_;
   store_->Read(read.prefix, read.after, options_.snapshot_chunk_entries,
-               [this, run, log = read.log, snapshot_id = read.snapshot_id](
+               [this, generation, log = read.log, snapshot_id = read.snapshot_id](
                    const AsyncRecordStore::Records& records, bool last, bool damaged) {
-                 if (run != run_) return;
+                 if (generation != store_generation_) return;
                  std::vector<Operation> entries;
                  std::size_t bytes = 0;
                  for (const auto& [key, value] : records) {
-                   if (!entries.empty() && bytes + value.size() > kChunkBytes) {
+                   if (!entries.empty() && bytes + value.size() > kMaxChunkBytes) {
                      last = false;
                      break;
                    }
                    bytes += value.size();
-                   auto op = copies::DecodeOperation(value);
-                   if (op) entries.push_back(std::move(*op));
-                   damaged |= !op;
+                   auto operation = copies::DecodeOperation(value);
+                   if (operation) entries.push_back(std::move(*operation));
+                   damaged |= !operation;
                  }
                  if (damaged) {
                    Events().error("cluster copies-damaged log={:x} kept=copies.db.damaged", log);
-                   return Renew();
+                   return RecreateStore();
                  }
-                 Do([&](ReplicatedLogs* c, double now, Actions* a) {
-                   c->OnSnapshotChunkRead(now, log, snapshot_id, std::move(entries), last, a);
+                 RunEvent([&](ReplicatedLogs* logs, double now, Actions* actions) {
+                   logs->OnSnapshotChunkRead(now, log, snapshot_id, std::move(entries), last,
+                                             actions);
                  });
                });
 }
 
-void LogReplicator::Look() {
-  Do([](ReplicatedLogs*, double, Actions*) {});
+void LogReplicator::Reevaluate() {
+  RunEvent([](ReplicatedLogs*, double, Actions*) {});
 }
 
-void LogReplicator::Hear(membership::NodeId from, const copies::ReplicationMessage& frame) {
-  Do([&](ReplicatedLogs* c, double now, Actions* a) { c->OnMessage(now, from, frame, a); });
+void LogReplicator::OnMessage(membership::NodeId from, const copies::ReplicationMessage& message) {
+  RunEvent([&](ReplicatedLogs* logs, double now, Actions* actions) {
+    logs->OnMessage(now, from, message, actions);
+  });
 }
 
 void LogReplicator::Open(LogId log) {
-  Do([log](ReplicatedLogs* c, double, Actions*) { c->Open(log); });
+  RunEvent([log](ReplicatedLogs* logs, double, Actions*) { logs->Open(log); });
 }
 
 void LogReplicator::Close(LogId log) {
-  Do([log](ReplicatedLogs* c, double, Actions*) { c->Close(log); });
+  RunEvent([log](ReplicatedLogs* logs, double, Actions*) { logs->Close(log); });
 }
 
-SequenceNumber LogReplicator::Append(LogId log, std::string key, std::string value, bool gone,
+SequenceNumber LogReplicator::Append(LogId log, std::string key, std::string value, bool erased,
                                      ReplicatedLogs::AppendError* reason) {
-  SequenceNumber seq = 0;
-  Do([&](ReplicatedLogs* c, double now, Actions* a) {
-    seq = c->Append(now, log, std::move(key), std::move(value), gone, reason, a);
+  SequenceNumber sequence = 0;
+  RunEvent([&](ReplicatedLogs* logs, double now, Actions* actions) {
+    sequence = logs->Append(now, log, std::move(key), std::move(value), erased, reason, actions);
   });
-  return seq;
+  return sequence;
 }
 
-bool LogReplicator::Acts(LogId log) {
-  bool acts = false;
-  Do([&](ReplicatedLogs* c, double, Actions*) { acts = c->MayAct(log); });
-  return acts;
+bool LogReplicator::MayAct(LogId log) {
+  bool may_act = false;
+  RunEvent([&](ReplicatedLogs* logs, double, Actions*) { may_act = logs->MayAct(log); });
+  return may_act;
 }
 
-double LogReplicator::MaxAge(LogId log, SequenceNumber seq) const {
-  return copies_->MaxAge(hooks_.now(), log, seq);
+double LogReplicator::MaxAge(LogId log, SequenceNumber sequence) const {
+  return logs_->MaxAge(hooks_.now(), log, sequence);
 }
 
-void LogReplicator::Arm() {
-  loop_->deadlines().Drop(&tick_);
-  tick_ =
-      loop_->deadlines().At(loop_->Now() + std::max(0.0, copies_->NextAt() - hooks_.now()), [this] {
-        tick_ = Deadlines::kNone;
-        Do([](ReplicatedLogs* c, double now, Actions* a) { c->Tick(now, a); });
+void LogReplicator::ScheduleTick() {
+  loop_->deadlines().Drop(&tick_timer_);
+  tick_timer_ =
+      loop_->deadlines().At(loop_->Now() + std::max(0.0, logs_->NextAt() - hooks_.now()), [this] {
+        tick_timer_ = Deadlines::kNone;
+        RunEvent(
+            [](ReplicatedLogs* logs, double now, Actions* actions) { logs->Tick(now, actions); });
       });
 }
 
--- a/src/net/cluster/member.h
+++ b/src/net/cluster/member.h
@@ -1,6 +1,6 @@
-// This process as a member of a cluster: carries between the decisions of
-// membership::MembershipNode and the sockets, the clock and the disk, and tells what there is to
-// know.
+// This process as a member of a cluster: executes the decisions of membership::MembershipNode with
+// the transport, the clock and the disk, and runs the replicated logs and quota leases on top of
+// them.
 #ifndef MILLETHOLLOW_NET_CLUSTER_MEMBER_H_
 #define MILLETHOLLOW_NET_CLUSTER_MEMBER_H_
 
@@ -17,122 +17,134 @@
 #include "membership/membership_node.h"
 #include "millethollow/balancing/load_balancer.h"
 #include "net/cluster/async_record_store.h"
-#include "net/cluster/fact_keeper.h"
 #include "net/cluster/frame.h"
 #include "net/cluster/log_replicator.h"
-#include "net/cluster/quota_keeper.h"
+#include "net/cluster/maintenance_store.h"
+#include "net/cluster/quota_lease_manager.h"
 #include "net/cluster/transport.h"
 #include "net/loop.h"
 #include "store/vote_file.h"
 
 namespace millethollow::cluster {
 
-// Frames that were turned away, by cause.
-struct Refusals {
-  std::uint64_t garbled = 0, other_cluster = 0, strangers = 0, other_version = 0, unknown = 0;
+// Numbers of received frames that were rejected, by reason.
+struct RejectedFrames {
+  std::uint64_t corrupt = 0, other_cluster = 0, unknown_sender = 0, other_version = 0,
+                unknown_kind = 0;
   std::uint64_t replayed = 0;
 };
 
+// Does not own the loop. All calls and callbacks are on the loop's thread.
 class Member {
  public:
-  // What others said, to be done here too.
+  // The first two report what other members decided or noticed, to be applied at this node too.
   struct Hooks {
     std::function<void(const std::string& worker, bool in_maintenance)> set_maintenance;
+    // A worker drains, or is gone. `started_at_s` tells its processes apart (Unix time).
     std::function<void(const std::string& worker, double started_at_s, bool gone)> on_worker_down;
-    // By tenant, where quotas are leased: jobs per second that came in lately.
+    // By tenant, if quotas are leased: jobs per second that arrived lately.
     std::function<std::vector<double>()> tenant_demand = {};
   };
-  // Of SetMaintenance: whether another member has it now, and this one's disk where there is a
-  // store. False comes when nobody is there, or after kReplicationTimeoutS.
-  using ReplicatedCallback = std::function<void(bool elsewhere)>;
-  static constexpr double kReplicationTimeoutS = 0.7;  // a caller at the admin address waits 1 s
+  // The result of SetMaintenance. True: another member has stored the change, and so has this one
+  // if it has a store. False: no other member can be reached, or kReplicationTimeoutS has passed.
+  using ReplicatedCallback = std::function<void(bool replicated)>;
+  static constexpr double kReplicationTimeoutS = 0.7;  // callers at the admin address wait 1 s
 
-  // `tenants`: with their quotas, in the order of all that goes by tenant.
+  // `tenants`: with their quotas, in the order of the configuration, which every list by tenant
+  // follows. `seed` must differ between processes.
   Member(Loop* loop, const ClusterOptions& options, std::vector<NamedQuota> tenants,
          std::uint64_t seed, Hooks hooks);
   ~Member();
   Member(const Member&) = delete;
   Member& operator=(const Member&) = delete;
 
+  // Opens the stores, blocking, and the sockets; false, with a reason, if that fails. To be called
+  // once, before all that follows.
   bool Start(std::string* error);
-  // Says that this process goes and gives its lease back.
+  // Announces that this process ends, and returns its lease.
   void Leave();
-  // An operator took a worker out at this node, or put it back: so it is at all.
+  // An operator put a worker into maintenance at this node, or took it out: replicates that to all
+  // members.
   void SetMaintenance(const std::string& worker, bool in_maintenance,
                       ReplicatedCallback on_replicated);
-  // Discovery told this node that a worker drains or is gone.
+  // The endpoint list of this node says that a worker drains or is gone.
   void OnWorkerDown(const std::string& worker, double started_at_s, bool gone);
   bool InMaintenance(const std::string& worker) const {
-    return cluster_->maintenance().InMaintenance(worker);
+    return membership_->maintenance().InMaintenance(worker);
   }
-  // Does it know what the others know, or that nobody is there?
-  bool Synced() const { return cluster_->maintenance().synced(); }
+  // Whether this member has the maintenance records of the others, or no other member is there.
+  bool Synced() const { return membership_->maintenance().synced(); }
 
-  // Other quotas of the same tenants.
+  // Changes the quotas of the same tenants.
   void SetQuotas(const std::vector<double>& quotas);
 
-  // With a clock read now, so that a stop that nobody noticed counts.
+  // By a clock read at the time of the call, so that a pause of the process counts.
   bool HoldsLease() const;
-  double LeaseRemaining() const;                    // seconds
-  balancing::FleetShare CurrentFleetShare() const;  // of what the whole cluster may do
-  const membership::MembershipNode& decisions() const { return *cluster_; }
-  // Copies of what members hold for others; null: this one has no store.
-  LogReplicator* log_replicator() const { return copies_.get(); }
-  static double Now();              // of the machine, counts its pauses
-  std::string Metrics() const;      // one a line, as at the second address
-  std::string MembersJson() const;  // of GET /members
+  double LeaseRemaining() const;  // seconds
+  // The share of the whole cluster's capacity and quotas that this member may use now.
+  balancing::FleetShare CurrentFleetShare() const;
+  const membership::MembershipNode& membership_node() const { return *membership_; }
+  // Null if this member has no store.
+  LogReplicator* log_replicator() const { return log_replicator_.get(); }
+  // Seconds of the machine's clock, which goes on while the machine is suspended.
+  static double Now();
+  std::string Metrics() const;      // one a line, in the format of GET /stats
+  std::string MembersJson() const;  // the body of GET /members
 
  private:
-  // Which numbers of a sender's frames have come: a frame that comes twice is counted and dropped.
-  struct Window {
+  // The sequence numbers received from one sender. Frames that were received before, or whose
+  // number is too far behind the highest, are rejected as replayed. A new process incarnation of
+  // the sender starts afresh.
+  struct ReplayWindow {
     static constexpr std::size_t kBits = 1024;
     membership::ProcessIncarnation process_incarnation = 0;
     std::uint64_t highest = 0;
-    std::bitset<kBits> seen;
-    bool Fresh(membership::ProcessIncarnation of, std::uint64_t number);
+    std::bitset<kBits> received;  // bit i: number `highest` - i
+    bool AcceptSequence(membership::ProcessIncarnation incarnation, std::uint64_t sequence);
   };
 
-  struct Waiting {
+  // A call of SetMaintenance that waits for another member and this member's disk.
+  struct PendingMaintenance {
     ReplicatedCallback on_replicated;
-    bool elsewhere = false, kept = false;
-    Deadlines::Ticket limit = Deadlines::kNone;
+    bool replicated = false, stored = false;
+    Deadlines::Ticket timeout = Deadlines::kNone;
   };
-  bool OpenStore(std::uint64_t new_disk, std::string* error);
-  void StartCopies();
+  bool OpenStore(std::uint64_t new_store_id, std::string* error);
+  void StartLogReplication();
   void StartQuota();
   void Send(membership::NodeId to, const Body& body);
   void Receive(std::string_view bytes, const sockaddr_in* source);
-  void Answer(std::uint64_t number);
-  void GiveUp(std::uint64_t number);
-  void Keep(membership::MembershipNode::Actions* actions);
-  void CarryOut(membership::MembershipNode::Actions* actions);
-  void Arm();
+  void CompleteMaintenance(std::uint64_t change_number);
+  void FailMaintenance(std::uint64_t change_number);
+  void StoreMaintenance(membership::MembershipNode::Actions* actions);
+  void ExecuteActions(membership::MembershipNode::Actions* actions);
+  void ScheduleTick();
   void Tick();
-  void Written(std::uint64_t ticket, bool ok);
-  const std::string& NameOf(membership::NodeId id) const;
+  void OnVotesWritten(std::uint64_t ticket, bool ok);
+  const std::string& MemberName(membership::NodeId id) const;
 
   Loop* loop_;
   ClusterOptions options_;
   std::vector<NamedQuota> tenants_;
   Hooks hooks_;
-  std::uint64_t seed_, hash_, draws_ = 0;
+  std::uint64_t seed_, cluster_hash_, store_ids_drawn_ = 0;
   membership::NodeId self_;
   membership::ProcessIncarnation process_incarnation_ = 0;
-  std::map<membership::NodeId, std::string> names_;
+  std::map<membership::NodeId, std::string> member_names_;
   Transport transport_;
-  std::unique_ptr<membership::MembershipNode> cluster_;
-  std::map<membership::NodeId, Window> windows_;
-  std::map<membership::NodeId, std::uint64_t> numbers_;
-  Refusals refusals_;
-  std::map<std::uint64_t, Waiting> waiting_;  // who said something, by its number
-  Deadlines::Ticket tick_ = Deadlines::kNone;
-  bool was_leased_ = false;
-  Mailbox mail_;
-  std::unique_ptr<store::VoteFile> votes_;
-  std::unique_ptr<AsyncRecordStore> store_;
-  std::unique_ptr<FactKeeper> keeper_;
-  std::unique_ptr<LogReplicator> copies_;
-  std::unique_ptr<QuotaKeeper> quota_;  // null: quotas are not leased
+  std::unique_ptr<membership::MembershipNode> membership_;
+  std::map<membership::NodeId, ReplayWindow> replay_windows_;   // by sender
+  std::map<membership::NodeId, std::uint64_t> last_sequences_;  // by receiver
+  RejectedFrames rejected_;
+  std::map<std::uint64_t, PendingMaintenance> pending_maintenance_;  // by number of the change
+  Deadlines::Ticket tick_timer_ = Deadlines::kNone;
+  bool held_lease_ = false;  // as last logged
+  Mailbox mailbox_;
+  std::unique_ptr<store::VoteFile> vote_file_;           // null: this member has no store
+  std::unique_ptr<AsyncRecordStore> store_;              // likewise
+  std::unique_ptr<MaintenanceStore> maintenance_store_;  // likewise
+  std::unique_ptr<LogReplicator> log_replicator_;        // likewise
+  std::unique_ptr<QuotaLeaseManager> quota_manager_;     // null: quotas are not leased
 };
 
 }  // namespace millethollow::cluster
--- a/src/net/cluster/quota_keeper.cpp
+++ b/src/net/cluster/quota_lease_manager.cpp
@@ -1,4 +1,4 @@
-#include "net/cluster/quota_keeper.h"
+#include "net/cluster/quota_lease_manager.h"
 
 #include <algorithm>
 #include <cmath>
@@ -13,13 +13,14 @@
 
 using membership::NodeId;
 
-constexpr double kDemandS = 0.1;       // between two looks at the demand
-constexpr double kLeastDemand = 0.01;  // jobs per second; what fades away below this counts as none
-constexpr double kLeastWaitS = 0.001;  // between two ticks
-constexpr std::size_t kMaxNamed = 5;   // tenants in one line of the log
+constexpr double kDemandIntervalS = 0.1;  // between two samples of the demand
+constexpr double kMinDemandRps =
+    0.01;  // jobs per second; an average that decays below this counts as none
+constexpr double kMinTickDelayS = 0.001;      // before the next tick
+constexpr std::size_t kMaxLoggedTenants = 5;  // in one line of the log
 
-const char* NameOfRefusal(quota::RejectReason refusal) {
-  switch (refusal) {
+const char* RejectReasonName(quota::RejectReason reason) {
+  switch (reason) {
     case quota::RejectReason::kStaleEpoch:
       return "old_epoch";
     case quota::RejectReason::kDuplicate:
@@ -39,28 +40,29 @@
   return "none";
 }
 
-// The first few of them, for a line of the log.
-std::string Some(const std::vector<std::string>& names) {
-  std::string some;
-  for (std::size_t i = 0; i < std::min(names.size(), kMaxNamed); ++i) {
-    some += (some.empty() ? "" : ",") + names[i];
+// The first kMaxLoggedTenants names, separated by commas; "-" if there are none.
+std::string JoinFirst(const std::vector<std::string>& names) {
+  std::string joined;
+  for (std::size_t i = 0; i < std::min(names.size(), kMaxLoggedTenants); ++i) {
+    joined += (joined.empty() ? "" : ",") + names[i];
   }
-  if (names.size() > kMaxNamed) some += ",...";
-  return some.empty() ? "-" : some;
+  if (names.size() > kMaxLoggedTenants) joined += ",...";
+  return joined.empty() ? "-" : joined;
 }
 
 quota::AllocatorView AllocatorsOf(const membership::View& view,
                                   const std::set<NodeId>& allocators) {
-  quota::AllocatorView some{.epoch = view.epoch, .allocators = {}};
-  for (const membership::ViewMember& m : view.members) {
-    if (allocators.contains(m.id)) some.allocators.push_back({m.id, m.process_incarnation});
+  quota::AllocatorView allocators_in_view{.epoch = view.epoch, .allocators = {}};
+  for (const membership::ViewMember& member : view.members) {
+    if (allocators.contains(member.id))
+      allocators_in_view.allocators.push_back({member.id, member.process_incarnation});
   }
-  return some;
+  return allocators_in_view;
 }
 
 }  // namespace
 
-QuotaKeeper::QuotaKeeper(Loop* loop, Options options, Hooks hooks)
+QuotaLeaseManager::QuotaLeaseManager(Loop* loop, Options options, Hooks hooks)
     : loop_(loop),
       options_(std::move(options)),
       hooks_(std::move(hooks)),
@@ -70,27 +72,29 @@
       allocated_(options_.tenants.size(), false),
       demand_(options_.tenants.size(), 0.0) {}
 
-QuotaKeeper::~QuotaKeeper() {
-  loop_->deadlines().Drop(&tick_);
-  loop_->deadlines().Drop(&demand_tick_);
+QuotaLeaseManager::~QuotaLeaseManager() {
+  loop_->deadlines().Drop(&tick_timer_);
+  loop_->deadlines().Drop(&demand_timer_);
 }
 
-bool QuotaKeeper::Check(const std::vector<NamedQuota>& tenants, std::string* error) {
+bool QuotaLeaseManager::ValidateTenants(const std::vector<NamedQuota>& tenants,
+                                        std::string* error) {
   if (tenants.size() > quota::kMaxTenants) {
     *error = "cluster: quota: more than " + std::to_string(quota::kMaxTenants) + " tenants";
     return false;
   }
   std::map<quota::TenantId, std::string> names;
   for (const NamedQuota& tenant : tenants) {
-    const auto [it, fresh] = names.emplace(codec::Hash(tenant.name), tenant.name);
-    if (fresh) continue;
-    *error = "cluster: quota: tenants '" + it->second + "' and '" + tenant.name + "' have one hash";
+    const auto [existing, inserted] = names.emplace(codec::Hash(tenant.name), tenant.name);
+    if (inserted) continue;
+    *error = "cluster: quota: tenants '" + existing->second + "' and '" + tenant.name +
+             "' have the same hash";
     return false;
   }
   return true;
 }
 
-std::vector<quota::TenantQuota> QuotaKeeper::TenantQuotas() const {
+std::vector<quota::TenantQuota> QuotaLeaseManager::TenantQuotas() const {
   std::vector<quota::TenantQuota> quotas;
   quotas.reserve(options_.tenants.size());
   for (const NamedQuota& tenant : options_.tenants) {
@@ -99,39 +103,41 @@
   return quotas;
 }
 
-void QuotaKeeper::Start() {
+void QuotaLeaseManager::Start() {
   if (allocators_.contains(options_.self)) {
     allocator_.emplace(options_.self, options_.members, TenantQuotas(), options_.timings,
                        hooks_.now());
   }
-  Look();
-  TakeDemand();
+  OnViewChanged();
+  SampleDemand();
 }
 
-bool QuotaKeeper::InView(const membership::View& view) const {
+bool QuotaLeaseManager::InView(const membership::View& view) const {
   const membership::ViewMember* self = view.Find(options_.self);
   return self != nullptr && self->process_incarnation == options_.process_incarnation;
 }
 
-// An older process of this member may have the place in the view that is known here.
-bool QuotaKeeper::MayAct() const { return InView(hooks_.view()) && hooks_.leased(); }
+// False if the known view has an older process of this member in it.
+bool QuotaLeaseManager::MayAllocate() const {
+  return InView(hooks_.view()) && hooks_.holds_lease();
+}
 
-void QuotaKeeper::Look() {
+void QuotaLeaseManager::OnViewChanged() {
   const membership::View& view = hooks_.view();
-  // What a process of this member held before it is not known here: until a view has this one,
-  // it has its floors alone.
+  // The leases of an earlier process of this member are not known here: until a view contains this
+  // process, it uses its floors alone.
   const bool first = epoch_ == 0;
   if (view.epoch <= epoch_ || (first && !InView(view))) return;
   epoch_ = view.epoch;
   const quota::AllocatorView allocators = AllocatorsOf(view, allocators_);
   holder_.SetView(hooks_.now(), allocators);
   if (allocator_) allocator_->SetView(hooks_.now(), allocators);
-  LogMoves(view.epoch);
-  Act();
+  LogAllocationChanges(view.epoch);
+  RunTick();
 }
 
-// One line a view, and none where nothing moves here.
-void QuotaKeeper::LogMoves(std::uint64_t epoch) {
+// Logs one line for each view that changes which tenants this member allocates.
+void QuotaLeaseManager::LogAllocationChanges(std::uint64_t epoch) {
   if (!allocator_) return;
   std::vector<std::string> gained, lost;
   for (std::size_t t = 0; t < options_.tenants.size(); ++t) {
@@ -145,11 +151,12 @@
   Events().info(
       "cluster quota epoch={} allocates={} gained={} lost={} tenants_gained={} "
       "tenants_lost={}",
-      epoch, allocator_->tenants_allocated(), gained.size(), lost.size(), Some(gained), Some(lost));
+      epoch, allocator_->tenants_allocated(), gained.size(), lost.size(), JoinFirst(gained),
+      JoinFirst(lost));
 }
 
-void QuotaKeeper::Hear(NodeId from, membership::ProcessIncarnation process_incarnation,
-                       const quota::Message& message) {
+void QuotaLeaseManager::OnMessage(NodeId from, membership::ProcessIncarnation process_incarnation,
+                                  const quota::Message& message) {
   const double now = hooks_.now();
   if (const auto* grant = std::get_if<quota::Grant>(&message)) {
     holder_.OnGrant(now, from, *grant);
@@ -157,40 +164,41 @@
     allocator_->OnUsageReport(now, from, process_incarnation,
                               std::get<quota::UsageReport>(message));
   }
-  Act();
+  RunTick();
 }
 
-void QuotaKeeper::SetQuotas(const std::vector<double>& quotas) {
+void QuotaLeaseManager::SetQuotas(const std::vector<double>& quotas) {
   if (quotas.size() != options_.tenants.size()) return;
   for (std::size_t t = 0; t < quotas.size(); ++t) options_.tenants[t].quota = quotas[t];
   holder_.SetQuotas(hooks_.now(), TenantQuotas());
   if (allocator_) allocator_->SetQuotas(hooks_.now(), TenantQuotas());
-  Act();
+  RunTick();
 }
 
-void QuotaKeeper::TakeDemand() {
-  demand_tick_ = loop_->deadlines().At(loop_->Now() + kDemandS, [this] {
-    demand_tick_ = Deadlines::kNone;
-    TakeDemand();
+void QuotaLeaseManager::SampleDemand() {
+  demand_timer_ = loop_->deadlines().At(loop_->Now() + kDemandIntervalS, [this] {
+    demand_timer_ = Deadlines::kNone;
+    SampleDemand();
   });
   const std::vector<double> demand = hooks_.demand();
   bool changed = false;
   for (std::size_t t = 0; t < std::min(demand.size(), demand_.size()); ++t) {
-    const double rate = demand[t] < kLeastDemand ? 0 : demand[t];
+    const double rate = demand[t] < kMinDemandRps ? 0 : demand[t];
     if (rate == demand_[t]) continue;
     demand_[t] = rate;
     changed = true;
     holder_.SetDemand(hooks_.now(), t, rate);
   }
-  if (changed) Act();
+  if (changed) RunTick();
 }
 
-// What this member says to itself needs no link. What that sets off is done with the next tick.
-void QuotaKeeper::Act() {
+// Messages of this member to itself are delivered directly. Their effects are sent at the next
+// tick.
+void QuotaLeaseManager::RunTick() {
   quota::Actions actions;
   const double now = hooks_.now();
   holder_.Tick(now, &actions);
-  if (allocator_) allocator_->Tick(now, MayAct(), &actions);
+  if (allocator_) allocator_->Tick(now, MayAllocate(), &actions);
   for (const auto& [to, message] : actions.send) {
     if (to != options_.self) {
       hooks_.send(to, message);
@@ -201,21 +209,22 @@
                                 std::get<quota::UsageReport>(message));
     }
   }
-  Arm();
+  ScheduleTick();
 }
 
-void QuotaKeeper::Arm() {
-  loop_->deadlines().Drop(&tick_);
-  double at = holder_.NextTickAt();
-  if (allocator_) at = std::min(at, allocator_->NextTickAt());
-  if (!std::isfinite(at)) return;
-  tick_ = loop_->deadlines().At(loop_->Now() + std::max(kLeastWaitS, at - hooks_.now()), [this] {
-    tick_ = Deadlines::kNone;
-    Act();
-  });
+void QuotaLeaseManager::ScheduleTick() {
+  loop_->deadlines().Drop(&tick_timer_);
+  double next_at = holder_.NextTickAt();
+  if (allocator_) next_at = std::min(next_at, allocator_->NextTickAt());
+  if (!std::isfinite(next_at)) return;
+  tick_timer_ = loop_->deadlines().At(
+      loop_->Now() + std::max(kMinTickDelayS, next_at - hooks_.now()), [this] {
+        tick_timer_ = Deadlines::kNone;
+        RunTick();
+      });
 }
 
-std::vector<double> QuotaKeeper::Rates() const {
+std::vector<double> QuotaLeaseManager::AdmissibleRates() const {
   const double now = hooks_.now();
   std::vector<double> rates(options_.tenants.size(), -1.0);
   for (std::size_t t = 0; t < rates.size(); ++t) {
@@ -224,7 +233,7 @@
   return rates;
 }
 
-QuotaKeeper::Allocation QuotaKeeper::Allocated() const {
+QuotaLeaseManager::Allocation QuotaLeaseManager::CurrentAllocation() const {
   Allocation allocation;
   if (!allocator_) return allocation;
   const double now = hooks_.now();
@@ -237,7 +246,7 @@
   return allocation;
 }
 
-void QuotaKeeper::PrintFigures(std::ostream* out) const {
+void QuotaLeaseManager::PrintMetrics(std::ostream* out) const {
   const auto print = [out](const std::string& name, std::uint64_t value, char kind = 'c') {
     *out << "app.cluster.quota." << name << ':' << value << '|' << kind << '\n';
   };
@@ -249,23 +258,23 @@
     leases += lease > 0 ? 1 : 0;
     rates += holder_.AdmissibleRate(now, t);
   }
-  const quota::LeaseHolderCounters& held = holder_.counters();
-  const quota::AllocatorCounters given =
+  const quota::LeaseHolderCounters& holder_counters = holder_.counters();
+  const quota::AllocatorCounters allocator_counters =
       allocator_ ? allocator_->counters() : quota::AllocatorCounters{};
   print("tenants_allocated", allocator_ ? allocator_->tenants_allocated() : 0, 'g');
-  print("tenants_taking_over", Allocated().taking_over.size(), 'g');
+  print("tenants_taking_over", CurrentAllocation().taking_over.size(), 'g');
   print("leases_held", leases, 'g');
   print("rate_held", static_cast<std::uint64_t>(std::llround(rates)), 'g');
-  print("reports_sent", held.reports);
-  print("grants_taken", held.grants);
-  print("expiries", held.expiries);
-  print("reports_taken", given.reports);
-  print("grants_sent", given.grants);
-  print("takeovers", given.takeovers);
-  print("lapses", given.lapses);
-  for (std::size_t r = 1; r < held.rejected.size(); ++r) {
-    print(std::string("refused.") + NameOfRefusal(static_cast<quota::RejectReason>(r)),
-          held.rejected[r] + given.rejected[r]);
+  print("reports_sent", holder_counters.reports);
+  print("grants_taken", holder_counters.grants);
+  print("expiries", holder_counters.expiries);
+  print("reports_taken", allocator_counters.reports);
+  print("grants_sent", allocator_counters.grants);
+  print("takeovers", allocator_counters.takeovers);
+  print("lapses", allocator_counters.lapses);
+  for (std::size_t r = 1; r < holder_counters.rejected.size(); ++r) {
+    print(std::string("refused.") + RejectReasonName(static_cast<quota::RejectReason>(r)),
+          holder_counters.rejected[r] + allocator_counters.rejected[r]);
   }
 }
 
--- a/src/net/cluster/replicated_durable_jobs.cpp
+++ b/src/net/cluster/replicated_durable_jobs.cpp
@@ -13,9 +13,10 @@
 
 using copies::DurableJobQueue;
 
-constexpr double kLookS = 0.25;  // whether the lease is held, for a member without any log
+// The lease is checked this often also by a member without logs, which has no other reason to tick.
+constexpr double kLeaseCheckIntervalS = 0.25;
 
-std::string_view WordFor(DurableJobQueue::RejectReason reason) {
+std::string_view ReasonText(DurableJobQueue::RejectReason reason) {
   switch (reason) {
     case DurableJobQueue::RejectReason::kNone:
       return "";
@@ -43,67 +44,68 @@
     : loop_(loop),
       member_(member),
       name_(std::move(name)),
-      number_(number),
-      jobs_(limits, number,
-            {.append =
-                 [this](copies::LogId log, std::string key, std::string value, bool gone,
-                        copies::ReplicatedLogs::AppendError* reason) {
-                   return member_->log_replicator()->Append(log, std::move(key), std::move(value),
-                                                            gone, reason);
-                 },
-             .may_act = [this](copies::LogId log) { return member_->log_replicator()->Acts(log); },
-             .open = [this](copies::LogId log) { member_->log_replicator()->Open(log); },
-             .close = [this](copies::LogId log) { member_->log_replicator()->Close(log); },
-             .age =
-                 [this](copies::LogId log, copies::SequenceNumber seq) {
-                   return member_->log_replicator()->MaxAge(log, seq);
-                 },
-             .run = [this](const DurableJobQueue::Round& round) { Run(round); },
-             .abort =
-                 [this](const std::string& handle) {
-                   if (runner_ != nullptr) runner_->Abort(handle);
-                 },
-             .ended =
-                 [](const copies::JobRecord& job, DurableJobQueue::JobOutcome how) {
-                   Events().info(
-                       "cluster job={} function={} tenant={} ended={}", job.handle, job.function,
-                       job.tenant,
-                       how == DurableJobQueue::JobOutcome::kCompleted ? "served" : "failed");
-                 }}) {
-  member_->log_replicator()->SetLedger(
+      process_number_(number),
+      jobs_(
+          limits, number,
+          {.append =
+               [this](copies::LogId log, std::string key, std::string value, bool erased,
+                      copies::ReplicatedLogs::AppendError* reason) {
+                 return member_->log_replicator()->Append(log, std::move(key), std::move(value),
+                                                          erased, reason);
+               },
+           .may_act = [this](copies::LogId log) { return member_->log_replicator()->MayAct(log); },
+           .open = [this](copies::LogId log) { member_->log_replicator()->Open(log); },
+           .close = [this](copies::LogId log) { member_->log_replicator()->Close(log); },
+           .age =
+               [this](copies::LogId log, copies::SequenceNumber sequence) {
+                 return member_->log_replicator()->MaxAge(log, sequence);
+               },
+           .run = [this](const DurableJobQueue::Round& round) { Run(round); },
+           .abort =
+               [this](const std::string& handle) {
+                 if (runner_ != nullptr) runner_->Abort(handle);
+               },
+           .ended =
+               [](const copies::JobRecord& job, DurableJobQueue::JobOutcome outcome) {
+                 Events().info(
+                     "cluster job={} function={} tenant={} ended={}", job.handle, job.function,
+                     job.tenant,
+                     outcome == DurableJobQueue::JobOutcome::kCompleted ? "served" : "failed");
+               }}) {
+  member_->log_replicator()->SetObserver(
       {.acquired =
            [this](copies::LogId log, const std::vector<copies::Operation>& entries) {
              if (copies::KindOf(log) == copies::LogKind::kJobs) {
                jobs_.OnLogAcquired(Member::Now(), log, entries);
              }
-             Arm();
+             ScheduleTick();
            },
        .released =
            [this](copies::LogId log) {
              jobs_.OnLogReleased(log);
-             Arm();
+             ScheduleTick();
            },
        .committed =
-           [this](copies::LogId log, copies::SequenceNumber seq) {
-             jobs_.OnCommitted(Member::Now(), log, seq);
-             Arm();
+           [this](copies::LogId log, copies::SequenceNumber sequence) {
+             jobs_.OnCommitted(Member::Now(), log, sequence);
+             ScheduleTick();
            }});
-  Arm();
+  ScheduleTick();
 }
 
 ReplicatedDurableJobs::~ReplicatedDurableJobs() {
-  loop_->deadlines().Drop(&tick_);
-  member_->log_replicator()->SetLedger({});
+  loop_->deadlines().Drop(&tick_timer_);
+  member_->log_replicator()->SetObserver({});
 }
 
-void ReplicatedDurableJobs::Arm() {
-  loop_->deadlines().Drop(&tick_);
-  const double in = std::min(kLookS, jobs_.NextAt() - Member::Now());
-  tick_ = loop_->deadlines().At(loop_->Now() + std::max(0.0, in), [this] {
-    tick_ = Deadlines::kNone;
+void ReplicatedDurableJobs::ScheduleTick() {
+  loop_->deadlines().Drop(&tick_timer_);
+  const double delay_s = std::min(kLeaseCheckIntervalS, jobs_.NextAt() - Member::Now());
+  tick_timer_ = loop_->deadlines().At(loop_->Now() + std::max(0.0, delay_s), [this] {
+    tick_timer_ = Deadlines::kNone;
     jobs_.OnLease(Member::Now(), member_->HoldsLease());
     jobs_.Tick(Member::Now());
-    Arm();
+    ScheduleTick();
   });
 }
 
@@ -119,8 +121,8 @@
   jobs_.Submit(
       Member::Now(), std::move(record),
       [then = std::move(then)](const std::string& handle, DurableJobQueue::RejectReason reason,
-                               double after_s) { then(handle, WordFor(reason), after_s); });
-  Arm();
+                               double after_s) { then(handle, ReasonText(reason), after_s); });
+  ScheduleTick();
 }
 
 std::string ReplicatedDurableJobs::Find(std::string_view function, std::string_view unique) const {
@@ -129,7 +131,7 @@
 
 void ReplicatedDurableJobs::RunNow(const std::string& handle) {
   jobs_.RunNow(Member::Now(), handle);
-  Arm();
+  ScheduleTick();
 }
 
 void ReplicatedDurableJobs::Complete(const std::string& handle, const FinalAnswer& answer) {
@@ -139,26 +141,28 @@
                    : answer.kind == Kind::kRejected ? DurableJobQueue::JobOutcome::kRejected
                                                     : DurableJobQueue::JobOutcome::kFailed,
                    answer.retry_after_s, answer.ran_at);
-  Arm();
+  ScheduleTick();
 }
 
 void ReplicatedDurableJobs::RecordAttempt(const std::string& handle, const std::string& worker,
-                                          bool own, bool repeatable,
+                                          bool local_worker, bool repeatable,
                                           std::function<void(bool)> then) {
   if (repeatable) return then(jobs_.MayAct(handle));
-  jobs_.RecordAttempt(
-      Member::Now(), handle, worker, own,
-      [this, handle, then = std::move(then)](bool kept) { then(kept && jobs_.MayAct(handle)); });
+  jobs_.RecordAttempt(Member::Now(), handle, worker, local_worker,
+                      [this, handle, then = std::move(then)](bool recorded) {
+                        then(recorded && jobs_.MayAct(handle));
+                      });
 }
 
 void ReplicatedDurableJobs::Run(const DurableJobQueue::Round& round) {
   DurableJob job;
   const copies::JobRecord& record = *round.job;
-  char tail[48];
-  std::snprintf(tail, sizeof tail, "~%08x.%llu", static_cast<unsigned>(number_ & 0xffffffff),
+  char suffix[48];
+  std::snprintf(suffix, sizeof suffix, "~%08x.%llu",
+                static_cast<unsigned>(process_number_ & 0xffffffff),
                 static_cast<unsigned long long>(round.number));
   job.handle = record.handle;
-  job.wire_id = record.handle + tail;
+  job.wire_id = record.handle + suffix;
   job.function = record.function;
   job.unique = record.unique;
   job.cls = record.cls;
@@ -180,18 +184,18 @@
   const auto count = [&](const char* name, std::uint64_t value, char kind = 'c') {
     out << "app.cluster.jobs." << name << ':' << value << '|' << kind << '\n';
   };
-  const DurableJobQueue::Counters& c = jobs_.counters();
+  const DurableJobQueue::Counters& counters = jobs_.counters();
   count("held", jobs_.size(), 'g');
   count("bytes", jobs_.bytes(), 'g');
   count("running", jobs_.running(), 'g');
   count("logs", jobs_.logs(), 'g');
-  count("accepted", c.accepted);
-  count("refused", c.refused);
-  count("adopted", c.adopted);
-  count("rounds", c.rounds);
-  count("served", c.served);
-  count("failed", c.failed);
-  count("given_over", c.lost);
+  count("accepted", counters.accepted);
+  count("refused", counters.refused);
+  count("adopted", counters.adopted);
+  count("rounds", counters.rounds);
+  count("served", counters.served);
+  count("failed", counters.failed);
+  count("given_over", counters.lost);
   return out.str();
 }
 
--- a/src/net/cluster/replicated_durable_jobs.h
+++ b/src/net/cluster/replicated_durable_jobs.h
@@ -1,5 +1,5 @@
-// Promised jobs in this process: carries between the decisions of copies::DurableJobQueue, the logs
-// that this member acts on, and the front that runs the jobs.
+// Durable jobs kept in the replicated logs of the cluster: joins the decisions of
+// copies::DurableJobQueue with the logs that this member acts on and the front that runs the jobs.
 #ifndef MILLETHOLLOW_NET_CLUSTER_REPLICATED_DURABLE_JOBS_H_
 #define MILLETHOLLOW_NET_CLUSTER_REPLICATED_DURABLE_JOBS_H_
 
@@ -15,21 +15,26 @@
 
 namespace millethollow::cluster {
 
+// Does not own the loop, the member or the runner. All calls and callbacks are on the loop's
+// thread.
 class ReplicatedDurableJobs final : public DurableJobs {
  public:
-  // `name`: of this node, the beginning of the handles that it gives; `number`: no other process's.
+  // `name`: of this node; the handles that it issues begin with it. `number`: unique to this
+  // process. The member must have a store.
   ReplicatedDurableJobs(Loop* loop, Member* member, const copies::DurableJobQueue::Limits& limits,
                         std::string name, std::uint64_t number);
   ~ReplicatedDurableJobs() override;
   ReplicatedDurableJobs(const ReplicatedDurableJobs&) = delete;
   ReplicatedDurableJobs& operator=(const ReplicatedDurableJobs&) = delete;
 
+  // Without a runner, each run ends as rejected and is tried again.
   void SetRunner(DurableJobRunner* runner) { runner_ = runner; }
-  // Nothing new is begun. Idle(): all that was begun has ended, and is written down.
+  // Starts no further runs.
   void Stop() { jobs_.Stop(); }
+  // Whether all runs have ended and their results are stored.
   bool Idle() const { return jobs_.Idle(); }
 
-  // Promises
+  // DurableJobs:
   void Accept(DurableJob job, Then then) override;
   std::string Find(std::string_view function, std::string_view unique) const override;
   bool Has(std::string_view handle) const override { return jobs_.Has(std::string(handle)); }
@@ -37,22 +42,23 @@
   bool MayAct(const std::string& handle) const override { return jobs_.MayAct(handle); }
   void Complete(const std::string& handle, const FinalAnswer& answer) override;
 
-  // For the planner: as AttemptRecorder::Record.
-  void RecordAttempt(const std::string& handle, const std::string& worker, bool own,
+  // Records that the job is about to be sent to a worker, as AttemptRecorder::Record. Calls `then`
+  // with whether it may be sent. An attempt at a job that is `repeatable` is not recorded.
+  void RecordAttempt(const std::string& handle, const std::string& worker, bool local_worker,
                      bool repeatable, std::function<void(bool)> then);
-  std::string Metrics() const;
+  std::string Metrics() const;  // one a line, in the format of GET /stats
 
  private:
   void Run(const copies::DurableJobQueue::Round& round);
-  void Arm();
+  void ScheduleTick();
 
   Loop* loop_;
   Member* member_;
   std::string name_;
-  std::uint64_t number_;
+  std::uint64_t process_number_;
   DurableJobRunner* runner_ = nullptr;
   copies::DurableJobQueue jobs_;
-  Deadlines::Ticket tick_ = Deadlines::kNone;
+  Deadlines::Ticket tick_timer_ = Deadlines::kNone;
 };
 
 }  // namespace millethollow::cluster
--- a/src/net/cluster/transport.h
+++ b/src/net/cluster/transport.h
@@ -1,7 +1,8 @@
-// Carries frames between members: datagrams up to kMaxDatagramBytes, longer ones each by a TCP
-// connection of its own, at the same address and port; what is to come in order goes over one
-// connection that stays. Nothing is acknowledged or sent again here: who needs that says it again.
-// Bounded in connections, bytes and time.
+// Sends frames between the members of a cluster. Frames of up to kMaxDatagramBytes go by UDP;
+// longer ones go by TCP to the same address and port, each on a connection of its own. Ordered
+// frames share one lasting TCP connection to each member. There are no acknowledgements and no
+// retransmissions here: protocols that need them send again. Connections, unsent bytes and times
+// are bounded. Everything here runs on the loop's thread.
 #ifndef MILLETHOLLOW_NET_CLUSTER_TRANSPORT_H_
 #define MILLETHOLLOW_NET_CLUSTER_TRANSPORT_H_
 
@@ -24,32 +25,36 @@
 
 struct TransportCounters {
   std::uint64_t frames_in = 0, frames_out = 0, bytes_in = 0, bytes_out = 0;
-  std::uint64_t streams = 0, dropped = 0;  // dropped: too long, or no connection to be had
+  // streams: TCP connections opened. dropped: frames that were too long, had no known address, or
+  // exceeded the limits of connections or unsent bytes.
+  std::uint64_t streams = 0, dropped = 0;
 };
 
 class Transport {
  public:
-  // `source`: where a datagram came from; null for a stream.
+  // `source`: the sender's address of a datagram; null for a frame that came by TCP.
   using FrameHandler = std::function<void(std::string_view frame, const sockaddr_in* source)>;
   Transport(Loop* loop, FrameHandler on_frame);
   ~Transport();
   Transport(const Transport&) = delete;
   Transport& operator=(const Transport&) = delete;
 
+  // Binds the UDP socket and listens for TCP at `address`; false, with a reason, if that fails.
   bool Open(const std::string& address, std::string* error);
   void SetPeer(membership::NodeId id, const sockaddr_in& address) { peers_[id] = address; }
-  // `ordered`: after what was sent so before it, as long as no connection breaks.
+  // Ordered frames to one member arrive in the order of sending as long as no connection breaks.
   void Send(membership::NodeId to, const std::string& frame, bool ordered = false);
-  void SendTo(const sockaddr_in& to, const std::string& datagram);
-  // Another process is there, or none: what goes in order to it goes over a new connection.
-  void Renew(membership::NodeId to);
+  void SendDatagram(const sockaddr_in& to, const std::string& datagram);
+  // To be called when the member's process was replaced or failed: the next ordered frame to it
+  // opens a new connection.
+  void ResetOrderedStream(membership::NodeId to);
   const TransportCounters& counters() const { return counters_; }
 
  private:
   friend class Stream;
-  void Receive();
+  void OnReadable();
   void SendOrdered(membership::NodeId to, const sockaddr_in& address, const std::string& frame);
-  void Drop(Stream* stream);
+  void RemoveStream(Stream* stream);
 
   Loop* loop_;
   FrameHandler on_frame_;
@@ -58,8 +63,8 @@
   Listener listener_;
   std::map<membership::NodeId, sockaddr_in> peers_;
   std::map<Stream*, std::unique_ptr<Stream>> streams_;
-  std::map<membership::NodeId, Stream*> lines_;  // of ordered frames
-  std::size_t incoming_ = 0, outgoing_ = 0;
+  std::map<membership::NodeId, Stream*> ordered_streams_;  // by receiver
+  std::size_t incoming_ = 0, outgoing_ = 0;                // numbers of streams
   TransportCounters counters_;
 };
 
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -277,9 +277,9 @@
     if (i % 50 == 0) harness->For(0.005);
   }
   for (const std::string& old : harness->Captured()) harness->Inject(0, old);
-  harness->Inject(0,
-                  cluster::Encode({.cluster = 7, .from = 7, .process_incarnation = 7, .number = 1},
-                                  membership::SwimMessage{}));
+  harness->Inject(
+      0, cluster::Encode({.cluster = 7, .from = 7, .process_incarnation = 7, .sequence = 1},
+                         membership::SwimMessage{}));
   harness->For(Span(3, 30));
   EXPECT_GT(harness->Figure(0, "app.cluster.refused.garbled"), 1000);
   EXPECT_GT(harness->Figure(0, "app.cluster.refused.replayed"), 0);
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -93,8 +93,8 @@
   cluster::Header header;
   cluster::Body read;
   std::string bytes =
-      cluster::Encode({.cluster = 1, .from = 2, .process_incarnation = 3, .number = 4}, frame);
-  EXPECT_EQ(cluster::Decode(bytes, &header, &read), cluster::Fault::kNone);
+      cluster::Encode({.cluster = 1, .from = 2, .process_incarnation = 3, .sequence = 4}, frame);
+  EXPECT_EQ(cluster::Decode(bytes, &header, &read), cluster::DecodeError::kNone);
   EXPECT_EQ(header.process_incarnation, 3U);
   EXPECT_EQ(cluster::Encode(header, read), bytes) << "all of it came through";
   return bytes;
@@ -112,10 +112,11 @@
     cluster::Header header;
     cluster::Body read;
     for (std::size_t n = 0; n < bytes.size(); ++n) {
-      EXPECT_NE(cluster::Decode(bytes.substr(0, n), &header, &read), cluster::Fault::kNone) << n;
+      EXPECT_NE(cluster::Decode(bytes.substr(0, n), &header, &read), cluster::DecodeError::kNone)
+          << n;
       std::string off = bytes;
       off[n] ^= static_cast<char>(1 + (word = word * 6364136223846793005ULL + 1) % 255);
-      EXPECT_NE(cluster::Decode(off, &header, &read), cluster::Fault::kNone) << n;
+      EXPECT_NE(cluster::Decode(off, &header, &read), cluster::DecodeError::kNone) << n;
     }
   }
 }
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -83,13 +83,13 @@
 std::string Again(const std::string& bytes) {
   cluster::Header header;
   cluster::Body body;
-  EXPECT_EQ(cluster::Decode(bytes, &header, &body), cluster::Fault::kNone);
+  EXPECT_EQ(cluster::Decode(bytes, &header, &body), cluster::DecodeError::kNone);
   const cluster::Header expected = SampleHeader();
   EXPECT_EQ(header.cluster, expected.cluster);
   EXPECT_EQ(header.from, expected.from);
   EXPECT_EQ(header.process_incarnation, expected.process_incarnation);
-  EXPECT_EQ(header.number, expected.number);
-  EXPECT_EQ(cluster::LengthOf(bytes), bytes.size());
+  EXPECT_EQ(header.sequence, expected.sequence);
+  EXPECT_EQ(cluster::FrameLength(bytes), bytes.size());
   return cluster::Encode(header, body);
 }
 
@@ -430,8 +430,8 @@
   Node node(config);
   ASSERT_TRUE(IsOk(node.Start()));
   Loop loop;
-  auto link =
-      handover::SiblingConnection::ConnectTo(&loop, folder + "/millethollow-" + config.name + "-127.0.0.1:0.sock");
+  auto link = handover::SiblingConnection::ConnectTo(
+      &loop, folder + "/millethollow-" + config.name + "-127.0.0.1:0.sock");
   ASSERT_NE(link, nullptr);
   link->Send(link::Writer(link::FrameKind::kStateRequest).I32(1).Finish());
   std::vector<std::pair<link::FrameKind, std::string>> sent;
@@ -440,7 +440,8 @@
         if (fd >= 0) close(fd);
         sent.emplace_back(frame.kind(), frame.Rest());
       },
-      [&] { return !sent.empty() && sent.back().first == link::FrameKind::kStateEnd; }, loop.Now() + 5,
+      [&] { return !sent.empty() && sent.back().first == link::FrameKind::kStateEnd; },
+      loop.Now() + 5,
       [&] {
         node.loop().deadlines().At(node.loop().Now() + 0.001, [] {});
         node.loop().Turn();
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -93,7 +93,8 @@
   const std::string path =
       std::string(folder.path) + "/millethollow-t-" + harness.config.listen + ".sock";
   std::vector<std::unique_ptr<handover::SiblingConnection>> taken;
-  handover::SiblingListener silent(&harness.host, [&](auto link) { taken.push_back(std::move(link)); });
+  handover::SiblingListener silent(&harness.host,
+                                   [&](auto link) { taken.push_back(std::move(link)); });
   ASSERT_TRUE(silent.Listen(path));
   const double began = harness.host.Now();
   ASSERT_TRUE(harness.StartNext());
@@ -138,7 +139,8 @@
       for (char& c : bytes) c = static_cast<char>(random());
       if (bytes.size() > 4)
         bytes[4] = static_cast<char>(64 + random() % 16);  // a kind that is known
-      if (bytes.size() > 4 && bytes[4] == static_cast<char>(link::FrameKind::kSuccessorServing)) bytes[4] = 0;
+      if (bytes.size() > 4 && bytes[4] == static_cast<char>(link::FrameKind::kSuccessorServing))
+        bytes[4] = 0;
       link->Send(bytes);
     }
     harness.Until([] { return false; }, 0.005);
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -26,8 +26,9 @@
                                    .cell = -3,
                                    .capacity_hint = 0.5,
                                    .started_at_s = 9};
-  const std::string stream = Writer(FrameKind::kAttemptEnded).U64(1ull << 60).I32(-4).Put(outcome).Finish() +
-                             Writer(FrameKind::kWorkerChanged).Put(member).Text(std::string(300, 'x')).Finish();
+  const std::string stream =
+      Writer(FrameKind::kAttemptEnded).U64(1ull << 60).I32(-4).Put(outcome).Finish() +
+      Writer(FrameKind::kWorkerChanged).Put(member).Text(std::string(300, 'x')).Finish();
   for (int round = 0; round < 200; ++round) {
     FrameDecoder decoder;
     std::vector<std::string> frames;
--- a/tests/quota_wiring_test.cpp
+++ b/tests/quota_wiring_test.cpp
@@ -133,30 +133,32 @@
   for (const quota::Message& message : {AReport(), AGrant()}) {
     cluster::Header header;
     cluster::Body read;
-    const std::string bytes =
-        cluster::Encode({.cluster = 1, .from = 2, .process_incarnation = 3, .number = 4}, message);
-    ASSERT_EQ(cluster::Decode(bytes, &header, &read), cluster::Fault::kNone);
+    const std::string bytes = cluster::Encode(
+        {.cluster = 1, .from = 2, .process_incarnation = 3, .sequence = 4}, message);
+    ASSERT_EQ(cluster::Decode(bytes, &header, &read), cluster::DecodeError::kNone);
     EXPECT_EQ(std::get<quota::Message>(read), message);
     for (std::size_t n = 0; n < bytes.size(); ++n) {
-      EXPECT_NE(cluster::Decode(bytes.substr(0, n), &header, &read), cluster::Fault::kNone) << n;
+      EXPECT_NE(cluster::Decode(bytes.substr(0, n), &header, &read), cluster::DecodeError::kNone)
+          << n;
       std::string off = bytes;
       off[n] ^= static_cast<char>(1 + (word = word * 6364136223846793005ULL + 1) % 255);
-      EXPECT_NE(cluster::Decode(off, &header, &read), cluster::Fault::kNone) << n;
+      EXPECT_NE(cluster::Decode(off, &header, &read), cluster::DecodeError::kNone) << n;
     }
   }
 }
 
 // A build that does not know the kind skips just that frame.
 TEST(QuotaFrame, OfAKindThatIsNotKnownIsSkipped) {
-  std::string bytes =
-      cluster::Encode({.cluster = 1, .from = 2, .process_incarnation = 3, .number = 4}, AReport());
+  std::string bytes = cluster::Encode(
+      {.cluster = 1, .from = 2, .process_incarnation = 3, .sequence = 4}, AReport());
   bytes[3] = 77;
   encoding::Writer hash;
   bytes.resize(bytes.size() - cluster::kHashBytes);
   hash.Raw(codec::Hash(bytes));
   cluster::Header header;
   cluster::Body read;
-  EXPECT_EQ(cluster::Decode(bytes + hash.bytes(), &header, &read), cluster::Fault::kUnknownKind);
+  EXPECT_EQ(cluster::Decode(bytes + hash.bytes(), &header, &read),
+            cluster::DecodeError::kUnknownKind);
 }
 
 constexpr char kMembers[] = R"("members":[{"id":"a","address":"127.0.0.1:1","voter":true},
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -27,7 +27,7 @@
   return {.cluster = 0x1122334455667788,
           .from = 0x0102030405060708,
           .process_incarnation = 0xa1b2c3d4e5f60718,
-          .number = 77};
+          .sequence = 77};
 }
 
 inline membership::View SampleView() {
@@ -324,12 +324,16 @@
                           .Finish();
   all["link-client-gone"] = Writer(FrameKind::kRequestCancelled).U64(5ULL << 48 | 7).Finish();
   all["link-began"] = Writer(FrameKind::kAttemptStarted).U64(5ULL << 48 | 7).I32(1).Finish();
-  all["link-ended"] = Writer(FrameKind::kAttemptEnded).U64(5ULL << 48 | 7).I32(1).Put(SampleOutcome()).Finish();
-  all["link-probed"] = Writer(FrameKind::kProbeAnswered).Text("toy-1").Put(SampleOutcome()).Finish();
+  all["link-ended"] =
+      Writer(FrameKind::kAttemptEnded).U64(5ULL << 48 | 7).I32(1).Put(SampleOutcome()).Finish();
+  all["link-probed"] =
+      Writer(FrameKind::kProbeAnswered).Text("toy-1").Put(SampleOutcome()).Finish();
   all["link-worker"] = Writer(FrameKind::kWorkerChanged).Put(SampleMember()).F64(8).Finish();
   all["link-welcome"] = Writer(FrameKind::kForwarderNumber).U64(5).Finish();
-  all["link-address"] = Writer(FrameKind::kWorkerAddress).Text("toy-1").Text("127.0.0.1:9101").U64(12).Finish();
-  all["link-send"] = Writer(FrameKind::kSendAttempt).U64(5ULL << 48 | 7).I32(1).Text("toy-1").Finish();
+  all["link-address"] =
+      Writer(FrameKind::kWorkerAddress).Text("toy-1").Text("127.0.0.1:9101").U64(12).Finish();
+  all["link-send"] =
+      Writer(FrameKind::kSendAttempt).U64(5ULL << 48 | 7).I32(1).Text("toy-1").Finish();
   all["link-cancel"] = Writer(FrameKind::kCancelAttempt).U64(5ULL << 48 | 7).I32(1).Finish();
   all["link-probe"] = Writer(FrameKind::kSendProbe).Text("toy-1").Finish();
   all["link-answer"] = Writer(FrameKind::kFinalAnswer)
@@ -348,13 +352,15 @@
                               .Text("127.0.0.1:9101")
                               .U64(12)
                               .Finish();
-  all["handover-ids"] =
-      Writer(FrameKind::kWireIds).Raw(Writer(FrameKind::kWireIdUsed).Text("id-7").Finish().substr(5)).Finish();
+  all["handover-ids"] = Writer(FrameKind::kWireIds)
+                            .Raw(Writer(FrameKind::kWireIdUsed).Text("id-7").Finish().substr(5))
+                            .Finish();
   all["handover-learned"] = Writer(FrameKind::kPlannerState).Raw("bytes").Finish();
   all["handover-told"] = Writer(FrameKind::kStateEnd).U64(44).Finish();
   all["handover-serving"] = Writer(FrameKind::kSuccessorServing).Finish();
   all["handover-client"] = Writer(FrameKind::kClientConnection).U8(1).Raw("GET / HT").Finish();
-  all["handover-idle-worker"] = Writer(FrameKind::kWorkerConnection).Text("toy-1").F64(3.5).Finish();
+  all["handover-idle-worker"] =
+      Writer(FrameKind::kWorkerConnection).Text("toy-1").F64(3.5).Finish();
   all["handover-mate"] = Writer(FrameKind::kPeerMessage).Raw("datagram").Finish();
   all["handover-use"] = Writer(FrameKind::kDescriptorUse).U64(10).U64(20).Finish();
   all["handover-ban"] = Writer(FrameKind::kMaintenance).Text("toy-1").U8(1).Finish();
