--- a/tests/cluster/days_test.cpp
+++ b/tests/cluster/days_test.cpp
@@ -69,7 +69,7 @@
   std::string Describe() {
     std::string all;
     for (std::size_t i = 0; i < members_; ++i) {
-      all += ClusterHarness::Name(i) + ": " + harness_.polled(i).told.dump() + "\n" +
+      all += ClusterHarness::Name(i) + ": " + harness_.polled(i).response.dump() + "\n" +
              harness_.LogOf(i);
     }
     return all;
@@ -101,8 +101,8 @@
   }
   bool SameOut() {
     for (std::size_t i = 0; i < members_; ++i) {
-      if (!harness_.polled(i).told.is_object()) return false;
-      if (harness_.polled(i).told["workers_out"] != harness_.polled(0).told["workers_out"])
+      if (!harness_.polled(i).response.is_object()) return false;
+      if (harness_.polled(i).response["workers_out"] != harness_.polled(0).response["workers_out"])
         return false;
     }
     return true;
@@ -114,7 +114,7 @@
   // A majority of voters must remember: one at most is without its folder.
   bool OthersRemember(std::size_t i) {
     for (std::size_t v = 0; v < 3; ++v) {
-      const auto& told = harness_.polled(v).told;
+      const auto& told = harness_.polled(v).response;
       if (v != i && (!harness_.Running(v) || !told.is_object() || told["vote"] != "voting"))
         return false;
     }
@@ -123,7 +123,7 @@
   // One disk less than `copies_least` is lost at a time: what was lost before is on another again.
   bool CopiesElsewhere() {
     if (!harness_.Whole() || harness_.now() - taken_at_ < 8) return false;
-    for (const auto& log : harness_.polled(0).told["logs"]) {
+    for (const auto& log : harness_.polled(0).response["logs"]) {
       if (log["holders"].size() < 2 || log["owner"] == "-") return false;
     }
     return true;
--- a/tests/cluster/jobs_test.cpp
+++ b/tests/cluster/jobs_test.cpp
@@ -42,7 +42,7 @@
   std::string Describe() {
     std::string all;
     for (std::size_t i = 0; i < harness->size(); ++i) {
-      all += ClusterHarness::Name(i) + ": " + harness->polled(i).told.dump() + "\n" +
+      all += ClusterHarness::Name(i) + ": " + harness->polled(i).response.dump() + "\n" +
              harness->LogOf(i);
     }
     return all;
@@ -52,8 +52,8 @@
     std::set<std::string> owners;
     for (std::size_t i = 0; i < harness->size(); ++i) {
       if (!harness->Serves(i)) continue;
-      if (!harness->polled(i).told.is_object()) return false;
-      for (const auto& log : harness->polled(i).told["logs"]) {
+      if (!harness->polled(i).response.is_object()) return false;
+      for (const auto& log : harness->polled(i).response["logs"]) {
         owners.insert(log["owner"]);
         if (log["holders"].size() < std::min<std::size_t>(holders, 3)) return false;
       }
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -30,7 +30,7 @@
   std::string Describe() {
     std::string all;
     for (std::size_t i = 0; i < harness->size(); ++i) {
-      all += ClusterHarness::Name(i) + ": " + harness->polled(i).told.dump() + "\n" +
+      all += ClusterHarness::Name(i) + ": " + harness->polled(i).response.dump() + "\n" +
              harness->LogOf(i);
     }
     return all;
@@ -60,7 +60,7 @@
 
 TEST_F(Nodes, TheLeaderAndAnotherKilledLeaveAMajority) {
   Begin({.members = 5, .voters = 5, .seed = 2});
-  const std::string leader = harness->polled(0).told["leader"];
+  const std::string leader = harness->polled(0).response["leader"];
   const auto first = static_cast<std::size_t>(leader[0] - 'a');
   harness->Kill(first);
   harness->Kill((first + 1) % 5);
@@ -109,7 +109,7 @@
   EXPECT_TRUE(harness->Until([&] { return AllReport(3, "failed", {0, 1, 2}); }, 5));
   EXPECT_TRUE(harness->Until([&] { return !harness->Leased(3); }, 6));
   EXPECT_TRUE(
-      harness->Until([&] { return !harness->polled(0).told["members"][3]["in_view"]; }, 10));
+      harness->Until([&] { return !harness->polled(0).response["members"][3]["in_view"]; }, 10));
   harness->Heal();
   EXPECT_TRUE(harness->Until([&] { return harness->Whole(); }, 20));
 }
@@ -119,7 +119,8 @@
   for (std::size_t from = 0; from < 3; ++from) harness->link(from, 3).cut = true;
   EXPECT_TRUE(harness->Until([&] { return AllReport(3, "failed", {0, 1, 2}); }, 5));
   EXPECT_TRUE(harness->Until([&] { return !harness->Leased(3); }, 6));
-  EXPECT_TRUE(harness->Until([&] { return !harness->polled(0).told["members"][3]["in_view"]; }, 10))
+  EXPECT_TRUE(
+      harness->Until([&] { return !harness->polled(0).response["members"][3]["in_view"]; }, 10))
       << "its renewals come, and no answer reaches it";
   harness->Heal();
   EXPECT_TRUE(harness->Until([&] { return harness->Whole(); }, 20));
@@ -136,7 +137,7 @@
     EXPECT_FALSE(harness->Until([&] { return !harness->Whole(); }, Span(2.5, 20))) << off;
   }
   for (std::size_t i = 0; i < 3; ++i) {
-    EXPECT_EQ(harness->Figure(i, "app.cluster.lapses"), 0) << i;
+    EXPECT_EQ(harness->Metric(i, "app.cluster.lapses"), 0) << i;
     EXPECT_GT(harness->shim(i).wall_reads.load(), reads[i]) << "or it was not set under it";
   }
   EXPECT_EQ(harness->highest_epoch(), epoch);
@@ -149,19 +150,20 @@
   harness->Kill(3);  // a view without it is to be written
   EXPECT_TRUE(harness->Until(
       [&] {
-        return harness->polled(2).told.is_object() && harness->polled(2).told["vote"] == "stopped";
+        return harness->polled(2).response.is_object() &&
+               harness->polled(2).response["vote"] == "stopped";
       },
       15));
   EXPECT_GT(harness->shim(2).failed_syncs.load(), 0U);
   harness->shim(2).fail_syncs = 0;  // a disk that failed once is not believed again
   harness->Start(3);
   EXPECT_TRUE(harness->Until([&] { return harness->Whole(); }, 25)) << "two voters are a majority";
-  EXPECT_EQ(harness->polled(2).told["vote"], "stopped");
+  EXPECT_EQ(harness->polled(2).response["vote"], "stopped");
   EXPECT_NE(harness->LogOf(2).find("cluster store-failed"), std::string::npos);
   harness->Kill(2);
   harness->Start(2);
   EXPECT_TRUE(harness->Until(
-      [&] { return harness->Whole() && harness->polled(2).told["vote"] == "voting"; }, 25))
+      [&] { return harness->Whole() && harness->polled(2).response["vote"] == "voting"; }, 25))
       << "started anew it votes with what its disk holds, or is readmitted";
 }
 
@@ -170,7 +172,7 @@
   harness->Split({0, 0, 0, 1, 1});
   EXPECT_TRUE(harness->Until([&] { return !harness->Leased(3) && !harness->Leased(4); }, 8));
   EXPECT_TRUE(
-      harness->Until([&] { return !harness->polled(0).told["members"][4]["in_view"]; }, 10));
+      harness->Until([&] { return !harness->polled(0).response["members"][4]["in_view"]; }, 10));
   EXPECT_TRUE(harness->Leased(0) && harness->Leased(1) && harness->Leased(2));
   harness->Split({0, 1, 1, 1, 0});  // before the healing is through
   EXPECT_TRUE(harness->Until(
@@ -216,7 +218,7 @@
   EXPECT_EQ(AllFailedCalls(), 0U) << "half a second";
   harness->Stop(3);
   EXPECT_TRUE(harness->Until(
-      [&] { return harness->polled(0).told["members"][3]["in_view"] == false; }, 15));
+      [&] { return harness->polled(0).response["members"][3]["in_view"] == false; }, 15));
   const std::uint64_t without = harness->Epoch(0);
   harness->Continue(3);
   // From the first that it tells: its lease is over, though nobody has told it, until a later view
@@ -238,12 +240,12 @@
   harness->TakeFolder(1);
   harness->Kill(2);  // so that only one of those who remember is there
   harness->Start(1);
-  EXPECT_TRUE(harness->Until([&] { return harness->polled(1).told.is_object(); }, 5));
+  EXPECT_TRUE(harness->Until([&] { return harness->polled(1).response.is_object(); }, 5));
   harness->For(6);
-  EXPECT_NE(harness->polled(1).told["vote"], "voting") << "one who remembers is no majority";
+  EXPECT_NE(harness->polled(1).response["vote"], "voting") << "one who remembers is no majority";
   harness->Start(2);
   EXPECT_TRUE(harness->Until(
-      [&] { return harness->Whole() && harness->polled(1).told["vote"] == "voting"; }, 25));
+      [&] { return harness->Whole() && harness->polled(1).response["vote"] == "voting"; }, 25));
 }
 
 TEST_F(Nodes, OfTwoProcessesUnderOneIdOneYields) {
@@ -281,9 +283,9 @@
       0, cluster::Encode({.cluster = 7, .from = 7, .process_incarnation = 7, .sequence = 1},
                          membership::SwimMessage{}));
   harness->For(Span(3, 30));
-  EXPECT_GT(harness->Figure(0, "app.cluster.refused.garbled"), 1000);
-  EXPECT_GT(harness->Figure(0, "app.cluster.refused.replayed"), 0);
-  EXPECT_EQ(harness->Figure(0, "app.cluster.refused.other_cluster"), 1);
+  EXPECT_GT(harness->Metric(0, "app.cluster.refused.garbled"), 1000);
+  EXPECT_GT(harness->Metric(0, "app.cluster.refused.replayed"), 0);
+  EXPECT_EQ(harness->Metric(0, "app.cluster.refused.other_cluster"), 1);
   EXPECT_EQ(harness->highest_epoch(), epoch);
   EXPECT_EQ(AllFailedCalls(), 0U);
   EXPECT_TRUE(harness->Whole());
@@ -305,11 +307,11 @@
   harness->Kill(2);
   harness->BoundFiles(2, 20);
   harness->Start(2);
-  EXPECT_TRUE(
-      harness->Until([&] { return harness->polled(2).told.is_object() && harness->Leased(2); }, 20))
+  EXPECT_TRUE(harness->Until(
+      [&] { return harness->polled(2).response.is_object() && harness->Leased(2); }, 20))
       << "it needs no vote for a lease";
   // The view with it in is the first thing that it has to write.
-  EXPECT_TRUE(harness->Until([&] { return harness->polled(2).told["vote"] == "stopped"; }, 15));
+  EXPECT_TRUE(harness->Until([&] { return harness->polled(2).response["vote"] == "stopped"; }, 15));
   harness->For(3);
   EXPECT_TRUE(harness->Running(2) && harness->Leased(2)) << "it lives on for the rest";
 }
@@ -368,7 +370,7 @@
   EXPECT_NE(harness->Ask(3, "PUT /workers/w0/ready").find("200 OK"), std::string::npos);
   EXPECT_NE(harness->Ask(0, "PUT /workers/w0/maint").find("200 OK"), std::string::npos);
   const auto held_out = [&](std::size_t i, std::size_t workers) {
-    const auto& told = harness->polled(i).told;
+    const auto& told = harness->polled(i).response;
     return told.is_object() && told["workers_out"].size() == workers;
   };
   EXPECT_TRUE(harness->Until([&] { return held_out(3, 0) && held_out(0, 1); }, 5)) << "cut";
--- a/tests/cluster/quota_test.cpp
+++ b/tests/cluster/quota_test.cpp
@@ -195,7 +195,7 @@
   std::string Describe() {
     std::string all;
     for (std::size_t i = 0; i < harness->size(); ++i) {
-      all += ClusterHarness::Name(i) + ": " + harness->polled(i).told.dump() + "\n" +
+      all += ClusterHarness::Name(i) + ": " + harness->polled(i).response.dump() + "\n" +
              harness->LogOf(i);
     }
     return all;
@@ -205,7 +205,7 @@
   // The member that says that it allocates the tenant, and is not taking it over; none: kMembers.
   std::size_t AllocatorNow() {
     for (std::size_t i = 0; i < harness->size(); ++i) {
-      const auto& told = harness->polled(i).told;
+      const auto& told = harness->polled(i).response;
       if (!harness->Serves(i) || !told.is_object() || !told.contains("quota")) continue;
       const auto& names = told["quota"]["allocates"];
       if (std::find(names.begin(), names.end(), "andes") == names.end()) continue;
@@ -250,7 +250,7 @@
     load->PrintUse(moved - 3);
     for (std::size_t i = 0; leased && i < kMembers; ++i) {
       std::printf("  %s holds %ld of both tenants\n", ClusterHarness::Name(i).c_str(),
-                  harness->Figure(i, "app.cluster.quota.rate_held"));
+                  harness->Metric(i, "app.cluster.quota.rate_held"));
     }
   }
   EXPECT_GE(again[true], 0);
--- a/tests/support/cluster_harness.cpp
+++ b/tests/support/cluster_harness.cpp
@@ -354,7 +354,7 @@
   const std::uint64_t file_bytes = node->file_bytes;
   node->exit_code = -1;
   node->stopped = node->going = false;
-  node->disturbed += 1;
+  node->disruptions += 1;
   node->said.clear();
   node->polled = {};
   node->pid = fork();
@@ -409,7 +409,7 @@
   }
   node->pid = -1;
   node->poll.reset();
-  node->polled.told = nullptr;
+  node->polled.response = nullptr;
 }
 
 bool ClusterHarness::Running(std::size_t i) {
@@ -418,30 +418,30 @@
   if (n.pid > 0 && waitpid(n.pid, &status, WNOHANG) == n.pid) {
     n.exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
     n.pid = -1;
-    n.polled.told = nullptr;
+    n.polled.response = nullptr;
   }
   return n.pid > 0;
 }
 
 void ClusterHarness::Kill(std::size_t i) {
   if (!Running(i)) return;
-  nodes_[i].disturbed += 1;
+  nodes_[i].disruptions += 1;
   kill(nodes_[i].pid, SIGKILL);
   Reap(&nodes_[i]);
 }
 
 void ClusterHarness::Terminate(std::size_t i) {
-  nodes_[i].disturbed += 1;
+  nodes_[i].disruptions += 1;
   nodes_[i].going = true;
   if (Running(i)) kill(nodes_[i].pid, SIGTERM);
 }
 
 void ClusterHarness::Stop(std::size_t i) {
-  nodes_[i].disturbed += 1;
+  nodes_[i].disruptions += 1;
   if (Running(i)) kill(nodes_[i].pid, SIGSTOP);
   nodes_[i].stopped = true;
   nodes_[i].poll.reset();  // an answer from before would count as one that it gives when it goes on
-  nodes_[i].polled.told = nullptr;
+  nodes_[i].polled.response = nullptr;
 }
 
 void ClusterHarness::Continue(std::size_t i) {
@@ -503,7 +503,7 @@
       const bool whole = n.poll->ended && n.poll->in.find("\r\n\r\n") != std::string::npos;
       if (whole) Take(i, n.poll->in);
       if (!n.poll->ended && now() - n.poll_at < kPollGiveUpS) continue;
-      if (!whole) n.polled.told = nullptr;
+      if (!whole) n.polled.response = nullptr;
       n.poll.reset();
     }
     if (now() - n.poll_at < kPollS) continue;
@@ -520,7 +520,7 @@
   const auto told =
       nlohmann::json::parse(answer.substr(answer.find("\r\n\r\n") + 4), nullptr, false);
   if (!told.is_object()) {
-    n.polled.told = nullptr;
+    n.polled.response = nullptr;
     return;
   }
   const auto epoch = told["epoch"].get<std::uint64_t>();
@@ -536,7 +536,7 @@
     broken_.push_back("epoch " + std::to_string(epoch) + " has two contents: " + it->second +
                       "and " + content + "at " + Name(i));
   }
-  if (n.polled.told.is_object() && n.polled.told["epoch"].get<std::uint64_t>() > epoch) {
+  if (n.polled.response.is_object() && n.polled.response["epoch"].get<std::uint64_t>() > epoch) {
     broken_.push_back("the epoch of " + Name(i) + " fell");
   }
   highest_epoch_ = std::max(highest_epoch_, epoch);
@@ -544,17 +544,17 @@
 }
 
 std::uint64_t ClusterHarness::Epoch(std::size_t i) const {
-  const auto& told = nodes_[i].polled.told;
+  const auto& told = nodes_[i].polled.response;
   return told.is_object() ? told["epoch"].get<std::uint64_t>() : 0;
 }
 
 bool ClusterHarness::Leased(std::size_t i) const {
-  const auto& told = nodes_[i].polled.told;
+  const auto& told = nodes_[i].polled.response;
   return told.is_object() && told["majority"].get<bool>();
 }
 
 std::string ClusterHarness::StateAt(std::size_t at, std::size_t of) const {
-  const auto& told = nodes_[at].polled.told;
+  const auto& told = nodes_[at].polled.response;
   return told.is_object() ? told["members"][of]["state"].get<std::string>() : "";
 }
 
@@ -566,7 +566,7 @@
     epoch = Epoch(i);
     for (std::size_t m = 0; m < size(); ++m) {
       const bool there = Running(m) && !nodes_[m].stopped;
-      if (nodes_[i].polled.told["members"][m]["in_view"].get<bool>() != there) return false;
+      if (nodes_[i].polled.response["members"][m]["in_view"].get<bool>() != there) return false;
       if (there && StateAt(i, m) != "alive") return false;
     }
   }
@@ -585,7 +585,7 @@
   return raw.in;
 }
 
-long ClusterHarness::Figure(std::size_t i, const std::string& name) {
+long ClusterHarness::Metric(std::size_t i, const std::string& name) {
   const std::string answer = Ask(i, "GET /stats");
   const std::size_t at = answer.find(name + ":");
   return at == std::string::npos ? -1
--- a/tests/support/cluster_harness.h
+++ b/tests/support/cluster_harness.h
@@ -58,7 +58,7 @@
   };
   struct Polled {
     double at = -1;
-    nlohmann::json told;  // of GET /members; null while the node does not answer
+    nlohmann::json response;  // of GET /members; null while the node does not answer
   };
 
   explicit ClusterHarness(const Options& options);
@@ -89,7 +89,7 @@
   bool Running(std::size_t i);
   bool Serves(std::size_t i) { return Running(i) && !nodes_[i].stopped && !nodes_[i].going; }
   // Rises with whatever is done to the process: what spans it may go wrong.
-  std::uint64_t Disturbed(std::size_t i) const { return nodes_[i].disturbed; }
+  std::uint64_t DisruptionCount(std::size_t i) const { return nodes_[i].disruptions; }
   ToyWorker& worker(std::size_t i) { return *workers_[i]; }
   int ExitCode(std::size_t i) const { return nodes_[i].exit_code; }
   std::string Folder(std::size_t i) const { return nodes_[i].folder; }
@@ -122,7 +122,7 @@
   std::uint64_t highest_epoch() const { return highest_epoch_; }
   const std::vector<std::string>& broken() const { return broken_; }
   // A figure of /stats, by its name; -1 where it can't be had.
-  long Figure(std::size_t i, const std::string& name);
+  long Metric(std::size_t i, const std::string& name);
   std::string Ask(std::size_t i,
                   const std::string& call);  // at the admin address; the whole answer
   std::string http_address(std::size_t i) const;
@@ -139,7 +139,7 @@
     pid_t pid = -1;
     bool stopped = false, going = false;  // going: was asked to end
     int exit_code = -1;
-    std::uint64_t file_bytes = 0, disturbed = 0;
+    std::uint64_t file_bytes = 0, disruptions = 0;
     Shim* shim = nullptr;
     Polled polled;
     std::unique_ptr<RawClient> poll;
--- a/tests/support/history.h
+++ b/tests/support/history.h
@@ -20,12 +20,12 @@
   // A request to a node that runs; the rig's turns carry it.
   void Ask() {
     const std::size_t node = rig_->random().Below(rig_->size());
-    if (!rig_->Serves(node) || !rig_->polled(node).told.is_object()) return;
+    if (!rig_->Serves(node) || !rig_->polled(node).response.is_object()) return;
     Request& r = requests_.emplace_back();
     r.id = "r" + std::to_string(requests_.size());
     r.node = node;
     r.charge = rig_->random().Below(2) == 0;
-    r.disturbed = rig_->Disturbed(node);
+    r.disturbed = rig_->DisruptionCount(node);
     r.raw = std::make_unique<Raw>(&rig_->loop(), rig_->http_address(node));
     r.raw->Write(Post(r.id, r.charge ? "charge" : "look",
                       r.charge ? "Idempotency-Key: " + r.id + "\r\n" : ""));
@@ -37,7 +37,7 @@
       if (r.raw->in.find("\r\n\r\n") == std::string::npos && !r.raw->ended) return;
       r.told = std::move(r.raw->in);
       r.raw.reset();
-      r.undisturbed = r.disturbed == rig_->Disturbed(r.node);
+      r.undisturbed = r.disturbed == rig_->DisruptionCount(r.node);
       ++first_open_;
     }
   }
--- a/tests/support/job_history.h
+++ b/tests/support/job_history.h
@@ -65,7 +65,7 @@
     long held = 0;
     for (std::size_t i = 0; i < harness_->size(); ++i) {
       if (!harness_->Serves(i)) continue;
-      const long here = harness_->Figure(i, "app.cluster.jobs.held");
+      const long here = harness_->Metric(i, "app.cluster.jobs.held");
       if (here < 0) return -1;
       held += here;
     }
