--- a/tests/cluster/days_test.cpp
+++ b/tests/cluster/days_test.cpp
@@ -27,7 +27,7 @@
       };
     }
     harness_.StartAll();
-    if (!Serve([this] { return harness_.Whole(); }, 25)) {
+    if (!Serve([this] { return harness_.Converged(); }, 25)) {
       Wrong("no first view");
       return;
     }
@@ -45,7 +45,7 @@
     const auto together = [this] {
       for (std::size_t i = 0; i < members_; ++i)
         harness_.Start(i);  // one may have been on its way out
-      return harness_.Whole() && SameOut();
+      return harness_.Converged() && SameOut();
     };
     if (!Serve(together, 60)) Wrong("they don't come together");
     asks_ = false;
@@ -57,10 +57,10 @@
       look_at = harness_.now() + 0.5;
       return jobs_.Held() == 0 && jobs_.Wrong().empty();
     };
-    if (!harness_.Until(done, 30)) Wrong("promised jobs are left");
+    if (!harness_.RunUntil(done, 30)) Wrong("promised jobs are left");
     for (const std::string& w : jobs_.Wrong()) Wrong(w);
     for (const std::string& w : history_.Wrong()) Wrong(w);
-    for (const std::string& w : harness_.broken()) Wrong(w);
+    for (const std::string& w : harness_.violations()) Wrong(w);
   }
   const std::string& wrong() const { return wrong_; }
   const std::string& script() const { return script_; }
@@ -86,7 +86,7 @@
   // Time passes, with clients.
   template <typename Done>
   bool Serve(Done done, double timeout_s) {
-    return harness_.Until(
+    return harness_.RunUntil(
         [&] {
           if (asks_ && harness_.now() >= ask_at_) {
             ask_at_ = harness_.now() + kAskS;
@@ -114,15 +114,15 @@
   // A majority of voters must remember: one at most is without its folder.
   bool OthersRemember(std::size_t i) {
     for (std::size_t v = 0; v < 3; ++v) {
-      const auto& told = harness_.polled(v).response;
-      if (v != i && (!harness_.Running(v) || !told.is_object() || told["vote"] != "voting"))
+      const auto& response = harness_.polled(v).response;
+      if (v != i && (!harness_.Running(v) || !response.is_object() || response["vote"] != "voting"))
         return false;
     }
     return true;
   }
   // One disk less than `copies_least` is lost at a time: what was lost before is on another again.
   bool CopiesElsewhere() {
-    if (!harness_.Whole() || harness_.now() - taken_at_ < 8) return false;
+    if (!harness_.Converged() || harness_.now() - taken_at_ < 8) return false;
     for (const auto& log : harness_.polled(0).response["logs"]) {
       if (log["holders"].size() < 2 || log["owner"] == "-") return false;
     }
@@ -140,7 +140,7 @@
         taken_at_ = harness_.now();
         Record("kill, without its folder " + one);
         harness_.Kill(a);
-        return harness_.TakeFolder(a);
+        return harness_.RemoveStore(a);
       case 2:
         Record("terminate " + one);
         return harness_.Terminate(a);
@@ -155,16 +155,16 @@
           members += std::to_string(group.back());
         }
         Record("split " + members);
-        return harness_.Split(group);
+        return harness_.Partition(group);
       }
       case 5:
         Record("cut one way " + pair);
-        harness_.link(a, b).cut = true;
+        harness_.link(a, b).blocked = true;
         return;
       case 6:
         Record("lose, double, reorder, garble");
-        return harness_.EachLink([](LinkFaults* l) {
-          l->loss = 0.15, l->doubled = 0.1, l->jitter_s = 0.02, l->garbled = 0.02;
+        return harness_.ForEachLink([](LinkFaults* l) {
+          l->loss = 0.15, l->duplicated = 0.1, l->jitter_s = 0.02, l->corrupted = 0.02;
         });
       case 7:
         Record("late, throttled, reset " + pair);
@@ -177,7 +177,7 @@
         const bool out = faults_.Below(2) == 0;
         if (!harness_.Serves(a)) return;
         Record(w + (out ? " out at " : " back at ") + one);
-        harness_.Ask(a, "PUT /workers/" + w + (out ? "/maint" : "/ready"));
+        harness_.AdminRequest(a, "PUT /workers/" + w + (out ? "/maint" : "/ready"));
         return;
       }
       case 9:
--- a/tests/cluster/jobs_test.cpp
+++ b/tests/cluster/jobs_test.cpp
@@ -29,12 +29,12 @@
       };
     }
     harness->StartAll();
-    ASSERT_TRUE(harness->Until([&] { return harness->Whole() && Ready(copies); }, 30))
+    ASSERT_TRUE(harness->RunUntil([&] { return harness->Converged() && Ready(copies); }, 30))
         << Describe();
   }
   void TearDown() override {
     if (!harness) return;
-    EXPECT_EQ(harness->broken(), std::vector<std::string>{});
+    EXPECT_EQ(harness->violations(), std::vector<std::string>{});
     if (HasFailure()) std::printf("%s\n", Describe().c_str());
     jobs.reset();
     harness.reset();
@@ -66,11 +66,11 @@
   // So many jobs to one node, and what it says to them.
   void Submit(std::size_t node, std::size_t count) {
     for (std::size_t n = 0; n < count; ++n) jobs->Submit(node, n % 2 == 0);
-    EXPECT_TRUE(harness->Until([&] { return jobs->Gather(), jobs->AllAnswered(); }, 15));
+    EXPECT_TRUE(harness->RunUntil([&] { return jobs->Gather(), jobs->AllAnswered(); }, 15));
   }
   void AllDone(double timeout_s = 30) {
     double ask_at = 0;
-    EXPECT_TRUE(harness->Until(
+    EXPECT_TRUE(harness->RunUntil(
         [&] {
           jobs->Gather();
           if (!jobs->AllAnswered() || harness->now() < ask_at) return false;
@@ -96,11 +96,12 @@
   Submit(0, 60);
   EXPECT_EQ(jobs->promised(), 60U);
   harness->Kill(0);
-  harness->TakeFolder(0);
+  harness->RemoveStore(0);
   hold = false;
   AllDone();
   harness->Start(0);
-  EXPECT_TRUE(harness->Until([&] { return harness->Whole() && Ready(3); }, 30)) << "filled anew";
+  EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged() && Ready(3); }, 30))
+      << "filled anew";
 }
 
 TEST_F(PromisedJobs, OfAnOwnerThatWasStoppedAreOthersAndItDoesNothingWhenItGoesOn) {
@@ -112,9 +113,9 @@
   AllDone();
   std::size_t before = Deliveries();
   harness->Continue(0);
-  harness->For(3);
+  harness->RunFor(3);
   EXPECT_EQ(Deliveries(), before) << "it sent on an old lease";
-  EXPECT_TRUE(harness->Until([&] { return harness->Whole() && Ready(3); }, 30));
+  EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged() && Ready(3); }, 30));
   Submit(0, 10);
   AllDone();
   EXPECT_EQ(jobs->promised(), 40U);
@@ -130,16 +131,16 @@
   harness->Start(2);  // a majority's folders alone
   AllDone();
   EXPECT_EQ(jobs->promised(), 60U);
-  harness->TakeFolder(0);
+  harness->RemoveStore(0);
   harness->Start(0);
-  EXPECT_TRUE(harness->Until([&] { return harness->Whole() && Ready(3); }, 30));
+  EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged() && Ready(3); }, 30));
 }
 
 TEST_F(PromisedJobs, AreNeitherLostNorDoubledWhileAllAreRestartedInTurn) {
   Begin();
   double next = 0;
   const auto serve = [&](const std::function<bool()>& done, double timeout_s) {
-    return harness->Until(
+    return harness->RunUntil(
         [&] {
           if (harness->now() >= next) jobs->SubmitAny(), next = harness->now() + 0.04;
           jobs->Gather();
@@ -151,7 +152,7 @@
     harness->Terminate(i);
     ASSERT_TRUE(serve([&] { return !harness->Running(i); }, 10));
     harness->Start(i);
-    ASSERT_TRUE(serve([&] { return harness->Whole() && Ready(3); }, 30));
+    ASSERT_TRUE(serve([&] { return harness->Converged() && Ready(3); }, 30));
   }
   AllDone();
   EXPECT_GT(jobs->promised(), 100U);
@@ -168,13 +169,13 @@
   Begin();
   harness->Kill(1);
   harness->Kill(2);
-  ASSERT_TRUE(harness->Until([&] { return !harness->Leased(0); }, 8));
+  ASSERT_TRUE(harness->RunUntil([&] { return !harness->HoldsLease(0); }, 8));
   Submit(0, 2);
   EXPECT_EQ(jobs->promised(), 0U);
   EXPECT_EQ(jobs->refusal(0), "no majority, or not ready yet: try again after 1.0 s");
   EXPECT_LT(jobs->latency_s(0), 0.5);
   harness->StartAll();
-  ASSERT_TRUE(harness->Until([&] { return harness->Whole() && Ready(3); }, 30));
+  ASSERT_TRUE(harness->RunUntil([&] { return harness->Converged() && Ready(3); }, 30));
   Submit(0, 2);
   EXPECT_EQ(jobs->promised(), 2U);
   AllDone();
@@ -182,11 +183,11 @@
 
 TEST_F(PromisedJobs, AreKeptBesideASlowDiskAndGoOnWithoutAFailingOne) {
   Begin({.members = 3, .voters = 3, .shim = true});
-  harness->shim(1).slow_syncs_ms = 200;
+  harness->shim(1).sync_delay_ms = 200;
   Submit(0, 6);
   EXPECT_EQ(jobs->promised(), 6U);
   EXPECT_GT(jobs->latency_s(0), 0.15) << "answered before the slow disk had it";
-  harness->shim(1).slow_syncs_ms = 0;
+  harness->shim(1).sync_delay_ms = 0;
   hold = true;
   Submit(0, 10);
   harness->shim(0).fail_syncs = 1;
@@ -198,7 +199,7 @@
   // It lives on for the rest.
   RawClient raw(&harness->loop(), harness->http_address(0));
   raw.Write(Post("after", "look"));
-  EXPECT_TRUE(harness->Until([&] { return raw.in.find("HTTP/1.1 200") == 0; }, 5));
+  EXPECT_TRUE(harness->RunUntil([&] { return raw.in.find("HTTP/1.1 200") == 0; }, 5));
 }
 
 TEST_F(PromisedJobs, AFolderPutBackToAnOlderCopyIsNoticed) {
@@ -206,17 +207,18 @@
   Submit(0, 10);
   AllDone();
   harness->Kill(1);
-  harness->KeepFolder(1);
+  harness->BackUpStore(1);
   harness->Start(1);
-  ASSERT_TRUE(harness->Until([&] { return harness->Whole() && Ready(3); }, 30));
+  ASSERT_TRUE(harness->RunUntil([&] { return harness->Converged() && Ready(3); }, 30));
   Submit(0, 30);
   AllDone();
   harness->Kill(1);
-  harness->PutBackFolder(1);
+  harness->RestoreStore(1);
   harness->Start(1);
-  EXPECT_TRUE(harness->Until(
+  EXPECT_TRUE(harness->RunUntil(
       [&] { return harness->LogOf(1).find("copies-lied") != std::string::npos; }, 20));
-  EXPECT_TRUE(harness->Until([&] { return harness->Whole() && Ready(3); }, 30)) << "filled anew";
+  EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged() && Ready(3); }, 30))
+      << "filled anew";
   Submit(1, 10);
   AllDone();
   EXPECT_EQ(jobs->promised(), 50U);
@@ -258,7 +260,7 @@
       };
       const double from = harness->now();
       ask();
-      ASSERT_TRUE(harness->Until([&] { return took.size() == count; }, 60)) << took.size();
+      ASSERT_TRUE(harness->RunUntil([&] { return took.size() == count; }, 60)) << took.size();
       const double s = harness->now() - from;
       std::sort(took.begin(), took.end());
       std::printf("| %d | %zu | %.0f | %.2f / %.2f ms |\n", copies, open,
@@ -273,13 +275,13 @@
     Submit(0, 20);
     const double at = harness->now();
     harness->Kill(0);
-    harness->For(1);  // what it had sent comes to nothing
+    harness->RunFor(1);  // what it had sent comes to nothing
     hold = false;
     const std::size_t before = jobs->served.size();
-    ASSERT_TRUE(harness->Until([&] { return jobs->served.size() > before; }, 30));
+    ASSERT_TRUE(harness->RunUntil([&] { return jobs->served.size() > before; }, 30));
     stalls.push_back(harness->now() - at);
     harness->Start(0);
-    ASSERT_TRUE(harness->Until([&] { return harness->Whole() && Ready(3); }, 60));
+    ASSERT_TRUE(harness->RunUntil([&] { return harness->Converged() && Ready(3); }, 60));
   }
   std::sort(stalls.begin(), stalls.end());
   std::printf("kill to the adopter's first send: %.2f, %.2f, %.2f s (lease 4 s)\n", stalls[0],
--- a/tests/cluster/quota_test.cpp
+++ b/tests/cluster/quota_test.cpp
@@ -54,10 +54,10 @@
     for (const std::size_t node : nodes) rates_[node] = all / static_cast<double>(nodes.size());
   }
   void Play(double span) {
-    harness_->Until([this] { return Step(), false; }, span);
+    harness_->RunUntil([this] { return Step(), false; }, span);
   }
   bool PlayUntil(const std::function<bool()>& done, double timeout_s) {
-    return harness_->Until([&] { return Step(), done(); }, timeout_s);
+    return harness_->RunUntil([&] { return Step(), done(); }, timeout_s);
   }
   // The most that was let in within any kWindowS that begins at `from` or later, against the quota.
   double PeakOver(double from, double quota = kQuota) const {
@@ -174,7 +174,7 @@
       harness->worker(w).act = [this](const ToyWorker::Got& got) { Serve(got); };
     }
     harness->StartAll();
-    ASSERT_TRUE(harness->Until([&] { return harness->Whole(); }, 20)) << Describe();
+    ASSERT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 20)) << Describe();
     load = std::make_unique<Load>(harness.get());
   }
   // Each request finds its first worker full, so that the fleet counts as full, and is served by
@@ -187,7 +187,7 @@
   }
   void TearDown() override {
     if (!harness) return;
-    EXPECT_EQ(harness->broken(), std::vector<std::string>{});
+    EXPECT_EQ(harness->violations(), std::vector<std::string>{});
     if (HasFailure()) std::printf("%s\n", Describe().c_str());
     load.reset();
     harness.reset();
@@ -205,11 +205,11 @@
   // The member that says that it allocates the tenant, and is not taking it over; none: kMembers.
   std::size_t AllocatorNow() {
     for (std::size_t i = 0; i < harness->size(); ++i) {
-      const auto& told = harness->polled(i).response;
-      if (!harness->Serves(i) || !told.is_object() || !told.contains("quota")) continue;
-      const auto& names = told["quota"]["allocates"];
+      const auto& response = harness->polled(i).response;
+      if (!harness->Serves(i) || !response.is_object() || !response.contains("quota")) continue;
+      const auto& names = response["quota"]["allocates"];
       if (std::find(names.begin(), names.end(), "andes") == names.end()) continue;
-      if (told["quota"]["taking_over"].empty()) return i;
+      if (response["quota"]["taking_over"].empty()) return i;
     }
     return kMembers;
   }
@@ -264,12 +264,13 @@
   load->Ask(All(), kAsked);
   load->Play(kSettleS);
   const double from = harness->now();
-  harness->Split({1, 0, 0, 1, 0, 0});
+  harness->Partition({1, 0, 0, 1, 0, 0});
   load->Play(kCutS);
   harness->Heal();
   load->Play(8);
   ExpectWithinQuota(from, "cut");
-  EXPECT_TRUE(load->PlayUntil([&] { return harness->Whole() && AllocatorNow() != kMembers; }, 20));
+  EXPECT_TRUE(
+      load->PlayUntil([&] { return harness->Converged() && AllocatorNow() != kMembers; }, 20));
   load->Play(5);
   EXPECT_GE(load->Use(harness->now() - 4, harness->now()), kLeastUse)
       << "and all is used once it is healed";
@@ -291,7 +292,8 @@
         << ClusterHarness::Name(i);
     EXPECT_EQ(harness->ExitCode(i), 0) << ClusterHarness::Name(i);
     harness->Start(i);
-    ASSERT_TRUE(load->PlayUntil([&] { return harness->Whole() && AllocatorNow() != kMembers; }, 25))
+    ASSERT_TRUE(
+        load->PlayUntil([&] { return harness->Converged() && AllocatorNow() != kMembers; }, 25))
         << ClusterHarness::Name(i);
   }
   load->Play(kSettleS);
@@ -351,7 +353,8 @@
   EXPECT_GE(load->Use(harness->now() - 4, harness->now()), kLeastUse);
   ExpectWithinQuota(from, "killed");
   harness->Start(killed);
-  ASSERT_TRUE(load->PlayUntil([&] { return harness->Whole() && AllocatorNow() != kMembers; }, 20));
+  ASSERT_TRUE(
+      load->PlayUntil([&] { return harness->Converged() && AllocatorNow() != kMembers; }, 20));
   load->Play(5);
 
   from = harness->now();
@@ -361,7 +364,8 @@
   harness->Continue(stopped);
   load->Play(10);
   ExpectWithinQuota(from, "stopped and continued");
-  EXPECT_TRUE(load->PlayUntil([&] { return harness->Whole() && AllocatorNow() != kMembers; }, 20));
+  EXPECT_TRUE(
+      load->PlayUntil([&] { return harness->Converged() && AllocatorNow() != kMembers; }, 20));
 }
 
 }  // namespace
--- a/tests/cluster/restart_test.cpp
+++ b/tests/cluster/restart_test.cpp
@@ -37,12 +37,13 @@
       lines_[p].port = FreePort();
       std::string error;
       EXPECT_TRUE(lines_[p].listener.Open(
-          loop, At(lines_[p].port), [this, p](evutil_socket_t fd) { Accept(p, fd); }, &error))
+          loop, LoopbackAddress(lines_[p].port), [this, p](evutil_socket_t fd) { Accept(p, fd); },
+          &error))
           << error;
     }
     Work();
   }
-  std::string address(std::size_t p) const { return At(lines_[p].port); }
+  std::string address(std::size_t p) const { return LoopbackAddress(lines_[p].port); }
   // From now on worker 0 is to end. Who waits is told, and so is who might have waited on.
   void Drain() {
     drain_at = loop_->Now();
@@ -157,7 +158,7 @@
     const auto put = [&](const std::string& from, const std::string& to) {
       text.replace(text.find(from), from.size(), to);
     };
-    put(R"("listen":"127.0.0.1:0")", R"("listen":")" + At(p.port) + "\"");
+    put(R"("listen":"127.0.0.1:0")", R"("listen":")" + LoopbackAddress(p.port) + "\"");
     put(R"("balancers":1)", R"("balancers":)" + std::to_string(balancers));
     put(R"("seed":"1f")", R"("seed":")" + n + "7\"");
     std::ofstream(p.config) << text;
@@ -199,7 +200,7 @@
       } else if (p.health && p.health->ended) {
         p.health.reset();
       } else if (!p.health) {
-        p.health = std::make_unique<RawClient>(&loop, At(p.port));
+        p.health = std::make_unique<RawClient>(&loop, LoopbackAddress(p.port));
         p.health->Write("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n");
       }
     }
@@ -251,7 +252,8 @@
     next = loop.Now() + 0.005;
     Process& p = processes[turn++ % kProcesses];
     if (p.ready_at < 0) return;
-    if (!p.client || p.client->ended) p.client = std::make_unique<RawClient>(&loop, At(p.port));
+    if (!p.client || p.client->ended)
+      p.client = std::make_unique<RawClient>(&loop, LoopbackAddress(p.port));
     const auto of = static_cast<std::size_t>(&p - processes.data());
     p.client->Write(
         Post(std::to_string(of) + "-" + std::to_string(++sent), "look", "", "{}", 2000));
@@ -296,7 +298,7 @@
 // workers are reached, and a new client is served. The limit is the system's, too.
 TEST_F(Tier, IdleClientsKeepItFromNeitherDiscoveryNorWorkers) {
   const int port = FreePort();
-  Add(1, At(port), R"("limits":{"sockets":120},)");
+  Add(1, LoopbackAddress(port), R"("limits":{"sockets":120},)");
   Start(&processes[0], 120);
   ASSERT_TRUE(Until([&] { return AllReady(); }, 10, [&] { PollHealth(); }))
       << "though discovery is down";
@@ -311,7 +313,7 @@
   };
   for (int wave = 0; wave < 3; ++wave) {
     for (int i = 0; i < 150; ++i)
-      idle.push_back(std::make_unique<RawClient>(&loop, At(processes[0].port)));
+      idle.push_back(std::make_unique<RawClient>(&loop, LoopbackAddress(processes[0].port)));
     Until([] { return false; }, 0.4, open);
   }
   int calls = 0;
@@ -320,7 +322,7 @@
   std::vector<std::unique_ptr<RawClient>> callers;
   std::string error;
   ASSERT_TRUE(listener.Open(
-      &loop, At(port),
+      &loop, LoopbackAddress(port),
       [&](evutil_socket_t fd) {
         callers.push_back(std::make_unique<RawClient>(&loop, fd));
         RawClient* c = callers.back().get();
@@ -341,7 +343,7 @@
   ASSERT_TRUE(Until([&] { return calls > 0; }, 6, open));
   EXPECT_LT(loop.Now() - back, 6);
   for (int i = 0; i < 5; ++i) {
-    RawClient client(&loop, At(processes[0].port));
+    RawClient client(&loop, LoopbackAddress(processes[0].port));
     client.Write(Post("a" + std::to_string(i), "look"));
     EXPECT_TRUE(Until([&] { return client.in.ends_with("ok"); }, 4, open)) << client.in;
   }
--- a/tests/support/cluster_harness.cpp
+++ b/tests/support/cluster_harness.cpp
@@ -20,25 +20,26 @@
 namespace millethollow::rig {
 namespace {
 
-constexpr double kPollS = 0.05, kPollGiveUpS = 0.5;
+constexpr double kPollIntervalS = 0.05, kPollTimeoutS = 0.5;
 constexpr std::size_t kMaxCapturedDatagrams = 64;
 
 }  // namespace
 
 int FreePort() {
-  constexpr int kFirst = 12000, kEach = 120, kRanges = 150;
+  constexpr int kFirstPort = 12000, kPortsPerRange = 120, kRanges = 150;
   static int range = -1, next = 0;
   for (int r = 0; range < 0 && r < kRanges; ++r) {
     const std::string path = "/tmp/millethollow-rig-ports-" + std::to_string(r);
-    const int lock = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);  // until we end
+    const int lock =
+        open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);  // held until the process ends
     if (lock >= 0 && flock(lock, LOCK_EX | LOCK_NB) == 0)
       range = r;
     else if (lock >= 0)
       close(lock);
   }
-  for (int tries = 0; range >= 0 && tries < kEach; ++tries) {
-    const int port = kFirst + range * kEach + next;
-    next = (next + 1) % kEach;
+  for (int tries = 0; range >= 0 && tries < kPortsPerRange; ++tries) {
+    const int port = kFirstPort + range * kPortsPerRange + next;
+    next = (next + 1) % kPortsPerRange;
     sockaddr_in at{};
     at.sin_family = AF_INET;
     at.sin_port = htons(static_cast<std::uint16_t>(port));
@@ -46,8 +47,8 @@
     bool free = true;
     for (const int type : {SOCK_STREAM, SOCK_DGRAM}) {
       const int fd = socket(AF_INET, type, 0);
-      const int on = 1;
-      if (type == SOCK_STREAM) setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+      const int enabled = 1;
+      if (type == SOCK_STREAM) setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
       free &= bind(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0;
       close(fd);
     }
@@ -56,33 +57,34 @@
   return 0;
 }
 
-std::string At(int port) { return "127.0.0.1:" + std::to_string(port); }
+std::string LoopbackAddress(int port) { return "127.0.0.1:" + std::to_string(port); }
 
-// The relay on the way from one member to another: its own port for datagrams and streams both.
-class Link {
+// The relay from one member to another. Listens for datagrams and streams at a port of its own.
+class LinkRelay {
  public:
   LinkFaults faults;
 
-  Link(ClusterHarness* harness, std::size_t from, std::size_t to, int to_port)
+  LinkRelay(ClusterHarness* harness, std::size_t from, std::size_t to, int to_port)
       : from(from),
         to(to),
         harness_(harness),
         loop_(&harness->loop_),
         port_(FreePort()),
-        target_(*ParseAddress(At(to_port))) {
-    const sockaddr_in at = *ParseAddress(At(port_));
+        target_(*ParseAddress(LoopbackAddress(to_port))) {
+    const sockaddr_in at = *ParseAddress(LoopbackAddress(port_));
     fd_ = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     EXPECT_EQ(bind(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at), 0) << port_;
     readable_.reset(event_new(
         loop_->base(), fd_, EV_READ | EV_PERSIST,
-        [](evutil_socket_t, short, void* self) { static_cast<Link*>(self)->Receive(); }, this));
+        [](evutil_socket_t, short, void* self) { static_cast<LinkRelay*>(self)->Receive(); },
+        this));
     event_add(readable_.get(), nullptr);
     std::string error;
     EXPECT_TRUE(listener_.Open(
-        loop_, At(port_), [this](evutil_socket_t fd) { Stream(fd); }, &error))
+        loop_, LoopbackAddress(port_), [this](evutil_socket_t fd) { AcceptStream(fd); }, &error))
         << error;
   }
-  ~Link() {
+  ~LinkRelay() {
     readable_.reset();
     close(fd_);
   }
@@ -90,8 +92,8 @@
   const std::size_t from, to;
 
  private:
-  struct Pair {
-    std::unique_ptr<RawClient> near, far;
+  struct StreamPair {
+    std::unique_ptr<RawClient> client_side, member_side;
     double credit_at = 0;
   };
 
@@ -100,25 +102,25 @@
     while (true) {
       sockaddr_in source{};
       socklen_t size = sizeof source;
-      const ssize_t n =
+      const ssize_t length =
           recvfrom(fd_, bytes, sizeof bytes, 0, reinterpret_cast<sockaddr*>(&source), &size);
-      if (n < 0) return;
-      if (source.sin_port == target_.sin_port) {  // an answer to whoever spoke last
-        (void)sendto(fd_, bytes, static_cast<std::size_t>(n), MSG_DONTWAIT,
+      if (length < 0) return;
+      if (source.sin_port == target_.sin_port) {  // a reply, to the last sender
+        (void)sendto(fd_, bytes, static_cast<std::size_t>(length), MSG_DONTWAIT,
                      reinterpret_cast<const sockaddr*>(&source_), sizeof source_);
         continue;
       }
       source_ = source;
-      std::string datagram(bytes, static_cast<std::size_t>(n));
-      if (harness_->captured_.size() < kMaxCapturedDatagrams)
-        harness_->captured_.push_back(datagram);
+      std::string datagram(bytes, static_cast<std::size_t>(length));
+      if (harness_->captured_datagrams_.size() < kMaxCapturedDatagrams)
+        harness_->captured_datagrams_.push_back(datagram);
       membership::Random& random = harness_->random_;
-      if (faults.cut || random.Unit() < faults.loss || datagram.empty()) continue;
-      if (random.Unit() < faults.garbled) {
+      if (faults.blocked || random.Unit() < faults.loss || datagram.empty()) continue;
+      if (random.Unit() < faults.corrupted) {
         datagram[random.Below(datagram.size())] ^= static_cast<char>(1 + random.Below(255));
       }
-      if (random.Unit() < faults.shortened) datagram.resize(random.Below(datagram.size()));
-      const int copies = random.Unit() < faults.doubled ? 2 : 1;
+      if (random.Unit() < faults.truncated) datagram.resize(random.Below(datagram.size()));
+      const int copies = random.Unit() < faults.duplicated ? 2 : 1;
       for (int c = 0; c < copies; ++c) {
         const double delay = faults.delay_s + faults.jitter_s * random.Unit();
         if (delay <= 0) {
@@ -134,34 +136,43 @@
                  reinterpret_cast<const sockaddr*>(&target_), sizeof target_);
   }
 
-  // A stream, both ways: what the faults say holds for the way from `from` to `to`.
-  void Stream(evutil_socket_t fd) {
-    std::erase_if(pairs_, [](const auto& p) { return p->near->ended && p->far->ended; });
-    auto pair = std::make_unique<Pair>();
-    Pair* p = pair.get();
-    p->near = std::make_unique<RawClient>(loop_, fd);
-    p->far = std::make_unique<RawClient>(loop_, AddressText(target_));
-    p->near->on_read = [this, p] { Pump(p); };
-    p->far->on_read = [p] { p->near->Write(std::exchange(p->far->in, {})); };
-    p->near->on_end = [p] { p->far->Close("passed-on"), p->far->ended = true; };
-    p->far->on_end = [p] { p->near->Close("passed-on"), p->near->ended = true; };
-    pairs_.push_back(std::move(pair));
+  // Relays a stream in both directions. The faults apply to the direction from `from` to `to`.
+  void AcceptStream(evutil_socket_t fd) {
+    std::erase_if(stream_pairs_, [](const auto& pair) {
+      return pair->client_side->ended && pair->member_side->ended;
+    });
+    auto pair = std::make_unique<StreamPair>();
+    StreamPair* raw = pair.get();
+    raw->client_side = std::make_unique<RawClient>(loop_, fd);
+    raw->member_side = std::make_unique<RawClient>(loop_, AddressText(target_));
+    raw->client_side->on_read = [this, raw] { ForwardStream(raw); };
+    raw->member_side->on_read = [raw] {
+      raw->client_side->Write(std::exchange(raw->member_side->in, {}));
+    };
+    raw->client_side->on_end = [raw] {
+      raw->member_side->Close("passed-on"), raw->member_side->ended = true;
+    };
+    raw->member_side->on_end = [raw] {
+      raw->client_side->Close("passed-on"), raw->client_side->ended = true;
+    };
+    stream_pairs_.push_back(std::move(pair));
   }
-  void Pump(Pair* p) {
+  void ForwardStream(StreamPair* raw) {
     if (faults.reset_streams) {
-      p->near->Close("reset");
-      p->far->Close("reset");
-      p->near->ended = p->far->ended = true;
+      raw->client_side->Close("reset");
+      raw->member_side->Close("reset");
+      raw->client_side->ended = raw->member_side->ended = true;
       return;
     }
-    if (faults.cut || p->near->in.empty()) return;
-    std::size_t max_bytes = p->near->in.size();
+    if (faults.blocked || raw->client_side->in.empty()) return;
+    std::size_t max_bytes = raw->client_side->in.size();
     if (faults.bytes_per_s > 0)
       max_bytes =
           std::min<std::size_t>(max_bytes, static_cast<std::size_t>(faults.bytes_per_s / 50) + 1);
-    p->far->Write(p->near->in.substr(0, max_bytes));
-    p->near->in.erase(0, max_bytes);
-    if (!p->near->in.empty()) loop_->deadlines().At(loop_->Now() + 0.02, [this, p] { Pump(p); });
+    raw->member_side->Write(raw->client_side->in.substr(0, max_bytes));
+    raw->client_side->in.erase(0, max_bytes);
+    if (!raw->client_side->in.empty())
+      loop_->deadlines().At(loop_->Now() + 0.02, [this, raw] { ForwardStream(raw); });
   }
 
   ClusterHarness* harness_;
@@ -170,16 +181,16 @@
   sockaddr_in target_, source_{};
   EventPtr readable_;
   Listener listener_;
-  std::vector<std::unique_ptr<Pair>> pairs_;
+  std::vector<std::unique_ptr<StreamPair>> stream_pairs_;
 };
 
-// The relay of usage reports between two members. A node knows its peers by the addresses that they
-// send from, so both know the other by this one.
+// The relay of usage reports between two members. A node identifies its peers by their source
+// addresses, so both members know the other by the address of the relay.
 class PeerRelay {
  public:
-  PeerRelay(ClusterHarness* harness, std::size_t one, std::size_t other)
-      : one_(one), other_(other), harness_(harness), port_(FreePort()) {
-    const sockaddr_in at = *ParseAddress(At(port_));
+  PeerRelay(ClusterHarness* harness, std::size_t first, std::size_t second)
+      : first_(first), second_(second), harness_(harness), port_(FreePort()) {
+    const sockaddr_in at = *ParseAddress(LoopbackAddress(port_));
     fd_ = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     EXPECT_EQ(bind(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at), 0) << port_;
     readable_.reset(event_new(
@@ -195,8 +206,8 @@
   PeerRelay(const PeerRelay&) = delete;
   PeerRelay& operator=(const PeerRelay&) = delete;
   int port() const { return port_; }
-  bool Joins(std::size_t a, std::size_t b) const {
-    return (one_ == a && other_ == b) || (one_ == b && other_ == a);
+  bool Connects(std::size_t a, std::size_t b) const {
+    return (first_ == a && second_ == b) || (first_ == b && second_ == a);
   }
 
  private:
@@ -207,17 +218,17 @@
     ssize_t length = 0;
     while ((length = recvfrom(fd_, bytes, sizeof bytes, 0, reinterpret_cast<sockaddr*>(&source),
                               &size)) >= 0) {
-      const bool by_one = ntohs(source.sin_port) == harness_->nodes_[one_].peer;
-      const std::size_t from = by_one ? one_ : other_, to = by_one ? other_ : one_;
+      const bool from_first = ntohs(source.sin_port) == harness_->nodes_[first_].peer;
+      const std::size_t from = from_first ? first_ : second_, to = from_first ? second_ : first_;
       const LinkFaults& faults = harness_->link(from, to);
-      if (faults.cut || harness_->random_.Unit() < faults.loss) continue;
-      const sockaddr_in target = *ParseAddress(At(harness_->nodes_[to].peer));
+      if (faults.blocked || harness_->random_.Unit() < faults.loss) continue;
+      const sockaddr_in target = *ParseAddress(LoopbackAddress(harness_->nodes_[to].peer));
       (void)sendto(fd_, bytes, static_cast<std::size_t>(length), MSG_DONTWAIT,
                    reinterpret_cast<const sockaddr*>(&target), sizeof target);
     }
   }
 
-  const std::size_t one_, other_;
+  const std::size_t first_, second_;
   ClusterHarness* harness_;
   int port_, fd_ = -1;
   EventPtr readable_;
@@ -247,23 +258,23 @@
   }
   for (std::size_t a = 0; a < nodes_.size(); ++a) {
     for (std::size_t b = 0; b < nodes_.size(); ++b) {
-      if (a != b) links_.push_back(std::make_unique<Link>(this, a, b, nodes_[b].cluster));
+      if (a != b) links_.push_back(std::make_unique<LinkRelay>(this, a, b, nodes_[b].cluster));
       if (a < b && options.peers) peer_relays_.push_back(std::make_unique<PeerRelay>(this, a, b));
     }
   }
 }
 
 ClusterHarness::~ClusterHarness() {
-  for (Node* n : {&twin_}) {
-    if (n->pid > 0) kill(n->pid, SIGKILL);
-    Reap(n);
+  for (Node* node : {&duplicate_}) {
+    if (node->pid > 0) kill(node->pid, SIGKILL);
+    ReapProcess(node);
   }
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     Kill(i);
     if (nodes_[i].shim != nullptr) munmap(nodes_[i].shim, sizeof(Shim));
   }
   if (::testing::Test::HasFailure()) {
-    std::printf("rig: seed %lu, files in %s\n", options_.seed, folder_.c_str());
+    std::printf("cluster harness: seed %lu, files in %s\n", options_.seed, folder_.c_str());
   } else {
     std::filesystem::remove_all(folder_);
   }
@@ -275,12 +286,12 @@
       ->faults;
 }
 
-void ClusterHarness::EachLink(const std::function<void(LinkFaults*)>& what) {
-  for (const auto& l : links_) what(&l->faults);
+void ClusterHarness::ForEachLink(const std::function<void(LinkFaults*)>& change) {
+  for (const auto& l : links_) change(&l->faults);
 }
 
-void ClusterHarness::Split(const std::vector<int>& group) {
-  for (const auto& l : links_) l->faults.cut = group[l->from] != group[l->to];
+void ClusterHarness::Partition(const std::vector<int>& groups) {
+  for (const auto& l : links_) l->faults.blocked = groups[l->from] != groups[l->to];
 }
 
 void ClusterHarness::Heal() {
@@ -288,23 +299,23 @@
 }
 
 void ClusterHarness::Inject(std::size_t to, const std::string& datagram) {
-  const sockaddr_in at = *ParseAddress(At(nodes_[to].cluster));
+  const sockaddr_in at = *ParseAddress(LoopbackAddress(nodes_[to].cluster));
   const int fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
   (void)sendto(fd, datagram.data(), datagram.size(), 0, reinterpret_cast<const sockaddr*>(&at),
                sizeof at);
   close(fd);
 }
 
-void ClusterHarness::AddPeers(std::size_t i, nlohmann::json* config) const {
+void ClusterHarness::AddPeerConfig(std::size_t i, nlohmann::json* config) const {
   std::vector<std::string> addresses;
   for (std::size_t m = 0; m < nodes_.size(); ++m) {
     int port = nodes_[m].peer;
     for (const auto& relay : peer_relays_) {
-      if (relay->Joins(i, m)) port = relay->port();
+      if (relay->Connects(i, m)) port = relay->port();
     }
-    addresses.push_back(At(port));
+    addresses.push_back(LoopbackAddress(port));
   }
-  (*config)["peer_listen"] = At(nodes_[i].peer);
+  (*config)["peer_listen"] = LoopbackAddress(nodes_[i].peer);
   (*config)["peers"] = addresses;
   (*config)["settings"]["balancers"] = nodes_.size();
   (*config)["settings"]["ordinal"] = i;
@@ -322,20 +333,20 @@
       if (l->from == i && l->to == m) port = l->port();
     }
     members.push_back({{"id", Name(m)},
-                       {"address", At(port)},
+                       {"address", LoopbackAddress(port)},
                        {"place", "rack-" + std::to_string(m % 3)},
                        {"voter", m < options_.voters}});
   }
   config["name"] = Name(i);
-  config["listen"] = At(node.http);
-  config["admin"] = At(node.admin);
+  config["listen"] = LoopbackAddress(node.http);
+  config["admin"] = LoopbackAddress(node.admin);
   config["log_level"] = "info";
   config.erase("seed");
   config["settings"].merge_patch(nlohmann::json::parse(options_.settings));
-  if (options_.peers) AddPeers(i, &config);
+  if (options_.peers) AddPeerConfig(i, &config);
   config["cluster"] = {{"name", "roast"},
                        {"self", Name(i)},
-                       {"listen", At(node.cluster)},
+                       {"listen", LoopbackAddress(node.cluster)},
                        {"store", node.folder + "/store"},
                        {"timings", nlohmann::json::parse(options_.timings)},
                        {"members", std::move(members)}};
@@ -343,29 +354,29 @@
   if (options_.gearman) {
     const nlohmann::json look{{"class", "look"}, {"tenant", "andes"}},
         charge{{"class", "charge"}, {"tenant", "andes"}};
-    config["gearman"] = {{"listen", At(node.gearman)},
+    config["gearman"] = {{"listen", LoopbackAddress(node.gearman)},
                          {"functions", {{"look", look}, {"charge", charge}}}};
   }
   std::ofstream(path) << config.dump(1);
 }
 
-void ClusterHarness::Launch(Node* node, const std::string& config) {
+void ClusterHarness::LaunchProcess(Node* node, const std::string& config) {
   const std::string log = node->folder + "/log";
-  const std::uint64_t file_bytes = node->file_bytes;
+  const std::uint64_t max_file_bytes = node->max_file_bytes;
   node->exit_code = -1;
-  node->stopped = node->going = false;
+  node->stopped = node->terminating = false;
   node->disruptions += 1;
-  node->said.clear();
+  node->last_states.clear();
   node->polled = {};
   node->pid = fork();
   if (node->pid == 0) {
-    prctl(PR_SET_PDEATHSIG, SIGKILL);  // none is left behind
+    prctl(PR_SET_PDEATHSIG, SIGKILL);  // ends with the test process
     const int out = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     dup2(out, 1);
     dup2(out, 2);
-    if (file_bytes > 0) {
+    if (max_file_bytes > 0) {
       std::signal(SIGXFSZ, SIG_IGN);
-      const rlimit limit{file_bytes, file_bytes};
+      const rlimit limit{max_file_bytes, max_file_bytes};
       setrlimit(RLIMIT_FSIZE, &limit);
     }
     closefrom(3);
@@ -384,55 +395,55 @@
   if (Running(i)) return;
   const std::string path = nodes_[i].folder + "/config.json";
   WriteConfig(i, path, nodes_[i]);
-  Launch(&nodes_[i], path);
+  LaunchProcess(&nodes_[i], path);
 }
 
 void ClusterHarness::StartAll() {
   for (std::size_t i = 0; i < nodes_.size(); ++i) Start(i);
 }
 
-void ClusterHarness::StartTwin(std::size_t i) {
-  twin_.folder = folder_ + "/twin";
-  std::filesystem::create_directory(twin_.folder);
-  twin_.http = FreePort();
-  twin_.admin = FreePort();
-  twin_.cluster = FreePort();
-  twin_.gearman = FreePort();
-  WriteConfig(i, twin_.folder + "/config.json", twin_);
-  Launch(&twin_, twin_.folder + "/config.json");
+void ClusterHarness::StartDuplicate(std::size_t i) {
+  duplicate_.folder = folder_ + "/twin";
+  std::filesystem::create_directory(duplicate_.folder);
+  duplicate_.http = FreePort();
+  duplicate_.admin = FreePort();
+  duplicate_.cluster = FreePort();
+  duplicate_.gearman = FreePort();
+  WriteConfig(i, duplicate_.folder + "/config.json", duplicate_);
+  LaunchProcess(&duplicate_, duplicate_.folder + "/config.json");
 }
 
-void ClusterHarness::Reap(Node* node) {
+void ClusterHarness::ReapProcess(Node* node) {
   int status = 0;
   if (node->pid > 0 && waitpid(node->pid, &status, 0) == node->pid) {
     node->exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
   }
   node->pid = -1;
-  node->poll.reset();
+  node->poll_client.reset();
   node->polled.response = nullptr;
 }
 
 bool ClusterHarness::Running(std::size_t i) {
-  Node& n = nodes_[i];
+  Node& node = nodes_[i];
   int status = 0;
-  if (n.pid > 0 && waitpid(n.pid, &status, WNOHANG) == n.pid) {
-    n.exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
-    n.pid = -1;
-    n.polled.response = nullptr;
+  if (node.pid > 0 && waitpid(node.pid, &status, WNOHANG) == node.pid) {
+    node.exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
+    node.pid = -1;
+    node.polled.response = nullptr;
   }
-  return n.pid > 0;
+  return node.pid > 0;
 }
 
 void ClusterHarness::Kill(std::size_t i) {
   if (!Running(i)) return;
   nodes_[i].disruptions += 1;
   kill(nodes_[i].pid, SIGKILL);
-  Reap(&nodes_[i]);
+  ReapProcess(&nodes_[i]);
 }
 
 void ClusterHarness::Terminate(std::size_t i) {
   nodes_[i].disruptions += 1;
-  nodes_[i].going = true;
+  nodes_[i].terminating = true;
   if (Running(i)) kill(nodes_[i].pid, SIGTERM);
 }
 
@@ -440,7 +451,8 @@
   nodes_[i].disruptions += 1;
   if (Running(i)) kill(nodes_[i].pid, SIGSTOP);
   nodes_[i].stopped = true;
-  nodes_[i].poll.reset();  // an answer from before would count as one that it gives when it goes on
+  nodes_[i]
+      .poll_client.reset();  // a response from before the stop must not count as one from after it
   nodes_[i].polled.response = nullptr;
 }
 
@@ -455,17 +467,17 @@
   if (Running(i)) kill(nodes_[i].pid, SIGHUP);
 }
 
-void ClusterHarness::TakeFolder(std::size_t i) {
+void ClusterHarness::RemoveStore(std::size_t i) {
   std::filesystem::remove_all(nodes_[i].folder + "/store");
 }
 
-void ClusterHarness::KeepFolder(std::size_t i) {
+void ClusterHarness::BackUpStore(std::size_t i) {
   std::filesystem::remove_all(nodes_[i].folder + "/kept");
   std::filesystem::copy(nodes_[i].folder + "/store", nodes_[i].folder + "/kept");
 }
 
-void ClusterHarness::PutBackFolder(std::size_t i) {
-  TakeFolder(i);
+void ClusterHarness::RestoreStore(std::size_t i) {
+  RemoveStore(i);
   std::filesystem::rename(nodes_[i].folder + "/kept", nodes_[i].folder + "/store");
 }
 
@@ -475,118 +487,124 @@
   return text.str();
 }
 
-std::string ClusterHarness::TwinLog() const {
+std::string ClusterHarness::DuplicateLog() const {
   std::stringstream text;
-  text << std::ifstream(twin_.folder + "/log").rdbuf();
+  text << std::ifstream(duplicate_.folder + "/log").rdbuf();
   return text.str();
 }
 
-std::string ClusterHarness::http_address(std::size_t i) const { return At(nodes_[i].http); }
-std::string ClusterHarness::gearman_address(std::size_t i) const { return At(nodes_[i].gearman); }
+std::string ClusterHarness::http_address(std::size_t i) const {
+  return LoopbackAddress(nodes_[i].http);
+}
+std::string ClusterHarness::gearman_address(std::size_t i) const {
+  return LoopbackAddress(nodes_[i].gearman);
+}
 
-bool ClusterHarness::Until(const std::function<bool()>& done, double timeout_s) {
+bool ClusterHarness::RunUntil(const std::function<bool()>& done, double timeout_s) {
   const double until = now() + timeout_s;
   while (true) {
     if (done()) return true;
     if (now() >= until) return false;
-    Poll();
+    PollAll();
     loop_.deadlines().At(now() + 0.005, [] {});
     loop_.Turn();
   }
 }
 
-void ClusterHarness::Poll() {
+void ClusterHarness::PollAll() {
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
-    Node& n = nodes_[i];
-    if (n.pid <= 0 || n.stopped) continue;
-    if (n.poll) {
-      const bool whole = n.poll->ended && n.poll->in.find("\r\n\r\n") != std::string::npos;
-      if (whole) Take(i, n.poll->in);
-      if (!n.poll->ended && now() - n.poll_at < kPollGiveUpS) continue;
-      if (!whole) n.polled.response = nullptr;
-      n.poll.reset();
+    Node& node = nodes_[i];
+    if (node.pid <= 0 || node.stopped) continue;
+    if (node.poll_client) {
+      const bool complete =
+          node.poll_client->ended && node.poll_client->in.find("\r\n\r\n") != std::string::npos;
+      if (complete) OnMembersResponse(i, node.poll_client->in);
+      if (!node.poll_client->ended && now() - node.polled_at < kPollTimeoutS) continue;
+      if (!complete) node.polled.response = nullptr;
+      node.poll_client.reset();
     }
-    if (now() - n.poll_at < kPollS) continue;
-    n.poll_at = now();
-    n.poll = std::make_unique<RawClient>(&loop_, At(n.admin));
-    n.poll->Write("GET /members HTTP/1.1\r\nHost: a\r\n\r\n");
+    if (now() - node.polled_at < kPollIntervalS) continue;
+    node.polled_at = now();
+    node.poll_client = std::make_unique<RawClient>(&loop_, LoopbackAddress(node.admin));
+    node.poll_client->Write("GET /members HTTP/1.1\r\nHost: a\r\n\r\n");
   }
 }
 
-// Each answer is checked as it comes: an epoch has one content, and none falls while a process
-// lives.
-void ClusterHarness::Take(std::size_t i, const std::string& answer) {
-  Node& n = nodes_[i];
-  const auto told =
+// Checks each response: all nodes must report the same members for an epoch, and the epoch of a
+// process must not fall.
+void ClusterHarness::OnMembersResponse(std::size_t i, const std::string& answer) {
+  Node& node = nodes_[i];
+  const auto response =
       nlohmann::json::parse(answer.substr(answer.find("\r\n\r\n") + 4), nullptr, false);
-  if (!told.is_object()) {
-    n.polled.response = nullptr;
+  if (!response.is_object()) {
+    node.polled.response = nullptr;
     return;
   }
-  const auto epoch = told["epoch"].get<std::uint64_t>();
+  const auto epoch = response["epoch"].get<std::uint64_t>();
   std::string content;
-  for (const auto& m : told["members"]) {
+  for (const auto& m : response["members"]) {
     const std::string id = m["id"], state = m["state"];
     if (m["in_view"].get<bool>()) content += id + m.value("life", "") + " ";
-    if (state == "failed" && n.said[id] != "failed") failed_calls_[id] += 1;
-    n.said[id] = state;
+    if (state == "failed" && node.last_states[id] != "failed") failure_reports_[id] += 1;
+    node.last_states[id] = state;
   }
-  if (const auto [it, fresh] = contents_.emplace(epoch, content);
+  if (const auto [it, fresh] = view_contents_.emplace(epoch, content);
       epoch > 0 && !fresh && it->second != content) {
-    broken_.push_back("epoch " + std::to_string(epoch) + " has two contents: " + it->second +
-                      "and " + content + "at " + Name(i));
+    violations_.push_back("epoch " + std::to_string(epoch) + " has two sets of members: " +
+                          it->second + "and " + content + "at " + Name(i));
   }
-  if (n.polled.response.is_object() && n.polled.response["epoch"].get<std::uint64_t>() > epoch) {
-    broken_.push_back("the epoch of " + Name(i) + " fell");
+  if (node.polled.response.is_object() &&
+      node.polled.response["epoch"].get<std::uint64_t>() > epoch) {
+    violations_.push_back("the epoch of " + Name(i) + " fell");
   }
   highest_epoch_ = std::max(highest_epoch_, epoch);
-  n.polled = {now(), told};
+  node.polled = {now(), response};
 }
 
 std::uint64_t ClusterHarness::Epoch(std::size_t i) const {
-  const auto& told = nodes_[i].polled.response;
-  return told.is_object() ? told["epoch"].get<std::uint64_t>() : 0;
+  const auto& response = nodes_[i].polled.response;
+  return response.is_object() ? response["epoch"].get<std::uint64_t>() : 0;
 }
 
-bool ClusterHarness::Leased(std::size_t i) const {
-  const auto& told = nodes_[i].polled.response;
-  return told.is_object() && told["majority"].get<bool>();
+bool ClusterHarness::HoldsLease(std::size_t i) const {
+  const auto& response = nodes_[i].polled.response;
+  return response.is_object() && response["majority"].get<bool>();
 }
 
-std::string ClusterHarness::StateAt(std::size_t at, std::size_t of) const {
-  const auto& told = nodes_[at].polled.response;
-  return told.is_object() ? told["members"][of]["state"].get<std::string>() : "";
+std::string ClusterHarness::StateSeenBy(std::size_t observer, std::size_t subject) const {
+  const auto& response = nodes_[observer].polled.response;
+  return response.is_object() ? response["members"][subject]["state"].get<std::string>() : "";
 }
 
-bool ClusterHarness::Whole() {
+bool ClusterHarness::Converged() {
   std::uint64_t epoch = 0;
   for (std::size_t i = 0; i < size(); ++i) {
     if (!Running(i) || nodes_[i].stopped) continue;
-    if (!Leased(i) || (epoch != 0 && Epoch(i) != epoch)) return false;
+    if (!HoldsLease(i) || (epoch != 0 && Epoch(i) != epoch)) return false;
     epoch = Epoch(i);
     for (std::size_t m = 0; m < size(); ++m) {
-      const bool there = Running(m) && !nodes_[m].stopped;
-      if (nodes_[i].polled.response["members"][m]["in_view"].get<bool>() != there) return false;
-      if (there && StateAt(i, m) != "alive") return false;
+      const bool running = Running(m) && !nodes_[m].stopped;
+      if (nodes_[i].polled.response["members"][m]["in_view"].get<bool>() != running) return false;
+      if (running && StateSeenBy(i, m) != "alive") return false;
     }
   }
   return epoch > 0;
 }
 
-std::uint64_t ClusterHarness::FailedCalls(std::size_t of) const {
-  const auto it = failed_calls_.find(Name(of));
-  return it == failed_calls_.end() ? 0 : it->second;
+std::uint64_t ClusterHarness::FailureReports(std::size_t subject) const {
+  const auto it = failure_reports_.find(Name(subject));
+  return it == failure_reports_.end() ? 0 : it->second;
 }
 
-std::string ClusterHarness::Ask(std::size_t i, const std::string& call) {
-  RawClient raw(&loop_, At(nodes_[i].admin));
+std::string ClusterHarness::AdminRequest(std::size_t i, const std::string& call) {
+  RawClient raw(&loop_, LoopbackAddress(nodes_[i].admin));
   raw.Write(call + " HTTP/1.1\r\nHost: a\r\n\r\n");
-  Until([&] { return raw.ended; }, 2);
+  RunUntil([&] { return raw.ended; }, 2);
   return raw.in;
 }
 
 long ClusterHarness::Metric(std::size_t i, const std::string& name) {
-  const std::string answer = Ask(i, "GET /stats");
+  const std::string answer = AdminRequest(i, "GET /stats");
   const std::size_t at = answer.find(name + ":");
   return at == std::string::npos ? -1
                                  : std::strtol(answer.c_str() + at + name.size() + 1, nullptr, 10);
--- a/tests/support/network_shim.cpp
+++ b/tests/support/network_shim.cpp
@@ -1,5 +1,6 @@
-// Loaded before the system's library: a wall clock that can be set and a disk that can fail, as a
-// page of the harness's says. Everything else passes through; nothing is allocated.
+// Preloaded into the processes under test. Replaces the calls that read the wall clock or sync a
+// file, so that the harness can shift the clock and make syncs slow or fail through a page of shared
+// memory. Allocates nothing.
 #include "support/network_shim.h"
 
 #include <fcntl.h>
@@ -14,8 +15,8 @@
 
 namespace {
 
-millethollow::rig::Shim* Page() {
-  static millethollow::rig::Shim* page = [] {
+millethollow::rig::Shim* SharedShim() {
+  static millethollow::rig::Shim* shim = [] {
     const char* path = getenv("MILLETHOLLOW_SHIM_PAGE");
     const int fd =
         path == nullptr ? -1 : static_cast<int>(syscall(SYS_openat, AT_FDCWD, path, O_RDWR));
@@ -25,21 +26,21 @@
     if (fd >= 0) syscall(SYS_close, fd);
     return at == MAP_FAILED ? nullptr : static_cast<millethollow::rig::Shim*>(at);
   }();
-  return page;
+  return shim;
 }
 
-bool Fails() {
-  auto* page = Page();
-  if (page == nullptr || page->fail_syncs.load() == 0) return false;
-  page->failed_syncs += 1;
+bool FailSync() {
+  auto* shim = SharedShim();
+  if (shim == nullptr || shim->fail_syncs.load() == 0) return false;
+  shim->failed_syncs += 1;
   errno = EIO;
   return true;
 }
 
 int Sync(long call, int fd) {
-  if (auto* page = Page(); page != nullptr && page->slow_syncs_ms > 0)
-    usleep(1000 * page->slow_syncs_ms);
-  return Fails() ? -1 : static_cast<int>(syscall(call, fd));
+  if (auto* shim = SharedShim(); shim != nullptr && shim->sync_delay_ms > 0)
+    usleep(1000 * shim->sync_delay_ms);
+  return FailSync() ? -1 : static_cast<int>(syscall(call, fd));
 }
 
 }  // namespace
@@ -49,9 +50,9 @@
 int clock_gettime(clockid_t clock, timespec* t) noexcept {
   const int rc = static_cast<int>(syscall(SYS_clock_gettime, clock, t));
   const bool wall = clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE || clock == CLOCK_TAI;
-  if (auto* page = wall && rc == 0 ? Page() : nullptr) {
-    t->tv_sec += page->wall_off_s.load();
-    page->wall_reads += 1;
+  if (auto* shim = wall && rc == 0 ? SharedShim() : nullptr) {
+    t->tv_sec += shim->wall_clock_offset_s.load();
+    shim->wall_clock_reads += 1;
   }
   return rc;
 }
--- a/tests/support/network_shim.h
+++ b/tests/support/network_shim.h
@@ -1,5 +1,5 @@
-// What the harness breaks inside a process without its knowing: the page that it shares with the
-// library that stands before the system's (shim.cpp).
+// Faults that the harness injects into a process, and counters of them: the layout of the memory
+// that it shares with the preloaded library (network_shim.cpp).
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_NETWORK_SHIM_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_NETWORK_SHIM_H_
 
@@ -9,11 +9,11 @@
 namespace millethollow::rig {
 
 struct Shim {
-  std::atomic<std::int64_t> wall_off_s;  // added to what the wall clock shows
-  std::atomic<std::uint64_t> wall_reads;
+  std::atomic<std::int64_t> wall_clock_offset_s;  // added to the wall clock
+  std::atomic<std::uint64_t> wall_clock_reads;
   std::atomic<std::uint32_t> fail_syncs;  // 1: fdatasync and fsync fail (EIO)
   std::atomic<std::uint64_t> failed_syncs;
-  std::atomic<std::uint32_t> slow_syncs_ms;  // each takes so much longer
+  std::atomic<std::uint32_t> sync_delay_ms;  // delay of each sync
 };
 
 }  // namespace millethollow::rig
