--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -1,5 +1,4 @@
-// The parts of a cluster around its decisions: frames, the votes' file, the section of the
-// configuration.
+// Frames between members, the vote file, and the section `cluster` of the configuration.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
@@ -16,32 +15,33 @@
 using membership::AgreementMessage;
 using membership::SwimMessage;
 
-membership::VoterHeader AVoter() {
+membership::VoterHeader SampleVoter() {
   return {.storage_identity = {2, 77},
           .known_identities = {{1, {1, 5}}, {2, {2, 77}}},
           .writes = 3,
           .features = 1};
 }
 
-membership::View AView() {
+membership::View SampleView() {
   return {.epoch = 9,
           .members = {{1, 11, "rack-1", 3, 41}, {2, 12, "", 9}},
           .settled_epoch = 8,
           .logs = {{5, 1, 11, 9, 2, {{1, 41}, {2, 42}}}, {6, 2, 0, 4, 1, {}}}};
 }
 
-AgreementMessage AMessage() {
+AgreementMessage SamplePromise() {
   return membership::Promise{
-      .voter = AVoter(), .ballot = {7, 2}, .accepted_by = {6, 1}, .accepted = AView()};
+      .voter = SampleVoter(), .ballot = {7, 2}, .accepted_by = {6, 1}, .accepted = SampleView()};
 }
 
-// With the fields that a promise does not have.
-std::vector<AgreementMessage> MoreMessages() {
+// Messages with the fields that a promise does not have.
+std::vector<AgreementMessage> SampleMessages() {
   using namespace membership;
   return {
       LeaderLossReply{
-          .voter = AVoter(), .promised = {7, 2}, .query_number = 21, .leader_lost = true},
-      Propose{.voter = AVoter(), .ballot = {7, 2}, .view = AView(), .quorum = {{1, {1, 5}}}},
+          .voter = SampleVoter(), .promised = {7, 2}, .query_number = 21, .leader_lost = true},
+      Propose{
+          .voter = SampleVoter(), .ballot = {7, 2}, .view = SampleView(), .quorum = {{1, {1, 5}}}},
       LeaseRequest{.epoch = 9,
                    .process_incarnation = 11,
                    .requested_at_s = 12.5,
@@ -57,7 +57,7 @@
   };
 }
 
-membership::Frame AProbe() {
+membership::Frame SampleProbe() {
   return SwimMessage{
       .kind = SwimMessage::Kind::kAck,
       .sequence = 4,
@@ -67,76 +67,77 @@
       .updates = {{5, 6, membership::Health::kSuspect, 1}, {2, 0, membership::Health::kLeft, 0}}};
 }
 
-membership::Frame SomeFacts() {
-  membership::MaintenanceGossip n;
-  n.sequence = 4;
-  n.request_all = true;
-  n.records = {{"w0", {{11, {2, 1}}}, 1700000000.5, membership::DrainState::kGone}};
-  return n;
+membership::Frame SampleMaintenance() {
+  membership::MaintenanceGossip gossip;
+  gossip.sequence = 4;
+  gossip.request_all = true;
+  gossip.records = {{"w0", {{11, {2, 1}}}, 1700000000.5, membership::DrainState::kGone}};
+  return gossip;
 }
 
-copies::ReplicationMessage SomeOperations() {
-  copies::ReplicationMessage f{.kind = copies::ReplicationMessage::Kind::kAppend,
-                               .log = 0x101,
-                               .epoch = 4,
-                               .disk = 41,
-                               .seq = 6,
-                               .commit = 5};
-  f.seq_epoch = 3;
-  f.number = 8;
-  f.last = f.matched = true;
-  f.ops = {{7, 4, "H:a:1", std::string(2000, 'x'), false}, {8, 4, "H:a:2", "", true}};
-  return f;
+copies::ReplicationMessage SampleOperations() {
+  copies::ReplicationMessage message{.kind = copies::ReplicationMessage::Kind::kAppend,
+                                     .log = 0x101,
+                                     .epoch = 4,
+                                     .disk = 41,
+                                     .seq = 6,
+                                     .commit = 5};
+  message.seq_epoch = 3;
+  message.number = 8;
+  message.last = message.matched = true;
+  message.ops = {{7, 4, "H:a:1", std::string(2000, 'x'), false}, {8, 4, "H:a:2", "", true}};
+  return message;
 }
 
-std::string Again(const cluster::Body& frame) {
+std::string ExpectRoundTrip(const cluster::Body& frame) {
   cluster::Header header;
   cluster::Body read;
   std::string bytes =
       cluster::Encode({.cluster = 1, .from = 2, .process_incarnation = 3, .sequence = 4}, frame);
   EXPECT_EQ(cluster::Decode(bytes, &header, &read), cluster::DecodeError::kNone);
   EXPECT_EQ(header.process_incarnation, 3U);
-  EXPECT_EQ(cluster::Encode(header, read), bytes) << "all of it came through";
+  EXPECT_EQ(cluster::Encode(header, read), bytes) << "every field was decoded";
   return bytes;
 }
 
-TEST(ClusterFrame, IsReadAsItWasWrittenAndNotWhereAByteIsOff) {
-  std::uint64_t word = 1;
-  std::vector<cluster::Body> frames = {membership::Frame(AMessage()), AProbe(), SomeFacts(),
-                                       SomeOperations()};
-  for (const AgreementMessage& message : MoreMessages()) {
+TEST(ClusterFrame, RoundTripsAndRejectsTruncatedOrCorruptBytes) {
+  std::uint64_t random_word = 1;
+  std::vector<cluster::Body> frames = {membership::Frame(SamplePromise()), SampleProbe(),
+                                       SampleMaintenance(), SampleOperations()};
+  for (const AgreementMessage& message : SampleMessages()) {
     frames.emplace_back(message);
   }
   for (const cluster::Body& frame : frames) {
-    const std::string bytes = Again(frame);
+    const std::string bytes = ExpectRoundTrip(frame);
     cluster::Header header;
     cluster::Body read;
     for (std::size_t n = 0; n < bytes.size(); ++n) {
       EXPECT_NE(cluster::Decode(bytes.substr(0, n), &header, &read), cluster::DecodeError::kNone)
           << n;
-      std::string off = bytes;
-      off[n] ^= static_cast<char>(1 + (word = word * 6364136223846793005ULL + 1) % 255);
-      EXPECT_NE(cluster::Decode(off, &header, &read), cluster::DecodeError::kNone) << n;
+      std::string corrupt = bytes;
+      corrupt[n] ^=
+          static_cast<char>(1 + (random_word = random_word * 6364136223846793005ULL + 1) % 255);
+      EXPECT_NE(cluster::Decode(corrupt, &header, &read), cluster::DecodeError::kNone) << n;
     }
   }
 }
 
-TEST(ClusterFrame, FieldsOfALaterBuildAreSkippedAndGarbageIsOutlived) {
-  const std::string bytes = codec::Encode(AMessage());
-  encoding::Writer more;
-  more.Bytes(bytes);
-  more.Number(200, std::uint64_t{5});
-  more.Text(201, std::string(300, 'x'));
-  const auto read = codec::DecodeAgreementMessage(more.bytes());
+TEST(ClusterFrame, SkipsUnknownFieldsAndSurvivesRandomBytes) {
+  const std::string bytes = codec::Encode(SamplePromise());
+  encoding::Writer extended;
+  extended.Bytes(bytes);
+  extended.Number(200, std::uint64_t{5});
+  extended.Text(201, std::string(300, 'x'));
+  const auto read = codec::DecodeAgreementMessage(extended.bytes());
   ASSERT_TRUE(read.has_value());
   EXPECT_EQ(codec::Encode(*read), bytes);
   membership::Random random(3);
   for (int i = 0; i < 20000; ++i) {
-    std::string noise = i % 2 == 0 ? bytes : std::string(random.Below(80), '\0');
-    for (char& c : noise) {
+    std::string random_bytes = i % 2 == 0 ? bytes : std::string(random.Below(80), '\0');
+    for (char& c : random_bytes) {
       if (i % 2 == 1 || random.Below(20) == 0) c = static_cast<char>(random.NextUint64());
     }
-    const auto message = codec::DecodeAgreementMessage(noise);
+    const auto message = codec::DecodeAgreementMessage(random_bytes);
     if (message) {
       std::visit(
           [](const auto& m) {
@@ -149,14 +150,14 @@
           },
           *message);
     }
-    (void)codec::DecodeSwimMessage(noise);
-    (void)codec::DecodeMaintenanceGossip(noise);
-    (void)codec::DecodeVoterState(noise);
+    (void)codec::DecodeSwimMessage(random_bytes);
+    (void)codec::DecodeMaintenanceGossip(random_bytes);
+    (void)codec::DecodeVoterState(random_bytes);
   }
 }
 
-struct VoteFolder : Folder {
-  ~VoteFolder() override { file.reset(); }
+struct VoteFileTest : Folder {
+  ~VoteFileTest() override { file.reset(); }
   bool Open(std::uint64_t cluster = 1, membership::NodeId self = 2) {
     file = std::make_unique<store::VoteFile>();
     votes = {};
@@ -166,7 +167,7 @@
     file->Write(v, 7);
     return Waits(7);
   }
-  static membership::PersistentVoterState Some() {
+  static membership::PersistentVoterState SampleVotes() {
     return {.promised = {3, 2},
             .accepted_by = {2, 1},
             .accepted = {.epoch = 4, .members = {}, .settled_epoch = 0},
@@ -179,9 +180,9 @@
   bool damaged = false;
 };
 
-TEST_F(VoteFolder, KeepsWhatWasWrittenAndIsTakenByOneProcess) {
+TEST_F(VoteFileTest, KeepsWhatWasWrittenAndIsLockedByOneProcess) {
   ASSERT_TRUE(Open()) << error;
-  EXPECT_TRUE(Write(Some()));
+  EXPECT_TRUE(Write(SampleVotes()));
   store::VoteFile second;
   membership::PersistentVoterState unused;
   bool bad = false;
@@ -190,17 +191,17 @@
   EXPECT_NE(error.find("in use"), std::string::npos) << error;
   file.reset();
   ASSERT_TRUE(Open()) << error;
-  EXPECT_EQ(codec::Encode(votes), codec::Encode(Some()));
+  EXPECT_EQ(codec::Encode(votes), codec::Encode(SampleVotes()));
   EXPECT_FALSE(damaged);
 }
 
-TEST_F(VoteFolder, CutAtAnyByteCountsAsNoneAndIsPutAside) {
+TEST_F(VoteFileTest, TruncatedAtAnyByteIsDamagedAndSetAside) {
   ASSERT_TRUE(Open());
-  Write(Some());
+  Write(SampleVotes());
   file.reset();
-  const std::string whole = Bytes("votes");
-  for (std::size_t n = 0; n < whole.size(); ++n) {
-    Put("votes", whole.substr(0, n));
+  const std::string complete = Bytes("votes");
+  for (std::size_t n = 0; n < complete.size(); ++n) {
+    Put("votes", complete.substr(0, n));
     ASSERT_TRUE(Open()) << error;
     EXPECT_TRUE(damaged) << n;
     EXPECT_EQ(votes.storage_identity.number, 0U) << n;
@@ -209,16 +210,16 @@
   EXPECT_TRUE(std::filesystem::exists(folder + "/votes.damaged"));
 }
 
-TEST_F(VoteFolder, OfAnotherOrALaterBuildIsLeftAlone) {
+TEST_F(VoteFileTest, OfAnotherMemberOrALaterBuildIsNotOverwritten) {
   ASSERT_TRUE(Open());
-  Write(Some());
+  Write(SampleVotes());
   file.reset();
-  const std::string whole = Bytes("votes");
+  const std::string complete = Bytes("votes");
   EXPECT_FALSE(Open(5, 2));
   EXPECT_NE(error.find("another cluster"), std::string::npos) << error;
   EXPECT_FALSE(Open(1, 5));
   EXPECT_NE(error.find("another member"), std::string::npos) << error;
-  std::string later = whole.substr(0, whole.size() - 8);
+  std::string later = complete.substr(0, complete.size() - 8);
   later[7] = 9;
   encoding::Writer hash;
   hash.Raw(codec::Hash(later));
@@ -228,7 +229,7 @@
   EXPECT_EQ(Bytes("votes"), later + hash.bytes()) << "nothing was overwritten";
 }
 
-TEST(ClusterSection, EachMistakeIsOneClearLine) {
+TEST(ClusterSection, ReportsEachMistakeInOneLine) {
   const std::string three = R"([{"id":"a","address":"127.0.0.1:1","voter":true},
     {"id":"b","address":"127.0.0.1:2","voter":true},{"id":"c","address":"127.0.0.1:3","voter":true}])";
   const std::pair<std::string, std::string> cases[] = {
@@ -269,13 +270,15 @@
        "'jobs.again_least_s' must not be over"},
       {"7", "'cluster' is not an object"},
   };
-  for (const auto& [text, wanted] : cases) {
+  for (const auto& [text, expected] : cases) {
     ClusterOptions options;
     std::string error;
-    EXPECT_EQ(ReadCluster("{\"cluster\":" + text + "}", &options, &error), wanted.empty()) << text;
-    EXPECT_NE(error.find(wanted), std::string::npos) << error << " for " << text;
+    EXPECT_EQ(ReadCluster("{\"cluster\":" + text + "}", &options, &error), expected.empty())
+        << text;
+    EXPECT_NE(error.find(expected), std::string::npos) << error << " for " << text;
     EXPECT_EQ(error.find('\n'), std::string::npos);
-    EXPECT_EQ(options.on(), wanted.empty()) << "nothing is taken in part";
+    EXPECT_EQ(options.on(), expected.empty())
+        << "a section with a mistake must not be applied in part";
   }
 }
 
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -1,4 +1,5 @@
-// The process replaced under load: nobody is turned away, and what was known goes on.
+// Hot restart: a process is replaced under load, no client is refused, and the planner's state is
+// kept.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -17,116 +18,122 @@
   char path[32] = "/tmp/handover-XXXXXX";
 };
 
-struct Replace : testing::Test {
-  Replace() : harness(3, "", folder.path) {}
-  // On a connection that stays: the answer to one request.
-  std::string Ask(RawClient* client, const std::string& id, const std::string& cls = "look") {
+struct HotRestartTest : testing::Test {
+  HotRestartTest() : harness(3, "", folder.path) {}
+  // Sends a request on a persistent connection and returns the status line's first 12 bytes.
+  std::string Request(RawClient* client, const std::string& id, const std::string& cls = "look") {
     client->in.clear();
     client->Write(Post(id, cls, cls == "charge" ? "Idempotency-Key: " + id + "\r\n" : ""));
     EXPECT_TRUE(harness.Until([&] { return client->in.find("\r\n\r\n") != std::string::npos; }))
         << id;
     return client->in.substr(0, 12);
   }
-  void Served(RawClient* client, const std::string& id) {
-    EXPECT_EQ(Ask(client, id), "HTTP/1.1 200") << id;
+  void ExpectServed(RawClient* client, const std::string& id) {
+    EXPECT_EQ(Request(client, id), "HTTP/1.1 200") << id;
+  }
+  std::uint64_t ReceivedRequests(const std::unique_ptr<Node>& node) {
+    return node->counters().received;
   }
-  std::uint64_t Taken(const std::unique_ptr<Node>& node) { return node->counters().received; }
   Folder folder;
   NodeHarness harness;
 };
 
-TEST_F(Replace, RestingClientsGoOnAtTheNewProcessAndNewOnesArriveThere) {
-  auto resting = harness.Client(), waiting = harness.Client();
-  Served(resting.get(), "a");
+TEST_F(HotRestartTest, IdleConnectionsMoveToTheNewProcessWhichAcceptsNewOnes) {
+  auto idle = harness.Client(), in_progress = harness.Client();
+  ExpectServed(idle.get(), "a");
   std::vector<ToyWorker::Got> held;
   for (auto& w : harness.workers) {
-    w->act = [&](const ToyWorker::Got& g) {
-      if (*g.head.Get("Request-Id") == "b") return held.push_back(g);  // copies too
-      ToyWorker::Done(g, "ok");
+    w->act = [&](const ToyWorker::Got& attempt) {
+      if (*attempt.head.Get("Request-Id") == "b")
+        return held.push_back(attempt);  // also hedged attempts
+      ToyWorker::Done(attempt, "ok");
     };
   }
-  waiting->Write(Post("b", "look"));
+  in_progress->Write(Post("b", "look"));
   ASSERT_TRUE(harness.Until([&] { return !held.empty(); }));
   ASSERT_TRUE(harness.StartNext());
-  Served(resting.get(), "c");
+  ExpectServed(idle.get(), "c");
   auto fresh = harness.Client();
-  Served(fresh.get(), "d");
-  EXPECT_EQ(Taken(harness.node), 2u);  // counts begin at 0 in each process
-  EXPECT_EQ(Taken(harness.next), 2u);
+  ExpectServed(fresh.get(), "d");
+  EXPECT_EQ(ReceivedRequests(harness.node), 2u);  // counts begin at 0 in each process
+  EXPECT_EQ(ReceivedRequests(harness.next), 2u);
   harness.node->BeginStop();
-  harness.Until([] { return false; }, 0.7);  // past the time at which it would close idle ones
-  for (const ToyWorker::Got& g : held) ToyWorker::Done(g, "late");
-  ASSERT_TRUE(harness.Until([&] { return waiting->in.find("late") != std::string::npos; }));
-  EXPECT_EQ(waiting->in.find("Connection: close"), std::string::npos);
-  Served(waiting.get(), "e");
-  harness.node->Run();  // it has nothing left, and ends
+  harness.Until([] { return false; }, 0.7);  // longer than an idle connection is kept
+  for (const ToyWorker::Got& attempt : held) ToyWorker::Done(attempt, "late");
+  ASSERT_TRUE(harness.Until([&] { return in_progress->in.find("late") != std::string::npos; }));
+  EXPECT_EQ(in_progress->in.find("Connection: close"), std::string::npos);
+  ExpectServed(in_progress.get(), "e");
+  harness.node->Run();  // returns, since no work is left
   harness.node.reset();
-  Served(resting.get(), "f");
-  EXPECT_EQ(Taken(harness.next), 4u);
-  EXPECT_FALSE(resting->ended || waiting->ended || fresh->ended);
+  ExpectServed(idle.get(), "f");
+  EXPECT_EQ(ReceivedRequests(harness.next), 4u);
+  EXPECT_FALSE(idle->ended || in_progress->ended || fresh->ended);
 }
 
-TEST_F(Replace, BansDrainsAndIdsHoldForBoth) {
+TEST_F(HotRestartTest, MaintenanceAndUsedRequestIdsHoldForBothProcesses) {
   auto client = harness.Client();
-  Served(client.get(), "a");
+  ExpectServed(client.get(), "a");
   ASSERT_TRUE(harness.node->SetMaintenance("w0", true));
   ASSERT_TRUE(harness.StartNext());
-  EXPECT_EQ(Ask(client.get(), "a"), "HTTP/1.1 409");
-  ASSERT_TRUE(harness.node->SetMaintenance("w1", true));  // staff may ask either
+  EXPECT_EQ(Request(client.get(), "a"), "HTTP/1.1 409");
+  ASSERT_TRUE(harness.node->SetMaintenance("w1", true));  // an operator may call either process
   harness.Until([] { return false; }, 0.05);
   const std::size_t before = harness.workers[0]->got.size() + harness.workers[1]->got.size();
   auto again = harness.Client();
-  for (int i = 0; i < 8; ++i) Served(again.get(), "b" + std::to_string(i));
+  for (int i = 0; i < 8; ++i) ExpectServed(again.get(), "b" + std::to_string(i));
   EXPECT_EQ(harness.workers[0]->got.size() + harness.workers[1]->got.size(), before);
   ASSERT_TRUE(harness.next->SetMaintenance("w0", false));
   harness.Until([] { return false; }, 0.05);
-  const std::size_t there = harness.workers[0]->got.size();
-  const double back = harness.host.Now();
-  for (int i = 0; harness.workers[0]->got.size() == there && harness.host.Now() < back + 5; ++i) {
-    Served(again.get(), "c" + std::to_string(i));
+  const std::size_t attempts_before = harness.workers[0]->got.size();
+  const double set_ready_at = harness.host.Now();
+  for (int i = 0;
+       harness.workers[0]->got.size() == attempts_before && harness.host.Now() < set_ready_at + 5;
+       ++i) {
+    ExpectServed(again.get(), "c" + std::to_string(i));
     harness.Until([] { return false; }, 0.02);
   }
-  EXPECT_GT(harness.workers[0]->got.size(), there);
+  EXPECT_GT(harness.workers[0]->got.size(), attempts_before);
 }
 
-TEST_F(Replace, AnOldProcessThatSaysNothingOrIsGoneKeepsNoneFromItsStart) {
+TEST_F(HotRestartTest, StartsWhenTheOldProcessIsSilentOrGone) {
   const std::string path =
       std::string(folder.path) + "/millethollow-t-" + harness.config.listen + ".sock";
-  std::vector<std::unique_ptr<handover::SiblingConnection>> taken;
+  std::vector<std::unique_ptr<handover::SiblingConnection>> accepted;
   handover::SiblingListener silent(&harness.host,
-                                   [&](auto link) { taken.push_back(std::move(link)); });
+                                   [&](auto link) { accepted.push_back(std::move(link)); });
   ASSERT_TRUE(silent.Listen(path));
-  const double began = harness.host.Now();
+  const double started_at = harness.host.Now();
   ASSERT_TRUE(harness.StartNext());
-  EXPECT_LT(harness.host.Now() - began, 3);
+  EXPECT_LT(harness.host.Now() - started_at, 3);
   harness.next.reset();
-  harness.node.reset();  // leaves its socket's file behind
+  harness.node.reset();  // the socket file stays behind
   ASSERT_TRUE(harness.StartNext());
 }
 
-TEST_F(Replace, TheOldProcessGoesOnWhereTheNewOneNeverServesOrDies) {
+TEST_F(HotRestartTest, TheOldProcessServesOnWhenTheNewOneNeverServesOrDies) {
   auto client = harness.Client();
-  Served(client.get(), "a");
+  ExpectServed(client.get(), "a");
   const std::string path =
       std::string(folder.path) + "/millethollow-t-" + harness.config.listen + ".sock";
-  auto never = handover::SiblingConnection::ConnectTo(&harness.host, path);
-  ASSERT_NE(never, nullptr);
-  never->Send(link::Writer(link::FrameKind::kStateRequest).I32(1).Finish());
+  auto never_serving = handover::SiblingConnection::ConnectTo(&harness.host, path);
+  ASSERT_NE(never_serving, nullptr);
+  never_serving->Send(link::Writer(link::FrameKind::kStateRequest).I32(1).Finish());
   harness.Until([] { return false; }, 0.05);
-  Served(client.get(), "b");
-  never.reset();
+  ExpectServed(client.get(), "b");
+  never_serving.reset();
   harness.Until([] { return false; }, 0.05);
   ASSERT_TRUE(harness.StartNext());
   harness.Until([] { return false; }, 0.05);
   harness.next.reset();
   harness.Until([] { return false; }, 0.05);
   auto fresh = harness.Client();
-  Served(fresh.get(), "c");
-  EXPECT_EQ(Taken(harness.node), 3u);
+  ExpectServed(fresh.get(), "c");
+  EXPECT_EQ(ReceivedRequests(harness.node), 3u);
 }
 
-// Whatever comes over the link, the process that serves goes on serving.
-TEST_F(Replace, GarbageOverTheLinkHarmsNobody) {
+// Random packets, and frames of known kinds with random fields, must not disturb the process that
+// serves.
+TEST_F(HotRestartTest, SurvivesRandomPackets) {
   const std::string path =
       std::string(folder.path) + "/millethollow-t-" + harness.config.listen + ".sock";
   std::mt19937 random(11);
@@ -137,8 +144,7 @@
     for (int i = 0; i < 8; ++i) {
       std::string bytes(4 + random() % 60, '\0');
       for (char& c : bytes) c = static_cast<char>(random());
-      if (bytes.size() > 4)
-        bytes[4] = static_cast<char>(64 + random() % 16);  // a kind that is known
+      if (bytes.size() > 4) bytes[4] = static_cast<char>(64 + random() % 16);  // a known frame kind
       if (bytes.size() > 4 && bytes[4] == static_cast<char>(link::FrameKind::kSuccessorServing))
         bytes[4] = 0;
       link->Send(bytes);
@@ -146,20 +152,20 @@
     harness.Until([] { return false; }, 0.005);
   }
   harness.Until([] { return false; }, 0.05);
-  Served(client.get(), "a");
+  ExpectServed(client.get(), "a");
 }
 
-TEST_F(Replace, OneAfterAnother) {
+TEST_F(HotRestartTest, SeveralTimesInSuccession) {
   auto client = harness.Client();
   for (int i = 0; i < 4; ++i) {
-    Served(client.get(), "a" + std::to_string(i));
+    ExpectServed(client.get(), "a" + std::to_string(i));
     ASSERT_TRUE(harness.StartNext());
     harness.Until([] { return false; }, 0.05);
     harness.node->BeginStop();
     harness.node->Run();
     harness.node = std::move(harness.next);
   }
-  Served(client.get(), "z");
+  ExpectServed(client.get(), "z");
   EXPECT_FALSE(client->ended);
 }
 
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -1,4 +1,4 @@
-// The link between the two levels: its frames, and a planner and a forwarder joined by it.
+// The connection between planner and forwarder: its frames, and both processes joined by it.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -15,7 +15,7 @@
 using link::Reader;
 using link::Writer;
 
-TEST(LinkFrames, ComeBackWholeHoweverCut) {
+TEST(LinkFrames, AreDecodedHoweverTheStreamIsSplit) {
   std::mt19937 random(20261201);
   Outcome outcome{.status = AttemptStatus::kRejected, .latency_s = 0.5, .has_report = true};
   outcome.report[3] = 7;
@@ -45,9 +45,9 @@
     EXPECT_EQ(ended.I32(), -4);
     EXPECT_EQ(ended.GetOutcome().report[3], 7);
     EXPECT_TRUE(ended.Complete());
-    const balancing::Endpoint m = worker.GetEndpoint();
-    EXPECT_EQ(m.cell, -3);
-    EXPECT_EQ(m.readiness, balancing::Readiness::kDraining);
+    const balancing::Endpoint decoded = worker.GetEndpoint();
+    EXPECT_EQ(decoded.cell, -3);
+    EXPECT_EQ(decoded.readiness, balancing::Readiness::kDraining);
     EXPECT_FALSE(worker.Complete());
     EXPECT_EQ(worker.Text().size(), 300u);
     EXPECT_TRUE(worker.Complete());
@@ -56,11 +56,12 @@
   }
 }
 
-TEST(LinkFrames, OutliveGarbage) {
+TEST(LinkFrames, DecodingSurvivesCorruptBytes) {
   std::mt19937 random(20261201);
   for (int round = 0; round < 2000; ++round) {
     std::string text = Writer(FrameKind::kRequestReceived).U64(1).Text("abc").F64(2).Finish();
-    for (int hits = 1 + static_cast<int>(random() % 4); hits > 0; --hits) {
+    for (int corrupted_bytes = 1 + static_cast<int>(random() % 4); corrupted_bytes > 0;
+         --corrupted_bytes) {
       text[random() % text.size()] = static_cast<char>(random());
     }
     FrameDecoder decoder;
@@ -107,15 +108,16 @@
     }
     return done();
   }
-  // Asks once; gives the answer's head and body.
-  std::string Ask(const std::string& bytes) {
+  // Sends one request and returns the response, head and body.
+  std::string SendRequest(const std::string& bytes) {
     client->in.clear();
     client->Write(bytes);
     Until([&] { return client->in.find("\r\n\r\n") != std::string::npos; });
     return client->in;
   }
   bool Serving() {
-    return Until([&] { return Ask("GET /_health HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200"); });
+    return Until(
+        [&] { return SendRequest("GET /_health HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200"); });
   }
   Loop host;
   ToyWorker worker;
@@ -125,14 +127,14 @@
   std::unique_ptr<RawClient> client;
 };
 
-TEST(TwoLevels, ServeAcrossTheLink) {
+TEST(TwoLevels, ServeARequestAcrossTheLink) {
   Levels levels;
   ASSERT_TRUE(levels.Serving());
-  EXPECT_TRUE(levels.Ask(Post("a1", "look")).ends_with("\r\n\r\nok"));
+  EXPECT_TRUE(levels.SendRequest(Post("a1", "look")).ends_with("\r\n\r\nok"));
   EXPECT_EQ(levels.planner->counters().completed, 1u);
 }
 
-TEST(TwoLevels, ALostPlannerFailsWhatMayHaveRunAndRefusesTheRest) {
+TEST(TwoLevels, LosingThePlannerFailsRequestsThatMayHaveRunAndRejectsNewOnes) {
   Levels levels;
   ASSERT_TRUE(levels.Serving());
   levels.worker.act = [](const ToyWorker::Got&) {};
@@ -142,15 +144,15 @@
   levels.planner.reset();
   ASSERT_TRUE(levels.Until([&] { return !levels.client->in.empty(); }));
   EXPECT_TRUE(levels.client->in.starts_with("HTTP/1.1 502")) << levels.client->in;
-  EXPECT_TRUE(levels.Ask("GET /_health HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503"));
-  const std::string in = levels.Ask(Post("a2", "look"));
-  EXPECT_TRUE(in.starts_with("HTTP/1.1 503")) << in;
-  EXPECT_NE(in.find("Retry-After"), std::string::npos);
-  // One that comes back is found again.
+  EXPECT_TRUE(levels.SendRequest("GET /_health HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503"));
+  const std::string response = levels.SendRequest(Post("a2", "look"));
+  EXPECT_TRUE(response.starts_with("HTTP/1.1 503")) << response;
+  EXPECT_NE(response.find("Retry-After"), std::string::npos);
+  // The forwarder reconnects to a planner that restarts.
   levels.StartPlanner();
-  levels.worker.act = [](const ToyWorker::Got& g) { ToyWorker::Done(g, "ok"); };
+  levels.worker.act = [](const ToyWorker::Got& attempt) { ToyWorker::Done(attempt, "ok"); };
   ASSERT_TRUE(levels.Serving());
-  EXPECT_TRUE(levels.Ask(Post("a3", "look")).ends_with("\r\n\r\nok"));
+  EXPECT_TRUE(levels.SendRequest(Post("a3", "look")).ends_with("\r\n\r\nok"));
 }
 
 }  // namespace
