--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -1,6 +1,6 @@
-// What must read and write as it did at commit 3865b00: frames, datagrams, stored records, the
-// state that a process hands over, settings, and the names of figures.
-// tests/data/compatibility/README.md says how the files were made.
+// Compatibility with the program at commit 3865b00: frames, datagrams, stored records, the state
+// sent in a hot restart, settings, and the names of metrics must be read and written as by it.
+// tests/data/compatibility/README.md describes how the files were made.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -60,7 +60,7 @@
   std::string name, bytes;
 };
 
-// A file with a name and bytes in hexadecimal on each line.
+// Reads a file with a name and bytes in hexadecimal on each line.
 std::vector<NamedBytes> ReadHex(const std::string& file) {
   std::vector<NamedBytes> all;
   for (const std::string& line : LinesOf(ReadFile(kData + "/" + file))) {
@@ -79,8 +79,8 @@
 
 // ---- the cluster's frames ----
 
-// Reads a frame and writes it again.
-std::string Again(const std::string& bytes) {
+// Decodes a frame and encodes it again.
+std::string EncodeAgain(const std::string& bytes) {
   cluster::Header header;
   cluster::Body body;
   EXPECT_EQ(cluster::Decode(bytes, &header, &body), cluster::DecodeError::kNone);
@@ -93,8 +93,8 @@
   return cluster::Encode(header, body);
 }
 
-// Each frame reads as the sample that it was made of: both write the same bytes, and no field of a
-// sample is left out of these.
+// Each old frame must decode to the sample that it was made of: encoding the sample, and encoding
+// the decoded frame, must both yield the old bytes.
 template <typename Samples>
 void ExpectFrames(const Samples& samples, const std::map<std::string, std::string>& old) {
   for (const auto& [name, message] : samples) {
@@ -108,35 +108,35 @@
       body = message;
     }
     EXPECT_EQ(cluster::Encode(SampleHeader(), body), bytes);
-    EXPECT_EQ(Again(bytes), bytes);
+    EXPECT_EQ(EncodeAgain(bytes), bytes);
   }
 }
 
-TEST(ClusterFrames, OfEachKindReadAndWriteAsBefore) {
+TEST(ClusterFrames, OfEachKindAreUnchanged) {
   const auto old = ReadHexByName("cluster-frames.hex");
   EXPECT_EQ(old.size(), 32U);
   EXPECT_EQ(SampleMessages().size(), 19U);
   EXPECT_EQ(SampleProbes().size(), 5U);
   ExpectFrames(SampleMessages(), old);
   ExpectFrames(SampleProbes(), old);
-  ExpectFrames(SampleFacts(), old);
-  ExpectFrames(SampleCopies(), old);
+  ExpectFrames(SampleMaintenance(), old);
+  ExpectFrames(SampleReplication(), old);
   ExpectFrames(SampleQuota(), old);
 }
 
-TEST(ClusterFrames, RecordedInAClusterReadAndWriteAsBefore) {
+TEST(ClusterFrames, RecordedInAClusterAreUnchanged) {
   const auto recorded = ReadHex("cluster-frames-recorded.hex");
   EXPECT_EQ(recorded.size(), 56U);
   for (const auto& [name, bytes] : recorded) {
     SCOPED_TRACE(name);
-    EXPECT_EQ(Again(bytes), bytes);
+    EXPECT_EQ(EncodeAgain(bytes), bytes);
   }
 }
 
-// ---- the link between forwarders and planners, and between two processes of one node ----
+// ---- frames between forwarders and planners, and between the processes of a hot restart ----
 
-// Reads a frame's fields, of the types that `shape` names, and writes them again.
-std::string Again(const std::string& bytes, std::string_view shape) {
+// Decodes the fields of a frame, whose types `shape` lists, and encodes them again.
+std::string EncodeAgain(const std::string& bytes, std::string_view shape) {
   link::FrameDecoder decoder;
   decoder.Feed(bytes);
   const std::optional<std::string> frame = decoder.Next();
@@ -158,7 +158,7 @@
   return writer.Finish();
 }
 
-TEST(LinkFrames, OfEachKindReadAndWriteAsBefore) {
+TEST(LinkFrames, OfEachKindAreUnchanged) {
   const std::map<std::string, std::string> shapes{
       {"link-taken", "UTITTRRRRBU"},  {"link-client-gone", "U"}, {"link-began", "UI"},
       {"link-ended", "UIO"},          {"link-probed", "TO"},     {"link-worker", "ER"},
@@ -176,7 +176,7 @@
     SCOPED_TRACE(name);
     ASSERT_TRUE(old.contains(name) && samples.contains(name));
     EXPECT_EQ(samples.at(name), old.at(name));
-    EXPECT_EQ(Again(old.at(name), shape), old.at(name));
+    EXPECT_EQ(EncodeAgain(old.at(name), shape), old.at(name));
   }
 }
 
@@ -215,21 +215,19 @@
   EXPECT_EQ(balancing::EncodeReport(whole, layout), old);
 }
 
-TEST(PeerDatagrams, OfASmallTierReadAndWriteAsBefore) {
-  ExpectDatagrams("small-tier", SmallTier(), 1);
-}
+TEST(PeerDatagrams, OfASmallTierAreUnchanged) { ExpectDatagrams("small-tier", SmallTier(), 1); }
 
-TEST(PeerDatagrams, OfALargeTierInPartsReadAndWriteAsBefore) {
+TEST(PeerDatagrams, OfALargeTierInPartsAreUnchanged) {
   ExpectDatagrams("large-tier", LargeTier(), 2);
 }
 
 // ---- stored records ----
 
-TEST(StoredRecords, ReadAndWriteAsBefore) {
+TEST(StoredRecords, AreUnchanged) {
   const auto old = ReadHexByName("stored-records.hex");
   EXPECT_EQ(old.size(), 8U);
   EXPECT_EQ(copies::Encode(SampleHead()), old.at("head"));
-  EXPECT_EQ(copies::Encode(SampleOp()), old.at("operation"));
+  EXPECT_EQ(copies::Encode(SampleOperation()), old.at("operation"));
   EXPECT_EQ(copies::Encode(SampleJob()), old.at("job"));
   EXPECT_EQ(copies::Encode(SampleKey()), old.at("key"));
   EXPECT_EQ(codec::Encode(SampleVotes()), old.at("votes"));
@@ -249,7 +247,8 @@
   EXPECT_EQ(codec::Encode(*votes), old.at("votes"));
 }
 
-// A voter's folder with a log: entries, operations that were not yet applied, workers out by hand.
+// The store of a voter with logs: entries, operations that were not applied yet, and workers in
+// maintenance.
 struct MemberFolder : Folder {
   MemberFolder() {
     for (const char* file : {"votes", "copies.db"}) {
@@ -277,10 +276,10 @@
   EXPECT_EQ(Bytes("votes"), before);
 }
 
-TEST_F(MemberFolder, LogsAndWorkersOutByHandAreRead) {
+TEST_F(MemberFolder, LogsAndMaintenanceRecordsAreRead) {
   store::RecordStore store;
   ASSERT_TRUE(store.Open(folder, {cluster, self, 1}, 16 << 20, Written(), &error)) << error;
-  EXPECT_NE(store.disk(), 1U) << "the file was made anew";
+  EXPECT_NE(store.disk(), 1U) << "the file was replaced by a new one";
   store::RecordStore::Records records;
   Lines damaged;
   ASSERT_TRUE(store.LoadLogs(&records, &damaged, &error)) << error;
@@ -327,31 +326,31 @@
   EXPECT_EQ(jobs, 8U);
   records.clear();
   ASSERT_TRUE(store.Load(copies::EntryPrefix(0, 0), &records, &damaged, &error)) << error;
-  std::map<std::string, bool> out;
+  std::map<std::string, bool> in_maintenance;
   for (const auto& [key, value] : records) {
-    const auto news = codec::DecodeMaintenanceGossip(value);
-    ASSERT_TRUE(news && news->records.size() == 1);
-    EXPECT_EQ(codec::Encode(*news), value);
-    out[news->records[0].worker] = news->records[0].InMaintenance();
+    const auto gossip = codec::DecodeMaintenanceGossip(value);
+    ASSERT_TRUE(gossip && gossip->records.size() == 1);
+    EXPECT_EQ(codec::Encode(*gossip), value);
+    in_maintenance[gossip->records[0].worker] = gossip->records[0].InMaintenance();
   }
   EXPECT_EQ(damaged, Lines{});
-  EXPECT_EQ(out, (std::map<std::string, bool>{{"toy-0", false}, {"toy-1", true}}));
+  EXPECT_EQ(in_maintenance, (std::map<std::string, bool>{{"toy-0", false}, {"toy-1", true}}));
 }
 
-// ---- what a process hands to the one that replaces it ----
+// ---- the state sent in a hot restart ----
 
-TEST(BalancerState, IsRestoredAndSavedAsBefore) {
+TEST(BalancerState, IsUnchangedByRestoringAndSaving) {
   const std::string old = ReadHex("balancer-state.hex").front().bytes;
-  balancing::LoadBalancer restored(PlayedSettings(), 5);
+  balancing::LoadBalancer restored(SampleEventSettings(), 5);
   ASSERT_TRUE(restored.RestoreState(old, {0, 1}));
   EXPECT_EQ(restored.SaveState(), old);
   EXPECT_EQ(restored.Workers().size(), 6U);
 }
 
-TEST(BalancerState, AfterTheSameEventsIsTheSame) {
+TEST(BalancerState, IsUnchangedAfterTheSameEvents) {
   const std::string old = ReadHex("balancer-state.hex").front().bytes;
-  balancing::LoadBalancer played(PlayedSettings(), 11);
-  Play(&played);
+  balancing::LoadBalancer played(SampleEventSettings(), 11);
+  RunSampleEvents(&played);
   EXPECT_EQ(played.SaveState(), old);
 }
 
@@ -380,7 +379,7 @@
   Loop host;
 };
 
-TEST_F(Handover, TheNewProcessTakesWhatTheOldProgramSent) {
+TEST_F(Handover, TheNewProcessAcceptsTheStateOfTheOldProgram) {
   std::unique_ptr<handover::SiblingConnection> old;
   handover::SiblingListener server(&host, [&](std::unique_ptr<handover::SiblingConnection> link) {
     old = std::move(link);
@@ -422,7 +421,7 @@
   EXPECT_EQ(balancer.SaveState(), inherited.planner_state);
 }
 
-TEST_F(Handover, TheOldProcessSendsWhatTheOldProgramSent) {
+TEST_F(Handover, TheOldProcessSendsTheSameStateAsTheOldProgram) {
   Config config = HandoverConfig();
   config.listen = config.peer_listen = "127.0.0.1:0";
   config.admin.clear();
@@ -456,8 +455,9 @@
     if (kind == link::FrameKind::kPlannerState) {
       EXPECT_EQ(sent[i].second.size() > 0, fields.size() > 0);
     } else if (kind == link::FrameKind::kWireIds) {
-      EXPECT_EQ(sent[i].second, "") << "it has served no request";
-    } else if (fields.find("toy-1") != std::string::npos) {  // was out by hand since some time
+      EXPECT_EQ(sent[i].second, "") << "this node has served no request";
+    } else if (fields.find("toy-1") !=
+               std::string::npos) {  // the time since which it is in maintenance differs
       EXPECT_EQ(sent[i].second.size(), fields.size());
     } else {
       EXPECT_EQ(sent[i].second, fields);
@@ -467,16 +467,16 @@
 
 // ---- settings ----
 
-TEST(SettingsFile, EachKeyIsReadAsBefore) {
+TEST(SettingsFile, EachKeyHasTheSameMeaning) {
   Config config;
   std::string error;
   ASSERT_TRUE(ReadConfig(ReadFile(kData + "/settings.json"), &config, &error)) << error;
-  EXPECT_EQ(LinesOf(ValuesOf(config)), LinesOf(ReadFile(kData + "/settings-values.txt")));
+  EXPECT_EQ(LinesOf(FormatValues(config)), LinesOf(ReadFile(kData + "/settings-values.txt")));
 }
 
-// ---- a node on the old program's folder ----
+// ---- a node started on the store of the old program ----
 
-// A cluster of one member, with three jobs promised and `toy-1` out by hand.
+// A cluster of one member, with three durable jobs, and `toy-1` in maintenance.
 struct OldNode : Folder {
   OldNode() {
     LogLevel() = Level::kError;
@@ -525,15 +525,16 @@
   std::unique_ptr<Node> node;
 };
 
-// Where each value stands in an object, with its type.
-void AddPaths(const nlohmann::json& value, const std::string& at, std::set<std::string>* paths) {
+// Collects the path and type of each value in a JSON document.
+void AddJsonPaths(const nlohmann::json& value, const std::string& at,
+                  std::set<std::string>* paths) {
   if (value.is_object()) {
     for (const auto& [key, item] : value.items()) {
-      AddPaths(item, at.empty() ? key : at + "." + key, paths);
+      AddJsonPaths(item, at.empty() ? key : at + "." + key, paths);
     }
   } else if (value.is_array()) {
     if (value.empty()) paths->insert(at + "[]");
-    for (const auto& item : value) AddPaths(item, at + "[]", paths);
+    for (const auto& item : value) AddJsonPaths(item, at + "[]", paths);
   } else {
     const char* type = value.is_string()         ? "str"
                        : value.is_boolean()      ? "bool"
@@ -543,8 +544,8 @@
   }
 }
 
-// Of each line `name:value|kind`, the name and the kind.
-Lines FigureNames(const std::string& text) {
+// The name and the kind of each line `name:value|kind`.
+Lines MetricNames(const std::string& text) {
   Lines names;
   for (const std::string& line : LinesOf(text)) {
     const std::size_t colon = line.find(':');
@@ -554,15 +555,15 @@
   return names;
 }
 
-TEST_F(OldNode, DoesThePromisedJobsAndKeepsTheWorkerOut) {
-  const auto says = [this](const std::string& line) {
+TEST_F(OldNode, RunsTheDurableJobsAndKeepsTheWorkerInMaintenance) {
+  const auto stats_contain = [this](const std::string& line) {
     return Get("/stats").find(line) != std::string::npos;
   };
-  ASSERT_TRUE(Until([&] { return says("app.cluster.jobs.adopted:3|c"); }, 20));
-  ASSERT_TRUE(Until([&] { return says("app.cluster.jobs.held:0|g"); }, 10));
-  // The third may not be doubled, was tried, and the window in which it may be repeated is over.
-  EXPECT_TRUE(says("app.cluster.jobs.served:2|c"));
-  EXPECT_TRUE(says("app.cluster.jobs.failed:1|c"));
+  ASSERT_TRUE(Until([&] { return stats_contain("app.cluster.jobs.adopted:3|c"); }, 20));
+  ASSERT_TRUE(Until([&] { return stats_contain("app.cluster.jobs.held:0|g"); }, 10));
+  // The third is not idempotent, was attempted before, and its deduplication window has passed.
+  EXPECT_TRUE(stats_contain("app.cluster.jobs.served:2|c"));
+  EXPECT_TRUE(stats_contain("app.cluster.jobs.failed:1|c"));
   std::multiset<std::string> bodies;
   for (const ToyWorker::Got& got : workers[0]->got) bodies.insert(got.body);
   EXPECT_EQ(bodies, (std::multiset<std::string>{"body 0", "body 1"}));
@@ -571,20 +572,20 @@
   EXPECT_EQ(members["workers_out"], nlohmann::json::array({"toy-1"}));
 }
 
-TEST_F(OldNode, NamesItsFiguresAsBefore) {
+TEST_F(OldNode, HasTheSameNamesOfMetrics) {
   const Lines expected_members = LinesOf(ReadFile(kData + "/members-names.txt"));
   std::set<std::string> members;
   EXPECT_TRUE(Until(
       [&] {
         members.clear();
-        AddPaths(nlohmann::json::parse(Get("/members")), "", &members);
+        AddJsonPaths(nlohmann::json::parse(Get("/members")), "", &members);
         return Lines(members.begin(), members.end()) == expected_members;
       },
       20));
   EXPECT_EQ(Lines(members.begin(), members.end()), expected_members);
   const Lines stats = LinesOf(ReadFile(kData + "/stats-names.txt"));
   Lines names;
-  // The times of commits are told once there have been enough of them.
+  // Quantiles of the commit latency are reported only after enough commits.
   EXPECT_TRUE(Until(
       [&] {
         std::vector<std::unique_ptr<RawClient>> calls;
@@ -595,7 +596,7 @@
         }
         Until([&] { return std::ranges::all_of(calls, [](const auto& c) { return c->ended; }); },
               3);
-        names = FigureNames(Get("/stats"));
+        names = MetricNames(Get("/stats"));
         return names == stats;
       },
       20));
--- a/tests/quota_wiring_test.cpp
+++ b/tests/quota_wiring_test.cpp
@@ -1,5 +1,5 @@
-// Quota leases on their way through the process: frames, the section of the configuration, and the
-// rates that the decision module is given.
+// Quota leases within a process: their messages, the section `quota` of the configuration, the
+// rates that the load balancer is given, and the meter of demand.
 #include <gtest/gtest.h>
 
 #include <bit>
@@ -21,7 +21,7 @@
 using quota::Grant;
 using quota::UsageReport;
 
-quota::Message AReport() {
+quota::Message SampleReport() {
   return UsageReport{.epoch = 7,
                      .sequence = 21,
                      .full = true,
@@ -37,7 +37,7 @@
                                  .grant_number = 0}}};
 }
 
-quota::Message AGrant() {
+quota::Message SampleGrant() {
   return Grant{.epoch = 7,
                .acked_sequence = 21,
                .request_full_report = true,
@@ -47,29 +47,29 @@
                .process_incarnation = 91};
 }
 
-// Equal by bits: what is not a number is not equal to itself.
+// For comparisons by bits, because NaN is not equal to itself.
 std::string Bytes(const quota::Message& message) { return codec::Encode(message); }
 
-TEST(QuotaCodec, IsReadAsItWasWritten) {
+TEST(QuotaCodec, RoundTrips) {
   for (const quota::Message& message :
-       {AReport(), AGrant(), quota::Message(UsageReport{}), quota::Message(Grant{})}) {
+       {SampleReport(), SampleGrant(), quota::Message(UsageReport{}), quota::Message(Grant{})}) {
     const auto read = codec::DecodeQuota(codec::Encode(message));
     ASSERT_TRUE(read.has_value());
     EXPECT_EQ(*read, message);
   }
 }
 
-TEST(QuotaCodec, NumbersThatMakeNoSenseComeThroughForTheMechanismToRefuse) {
-  for (const double odd : {std::numeric_limits<double>::quiet_NaN(), -1.0, 1e300, HUGE_VAL}) {
-    quota::Message report = AReport();
-    std::get<UsageReport>(report).usages[0].demand_rps = odd;
+TEST(QuotaCodec, PassesInvalidNumbersOnForTheAllocatorToReject) {
+  for (const double invalid : {std::numeric_limits<double>::quiet_NaN(), -1.0, 1e300, HUGE_VAL}) {
+    quota::Message report = SampleReport();
+    std::get<UsageReport>(report).usages[0].demand_rps = invalid;
     const auto read = codec::DecodeQuota(codec::Encode(report));
     ASSERT_TRUE(read.has_value());
-    EXPECT_EQ(Bytes(*read), Bytes(report)) << odd;
+    EXPECT_EQ(Bytes(*read), Bytes(report)) << invalid;
   }
 }
 
-TEST(QuotaCodec, AsManyEntriesAsAllowedAndNotOneMore) {
+TEST(QuotaCodec, RejectsMoreThanTheMaximumOfEntries) {
   UsageReport report;
   Grant grant;
   for (std::size_t i = 0; i < quota::kMaxEntries; ++i) {
@@ -84,20 +84,20 @@
   EXPECT_EQ(codec::DecodeQuota(codec::Encode(grant)), std::nullopt);
 }
 
-TEST(QuotaCodec, FieldsOfALaterBuildAreSkipped) {
-  for (const quota::Message& message : {AReport(), AGrant()}) {
-    encoding::Writer more;
-    more.Bytes(codec::Encode(message));
-    more.Number(200, std::uint64_t{5});
-    more.Text(201, std::string(300, 'x'));
-    EXPECT_EQ(codec::DecodeQuota(more.bytes()), message);
+TEST(QuotaCodec, SkipsUnknownFields) {
+  for (const quota::Message& message : {SampleReport(), SampleGrant()}) {
+    encoding::Writer extended;
+    extended.Bytes(codec::Encode(message));
+    extended.Number(200, std::uint64_t{5});
+    extended.Text(201, std::string(300, 'x'));
+    EXPECT_EQ(codec::DecodeQuota(extended.bytes()), message);
   }
 }
 
-// A cut in the midst of a field is none; one between two fields is a shorter message, which the
-// frame's hash and length keep out.
-TEST(QuotaCodec, CutAtAnyByteItIsNoneOrShorter) {
-  for (const quota::Message& message : {AReport(), AGrant()}) {
+// Bytes truncated within a field do not decode. Truncated between two fields they decode to a
+// shorter message; the length and hash of the frame guard against that.
+TEST(QuotaCodec, TruncatedAtAnyByteItIsNoneOrShorter) {
+  for (const quota::Message& message : {SampleReport(), SampleGrant()}) {
     const std::string whole = codec::Encode(message);
     for (std::size_t n = 0; n < whole.size(); ++n) {
       const auto read = codec::DecodeQuota(whole.substr(0, n));
@@ -109,16 +109,16 @@
   }
 }
 
-TEST(QuotaCodec, GarbageIsOutlived) {
+TEST(QuotaCodec, SurvivesRandomBytes) {
   membership::Random random(17);
   for (int i = 0; i < 40000; ++i) {
-    std::string noise = i % 4 == 0   ? codec::Encode(AReport())
-                        : i % 4 == 1 ? codec::Encode(AGrant())
-                                     : std::string(random.Below(120), '\0');
-    for (char& c : noise) {
+    std::string random_bytes = i % 4 == 0   ? codec::Encode(SampleReport())
+                               : i % 4 == 1 ? codec::Encode(SampleGrant())
+                                            : std::string(random.Below(120), '\0');
+    for (char& c : random_bytes) {
       if (i % 4 >= 2 || random.Below(20) == 0) c = static_cast<char>(random.NextUint64());
     }
-    const auto read = codec::DecodeQuota(noise);
+    const auto read = codec::DecodeQuota(random_bytes);
     if (!read) continue;
     if (const auto* report = std::get_if<UsageReport>(&*read)) {
       EXPECT_LE(report->usages.size(), quota::kMaxEntries);
@@ -128,9 +128,9 @@
   }
 }
 
-TEST(QuotaFrame, IsReadAsItWasWrittenAndNotWhereItIsCutOrAByteIsOff) {
-  std::uint64_t word = 1;
-  for (const quota::Message& message : {AReport(), AGrant()}) {
+TEST(QuotaFrame, RoundTripsAndRejectsTruncatedOrCorruptBytes) {
+  std::uint64_t random_word = 1;
+  for (const quota::Message& message : {SampleReport(), SampleGrant()}) {
     cluster::Header header;
     cluster::Body read;
     const std::string bytes = cluster::Encode(
@@ -140,17 +140,18 @@
     for (std::size_t n = 0; n < bytes.size(); ++n) {
       EXPECT_NE(cluster::Decode(bytes.substr(0, n), &header, &read), cluster::DecodeError::kNone)
           << n;
-      std::string off = bytes;
-      off[n] ^= static_cast<char>(1 + (word = word * 6364136223846793005ULL + 1) % 255);
-      EXPECT_NE(cluster::Decode(off, &header, &read), cluster::DecodeError::kNone) << n;
+      std::string corrupt = bytes;
+      corrupt[n] ^=
+          static_cast<char>(1 + (random_word = random_word * 6364136223846793005ULL + 1) % 255);
+      EXPECT_NE(cluster::Decode(corrupt, &header, &read), cluster::DecodeError::kNone) << n;
     }
   }
 }
 
-// A build that does not know the kind skips just that frame.
-TEST(QuotaFrame, OfAKindThatIsNotKnownIsSkipped) {
+// A build that does not know a kind must skip that frame alone.
+TEST(QuotaFrame, OfAnUnknownKindIsReportedAsSuch) {
   std::string bytes = cluster::Encode(
-      {.cluster = 1, .from = 2, .process_incarnation = 3, .sequence = 4}, AReport());
+      {.cluster = 1, .from = 2, .process_incarnation = 3, .sequence = 4}, SampleReport());
   bytes[3] = 77;
   encoding::Writer hash;
   bytes.resize(bytes.size() - cluster::kHashBytes);
@@ -165,31 +166,31 @@
     {"id":"b","address":"127.0.0.1:2","voter":true},{"id":"c","address":"127.0.0.1:3","voter":true},
     {"id":"d","address":"127.0.0.1:4"}])";
 
-ClusterOptions ReadSection(const std::string& more, std::string* why) {
+ClusterOptions ReadSection(const std::string& section, std::string* error) {
   ClusterOptions options;
   const std::string text =
-      R"({"cluster":{"name":"x","self":"a","store":"s",)" + more + kMembers + "}}";
-  EXPECT_EQ(ReadCluster(text, &options, why), why->empty()) << text;
+      R"({"cluster":{"name":"x","self":"a","store":"s",)" + section + kMembers + "}}";
+  EXPECT_EQ(ReadCluster(text, &options, error), error->empty()) << text;
   return options;
 }
 
-TEST(QuotaSection, IsOffWhereItIsAbsentAndAllocatedByTheVotersWhereItNamesNone) {
-  std::string why;
-  EXPECT_FALSE(ReadSection("", &why).quota.on);
-  const QuotaOptions usual = ReadSection(R"("quota":{},)", &why).quota;
-  EXPECT_EQ(why, "");
-  EXPECT_TRUE(usual.on);
-  EXPECT_EQ(usual.allocators, (std::vector<std::string>{"a", "b", "c"}));
-  EXPECT_GT(usual.timings.superseded_grant_s, 4.0 * 1.01)
-      << "the lease of membership, by the slower clock";
-  EXPECT_LE(LongestOldLease(usual.timings) + usual.timings.renew_interval_s, kQuotaInForceS);
+TEST(QuotaSection, IsOffWhenAbsentAndVotersAllocateByDefault) {
+  std::string error;
+  EXPECT_FALSE(ReadSection("", &error).quota.on);
+  const QuotaOptions defaults = ReadSection(R"("quota":{},)", &error).quota;
+  EXPECT_EQ(error, "");
+  EXPECT_TRUE(defaults.on);
+  EXPECT_EQ(defaults.allocators, (std::vector<std::string>{"a", "b", "c"}));
+  EXPECT_GT(defaults.timings.superseded_grant_s, 4.0 * 1.01)
+      << "the membership lease, measured by the slower clock";
+  EXPECT_LE(LongestOldLease(defaults.timings) + defaults.timings.renew_interval_s, kQuotaInForceS);
   const QuotaOptions own = ReadSection(
                                R"("timings":{"lease_s":3,"drift":0.02},
          "quota":{"allocators":["d","b"],"span_s":2,"renew_s":0.5,"report_gap_s":0.05,"floor_part":0.1,
                   "hysteresis":0.2},)",
-                               &why)
+                               &error)
                                .quota;
-  EXPECT_EQ(why, "");
+  EXPECT_EQ(error, "");
   EXPECT_EQ(own.allocators, (std::vector<std::string>{"d", "b"}));
   EXPECT_EQ(own.timings.lease_duration_s, 2);
   EXPECT_EQ(own.timings.renew_interval_s, 0.5);
@@ -200,7 +201,7 @@
   EXPECT_GT(own.timings.superseded_grant_s, 3 * 1.02);
 }
 
-TEST(QuotaSection, EachMistakeIsOneClearLine) {
+TEST(QuotaSection, ReportsEachMistakeInOneLine) {
   const std::pair<std::string, std::string> cases[] = {
       {R"("quota":7,)", "'cluster.quota' is not an object"},
       {R"("quota":null,)", "'cluster.quota' is not an object"},
@@ -227,50 +228,50 @@
       {R"("quota":{"span_s":5},)", "too long for a quota in force in 9 s"},
       {R"("timings":{"lease_s":6},"quota":{},)", "too long for a quota in force in 9 s"},
   };
-  for (const auto& [section, wanted] : cases) {
-    std::string why = "?";
+  for (const auto& [section, expected] : cases) {
+    std::string error = "?";
     ClusterOptions options;
     const std::string text =
         R"({"cluster":{"name":"x","self":"a","store":"s",)" + section + kMembers + "}}";
-    EXPECT_FALSE(ReadCluster(text, &options, &why)) << text;
-    EXPECT_NE(why.find(wanted), std::string::npos) << why << " for " << section;
-    EXPECT_EQ(why.find('\n'), std::string::npos);
-    EXPECT_FALSE(options.on()) << "nothing is taken in part";
+    EXPECT_FALSE(ReadCluster(text, &options, &error)) << text;
+    EXPECT_NE(error.find(expected), std::string::npos) << error << " for " << section;
+    EXPECT_EQ(error.find('\n'), std::string::npos);
+    EXPECT_FALSE(options.on()) << "a section with a mistake must not be applied in part";
   }
 }
 
-TEST(TenantRates, BindAtOnceBothWaysAndLeaveOthersAsTheyWere) {
-  const std::vector<double> own{30, 30, 5, 1, 0};  // two tenants, then sends and the like
+TEST(TenantRates, TakeEffectAtOnceAndLeaveOtherTenantsUnchanged) {
+  const std::vector<double> own{30, 30, 5, 1, 0};  // two tenants, then the other rates
   const std::vector<balancing::TenantSettings> tenants{{0.5, 100}, {0.5, 100}};
-  balancing::AgreedShare plain, given;
+  balancing::AgreedShare unleased, leased;
   balancing::FleetShare parts{.share = 0.25, .member_count = 4, .epoch = 1};
-  plain.Set(parts);
+  unleased.Set(parts);
   parts.tenant_rates_rps = {20, -1};
-  given.Set(parts);
-  const std::vector<double> before = plain.TierRates(0, 1, own, own, 0, false);
-  std::vector<double> after = given.TierRates(0, 1, own, own, 0, false);
+  leased.Set(parts);
+  const std::vector<double> before = unleased.TierRates(0, 1, own, own, 0, false);
+  std::vector<double> after = leased.TierRates(0, 1, own, own, 0, false);
   EXPECT_EQ(before, after);
-  given.ApplyTenantRates(own, tenants, &after);
-  EXPECT_DOUBLE_EQ(after[0], 150) << "of 30 the quota of 100 is to let in 20";
+  leased.ApplyTenantRates(own, tenants, &after);
+  EXPECT_DOUBLE_EQ(after[0], 150) << "a quota of 100 admits 20 of 30";
   for (std::size_t i = 1; i < own.size(); ++i) EXPECT_EQ(before[i], after[i]) << i;
   parts.tenant_rates_rps = {30, -1};
-  given.Set(parts);
-  given.ApplyTenantRates(own, tenants, &after);
+  leased.Set(parts);
+  leased.ApplyTenantRates(own, tenants, &after);
   EXPECT_DOUBLE_EQ(after[0], 100)
-      << "all of it is let in, and it counts as today's part has it, up to the quota";
+      << "all of it is admitted, and it counts as without leases, up to the quota";
   for (const double rate : {5.0, 60.0, 0.0}) {
     const double last = parts.tenant_rates_rps[0];
     parts.tenant_rates_rps[0] = rate;
-    given.Set(parts);
-    EXPECT_DOUBLE_EQ(given.Factor(0), rate / last);
-    EXPECT_EQ(given.Factor(1), 1);
-    EXPECT_EQ(given.Factor(7), 1);
+    leased.Set(parts);
+    EXPECT_DOUBLE_EQ(leased.Factor(0), rate / last);
+    EXPECT_EQ(leased.Factor(1), 1);
+    EXPECT_EQ(leased.Factor(7), 1);
   }
-  given.ApplyTenantRates(own, tenants, &after);
+  leased.ApplyTenantRates(own, tenants, &after);
   EXPECT_TRUE(std::isfinite(after[0]));
 }
 
-TEST(TenantRates, NoneGivenChangeNothing) {
+TEST(TenantRates, ChangeNothingWhenEmpty) {
   const std::vector<double> own{30, 10, 5, 1, 0};
   balancing::AgreedShare part;
   part.Set({.share = 0.25, .member_count = 4, .epoch = 1});
@@ -280,115 +281,120 @@
   EXPECT_EQ(fleet, before);
 }
 
-// Two dispatchers that are asked for the same of two tenants, at workers that have just room for
-// the quotas.
-struct TwoDesks {
-  static constexpr double kQuota = 60,
-                          kAsked = 45;  // of each tenant: in all, and at each dispatcher
+// Two dispatchers that receive the same load of two tenants, and workers whose capacity just
+// suffices for the quotas.
+struct TwoDispatchers {
+  static constexpr double kQuotaRps = 60,
+                          kOfferedRps = 45;  // of each tenant: in all, and at each dispatcher
   static constexpr int kWorkers = 6;
 
-  explicit TwoDesks(std::vector<std::vector<double>> rates)
-      : floor(2, Rules(), {}), tenant_rates(std::move(rates)) {
-    for (int w = 0; w < kWorkers; ++w) floor.AddWorker({2, 100}, 0);
-    floor.before = [this](std::size_t i) {
-      floor.desks[i]->SetFleetShare(
+  explicit TwoDispatchers(std::vector<std::vector<double>> rates)
+      : fleet(2, MakeSettings(), {}), tenant_rates(std::move(rates)) {
+    for (int w = 0; w < kWorkers; ++w) fleet.AddWorker({2, 100}, 0);
+    fleet.before = [this](std::size_t i) {
+      fleet.desks[i]->SetFleetShare(
           {.share = 0.5, .member_count = 2, .epoch = 1, .tenant_rates_rps = tenant_rates[i]});
     };
-    floor.now = 100;
-    floor.Start();
+    fleet.now = 100;
+    fleet.Start();
   }
-  static balancing::Settings Rules() {
+  static balancing::Settings MakeSettings() {
     balancing::Settings s;
     s.classes.resize(1);
     s.classes[0] = {.latency_objective_s = 0.3, .client_timeout_s = 1};
-    s.tenants.assign(2, {.share = 0.5, .quota_rps = kQuota});
+    s.tenants.assign(2, {.share = 0.5, .quota_rps = kQuotaRps});
     KeepPlatformRules(&s);
     return s;
   }
-  // What was let in a second: by dispatcher, of a tenant.
-  void Play(double span) {
-    for (auto& of : let_in) std::fill(std::begin(of), std::end(of), 0.0);
-    const double until = floor.now + span;
-    for (double at = floor.now; at < until; at += 1 / (4 * kAsked)) {
-      floor.Run(at);
+  // Sends load for `span` seconds and sets admitted_rps: requests admitted a second, by dispatcher
+  // and tenant.
+  void RunLoad(double span) {
+    for (auto& of : admitted_rps) std::fill(std::begin(of), std::end(of), 0.0);
+    const double until = fleet.now + span;
+    for (double at = fleet.now; at < until; at += 1 / (4 * kOfferedRps)) {
+      fleet.Run(at);
       const int number = asked++ % 4;
       const auto node = static_cast<std::size_t>(number % 2);
       const int tenant = number / 2;
-      const std::string id = floor.Ask(node, 0, {1, 1 + 1e-6 * asked}, 0.1, 1, tenant);
-      if (!floor.asked.at(id).refused) let_in[node][tenant] += 1 / span;
+      const std::string id = fleet.Ask(node, 0, {1, 1 + 1e-6 * asked}, 0.1, 1, tenant);
+      if (!fleet.asked.at(id).refused) admitted_rps[node][tenant] += 1 / span;
     }
   }
-  SimulatedFleet floor;
+  SimulatedFleet fleet;
   std::vector<std::vector<double>> tenant_rates;
-  double let_in[2][2] = {};
+  double admitted_rps[2][2] = {};
   int asked = 0;
 };
 
-TEST(TenantRates, ATenantIsHeldToWhatEachDispatcherWasGivenAndOthersAsBefore) {
-  TwoDesks plain({{}, {}}), given({{50, -1}, {10, -1}});
-  for (TwoDesks* desks : {&plain, &given}) {
-    desks->Play(20);
-    desks->Play(10);
+TEST(TenantRates, LimitATenantAtEachDispatcherAndLeaveOthersUnchanged) {
+  TwoDispatchers unleased({{}, {}}), leased({{50, -1}, {10, -1}});
+  for (TwoDispatchers* dispatchers : {&unleased, &leased}) {
+    dispatchers->RunLoad(20);
+    dispatchers->RunLoad(10);
   }
-  EXPECT_NEAR(plain.let_in[0][0], plain.let_in[1][0], 0.15 * TwoDesks::kQuota);
-  EXPECT_LE(given.let_in[1][0], 10 * 1.1);
-  EXPECT_GE(given.let_in[0][0], 0.9 * TwoDesks::kAsked);
-  EXPECT_NEAR(given.let_in[0][1], given.let_in[1][1], 0.15 * TwoDesks::kQuota);
-  given.tenant_rates = {{10, -1}, {50, -1}};
-  given.Play(1);
-  const double depth = 2 + 0.5 * 10 + 2 * std::sqrt(10);  // of a bucket, as the module has it
-  EXPECT_LE(given.let_in[0][0], 10 + depth) << "falls at once";
-  given.Play(5);
-  EXPECT_LE(given.let_in[0][0], 10 * 1.1);
-  EXPECT_GE(given.let_in[1][0], 0.9 * TwoDesks::kAsked) << "and rises at once";
+  EXPECT_NEAR(unleased.admitted_rps[0][0], unleased.admitted_rps[1][0],
+              0.15 * TwoDispatchers::kQuotaRps);
+  EXPECT_LE(leased.admitted_rps[1][0], 10 * 1.1);
+  EXPECT_GE(leased.admitted_rps[0][0], 0.9 * TwoDispatchers::kOfferedRps);
+  EXPECT_NEAR(leased.admitted_rps[0][1], leased.admitted_rps[1][1],
+              0.15 * TwoDispatchers::kQuotaRps);
+  leased.tenant_rates = {{10, -1}, {50, -1}};
+  leased.RunLoad(1);
+  const double depth =
+      2 + 0.5 * 10 + 2 * std::sqrt(10);  // the burst that the load balancer's token bucket allows
+  EXPECT_LE(leased.admitted_rps[0][0], 10 + depth) << "a lower rate takes effect at once";
+  leased.RunLoad(5);
+  EXPECT_LE(leased.admitted_rps[0][0], 10 * 1.1);
+  EXPECT_GE(leased.admitted_rps[1][0], 0.9 * TwoDispatchers::kOfferedRps) << "so does a higher one";
 }
 
-// A Poisson stream to one tenant of two, read ten times a second as the keeper of leases does.
-struct Stream {
+// A Poisson stream of requests of one tenant of two, sampled ten times a second as the quota lease
+// manager does.
+struct DemandStream {
   DemandMeter meter{2};
   membership::Random random{5};
-  double now = 100, told = 0;
-  int changes = 0;  // of a tenth or more of what was last told
-  void Play(double rate, double span) {
+  double now = 100, reported = 0;
+  int changes = 0;  // samples that differ by more than a tenth from the last reported one
+  void RunLoad(double rate, double span) {
     const double until = now + span;
-    double next = rate > 0 ? now + Gap(rate) : HUGE_VAL;
+    double next = rate > 0 ? now + NextInterval(rate) : HUGE_VAL;
     while (now < until) {
       now += 0.1;
-      for (; next < now; next += Gap(rate)) meter.Count(next, 1);
+      for (; next < now; next += NextInterval(rate)) meter.Count(next, 1);
       const double read = meter.Rates(now)[1];
-      if (std::abs(read - told) <= 0.1 * told) continue;
-      told = read;
+      if (std::abs(read - reported) <= 0.1 * reported) continue;
+      reported = read;
       ++changes;
     }
   }
-  double Gap(double rate) { return -std::log(1 - random.Unit()) / rate; }
-  double Read() { return meter.Rates(now)[1]; }
+  double NextInterval(double rate) { return -std::log(1 - random.Unit()) / rate; }
+  double CurrentRate() { return meter.Rates(now)[1]; }
 };
 
-TEST(DemandMeter, IsSteadyWhereDemandIsAndQuickWhereItMoves) {
+TEST(DemandMeter, IsSteadyUnderSteadyDemandAndFollowsChangesQuickly) {
   for (const double rate : {5.0, 30.0, 200.0}) {
-    Stream stream;
-    stream.Play(rate, 20);
+    DemandStream stream;
+    stream.RunLoad(rate, 20);
     stream.changes = 0;
     double sum = 0;
     for (int s = 0; s < 60; ++s) {
-      stream.Play(rate, 1);
-      sum += stream.Read() / 60;
+      stream.RunLoad(rate, 1);
+      sum += stream.CurrentRate() / 60;
     }
     EXPECT_NEAR(sum, rate, 0.1 * rate);
     std::printf("%.0f/s: %d changes of a tenth or more in a minute\n", rate, stream.changes);
-    EXPECT_LE(stream.changes, 180) << "of 600 looks, at " << rate;
+    EXPECT_LE(stream.changes, 180) << "of 600 samples, at " << rate;
     EXPECT_EQ(stream.meter.Rates(stream.now)[0], 0);
-    stream.Play(0, 2);
-    EXPECT_LE(stream.Read(), std::max(0.6 * 5, 0.08 * rate)) << rate;
-    stream.Play(0, 20);
-    EXPECT_LE(stream.Read(), 0.01);
-    stream.Play(rate, 2);
-    EXPECT_GE(stream.Read(), 0.5 * rate);
+    stream.RunLoad(0, 2);
+    EXPECT_LE(stream.CurrentRate(), std::max(0.6 * 5, 0.08 * rate)) << rate;
+    stream.RunLoad(0, 20);
+    EXPECT_LE(stream.CurrentRate(), 0.01);
+    stream.RunLoad(rate, 2);
+    EXPECT_GE(stream.CurrentRate(), 0.5 * rate);
   }
 }
 
-TEST(DemandMeter, ATenantThatIsNotThereIsLeftOut) {
+TEST(DemandMeter, IgnoresUnknownTenants) {
   DemandMeter meter(1);
   meter.Count(1, 1);
   meter.Count(1, static_cast<std::size_t>(-1));
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -1,5 +1,5 @@
-// One message of each kind with every field that its kind carries: written once by the program at
-// 3865b00, and made again by the tests to be compared with that.
+// Sample messages of each kind with all fields of that kind. The program at commit 3865b00 encoded
+// the same samples; the tests compare the current encoding with that.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_COMPATIBILITY_SAMPLES_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_COMPATIBILITY_SAMPLES_H_
 
@@ -56,7 +56,7 @@
   return view;
 }
 
-// What every message of a voter carries.
+// The header of every message of a voter.
 inline membership::VoterHeader SampleVoter() {
   return {.storage_identity = {.number = 2, .nonce = 0xfeed},
           .known_identities = {{3, {.number = 2, .nonce = 0xfeed}},
@@ -158,54 +158,56 @@
   return all;
 }
 
-inline std::map<std::string, membership::MaintenanceGossip> SampleFacts() {
+inline std::map<std::string, membership::MaintenanceGossip> SampleMaintenance() {
   std::map<std::string, membership::MaintenanceGossip> all;
-  membership::MaintenanceGossip news;
-  news.digest = 0xfac7;
-  news.sequence = 12;
-  news.acked_sequence = 11;
-  news.request_all = true;
-  membership::MaintenanceRecord fact;
-  fact.worker = "toy-1";
-  fact.decisions = {{31, {3, 2}}, {51, {1, 0}}};
-  news.records.push_back(fact);
-  fact = {};
-  fact.worker = "toy-2";
-  fact.started_at_s = 1700000000.5;
-  fact.drain_state = membership::DrainState::kGone;
-  news.records.push_back(fact);
-  all["facts"] = news;
+  membership::MaintenanceGossip gossip;
+  gossip.digest = 0xfac7;
+  gossip.sequence = 12;
+  gossip.acked_sequence = 11;
+  gossip.request_all = true;
+  membership::MaintenanceRecord record;
+  record.worker = "toy-1";
+  record.decisions = {{31, {3, 2}}, {51, {1, 0}}};
+  gossip.records.push_back(record);
+  record = {};
+  record.worker = "toy-2";
+  record.started_at_s = 1700000000.5;
+  record.drain_state = membership::DrainState::kGone;
+  gossip.records.push_back(record);
+  all["facts"] = gossip;
   return all;
 }
 
-inline std::map<std::string, copies::ReplicationMessage> SampleCopies() {
+inline std::map<std::string, copies::ReplicationMessage> SampleReplication() {
   using copies::ReplicationMessage;
   using Kind = ReplicationMessage::Kind;
   std::map<std::string, ReplicationMessage> all;
-  ReplicationMessage f{.kind = Kind::kStatusQuery, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
-  f.number = 5;
-  all["copies-where"] = f;
-  f = {.kind = Kind::kStatus, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
-  f.seq = 40, f.commit = 38, f.end = 41;
-  f.seq_epoch = 8, f.end_epoch = 7;
-  f.number = 5;
-  f.process_incarnation = 31;
-  f.snapshot_id = 2, f.chunk = 3;
-  f.matched = true;
-  all["copies-at"] = f;
-  f = {.kind = Kind::kAppend, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
-  f.seq = 40, f.commit = 38, f.seq_epoch = 8;
-  f.ops = {{.seq = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .gone = false},
-           {.seq = 42, .epoch = 8, .key = "H:a:2", .value = "", .gone = true}};
-  all["copies-ops"] = f;
-  f = {.kind = Kind::kSnapshotChunk, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
-  f.seq = 40, f.commit = 40, f.seq_epoch = 8;
-  f.snapshot_id = 2, f.chunk = 3;
-  f.last = true;
-  f.ops = {{.seq = 7, .epoch = 6, .key = "H:a:1", .value = "entry", .gone = false}};
-  all["copies-fill"] = f;
-  f = {.kind = Kind::kStaleStore, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
-  all["copies-lied"] = f;
+  ReplicationMessage message{
+      .kind = Kind::kStatusQuery, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  message.number = 5;
+  all["copies-where"] = message;
+  message = {.kind = Kind::kStatus, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  message.seq = 40, message.commit = 38, message.end = 41;
+  message.seq_epoch = 8, message.end_epoch = 7;
+  message.number = 5;
+  message.process_incarnation = 31;
+  message.snapshot_id = 2, message.chunk = 3;
+  message.matched = true;
+  all["copies-at"] = message;
+  message = {.kind = Kind::kAppend, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  message.seq = 40, message.commit = 38, message.seq_epoch = 8;
+  message.ops = {
+      {.seq = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .gone = false},
+      {.seq = 42, .epoch = 8, .key = "H:a:2", .value = "", .gone = true}};
+  all["copies-ops"] = message;
+  message = {.kind = Kind::kSnapshotChunk, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  message.seq = 40, message.commit = 40, message.seq_epoch = 8;
+  message.snapshot_id = 2, message.chunk = 3;
+  message.last = true;
+  message.ops = {{.seq = 7, .epoch = 6, .key = "H:a:1", .value = "entry", .gone = false}};
+  all["copies-fill"] = message;
+  message = {.kind = Kind::kStaleStore, .log = 0xabc01, .epoch = 8, .disk = 0xd15c};
+  all["copies-lied"] = message;
   return all;
 }
 
@@ -234,11 +236,11 @@
   return all;
 }
 
-// What lies in the store.
+// Records of the store.
 inline copies::LogHead SampleHead() {
   return {.applied = 38, .applied_epoch = 7, .epoch = 8, .snapshot_generation = 2};
 }
-inline copies::Operation SampleOp() {
+inline copies::Operation SampleOperation() {
   return {.seq = 41, .epoch = 8, .key = "H:a:1", .value = std::string("v\0w", 3), .gone = true};
 }
 inline copies::JobRecord SampleJob() {
@@ -270,7 +272,7 @@
   return votes;
 }
 
-// The peers' datagrams: of a small tier, and of a large one in parts.
+// Datagrams between peers: of a small tier, and of a large one, whose report takes several.
 inline balancing::RowLayout SmallTier() { return {.tenants = 3}; }
 inline balancing::RowLayout LargeTier() {
   return {.tenants = 60, .large_tier = true, .classes = 3, .kinds = 2};
@@ -288,7 +290,7 @@
   return report;
 }
 
-// The link between forwarders and planners, and between two processes of one node.
+// Frames between forwarders and planners, and between the processes of a hot restart.
 inline Outcome SampleOutcome() {
   return {.status = AttemptStatus::kServerError,
           .latency_s = 0.125,
@@ -296,7 +298,7 @@
           .has_report = true,
           .report = {1, 2.5, 3, 4}};
 }
-inline balancing::Endpoint SampleMember() {
+inline balancing::Endpoint SampleEndpoint() {
   balancing::Endpoint m;
   m.worker = "toy-1";
   m.readiness = balancing::Readiness::kDraining;
@@ -328,7 +330,7 @@
       Writer(FrameKind::kAttemptEnded).U64(5ULL << 48 | 7).I32(1).Put(SampleOutcome()).Finish();
   all["link-probed"] =
       Writer(FrameKind::kProbeAnswered).Text("toy-1").Put(SampleOutcome()).Finish();
-  all["link-worker"] = Writer(FrameKind::kWorkerChanged).Put(SampleMember()).F64(8).Finish();
+  all["link-worker"] = Writer(FrameKind::kWorkerChanged).Put(SampleEndpoint()).F64(8).Finish();
   all["link-welcome"] = Writer(FrameKind::kForwarderNumber).U64(5).Finish();
   all["link-address"] =
       Writer(FrameKind::kWorkerAddress).Text("toy-1").Text("127.0.0.1:9101").U64(12).Finish();
@@ -346,7 +348,7 @@
   all["handover-socket"] = Writer(FrameKind::kSharedSocket).U8(2).Finish();
   all["handover-class"] = Writer(FrameKind::kClassName).Text("look").Finish();
   all["handover-known"] = Writer(FrameKind::kWorkerState)
-                              .Put(SampleMember())
+                              .Put(SampleEndpoint())
                               .F64(12.5)
                               .F64(-1)
                               .Text("127.0.0.1:9101")
@@ -364,13 +366,13 @@
   all["handover-mate"] = Writer(FrameKind::kPeerMessage).Raw("datagram").Finish();
   all["handover-use"] = Writer(FrameKind::kDescriptorUse).U64(10).U64(20).Finish();
   all["handover-ban"] = Writer(FrameKind::kMaintenance).Text("toy-1").U8(1).Finish();
-  all["handover-down"] = Writer(FrameKind::kWorkerDown).Put(SampleMember()).Finish();
+  all["handover-down"] = Writer(FrameKind::kWorkerDown).Put(SampleEndpoint()).Finish();
   all["handover-id"] = Writer(FrameKind::kWireIdUsed).Text("id-7").Finish();
   return all;
 }
 
-// A dispatcher that has seen work, a slow and a failing worker, a peer, maintenance and rejections.
-inline balancing::Settings PlayedSettings() {
+// Settings for RunSampleEvents.
+inline balancing::Settings SampleEventSettings() {
   balancing::Settings s;
   s.dispatcher_count = 2;
   s.tick_s = 0.005;
@@ -401,7 +403,9 @@
   return s;
 }
 
-inline void Play(balancing::LoadBalancer* balancer) {
+// Feeds a dispatcher with requests, a slow and a failing worker, a peer, maintenance and
+// rejections.
+inline void RunSampleEvents(balancing::LoadBalancer* balancer) {
   using namespace balancing;  // NOLINT
   Actions actions;
   std::vector<std::pair<double, std::uint64_t>> timers;
@@ -457,7 +461,7 @@
     if (step % 25 == 3) handle(PeerMessage{.sender = 1, .body = datagram});
     if (step == 120) handle(MaintenanceChanged{.worker = "w3", .out_of_service = true});
     if (step == 200) handle(MaintenanceChanged{.worker = "w3", .out_of_service = false});
-    // What was sent three steps ago or earlier ends, in order.
+    // Attempts end in the order of sending, three steps or more after it.
     for (int n = 0; n < 2 && sent.size() > 3; ++n) {
       const auto [request, worker] = sent.front();
       sent.erase(sent.begin());
