--- a/tests/cluster/days_test.cpp
+++ b/tests/cluster/days_test.cpp
@@ -1,6 +1,7 @@
-// Random days on several processes: faults from a seed, clients, promised jobs and workers all the
-// while, everything healed at the end. SEEDS plays so many days, and longer ones, from SEED on; a
-// failure says its faults.
+// Random faults on several processes under a load of requests and durable jobs; at the end all
+// faults are healed. Guards against promises to clients that are broken, and nodes that do not
+// converge again. The faults follow from a seed, and a failure prints them. With SEEDS in the
+// environment there are as many runs, and longer ones, from the seed SEED on.
 #include "support/days.h"
 
 #include <gtest/gtest.h>
@@ -11,11 +12,11 @@
 namespace millethollow::rig {
 namespace {
 
-class ProcessDay {
+class RandomFaultRun {
  public:
-  ProcessDay(std::uint64_t seed, double length_s)
+  RandomFaultRun(std::uint64_t seed, double length_s)
       : members_(3 + seed % 3),
-        faults_(seed * 7919 + 1),
+        random_(seed * 7919 + 1),
         harness_(
             {.members = members_, .voters = 3, .seed = seed, .workers = kWorkers, .gearman = true}),
         history_(&harness_, kWorkers),
@@ -27,14 +28,14 @@
       };
     }
     harness_.StartAll();
-    if (!Serve([this] { return harness_.Converged(); }, 25)) {
-      Wrong("no first view");
+    if (!RunUnderLoad([this] { return harness_.Converged(); }, 25)) {
+      AddError("no first view was agreed on");
       return;
     }
     const double until = harness_.now() + length_s;
     while (harness_.now() < until) {
-      Fault();
-      Serve([] { return false; }, 0.2 + 1.3 * faults_.Unit());
+      InjectFault();
+      RunUnderLoad([] { return false; }, 0.2 + 1.3 * random_.Unit());
     }
     Record("heal all");
     harness_.Heal();
@@ -42,30 +43,30 @@
       harness_.Continue(i);
       harness_.Start(i);
     }
-    const auto together = [this] {
+    const auto converged = [this] {
       for (std::size_t i = 0; i < members_; ++i)
-        harness_.Start(i);  // one may have been on its way out
-      return harness_.Converged() && SameOut();
+        harness_.Start(i);  // one may have been terminating
+      return harness_.Converged() && SameWorkersInMaintenance();
     };
-    if (!Serve(together, 60)) Wrong("they don't come together");
-    asks_ = false;
-    if (!Serve([this] { return history_.AllTold() && jobs_.AllAnswered(); }, 15))
-      Wrong("a client was told nothing");
-    double look_at = 0;
+    if (!RunUnderLoad(converged, 60)) AddError("the nodes do not converge");
+    sends_requests_ = false;
+    if (!RunUnderLoad([this] { return history_.AllTold() && jobs_.AllAnswered(); }, 15))
+      AddError("a client got no response");
+    double next_check_at = 0;
     const auto done = [&] {
-      if (harness_.now() < look_at) return false;
-      look_at = harness_.now() + 0.5;
+      if (harness_.now() < next_check_at) return false;
+      next_check_at = harness_.now() + 0.5;
       return jobs_.Held() == 0 && jobs_.Wrong().empty();
     };
-    if (!harness_.RunUntil(done, 30)) Wrong("promised jobs are left");
-    for (const std::string& w : jobs_.Wrong()) Wrong(w);
-    for (const std::string& w : history_.Wrong()) Wrong(w);
-    for (const std::string& w : harness_.violations()) Wrong(w);
+    if (!harness_.RunUntil(done, 30)) AddError("durable jobs are left");
+    for (const std::string& w : jobs_.Wrong()) AddError(w);
+    for (const std::string& w : history_.Wrong()) AddError(w);
+    for (const std::string& w : harness_.violations()) AddError(w);
   }
-  const std::string& wrong() const { return wrong_; }
-  const std::string& script() const { return script_; }
-  std::size_t asked() const { return history_.asked(); }
-  std::size_t promised() const { return jobs_.promised(); }
+  const std::string& errors() const { return errors_; }
+  const std::string& fault_log() const { return fault_log_; }
+  std::size_t requests() const { return history_.asked(); }
+  std::size_t durable_jobs() const { return jobs_.promised(); }
   std::string Describe() {
     std::string all;
     for (std::size_t i = 0; i < members_; ++i) {
@@ -77,19 +78,19 @@
 
  private:
   static constexpr std::size_t kWorkers = 3;
-  static constexpr double kAskS = 0.04;
+  static constexpr double kRequestIntervalS = 0.04;
 
-  void Wrong(const std::string& what) { wrong_ += "\n" + what; }
+  void AddError(const std::string& what) { errors_ += "\n" + what; }
   void Record(const std::string& what) {
-    script_ += std::to_string(harness_.now()) + " " + what + "\n";
+    fault_log_ += std::to_string(harness_.now()) + " " + what + "\n";
   }
-  // Time passes, with clients.
+  // Runs the nodes under load until `done`; false on timeout.
   template <typename Done>
-  bool Serve(Done done, double timeout_s) {
+  bool RunUnderLoad(Done done, double timeout_s) {
     return harness_.RunUntil(
         [&] {
-          if (asks_ && harness_.now() >= ask_at_) {
-            ask_at_ = harness_.now() + kAskS;
+          if (sends_requests_ && harness_.now() >= next_request_at_) {
+            next_request_at_ = harness_.now() + kRequestIntervalS;
             history_.Ask();
             if (history_.asked() % 2 == 0) jobs_.SubmitAny();
           }
@@ -99,7 +100,7 @@
         },
         timeout_s);
   }
-  bool SameOut() {
+  bool SameWorkersInMaintenance() {
     for (std::size_t i = 0; i < members_; ++i) {
       if (!harness_.polled(i).response.is_object()) return false;
       if (harness_.polled(i).response["workers_out"] != harness_.polled(0).response["workers_out"])
@@ -107,12 +108,12 @@
     }
     return true;
   }
-  std::size_t Any() { return faults_.Below(members_); }
-  std::size_t Other(std::size_t than) {
-    return (than + 1 + faults_.Below(members_ - 1)) % members_;
+  std::size_t AnyMember() { return random_.Below(members_); }
+  std::size_t OtherMember(std::size_t than) {
+    return (than + 1 + random_.Below(members_ - 1)) % members_;
   }
-  // A majority of voters must remember: one at most is without its folder.
-  bool OthersRemember(std::size_t i) {
+  // At most one voter may lose its store, because a majority must keep its votes.
+  bool OtherVotersHaveVotes(std::size_t i) {
     for (std::size_t v = 0; v < 3; ++v) {
       const auto& response = harness_.polled(v).response;
       if (v != i && (!harness_.Running(v) || !response.is_object() || response["vote"] != "voting"))
@@ -120,25 +121,26 @@
     }
     return true;
   }
-  // One disk less than `copies_least` is lost at a time: what was lost before is on another again.
-  bool CopiesElsewhere() {
-    if (!harness_.Converged() || harness_.now() - taken_at_ < 8) return false;
+  // At most copies_least - 1 stores may be lost at a time: what was lost before must be replicated
+  // again.
+  bool AllLogsReplicated() {
+    if (!harness_.Converged() || harness_.now() - store_removed_at_ < 8) return false;
     for (const auto& log : harness_.polled(0).response["logs"]) {
       if (log["holders"].size() < 2 || log["owner"] == "-") return false;
     }
     return true;
   }
-  void Fault() {
-    const std::size_t a = Any(), b = Other(a);
+  void InjectFault() {
+    const std::size_t a = AnyMember(), b = OtherMember(a);
     const std::string one = ClusterHarness::Name(a), pair = one + ClusterHarness::Name(b);
-    switch (faults_.Below(14)) {
+    switch (random_.Below(14)) {
       case 0:
         Record("kill " + one);
         return harness_.Kill(a);
       case 1:
-        if (!OthersRemember(a) || !CopiesElsewhere()) return;
-        taken_at_ = harness_.now();
-        Record("kill, without its folder " + one);
+        if (!OtherVotersHaveVotes(a) || !AllLogsReplicated()) return;
+        store_removed_at_ = harness_.now();
+        Record("kill, removing its store " + one);
         harness_.Kill(a);
         return harness_.RemoveStore(a);
       case 2:
@@ -151,32 +153,32 @@
         std::vector<int> group;
         std::string members;
         for (std::size_t i = 0; i < members_; ++i) {
-          group.push_back(static_cast<int>(faults_.Below(2)));
+          group.push_back(static_cast<int>(random_.Below(2)));
           members += std::to_string(group.back());
         }
-        Record("split " + members);
+        Record("partition " + members);
         return harness_.Partition(group);
       }
       case 5:
-        Record("cut one way " + pair);
+        Record("block one way " + pair);
         harness_.link(a, b).blocked = true;
         return;
       case 6:
-        Record("lose, double, reorder, garble");
+        Record("lose, duplicate, reorder, corrupt");
         return harness_.ForEachLink([](LinkFaults* l) {
           l->loss = 0.15, l->duplicated = 0.1, l->jitter_s = 0.02, l->corrupted = 0.02;
         });
       case 7:
-        Record("late, throttled, reset " + pair);
+        Record("delay, throttle, reset " + pair);
         harness_.link(a, b).delay_s = 0.15;
         harness_.link(a, b).bytes_per_s = 2000;
         harness_.link(b, a).reset_streams = true;
         return;
       case 8: {
-        const std::string w = "w" + std::to_string(1 + faults_.Below(kWorkers - 1));
-        const bool out = faults_.Below(2) == 0;
+        const std::string w = "w" + std::to_string(1 + random_.Below(kWorkers - 1));
+        const bool out = random_.Below(2) == 0;
         if (!harness_.Serves(a)) return;
-        Record(w + (out ? " out at " : " back at ") + one);
+        Record(w + (out ? " into maintenance at " : " out of maintenance at ") + one);
         harness_.AdminRequest(a, "PUT /workers/" + w + (out ? "/maint" : "/ready"));
         return;
       }
@@ -195,28 +197,29 @@
   }
 
   std::size_t members_;
-  membership::Random faults_;
+  membership::Random random_;
   ClusterHarness harness_;
   History history_;
   JobHistory jobs_;
-  std::string script_, wrong_;
-  bool asks_ = true;
-  double ask_at_ = 0, taken_at_ = -10;
+  std::string fault_log_, errors_;
+  bool sends_requests_ = true;
+  double next_request_at_ = 0, store_removed_at_ = -10;
 };
 
-TEST(ProcessDays, KeepEveryPromiseToClientsAndComeTogetherAgain) {
-  const std::uint64_t from = FromEnvironment("SEED", 1), days = FromEnvironment("SEEDS", 0);
-  const std::uint64_t count = days == 0 ? 2 : days;
-  std::size_t asked = 0, promised = 0;
-  for (std::uint64_t seed = from; seed < from + count; ++seed) {
-    ProcessDay day(seed, days == 0 ? 6 : 25);
-    EXPECT_EQ(day.wrong(), "") << "seed " << seed << "\n" << day.script() << day.Describe();
-    asked += day.asked();
-    promised += day.promised();
+TEST(ProcessDays, KeepEveryPromiseToClientsAndConverge) {
+  const std::uint64_t first_seed = FromEnvironment("SEED", 1),
+                      run_count = FromEnvironment("SEEDS", 0);
+  const std::uint64_t count = run_count == 0 ? 2 : run_count;
+  std::size_t requests = 0, durable_jobs = 0;
+  for (std::uint64_t seed = first_seed; seed < first_seed + count; ++seed) {
+    RandomFaultRun run(seed, run_count == 0 ? 6 : 25);
+    EXPECT_EQ(run.errors(), "") << "seed " << seed << "\n" << run.fault_log() << run.Describe();
+    requests += run.requests();
+    durable_jobs += run.durable_jobs();
   }
-  EXPECT_GT(asked, 100U * count);
-  EXPECT_GT(promised, 10U * count);
-  std::printf("%lu days, %zu requests, %zu promised jobs\n", count, asked, promised);
+  EXPECT_GT(requests, 100U * count);
+  EXPECT_GT(durable_jobs, 10U * count);
+  std::printf("%lu runs, %zu requests, %zu durable jobs\n", count, requests, durable_jobs);
 }
 
 }  // namespace
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -1,5 +1,5 @@
-// Several processes of the program, with faults between them. CI plays the short forms; LONG=1 in
-// the environment (make cluster-test) plays whole minutes, and SEEDS more days.
+// Membership on several processes with network, disk and process faults. CI runs the short forms;
+// with LONG=1 in the environment (make cluster-test) faults last for minutes.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -12,11 +12,11 @@
 namespace millethollow::rig {
 namespace {
 
-bool Long() { return std::getenv("LONG") != nullptr; }
-double Span(double in_ci, double whole) { return Long() ? whole : in_ci; }
+bool LongRun() { return std::getenv("LONG") != nullptr; }
+double Duration(double in_ci, double whole) { return LongRun() ? whole : in_ci; }
 
-struct Nodes : ::testing::Test {
-  void Begin(const ClusterHarness::Options& options = {}) {
+struct ClusterNodes : ::testing::Test {
+  void StartCluster(const ClusterHarness::Options& options = {}) {
     harness = std::make_unique<ClusterHarness>(options);
     harness->StartAll();
     ASSERT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 20)) << Describe();
@@ -39,7 +39,7 @@
     return std::all_of(at.begin(), at.end(),
                        [&](std::size_t i) { return harness->StateSeenBy(i, of) == state; });
   }
-  std::uint64_t AllFailedCalls() {
+  std::uint64_t AllFailureReports() {
     std::uint64_t n = 0;
     for (std::size_t i = 0; i < harness->size(); ++i) n += harness->FailureReports(i);
     return n;
@@ -47,20 +47,21 @@
   std::unique_ptr<ClusterHarness> harness;
 };
 
-TEST_F(Nodes, AKilledOneIsFailedAtAllWithinThreeSecondsAndComesBack) {
-  Begin();
+TEST_F(ClusterNodes, AKilledMemberIsFailedEverywhereWithinThreeSecondsAndRejoins) {
+  StartCluster();
   harness->Kill(4);
   const double at = harness->now();
   EXPECT_TRUE(harness->RunUntil([&] { return AllReport(4, "failed", {0, 1, 2, 3}); }, 5));
   EXPECT_LT(harness->now() - at, 3.0);
-  EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 10)) << "a view without it";
+  EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 10))
+      << "in a view without it";
   harness->Start(4);
   EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 20))
-      << "a view with it again";
+      << "in a view with it again";
 }
 
-TEST_F(Nodes, TheLeaderAndAnotherKilledLeaveAMajority) {
-  Begin({.members = 5, .voters = 5, .seed = 2});
+TEST_F(ClusterNodes, AMajoritySurvivesTheKillOfTheLeaderAndAnotherMember) {
+  StartCluster({.members = 5, .voters = 5, .seed = 2});
   const std::string leader = harness->polled(0).response["leader"];
   const auto first = static_cast<std::size_t>(leader[0] - 'a');
   harness->Kill(first);
@@ -70,8 +71,8 @@
   EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 20));
 }
 
-TEST_F(Nodes, WithoutAMajorityNobodyHasALeaseUntilItReturns) {
-  Begin({.members = 4, .voters = 3, .seed = 3});
+TEST_F(ClusterNodes, WithoutAMajorityNoMemberHoldsALease) {
+  StartCluster({.members = 4, .voters = 3, .seed = 3});
   harness->Kill(0);
   harness->Kill(1);
   EXPECT_TRUE(
@@ -83,30 +84,30 @@
   EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 20));
 }
 
-TEST_F(Nodes, AllKilledStartAgainFromTheirFoldersAndOneMuchLater) {
-  Begin({.members = 5, .voters = 3, .seed = 4});
+TEST_F(ClusterNodes, AllKilledRestartFromTheirStoresOneOfThemMuchLater) {
+  StartCluster({.members = 5, .voters = 3, .seed = 4});
   const std::uint64_t epoch = harness->highest_epoch();
   for (std::size_t i = 0; i < 5; ++i) harness->Kill(i);
   for (const std::size_t i : {3UL, 1UL, 4UL, 0UL}) harness->Start(i);
   EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 25));
-  EXPECT_GT(harness->highest_epoch(), epoch) << "epochs go on from what the disks hold";
-  harness->Start(2);  // a voter, with an old file
+  EXPECT_GT(harness->highest_epoch(), epoch) << "epochs continue from those on the disks";
+  harness->Start(2);  // a voter with old votes
   EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 20));
 }
 
-TEST_F(Nodes, ABrokenLinkBetweenTwoWhoReachAThirdFailsNobody) {
-  Begin({.members = 4, .voters = 3, .seed = 5});
+TEST_F(ClusterNodes, ABlockedLinkBetweenTwoMembersThatReachAThirdFailsNoMember) {
+  StartCluster({.members = 4, .voters = 3, .seed = 5});
   const std::uint64_t epoch = harness->highest_epoch();
   harness->link(0, 1).blocked = harness->link(1, 0).blocked = true;
-  harness->RunFor(Span(5, 60));
-  harness->link(2, 3).blocked = true;  // and one way only
-  harness->RunFor(Span(5, 60));
-  EXPECT_EQ(AllFailedCalls(), 0U);
+  harness->RunFor(Duration(5, 60));
+  harness->link(2, 3).blocked = true;  // in one direction only
+  harness->RunFor(Duration(5, 60));
+  EXPECT_EQ(AllFailureReports(), 0U);
   EXPECT_EQ(harness->highest_epoch(), epoch);
 }
 
-TEST_F(Nodes, OneThatHearsButCannotSpeakLosesItsLeaseAndItsPlace) {
-  Begin({.members = 4, .voters = 3, .seed = 6});
+TEST_F(ClusterNodes, AMemberThatCanOnlyReceiveLosesItsLeaseAndLeavesTheView) {
+  StartCluster({.members = 4, .voters = 3, .seed = 6});
   for (std::size_t to = 0; to < 3; ++to) harness->link(3, to).blocked = true;
   EXPECT_TRUE(harness->RunUntil([&] { return AllReport(3, "failed", {0, 1, 2}); }, 5));
   EXPECT_TRUE(harness->RunUntil([&] { return !harness->HoldsLease(3); }, 6));
@@ -116,40 +117,42 @@
   EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 20));
 }
 
-TEST_F(Nodes, OneThatSpeaksButCannotHearLosesItsLeaseAndItsPlace) {
-  Begin({.members = 4, .voters = 3, .seed = 17});
+TEST_F(ClusterNodes, AMemberThatCanOnlySendLosesItsLeaseAndLeavesTheView) {
+  StartCluster({.members = 4, .voters = 3, .seed = 17});
   for (std::size_t from = 0; from < 3; ++from) harness->link(from, 3).blocked = true;
   EXPECT_TRUE(harness->RunUntil([&] { return AllReport(3, "failed", {0, 1, 2}); }, 5));
   EXPECT_TRUE(harness->RunUntil([&] { return !harness->HoldsLease(3); }, 6));
   EXPECT_TRUE(
       harness->RunUntil([&] { return !harness->polled(0).response["members"][3]["in_view"]; }, 10))
-      << "its renewals come, and no answer reaches it";
+      << "its lease requests arrive, but no grant reaches it";
   harness->Heal();
   EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 20));
 }
 
-TEST_F(Nodes, AWallClockThatIsSetChangesNothing) {
-  Begin({.members = 3, .voters = 3, .seed = 18, .shim = true});
+TEST_F(ClusterNodes, AStepOfTheWallClockHasNoEffect) {
+  StartCluster({.members = 3, .voters = 3, .seed = 18, .shim = true});
   const std::uint64_t epoch = harness->highest_epoch();
   std::vector<std::uint64_t> reads;
   for (std::size_t i = 0; i < 3; ++i) reads.push_back(harness->shim(i).wall_clock_reads);
-  for (const std::int64_t off : {-3600, 3600, 0}) {
+  for (const std::int64_t offset_s : {-3600, 3600, 0}) {
     for (std::size_t i = 0; i < 3; ++i)
-      harness->shim(i).wall_clock_offset_s = i == 0 ? off : i == 1 ? -off : 0;
-    EXPECT_FALSE(harness->RunUntil([&] { return !harness->Converged(); }, Span(2.5, 20))) << off;
+      harness->shim(i).wall_clock_offset_s = i == 0 ? offset_s : i == 1 ? -offset_s : 0;
+    EXPECT_FALSE(harness->RunUntil([&] { return !harness->Converged(); }, Duration(2.5, 20)))
+        << offset_s;
   }
   for (std::size_t i = 0; i < 3; ++i) {
     EXPECT_EQ(harness->Metric(i, "app.cluster.lapses"), 0) << i;
-    EXPECT_GT(harness->shim(i).wall_clock_reads.load(), reads[i]) << "or it was not set under it";
+    EXPECT_GT(harness->shim(i).wall_clock_reads.load(), reads[i])
+        << "the process never read the shifted clock";
   }
   EXPECT_EQ(harness->highest_epoch(), epoch);
-  EXPECT_EQ(AllFailedCalls(), 0U);
+  EXPECT_EQ(AllFailureReports(), 0U);
 }
 
-TEST_F(Nodes, ADiskThatFailsInAWriteEndsTheVoteAndNothingElse) {
-  Begin({.members = 4, .voters = 3, .seed = 19, .shim = true});
+TEST_F(ClusterNodes, AMemberWhoseDiskFailsStopsVotingAndNothingElse) {
+  StartCluster({.members = 4, .voters = 3, .seed = 19, .shim = true});
   harness->shim(2).fail_syncs = 1;
-  harness->Kill(3);  // a view without it is to be written
+  harness->Kill(3);  // so that a view without it must be written
   EXPECT_TRUE(harness->RunUntil(
       [&] {
         return harness->polled(2).response.is_object() &&
@@ -157,7 +160,7 @@
       },
       15));
   EXPECT_GT(harness->shim(2).failed_syncs.load(), 0U);
-  harness->shim(2).fail_syncs = 0;  // a disk that failed once is not believed again
+  harness->shim(2).fail_syncs = 0;  // a disk that failed once is not used again
   harness->Start(3);
   EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 25))
       << "two voters are a majority";
@@ -167,18 +170,18 @@
   harness->Start(2);
   EXPECT_TRUE(harness->RunUntil(
       [&] { return harness->Converged() && harness->polled(2).response["vote"] == "voting"; }, 25))
-      << "started anew it votes with what its disk holds, or is readmitted";
+      << "restarted, it votes with the votes on its disk, or is readmitted";
 }
 
-TEST_F(Nodes, ACutLeavesTheMajorityAndHealsAlsoWhenCutElsewhereMeanwhile) {
-  Begin({.members = 5, .voters = 5, .seed = 7});
+TEST_F(ClusterNodes, APartitionLeavesTheMajorityAlsoWhenItChangesBeforeItHeals) {
+  StartCluster({.members = 5, .voters = 5, .seed = 7});
   harness->Partition({0, 0, 0, 1, 1});
   EXPECT_TRUE(
       harness->RunUntil([&] { return !harness->HoldsLease(3) && !harness->HoldsLease(4); }, 8));
   EXPECT_TRUE(
       harness->RunUntil([&] { return !harness->polled(0).response["members"][4]["in_view"]; }, 10));
   EXPECT_TRUE(harness->HoldsLease(0) && harness->HoldsLease(1) && harness->HoldsLease(2));
-  harness->Partition({0, 1, 1, 1, 0});  // before the healing is through
+  harness->Partition({0, 1, 1, 1, 0});  // before the members have converged
   EXPECT_TRUE(harness->RunUntil(
       [&] {
         return harness->HoldsLease(1) && harness->HoldsLease(2) && harness->HoldsLease(3) &&
@@ -192,15 +195,15 @@
                !harness->HoldsLease(3) && !harness->HoldsLease(4);
       },
       10))
-      << "2|2|1: nobody has a majority";
+      << "2|2|1: no group has a majority";
   harness->Heal();
   EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 60));
 }
 
-TEST_F(Nodes, ACutThatSwingsEverySecondDoesNotMakeViewsFlap) {
-  Begin({.members = 5, .voters = 3, .seed = 8});
+TEST_F(ClusterNodes, APartitionThatAlternatesEverySecondDoesNotMakeViewsFlap) {
+  StartCluster({.members = 5, .voters = 3, .seed = 8});
   const std::uint64_t epoch = harness->highest_epoch();
-  const int seconds = static_cast<int>(Span(8, 60));
+  const int seconds = static_cast<int>(Duration(8, 60));
   for (int s = 0; s < seconds; ++s) {
     if (s % 2 == 0) harness->Partition({0, 0, 0, 1, 1});
     if (s % 2 == 1) harness->Heal();
@@ -211,22 +214,22 @@
   EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 60));
 }
 
-TEST_F(Nodes, AShortStopFailsNobodyAndALongOneEndsTheLease) {
-  Begin({.members = 4, .voters = 3, .seed = 9});
+TEST_F(ClusterNodes, AShortPauseFailsNoMemberAndALongOneEndsTheLease) {
+  StartCluster({.members = 4, .voters = 3, .seed = 9});
   for (int i = 0; i < 4; ++i) {
     harness->Stop(3);
     harness->RunFor(0.5);
     harness->Continue(3);
     harness->RunFor(1);
   }
-  EXPECT_EQ(AllFailedCalls(), 0U) << "half a second";
+  EXPECT_EQ(AllFailureReports(), 0U) << "half a second";
   harness->Stop(3);
   EXPECT_TRUE(harness->RunUntil(
       [&] { return harness->polled(0).response["members"][3]["in_view"] == false; }, 15));
   const std::uint64_t without = harness->Epoch(0);
   harness->Continue(3);
-  // From the first that it tells: its lease is over, though nobody has told it, until a later view
-  // has it again.
+  // From its first response on, its lease must have expired by its own clock, until a later view
+  // contains it again.
   std::uint64_t wrongly_leased = 0;
   EXPECT_TRUE(harness->RunUntil(
       [&] {
@@ -235,106 +238,108 @@
       },
       25));
   EXPECT_EQ(wrongly_leased, 0U)
-      << "answers that claim a lease of a view that was followed by one without it";
+      << "responses that claim a lease although a later view is without this member";
 }
 
-TEST_F(Nodes, AVoterWithAnEmptyFolderIsReadmittedBeforeItVotes) {
-  Begin({.members = 3, .voters = 3, .seed = 10});
+TEST_F(ClusterNodes, AVoterWithAnEmptyStoreIsReadmittedBeforeItVotes) {
+  StartCluster({.members = 3, .voters = 3, .seed = 10});
   harness->Kill(1);
   harness->RemoveStore(1);
-  harness->Kill(2);  // so that only one of those who remember is there
+  harness->Kill(2);  // so that only one voter with its votes is there
   harness->Start(1);
   EXPECT_TRUE(harness->RunUntil([&] { return harness->polled(1).response.is_object(); }, 5));
   harness->RunFor(6);
-  EXPECT_NE(harness->polled(1).response["vote"], "voting") << "one who remembers is no majority";
+  EXPECT_NE(harness->polled(1).response["vote"], "voting")
+      << "a single voter with its votes is no majority";
   harness->Start(2);
   EXPECT_TRUE(harness->RunUntil(
       [&] { return harness->Converged() && harness->polled(1).response["vote"] == "voting"; }, 25));
 }
 
-TEST_F(Nodes, OfTwoProcessesUnderOneIdOneYields) {
-  Begin({.members = 3, .voters = 3, .seed = 11});
+TEST_F(ClusterNodes, OfTwoProcessesWithOneIdTheLaterYields) {
+  StartCluster({.members = 3, .voters = 3, .seed = 11});
   harness->StartDuplicate(2);
   EXPECT_TRUE(harness->RunUntil(
       [&] { return harness->DuplicateLog().find("cluster yield") != std::string::npos; }, 15));
   EXPECT_EQ(harness->LogOf(2).find("cluster yield"), std::string::npos)
-      << "who was there first stays";
+      << "the first process stays";
   EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 10));
 }
 
-TEST_F(Nodes, LossOfOneInFiveFailsNobody) {
-  Begin({.members = 5, .voters = 3, .seed = 12});
+TEST_F(ClusterNodes, PacketLossOfTwentyPercentFailsNoMember) {
+  StartCluster({.members = 5, .voters = 3, .seed = 12});
   harness->ForEachLink([](LinkFaults* l) {
     l->loss = 0.2;
     l->jitter_s = 0.01;
   });
-  harness->RunFor(Span(10, 60));
-  EXPECT_EQ(AllFailedCalls(), 0U);
+  harness->RunFor(Duration(10, 60));
+  EXPECT_EQ(AllFailureReports(), 0U);
 }
 
-TEST_F(Nodes, WhatIsNoFrameOfOursIsCountedAndChangesNothing) {
-  Begin({.members = 3, .voters = 3, .seed = 13});
+TEST_F(ClusterNodes, InvalidFramesAreCountedAndHaveNoEffect) {
+  StartCluster({.members = 3, .voters = 3, .seed = 13});
   const std::uint64_t epoch = harness->highest_epoch();
   harness->ForEachLink([](LinkFaults* l) { l->corrupted = l->truncated = l->duplicated = 0.1; });
   for (int i = 0; i < 2000; ++i) {
-    std::string noise(harness->random().Below(1500), '\0');
-    for (char& c : noise) c = static_cast<char>(harness->random().NextUint64());
-    harness->Inject(0, noise);
+    std::string random_bytes(harness->random().Below(1500), '\0');
+    for (char& c : random_bytes) c = static_cast<char>(harness->random().NextUint64());
+    harness->Inject(0, random_bytes);
     if (i % 50 == 0) harness->RunFor(0.005);
   }
-  for (const std::string& old : harness->CapturedDatagrams()) harness->Inject(0, old);
+  for (const std::string& captured : harness->CapturedDatagrams()) harness->Inject(0, captured);
   harness->Inject(
       0, cluster::Encode({.cluster = 7, .from = 7, .process_incarnation = 7, .sequence = 1},
                          membership::SwimMessage{}));
-  harness->RunFor(Span(3, 30));
+  harness->RunFor(Duration(3, 30));
   EXPECT_GT(harness->Metric(0, "app.cluster.refused.garbled"), 1000);
   EXPECT_GT(harness->Metric(0, "app.cluster.refused.replayed"), 0);
   EXPECT_EQ(harness->Metric(0, "app.cluster.refused.other_cluster"), 1);
   EXPECT_EQ(harness->highest_epoch(), epoch);
-  EXPECT_EQ(AllFailedCalls(), 0U);
+  EXPECT_EQ(AllFailureReports(), 0U);
   EXPECT_TRUE(harness->Converged());
 }
 
-TEST_F(Nodes, OneThatLeavesIsNotSuspected) {
-  Begin({.members = 4, .voters = 3, .seed = 14});
+TEST_F(ClusterNodes, AMemberThatLeavesIsNotSuspected) {
+  StartCluster({.members = 4, .voters = 3, .seed = 14});
   harness->Terminate(3);
   EXPECT_TRUE(harness->RunUntil([&] { return AllReport(3, "left", {0, 1, 2}); }, 3));
   EXPECT_TRUE(harness->RunUntil([&] { return !harness->Running(3); }, 5));
   EXPECT_EQ(harness->ExitCode(3), 0);
-  EXPECT_EQ(AllFailedCalls(), 0U);
+  EXPECT_EQ(AllFailureReports(), 0U);
   EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 5))
-      << "its lease was given back: no wait";
+      << "it returned its lease, so the others need not wait for it to expire";
 }
 
-TEST_F(Nodes, AFullDiskEndsTheVoteAndNothingElse) {
-  Begin({.members = 3, .voters = 3, .seed = 15});
+TEST_F(ClusterNodes, AMemberWithAFullDiskStopsVotingAndNothingElse) {
+  StartCluster({.members = 3, .voters = 3, .seed = 15});
   harness->Kill(2);
   harness->LimitFileSize(2, 20);
   harness->Start(2);
   EXPECT_TRUE(harness->RunUntil(
       [&] { return harness->polled(2).response.is_object() && harness->HoldsLease(2); }, 20))
-      << "it needs no vote for a lease";
-  // The view with it in is the first thing that it has to write.
+      << "a member that does not vote may hold a lease";
+  // The view that contains it is the first vote that it must write.
   EXPECT_TRUE(
       harness->RunUntil([&] { return harness->polled(2).response["vote"] == "stopped"; }, 15));
   harness->RunFor(3);
-  EXPECT_TRUE(harness->Running(2) && harness->HoldsLease(2)) << "it lives on for the rest";
+  EXPECT_TRUE(harness->Running(2) && harness->HoldsLease(2)) << "it remains a member";
 }
 
-TEST_F(Nodes, ACallByHandIsDoneOnceAnotherDiskHasItTooHoweverSlow) {
-  Begin({.members = 3, .voters = 3, .seed = 20, .workers = 1, .shim = true});
+TEST_F(ClusterNodes, AMaintenanceCallReturnsOnceAnotherDiskHasItHoweverSlow) {
+  StartCluster({.members = 3, .voters = 3, .seed = 20, .workers = 1, .shim = true});
   for (const std::size_t i : {1UL, 2UL})
-    harness->shim(i).sync_delay_ms = 400;  // it is told again meanwhile
+    harness->shim(i).sync_delay_ms = 400;  // the change is sent again meanwhile
   const double at = harness->now();
   EXPECT_NE(harness->AdminRequest(0, "PUT /workers/w0/maint").find("done\n"), std::string::npos);
   EXPECT_GT(harness->now() - at, 0.4);
 }
 
-// Every node is asked; none may use a worker that was taken out at one of them.
-TEST_F(Nodes, AWorkerOutByHandIsOutAtAllSurvivesAndMergesAfterACut) {
-  Begin({.members = 4, .voters = 3, .seed = 16, .workers = 2});
+// Sends requests to every node: none may use a worker that was put into maintenance at one of them,
+// also after restarts and after a partition.
+TEST_F(ClusterNodes, MaintenanceHoldsAtAllNodesSurvivesRestartsAndMergesAfterAPartition) {
+  StartCluster({.members = 4, .voters = 3, .seed = 16, .workers = 2});
   const ToyWorker& first = harness->worker(0);
-  const auto ask_all = [&] {
+  const auto send_requests_to_all = [&] {
     for (std::size_t i = 0; i < harness->size(); ++i) {
       if (!harness->Running(i)) continue;
       for (int n = 0; n < 6; ++n) {
@@ -348,48 +353,56 @@
       }
     }
   };
-  const auto unused = [&] {
+  const auto is_unused = [&] {
     const std::size_t before = first.got.size();
-    ask_all();
+    send_requests_to_all();
     return first.got.size() == before;
   };
-  EXPECT_FALSE(unused());
+  EXPECT_FALSE(is_unused());
   EXPECT_NE(harness->AdminRequest(0, "PUT /workers/w0/maint").find("done\n"), std::string::npos);
   harness->RunFor(0.5);
-  EXPECT_TRUE(unused()) << "at none of the nodes";
+  EXPECT_TRUE(is_unused()) << "no node may use it";
   harness->Kill(0);
-  EXPECT_TRUE(unused()) << "who said it is dead";
+  EXPECT_TRUE(is_unused()) << "the node that was called is killed";
   harness->Start(0);
   EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 10));
-  EXPECT_TRUE(unused()) << "who said it is back, and knows nothing";
-  for (std::size_t i = 0; i < 4; ++i) harness->Kill(i);  // all at once: it is on their disks
+  EXPECT_TRUE(is_unused()) << "the node that was called has restarted";
+  for (std::size_t i = 0; i < 4; ++i)
+    harness->Kill(i);  // all at once: the change is on their disks
   std::filesystem::remove(harness->Folder(2) + "/store/copies.db-wal");
   std::ofstream(harness->Folder(2) + "/store/copies.db") << std::string(9000, 'x');
   for (const std::size_t i : {3UL, 2UL, 1UL, 0UL}) harness->Start(i);
   EXPECT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 25));
-  EXPECT_TRUE(unused()) << "all were killed";
+  EXPECT_TRUE(is_unused()) << "all nodes have restarted";
   EXPECT_NE(harness->LogOf(2).find("cluster store-damaged"), std::string::npos)
-      << "and learned it from others";
+      << "and received the change from other members";
   harness->Partition({0, 0, 1, 1});
   harness->RunFor(3);
   EXPECT_NE(harness->AdminRequest(3, "PUT /workers/w0/ready").find("200 OK"), std::string::npos);
   EXPECT_NE(harness->AdminRequest(0, "PUT /workers/w0/maint").find("200 OK"), std::string::npos);
-  const auto held_out = [&](std::size_t i, std::size_t workers) {
+  const auto has_in_maintenance = [&](std::size_t i, std::size_t workers) {
     const auto& response = harness->polled(i).response;
     return response.is_object() && response["workers_out"].size() == workers;
   };
-  EXPECT_TRUE(harness->RunUntil([&] { return held_out(3, 0) && held_out(0, 1); }, 5)) << "cut";
+  EXPECT_TRUE(
+      harness->RunUntil([&] { return has_in_maintenance(3, 0) && has_in_maintenance(0, 1); }, 5))
+      << "partitioned";
   harness->Heal();
   EXPECT_TRUE(harness->RunUntil(
-      [&] { return held_out(0, 1) && held_out(1, 1) && held_out(2, 1) && held_out(3, 1); }, 20));
-  EXPECT_TRUE(unused()) << "out on one side, back on the other: out";
+      [&] {
+        return has_in_maintenance(0, 1) && has_in_maintenance(1, 1) && has_in_maintenance(2, 1) &&
+               has_in_maintenance(3, 1);
+      },
+      20));
+  EXPECT_TRUE(is_unused()) << "concurrent changes on both sides: maintenance wins";
   EXPECT_NE(harness->AdminRequest(2, "PUT /workers/w0/ready").find("200 OK"), std::string::npos);
-  EXPECT_TRUE(harness->RunUntil([&] { return held_out(0, 0) && held_out(3, 0); }, 5));
-  // It comes back as one that has just started, which has its part only by and by.
+  EXPECT_TRUE(
+      harness->RunUntil([&] { return has_in_maintenance(0, 0) && has_in_maintenance(3, 0); }, 5));
+  // Like a worker that has just started, it gets its share of requests only gradually.
   const double until = harness->now() + 15;
   bool used = false;
-  while (!used && harness->now() < until) used = !unused();
-  EXPECT_TRUE(used) << "called back later";
+  while (!used && harness->now() < until) used = !is_unused();
+  EXPECT_TRUE(used) << "out of maintenance";
 }
 
 }  // namespace
