--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -386,7 +386,7 @@
   };
   EXPECT_TRUE(
       harness->RunUntil([&] { return has_in_maintenance(3, 0) && has_in_maintenance(0, 1); }, 5))
-      << "partitioned";
+      << "cut";
   harness->Heal();
   EXPECT_TRUE(harness->RunUntil(
       [&] {
--- a/tests/cluster/quota_test.cpp
+++ b/tests/cluster/quota_test.cpp
@@ -1,11 +1,11 @@
-// Quota leases on several processes: one tenant that is asked for above its quota, at workers that
-// say once for each request that they are full, so that the quota binds. What is let in, in sum,
-// while places are cut off and the tenant's allocator is killed or stopped, and after its demand
-// moves from one place to another.
+// Quota leases on several processes. Guards against admitting more than a tenant's quota in sum, or
+// much less than it, while zones are partitioned, while the tenant's allocator is killed or
+// stopped, and after demand moves from one zone to another.
 //
-// A quota binds only where a node finds the fleet full, and one that lets in next to nothing finds
-// nothing. So a second tenant, far within its quota and its floors, has some requests at each node
-// all the time.
+// One tenant is offered above its quota. Workers reject each request once, so that the fleet counts
+// as full and the quota is enforced. A node that admits next to nothing would not notice that the
+// fleet is full, so a second tenant, far within its quota, sends some requests to each node all the
+// time.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,18 +19,18 @@
 namespace millethollow::rig {
 namespace {
 
-constexpr std::size_t kMembers = 6, kPlaces = 3, kWorkers = 4;
-// Requests a second of the first tenant, in all: above what each node may let in, also while others
-// are cut off.
-constexpr double kQuota = 120, kAsked = 240;
-constexpr double kOtherAsked = 5;  // of the second, at each node
-constexpr double kWindowS = 5, kMaxOver = 1.05, kLeastUse = 0.95;
-constexpr double kSettleS = 10;  // until each node has found that the fleet is full
-constexpr double kCutS = 60;
-constexpr double kChangedWithinS = 9;  // a changed quota is in force everywhere
-constexpr char kQuotaOn[] = R"({"quota": {}})";
+constexpr std::size_t kMembers = 6, kZones = 3, kWorkers = 4;
+// Requests a second of the first tenant over all nodes: more than each node may admit, also while
+// others are partitioned off.
+constexpr double kQuotaRps = 120, kOfferedRps = 240;
+constexpr double kSecondTenantRps = 5;  // requests a second of the second tenant at each node
+constexpr double kWindowS = 5, kMaxOveruse = 1.05, kMinUse = 0.95;
+constexpr double kSettleS = 10;  // until each node has noticed that the fleet is full
+constexpr double kPartitionS = 60;
+constexpr double kQuotaChangeS = 9;  // until a changed quota is in force at all nodes
+constexpr char kQuotaSection[] = R"({"quota": {}})";
 
-// Settings in which the first tenant has this quota, in requests a second.
+// Settings with this quota of the first tenant, in requests a second.
 std::string SettingsWith(double quota) {
   return R"({"family_info": {"tells_start": false},
              "tenants": [{"name": "andes", "fraction": 0.5, "quota_rps": )" +
@@ -38,7 +38,7 @@
                          {"name": "pampa", "fraction": 0.5, "quota_rps": 3000}]})";
 }
 
-// Requests at a steady pace for each node, and when each was answered.
+// Sends requests at a steady rate to each node and records when each was answered.
 class Load {
  public:
   explicit Load(ClusterHarness* harness)
@@ -48,38 +48,38 @@
         other_due_(harness->size(), 0.0),
         last_(harness->now()) {}
 
-  // Requests a second for each of these nodes, none for the others.
-  void Ask(const std::vector<std::size_t>& nodes, double all) {
+  // Divides a rate, in requests a second, evenly over these nodes; the others get none.
+  void SetRates(const std::vector<std::size_t>& nodes, double all) {
     std::fill(rates_.begin(), rates_.end(), 0.0);
     for (const std::size_t node : nodes) rates_[node] = all / static_cast<double>(nodes.size());
   }
-  void Play(double span) {
+  void RunLoad(double span) {
     harness_->RunUntil([this] { return Step(), false; }, span);
   }
-  bool PlayUntil(const std::function<bool()>& done, double timeout_s) {
+  bool RunLoadUntil(const std::function<bool()>& done, double timeout_s) {
     return harness_->RunUntil([&] { return Step(), done(); }, timeout_s);
   }
-  // The most that was let in within any kWindowS that begins at `from` or later, against the quota.
-  double PeakOver(double from, double quota = kQuota) const {
+  // The highest rate admitted within any kWindowS from `from` on, as a fraction of the quota.
+  double PeakOver(double from, double quota = kQuotaRps) const {
     double peak = 0;
-    auto first = std::lower_bound(let_in_.begin(), let_in_.end(), from);
-    for (auto last = first; last != let_in_.end(); ++last) {
+    auto first = std::lower_bound(admitted_at_.begin(), admitted_at_.end(), from);
+    for (auto last = first; last != admitted_at_.end(); ++last) {
       while (*last - *first > kWindowS) ++first;
       peak = std::max(peak, static_cast<double>(last - first + 1) / (kWindowS * quota));
     }
     return peak;
   }
-  // The part of the quota that was used from `from` to `until`.
+  // The fraction of the quota that was used from `from` to `until`.
   double Use(double from, double until) const {
-    const auto first = std::lower_bound(let_in_.begin(), let_in_.end(), from);
-    const auto last = std::lower_bound(let_in_.begin(), let_in_.end(), until);
-    return static_cast<double>(last - first) / ((until - from) * kQuota);
+    const auto first = std::lower_bound(admitted_at_.begin(), admitted_at_.end(), from);
+    const auto last = std::lower_bound(admitted_at_.begin(), admitted_at_.end(), until);
+    return static_cast<double>(last - first) / ((until - from) * kQuotaRps);
   }
   void PrintUse(double from) const {
     std::printf("  use by the second:");
     for (double at = from; at < harness_->now(); at += 1) std::printf(" %.2f", Use(at, at + 1));
     std::printf("\n");
-    for (const auto& [node, times] : by_node_) {
+    for (const auto& [node, times] : admitted_at_by_node_) {
       std::printf("  %s:", ClusterHarness::Name(node).c_str());
       for (double at = from; at < harness_->now(); at += 1) {
         const auto first = std::lower_bound(times.begin(), times.end(), at);
@@ -88,19 +88,20 @@
       std::printf("\n");
     }
   }
-  // How long after `from` the use of 2 s is first at kLeastUse; negative: it is not within `most`.
-  double UsedAgainAfter(double from, double peak) const {
+  // Seconds from `from` until the use over 2 s first reaches kMinUse; negative if that takes longer
+  // than `max_delay_s`.
+  double RecoveryTime(double from, double max_delay_s) const {
     constexpr double kSpan = 2, kStep = 0.05;
-    for (double at = 0; at <= peak; at += kStep) {
-      if (Use(from + at, from + at + kSpan) >= kLeastUse) return at;
+    for (double at = 0; at <= max_delay_s; at += kStep) {
+      if (Use(from + at, from + at + kSpan) >= kMinUse) return at;
     }
     return -1;
   }
-  // What the tenant was let in and neither served nor refused, and what the other tenant was
-  // refused.
+  // Requests of the first tenant that were neither served nor rejected, and requests of the second
+  // tenant that were rejected.
   std::size_t failed() const { return failed_; }
-  std::size_t other_refused() const { return other_refused_; }
-  std::size_t refused() const { return refused_; }
+  std::size_t other_rejected() const { return other_rejected_; }
+  std::size_t rejected() const { return rejected_; }
 
  private:
   struct Open {
@@ -113,7 +114,7 @@
     const double now = harness_->now();
     for (std::size_t node = 0; node < rates_.size(); ++node) {
       due_[node] += rates_[node] * (now - last_);
-      other_due_[node] += kOtherAsked * (now - last_);
+      other_due_[node] += kSecondTenantRps * (now - last_);
       for (; due_[node] >= 1; due_[node] -= 1) Send(node, now, false);
       for (; other_due_[node] >= 1; other_due_[node] -= 1) Send(node, now, true);
     }
@@ -122,15 +123,15 @@
   }
   void Send(std::size_t node, double now, bool other) {
     if (!harness_->Serves(node)) return;
-    // The hint tells one request from another: the same one again counts once as demand.
-    const std::string id = std::to_string(++asked_);
+    // The hint makes requests distinct: a repeated request counts only once as demand.
+    const std::string id = std::to_string(++sent_);
     Open& open = open_.emplace_back();
     open.at = now;
     open.other = other;
     open.node = node;
     open.raw = std::make_unique<RawClient>(&harness_->loop(), harness_->http_address(node));
     std::string request =
-        Post("q" + id, "look", "Work-Hint: " + std::to_string(1000 + asked_) + "\r\n");
+        Post("q" + id, "look", "Work-Hint: " + std::to_string(1000 + sent_) + "\r\n");
     const std::string first = "Tenant: andes";
     if (other) request.replace(request.find(first), first.size(), "Tenant: pampa");
     open.raw->Write(request);
@@ -138,15 +139,15 @@
   bool Answered(const Open& open, double now) {
     const std::string& in = open.raw->in;
     if (in.find("\r\n\r\n") == std::string::npos) return open.raw->ended || now - open.at > 5;
-    const bool refused = in.find("HTTP/1.1 503") == 0;
-    const bool failed = !refused && in.find("HTTP/1.1 200") != 0;
+    const bool rejected = in.find("HTTP/1.1 503") == 0;
+    const bool failed = !rejected && in.find("HTTP/1.1 200") != 0;
     if (open.other) {
-      other_refused_ += refused;
+      other_rejected_ += rejected;
     } else {
-      refused_ += refused;
+      rejected_ += rejected;
       failed_ += failed;
-      if (!refused) let_in_.push_back(now);
-      if (!refused) by_node_[open.node].push_back(now);
+      if (!rejected) admitted_at_.push_back(now);
+      if (!rejected) admitted_at_by_node_[open.node].push_back(now);
     }
     return true;
   }
@@ -154,34 +155,34 @@
   ClusterHarness* harness_;
   std::vector<double> rates_, due_, other_due_;
   double last_;
-  std::size_t asked_ = 0, refused_ = 0, failed_ = 0, other_refused_ = 0;
+  std::size_t sent_ = 0, rejected_ = 0, failed_ = 0, other_rejected_ = 0;
   std::list<Open> open_;
-  std::vector<double> let_in_;
-  std::map<std::size_t, std::vector<double>> by_node_;
+  std::vector<double> admitted_at_;
+  std::map<std::size_t, std::vector<double>> admitted_at_by_node_;
 };
 
 struct QuotaNodes : ::testing::Test {
-  void Begin(const std::string& cluster, bool peers = false) {
+  void StartCluster(const std::string& cluster, bool peers = false) {
     load.reset();
     harness.reset();
     ClusterHarness::Options options{
         .members = kMembers, .voters = 3, .seed = 7, .workers = kWorkers};
     options.peers = peers;
     options.cluster = cluster;
-    options.settings = SettingsWith(kQuota);
+    options.settings = SettingsWith(kQuotaRps);
     harness = std::make_unique<ClusterHarness>(options);
     for (std::size_t w = 0; w < kWorkers; ++w) {
-      harness->worker(w).act = [this](const ToyWorker::Got& got) { Serve(got); };
+      harness->worker(w).act = [this](const ToyWorker::Got& got) { AnswerAttempt(got); };
     }
     harness->StartAll();
     ASSERT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 20)) << Describe();
     load = std::make_unique<Load>(harness.get());
   }
-  // Each request finds its first worker full, so that the fleet counts as full, and is served by
-  // the second.
-  void Serve(const ToyWorker::Got& got) {
+  // The first attempt of each request is rejected, so that the fleet counts as full; the second is
+  // served.
+  void AnswerAttempt(const ToyWorker::Got& got) {
     const std::string& id = *got.head.Get("Request-Id");
-    const bool first = tried.insert(id).second;
+    const bool first = attempted_ids.insert(id).second;
     if (first) return ToyWorker::Lines(got, {ToyWorker::Line(got, "returned")});
     ToyWorker::Done(got, "ok");
   }
@@ -200,10 +201,11 @@
     }
     return all;
   }
-  static std::vector<std::size_t> Place(std::size_t place) { return {place, place + kPlaces}; }
+  static std::vector<std::size_t> NodesOfZone(std::size_t zone) { return {zone, zone + kZones}; }
   static std::vector<std::size_t> All() { return {0, 1, 2, 3, 4, 5}; }
-  // The member that says that it allocates the tenant, and is not taking it over; none: kMembers.
-  std::size_t AllocatorNow() {
+  // The member that reports to allocate the tenant and is not taking it over; kMembers if none
+  // does.
+  std::size_t CurrentAllocator() {
     for (std::size_t i = 0; i < harness->size(); ++i) {
       const auto& response = harness->polled(i).response;
       if (!harness->Serves(i) || !response.is_object() || !response.contains("quota")) continue;
@@ -216,156 +218,157 @@
   void ExpectWithinQuota(double from, const char* what) {
     const double peak = load->PeakOver(from);
     std::printf(
-        "%s: most over any %.0f s %.3f of the quota, use %.3f, refused %zu, failed %zu; other "
-        "tenant refused %zu\n",
-        what, kWindowS, peak, load->Use(from, harness->now()), load->refused(), load->failed(),
-        load->other_refused());
+        "%s: peak over any %.0f s %.3f of the quota, use %.3f, rejected %zu, failed %zu; other "
+        "tenant rejected %zu\n",
+        what, kWindowS, peak, load->Use(from, harness->now()), load->rejected(), load->failed(),
+        load->other_rejected());
     load->PrintUse(from);
-    EXPECT_LE(peak, kMaxOver) << what;
+    EXPECT_LE(peak, kMaxOveruse) << what;
     EXPECT_EQ(load->failed(), 0U) << what;
   }
   std::unique_ptr<ClusterHarness> harness;
   std::unique_ptr<Load> load;
-  std::set<std::string> tried;
+  std::set<std::string> attempted_ids;
 };
 
-TEST_F(QuotaNodes, DemandThatMovesToAnotherPlaceHasTheQuotaThereWithinFiveSeconds) {
-  double again[2] = {-1, -1}, use[2] = {};
+TEST_F(QuotaNodes, TheQuotaFollowsDemandToAnotherZoneWithinFiveSeconds) {
+  double recovery_s[2] = {-1, -1}, use[2] = {};
   for (const bool leased : {true, false}) {
-    Begin(leased ? kQuotaOn : "{}");
-    load->Ask(All(), kAsked);  // so that each has found that the fleet is full
-    load->Play(kSettleS);
-    load->Ask(Place(0), kAsked);
-    load->Play(kSettleS);
-    const double moved = harness->now();
-    load->Ask(Place(1), kAsked);
-    load->Play(10);
-    again[leased] = load->UsedAgainAfter(moved, 8);
-    use[leased] = load->Use(moved + 5, moved + 10);
+    StartCluster(leased ? kQuotaSection : "{}");
+    load->SetRates(All(), kOfferedRps);  // so that each node notices that the fleet is full
+    load->RunLoad(kSettleS);
+    load->SetRates(NodesOfZone(0), kOfferedRps);
+    load->RunLoad(kSettleS);
+    const double moved_at = harness->now();
+    load->SetRates(NodesOfZone(1), kOfferedRps);
+    load->RunLoad(10);
+    recovery_s[leased] = load->RecoveryTime(moved_at, 8);
+    use[leased] = load->Use(moved_at + 5, moved_at + 10);
     std::printf(
         "%s: 0.95 again after %.2f s, use from the 5th to the 10th second %.3f, most over any 5 s "
         "%.3f\n",
-        leased ? "leased" : "not leased", again[leased], use[leased],
-        load->PeakOver(moved - kWindowS));
-    load->PrintUse(moved - 3);
+        leased ? "leased" : "not leased", recovery_s[leased], use[leased],
+        load->PeakOver(moved_at - kWindowS));
+    load->PrintUse(moved_at - 3);
     for (std::size_t i = 0; leased && i < kMembers; ++i) {
       std::printf("  %s holds %ld of both tenants\n", ClusterHarness::Name(i).c_str(),
                   harness->Metric(i, "app.cluster.quota.rate_held"));
     }
   }
-  EXPECT_GE(again[true], 0);
-  EXPECT_LE(again[true], 5);
-  EXPECT_GE(use[true], kLeastUse);
-  EXPECT_LT(use[false], kLeastUse) << "where it is not leased each has its even part";
+  EXPECT_GE(recovery_s[true], 0);
+  EXPECT_LE(recovery_s[true], 5);
+  EXPECT_GE(use[true], kMinUse);
+  EXPECT_LT(use[false], kMinUse) << "without leases each node has an even share";
 }
 
-TEST_F(QuotaNodes, TheSumIsKeptWhileAPlaceIsCutOff) {
-  Begin(kQuotaOn);
-  load->Ask(All(), kAsked);
-  load->Play(kSettleS);
+TEST_F(QuotaNodes, TheQuotaHoldsWhileAZoneIsPartitionedOff) {
+  StartCluster(kQuotaSection);
+  load->SetRates(All(), kOfferedRps);
+  load->RunLoad(kSettleS);
   const double from = harness->now();
   harness->Partition({1, 0, 0, 1, 0, 0});
-  load->Play(kCutS);
+  load->RunLoad(kPartitionS);
   harness->Heal();
-  load->Play(8);
+  load->RunLoad(8);
   ExpectWithinQuota(from, "cut");
-  EXPECT_TRUE(
-      load->PlayUntil([&] { return harness->Converged() && AllocatorNow() != kMembers; }, 20));
-  load->Play(5);
-  EXPECT_GE(load->Use(harness->now() - 4, harness->now()), kLeastUse)
-      << "and all is used once it is healed";
+  EXPECT_TRUE(load->RunLoadUntil(
+      [&] { return harness->Converged() && CurrentAllocator() != kMembers; }, 20));
+  load->RunLoad(5);
+  EXPECT_GE(load->Use(harness->now() - 4, harness->now()), kMinUse)
+      << "all of the quota is used after healing";
 }
 
-// Each process in turn is told to end, is started again, and is in the view and served by an
-// allocator before the next. The nodes are each other's peers: one that has just started learns
-// from them that the fleet is full. Without that it lets in what it is asked for until it has found
-// it out (docs/cluster.md).
-TEST_F(QuotaNodes, TheSumIsKeptInARollingRestart) {
-  Begin(kQuotaOn, true);
-  load->Ask(All(), kAsked);
-  ASSERT_TRUE(load->PlayUntil([&] { return AllocatorNow() != kMembers; }, 15));
-  load->Play(kSettleS);
+// Each process in turn is terminated and restarted, and is in the view and served by an allocator
+// before the next. The nodes exchange usage reports: a restarted node learns from its peers that
+// the fleet is full. Without them it would admit all that it is offered until it has noticed that
+// itself (docs/cluster.md).
+TEST_F(QuotaNodes, TheQuotaHoldsInARollingRestart) {
+  StartCluster(kQuotaSection, true);
+  load->SetRates(All(), kOfferedRps);
+  ASSERT_TRUE(load->RunLoadUntil([&] { return CurrentAllocator() != kMembers; }, 15));
+  load->RunLoad(kSettleS);
   const double from = harness->now();
   for (std::size_t i = 0; i < kMembers; ++i) {
     harness->Terminate(i);
-    ASSERT_TRUE(load->PlayUntil([&] { return !harness->Running(i); }, 15))
+    ASSERT_TRUE(load->RunLoadUntil([&] { return !harness->Running(i); }, 15))
         << ClusterHarness::Name(i);
     EXPECT_EQ(harness->ExitCode(i), 0) << ClusterHarness::Name(i);
     harness->Start(i);
-    ASSERT_TRUE(
-        load->PlayUntil([&] { return harness->Converged() && AllocatorNow() != kMembers; }, 25))
+    ASSERT_TRUE(load->RunLoadUntil(
+        [&] { return harness->Converged() && CurrentAllocator() != kMembers; }, 25))
         << ClusterHarness::Name(i);
   }
-  load->Play(kSettleS);
+  load->RunLoad(kSettleS);
   ExpectWithinQuota(from, "rolling restart");
-  EXPECT_GE(load->Use(harness->now() - 4, harness->now()), kLeastUse) << "and all is used after it";
+  EXPECT_GE(load->Use(harness->now() - 4, harness->now()), kMinUse)
+      << "all of the quota is used afterwards";
 }
 
-// The file of one node after the other is changed and read again, half a second apart.
+// The configuration of one node after another is reloaded, half a second apart.
 TEST_F(QuotaNodes, AChangedQuotaIsInForceEverywhereWithinNineSeconds) {
-  constexpr double kLowered = kQuota / 2, kApartS = 0.5;
-  Begin(kQuotaOn);
-  load->Ask(All(), kAsked);
-  ASSERT_TRUE(load->PlayUntil([&] { return AllocatorNow() != kMembers; }, 15));
-  load->Play(kSettleS);
+  constexpr double kLowered = kQuotaRps / 2, kApartS = 0.5;
+  StartCluster(kQuotaSection);
+  load->SetRates(All(), kOfferedRps);
+  ASSERT_TRUE(load->RunLoadUntil([&] { return CurrentAllocator() != kMembers; }, 15));
+  load->RunLoad(kSettleS);
   const auto change = [&](double quota) {
     const double changed = harness->now();
     for (std::size_t i = 0; i < kMembers; ++i) {
       harness->Reload(i, SettingsWith(quota));
-      load->Play(kApartS);
+      load->RunLoad(kApartS);
     }
-    load->Play(changed + kChangedWithinS - harness->now());
+    load->RunLoad(changed + kQuotaChangeS - harness->now());
   };
   const double before = harness->now();
   change(kLowered);
-  EXPECT_LE(load->PeakOver(before), kMaxOver) << "never above the higher one";
+  EXPECT_LE(load->PeakOver(before), kMaxOveruse) << "never above the higher quota";
   double from = harness->now();
-  load->Play(kSettleS);
+  load->RunLoad(kSettleS);
   const double peak = load->PeakOver(from, kLowered),
-               used = load->Use(from, harness->now()) * kQuota / kLowered;
+               used = load->Use(from, harness->now()) * kQuotaRps / kLowered;
   std::printf("lowered to %.0f: most over any %.0f s %.3f, use %.3f of it\n", kLowered, kWindowS,
               peak, used);
-  EXPECT_LE(peak, kMaxOver);
-  EXPECT_GE(used, kLeastUse);
-  change(kQuota);
+  EXPECT_LE(peak, kMaxOveruse);
+  EXPECT_GE(used, kMinUse);
+  change(kQuotaRps);
   from = harness->now();
-  load->Play(kSettleS);
+  load->RunLoad(kSettleS);
   ExpectWithinQuota(from, "raised again");
-  EXPECT_GE(load->Use(from, harness->now()), kLeastUse);
+  EXPECT_GE(load->Use(from, harness->now()), kMinUse);
 }
 
-TEST_F(QuotaNodes, TheSumIsKeptWhileTheAllocatorIsKilledOrStopped) {
-  Begin(kQuotaOn);
-  load->Ask(All(), kAsked);
-  ASSERT_TRUE(load->PlayUntil([&] { return AllocatorNow() != kMembers; }, 15));
-  load->Play(kSettleS);
+TEST_F(QuotaNodes, TheQuotaHoldsWhileTheAllocatorIsKilledOrStopped) {
+  StartCluster(kQuotaSection);
+  load->SetRates(All(), kOfferedRps);
+  ASSERT_TRUE(load->RunLoadUntil([&] { return CurrentAllocator() != kMembers; }, 15));
+  load->RunLoad(kSettleS);
   double from = harness->now();
-  const std::size_t killed = AllocatorNow();
+  const std::size_t killed = CurrentAllocator();
   ASSERT_LT(killed, kMembers);
   std::vector<std::size_t> others = All();
   std::erase(others, killed);
-  load->Ask(others, kAsked);
+  load->SetRates(others, kOfferedRps);
   harness->Kill(killed);
-  load->Play(15);
-  const std::size_t next = AllocatorNow();
-  ASSERT_LT(next, kMembers) << "another has taken over";
+  load->RunLoad(15);
+  const std::size_t next = CurrentAllocator();
+  ASSERT_LT(next, kMembers) << "another member has taken over";
   EXPECT_NE(next, killed);
-  EXPECT_GE(load->Use(harness->now() - 4, harness->now()), kLeastUse);
+  EXPECT_GE(load->Use(harness->now() - 4, harness->now()), kMinUse);
   ExpectWithinQuota(from, "killed");
   harness->Start(killed);
-  ASSERT_TRUE(
-      load->PlayUntil([&] { return harness->Converged() && AllocatorNow() != kMembers; }, 20));
-  load->Play(5);
+  ASSERT_TRUE(load->RunLoadUntil(
+      [&] { return harness->Converged() && CurrentAllocator() != kMembers; }, 20));
+  load->RunLoad(5);
 
   from = harness->now();
-  const std::size_t stopped = AllocatorNow();
+  const std::size_t stopped = CurrentAllocator();
   harness->Stop(stopped);
-  load->Play(10);
+  load->RunLoad(10);
   harness->Continue(stopped);
-  load->Play(10);
+  load->RunLoad(10);
   ExpectWithinQuota(from, "stopped and continued");
-  EXPECT_TRUE(
-      load->PlayUntil([&] { return harness->Converged() && AllocatorNow() != kMembers; }, 20));
+  EXPECT_TRUE(load->RunLoadUntil(
+      [&] { return harness->Converged() && CurrentAllocator() != kMembers; }, 20));
 }
 
 }  // namespace
--- a/tests/cluster/restart_test.cpp
+++ b/tests/cluster/restart_test.cpp
@@ -1,5 +1,4 @@
-// Processes of one tier that are killed and started again, and a discovery that bears only so many
-// calls.
+// Restarts of the processes of one tier, with a discovery service of limited capacity.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <sys/prctl.h>
@@ -17,50 +16,51 @@
 namespace millethollow::rig {
 namespace {
 
-// The one discovery of all, with an address for each process so that it knows who calls. It works
-// through calls one after the other, fails those that have waited too long, and has worked for them
-// in vain.
-class Discovery {
+// The discovery service of all processes, with an address for each so that it can tell them apart.
+// It handles calls one at a time. Calls that waited too long get a 503, but still take their turn.
+class LimitedDiscovery {
  public:
   double down_until = 0, service_s = 0.1;
-  static constexpr double kPatienceS = 2.0;
+  static constexpr double kCallTimeoutS = 2.0;
   struct ProcessRecord {
-    double first_list_at = -1, last_answer_at = -1, drain_at = -1;  // the drain: told, by any rule
+    double first_list_at = -1, last_answer_at = -1,
+           drain_at = -1;  // drain_at: notified at the latest
   };
   std::vector<ProcessRecord> records;
   double drain_at = -1;
   int calls = 0, failed = 0;
 
-  Discovery(Loop* loop, std::size_t processes)
-      : records(processes), loop_(loop), lines_(processes) {
+  LimitedDiscovery(Loop* loop, std::size_t processes)
+      : records(processes), loop_(loop), endpoints_(processes) {
     for (std::size_t p = 0; p < processes; ++p) {
-      lines_[p].port = FreePort();
+      endpoints_[p].port = FreePort();
       std::string error;
-      EXPECT_TRUE(lines_[p].listener.Open(
-          loop, LoopbackAddress(lines_[p].port), [this, p](evutil_socket_t fd) { Accept(p, fd); },
-          &error))
+      EXPECT_TRUE(endpoints_[p].listener.Open(
+          loop, LoopbackAddress(endpoints_[p].port),
+          [this, p](evutil_socket_t fd) { Accept(p, fd); }, &error))
           << error;
     }
-    Work();
+    HandleNextCall();
   }
-  std::string address(std::size_t p) const { return LoopbackAddress(lines_[p].port); }
-  // From now on worker 0 is to end. Who waits is told, and so is who might have waited on.
-  void Drain() {
+  std::string address(std::size_t p) const { return LoopbackAddress(endpoints_[p].port); }
+  // From now on the list has worker 0 as terminating. Answers all waiting polls. A process whose
+  // last answer is less than 0.2 s old counts as notified too, as it may just be polling again.
+  void StartDrain() {
     drain_at = loop_->Now();
     version_ = 2;
     for (auto& process : records) {
       if (drain_at - process.last_answer_at <= 0.2) process.drain_at = drain_at;
     }
-    for (Call& call : std::exchange(waiting_, {})) Answer(call);
+    for (Call& call : std::exchange(waiting_, {})) SendAnswer(call);
   }
-  void Restarted(std::size_t p) { records[p] = {}; }
+  void ResetRecord(std::size_t p) { records[p] = {}; }
 
  private:
   struct Client {
     std::unique_ptr<RawClient> raw;
     http::Parser parser{http::Parser::Side::kRequest, {}};
   };
-  struct Line {
+  struct ProcessEndpoint {
     int port = 0;
     Listener listener;
     std::vector<std::unique_ptr<Client>> clients;
@@ -73,8 +73,8 @@
     double at = 0;
   };
   void Accept(std::size_t p, evutil_socket_t fd) {
-    lines_[p].clients.push_back(std::make_unique<Client>());
-    Client* c = lines_[p].clients.back().get();
+    endpoints_[p].clients.push_back(std::make_unique<Client>());
+    Client* c = endpoints_[p].clients.back().get();
     c->raw = std::make_unique<RawClient>(loop_, fd);
     c->raw->on_read = [this, p, c] {
       c->raw->in.erase(0, c->parser.Feed(c->raw->in));
@@ -88,26 +88,26 @@
                         loop_->Now()});
     };
   }
-  void Work() {
-    loop_->deadlines().At(loop_->Now() + service_s, [this] { Work(); });
+  void HandleNextCall() {
+    loop_->deadlines().At(loop_->Now() + service_s, [this] { HandleNextCall(); });
     const double now = loop_->Now();
     std::erase_if(waiting_, [](const Call& c) { return c.client->raw->ended; });
     for (Call& c : queue_) {
-      if (c.client == nullptr || now - c.at <= kPatienceS) continue;
+      if (c.client == nullptr || now - c.at <= kCallTimeoutS) continue;
       ++failed;
       if (!c.client->raw->ended)
         c.client->raw->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
       c.client = nullptr;
     }
-    // While it is down it does nothing, and has nothing left to do for those that it failed then.
+    // While it is down it handles no calls, and drops those that failed meanwhile.
     if (now < down_until) std::erase_if(queue_, [](const Call& c) { return c.client == nullptr; });
     if (now < down_until || queue_.empty()) return;
     Call next = queue_.front();
     queue_.pop_front();
     if (next.client == nullptr || next.client->raw->ended) return;
-    next.after < version_ || !next.waits ? Answer(next) : waiting_.push_back(next);
+    next.after < version_ || !next.waits ? SendAnswer(next) : waiting_.push_back(next);
   }
-  void Answer(const Call& call) {
+  void SendAnswer(const Call& call) {
     if (call.client->raw->ended) return;
     ProcessRecord& t = records[call.process];
     t.last_answer_at = loop_->Now();
@@ -122,7 +122,7 @@
   }
 
   Loop* loop_;
-  std::vector<Line> lines_;
+  std::vector<ProcessEndpoint> endpoints_;
   std::deque<Call> queue_;
   std::vector<Call> waiting_;
   int version_ = 1;
@@ -146,7 +146,8 @@
     for (Process& p : processes) Kill(&p);
     if (!HasFailure()) std::filesystem::remove_all(folder);
   }
-  void Add(std::size_t balancers, const std::string& discovery, const std::string& more = "") {
+  void AddProcess(std::size_t balancers, const std::string& discovery,
+                  const std::string& further_settings = "") {
     Process p;
     p.port = FreePort();
     const std::string n = std::to_string(processes.size());
@@ -154,13 +155,14 @@
     p.log = folder + "/" + n + ".log";
     std::vector<std::string> addresses;
     for (const auto& w : workers) addresses.push_back(w->address());
-    std::string text = TestConfig(addresses, R"("discovery":")" + discovery + R"(",)" + more);
-    const auto put = [&](const std::string& from, const std::string& to) {
+    std::string text =
+        TestConfig(addresses, R"("discovery":")" + discovery + R"(",)" + further_settings);
+    const auto replace = [&](const std::string& from, const std::string& to) {
       text.replace(text.find(from), from.size(), to);
     };
-    put(R"("listen":"127.0.0.1:0")", R"("listen":")" + LoopbackAddress(p.port) + "\"");
-    put(R"("balancers":1)", R"("balancers":)" + std::to_string(balancers));
-    put(R"("seed":"1f")", R"("seed":")" + n + "7\"");
+    replace(R"("listen":"127.0.0.1:0")", R"("listen":")" + LoopbackAddress(p.port) + "\"");
+    replace(R"("balancers":1)", R"("balancers":)" + std::to_string(balancers));
+    replace(R"("seed":"1f")", R"("seed":")" + n + "7\"");
     std::ofstream(p.config) << text;
     processes.push_back(std::move(p));
   }
@@ -190,7 +192,7 @@
     p->health.reset();
     p->client.reset();
   }
-  // Asks each process that is not known to be ready.
+  // Polls the health of each process that has not been ready yet.
   void PollHealth() {
     for (Process& p : processes) {
       if (p.pid <= 0 || p.ready_at >= 0) continue;
@@ -227,30 +229,31 @@
   std::vector<Process> processes;
 };
 
-// Seven in ten are killed at once while discovery is down, and a worker begins to drain soon after
-// its return, when it has as many callers as it bears. Nothing reaches that worker from a process
-// for longer than the grace after the process was told: by an answer, 6 s after the drain, at once
-// where it has heard no list yet or had its last answer less than 200 ms before. And nine in ten
-// are ready within 10 s.
-TEST_F(Tier, KilledWhileDiscoveryIsDownHoldsToWhatItIsToldAndIsReadyInTime) {
+// 70 % of the processes are killed at once while discovery is down. Soon after it is back, and
+// loaded to its capacity, a worker begins to drain. Guards against requests that reach the worker
+// from a process more than the drain grace after that process was notified. It counts as notified
+// by an answer, or 6 s after the drain, or at once if it has had no list yet or its last answer was
+// less than 200 ms earlier. Also 90 % of the restarted processes must be ready within 10 s.
+TEST_F(Tier, RestartedWhileDiscoveryIsDownRespectsDrainsAndIsReadyInTime) {
   constexpr std::size_t kProcesses = 20;
-  Discovery discovery(&loop, kProcesses);
-  for (std::size_t p = 0; p < kProcesses; ++p) Add(kProcesses, discovery.address(p));
+  LimitedDiscovery discovery(&loop, kProcesses);
+  for (std::size_t p = 0; p < kProcesses; ++p) AddProcess(kProcesses, discovery.address(p));
   for (Process& p : processes) Start(&p);
   ASSERT_TRUE(Until([&] { return AllReady(); }, 10, [&] { PollHealth(); }));
 
-  std::size_t sent = 0, turn = 0;
-  std::vector<std::pair<double, std::size_t>> reached;  // worker 0: when, from which process
+  std::size_t sent = 0, next_process = 0;
+  std::vector<std::pair<double, std::size_t>>
+      reached_worker;  // requests at worker 0: time and process
   workers[0]->act = [&](const ToyWorker::Got& g) {
-    reached.emplace_back(loop.Now(), std::stoul(*g.head.Get("Request-Id")));
+    reached_worker.emplace_back(loop.Now(), std::stoul(*g.head.Get("Request-Id")));
     ToyWorker::Done(g, "ok");
   };
   double next = 0;
-  const auto load = [&] {  // a request each 5 ms, at one process after the other
+  const auto load = [&] {  // one request every 5 ms, to each process in turn
     PollHealth();
     if (loop.Now() < next) return;
     next = loop.Now() + 0.005;
-    Process& p = processes[turn++ % kProcesses];
+    Process& p = processes[next_process++ % kProcesses];
     if (p.ready_at < 0) return;
     if (!p.client || p.client->ended)
       p.client = std::make_unique<RawClient>(&loop, LoopbackAddress(p.port));
@@ -262,29 +265,29 @@
   Until([] { return false; }, 3, load);
   for (std::size_t p = 0; p < kProcesses * 7 / 10; ++p) Kill(&processes[p]);
   Until([] { return false; }, 0.5, load);
-  const double again = loop.Now();
+  const double restarted_at = loop.Now();
   for (std::size_t p = 0; p < kProcesses * 7 / 10; ++p) {
-    discovery.Restarted(p);
+    discovery.ResetRecord(p);
     Start(&processes[p]);
   }
   Until([&] { return loop.Now() > discovery.down_until + 1.5; }, 5, load);
-  discovery.Drain();
+  discovery.StartDrain();
   Until([] { return false; }, 13, load);
 
-  std::vector<double> took;
+  std::vector<double> startup_s;
   for (const Process& p : processes)
-    took.push_back((p.ready_at < 0 ? 1e9 : p.ready_at) - p.started_at);
-  std::sort(took.begin(), took.end());
-  EXPECT_LT(took[kProcesses * 9 / 10], 10.0);
+    startup_s.push_back((p.ready_at < 0 ? 1e9 : p.ready_at) - p.started_at);
+  std::sort(startup_s.begin(), startup_s.end());
+  EXPECT_LT(startup_s[kProcesses * 9 / 10], 10.0);
   std::size_t before = 0;
-  for (const auto& [at, process] : reached) {
-    const Discovery::ProcessRecord& t = discovery.records[process];
+  for (const auto& [at, process] : reached_worker) {
+    const LimitedDiscovery::ProcessRecord& t = discovery.records[process];
     double notified_by = discovery.drain_at + 6;
     if (t.drain_at >= 0) notified_by = std::min(notified_by, t.drain_at);
-    if (t.first_list_at < 0) notified_by = std::max(discovery.drain_at, again);
+    if (t.first_list_at < 0) notified_by = std::max(discovery.drain_at, restarted_at);
     EXPECT_LT(at - discovery.drain_at, notified_by - discovery.drain_at + 2.05)
         << "process " << process << ", its first list " << t.first_list_at - discovery.drain_at
-        << " and word of the drain " << t.drain_at - discovery.drain_at
+        << " and notice of the drain " << t.drain_at - discovery.drain_at
         << " after the drain, started " << processes[process].started_at - discovery.drain_at;
     before += at < discovery.drain_at;
   }
@@ -294,17 +297,17 @@
   RecordProperty("failed", discovery.failed);
 }
 
-// Idle clients fill a process's descriptors while discovery is down. At its return it is called,
-// workers are reached, and a new client is served. The limit is the system's, too.
-TEST_F(Tier, IdleClientsKeepItFromNeitherDiscoveryNorWorkers) {
+// Idle clients use up a process's descriptors, also those of the system's limit, while discovery is
+// down. Guards against a process that then can't reach discovery or workers, or serve a new client.
+TEST_F(Tier, IdleClientsDoNotBlockDiscoveryOrWorkers) {
   const int port = FreePort();
-  Add(1, LoopbackAddress(port), R"("limits":{"sockets":120},)");
+  AddProcess(1, LoopbackAddress(port), R"("limits":{"sockets":120},)");
   Start(&processes[0], 120);
   ASSERT_TRUE(Until([&] { return AllReady(); }, 10, [&] { PollHealth(); }))
-      << "though discovery is down";
+      << "must be ready without discovery";
   std::vector<std::unique_ptr<RawClient>> idle;
   std::size_t max_open = 0;
-  const auto open = [&] {
+  const auto count_open_descriptors = [&] {
     std::size_t n = 0;
     for ([[maybe_unused]] const auto& fd :
          std::filesystem::directory_iterator("/proc/" + std::to_string(processes[0].pid) + "/fd"))
@@ -314,10 +317,10 @@
   for (int wave = 0; wave < 3; ++wave) {
     for (int i = 0; i < 150; ++i)
       idle.push_back(std::make_unique<RawClient>(&loop, LoopbackAddress(processes[0].port)));
-    Until([] { return false; }, 0.4, open);
+    Until([] { return false; }, 0.4, count_open_descriptors);
   }
   int calls = 0;
-  const double back = loop.Now();
+  const double discovery_back_at = loop.Now();
   Listener listener;
   std::vector<std::unique_ptr<RawClient>> callers;
   std::string error;
@@ -340,12 +343,13 @@
       },
       &error))
       << error;
-  ASSERT_TRUE(Until([&] { return calls > 0; }, 6, open));
-  EXPECT_LT(loop.Now() - back, 6);
+  ASSERT_TRUE(Until([&] { return calls > 0; }, 6, count_open_descriptors));
+  EXPECT_LT(loop.Now() - discovery_back_at, 6);
   for (int i = 0; i < 5; ++i) {
     RawClient client(&loop, LoopbackAddress(processes[0].port));
     client.Write(Post("a" + std::to_string(i), "look"));
-    EXPECT_TRUE(Until([&] { return client.in.ends_with("ok"); }, 4, open)) << client.in;
+    EXPECT_TRUE(Until([&] { return client.in.ends_with("ok"); }, 4, count_open_descriptors))
+        << client.in;
   }
   EXPECT_EQ(workers[0]->got.size(), 0u);
   EXPECT_GE(max_open, 20u);
