--- a/tests/support/network_shim.cpp
+++ b/tests/support/network_shim.cpp
@@ -1,6 +1,6 @@
 // Preloaded into the processes under test. Replaces the calls that read the wall clock or sync a
-// file, so that the harness can shift the clock and make syncs slow or fail through a page of shared
-// memory. Allocates nothing.
+// file, so that the harness can shift the clock and make syncs slow or fail through a page of
+// shared memory. Allocates nothing.
 #include "support/network_shim.h"
 
 #include <fcntl.h>
