--- a/src/config/reload.cpp
+++ b/src/config/reload.cpp
@@ -124,7 +124,7 @@
     config->settings.classes[i] = fresh.settings.classes[c];
     live[i] = true;
     now[c] = static_cast<int>(i);
-    changes.begun.push_back(now[c]);
+    changes.reassigned.push_back(now[c]);
   }
   config->live = std::move(live);
   config->gearman_functions = fresh.gearman_functions;
--- a/src/config/reload.h
+++ b/src/config/reload.h
@@ -18,7 +18,7 @@
 // A class has a stable index. One of a new name or of other rules gets an index of its own: the
 // first that no open job holds, or a further one. What has no class any more is not `live`.
 struct ClassChanges {
-  std::vector<int> begun;  // indices that mean another class from now on
+  std::vector<int> reassigned;  // indices that mean another class from now on
 };
 ClassChanges MergeClasses(const Config& fresh, const std::function<bool(int)>& in_use,
                           Config* config);
--- a/src/node/node_reload.cpp
+++ b/src/node/node_reload.cpp
@@ -38,7 +38,7 @@
   if (member_) ApplyQuotas();
   if (planner_) {
     planner_->Configure(config_.scheduling);
-    planner_->Configure(config_.settings, config_.classes, config_.live, changes.begun);
+    planner_->Configure(config_.settings, config_.classes, config_.live, changes.reassigned);
   }
   if (front_) ApplyToClients(before);
   if (discovery_) discovery_->Move(config_.discovery);
