--- a/src/config/reload.cpp
+++ b/src/config/reload.cpp
@@ -87,7 +87,7 @@
 
 }  // namespace
 
-bool CheckWhole(std::string_view used, std::string_view fresh, std::string* error) {
+bool CheckNoKeyMissing(std::string_view used, std::string_view fresh, std::string* error) {
   const Json before = Json::parse(used, nullptr, false, true);
   const Json after = Json::parse(fresh, nullptr, false, true);
   if (!after.is_object()) return *error = "configuration: not a JSON object", false;
@@ -138,7 +138,7 @@
                   ClassChanges* changes, std::string* error) {
   Config fresh;
   fresh.also = config->also;
-  if (!LoadConfig(path, &fresh, error) || !CheckWhole(config->text, fresh.text, error))
+  if (!LoadConfig(path, &fresh, error) || !CheckNoKeyMissing(config->text, fresh.text, error))
     return false;
   if (fresh.discovery.empty() != config->discovery.empty()) {
     *error = "configuration: discovery can't be begun or ended without a restart";
--- a/src/config/reload.h
+++ b/src/config/reload.h
@@ -13,7 +13,7 @@
 
 // Is the text whole, by the one that is in use? Each key that this has must be there, in each class
 // and tenant too. An operator's own conveniences (log level, Gearman) may be left out.
-bool CheckWhole(std::string_view used, std::string_view fresh, std::string* error);
+bool CheckNoKeyMissing(std::string_view used, std::string_view fresh, std::string* error);
 
 // A class has a stable index. One of a new name or of other rules gets an index of its own: the
 // first that no open job holds, or a further one. What has no class any more is not `live`.
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -174,7 +174,7 @@
   const auto fine = [&](const std::string& text) {
     Config config;
     std::string error;
-    const bool ok = ReadConfig(text, &config, &error) && CheckWhole(good, text, &error);
+    const bool ok = ReadConfig(text, &config, &error) && CheckNoKeyMissing(good, text, &error);
     EXPECT_EQ(ok, error.empty());
     EXPECT_EQ(error.find('\n'), std::string::npos);
     return ok;
