--- a/src/config/cluster.cpp
+++ b/src/config/cluster.cpp
@@ -49,7 +49,7 @@
   if (t.min_report_interval_s > t.renew_interval_s) {
     return Refuse("'quota.report_gap_s' must not be over 'quota.renew_s'", error);
   }
-  if (LongestOldLease(t) + t.renew_interval_s > kQuotaInForceS) {
+  if (MaxSupersededLeaseS(t) + t.renew_interval_s > kMaxQuotaPropagationS) {
     return Refuse("'timings.lease_s' and 'quota.span_s' are too long for a quota in force in 9 s",
                   error);
   }
@@ -134,7 +134,7 @@
   return it == members.end() ? nullptr : &*it;
 }
 
-double LongestOldLease(const quota::LeaseTimings& timings) {
+double MaxSupersededLeaseS(const quota::LeaseTimings& timings) {
   return timings.superseded_grant_s + timings.lease_duration_s * (1 + 3 * timings.max_clock_drift);
 }
 
--- a/src/config/cluster.h
+++ b/src/config/cluster.h
@@ -49,9 +49,9 @@
 };
 
 // Within this a change of a quota is in force at every member, also where its allocator was lost.
-constexpr double kQuotaInForceS = 9.0;
+constexpr double kMaxQuotaPropagationS = 9.0;
 // The longest time from when an allocator is replaced until all leases that it gave are over.
-double LongestOldLease(const quota::LeaseTimings& timings);
+double MaxSupersededLeaseS(const quota::LeaseTimings& timings);
 
 // Reads the section from a file's text; where there is none, `options` stays as it is. False, with
 // one clear line, for a key that is not known, a value out of its range, or members that don't fit.
