--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -147,7 +147,7 @@
       if (item.is_object() && !above_zero(item, "give_up_s")) return false;
     }
   }
-  if (root.contains("known")) c->known = root["known"].dump();
+  if (root.contains("known")) c->known_workers = root["known"].dump();
   c->classes = NamesOf(settings, "classes");
   c->live.assign(c->classes.size(), true);
   c->tenants = NamesOf(settings, "tenants");
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -20,7 +20,7 @@
 };
 
 struct Config {
-  std::string name, listen, admin, discovery, peer_listen, peers_all, known = "{}",
+  std::string name, listen, admin, discovery, peer_listen, peers_all, known_workers = "{}",
                                                                       log_level = "info";
   std::vector<std::string> peers;
   std::uint64_t seed = 0;
--- a/src/config/reload.cpp
+++ b/src/config/reload.cpp
@@ -146,7 +146,7 @@
   }
   config->text = fresh.text;
   config->discovery = fresh.discovery;
-  config->known = fresh.known;
+  config->known_workers = fresh.known_workers;
   config->log_level = fresh.log_level;
   config->scheduling = fresh.scheduling;
   *changes = MergeClasses(fresh, in_use, config);
--- a/src/node/node_planner.cpp
+++ b/src/node/node_planner.cpp
@@ -45,8 +45,8 @@
   environment_.parts().discovery = discovery_.get();
   ServerList known;
   std::string reason;
-  if (config_.known != "{}" &&
-      !ReadServerList(config_.known, config_.zones, config_.kinds, &known, &reason)) {
+  if (config_.known_workers != "{}" &&
+      !ReadServerList(config_.known_workers, config_.zones, config_.kinds, &known, &reason)) {
     return MakeError(ErrorCode::kInvalidArgument, reason);
   }
   if (inherited_.whole && !inherited_.list.empty()) {
--- a/src/node/node_reload.cpp
+++ b/src/node/node_reload.cpp
@@ -25,8 +25,8 @@
     return (planner_ && planner_->InUse(cls)) || (forwarder_ && forwarder_->InUse(cls));
   };
   if (!ReloadConfig(config_path_, in_use, &fresh, &changes, &reason) ||
-      (fixed_list && fresh.known != "{}" &&
-       !ReadServerList(fresh.known, config_.zones, config_.kinds, &known, &reason))) {
+      (fixed_list && fresh.known_workers != "{}" &&
+       !ReadServerList(fresh.known_workers, config_.zones, config_.kinds, &known, &reason))) {
     LogLine(Level::kError) << "config-rejected reason=\"" << reason << '"';
     counters_.reload_errors += 1;
     return;
--- a/tests/haproxy_test.cpp
+++ b/tests/haproxy_test.cpp
@@ -53,7 +53,7 @@
   EXPECT_EQ(c.settings.max_attempts, 3);  // ship takes over the defaults above it
   EXPECT_EQ(c.sockets, 464u);
   ServerList list;
-  ASSERT_TRUE(ReadServerList(c.known, c.zones, c.kinds, &list, &error));
+  ASSERT_TRUE(ReadServerList(c.known_workers, c.zones, c.kinds, &list, &error));
   ASSERT_EQ(list.entries.size(), 3u);
   EXPECT_EQ(list.entries[0].member.capacity_hint, 3);
   EXPECT_EQ(list.entries[0].max_in_flight, 4u);
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -69,7 +69,7 @@
     EXPECT_TRUE(
         ReadConfig(TestConfig({"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}), &config, &error));
     ServerList list;
-    EXPECT_TRUE(ReadServerList(config.known, config.zones, config.kinds, &list, &error));
+    EXPECT_TRUE(ReadServerList(config.known_workers, config.zones, config.kinds, &list, &error));
     planner = std::make_unique<Planner>(config.settings, 1, &deadlines, this, &counters);
     number = planner->AddForwarder(&port, true);
     planner->Start(list.Members());
--- a/tests/support/compatibility_settings.h
+++ b/tests/support/compatibility_settings.h
@@ -95,7 +95,7 @@
   lines->Add("discovery", c.discovery);
   lines->Add("peer_listen", c.peer_listen);
   lines->Add("peers_all", c.peers_all);
-  lines->Add("known", c.known);
+  lines->Add("known", c.known_workers);
   lines->Add("log_level", c.log_level);
   lines->AddAll("peer_addresses", c.peers);
   lines->Add("seed", c.seed);
