--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -149,7 +149,7 @@
   }
   if (root.contains("known")) c->known_workers = root["known"].dump();
   c->classes = NamesOf(settings, "classes");
-  c->live.assign(c->classes.size(), true);
+  c->class_active.assign(c->classes.size(), true);
   c->tenants = NamesOf(settings, "tenants");
   c->zones = NamesOf(settings, "zones");
   c->kinds = NamesOf(settings, "kinds");
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -29,7 +29,7 @@
   // From the settings.
   balancing::Settings settings;
   std::string text;        // the whole file
-  std::vector<bool> live;  // by class: may be asked for; false: only open jobs have it yet
+  std::vector<bool> class_active;  // by class: may be asked for; false: only open jobs have it yet
   std::vector<std::string> classes, tenants, zones, kinds, columns;
   std::string handover;  // folder where a process finds the one that it replaces; empty: none
   double conn_idle_s = 60, connect_timeout_s = 0.25;
--- a/src/config/reload.cpp
+++ b/src/config/reload.cpp
@@ -113,10 +113,10 @@
   for (const std::size_t c : homeless) {
     std::size_t i = 0;
     // One that was live until now may yet be on its way in: it is not used again at once.
-    while (i < live.size() && (live[i] || config->live[i] || in_use(static_cast<int>(i)))) ++i;
+    while (i < live.size() && (live[i] || config->class_active[i] || in_use(static_cast<int>(i)))) ++i;
     if (i == live.size()) {
       live.push_back(false);
-      config->live.push_back(false);
+      config->class_active.push_back(false);
       config->classes.emplace_back();
       config->settings.classes.emplace_back();
     }
@@ -126,7 +126,7 @@
     now[c] = static_cast<int>(i);
     changes.reassigned.push_back(now[c]);
   }
-  config->live = std::move(live);
+  config->class_active = std::move(live);
   config->gearman_functions = fresh.gearman_functions;
   for (auto& [name, function] : config->gearman_functions) {
     function.cls = now[static_cast<std::size_t>(function.cls)];
--- a/src/node/node_forwarder.cpp
+++ b/src/node/node_forwarder.cpp
@@ -88,7 +88,7 @@
 http::Names Node::ActiveNames() const {
   http::Names names{.classes = config_.classes, .tenants = config_.tenants, .keyed = {}};
   for (std::size_t c = 0; c < names.classes.size(); ++c) {
-    if (!config_.live[c]) names.classes[c] = kUnusableName;
+    if (!config_.class_active[c]) names.classes[c] = kUnusableName;
     const auto idempotency = config_.settings.classes[c].idempotency;
     names.keyed.push_back(idempotency == balancing::Idempotency::kIdempotentWithKey);
   }
--- a/src/node/node_planner.cpp
+++ b/src/node/node_planner.cpp
@@ -81,7 +81,7 @@
   parts.hot_restart = hot_restart_.get();
   planner_ = std::make_unique<Planner>(config_.settings, seed, &loop_.deadlines(), &environment_,
                                        &counters_, config_.scheduling);
-  planner_->NameClasses(config_.classes, config_.live);
+  planner_->NameClasses(config_.classes, config_.class_active);
 }
 
 Status Node::ConnectForwarders() {
