--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -201,7 +201,7 @@
   if (config->name.empty()) config->name = env("LB_NAME");
   if (config->listen.empty()) config->listen = env("LB_LISTEN");
   if (config->discovery.empty()) config->discovery = env("LB_DISCOVERY");
-  if (config->link.empty()) config->handover = env("TMPDIR");
+  if (config->link.empty()) config->handover_directory = env("TMPDIR");
   if (config->admin.empty()) config->admin = env("LB_ADMIN");
   const auto check = [error](const std::string& address, const char* what) {
     if (address.empty() || ParseAddress(address)) return true;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -54,12 +54,12 @@
 
 void Node::RequestStateFromPredecessor() {
   // A member of a cluster is one process at a time.
-  if (config_.handover.empty() || config_.cluster.on()) return;
+  if (config_.handover_directory.empty() || config_.cluster.on()) return;
   if (role_.kind != Role::Kind::kCombined) return;
   std::string name = config_.name + "-" + config_.listen;
   std::replace(name.begin(), name.end(), '/', '_');
   hot_restart_ = std::make_unique<handover::HotRestart>(
-      &loop_, config_.handover + "/millethollow-" + name + ".sock");
+      &loop_, config_.handover_directory + "/millethollow-" + name + ".sock");
   inherited_ = hot_restart_->RequestState(while_waiting);
 }
 
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -426,7 +426,7 @@
   Config config = HandoverConfig();
   config.listen = config.peer_listen = "127.0.0.1:0";
   config.admin.clear();
-  config.handover = folder;
+  config.handover_directory = folder;
   Node node(config);
   ASSERT_TRUE(IsOk(node.Start()));
   Loop loop;
--- a/tests/scheduling_balancer_test.cpp
+++ b/tests/scheduling_balancer_test.cpp
@@ -377,7 +377,7 @@
     }
     std::string error;
     EXPECT_TRUE(ReadConfig(text, &config, &error)) << error;
-    config.handover = handover;
+    config.handover_directory = handover;
     node = std::make_unique<Node>(config);
     EXPECT_TRUE(IsOk(node->Start()));
   }
--- a/tests/support/node_harness.h
+++ b/tests/support/node_harness.h
@@ -15,7 +15,7 @@
     for (const auto& w : this->workers) addresses.push_back(w->address());
     std::string error;
     EXPECT_TRUE(ReadConfig(TestConfig(addresses, extra), &config, &error)) << error;
-    config.handover = handover;
+    config.handover_directory = handover;
     node = std::make_unique<Node>(config);
     EXPECT_TRUE(IsOk(node->Start()));
   }
