--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -165,7 +165,7 @@
     return false;
   }
   const Json link = Child(root, "levels");
-  if (!ReadGearman(Child(root, "gearman"), c, error) || !Read(link, "link", &c->link, error) ||
+  if (!ReadGearman(Child(root, "gearman"), c, error) || !Read(link, "link", &c->link_directory, error) ||
       !Read(link, "planners", &c->planners, error) ||
       !Read(link, "forwarders", &c->forwarders, error)) {
     return false;
@@ -201,7 +201,7 @@
   if (config->name.empty()) config->name = env("LB_NAME");
   if (config->listen.empty()) config->listen = env("LB_LISTEN");
   if (config->discovery.empty()) config->discovery = env("LB_DISCOVERY");
-  if (config->link.empty()) config->handover_directory = env("TMPDIR");
+  if (config->link_directory.empty()) config->handover_directory = env("TMPDIR");
   if (config->admin.empty()) config->admin = env("LB_ADMIN");
   const auto check = [error](const std::string& address, const char* what) {
     if (address.empty() || ParseAddress(address)) return true;
@@ -211,10 +211,10 @@
   if (config->listen.empty() && config->gearman_listen.empty()) {
     return *error = "configuration: nothing to listen on", false;
   }
-  if (!config->admin.empty() && !config->link.empty()) {
+  if (!config->admin.empty() && !config->link_directory.empty()) {
     return *error = "configuration: 'admin' is for a node of one process, not for 'levels'", false;
   }
-  if (config->cluster.on() && !config->link.empty()) {
+  if (config->cluster.on() && !config->link_directory.empty()) {
     return *error = "configuration: 'cluster' is for a node of one process, not yet for 'levels'",
            false;
   }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -43,7 +43,7 @@
   int gearman_zone = 0, gearman_kind = 0;
   int gearman_cell = -1;              // -1: each worker is a group of its own
   std::string gearman_path = "/api";  // asked of HTTP workers
-  std::string link;                   // path of the Unix sockets; empty: one process
+  std::string link_directory;                   // path of the Unix sockets; empty: one process
   int planners = 1, forwarders = 1;
   ClusterOptions cluster;
 };
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -115,7 +115,7 @@
   if (arguments->check_only) return 0;
   millethollow::LogLevel() = millethollow::ParseLogLevel(config.log_level);
   BlockReloadSignal();
-  if (config.link.empty()) return RunNode(config, {}, path);
+  if (config.link_directory.empty()) return RunNode(config, {}, path);
   return millethollow::Supervise(
       config.planners, config.forwarders, [&](Role role) { return RunNode(config, role, path); },
       [&] { return Reload(path, &config); });
--- a/src/node/node_planner.cpp
+++ b/src/node/node_planner.cpp
@@ -24,7 +24,7 @@
 }  // namespace
 
 std::string PlannerSocketPath(const Config& config, int planner) {
-  return config.link + "/planner-" + std::to_string(planner) + ".sock";
+  return config.link_directory + "/planner-" + std::to_string(planner) + ".sock";
 }
 
 Status Node::StartPlanner(std::uint64_t seed) {
--- a/tests/support/compatibility_settings.h
+++ b/tests/support/compatibility_settings.h
@@ -116,7 +116,7 @@
   lines->Add("gearman.kind", c.gearman_kind);
   lines->Add("gearman.cell", c.gearman_cell);
   lines->Add("gearman.path", c.gearman_path);
-  lines->Add("levels.link", c.link);
+  lines->Add("levels.link", c.link_directory);
   lines->Add("levels.planners", c.planners);
   lines->Add("levels.forwarders", c.forwarders);
 }
