--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -128,7 +128,7 @@
       !Read(root, "peer_listen", &c->peer_listen, error) ||
       !Read(root, "peers", &c->peers, error) || !Read(root, "peers_all", &c->peers_all, error) ||
       !Read(root, "log_level", &c->log_level, error) ||
-      !Read(own_limits, "sockets", &c->sockets, error) ||
+      !Read(own_limits, "sockets", &c->max_sockets, error) ||
       !Read(limits, "conn_idle_s", &c->conn_idle_s, error) ||
       !Read(limits, "connect_timeout_s", &c->connect_timeout_s, error)) {
     return false;
@@ -175,7 +175,7 @@
   if (std::any_of(c->name.begin(), c->name.end(), odd) || c->name.size() > 64) {
     return *error = "configuration: 'name' must be one plain word", false;
   }
-  if (c->sockets < 32) return *error = "configuration: fewer than 32 sockets allowed", false;
+  if (c->max_sockets < 32) return *error = "configuration: fewer than 32 sockets allowed", false;
   if (c->planners < 1 || c->forwarders < 1 || c->planners > 64 || c->forwarders > 64) {
     return *error = "configuration: levels: 1 to 64 planners and forwarders", false;
   }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -24,7 +24,7 @@
                                                                       log_level = "info";
   std::vector<std::string> peers;
   std::uint64_t seed = 0;
-  std::size_t sockets = 1024;
+  std::size_t max_sockets = 1024;
 
   // From the settings.
   balancing::Settings settings;
--- a/tests/haproxy_test.cpp
+++ b/tests/haproxy_test.cpp
@@ -51,7 +51,7 @@
   EXPECT_EQ(c.settings.classes[0].idempotency, balancing::Idempotency::kNotIdempotent);
   EXPECT_EQ(c.connect_timeout_s, 0.25);
   EXPECT_EQ(c.settings.max_attempts, 3);  // ship takes over the defaults above it
-  EXPECT_EQ(c.sockets, 464u);
+  EXPECT_EQ(c.max_sockets, 464u);
   ServerList list;
   ASSERT_TRUE(ReadServerList(c.known_workers, c.zones, c.kinds, &list, &error));
   ASSERT_EQ(list.entries.size(), 3u);
--- a/tests/support/compatibility_settings.h
+++ b/tests/support/compatibility_settings.h
@@ -99,7 +99,7 @@
   lines->Add("log_level", c.log_level);
   lines->AddAll("peer_addresses", c.peers);
   lines->Add("seed", c.seed);
-  lines->Add("sockets", c.sockets);
+  lines->Add("sockets", c.max_sockets);
   lines->AddAll("class_names", c.classes);
   lines->AddAll("tenant_names", c.tenants);
   lines->AddAll("zone_names", c.zones);
