--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -129,7 +129,7 @@
       !Read(root, "peers", &c->peers, error) || !Read(root, "peers_all", &c->peers_all, error) ||
       !Read(root, "log_level", &c->log_level, error) ||
       !Read(own_limits, "sockets", &c->max_sockets, error) ||
-      !Read(limits, "conn_idle_s", &c->conn_idle_s, error) ||
+      !Read(limits, "conn_idle_s", &c->connection_idle_timeout_s, error) ||
       !Read(limits, "connect_timeout_s", &c->connect_timeout_s, error)) {
     return false;
   }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -32,7 +32,7 @@
   std::vector<bool> class_active;  // by class: may be asked for; false: only open jobs have it yet
   std::vector<std::string> classes, tenants, zones, kinds, columns;
   std::string handover_directory;  // folder where a process finds the one that it replaces; empty: none
-  double conn_idle_s = 60, connect_timeout_s = 0.25;
+  double connection_idle_timeout_s = 60, connect_timeout_s = 0.25;
 
   std::string also;  // a second file that adds the section `scheduling`; empty: none
 
--- a/src/node/node_forwarder.cpp
+++ b/src/node/node_forwarder.cpp
@@ -17,7 +17,7 @@
   forwarder_ = std::make_unique<Forwarder>(&loop_);
   http::WorkerPool::Options options;
   options.connect_timeout_s = config_.connect_timeout_s;
-  options.idle_s = config_.conn_idle_s;
+  options.idle_s = config_.connection_idle_timeout_s;
   options.columns = config_.columns;
   options.counters = &counters_;
   options.may_act = [this](const std::string& durable_job) {
--- a/tests/support/compatibility_settings.h
+++ b/tests/support/compatibility_settings.h
@@ -105,7 +105,7 @@
   lines->AddAll("zone_names", c.zones);
   lines->AddAll("kind_names", c.kinds);
   lines->AddAll("column_names", c.columns);
-  lines->Add("conn_idle_s", c.conn_idle_s);
+  lines->Add("conn_idle_s", c.connection_idle_timeout_s);
   lines->Add("connect_timeout_s", c.connect_timeout_s);
   lines->Add("gearman.listen", c.gearman_listen);
   for (const auto& [function, mapping] : c.gearman_functions) {
