--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -165,7 +165,8 @@
     return false;
   }
   const Json link = Child(root, "levels");
-  if (!ReadGearman(Child(root, "gearman"), c, error) || !Read(link, "link", &c->link_directory, error) ||
+  if (!ReadGearman(Child(root, "gearman"), c, error) ||
+      !Read(link, "link", &c->link_directory, error) ||
       !Read(link, "planners", &c->planners, error) ||
       !Read(link, "forwarders", &c->forwarders, error)) {
     return false;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -28,10 +28,11 @@
 
   // From the settings.
   balancing::Settings settings;
-  std::string text;        // the whole file
+  std::string text;                // the whole file
   std::vector<bool> class_active;  // by class: may be asked for; false: only open jobs have it yet
   std::vector<std::string> classes, tenants, zones, kinds, columns;
-  std::string handover_directory;  // folder where a process finds the one that it replaces; empty: none
+  std::string
+      handover_directory;  // folder where a process finds the one that it replaces; empty: none
   double connection_idle_timeout_s = 60, connect_timeout_s = 0.25;
 
   std::string also;  // a second file that adds the section `scheduling`; empty: none
@@ -43,7 +44,7 @@
   int gearman_zone = 0, gearman_kind = 0;
   int gearman_cell = -1;              // -1: each worker is a group of its own
   std::string gearman_path = "/api";  // asked of HTTP workers
-  std::string link_directory;                   // path of the Unix sockets; empty: one process
+  std::string link_directory;         // path of the Unix sockets; empty: one process
   int planners = 1, forwarders = 1;
   ClusterOptions cluster;
 };
--- a/src/config/reload.cpp
+++ b/src/config/reload.cpp
@@ -113,7 +113,8 @@
   for (const std::size_t c : homeless) {
     std::size_t i = 0;
     // One that was live until now may yet be on its way in: it is not used again at once.
-    while (i < live.size() && (live[i] || config->class_active[i] || in_use(static_cast<int>(i)))) ++i;
+    while (i < live.size() && (live[i] || config->class_active[i] || in_use(static_cast<int>(i))))
+      ++i;
     if (i == live.size()) {
       live.push_back(false);
       config->class_active.push_back(false);
--- a/src/node/node_reload.cpp
+++ b/src/node/node_reload.cpp
@@ -38,7 +38,8 @@
   if (member_) ApplyQuotas();
   if (planner_) {
     planner_->Configure(config_.scheduling);
-    planner_->Configure(config_.settings, config_.classes, config_.class_active, changes.reassigned);
+    planner_->Configure(config_.settings, config_.classes, config_.class_active,
+                        changes.reassigned);
   }
   if (front_) ApplyToClients(before);
   if (discovery_) discovery_->Move(config_.discovery);
@@ -56,7 +57,8 @@
   for (std::size_t c = 0; c < before.classes.size(); ++c) {
     const bool replaced = std::find(names.classes.begin(), names.classes.end(),
                                     before.classes[c]) != names.classes.end();
-    if (before.class_active[c] && !config_.class_active[c] && !replaced) names.classes[c] = before.classes[c];
+    if (before.class_active[c] && !config_.class_active[c] && !replaced)
+      names.classes[c] = before.classes[c];
   }
   front_->SetNames(std::move(names));
   loop_.deadlines().Drop(&old_names_);
--- a/tests/quota_wiring_test.cpp
+++ b/tests/quota_wiring_test.cpp
@@ -180,7 +180,8 @@
   EXPECT_EQ(usual.allocators, (std::vector<std::string>{"a", "b", "c"}));
   EXPECT_GT(usual.timings.superseded_grant_s, 4.0 * 1.01)
       << "the lease of membership, by the slower clock";
-  EXPECT_LE(MaxSupersededLeaseS(usual.timings) + usual.timings.renew_interval_s, kMaxQuotaPropagationS);
+  EXPECT_LE(MaxSupersededLeaseS(usual.timings) + usual.timings.renew_interval_s,
+            kMaxQuotaPropagationS);
   const QuotaOptions own = ReadSection(
                                R"("timings":{"lease_s":3,"drift":0.02},
          "quota":{"allocators":["d","b"],"span_s":2,"renew_s":0.5,"report_gap_s":0.05,"floor_part":0.1,
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -214,7 +214,8 @@
   EXPECT_EQ(config.classes, (std::vector<std::string>{"look", "charge", "peek"}));
   EXPECT_EQ(config.class_active, (std::vector{false, true, true}));
   const Config other = read(Changed(text, R"("give_up_s":25)", R"("give_up_s":20)"));
-  EXPECT_EQ(MergeClasses(other, in_use, &config).reassigned, (std::vector{3}));  // look is back at 0
+  EXPECT_EQ(MergeClasses(other, in_use, &config).reassigned,
+            (std::vector{3}));  // look is back at 0
   EXPECT_EQ(config.class_active, (std::vector{true, false, false, true}));
   open = false;
   EXPECT_EQ(MergeClasses(read(text), in_use, &config).reassigned, std::vector<int>{});
