--- a/src/config/address.cpp
+++ b/src/config/address.cpp
@@ -14,8 +14,8 @@
   address.sin_family = AF_INET;
   unsigned port = 0;
   const char* end = text.data() + text.size();
-  const auto [at, error] = std::from_chars(text.data() + colon + 1, end, port);
-  if (error != std::errc() || at != end || port > 65535) return std::nullopt;
+  const auto [parsed_to, error] = std::from_chars(text.data() + colon + 1, end, port);
+  if (error != std::errc() || parsed_to != end || port > 65535) return std::nullopt;
   address.sin_port = htons(static_cast<std::uint16_t>(port));
   if (inet_pton(AF_INET, std::string(text.substr(0, colon)).c_str(), &address.sin_addr) != 1) {
     return std::nullopt;
--- a/src/config/address.h
+++ b/src/config/address.h
@@ -1,4 +1,4 @@
-// Socket addresses as text.
+// Parsing of socket addresses.
 #ifndef MILLETHOLLOW_CONFIG_ADDRESS_H_
 #define MILLETHOLLOW_CONFIG_ADDRESS_H_
 
@@ -9,7 +9,7 @@
 
 namespace millethollow {
 
-// Reads an IPv4 `address:port`. None: it is not one.
+// Parses an IPv4 `address:port`. Returns nullopt if the text is anything else.
 std::optional<sockaddr_in> ParseAddress(std::string_view text);
 
 }  // namespace millethollow
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -16,39 +16,41 @@
 
 using Json = nlohmann::json;
 
-std::string Scalar(const Json& value) {
+// A scalar as text without the separators of the simulator's protocol, space and comma.
+std::string ScalarText(const Json& value) {
   std::string text = value.is_string() ? value.get<std::string>() : value.dump();
   std::replace_if(
       text.begin(), text.end(), [](char c) { return c == ' ' || c == ','; }, '_');
   return text;
 }
 
-// The nested settings as the path=value pairs that the simulator's first message has: one reader
-// serves both.
-void Flatten(const std::string& path, const Json& value,
-             std::vector<std::pair<std::string, std::string>>* out) {
-  const std::string dot = path.empty() ? "" : path + ".";
+// Appends nested settings as the path=value pairs of the simulator's START message, so that one
+// parser serves both.
+void AppendFlattened(const std::string& path, const Json& value,
+                     std::vector<std::pair<std::string, std::string>>* out) {
+  const std::string prefix = path.empty() ? "" : path + ".";
   if (value.is_object()) {
-    for (const auto& [key, item] : value.items()) Flatten(dot + key, item, out);
+    for (const auto& [key, item] : value.items()) AppendFlattened(prefix + key, item, out);
   } else if (value.is_array()) {
-    const bool plain = std::none_of(value.begin(), value.end(),
-                                    [](const Json& item) { return item.is_structured(); });
-    if (plain && !value.empty()) {
+    const bool only_scalars = std::none_of(value.begin(), value.end(),
+                                           [](const Json& item) { return item.is_structured(); });
+    if (only_scalars && !value.empty()) {
       std::string joined;
-      for (const Json& item : value) joined += (joined.empty() ? "" : ",") + Scalar(item);
+      for (const Json& item : value) joined += (joined.empty() ? "" : ",") + ScalarText(item);
       out->emplace_back(path, joined);
       return;
     }
     out->emplace_back(path + ".count", std::to_string(value.size()));
-    for (std::size_t i = 0; i < value.size(); ++i) Flatten(dot + std::to_string(i), value[i], out);
+    for (std::size_t i = 0; i < value.size(); ++i)
+      AppendFlattened(prefix + std::to_string(i), value[i], out);
   } else if (!value.is_null()) {
-    out->emplace_back(path, Scalar(value));
+    out->emplace_back(path, ScalarText(value));
   }
 }
 
-// Reads a member of the type that `out` has; leaves it alone where there is none.
+// Reads the value of `key` as the type of `out`; leaves `out` unchanged if there is none.
 template <typename T>
-bool Read(const Json& object, const char* key, T* out, std::string* error) {
+bool ReadValue(const Json& object, const char* key, T* out, std::string* error) {
   const auto it = object.find(key);
   if (it == object.end() || it->is_null()) return true;
   try {
@@ -63,12 +65,14 @@
   }
 }
 
-Json Child(const Json& object, const char* key) {
+// The object under `key`; an empty object if there is none.
+Json ObjectOrEmpty(const Json& object, const char* key) {
   const auto it = object.find(key);
   return it != object.end() && it->is_object() ? *it : Json::object();
 }
 
-std::vector<std::string> NamesOf(const Json& settings, const char* list) {
+// Names of the items of a list: the texts themselves, or the values of their key `name`.
+std::vector<std::string> ItemNames(const Json& settings, const char* list) {
   std::vector<std::string> names;
   const auto it = settings.find(list);
   if (it == settings.end() || !it->is_array()) return names;
@@ -79,132 +83,151 @@
   return names;
 }
 
-int Find(const std::vector<std::string>& names, const std::string& name) {
+// The index of `name`; -1 if it is not in the list.
+int IndexOf(const std::vector<std::string>& names, const std::string& name) {
   const auto it = std::find(names.begin(), names.end(), name);
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
 }
 
-bool ReadGearman(const Json& gearman, Config* c, std::string* error) {
+bool ReadGearman(const Json& gearman, Config* config, std::string* error) {
   std::string zone, kind;
-  if (!Read(gearman, "listen", &c->gearman_listen, error) ||
-      !Read(gearman, "cell", &c->gearman_cell, error) || !Read(gearman, "zone", &zone, error) ||
-      !Read(gearman, "kind", &kind, error) || !Read(gearman, "path", &c->gearman_path, error)) {
+  if (!ReadValue(gearman, "listen", &config->gearman_listen, error) ||
+      !ReadValue(gearman, "cell", &config->gearman_cell, error) ||
+      !ReadValue(gearman, "zone", &zone, error) || !ReadValue(gearman, "kind", &kind, error) ||
+      !ReadValue(gearman, "path", &config->gearman_path, error)) {
     return false;
   }
-  for (const auto& [name, names, out] :
-       {std::tuple{&zone, &c->zones, &c->gearman_zone}, {&kind, &c->kinds, &c->gearman_kind}}) {
+  for (const auto& [name, names, out] : {std::tuple{&zone, &config->zones, &config->gearman_zone},
+                                         {&kind, &config->kinds, &config->gearman_kind}}) {
     if (name->empty()) continue;
-    *out = Find(*names, *name);
-    if (*out < 0) return *error = "configuration: gearman names an unknown '" + *name + "'", false;
+    *out = IndexOf(*names, *name);
+    if (*out < 0)
+      return *error = "configuration: 'gearman' names an unknown zone or kind: '" + *name + "'",
+             false;
   }
-  const Json functions = Child(gearman, "functions");
+  const Json functions = ObjectOrEmpty(gearman, "functions");
   for (const auto& [name, mapping] : functions.items()) {
     std::string cls, tenant;
-    if (!mapping.is_object()) return *error = "configuration: gearman function " + name, false;
-    if (!Read(mapping, "class", &cls, error) || !Read(mapping, "tenant", &tenant, error))
+    if (!mapping.is_object())
+      return *error = "configuration: not an object: gearman.functions." + name, false;
+    if (!ReadValue(mapping, "class", &cls, error) || !ReadValue(mapping, "tenant", &tenant, error))
       return false;
-    const GearmanFunction f{Find(c->classes, cls), tenant.empty() ? 0 : Find(c->tenants, tenant)};
-    if (f.cls < 0) return *error = "configuration: gearman function " + name + ": no class", false;
-    if (f.tenant < 0) return *error = "configuration: gearman function " + name + ": tenant", false;
-    c->gearman_functions[name] = f;
+    const GearmanFunction function{IndexOf(config->classes, cls),
+                                   tenant.empty() ? 0 : IndexOf(config->tenants, tenant)};
+    if (function.cls < 0)
+      return *error = "configuration: gearman function " + name + ": 'class' names no class", false;
+    if (function.tenant < 0)
+      return *error = "configuration: gearman function " + name + ": 'tenant' names no tenant",
+             false;
+    config->gearman_functions[name] = function;
   }
   return true;
 }
 
 }  // namespace
 
-bool ReadConfig(std::string_view text, Config* c, std::string* error) {
+bool ReadConfig(std::string_view text, Config* config, std::string* error) {
   const Json root = Json::parse(text, nullptr, false, true);
   if (!root.is_object()) return *error = "configuration: not a JSON object", false;
-  const Json settings = Child(root, "settings"), limits = Child(settings, "limits");
+  const Json settings = ObjectOrEmpty(root, "settings"), limits = ObjectOrEmpty(settings, "limits");
   std::string seed;
   if (root.contains("seed") && root["seed"].is_string()) {
     seed = root["seed"].get<std::string>();
-    c->seed = std::strtoull(seed.c_str(), nullptr, 16);
-  }
-  const Json own_limits = Child(root, "limits");
-  if (!Read(root, "name", &c->name, error) || !Read(root, "listen", &c->listen, error) ||
-      !Read(root, "admin", &c->admin, error) || !Read(root, "discovery", &c->discovery, error) ||
-      !Read(root, "peer_listen", &c->peer_listen, error) ||
-      !Read(root, "peers", &c->peers, error) || !Read(root, "peers_all", &c->peers_all, error) ||
-      !Read(root, "log_level", &c->log_level, error) ||
-      !Read(own_limits, "sockets", &c->max_sockets, error) ||
-      !Read(limits, "conn_idle_s", &c->connection_idle_timeout_s, error) ||
-      !Read(limits, "connect_timeout_s", &c->connect_timeout_s, error)) {
+    config->seed = std::strtoull(seed.c_str(), nullptr, 16);
+  }
+  const Json node_limits = ObjectOrEmpty(root, "limits");
+  if (!ReadValue(root, "name", &config->name, error) ||
+      !ReadValue(root, "listen", &config->listen, error) ||
+      !ReadValue(root, "admin", &config->admin, error) ||
+      !ReadValue(root, "discovery", &config->discovery, error) ||
+      !ReadValue(root, "peer_listen", &config->peer_listen, error) ||
+      !ReadValue(root, "peers", &config->peers, error) ||
+      !ReadValue(root, "peers_all", &config->peers_all, error) ||
+      !ReadValue(root, "log_level", &config->log_level, error) ||
+      !ReadValue(node_limits, "sockets", &config->max_sockets, error) ||
+      !ReadValue(limits, "conn_idle_s", &config->connection_idle_timeout_s, error) ||
+      !ReadValue(limits, "connect_timeout_s", &config->connect_timeout_s, error)) {
     return false;
   }
-  c->text = text;
-  // Numbers, not words that read like numbers: a time or count of 0 would end every job at once.
-  const auto above_zero = [&](const Json& object, const char* key) {
+  config->text = text;
+  // A timeout or an attempt count of 0 would fail every job at once. Texts that look like numbers
+  // are rejected too.
+  const auto check_above_zero = [&](const Json& object, const char* key) {
     const auto it = object.find(key);
     if (it == object.end() || (it->is_number() && it->get<double>() > 0)) return true;
     *error = std::string("configuration: '") + key + "' is not a number above 0";
     return false;
   };
-  if (!above_zero(limits, "most_tries")) return false;
+  if (!check_above_zero(limits, "most_tries")) return false;
   if (const auto list = settings.find("classes"); list != settings.end()) {
     for (const Json& item : *list) {
-      if (item.is_object() && !above_zero(item, "give_up_s")) return false;
+      if (item.is_object() && !check_above_zero(item, "give_up_s")) return false;
     }
   }
-  if (root.contains("known")) c->known_workers = root["known"].dump();
-  c->classes = NamesOf(settings, "classes");
-  c->class_active.assign(c->classes.size(), true);
-  c->tenants = NamesOf(settings, "tenants");
-  c->zones = NamesOf(settings, "zones");
-  c->kinds = NamesOf(settings, "kinds");
-  c->columns = NamesOf(Child(settings, "report"), "columns");
-  std::vector<std::pair<std::string, std::string>> flat;
-  Flatten("", settings, &flat);
-  const simulator_adapter::Fields fields(flat.begin(), flat.end());
+  if (root.contains("known")) config->known_workers = root["known"].dump();
+  config->classes = ItemNames(settings, "classes");
+  config->class_active.assign(config->classes.size(), true);
+  config->tenants = ItemNames(settings, "tenants");
+  config->zones = ItemNames(settings, "zones");
+  config->kinds = ItemNames(settings, "kinds");
+  config->columns = ItemNames(ObjectOrEmpty(settings, "report"), "columns");
+  std::vector<std::pair<std::string, std::string>> path_values;
+  AppendFlattened("", settings, &path_values);
+  const simulator_adapter::Fields fields(path_values.begin(), path_values.end());
   Result<balancing::Settings> parsed = simulator_adapter::ParseSettings(fields);
   if (!parsed) return *error = "configuration: settings: " + parsed.error().message, false;
-  c->settings = *std::move(parsed);
-  if (!ReadScheduling(text, c->classes, &c->scheduling, error) ||
-      !ReadCluster(text, &c->cluster, error)) {
+  config->settings = *std::move(parsed);
+  if (!ReadScheduling(text, config->classes, &config->scheduling, error) ||
+      !ReadCluster(text, &config->cluster, error)) {
     return false;
   }
-  const Json link = Child(root, "levels");
-  if (!ReadGearman(Child(root, "gearman"), c, error) ||
-      !Read(link, "link", &c->link_directory, error) ||
-      !Read(link, "planners", &c->planners, error) ||
-      !Read(link, "forwarders", &c->forwarders, error)) {
+  const Json levels = ObjectOrEmpty(root, "levels");
+  if (!ReadGearman(ObjectOrEmpty(root, "gearman"), config, error) ||
+      !ReadValue(levels, "link", &config->link_directory, error) ||
+      !ReadValue(levels, "planners", &config->planners, error) ||
+      !ReadValue(levels, "forwarders", &config->forwarders, error)) {
     return false;
   }
-  // It goes into handles and lines of both protocols.
-  const auto odd = [](char ch) { return ch <= ' ' || ch >= 0x7f; };
-  if (std::any_of(c->name.begin(), c->name.end(), odd) || c->name.size() > 64) {
+  // The name is part of Gearman job handles and of lines of both protocols.
+  const auto is_not_graphic = [](char c) { return c <= ' ' || c >= 0x7f; };
+  if (std::any_of(config->name.begin(), config->name.end(), is_not_graphic) ||
+      config->name.size() > 64) {
     return *error = "configuration: 'name' must be one plain word", false;
   }
-  if (c->max_sockets < 32) return *error = "configuration: fewer than 32 sockets allowed", false;
-  if (c->planners < 1 || c->forwarders < 1 || c->planners > 64 || c->forwarders > 64) {
+  if (config->max_sockets < 32)
+    return *error = "configuration: 'limits.sockets' must be at least 32", false;
+  if (config->planners < 1 || config->forwarders < 1 || config->planners > 64 ||
+      config->forwarders > 64) {
     return *error = "configuration: levels: 1 to 64 planners and forwarders", false;
   }
   return true;
 }
 
 bool LoadConfig(const std::string& path, Config* config, std::string* error) {
-  const auto env = [](const char* name) {
+  const auto environment_variable = [](const char* name) {
     const char* value = std::getenv(name);
     return std::string(value == nullptr ? "" : value);
   };
-  const std::string file = path.empty() ? env("LB_CONFIG") : path;
-  if (file.empty()) return *error = "configuration: give --config FILE or set LB_CONFIG", false;
-  std::ifstream in(file);
+  const std::string resolved_path = path.empty() ? environment_variable("LB_CONFIG") : path;
+  if (resolved_path.empty())
+    return *error = "configuration: give --config FILE or set LB_CONFIG", false;
+  std::ifstream input(resolved_path);
   std::stringstream text;
-  if (!in) return *error = "configuration: cannot read " + file, false;
-  if (!(text << in.rdbuf())) return *error = "configuration: nothing to be read in " + file, false;
+  if (!input) return *error = "configuration: cannot read " + resolved_path, false;
+  if (!(text << input.rdbuf()))
+    return *error = "configuration: empty or unreadable file: " + resolved_path, false;
   if (!ReadConfig(text.str(), config, error)) return false;
-  // Its classes are named for all sites: one that this file has not yet is no fault.
-  if (!config->also.empty() && !LoadScheduling(config->also, {}, &config->scheduling, error)) {
+  // One scheduling file serves all sites, so it may name classes that this file does not have.
+  if (!config->scheduling_path.empty() &&
+      !LoadScheduling(config->scheduling_path, {}, &config->scheduling, error)) {
     return false;
   }
-  if (config->name.empty()) config->name = env("LB_NAME");
-  if (config->listen.empty()) config->listen = env("LB_LISTEN");
-  if (config->discovery.empty()) config->discovery = env("LB_DISCOVERY");
-  if (config->link_directory.empty()) config->handover_directory = env("TMPDIR");
-  if (config->admin.empty()) config->admin = env("LB_ADMIN");
-  const auto check = [error](const std::string& address, const char* what) {
+  if (config->name.empty()) config->name = environment_variable("LB_NAME");
+  if (config->listen.empty()) config->listen = environment_variable("LB_LISTEN");
+  if (config->discovery.empty()) config->discovery = environment_variable("LB_DISCOVERY");
+  if (config->link_directory.empty()) config->handover_directory = environment_variable("TMPDIR");
+  if (config->admin.empty()) config->admin = environment_variable("LB_ADMIN");
+  const auto check_address = [error](const std::string& address, const char* what) {
     if (address.empty() || ParseAddress(address)) return true;
     *error = std::string("configuration: ") + what + " is not an IPv4 address:port: " + address;
     return false;
@@ -219,12 +242,16 @@
     return *error = "configuration: 'cluster' is for a node of one process, not yet for 'levels'",
            false;
   }
-  for (const ClusterMember& m : config->cluster.members) {
-    if (!check(m.address, ("the address of cluster member '" + m.id + "'").c_str())) return false;
+  for (const ClusterMember& member : config->cluster.members) {
+    if (!check_address(member.address,
+                       ("the address of cluster member '" + member.id + "'").c_str()))
+      return false;
   }
-  return check(config->cluster.listen, "cluster.listen") && check(config->listen, "listen") &&
-         check(config->admin, "admin") && check(config->discovery, "discovery") &&
-         check(config->peer_listen, "peer_listen") && check(config->gearman_listen, "gearman");
+  return check_address(config->cluster.listen, "cluster.listen") &&
+         check_address(config->listen, "listen") && check_address(config->admin, "admin") &&
+         check_address(config->discovery, "discovery") &&
+         check_address(config->peer_listen, "peer_listen") &&
+         check_address(config->gearman_listen, "gearman");
 }
 
 }  // namespace millethollow
--- a/src/config/haproxy.cpp
+++ b/src/config/haproxy.cpp
@@ -14,19 +14,20 @@
 
 using Json = nlohmann::ordered_json;
 
+// A `server` line, or the values of `default-server`. A maxconn of 0 is no limit.
 struct Server {
   std::string name, address;
   int weight = 1, maxconn = 0;
   bool disabled = false;
 };
 
-// What a proxy section says, or a defaults section hands down.
+// The keywords of a proxy section, or those that a defaults section passes on to it.
 struct Proxy {
   std::string type, name;
   int line = 0;
   std::vector<std::string> binds;
   std::vector<Server> servers;
-  std::map<std::string, double> timeouts;
+  std::map<std::string, double> timeouts;  // seconds, by name
   std::string default_backend;
   int retries = 3;  // HAProxy's own default
   bool disabled = false;
@@ -34,169 +35,180 @@
   Server server_defaults;
 };
 
-bool Integer(std::string_view text, int min, int max, int* value) {
-  int read = 0;
+// Parses a whole number from `min` to `max`.
+bool ParseInteger(std::string_view text, int min, int max, int* value) {
+  int parsed = 0;
   const char* end = text.data() + text.size();
-  const auto [at, error] = std::from_chars(text.data(), end, read);
-  if (error != std::errc() || at != end || text.empty() || read < min || read > max) return false;
-  *value = read;
+  const auto [parsed_to, error] = std::from_chars(text.data(), end, parsed);
+  if (error != std::errc() || parsed_to != end || text.empty() || parsed < min || parsed > max)
+    return false;
+  *value = parsed;
   return true;
 }
 
-class Reader {
+// Reads the file line by line and converts it at its end.
+class HaproxyImporter {
  public:
-  Reader(Import* import, std::string* error) : import_(import), error_(error) {}
+  HaproxyImporter(HaproxyImport* import, std::string* error) : import_(import), error_(error) {}
 
-  bool Line(int number, const std::vector<std::string>& words) {
-    number_ = number;
+  // Reads the words of line `number`, of which there is at least one.
+  bool ReadLine(int number, const std::vector<std::string>& words) {
+    line_number_ = number;
     const std::string& key = words[0];
     if (key == "global" || key == "defaults" || key == "frontend" || key == "backend" ||
         key == "listen") {
-      return Section(words);
+      return ReadSectionStart(words);
     }
-    static const std::set<std::string> kOther = {
+    static const std::set<std::string> kOtherSections = {
         "userlist", "peers",       "mailers",     "resolvers", "ring",      "cache",
         "program",  "http-errors", "log-forward", "fcgi-app",  "crt-store", "traces"};
-    if (kOther.contains(key)) {
-      Note("section '" + key + "' is no proxy section");
+    if (kOtherSections.contains(key)) {
+      NoteIgnored("section '" + key + "' is not a proxy section");
       section_ = "other";
       return true;
     }
-    if (section_.empty()) return Bad("'" + key + "' stands before any section");
+    if (section_.empty()) return Fail("'" + key + "' is outside any section");
     if (section_ == "other") return true;
-    if (section_ == "global") return Global(words);
-    return Keyword(words);
+    if (section_ == "global") return ReadGlobalKeyword(words);
+    return ReadKeyword(words);
   }
 
+  // Converts the sections that were read.
   bool Finish();
 
  private:
-  bool Bad(const std::string& what) {
-    *error_ = "line " + std::to_string(number_) + ": " + what;
+  bool Fail(const std::string& description) {
+    *error_ = "line " + std::to_string(line_number_) + ": " + description;
     return false;
   }
-  void Note(const std::string& what) { NoteAt(number_, what); }
-  void NoteAt(int line, const std::string& what) {
-    import_->notes.push_back("line " + std::to_string(line) + ": not honoured: " + what);
+  void NoteIgnored(const std::string& description) { NoteIgnoredAt(line_number_, description); }
+  void NoteIgnoredAt(int line, const std::string& description) {
+    import_->notes.push_back("line " + std::to_string(line) + ": not honoured: " + description);
   }
 
-  bool Section(const std::vector<std::string>& words) {
+  bool ReadSectionStart(const std::vector<std::string>& words) {
     section_ = words[0];
     if (section_ == "global") return true;
     Proxy proxy = defaults_;
     const auto from = std::find(words.begin(), words.end(), "from");
     if (from != words.end()) {
-      if (from + 1 == words.end() || !named_.contains(*(from + 1))) {
-        return Bad("'from' names no defaults section above");
+      if (from + 1 == words.end() || !named_defaults_.contains(*(from + 1))) {
+        return Fail("'from' names no defaults section above");
       }
-      proxy = named_[*(from + 1)];
+      proxy = named_defaults_[*(from + 1)];
     } else if (section_ == "defaults") {
-      proxy = {};  // a new defaults section starts afresh
+      proxy = {};  // without 'from', a defaults section inherits nothing
     }
     proxy.type = section_;
-    proxy.line = number_;
+    proxy.line = line_number_;
     proxy.name = words.size() > 1 && words[1] != "from" ? words[1] : "";
     if (section_ == "defaults") {
       defaults_ = proxy;
       defaults_name_ = proxy.name;
-      if (!proxy.name.empty()) named_[proxy.name] = proxy;
+      if (!proxy.name.empty()) named_defaults_[proxy.name] = proxy;
       return true;
     }
-    if (proxy.name.empty()) return Bad("a " + section_ + " without a name");
-    for (const Proxy& p : proxies_) {
-      const bool both = (p.type != "backend" && section_ != "backend") ||
-                        (p.type != "frontend" && section_ != "frontend");
-      if (p.name == proxy.name && both) return Bad("'" + proxy.name + "' is there already");
+    if (proxy.name.empty()) return Fail("a " + section_ + " without a name");
+    // HAProxy has one namespace of names for frontends and one for backends; `listen` is in both.
+    for (const Proxy& other : proxies_) {
+      const bool same_namespace = (other.type != "backend" && section_ != "backend") ||
+                                  (other.type != "frontend" && section_ != "frontend");
+      if (other.name == proxy.name && same_namespace)
+        return Fail("'" + proxy.name + "' is defined twice");
     }
     proxies_.push_back(proxy);
     return true;
   }
 
-  bool Global(const std::vector<std::string>& words) {
+  bool ReadGlobalKeyword(const std::vector<std::string>& words) {
     if (words[0] == "maxconn") {
-      if (words.size() < 2 || !Integer(words[1], 1, 1'000'000, &maxconn_)) {
-        return Bad("maxconn wants a number");
+      if (words.size() < 2 || !ParseInteger(words[1], 1, 1'000'000, &maxconn_)) {
+        return Fail("maxconn needs a number");
       }
       return true;
     }
-    Note("global '" + words[0] + "'");
+    NoteIgnored("global '" + words[0] + "'");
     return true;
   }
 
-  bool Keyword(const std::vector<std::string>& words) {
+  bool ReadKeyword(const std::vector<std::string>& words) {
     const bool is_default = section_ == "defaults";
-    Proxy& p = is_default ? defaults_ : proxies_.back();
-    const bool ok = Keyword(words, p);
-    if (is_default && !defaults_name_.empty()) named_[defaults_name_] = defaults_;
+    Proxy& proxy = is_default ? defaults_ : proxies_.back();
+    const bool ok = ReadKeyword(words, proxy);
+    if (is_default && !defaults_name_.empty()) named_defaults_[defaults_name_] = defaults_;
     return ok;
   }
 
-  bool Keyword(const std::vector<std::string>& words, Proxy& p) {
+  bool ReadKeyword(const std::vector<std::string>& words, Proxy& proxy) {
     const std::string& key = words[0];
-    const bool accepts = section_ == "frontend" || section_ == "listen";
-    const bool sends = section_ == "backend" || section_ == "listen";
+    const bool has_frontend = section_ == "frontend" || section_ == "listen";
+    const bool has_backend = section_ == "backend" || section_ == "listen";
     if (key == "bind") {
-      if (!accepts) return Bad("bind in a " + section_ + " section");
-      if (words.size() < 2) return Bad("bind wants an address");
-      return Bind(words, p);
+      if (!has_frontend) return Fail("bind in a " + section_ + " section");
+      if (words.size() < 2) return Fail("bind needs an address");
+      return ReadBind(words, proxy);
     }
     if (key == "server") {
-      if (!sends) return Bad("server in a " + section_ + " section");
-      if (words.size() < 3) return Bad("server wants a name and an address");
-      Server server = p.server_defaults;
+      if (!has_backend) return Fail("server in a " + section_ + " section");
+      if (words.size() < 3) return Fail("server needs a name and an address");
+      Server server = proxy.server_defaults;
       server.name = words[1];
-      for (const Server& s : p.servers) {
-        if (s.name == server.name) return Bad("server '" + server.name + "' is there already");
+      for (const Server& existing : proxy.servers) {
+        if (existing.name == server.name)
+          return Fail("server '" + server.name + "' is defined twice");
       }
       const std::string& address = words[2];
       if (!ParseAddress(address)) {
-        Note("server address '" + address + "': only IPv4 address:port, names are not looked up");
-        return ServerOptions(words, 3, &server);
+        NoteIgnored("server address '" + address +
+                    "': must be an IPv4 address:port, names are not resolved");
+        return ReadServerOptions(words, 3, &server);
       }
       server.address = address;
-      if (!ServerOptions(words, 3, &server)) return false;
-      p.servers.push_back(server);
+      if (!ReadServerOptions(words, 3, &server)) return false;
+      proxy.servers.push_back(server);
       return true;
     }
-    if (key == "default-server") return ServerOptions(words, 1, &p.server_defaults);
+    if (key == "default-server") return ReadServerOptions(words, 1, &proxy.server_defaults);
     if (key == "timeout") {
-      if (words.size() < 3) return Bad("timeout wants a name and a time");
+      if (words.size() < 3) return Fail("timeout needs a name and a time");
       const auto seconds = HaproxySeconds(words[2]);
-      if (!seconds) return Bad("'" + words[2] + "' is no time");
-      p.timeouts[words[1]] = *seconds;
-      static const std::set<std::string> kHonoured = {"connect", "server", "http-keep-alive"};
-      if (!kHonoured.contains(words[1])) Note("timeout " + words[1]);
+      if (!seconds) return Fail("'" + words[2] + "' is not a time");
+      proxy.timeouts[words[1]] = *seconds;
+      static const std::set<std::string> kSupported = {"connect", "server", "http-keep-alive"};
+      if (!kSupported.contains(words[1])) NoteIgnored("timeout " + words[1]);
       return true;
     }
     if (key == "mode") {
-      p.http = words.size() > 1 && words[1] == "http";
-      if (!p.http) Note("mode " + (words.size() > 1 ? words[1] : "") + ": requests are HTTP here");
+      proxy.http = words.size() > 1 && words[1] == "http";
+      if (!proxy.http)
+        NoteIgnored("mode " + (words.size() > 1 ? words[1] : "") + ": only HTTP is supported");
       return true;
     }
     if (key == "default_backend") {
-      if (words.size() < 2) return Bad("default_backend wants a name");
-      p.default_backend = words[1];
+      if (words.size() < 2) return Fail("default_backend needs a name");
+      proxy.default_backend = words[1];
       return true;
     }
     if (key == "retries") {
-      if (words.size() < 2 || !Integer(words[1], 0, 1000, &p.retries)) {
-        return Bad("retries wants a number");
+      if (words.size() < 2 || !ParseInteger(words[1], 0, 1000, &proxy.retries)) {
+        return Fail("retries needs a number");
       }
       return true;
     }
     if (key == "disabled" || key == "enabled") {
-      p.disabled = key == "disabled";
+      proxy.disabled = key == "disabled";
       return true;
     }
     if (key == "balance") {
-      Note("balance " + (words.size() > 1 ? words[1] : "") + ": placement is the module's");
+      NoteIgnored("balance " + (words.size() > 1 ? words[1] : "") +
+                  ": the load balancing algorithm is fixed");
       return true;
     }
-    Note("'" + key + "'" + (words.size() > 1 ? " " + words[1] : ""));
+    NoteIgnored("'" + key + "'" + (words.size() > 1 ? " " + words[1] : ""));
     return true;
   }
 
-  bool Bind(const std::vector<std::string>& words, Proxy& p) {
+  bool ReadBind(const std::vector<std::string>& words, Proxy& proxy) {
     std::string_view list = words[1];
     while (!list.empty()) {
       const std::size_t comma = std::min(list.find(','), list.size());
@@ -206,19 +218,19 @@
       if (address.starts_with("*:")) address.replace(0, 1, "0.0.0.0");
       if (address.starts_with(":")) address.insert(0, "0.0.0.0");
       if (!ParseAddress(address)) {
-        Note("bind '" + address + "': only one IPv4 address:port");
+        NoteIgnored("bind '" + address + "': must be one IPv4 address:port");
       } else {
-        p.binds.push_back(address);
-        bind_lines_.emplace_back(number_, address);
+        proxy.binds.push_back(address);
+        bind_lines_.emplace_back(line_number_, address);
       }
     }
-    for (std::size_t i = 2; i < words.size(); ++i) Note("bind option '" + words[i] + "'");
+    for (std::size_t i = 2; i < words.size(); ++i) NoteIgnored("bind option '" + words[i] + "'");
     return true;
   }
 
-  bool ServerOptions(const std::vector<std::string>& words, std::size_t from, Server* server) {
-    // Options that take a value, so that a value is not named as an option of its own.
-    static const std::set<std::string> kValued = {
+  bool ReadServerOptions(const std::vector<std::string>& words, std::size_t from, Server* server) {
+    // Options that take a value: the value must not be reported as an option of its own.
+    static const std::set<std::string> kOptionsWithValue = {
         "inter",      "fastinter", "downinter",      "rise",      "fall",        "cookie",
         "port",       "addr",      "source",         "minconn",   "maxqueue",    "slowstart",
         "track",      "on-error",  "on-marked-down", "observe",   "error-limit", "id",
@@ -227,56 +239,58 @@
         "agent-check"};
     for (std::size_t i = from; i < words.size(); ++i) {
       const std::string& word = words[i];
-      const bool last = i + 1 == words.size();
+      const bool is_last = i + 1 == words.size();
       if (word == "weight") {
-        if (last || !Integer(words[++i], 0, 256, &server->weight)) {
-          return Bad("weight wants a number from 0 to 256");
+        if (is_last || !ParseInteger(words[++i], 0, 256, &server->weight)) {
+          return Fail("weight needs a number from 0 to 256");
         }
       } else if (word == "maxconn") {
-        if (last || !Integer(words[++i], 0, 1'000'000, &server->maxconn)) {
-          return Bad("maxconn wants a number");
+        if (is_last || !ParseInteger(words[++i], 0, 1'000'000, &server->maxconn)) {
+          return Fail("maxconn needs a number");
         }
       } else if (word == "disabled" || word == "enabled") {
         server->disabled = word == "disabled";
       } else if (word == "check") {
-        Note("server option 'check': health is seen from outcomes");
+        NoteIgnored("server option 'check': health is derived from the outcomes of requests");
       } else {
-        Note("server option '" + word + "'");
-        if (kValued.contains(word) && !last && word != "agent-check") ++i;
+        NoteIgnored("server option '" + word + "'");
+        if (kOptionsWithValue.contains(word) && !is_last && word != "agent-check") ++i;
       }
     }
     return true;
   }
 
-  Import* import_;
+  HaproxyImport* import_;
   std::string* error_;
-  int number_ = 0, maxconn_ = 0;
+  int line_number_ = 0, maxconn_ = 0;
   std::string section_, defaults_name_;
   Proxy defaults_;
-  std::map<std::string, Proxy> named_;
+  std::map<std::string, Proxy> named_defaults_;
   std::vector<Proxy> proxies_;
   std::vector<std::pair<int, std::string>> bind_lines_;
 };
 
-bool Reader::Finish() {
+bool HaproxyImporter::Finish() {
   std::string listen;
-  for (const Proxy& p : proxies_) {
-    if (p.disabled) NoteAt(p.line, "section '" + p.name + "' is disabled and left out");
-    if (!p.disabled && !p.default_backend.empty()) {
-      const bool known = std::any_of(proxies_.begin(), proxies_.end(), [&](const Proxy& b) {
-        return b.name == p.default_backend && b.type != "frontend";
-      });
-      if (!known) {
-        number_ = p.line;
-        return Bad("default_backend '" + p.default_backend + "' is not there");
+  for (const Proxy& proxy : proxies_) {
+    if (proxy.disabled)
+      NoteIgnoredAt(proxy.line, "section '" + proxy.name + "' is disabled and left out");
+    if (!proxy.disabled && !proxy.default_backend.empty()) {
+      const bool backend_exists =
+          std::any_of(proxies_.begin(), proxies_.end(), [&](const Proxy& backend) {
+            return backend.name == proxy.default_backend && backend.type != "frontend";
+          });
+      if (!backend_exists) {
+        line_number_ = proxy.line;
+        return Fail("default_backend '" + proxy.default_backend + "' is not defined");
       }
     }
-    for (const std::string& bind : p.binds) {
-      if (!p.disabled && listen.empty()) listen = bind;
+    for (const std::string& bind : proxy.binds) {
+      if (!proxy.disabled && listen.empty()) listen = bind;
     }
   }
   for (const auto& [line, bind] : bind_lines_) {
-    if (bind != listen) NoteAt(line, "bind " + bind + ": the program listens on " + listen);
+    if (bind != listen) NoteIgnoredAt(line, "bind " + bind + ": the program listens on " + listen);
   }
   if (listen.empty()) return *error_ = "no section binds an IPv4 address:port", false;
 
@@ -284,50 +298,51 @@
   Json class_kind = Json::array();
   double connect_s = 5, idle_s = 60;
   bool connect_set = false, idle_set = false;
-  int tries = 1;
-  for (const Proxy& p : proxies_) {
-    if (p.disabled || p.type == "frontend") continue;
-    const auto time = [&p](const char* name, double otherwise) {
-      const auto it = p.timeouts.find(name);
-      return it != p.timeouts.end() && it->second > 0 ? it->second : otherwise;
+  int max_attempts = 1;
+  for (const Proxy& proxy : proxies_) {
+    if (proxy.disabled || proxy.type == "frontend") continue;
+    const auto positive_timeout = [&proxy](const char* name, double default_s) {
+      const auto it = proxy.timeouts.find(name);
+      return it != proxy.timeouts.end() && it->second > 0 ? it->second : default_s;
     };
-    const double give_up = time("server", 30);
-    // One backend, one class and one kind: its jobs go to its servers and nowhere else. Nothing is
-    // known of what a repeat does there, so a job that may have run is not sent again.
+    const double client_timeout_s = positive_timeout("server", 30);
+    // Each backend becomes one class and one kind of worker, so that its requests go to its servers
+    // only. Whether they are idempotent is unknown, so one that may have run is not retried.
     class_kind.push_back(kinds.size());
-    kinds.push_back(p.name);
-    classes.push_back({{"name", p.name},
-                       {"aim_s", give_up / 4},
-                       {"give_up_s", give_up},
+    kinds.push_back(proxy.name);
+    classes.push_back({{"name", proxy.name},
+                       {"aim_s", client_timeout_s / 4},
+                       {"give_up_s", client_timeout_s},
                        {"importance", 1.0},
                        {"late_worth", 0.5},
                        {"semantics", "once"}});
-    if (p.timeouts.contains("connect")) {
-      const double own = time("connect", 5);
-      if (connect_set && own != connect_s) {
-        NoteAt(p.line, "timeout connect of '" + p.name + "': the shortest of all is used");
+    if (proxy.timeouts.contains("connect")) {
+      const double backend_connect_s = positive_timeout("connect", 5);
+      if (connect_set && backend_connect_s != connect_s) {
+        NoteIgnoredAt(proxy.line,
+                      "timeout connect of '" + proxy.name + "': the shortest of all is used");
       }
-      connect_s = connect_set ? std::min(connect_s, own) : own;
+      connect_s = connect_set ? std::min(connect_s, backend_connect_s) : backend_connect_s;
       connect_set = true;
     }
-    if (p.timeouts.contains("http-keep-alive")) {
-      idle_s =
-          idle_set ? std::min(idle_s, time("http-keep-alive", 60)) : time("http-keep-alive", 60);
+    if (proxy.timeouts.contains("http-keep-alive")) {
+      idle_s = idle_set ? std::min(idle_s, positive_timeout("http-keep-alive", 60))
+                        : positive_timeout("http-keep-alive", 60);
       idle_set = true;
     }
-    tries = std::max(tries, std::min(p.retries + 1, 16));
-    if (p.retries + 1 > 16) NoteAt(p.line, "retries over 15");
-    for (const Server& s : p.servers) {
-      // A weight of 0 takes no new work, which is a drain.
-      const bool drained = s.disabled || s.weight == 0;
-      Json entry = {{"id", p.name + "/" + s.name},
-                    {"addr", s.address},
-                    {"kind", p.name},
+    max_attempts = std::max(max_attempts, std::min(proxy.retries + 1, 16));
+    if (proxy.retries + 1 > 16) NoteIgnoredAt(proxy.line, "retries over 15");
+    for (const Server& server : proxy.servers) {
+      // In HAProxy a server of weight 0 takes no new requests, which is a drain here.
+      const bool is_draining = server.disabled || server.weight == 0;
+      Json entry = {{"id", proxy.name + "/" + server.name},
+                    {"addr", server.address},
+                    {"kind", proxy.name},
                     {"cell", 0},
-                    {"state", drained ? "terminating" : "in_service"},
-                    {"weight", std::max(1, s.weight)},
+                    {"state", is_draining ? "terminating" : "in_service"},
+                    {"weight", std::max(1, server.weight)},
                     {"started_ms", 0}};
-      if (s.maxconn > 0) entry["max_out"] = s.maxconn;
+      if (server.maxconn > 0) entry["max_out"] = server.maxconn;
       servers.push_back(std::move(entry));
     }
   }
@@ -349,7 +364,7 @@
                  {"limits",
                   {{"cancel", true},
                    {"may_duplicate", false},
-                   {"most_tries", tries},
+                   {"most_tries", max_attempts},
                    {"retry_after", true},
                    {"max_retry_after_s", 2.0},
                    {"connect_timeout_s", connect_s},
@@ -377,28 +392,28 @@
   bool in_word = false;
   char quote = 0;
   for (std::size_t i = 0; i < line.size(); ++i) {
-    const char c = line[i];
+    const char character = line[i];
     if (quote != 0) {
-      if (c == quote) {
+      if (character == quote) {
         quote = 0;
-      } else if (c == '\\' && quote == '"' && i + 1 < line.size()) {
+      } else if (character == '\\' && quote == '"' && i + 1 < line.size()) {
         word.push_back(line[++i]);
       } else {
-        word.push_back(c);
+        word.push_back(character);
       }
-    } else if (c == '#') {
+    } else if (character == '#') {
       break;
-    } else if (c == ' ' || c == '\t' || c == '\r') {
+    } else if (character == ' ' || character == '\t' || character == '\r') {
       if (in_word) words.push_back(std::exchange(word, {}));
       in_word = false;
     } else {
       in_word = true;
-      if (c == '"' || c == '\'') {
-        quote = c;
-      } else if (c == '\\' && i + 1 < line.size()) {
+      if (character == '"' || character == '\'') {
+        quote = character;
+      } else if (character == '\\' && i + 1 < line.size()) {
         word.push_back(line[++i]);
       } else {
-        word.push_back(c);
+        word.push_back(character);
       }
     }
   }
@@ -410,25 +425,27 @@
 std::optional<double> HaproxySeconds(std::string_view text) {
   double value = 0;
   const char* end = text.data() + text.size();
-  const auto [at, error] = std::from_chars(text.data(), end, value, std::chars_format::fixed);
+  const auto [parsed_to, error] =
+      std::from_chars(text.data(), end, value, std::chars_format::fixed);
   if (error != std::errc() || text.empty() || !(value >= 0) || value > 1e12) return std::nullopt;
   static const std::map<std::string_view, double> kUnits = {
       {"", 1e-3}, {"us", 1e-6}, {"ms", 1e-3}, {"s", 1}, {"m", 60}, {"h", 3600}, {"d", 86400}};
-  const auto unit = kUnits.find(std::string_view(at, static_cast<std::size_t>(end - at)));
+  const auto unit =
+      kUnits.find(std::string_view(parsed_to, static_cast<std::size_t>(end - parsed_to)));
   if (unit == kUnits.end()) return std::nullopt;
   return value * unit->second;
 }
 
-bool ImportHaproxy(std::string_view text, Import* import, std::string* error) {
-  Reader reader(import, error);
+bool ImportHaproxy(std::string_view text, HaproxyImport* import, std::string* error) {
+  HaproxyImporter importer(import, error);
   for (int number = 1; !text.empty(); ++number) {
     const std::size_t end = std::min(text.find('\n'), text.size());
     const auto words = HaproxyWords(text.substr(0, end));
     if (!words) return *error = "line " + std::to_string(number) + ": a quote is left open", false;
-    if (!words->empty() && !reader.Line(number, *words)) return false;
+    if (!words->empty() && !importer.ReadLine(number, *words)) return false;
     text.remove_prefix(std::min(end + 1, text.size()));
   }
-  return reader.Finish();
+  return importer.Finish();
 }
 
 }  // namespace millethollow
--- a/src/config/haproxy.h
+++ b/src/config/haproxy.h
@@ -1,4 +1,5 @@
-// Imports HAProxy configuration: all proxy sections, into an operator's file of ours.
+// Imports an HAProxy configuration: converts its proxy sections into a configuration file of this
+// program.
 #ifndef MILLETHOLLOW_CONFIG_HAPROXY_H_
 #define MILLETHOLLOW_CONFIG_HAPROXY_H_
 
@@ -9,18 +10,21 @@
 
 namespace millethollow {
 
-struct Import {
-  std::string config;              // the operator's file, as JSON
-  std::vector<std::string> notes;  // "line N: ...": what the file asks for and we can't honour
+// The result of an import.
+struct HaproxyImport {
+  std::string config;              // the text of a configuration file
+  std::vector<std::string> notes;  // "line N: ...": what the HAProxy file sets without effect here
 };
 
-// False, with "line N: ..." in `error`, where the text can't be read at all.
-bool ImportHaproxy(std::string_view text, Import* import, std::string* error);
+// Returns false and sets `error`, to "line N: ..." where a line is at fault, if the text can't be
+// imported at all.
+bool ImportHaproxy(std::string_view text, HaproxyImport* import, std::string* error);
 
-// Words of one line: quotes, escapes and comments as HAProxy reads them. Empty optional: an open
-// quote.
+// Splits a line into words by HAProxy's rules for quotes, escapes and comments. Returns nullopt for
+// an unclosed quote.
 std::optional<std::vector<std::string>> HaproxyWords(std::string_view line);
-// Seconds from HAProxy's times: a number with us, ms, s, m, h or d; plain numbers are ms.
+// Parses an HAProxy time, a number with the unit us, ms, s, m, h or d (ms without a unit), as
+// seconds.
 std::optional<double> HaproxySeconds(std::string_view text);
 
 }  // namespace millethollow
--- a/src/config/keys.h
+++ b/src/config/keys.h
@@ -1,4 +1,5 @@
-// Reading the keys of a JSON object, each by its own reader; a key that has none is an error.
+// Readers for the keys of a JSON object. A key without a reader is an error. On failure all readers
+// return false and set a one-line `error` that names the path of the key.
 #ifndef MILLETHOLLOW_CONFIG_KEYS_H_
 #define MILLETHOLLOW_CONFIG_KEYS_H_
 
@@ -12,14 +13,18 @@
 
 namespace millethollow {
 
+// Reads the value at `path`, a dotted path such as cluster.quota.renew_s.
 using KeyReader = std::function<bool(const nlohmann::json&, const std::string& path)>;
+// Readers by key.
 using KeyReaders = std::map<std::string, KeyReader>;
 
-inline bool ReadKeys(const nlohmann::json& object, const std::string& at, const KeyReaders& readers,
-                     std::string* error) {
-  if (!object.is_object()) return *error = "configuration: '" + at + "' is not an object", false;
+// Calls the reader of each key of `object`. `object_path`: the dotted path of the object.
+inline bool ReadKeys(const nlohmann::json& object, const std::string& object_path,
+                     const KeyReaders& readers, std::string* error) {
+  if (!object.is_object())
+    return *error = "configuration: '" + object_path + "' is not an object", false;
   for (const auto& [key, value] : object.items()) {
-    const std::string path = at + "." + key;
+    const std::string path = object_path + "." + key;
     const auto reader = readers.find(key);
     if (reader == readers.end()) return *error = "configuration: unknown key '" + path + "'", false;
     if (!reader->second(value, path)) return false;
@@ -27,7 +32,8 @@
   return true;
 }
 
-inline KeyReader NumberKey(double* out, double min, double max, std::string* error) {
+// Reads a number from `min` to `max`.
+inline KeyReader NumberReader(double* out, double min, double max, std::string* error) {
   return [=](const nlohmann::json& value, const std::string& path) {
     if (!value.is_number() || value.get<double>() < min || value.get<double>() > max) {
       std::ostringstream line;
@@ -39,7 +45,8 @@
   };
 }
 
-inline KeyReader FlagKey(bool* out, std::string* error) {
+// Reads true or false.
+inline KeyReader FlagReader(bool* out, std::string* error) {
   return [=](const nlohmann::json& value, const std::string& path) {
     if (!value.is_boolean()) return *error = "configuration: '" + path + "' is not a flag", false;
     *out = value.get<bool>();
@@ -47,8 +54,9 @@
   };
 }
 
-// A list of up to `most` texts, at least one.
-inline KeyReader NamesKey(std::vector<std::string>* out, std::size_t max, std::string* error) {
+// Reads a list of 1 to `max` texts.
+inline KeyReader TextListReader(std::vector<std::string>* out, std::size_t max,
+                                std::string* error) {
   return [=](const nlohmann::json& value, const std::string& path) {
     const auto is_text = [](const nlohmann::json& item) { return item.is_string(); };
     if (!value.is_array() || value.empty() || value.size() > max ||
@@ -62,7 +70,8 @@
   };
 }
 
-inline KeyReader TextKey(std::string* out, std::string* error) {
+// Reads a text.
+inline KeyReader TextReader(std::string* out, std::string* error) {
   return [=](const nlohmann::json& value, const std::string& path) {
     if (!value.is_string()) return *error = "configuration: '" + path + "' is not a text", false;
     *out = value.get<std::string>();
--- a/src/config/reload.cpp
+++ b/src/config/reload.cpp
@@ -11,58 +11,62 @@
 using Json = nlohmann::json;
 using balancing::ClassSettings;
 
-// A program on the platform has none of these; in an operator's file they come and go.
-bool Optional(const std::string& key) {
+// Whether a top-level key may be missing from the new file. Only operators' files have these keys.
+bool IsOptionalKey(const std::string& key) {
   return key == "log_level" || key == "gearman" || key == "scheduling";
 }
 
-// The keys that all of `items` have.
-std::set<std::string> Common(const std::vector<const Json*>& items) {
+// The keys that all of `items` have in common.
+std::set<std::string> CommonKeys(const std::vector<const Json*>& items) {
   std::set<std::string> keys;
   for (std::size_t i = 0; i < items.size(); ++i) {
-    std::set<std::string> own;
+    std::set<std::string> item_keys;
     for (const auto& [key, value] : items[i]->items()) {
-      if (i == 0 || keys.contains(key)) own.insert(key);
+      if (i == 0 || keys.contains(key)) item_keys.insert(key);
     }
-    keys = std::move(own);
+    keys = std::move(item_keys);
   }
   return keys;
 }
 
-// Classes of one effect have the same keys; tenants all have.
-std::string Sort(const Json& item) {
+// Groups items that must have the same keys: classes by their idempotency. All tenants are one
+// group.
+std::string GroupOf(const Json& item) {
   const auto it = item.find("semantics");
   return it != item.end() && it->is_string() ? it->get<std::string>() : std::string();
 }
 
-bool CheckItems(const Json& used, const Json& fresh, const std::string& at, std::string* error) {
-  std::map<std::string, std::vector<const Json*>> sorts;
+bool CheckItems(const Json& current_items, const Json& new_items, const std::string& list_path,
+                std::string* error) {
+  std::map<std::string, std::vector<const Json*>> groups;
   std::vector<const Json*> all;
-  for (const Json& item : used) {
+  for (const Json& item : current_items) {
     if (!item.is_object()) return true;
-    sorts[Sort(item)].push_back(&item);
+    groups[GroupOf(item)].push_back(&item);
     all.push_back(&item);
   }
   if (all.empty()) return true;
-  if (fresh.empty()) return *error = "configuration: " + at + " is empty", false;
-  for (const Json& item : fresh) {
-    if (!item.is_object()) return *error = "configuration: " + at + " has the wrong type", false;
-    const auto like = sorts.find(Sort(item));
-    for (const std::string& key : Common(like == sorts.end() ? all : like->second)) {
+  if (new_items.empty()) return *error = "configuration: " + list_path + " is empty", false;
+  for (const Json& item : new_items) {
+    if (!item.is_object())
+      return *error = "configuration: " + list_path + " has the wrong type", false;
+    const auto group = groups.find(GroupOf(item));
+    for (const std::string& key : CommonKeys(group == groups.end() ? all : group->second)) {
       const auto it = item.find(key);
       if (it != item.end() && !it->is_null()) continue;
-      return *error = "configuration: " + at + " misses '" + key + "'", false;
+      return *error = "configuration: " + list_path + " lacks the key '" + key + "'", false;
     }
   }
   return true;
 }
 
-bool CheckKeys(const Json& used, const Json& fresh, const std::string& at, std::string* error) {
-  for (const auto& [key, value] : used.items()) {
-    if (value.is_null() || (at.empty() && Optional(key))) continue;
-    const std::string path = at.empty() ? key : at + "." + key;
-    const auto it = fresh.find(key);
-    if (it == fresh.end() || it->is_null()) {
+bool CheckKeys(const Json& current, const Json& new_object, const std::string& object_path,
+               std::string* error) {
+  for (const auto& [key, value] : current.items()) {
+    if (value.is_null() || (object_path.empty() && IsOptionalKey(key))) continue;
+    const std::string path = object_path.empty() ? key : object_path + "." + key;
+    const auto it = new_object.find(key);
+    if (it == new_object.end() || it->is_null()) {
       return *error = "configuration: '" + path + "' is missing", false;
     }
     const bool numbers = value.is_number() && it->is_number();
@@ -70,12 +74,14 @@
       return *error = "configuration: '" + path + "' has the wrong type", false;
     }
     if (value.is_object() && !CheckKeys(value, *it, path, error)) return false;
-    if (value.is_array() && at != "known" && !CheckItems(value, *it, path, error)) return false;
+    if (value.is_array() && object_path != "known" && !CheckItems(value, *it, path, error))
+      return false;
   }
   return true;
 }
 
-bool Same(const ClassSettings& a, const ClassSettings& b) {
+// Whether the settings of two classes are equal.
+bool SameSettings(const ClassSettings& a, const ClassSettings& b) {
   return a.latency_objective_s == b.latency_objective_s &&
          a.latency_objective_stretch == b.latency_objective_stretch &&
          a.client_timeout_s == b.client_timeout_s && a.priority_weight == b.priority_weight &&
@@ -87,87 +93,92 @@
 
 }  // namespace
 
-bool CheckNoKeyMissing(std::string_view used, std::string_view fresh, std::string* error) {
-  const Json before = Json::parse(used, nullptr, false, true);
-  const Json after = Json::parse(fresh, nullptr, false, true);
+bool CheckNoKeyMissing(std::string_view current_text, std::string_view new_text,
+                       std::string* error) {
+  const Json before = Json::parse(current_text, nullptr, false, true);
+  const Json after = Json::parse(new_text, nullptr, false, true);
   if (!after.is_object()) return *error = "configuration: not a JSON object", false;
   return !before.is_object() || CheckKeys(before, after, "", error);
 }
 
-ClassChanges MergeClasses(const Config& fresh, const std::function<bool(int)>& in_use,
+ClassChanges MergeClasses(const Config& new_config, const std::function<bool(int)>& in_use,
                           Config* config) {
   ClassChanges changes;
-  std::vector<bool> live(config->classes.size(), false);
-  std::vector<int> now;  // by the fresh file's order
-  std::vector<std::size_t> homeless;
-  for (std::size_t c = 0; c < fresh.classes.size(); ++c) {
+  std::vector<bool> active(config->classes.size(), false);
+  std::vector<int> index_of;  // by the order of classes in the new file
+  std::vector<std::size_t> without_index;
+  for (std::size_t c = 0; c < new_config.classes.size(); ++c) {
     int index = -1;
     for (std::size_t i = 0; i < config->classes.size(); ++i) {
-      if (config->classes[i] != fresh.classes[c] || live[i]) continue;
-      if (Same(config->settings.classes[i], fresh.settings.classes[c])) index = static_cast<int>(i);
+      if (config->classes[i] != new_config.classes[c] || active[i]) continue;
+      if (SameSettings(config->settings.classes[i], new_config.settings.classes[c]))
+        index = static_cast<int>(i);
     }
-    now.push_back(index);
-    if (index >= 0) live[static_cast<std::size_t>(index)] = true;
-    if (index < 0) homeless.push_back(c);
+    index_of.push_back(index);
+    if (index >= 0) active[static_cast<std::size_t>(index)] = true;
+    if (index < 0) without_index.push_back(c);
   }
-  for (const std::size_t c : homeless) {
+  for (const std::size_t c : without_index) {
     std::size_t i = 0;
-    // One that was live until now may yet be on its way in: it is not used again at once.
-    while (i < live.size() && (live[i] || config->class_active[i] || in_use(static_cast<int>(i))))
+    // An index that was active until now is not reused at once: requests for it may be in flight.
+    while (i < active.size() &&
+           (active[i] || config->class_active[i] || in_use(static_cast<int>(i))))
       ++i;
-    if (i == live.size()) {
-      live.push_back(false);
+    if (i == active.size()) {
+      active.push_back(false);
       config->class_active.push_back(false);
       config->classes.emplace_back();
       config->settings.classes.emplace_back();
     }
-    config->classes[i] = fresh.classes[c];
-    config->settings.classes[i] = fresh.settings.classes[c];
-    live[i] = true;
-    now[c] = static_cast<int>(i);
-    changes.reassigned.push_back(now[c]);
+    config->classes[i] = new_config.classes[c];
+    config->settings.classes[i] = new_config.settings.classes[c];
+    active[i] = true;
+    index_of[c] = static_cast<int>(i);
+    changes.reassigned.push_back(index_of[c]);
   }
-  config->class_active = std::move(live);
-  config->gearman_functions = fresh.gearman_functions;
+  config->class_active = std::move(active);
+  config->gearman_functions = new_config.gearman_functions;
   for (auto& [name, function] : config->gearman_functions) {
-    function.cls = now[static_cast<std::size_t>(function.cls)];
+    function.cls = index_of[static_cast<std::size_t>(function.cls)];
   }
   return changes;
 }
 
 bool ReloadConfig(const std::string& path, const std::function<bool(int)>& in_use, Config* config,
                   ClassChanges* changes, std::string* error) {
-  Config fresh;
-  fresh.also = config->also;
-  if (!LoadConfig(path, &fresh, error) || !CheckNoKeyMissing(config->text, fresh.text, error))
+  Config new_config;
+  new_config.scheduling_path = config->scheduling_path;
+  if (!LoadConfig(path, &new_config, error) ||
+      !CheckNoKeyMissing(config->text, new_config.text, error))
     return false;
-  if (fresh.discovery.empty() != config->discovery.empty()) {
-    *error = "configuration: discovery can't be begun or ended without a restart";
+  if (new_config.discovery.empty() != config->discovery.empty()) {
+    *error = "configuration: 'discovery' cannot be added or removed without a restart";
     return false;
   }
-  config->text = fresh.text;
-  config->discovery = fresh.discovery;
-  config->known_workers = fresh.known_workers;
-  config->log_level = fresh.log_level;
-  config->scheduling = fresh.scheduling;
-  *changes = MergeClasses(fresh, in_use, config);
-  // The shape of the tier, the fleet and the reports stays; peers and workers are known by it.
-  balancing::Settings& now = config->settings;
-  const balancing::Settings before = now;
-  now = fresh.settings;
-  now.classes = before.classes;
-  now.dispatcher_index = before.dispatcher_index;
-  now.dispatcher_count = before.dispatcher_count;
-  now.peers = before.peers;
-  now.zone = before.zone;
-  now.zones = before.zones;
-  now.kinds = before.kinds;
-  now.polls_discovery = before.polls_discovery;
-  now.probing = before.probing;
-  now.load_report_source = before.load_report_source;
-  now.load_report_metrics = before.load_report_metrics;
-  now.workers_notify_start = before.workers_notify_start;
-  if (fresh.tenants != config->tenants) now.tenants = before.tenants;
+  config->text = new_config.text;
+  config->discovery = new_config.discovery;
+  config->known_workers = new_config.known_workers;
+  config->log_level = new_config.log_level;
+  config->scheduling = new_config.scheduling;
+  *changes = MergeClasses(new_config, in_use, config);
+  // The settings of the tier, the fleet and the load reports stay until a restart: the state about
+  // peers and workers depends on them.
+  balancing::Settings& settings = config->settings;
+  const balancing::Settings before = settings;
+  settings = new_config.settings;
+  settings.classes = before.classes;
+  settings.dispatcher_index = before.dispatcher_index;
+  settings.dispatcher_count = before.dispatcher_count;
+  settings.peers = before.peers;
+  settings.zone = before.zone;
+  settings.zones = before.zones;
+  settings.kinds = before.kinds;
+  settings.polls_discovery = before.polls_discovery;
+  settings.probing = before.probing;
+  settings.load_report_source = before.load_report_source;
+  settings.load_report_metrics = before.load_report_metrics;
+  settings.workers_notify_start = before.workers_notify_start;
+  if (new_config.tenants != config->tenants) settings.tenants = before.tenants;
   return true;
 }
 
--- a/src/config/reload.h
+++ b/src/config/reload.h
@@ -1,4 +1,5 @@
-// The file of a program that runs, read again: checked as a whole, then taken as a whole.
+// Reloads the configuration file of a running process. A file is checked as a whole before any of
+// it takes effect.
 #ifndef MILLETHOLLOW_CONFIG_RELOAD_H_
 #define MILLETHOLLOW_CONFIG_RELOAD_H_
 
@@ -11,21 +12,25 @@
 
 namespace millethollow {
 
-// Is the text whole, by the one that is in use? Each key that this has must be there, in each class
-// and tenant too. An operator's own conveniences (log level, Gearman) may be left out.
-bool CheckNoKeyMissing(std::string_view used, std::string_view fresh, std::string* error);
+// Checks that `new_text` has each key of `current_text`, with a value of the same type, also in its
+// classes and tenants; this rejects a truncated file. An operator's optional sections (log level,
+// Gearman, scheduling) may be missing. Returns false and sets a one-line `error` otherwise.
+bool CheckNoKeyMissing(std::string_view current_text, std::string_view new_text,
+                       std::string* error);
 
-// A class has a stable index. One of a new name or of other rules gets an index of its own: the
-// first that no open job holds, or a further one. What has no class any more is not `live`.
+// Changes of the class table.
 struct ClassChanges {
-  std::vector<int> reassigned;  // indices that mean another class from now on
+  std::vector<int> reassigned;  // indices that stand for another class from now on
 };
-ClassChanges MergeClasses(const Config& fresh, const std::function<bool(int)>& in_use,
+// Brings the classes of `new_config` into `config`, where each class keeps its index. A class with
+// a new name or other settings gets an index of its own: the first that no open job uses
+// (`in_use`), or a further one. Classes that the new file lacks become inactive.
+ClassChanges MergeClasses(const Config& new_config, const std::function<bool(int)>& in_use,
                           Config* config);
 
-// Takes over what can change under load: the settings, discovery, the list of known workers, the
-// log level and Gearman's functions; all else waits for a restart. False, with one clear line, if
-// the new file can't be used: then `config` stays as it was.
+// Applies what can change under load: the settings, the scheduling options, the discovery address, the list of known
+// workers, the log level and the Gearman functions; all else takes effect at a restart. Returns
+// false and sets a one-line `error` if the new file is rejected; `config` is then unchanged.
 bool ReloadConfig(const std::string& path, const std::function<bool(int)>& in_use, Config* config,
                   ClassChanges* changes, std::string* error);
 
--- a/src/config/scheduling.cpp
+++ b/src/config/scheduling.cpp
@@ -20,17 +20,17 @@
   if (!root.is_object()) return *error = "configuration: not a JSON object", false;
   const auto section = root.find("scheduling");
   if (section == root.end() || section->is_null()) return true;
-  scheduling::Options o = *options;
-  const auto number = [error](double* out, double min, double max) {
-    return NumberKey(out, min, max, error);
+  scheduling::Options parsed = *options;
+  const auto number_reader = [error](double* out, double min, double max) {
+    return NumberReader(out, min, max, error);
   };
-  const auto names = [&](const Json& value, const std::string& path) {
-    const auto text_only = [](const Json& item) { return item.is_string(); };
-    if (!value.is_array() || !std::all_of(value.begin(), value.end(), text_only)) {
+  const auto read_class_names = [&](const Json& value, const std::string& path) {
+    const auto is_text = [](const Json& item) { return item.is_string(); };
+    if (!value.is_array() || !std::all_of(value.begin(), value.end(), is_text)) {
       return *error = "configuration: '" + path + "' is not a list of names", false;
     }
-    o.reserving_classes = value.get<std::vector<std::string>>();
-    for (const std::string& name : o.reserving_classes) {
+    parsed.reserving_classes = value.get<std::vector<std::string>>();
+    for (const std::string& name : parsed.reserving_classes) {
       if (classes.empty() || std::find(classes.begin(), classes.end(), name) != classes.end()) {
         continue;
       }
@@ -38,36 +38,39 @@
     }
     return true;
   };
-  const auto group = [error](const KeyReaders& readers) {
+  const auto object_reader = [error](const KeyReaders& readers) {
     return [=](const Json& value, const std::string& path) {
       return ReadKeys(value, path, readers, error);
     };
   };
-  o.on = true;  // who writes the section wants it
-  auto jobs = static_cast<double>(o.max_queued_jobs);
+  parsed.on = true;  // unless the section sets `enabled` to false
+  auto max_queued_jobs = static_cast<double>(parsed.max_queued_jobs);
   const KeyReaders readers{
-      {"enabled", FlagKey(&o.on, error)},
-      {"waiting", group({{"jobs", number(&jobs, 1, 1e6)},
-                         {"bytes", number(&o.max_queued_bytes, 0, 1e12)},
-                         {"tenant_share", number(&o.max_tenant_share, 0.001, 1)}})},
-      {"hold", group({{"classes", names},
-                      {"of_worker", number(&o.max_reserved_worker_share, 0, 1)},
-                      {"of_fleet", number(&o.max_reserved_fleet_share, 0, 1)},
-                      {"seconds", number(&o.reservation_timeout_s, 0.01, 3600)}})},
-      {"zone_patience_s", number(&o.local_zone_wait_s, 0, 60)},
-      {"memory_per_slot", number(&o.memory_per_slot, 0, 1e9)},
+      {"enabled", FlagReader(&parsed.on, error)},
+      {"waiting",
+       object_reader({{"jobs", number_reader(&max_queued_jobs, 1, 1e6)},
+                      {"bytes", number_reader(&parsed.max_queued_bytes, 0, 1e12)},
+                      {"tenant_share", number_reader(&parsed.max_tenant_share, 0.001, 1)}})},
+      {"hold",
+       object_reader({{"classes", read_class_names},
+                      {"of_worker", number_reader(&parsed.max_reserved_worker_share, 0, 1)},
+                      {"of_fleet", number_reader(&parsed.max_reserved_fleet_share, 0, 1)},
+                      {"seconds", number_reader(&parsed.reservation_timeout_s, 0.01, 3600)}})},
+      {"zone_patience_s", number_reader(&parsed.local_zone_wait_s, 0, 60)},
+      {"memory_per_slot", number_reader(&parsed.memory_per_slot, 0, 1e9)},
   };
   if (!ReadKeys(*section, "scheduling", readers, error)) return false;
-  o.max_queued_jobs = static_cast<std::size_t>(jobs);
-  *options = std::move(o);
+  parsed.max_queued_jobs = static_cast<std::size_t>(max_queued_jobs);
+  *options = std::move(parsed);
   return true;
 }
 
 bool LoadScheduling(const std::string& path, const std::vector<std::string>& classes,
                     scheduling::Options* options, std::string* error) {
-  std::ifstream in(path);
+  std::ifstream input(path);
   std::stringstream text;
-  if (!in || !(text << in.rdbuf())) return *error = "configuration: cannot read " + path, false;
+  if (!input || !(text << input.rdbuf()))
+    return *error = "configuration: cannot read " + path, false;
   const Json root = Json::parse(text.str(), nullptr, false, true);
   if (!root.is_object()) return *error = "configuration: not a JSON object: " + path, false;
   for (const auto& [key, value] : root.items()) {
--- a/src/config/scheduling.h
+++ b/src/config/scheduling.h
@@ -1,4 +1,4 @@
-// The section `scheduling` of an operator's file.
+// The section `scheduling` of a configuration file.
 #ifndef MILLETHOLLOW_CONFIG_SCHEDULING_H_
 #define MILLETHOLLOW_CONFIG_SCHEDULING_H_
 
@@ -10,13 +10,13 @@
 
 namespace millethollow {
 
-// Reads the section from a file's text; where there is none, `options` stays as it is. False, with
-// one clear line, for a key that is not known or a value out of its range. `classes`: the names
-// that `hold.classes` may have; empty: any.
+// Reads the section from the text of a file; leaves `options` unchanged if there is none. Returns
+// false and sets a one-line `error` for an unknown key or a value out of range. `classes`: the
+// names that `hold.classes` may contain; empty: any.
 bool ReadScheduling(std::string_view text, const std::vector<std::string>& classes,
                     scheduling::Options* options, std::string* error);
 
-// The same from a file of which the section is the only one.
+// Reads a file that contains this section only.
 bool LoadScheduling(const std::string& path, const std::vector<std::string>& classes,
                     scheduling::Options* options, std::string* error);
 
--- a/src/encoding/fields.h
+++ b/src/encoding/fields.h
@@ -1,7 +1,8 @@
-// Numbered fields with their lengths, little-endian: the form of what crosses a link or lies on
-// disk between members of a cluster. A reader skips the numbers that it does not know, so that two
-// builds can read each other; a field that is shorter than its type is an error, a longer one is
-// read in part.
+// Encoding of messages between members of a cluster and of their stored records: a sequence of
+// fields, each a number (one byte), a length (a base-128 varint) and a value. Values are
+// little-endian. Callers skip fields with unknown numbers, so that different builds can read each
+// other's data. A field that is shorter than its type is an error; of a longer one the front is
+// read.
 #ifndef MILLETHOLLOW_ENCODING_FIELDS_H_
 #define MILLETHOLLOW_ENCODING_FIELDS_H_
 
@@ -12,8 +13,10 @@
 
 namespace millethollow::encoding {
 
+// Encodes fields.
 class Writer {
  public:
+  // Appends a value without a field header, for values inside a nested field.
   template <typename T>
   void Raw(T value) {
     for (std::size_t i = 0; i < sizeof(T); ++i) {
@@ -21,26 +24,28 @@
     }
   }
   void Raw(double value) { Raw(std::bit_cast<std::uint64_t>(value)); }
+  // Appends bytes as they are.
   void Bytes(std::string_view bytes) { bytes_ += bytes; }
-  // What is 0 or empty is left out: it is what the reader begins with.
+  // Writes a field. Zeros and empty texts are left out, since they are the defaults of a reader.
   template <typename T>
   void Number(std::uint8_t field, T value) {
     if (value == T{}) return;
-    Head(field, sizeof(T));
+    FieldHeader(field, sizeof(T));
     Raw(value);
   }
   void Text(std::uint8_t field, std::string_view text) {
     if (!text.empty()) Nested(field, text);
   }
+  // Writes a field that may be empty, such as a nested message.
   void Nested(std::uint8_t field, std::string_view bytes) {
-    Head(field, bytes.size());
+    FieldHeader(field, bytes.size());
     bytes_ += bytes;
   }
   const std::string& bytes() const { return bytes_; }
   std::string Take() { return std::move(bytes_); }
 
  private:
-  void Head(std::uint8_t field, std::size_t length) {
+  void FieldHeader(std::uint8_t field, std::size_t length) {
     Raw(field);
     while (length >= 0x80) {
       Raw(static_cast<std::uint8_t>(length | 0x80));
@@ -51,17 +56,18 @@
   std::string bytes_;
 };
 
+// Decodes fields.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : rest_(bytes) {}
-  // Goes on to the next field; false at the end, or where the bytes are no fields.
+  // Moves to the next field. Returns false at the end or if the bytes are malformed.
   bool Next() {
     if (rest_.empty() || !ok_) return false;
-    if (!Byte(&field_)) return false;
+    if (!ReadByte(&field_)) return false;
     std::uint64_t length = 0;
     for (int shift = 0;; shift += 7) {
       std::uint8_t byte = 0;
-      if (shift > 28 || !Byte(&byte)) return ok_ = false;
+      if (shift > 28 || !ReadByte(&byte)) return ok_ = false;
       length |= std::uint64_t{byte & 0x7fU} << shift;
       if (byte < 0x80) break;
     }
@@ -70,9 +76,12 @@
     rest_.remove_prefix(length);
     return true;
   }
+  // Number of the current field.
   std::uint8_t field() const { return field_; }
+  // The bytes of the current field that are still unread.
   std::string_view value() const { return value_; }
-  // Takes a plain value off the front of the present field.
+  // Reads a value from the front of the current field. A field that is too short gives 0 and an
+  // error.
   template <typename T>
   T Raw() {
     std::uint64_t word = 0;
@@ -90,17 +99,19 @@
       return static_cast<T>(word);
     }
   }
+  // False after malformed input or a call of Fail().
   bool ok() const { return ok_; }
+  // Marks the input as malformed, for errors that the caller finds.
   void Fail() { ok_ = false; }
 
  private:
-  bool Byte(std::uint8_t* byte) {
+  bool ReadByte(std::uint8_t* byte) {
     if (rest_.empty()) return ok_ = false;
     *byte = static_cast<std::uint8_t>(rest_.front());
     rest_.remove_prefix(1);
     return true;
   }
-  std::string_view rest_, value_;
+  std::string_view rest_, value_;  // unread: after the current field, and in it
   std::uint8_t field_ = 0;
   bool ok_ = true;
 };
--- a/src/logging/event_log.cpp
+++ b/src/logging/event_log.cpp
@@ -6,11 +6,11 @@
 
 spdlog::logger& Events() {
   static const auto logger = [] {
-    auto made = std::make_shared<spdlog::logger>("events",
-                                                 std::make_shared<spdlog::sinks::stderr_sink_mt>());
-    made->set_pattern("%L %v");
-    made->flush_on(spdlog::level::trace);
-    return made;
+    auto stderr_logger = std::make_shared<spdlog::logger>(
+        "events", std::make_shared<spdlog::sinks::stderr_sink_mt>());
+    stderr_logger->set_pattern("%L %v");
+    stderr_logger->flush_on(spdlog::level::trace);
+    return stderr_logger;
   }();
   switch (LogLevel()) {
     case Level::kError:
--- a/src/logging/event_log.h
+++ b/src/logging/event_log.h
@@ -1,5 +1,5 @@
-// Log lines by spdlog, for parts that need formatted values. Same stream, form and levels as
-// LogLine.
+// Log lines through spdlog, for code that needs formatted values. They have the stream, the form
+// and the levels of LogLine.
 #ifndef MILLETHOLLOW_LOGGING_EVENT_LOG_H_
 #define MILLETHOLLOW_LOGGING_EVENT_LOG_H_
 
@@ -11,7 +11,7 @@
 
 namespace millethollow {
 
-// The process's logger, set to the present LogLevel(). Thread-safe.
+// The logger of the process. Each call sets its level to the current LogLevel(). Thread-safe.
 spdlog::logger& Events();
 
 }  // namespace millethollow
--- a/src/logging/log.h
+++ b/src/logging/log.h
@@ -9,15 +9,16 @@
 
 namespace millethollow {
 
+// Severity, from the most to the least important.
 enum class Level : std::uint8_t { kError, kWarn, kInfo, kDebug };
 
-// The level of this process: lines of a less important one are dropped.
+// The level of this process; less important lines are dropped.
 inline Level& LogLevel() {
   static Level level = Level::kInfo;
   return level;
 }
 
-// As the configuration has it; kInfo for any other text.
+// The level named by the setting `log_level`; kInfo for an unknown name.
 inline Level ParseLogLevel(std::string_view name) {
   return name == "error"   ? Level::kError
          : name == "warn"  ? Level::kWarn
@@ -25,28 +26,28 @@
                            : Level::kInfo;
 }
 
-// One line, written when the object goes out of scope, after the level's letter (E, W, I, D):
-// LogLine(Level::kInfo) << "config-reloaded name=" << name.
+// Builds one line, which the destructor writes after the letter of the level (E, W, I, D):
+// LogLine(Level::kInfo) << "config-reloaded name=" << name;
 class LogLine {
  public:
-  explicit LogLine(Level level) : on_(level <= LogLevel()) {
-    if (on_) text_ << "EWID"[static_cast<int>(level)] << ' ';
+  explicit LogLine(Level level) : enabled_(level <= LogLevel()) {
+    if (enabled_) text_ << "EWID"[static_cast<int>(level)] << ' ';
   }
   ~LogLine() {
-    if (!on_) return;
+    if (!enabled_) return;
     text_ << '\n';
-    std::clog << text_.str() << std::flush;  // in one write: processes share the stream
+    std::clog << text_.str() << std::flush;  // one write: processes share the stream
   }
   LogLine(const LogLine&) = delete;
   LogLine& operator=(const LogLine&) = delete;
   template <typename T>
   LogLine& operator<<(const T& value) {
-    if (on_) text_ << value;
+    if (enabled_) text_ << value;
     return *this;
   }
 
  private:
-  bool on_;
+  bool enabled_;
   std::ostringstream text_;
 };
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,5 @@
-// millethollow: reads its configuration and runs a node, the processes of a two-level deployment,
-// or the importer.
+// The program millethollow: runs a node, the planners and forwarders of a two-level deployment, or
+// the HAProxy importer.
 #include <csignal>
 #include <fstream>
 #include <iostream>
@@ -22,59 +22,61 @@
 
 constexpr std::string_view kUsage =
     "usage: millethollow [--config FILE] [--also FILE] [--check]\n"
-    "       --also FILE: adds the section 'scheduling' to what the platform gives\n"
-    "       millethollow import-haproxy FILE    writes an operator's file to standard output";
+    "       --also FILE: reads the section 'scheduling' from this file too\n"
+    "       millethollow import-haproxy FILE    writes a configuration to standard output";
 
-// Prints an error for the operator. Returns the exit status.
-int Complain(const std::string& error) {
+// Prints an error to standard error. Returns the exit status.
+int ReportError(const std::string& error) {
   std::cerr << "millethollow: " << error << std::endl;
   return 1;
 }
 
-// The command `import-haproxy`.
-int Import(const std::string& path) {
-  std::ifstream in(path);
+// Runs the command `import-haproxy`. Returns the exit status.
+int RunHaproxyImport(const std::string& path) {
+  std::ifstream input(path);
   std::stringstream text;
-  if (!in || !(text << in.rdbuf())) return Complain("cannot read " + path);
-  millethollow::Import import;
+  if (!input || !(text << input.rdbuf())) return ReportError("cannot read " + path);
+  millethollow::HaproxyImport import;
   std::string error;
   if (!millethollow::ImportHaproxy(text.str(), &import, &error))
-    return Complain(path + ": " + error);
+    return ReportError(path + ": " + error);
   for (const std::string& note : import.notes) std::cerr << path << ": " << note << "\n";
   std::cout << import.config;
   return 0;
 }
 
+// Runs a node until it is stopped. Returns the exit status.
 int RunNode(const Config& config, Role role, const std::string& path) {
   try {
     millethollow::Node node(config, role);
     if (const millethollow::Status started = node.Start(); !started) {
-      return Complain(started.error().message);
+      return ReportError(started.error().message);
     }
     node.CatchSignals(path);
     node.Run();
     node.PrintCounters(std::clog);
-  } catch (const std::exception& e) {
-    return Complain(std::string("cannot go on: ") + e.what());
+  } catch (const std::exception& exception) {
+    return ReportError(std::string("fatal: ") + exception.what());
   }
   return 0;
 }
 
+// The command line.
 struct Arguments {
-  std::string config_path, also_path;
+  std::string config_path, scheduling_path;
   bool check_only = false;
 };
 
-// None: they are not those of kUsage.
+// Returns nullopt for arguments that kUsage does not list.
 std::optional<Arguments> ParseArguments(int argc, char** argv) {
   Arguments arguments;
   for (int i = 1; i < argc; ++i) {
-    const std::string_view arg = argv[i];
-    if (arg == "--config" && i + 1 < argc) {
+    const std::string_view argument = argv[i];
+    if (argument == "--config" && i + 1 < argc) {
       arguments.config_path = argv[++i];
-    } else if (arg == "--also" && i + 1 < argc) {
-      arguments.also_path = argv[++i];
-    } else if (arg == "--check") {
+    } else if (argument == "--also" && i + 1 < argc) {
+      arguments.scheduling_path = argv[++i];
+    } else if (argument == "--check") {
       arguments.check_only = true;
     } else {
       return std::nullopt;
@@ -83,7 +85,7 @@
   return arguments;
 }
 
-// SIGHUP stays blocked until a handler is installed: by default it ends the process.
+// Blocks SIGHUP until a handler is installed, since its default action ends the process.
 void BlockReloadSignal() {
   sigset_t reload;
   sigemptyset(&reload);
@@ -91,7 +93,7 @@
   sigprocmask(SIG_BLOCK, &reload, nullptr);
 }
 
-// For the supervisor: processes that are restarted later use the new file.
+// Reloads the file for the supervisor, so that processes which it restarts use the new one.
 bool Reload(const std::string& path, Config* config) {
   millethollow::ClassChanges changes;
   std::string reason;
@@ -104,14 +106,14 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  if (argc == 3 && std::string_view(argv[1]) == "import-haproxy") return Import(argv[2]);
+  if (argc == 3 && std::string_view(argv[1]) == "import-haproxy") return RunHaproxyImport(argv[2]);
   const std::optional<Arguments> arguments = ParseArguments(argc, argv);
-  if (!arguments) return Complain(std::string(kUsage));
+  if (!arguments) return ReportError(std::string(kUsage));
   const std::string& path = arguments->config_path;
   Config config;
-  config.also = arguments->also_path;
+  config.scheduling_path = arguments->scheduling_path;
   std::string reason;
-  if (!millethollow::LoadConfig(path, &config, &reason)) return Complain(reason);
+  if (!millethollow::LoadConfig(path, &config, &reason)) return ReportError(reason);
   if (arguments->check_only) return 0;
   millethollow::LogLevel() = millethollow::ParseLogLevel(config.log_level);
   BlockReloadSignal();
--- a/tests/haproxy_test.cpp
+++ b/tests/haproxy_test.cpp
@@ -38,7 +38,7 @@
 )";
 
 TEST(Haproxy, TakesOverProxiesAndNamesTheRest) {
-  Import import;
+  HaproxyImport import;
   std::string error;
   ASSERT_TRUE(ImportHaproxy(kFile, &import, &error)) << error;
   Config c;
@@ -84,7 +84,7 @@
       {"backend a\n server x 1.2.3.4:5\n", "no section binds"},
   };
   for (const auto& [text, wanted] : cases) {
-    Import import;
+    HaproxyImport import;
     std::string error;
     EXPECT_FALSE(ImportHaproxy(text, &import, &error)) << text;
     EXPECT_TRUE(error.starts_with(wanted)) << error;
@@ -106,7 +106,7 @@
     for (int hits = 1 + static_cast<int>(random() % 20); hits > 0; --hits) {
       text[random() % text.size()] = "\n \"'\\#9a:s"[random() % 11];
     }
-    Import import;
+    HaproxyImport import;
     std::string error;
     Config config;
     if (ImportHaproxy(text, &import, &error)) {
