--- a/src/simulator_adapter/action_writer.cpp
+++ b/src/simulator_adapter/action_writer.cpp
@@ -1,6 +1,7 @@
-// Names on the wire and in the code:
+// Names in the code and on the wire. Each field is given as the member of the action, followed by
+// its name on the wire where that differs:
 //
-//   action           message         fields in the action and on the wire
+//   action           message         fields
 //   SendAttempt      HAND_OFF        id msg_id, worker, timeout_s try_for_s
 //   RejectRequest    REFUSE          id msg_id, retry_after_s wait_s
 //   FailRequest      GIVE_UP         id msg_id
@@ -23,11 +24,12 @@
 namespace millethollow::simulator_adapter {
 namespace {
 
-// Appends lines about one instance.
+// Appends messages about one instance to a reply.
 class LineWriter {
  public:
   LineWriter(std::int64_t instance, std::string* reply) : instance_(instance), reply_(reply) {}
 
+  // Starts a line with the name of its message and the instance.
   LineWriter& Begin(std::string_view message) {
     std::array<char, 24> digits{};
     const auto end = std::to_chars(digits.data(), digits.data() + digits.size(), instance_).ptr;
@@ -39,7 +41,7 @@
     reply_->append(" ").append(name).append("=").append(value);
     return *this;
   }
-  // Left out where it is 0.
+  // Appends a duration; leaves out 0, the default.
   LineWriter& SecondsAboveZero(std::string_view name, double seconds) {
     return seconds > 0 ? Field(name, FormatSeconds(seconds)) : *this;
   }
--- a/src/simulator_adapter/action_writer.h
+++ b/src/simulator_adapter/action_writer.h
@@ -1,5 +1,5 @@
-// From actions of the decision module to messages of the simulator. The table of the wire's names
-// and the code's is in action_writer.cpp.
+// Converts actions of the decision module to messages of the simulator. action_writer.cpp has a
+// table of the names in the code and on the wire.
 #ifndef MILLETHOLLOW_SIMULATOR_ADAPTER_ACTION_WRITER_H_
 #define MILLETHOLLOW_SIMULATOR_ADAPTER_ACTION_WRITER_H_
 
@@ -11,11 +11,11 @@
 
 namespace millethollow::simulator_adapter {
 
-// Appends the line of an action of `instance` to `reply`. AwaitCapacity has none: the scheduler
-// before the decision module carries it out.
+// Appends an action of `instance` to `reply`, as one line. AwaitCapacity has no message, since the
+// scheduler in front of the decision module executes it.
 void AppendAction(std::int64_t instance, const balancing::Action& action, std::string* reply);
 
-// Appends the line that says that `instance` can't run, and why.
+// Appends the message that `instance` can't run, with the reason.
 void AppendInstanceFailure(std::int64_t instance, std::string_view error, std::string* reply);
 
 }  // namespace millethollow::simulator_adapter
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -7,7 +7,7 @@
 namespace millethollow::simulator_adapter {
 namespace {
 
-constexpr std::size_t kMaxTextInError = 200;  // bytes of the faulty line that a report shows
+constexpr std::size_t kMaxReportedBytes = 200;  // of a malformed line, in an error report
 
 std::string_view MessageName(std::string_view text) { return text.substr(0, text.find(' ')); }
 
@@ -49,8 +49,8 @@
 }
 
 void Adapter::EndBatch(std::string_view text) {
-  if (lists_.ExpectsEntry()) ReportError(text, "a list ended early");
-  lists_.End();
+  if (endpoint_lists_.ExpectsEntry()) ReportError(text, "a list ended early");
+  endpoint_lists_.End();
   reply_ += "NEXT\n";
   in_batch_ = false;
   reply_ready_ = true;
@@ -65,11 +65,11 @@
 void Adapter::HandleMessage(std::string_view text) {
   Status status = SplitLine(text, &line_);
   if (!status) return ReportError(text, status.error().message);
-  if (lists_.ExpectsEntry() && line_.name == "ENTRY") {
+  if (endpoint_lists_.ExpectsEntry() && line_.name == "ENTRY") {
     status = HandleEndpoint();
   } else {
-    if (lists_.ExpectsEntry()) ReportError(text, "a list ended early");
-    lists_.End();
+    if (endpoint_lists_.ExpectsEntry()) ReportError(text, "a list ended early");
+    endpoint_lists_.End();
     status = line_.name == "CENSUS" ? BeginEndpointList() : HandleInstanceMessage();
   }
   if (!status) ReportError(text, status.error().message);
@@ -78,10 +78,10 @@
 Status Adapter::HandleEndpoint() {
   Result<balancing::Endpoint> endpoint = ReadEndpoint(line_.fields);
   if (!endpoint) {
-    lists_.SkipEntry();
+    endpoint_lists_.SkipEntry();
     return tl::unexpected(std::move(endpoint).error());
   }
-  lists_.Add(*std::move(endpoint));
+  endpoint_lists_.Add(*std::move(endpoint));
   return {};
 }
 
@@ -89,7 +89,7 @@
   FieldReader fields(line_.fields);
   const std::int64_t list = fields.RequiredInteger("list");
   const std::int64_t entries = fields.RequiredInteger("elements");
-  return fields.ok() ? lists_.Begin(list, entries) : fields.status();
+  return fields.ok() ? endpoint_lists_.Begin(list, entries) : fields.status();
 }
 
 Status Adapter::HandleInstanceMessage() {
@@ -114,7 +114,7 @@
     return tl::unexpected(settings.error());
   }
   std::unique_ptr<scheduling::SchedulingBalancer>& instance = instances_[id];
-  instance = std::make_unique<scheduling::SchedulingBalancer>(*settings, seed, options_);
+  instance = std::make_unique<scheduling::SchedulingBalancer>(*settings, seed, scheduler_options_);
   Deliver(id, instance.get(), balancing::DispatcherStarted{});
   return {};
 }
@@ -139,7 +139,7 @@
 
 void Adapter::ReportError(std::string_view text, std::string_view error) {
   *errors_ << "simulator_adapter: line " << line_number_ << ": " << error << ": "
-           << text.substr(0, kMaxTextInError) << (text.size() > kMaxTextInError ? "..." : "")
+           << text.substr(0, kMaxReportedBytes) << (text.size() > kMaxReportedBytes ? "..." : "")
            << "\n";
 }
 
--- a/src/simulator_adapter/adapter.h
+++ b/src/simulator_adapter/adapter.h
@@ -1,4 +1,5 @@
-// Runs decision modules behind the simulator's line protocol. No decision is made here.
+// Connects decision modules to the simulator's line protocol. It only translates; it makes no
+// load-balancing decision.
 #ifndef MILLETHOLLOW_SIMULATOR_ADAPTER_ADAPTER_H_
 #define MILLETHOLLOW_SIMULATOR_ADAPTER_ADAPTER_H_
 
@@ -20,21 +21,22 @@
 
 namespace millethollow::simulator_adapter {
 
-// Any number of instances, each a decision module with the scheduler before it. Input comes in
-// batches of lines (TURN to YOUR_TURN), each of which is answered at its end. A line that can't be
-// used is reported and skipped.
+// Runs any number of instances, each a decision module behind its scheduler. Input comes in batches
+// of lines, from TURN to YOUR_TURN, each of which has one reply. Malformed lines are reported and
+// skipped.
 class Adapter {
  public:
-  // `errors`: where bad input is reported, one line each; must outlive the adapter. `options`: of
-  // the scheduler of each instance.
+  // `errors`: receives one line for each malformed input line; must outlive the adapter. `options`:
+  // the scheduler options of each instance.
   explicit Adapter(std::ostream* errors, scheduling::Options options = {})
-      : errors_(errors), options_(std::move(options)) {}
+      : errors_(errors), scheduler_options_(std::move(options)) {}
 
-  // Takes one line of input. False when the bounds of batches are lost and no further line can be
-  // understood.
+  // Handles one line of input. Returns false once the bounds of batches are lost, so that no
+  // further line can be interpreted.
   bool HandleLine(std::string_view text);
-  // The reply to the batch that was closed last, once; none if no batch was closed since.
+  // Returns the reply to the batch that ended last, once; nullopt if no batch ended since.
   std::optional<std::string> TakeReply();
+  // Whether a batch has begun and not ended.
   bool in_batch() const { return in_batch_; }
 
  private:
@@ -53,14 +55,14 @@
   void ReportError(std::string_view text, std::string_view error);
 
   std::ostream* errors_;
-  scheduling::Options options_;
+  scheduling::Options scheduler_options_;
   Instances instances_;
-  EndpointLists lists_;
-  EventReader event_reader_{&lists_};
+  EndpointLists endpoint_lists_;
+  EventReader event_reader_{&endpoint_lists_};
   bool in_batch_ = false;
-  double now_s_ = 0;  // the simulator's clock at the batch
+  double now_s_ = 0;  // the simulator's clock at the start of the batch, in seconds
   std::uint64_t line_number_ = 0;
-  WireLine line_;  // the one in hand
+  WireLine line_;  // the current line
   balancing::Actions actions_;
   std::string reply_;
   bool reply_ready_ = false;
--- a/src/simulator_adapter/base64.cpp
+++ b/src/simulator_adapter/base64.cpp
@@ -9,12 +9,12 @@
 
 constexpr std::string_view kAlphabet =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
-constexpr std::string_view kEmpty = "-";
+constexpr std::string_view kEmptyText = "-";  // the simulator's form of the empty string
 constexpr std::size_t kCharsPerGroup = 4, kBytesPerGroup = 3;
 constexpr int kNotInAlphabet = -1;
 
-// The value of each character.
-constexpr std::array<int, 256> MakeValues() {
+// The value of each character; kNotInAlphabet for other characters.
+constexpr std::array<int, 256> MakeCharacterValues() {
   std::array<int, 256> values{};
   values.fill(kNotInAlphabet);
   for (std::size_t i = 0; i < kAlphabet.size(); ++i) {
@@ -22,7 +22,7 @@
   }
   return values;
 }
-constexpr std::array<int, 256> kValues = MakeValues();
+constexpr std::array<int, 256> kCharacterValues = MakeCharacterValues();
 
 std::size_t CountPadding(std::string_view text) {
   if (text.back() != '=') return 0;
@@ -33,14 +33,14 @@
 
 std::optional<std::string> DecodeBase64(std::string_view text) {
   std::string bytes;
-  if (text == kEmpty || text.empty()) return bytes;
+  if (text == kEmptyText || text.empty()) return bytes;
   if (text.size() % kCharsPerGroup != 0) return std::nullopt;
   const std::size_t padding = CountPadding(text);
   bytes.reserve(text.size() / kCharsPerGroup * kBytesPerGroup);
   std::uint32_t bits = 0;
   for (std::size_t i = 0; i < text.size(); ++i) {
     const bool is_padding = i + padding >= text.size();
-    const int value = is_padding ? 0 : kValues[static_cast<unsigned char>(text[i])];
+    const int value = is_padding ? 0 : kCharacterValues[static_cast<unsigned char>(text[i])];
     if (value == kNotInAlphabet) return std::nullopt;
     bits = bits << 6 | static_cast<std::uint32_t>(value);
     if (i % kCharsPerGroup != kCharsPerGroup - 1) continue;
@@ -54,7 +54,7 @@
 }
 
 std::string EncodeBase64(std::string_view bytes) {
-  if (bytes.empty()) return std::string(kEmpty);
+  if (bytes.empty()) return std::string(kEmptyText);
   std::string text;
   text.reserve((bytes.size() + 2) / kBytesPerGroup * kCharsPerGroup);
   for (std::size_t i = 0; i < bytes.size(); i += kBytesPerGroup) {
--- a/src/simulator_adapter/base64.h
+++ b/src/simulator_adapter/base64.h
@@ -8,8 +8,9 @@
 
 namespace millethollow::simulator_adapter {
 
-// None where the text is not Base64 with padding.
+// Returns nullopt if the text is not padded Base64.
 std::optional<std::string> DecodeBase64(std::string_view text);
+// Encodes bytes as padded Base64.
 std::string EncodeBase64(std::string_view bytes);
 
 }  // namespace millethollow::simulator_adapter
--- a/src/simulator_adapter/endpoint_lists.cpp
+++ b/src/simulator_adapter/endpoint_lists.cpp
@@ -13,7 +13,7 @@
   }
   current_ = static_cast<std::size_t>(list);
   lists_[current_].clear();
-  known_[current_] = true;
+  received_[current_] = true;
   entries_left_ = entries;
   return {};
 }
@@ -26,7 +26,7 @@
 const std::vector<balancing::Endpoint>* EndpointLists::Find(std::int64_t list) const {
   if (list < 0 || list >= static_cast<std::int64_t>(kListCount)) return nullptr;
   const auto index = static_cast<std::size_t>(list);
-  return known_[index] ? &lists_[index] : nullptr;
+  return received_[index] ? &lists_[index] : nullptr;
 }
 
 }  // namespace millethollow::simulator_adapter
--- a/src/simulator_adapter/endpoint_lists.h
+++ b/src/simulator_adapter/endpoint_lists.h
@@ -1,4 +1,4 @@
-// Endpoint lists that the simulator sends once and then refers to by number.
+// Endpoint lists, which the simulator sends once and then refers to by number.
 #ifndef MILLETHOLLOW_SIMULATOR_ADAPTER_ENDPOINT_LISTS_H_
 #define MILLETHOLLOW_SIMULATOR_ADAPTER_ENDPOINT_LISTS_H_
 
@@ -12,20 +12,22 @@
 
 namespace millethollow::simulator_adapter {
 
-// The lists by number. A list is announced with its number of entries, which follow one by one.
+// Stores the lists by number. The message that begins a list gives its number of entries, which
+// follow one by one.
 class EndpointLists {
  public:
-  // A list of `entries` endpoints follows, in place of an earlier one of this number.
+  // Begins a list of `entries` endpoints, which replaces an earlier list of the same number.
   Status Begin(std::int64_t list, std::int64_t entries);
+  // Whether the current list lacks entries.
   bool ExpectsEntry() const { return entries_left_ > 0; }
-  // The next entry of the list that was begun last.
+  // Adds the next entry of the current list.
   void Add(balancing::Endpoint endpoint);
-  // The next entry could not be read.
+  // Counts an entry that could not be read.
   void SkipEntry() { --entries_left_; }
-  // No more entries follow.
+  // Ends the current list.
   void End() { entries_left_ = 0; }
 
-  // Null for a number that no list was sent for. Valid until the number is used again.
+  // The list of this number; null if there is none. Valid until the number is used again.
   const std::vector<balancing::Endpoint>* Find(std::int64_t list) const;
 
  private:
@@ -33,7 +35,7 @@
   static constexpr std::int64_t kMaxEntries = 10'000'000;
 
   std::array<std::vector<balancing::Endpoint>, kListCount> lists_;
-  std::array<bool, kListCount> known_{};
+  std::array<bool, kListCount> received_{};
   std::size_t current_ = 0;
   std::int64_t entries_left_ = 0;
 };
--- a/src/simulator_adapter/event_reader.cpp
+++ b/src/simulator_adapter/event_reader.cpp
@@ -1,6 +1,7 @@
-// Names on the wire and in the code:
+// Names on the wire and in the code. Each field is given by its name on the wire, followed by the
+// member of the event where that differs:
 //
-//   message      event               fields on the wire and in the event
+//   message      event               fields
 //   INGRESS      RequestArrived      msg_id id, expires_s, slots, ram_units memory, party tenant,
 //                                    cls, again_by_client retry, target_key key, size_hint_s
 //   ACCEPTED     StreamStarted       msg_id id, hop attempt
@@ -51,13 +52,13 @@
     {"restored", EndpointListKind::kRestored},
     {"unavailable", EndpointListKind::kUnavailable},
 };
-constexpr std::int64_t kStartedNote = 1, kProgressNote = 2;
+constexpr std::int64_t kStartedCode = 1, kProgressCode = 2;
 
 AttemptStatus ReadStatus(FieldReader* fields) {
   return fields->RequiredName("verdict", kAttemptStatuses, "unknown verdict");
 }
 
-// The values of a load report, of which more than the event holds are left out.
+// Reads the values of a load report; ignores values beyond the capacity of the event.
 template <std::size_t N>
 void ReadLoadReport(FieldReader* fields, bool* has_report, double (&report)[N]) {
   const std::string_view text = fields->TextOrEmpty("health_info");
@@ -138,8 +139,8 @@
   event.attempt = fields->RequiredInt("hop");
   const std::int64_t kind = fields->RequiredInteger("kind");
   event.amount = fields->NumberOr("amount", event.amount);
-  if (kind != kStartedNote && kind != kProgressNote) return std::nullopt;
-  event.kind = kind == kStartedNote ? ProgressKind::kStarted : ProgressKind::kProgress;
+  if (kind != kStartedCode && kind != kProgressCode) return std::nullopt;
+  event.kind = kind == kStartedCode ? ProgressKind::kStarted : ProgressKind::kProgress;
   return event;
 }
 
--- a/src/simulator_adapter/event_reader.h
+++ b/src/simulator_adapter/event_reader.h
@@ -1,5 +1,5 @@
-// From messages of the simulator to events of the decision module. The table of the wire's names
-// and the code's is in event_reader.cpp.
+// Converts messages of the simulator to events of the decision module. event_reader.cpp has a table
+// of the names on the wire and in the code.
 #ifndef MILLETHOLLOW_SIMULATOR_ADAPTER_EVENT_READER_H_
 #define MILLETHOLLOW_SIMULATOR_ADAPTER_EVENT_READER_H_
 
@@ -15,7 +15,7 @@
 
 namespace millethollow::simulator_adapter {
 
-// An entry of an endpoint list.
+// Reads an entry of an endpoint list.
 Result<balancing::Endpoint> ReadEndpoint(const Fields& fields);
 
 // Reads the messages that are events of one dispatcher.
@@ -24,8 +24,8 @@
   // `lists`: the endpoint lists that messages refer to; must outlive the reader.
   explicit EventReader(const EndpointLists* lists) : lists_(lists) {}
 
-  // The event of a message; none for a message that the decision module has no use for. The event
-  // holds views of the line and of this reader, which are valid until the next call.
+  // Returns the event of a message; nullopt for a message that the decision module does not use.
+  // The event holds views of the line and of this reader, which are valid until the next call.
   Result<std::optional<balancing::Event>> Read(const WireLine& line);
 
  private:
@@ -44,7 +44,7 @@
   MaybeEvent ReadEndpointsUpdated(FieldReader* fields);
 
   const EndpointLists* lists_;
-  std::string peer_message_;  // decoded; the event refers to it
+  std::string peer_message_;  // decoded body of the last PeerMessage, which refers to it
 };
 
 }  // namespace millethollow::simulator_adapter
--- a/src/simulator_adapter/field_reader.cpp
+++ b/src/simulator_adapter/field_reader.cpp
@@ -20,12 +20,12 @@
   return NumberOr(name, 0);
 }
 
-double FieldReader::NumberOr(std::string_view name, double otherwise) {
+double FieldReader::NumberOr(std::string_view name, double default_value) {
   const std::string_view text = TextOrEmpty(name);
-  if (text.empty()) return otherwise;
+  if (text.empty()) return default_value;
   const std::optional<double> value = ParseNumber(text);
   if (!value) FailNumber(name);
-  return value.value_or(otherwise);
+  return value.value_or(default_value);
 }
 
 std::int64_t FieldReader::RequiredInteger(std::string_view name) {
@@ -34,8 +34,8 @@
   return value.value_or(0);
 }
 
-int FieldReader::IntOr(std::string_view name, int otherwise) {
-  if (TextOrEmpty(name).empty()) return otherwise;
+int FieldReader::IntOr(std::string_view name, int default_value) {
+  if (TextOrEmpty(name).empty()) return default_value;
   return RequiredInt(name);
 }
 
--- a/src/simulator_adapter/settings_reader.cpp
+++ b/src/simulator_adapter/settings_reader.cpp
@@ -1,8 +1,9 @@
-// Names of settings and members of balancing::Settings; a name that is not listed is the member's.
+// Names of settings and the members of balancing::Settings that they set. Settings that are not
+// listed have the name of their member.
 //
 //   balancers                      dispatcher_count
 //   ordinal                        dispatcher_index
-//   zones, kinds                   comma-separated names, of which the number counts
+//   zones, kinds                   the number of these comma-separated names
 //   classes.N.aim_s                classes[N].latency_objective_s
 //   classes.N.aim_stretch          classes[N].latency_objective_stretch
 //   classes.N.give_up_s            classes[N].client_timeout_s
@@ -11,7 +12,7 @@
 //   classes.N.window_s             classes[N].deduplication_window_s
 //   classes.N.semantics            classes[N].idempotency: repeatable, by_key, once
 //   classes.N.group                classes[N].deduplication_scope: all, zone, cell
-//   family_info.class_stretch      classes[N].latency_objective_stretch; the larger one counts
+//   family_info.class_stretch      classes[N].latency_objective_stretch, the larger of both
 //   family_info.class_kind         classes[N].kind, comma-separated
 //   family_info.class_priority     classes[N].priority, comma-separated
 //   tenants.N.fraction             tenants[N].share
@@ -20,12 +21,12 @@
 //   limits.may_duplicate           allow_hedging
 //   limits.most_tries              max_attempts
 //   report.source                  load_report_source: off, inline, on_probe
-//   report.columns                 load_report_metrics: rif in flight, q queued, busy utilization,
-//                                  lat_ms latency, rate, fail_rate, x0, x1
-//   family_info.report_x0, _x1     what columns x0 and x1 mean: free_slots, free_memory
+//   report.columns                 load_report_metrics: rif (requests in flight), q (queued), busy
+//                                  (utilization), lat_ms (latency), rate, fail_rate, x0, x1
+//   family_info.report_x0, _x1     metrics of the columns x0 and x1: free_slots, free_memory
 //   family_info.tells_start        workers_notify_start
 //   family_info.progress_s         progress_interval_s
-//   weights                        capacity_hints_valid, unless it is off
+//   weights                        capacity_hints_valid: false if empty or off
 //   prices.X                       price_X
 //   over_share_worth               over_quota_weight
 //   guarantees.ask_within_s        max_poll_interval_s
@@ -51,8 +52,8 @@
 using balancing::Settings;
 using balancing::TenantSettings;
 
-constexpr double kMaxInt = 1e9;         // integers beyond this are taken for damage
-constexpr int kMaxListLength = 100000;  // of classes or tenants
+constexpr double kMaxInteger = 1e9;     // larger magnitudes are rejected as malformed
+constexpr int kMaxListLength = 100000;  // classes or tenants
 
 constexpr NamedValue<Idempotency> kIdempotencies[] = {
     {"repeatable", Idempotency::kIdempotent},
@@ -75,19 +76,20 @@
     {"busy", LoadMetric::kUtilization}, {"lat_ms", LoadMetric::kLatencyMs},
     {"rate", LoadMetric::kRequestRate}, {"fail_rate", LoadMetric::kFailureRate},
 };
-constexpr NamedValue<LoadMetric> kMeaningsOfExtraColumns[] = {
+constexpr NamedValue<LoadMetric> kExtraColumnMetrics[] = {
     {"free_slots", LoadMetric::kFreeSlots},
     {"free_memory", LoadMetric::kFreeMemory},
 };
 
-// Values by name. Remembers the first one that can't be read: status() names it. A value that is
-// missing, empty or bad leaves the output as it is.
+// Values of settings by name. status() holds the first malformed value. A missing, empty or
+// malformed value leaves the output unchanged.
 class SettingValues {
  public:
   explicit SettingValues(const Fields& fields) {
     for (const auto& [name, value] : fields) values_[name] = value;
   }
 
+  // The value as text; empty if there is none.
   std::string_view Text(const std::string& name) const {
     const auto it = values_.find(name);
     return it == values_.end() ? std::string_view() : it->second;
@@ -97,14 +99,15 @@
   void Read(const std::string& name, int* out) {
     double value = *out;
     Read(name, &value);
-    if (std::abs(value) > kMaxInt || value != std::floor(value)) return Fail(name, Text(name));
+    if (std::abs(value) > kMaxInteger || value != std::floor(value)) return Fail(name, Text(name));
     *out = static_cast<int>(value);
   }
+  // Reads a name and stores its value from `table`.
   template <typename T, std::size_t N>
   void ReadName(const std::string& name, const NamedValue<T> (&table)[N], T* out) {
     Set(name, FindByName(table, Text(name)), out);
   }
-  // The number of items of a list, as the simulator gives it beside them.
+  // The number of items of a list, from the setting `<list>.count`.
   std::size_t ListLength(const std::string& list) {
     const std::string name = list + ".count";
     int length = 0;
@@ -113,13 +116,13 @@
     Fail(name, Text(name));
     return 0;
   }
-  // Item `i` of comma-separated numbers; `otherwise` where there are fewer.
-  double ItemOr(const std::string& name, std::size_t i, double otherwise) {
+  // Item `i` of comma-separated numbers; `default_value` if there are fewer.
+  double ItemOr(const std::string& name, std::size_t i, double default_value) {
     const std::vector<std::string_view> items = SplitAtCommas(Text(name));
-    if (i >= items.size()) return otherwise;
+    if (i >= items.size()) return default_value;
     const std::optional<double> value = ParseNumber(items[i]);
     if (!value) Fail(name, items[i]);
-    return value.value_or(otherwise);
+    return value.value_or(default_value);
   }
   const Status& status() const { return status_; }
 
@@ -153,22 +156,23 @@
   settings->kinds = CountNames(values->Text("kinds"));
 }
 
-void ReadClass(SettingValues* values, std::size_t index, ClassSettings* cls) {
+void ReadClass(SettingValues* values, std::size_t index, ClassSettings* class_settings) {
   const std::string prefix = "classes." + std::to_string(index) + ".";
-  values->Read(prefix + "aim_s", &cls->latency_objective_s);
+  values->Read(prefix + "aim_s", &class_settings->latency_objective_s);
   double stretch = 0;
   values->Read(prefix + "aim_stretch", &stretch);
-  cls->latency_objective_stretch =
+  class_settings->latency_objective_stretch =
       std::max(stretch, values->ItemOr("family_info.class_stretch", index, 0));
-  values->Read(prefix + "give_up_s", &cls->client_timeout_s);
-  values->Read(prefix + "importance", &cls->priority_weight);
-  values->Read(prefix + "late_worth", &cls->late_weight);
-  values->Read(prefix + "window_s", &cls->deduplication_window_s);
-  values->Read(prefix + "streamed", &cls->streamed);
-  values->ReadName(prefix + "semantics", kIdempotencies, &cls->idempotency);
-  values->ReadName(prefix + "group", kDeduplicationScopes, &cls->deduplication_scope);
-  cls->kind = static_cast<int>(values->ItemOr("family_info.class_kind", index, -1));
-  cls->priority = static_cast<int>(values->ItemOr("family_info.class_priority", index, 0));
+  values->Read(prefix + "give_up_s", &class_settings->client_timeout_s);
+  values->Read(prefix + "importance", &class_settings->priority_weight);
+  values->Read(prefix + "late_worth", &class_settings->late_weight);
+  values->Read(prefix + "window_s", &class_settings->deduplication_window_s);
+  values->Read(prefix + "streamed", &class_settings->streamed);
+  values->ReadName(prefix + "semantics", kIdempotencies, &class_settings->idempotency);
+  values->ReadName(prefix + "group", kDeduplicationScopes, &class_settings->deduplication_scope);
+  class_settings->kind = static_cast<int>(values->ItemOr("family_info.class_kind", index, -1));
+  class_settings->priority =
+      static_cast<int>(values->ItemOr("family_info.class_priority", index, 0));
 }
 
 void ReadTenant(SettingValues* values, std::size_t index, TenantSettings* tenant) {
@@ -189,10 +193,11 @@
   values->Read("limits.max_retry_after_s", &settings->max_retry_after_s);
 }
 
-LoadMetric MetricOf(const SettingValues& values, std::string_view column) {
+// The metric of a column of load reports; kOther if it is unknown.
+LoadMetric MetricOfColumn(const SettingValues& values, std::string_view column) {
   if (column == "x0" || column == "x1") {
-    const std::string_view meaning = values.Text("family_info.report_" + std::string(column));
-    return FindByName(kMeaningsOfExtraColumns, meaning).value_or(LoadMetric::kOther);
+    const std::string_view metric_name = values.Text("family_info.report_" + std::string(column));
+    return FindByName(kExtraColumnMetrics, metric_name).value_or(LoadMetric::kOther);
   }
   return FindByName(kLoadMetrics, column).value_or(LoadMetric::kOther);
 }
@@ -200,7 +205,7 @@
 void ReadLoadReports(SettingValues* values, Settings* settings) {
   values->ReadName("report.source", kLoadReportSources, &settings->load_report_source);
   for (const std::string_view column : SplitAtCommas(values->Text("report.columns"))) {
-    settings->load_report_metrics.push_back(MetricOf(*values, column));
+    settings->load_report_metrics.push_back(MetricOfColumn(*values, column));
   }
   values->Read("family_info.tells_start", &settings->workers_notify_start);
   values->Read("family_info.progress_s", &settings->progress_interval_s);
--- a/src/simulator_adapter/settings_reader.h
+++ b/src/simulator_adapter/settings_reader.h
@@ -1,6 +1,5 @@
-// Reads the settings of a dispatcher from the names and values that the simulator's START message
-// and the node's configuration file give them. The table of those names and the code's is in
-// settings_reader.cpp.
+// Reads the settings of a dispatcher from the names and values of the simulator's START message or
+// of a flattened configuration file. settings_reader.cpp has a table of the names.
 #ifndef MILLETHOLLOW_SIMULATOR_ADAPTER_SETTINGS_READER_H_
 #define MILLETHOLLOW_SIMULATOR_ADAPTER_SETTINGS_READER_H_
 
@@ -10,8 +9,8 @@
 
 namespace millethollow::simulator_adapter {
 
-// Settings that pass ValidateSettings, or the first value that is wrong. Unknown names are ignored;
-// of two fields with one name the last counts.
+// Returns settings that pass ValidateSettings, or an error that names the first invalid value.
+// Unknown names are ignored; of several fields with one name the last counts.
 Result<balancing::Settings> ParseSettings(const Fields& fields);
 
 }  // namespace millethollow::simulator_adapter
--- a/src/simulator_adapter/wire_line.cpp
+++ b/src/simulator_adapter/wire_line.cpp
@@ -8,10 +8,11 @@
 namespace millethollow::simulator_adapter {
 namespace {
 
-constexpr int kDecimalsOfSeconds = 6;
+constexpr int kSecondsDecimals = 6;
 
+// Parses the whole text as a number; nullopt if it is anything else.
 template <typename T>
-std::optional<T> FromChars(std::string_view text) {
+std::optional<T> ParseWhole(std::string_view text) {
   T value{};
   const char* end = text.data() + text.size();
   const auto [parsed_to, error] = std::from_chars(text.data(), end, value);
@@ -54,16 +55,16 @@
 }
 
 std::optional<double> ParseNumber(std::string_view text) {
-  const std::optional<double> value = FromChars<double>(text);
+  const std::optional<double> value = ParseWhole<double>(text);
   return value && std::isfinite(*value) ? value : std::nullopt;
 }
 
 std::optional<std::int64_t> ParseInteger(std::string_view text) {
-  return FromChars<std::int64_t>(text);
+  return ParseWhole<std::int64_t>(text);
 }
 
 std::optional<std::uint64_t> ParseUnsigned(std::string_view text) {
-  return FromChars<std::uint64_t>(text);
+  return ParseWhole<std::uint64_t>(text);
 }
 
 std::optional<bool> ParseBool(std::string_view text) {
@@ -75,7 +76,7 @@
 std::string FormatSeconds(double seconds) {
   std::array<char, 64> buffer{};
   const auto [end, error] = std::to_chars(buffer.data(), buffer.data() + buffer.size(), seconds,
-                                          std::chars_format::fixed, kDecimalsOfSeconds);
+                                          std::chars_format::fixed, kSecondsDecimals);
   if (error != std::errc()) return "0";
   std::string_view text(buffer.data(), static_cast<std::size_t>(end - buffer.data()));
   while (text.back() == '0') text.remove_suffix(1);
