--- a/src/config/cluster.h
+++ b/src/config/cluster.h
@@ -45,7 +45,8 @@
   // Number of members that store each durable job, and the least number that must have stored it.
   // min_replicas 0: two, or one in a cluster of one member.
   std::size_t copies = 3, min_replicas = 0;
-  copies::DurableJobQueue::Limits jobs;  // limits on the durable jobs that this member owns
+  copies::DurableJobQueue::Limits
+      jobs;  // limits on the accepted durable jobs that this member holds
   QuotaOptions quota;
 
   // Whether the node belongs to a cluster.
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -54,8 +54,9 @@
   ClusterOptions cluster;
 };
 
-// Parses the text of a file. Unknown keys of `settings` and of the top level are ignored. Returns
-// false and sets a one-line `error` if the file is invalid.
+// Parses the text of a file. Unknown keys are ignored, except in the sections `cluster` and
+// `scheduling`, where they are errors. Returns false and sets a one-line `error` if the file is
+// invalid.
 bool ReadConfig(std::string_view text, Config* config, std::string* error);
 // Reads the file at `path`, or at $LB_CONFIG if `path` is empty. The other LB_* variables supply
 // what the file does not set.
--- a/src/config/reload.cpp
+++ b/src/config/reload.cpp
@@ -107,20 +107,21 @@
   std::vector<bool> active(config->classes.size(), false);
   std::vector<int> index_of;  // by the order of classes in the new file
   std::vector<std::size_t> without_index;
-  for (std::size_t c = 0; c < new_config.classes.size(); ++c) {
+  for (std::size_t new_index = 0; new_index < new_config.classes.size(); ++new_index) {
     int index = -1;
     for (std::size_t i = 0; i < config->classes.size(); ++i) {
-      if (config->classes[i] != new_config.classes[c] || active[i]) continue;
-      if (SameSettings(config->settings.classes[i], new_config.settings.classes[c]))
+      if (config->classes[i] != new_config.classes[new_index] || active[i]) continue;
+      if (SameSettings(config->settings.classes[i], new_config.settings.classes[new_index]))
         index = static_cast<int>(i);
     }
     index_of.push_back(index);
     if (index >= 0) active[static_cast<std::size_t>(index)] = true;
-    if (index < 0) without_index.push_back(c);
+    if (index < 0) without_index.push_back(new_index);
   }
-  for (const std::size_t c : without_index) {
+  for (const std::size_t new_index : without_index) {
     std::size_t i = 0;
-    // An index that was active until now is not reused at once: requests for it may be in flight.
+    // An index that was active until now is not reused at once: requests for its class may still be
+    // on their way to the planner.
     while (i < active.size() &&
            (active[i] || config->class_active[i] || in_use(static_cast<int>(i))))
       ++i;
@@ -130,11 +131,11 @@
       config->classes.emplace_back();
       config->settings.classes.emplace_back();
     }
-    config->classes[i] = new_config.classes[c];
-    config->settings.classes[i] = new_config.settings.classes[c];
+    config->classes[i] = new_config.classes[new_index];
+    config->settings.classes[i] = new_config.settings.classes[new_index];
     active[i] = true;
-    index_of[c] = static_cast<int>(i);
-    changes.reassigned.push_back(index_of[c]);
+    index_of[new_index] = static_cast<int>(i);
+    changes.reassigned.push_back(index_of[new_index]);
   }
   config->class_active = std::move(active);
   config->gearman_functions = new_config.gearman_functions;
--- a/src/config/reload.h
+++ b/src/config/reload.h
@@ -28,9 +28,10 @@
 ClassChanges MergeClasses(const Config& new_config, const std::function<bool(int)>& in_use,
                           Config* config);
 
-// Applies what can change under load: the settings, the scheduling options, the discovery address, the list of known
-// workers, the log level and the Gearman functions; all else takes effect at a restart. Returns
-// false and sets a one-line `error` if the new file is rejected; `config` is then unchanged.
+// Applies what can change under load: the settings, the scheduling options, the discovery address,
+// the list of known workers, the log level and the Gearman functions; all else takes effect at a
+// restart. Returns false and sets a one-line `error` if the new file is rejected; `config` is then
+// unchanged.
 bool ReloadConfig(const std::string& path, const std::function<bool(int)>& in_use, Config* config,
                   ClassChanges* changes, std::string* error);
 
--- a/tests/base64_test.cpp
+++ b/tests/base64_test.cpp
@@ -1,3 +1,5 @@
+// Base64 of peer messages: every length of padding must round-trip, malformed text must be
+// rejected.
 #include "simulator_adapter/base64.h"
 
 #include <gtest/gtest.h>
--- a/tests/haproxy_test.cpp
+++ b/tests/haproxy_test.cpp
@@ -1,4 +1,5 @@
-// The importer: what it takes over, and that what it can't honour is named with its line.
+// The HAProxy importer must convert what this program supports and report each line that it
+// ignores; otherwise an operator loses settings without notice.
 #include "config/haproxy.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +13,7 @@
 namespace millethollow {
 namespace {
 
-const std::string kFile = R"(global
+const std::string kHaproxyFile = R"(global
   maxconn 200
   daemon
 defaults base
@@ -37,23 +38,23 @@
   server s1 127.0.0.1:9004 weight 0
 )";
 
-TEST(Haproxy, TakesOverProxiesAndNamesTheRest) {
+TEST(Haproxy, ConvertsProxiesAndReportsIgnoredLines) {
   HaproxyImport import;
   std::string error;
-  ASSERT_TRUE(ImportHaproxy(kFile, &import, &error)) << error;
-  Config c;
-  ASSERT_TRUE(ReadConfig(import.config, &c, &error)) << error;
-  EXPECT_EQ(c.listen, "0.0.0.0:8080");
-  EXPECT_EQ(c.classes, (std::vector<std::string>{"roast", "ship"}));
-  EXPECT_EQ(c.settings.classes[0].client_timeout_s, 6);
-  EXPECT_EQ(c.settings.classes[1].client_timeout_s, 1.5);
-  EXPECT_EQ(c.settings.classes[1].kind, 1);
-  EXPECT_EQ(c.settings.classes[0].idempotency, balancing::Idempotency::kNotIdempotent);
-  EXPECT_EQ(c.connect_timeout_s, 0.25);
-  EXPECT_EQ(c.settings.max_attempts, 3);  // ship takes over the defaults above it
-  EXPECT_EQ(c.max_sockets, 464u);
+  ASSERT_TRUE(ImportHaproxy(kHaproxyFile, &import, &error)) << error;
+  Config config;
+  ASSERT_TRUE(ReadConfig(import.config, &config, &error)) << error;
+  EXPECT_EQ(config.listen, "0.0.0.0:8080");
+  EXPECT_EQ(config.classes, (std::vector<std::string>{"roast", "ship"}));
+  EXPECT_EQ(config.settings.classes[0].client_timeout_s, 6);
+  EXPECT_EQ(config.settings.classes[1].client_timeout_s, 1.5);
+  EXPECT_EQ(config.settings.classes[1].kind, 1);
+  EXPECT_EQ(config.settings.classes[0].idempotency, balancing::Idempotency::kNotIdempotent);
+  EXPECT_EQ(config.connect_timeout_s, 0.25);
+  EXPECT_EQ(config.settings.max_attempts, 3);  // section ship inherits the defaults above it
+  EXPECT_EQ(config.max_sockets, 464u);
   ServerList list;
-  ASSERT_TRUE(ReadServerList(c.known_workers, c.zones, c.kinds, &list, &error));
+  ASSERT_TRUE(ReadServerList(config.known_workers, config.zones, config.kinds, &list, &error));
   ASSERT_EQ(list.entries.size(), 3u);
   EXPECT_EQ(list.entries[0].member.capacity_hint, 3);
   EXPECT_EQ(list.entries[0].max_in_flight, 4u);
@@ -61,17 +62,17 @@
   EXPECT_EQ(list.entries[2].member.readiness, balancing::Readiness::kDraining);
   std::string notes;
   for (const std::string& note : import.notes) notes += note + "\n";
-  for (const char* wanted :
+  for (const char* expected :
        {"line 3: not honoured: global 'daemon'", "line 8: not honoured: timeout client",
         "line 11: not honoured: bind 127.0.0.1:8081", "line 12: not honoured: 'acl' old",
         "line 15: not honoured: balance leastconn", "line 17: not honoured: server option 'check'",
         "line 17: not honoured: server option 'inter'", "line 19: not honoured: server address",
         "line 21: not honoured: bind 127.0.0.1:8082"}) {
-    EXPECT_NE(notes.find(wanted), std::string::npos) << wanted << "\n" << notes;
+    EXPECT_NE(notes.find(expected), std::string::npos) << expected << "\n" << notes;
   }
 }
 
-TEST(Haproxy, SaysWhereItCannotRead) {
+TEST(Haproxy, ReportsTheLineOfAnError) {
   const std::pair<const char*, const char*> cases[] = {
       {"bind :80\n", "line 1: "},
       {"listen a\n bind :80\n server x\n", "line 3: "},
@@ -83,15 +84,15 @@
       {"listen a\n bind :80\nlisten a\n", "line 3: "},
       {"backend a\n server x 1.2.3.4:5\n", "no section binds"},
   };
-  for (const auto& [text, wanted] : cases) {
+  for (const auto& [text, expected] : cases) {
     HaproxyImport import;
     std::string error;
     EXPECT_FALSE(ImportHaproxy(text, &import, &error)) << text;
-    EXPECT_TRUE(error.starts_with(wanted)) << error;
+    EXPECT_TRUE(error.starts_with(expected)) << error;
   }
 }
 
-TEST(Haproxy, ReadsTimesWithUnits) {
+TEST(Haproxy, ParsesTimesWithUnits) {
   EXPECT_EQ(HaproxySeconds("1500"), 1.5);
   EXPECT_EQ(HaproxySeconds("2m"), 120);
   EXPECT_EQ(HaproxySeconds("1d"), 86400);
@@ -99,11 +100,11 @@
     EXPECT_FALSE(HaproxySeconds(bad)) << bad;
 }
 
-TEST(Haproxy, OutlivesGarbage) {
+TEST(Haproxy, HandlesMutatedFiles) {
   std::mt19937 random(20261201);
-  for (int round = 0; round < 1000; ++round) {
-    std::string text = kFile;
-    for (int hits = 1 + static_cast<int>(random() % 20); hits > 0; --hits) {
+  for (int iteration = 0; iteration < 1000; ++iteration) {
+    std::string text = kHaproxyFile;
+    for (int mutations = 1 + static_cast<int>(random() % 20); mutations > 0; --mutations) {
       text[random() % text.size()] = "\n \"'\\#9a:s"[random() % 11];
     }
     HaproxyImport import;
--- a/tests/settings_validation_test.cpp
+++ b/tests/settings_validation_test.cpp
@@ -1,4 +1,5 @@
-// Which settings the decision module accepts.
+// Validation of the decision module's settings. Usage reports have 16-bit tenant indices: with more
+// tenants than these can encode, a report would count for the wrong tenant.
 #include <gtest/gtest.h>
 
 #include "millethollow/balancing/load_balancer.h"
@@ -6,7 +7,7 @@
 namespace millethollow::balancing {
 namespace {
 
-TEST(SettingsValidationTest, TenantsAreBoundedByWhatReportsCanIndex) {
+TEST(SettingsValidationTest, RejectsMoreTenantsThanReportsCanIndex) {
   Settings settings;
   settings.classes.resize(1);
   settings.tenants.assign(60'000, {.share = 1});
