--- a/src/config/config.h
+++ b/src/config/config.h
@@ -22,7 +22,8 @@
 
 // Configuration of a process.
 struct Config {
-  // `known_workers`: the worker list of the file, as JSON; {} if the file has none.
+  // Addresses are IPv4 address:port; empty: not used. `peers_all` is an address that reaches all
+  // peers. `known_workers`: the worker list of the file, as JSON; {} if the file has none.
   std::string name, listen, admin, discovery, peer_listen, peers_all, known_workers = "{}",
                                                                       log_level = "info";
   std::vector<std::string> peers;  // addresses
