--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -29,7 +29,7 @@
 }
 
 Status Node::Start() {
-  loop_.budget() = DescriptorBudget::Of(config_.sockets);
+  loop_.budget() = DescriptorBudget::Of(config_.max_sockets);
   std::uint64_t seed = config_.seed;
   if (seed == 0) seed = std::random_device{}();
   RequestStateFromPredecessor();
@@ -55,12 +55,12 @@
 
 void Node::RequestStateFromPredecessor() {
   // Hot restart needs two processes of a node at a time; a member of a cluster may have only one.
-  if (config_.handover.empty() || config_.cluster.on()) return;
+  if (config_.handover_directory.empty() || config_.cluster.on()) return;
   if (role_.kind != Role::Kind::kCombined) return;
   std::string name = config_.name + "-" + config_.listen;
   std::replace(name.begin(), name.end(), '/', '_');
   hot_restart_ = std::make_unique<handover::HotRestart>(
-      &loop_, config_.handover + "/millethollow-" + name + ".sock");
+      &loop_, config_.handover_directory + "/millethollow-" + name + ".sock");
   inherited_state_ = hot_restart_->RequestState(run_predecessor);
 }
 
--- a/src/node/node_forwarder.cpp
+++ b/src/node/node_forwarder.cpp
@@ -17,7 +17,7 @@
   forwarder_ = std::make_unique<Forwarder>(&loop_);
   http::WorkerPool::Options options;
   options.connect_timeout_s = config_.connect_timeout_s;
-  options.idle_s = config_.conn_idle_s;
+  options.idle_s = config_.connection_idle_timeout_s;
   options.columns = config_.columns;
   options.counters = &counters_;
   options.may_act = [this](const std::string& durable_job) {
@@ -92,7 +92,7 @@
 http::Names Node::ActiveNames() const {
   http::Names names{.classes = config_.classes, .tenants = config_.tenants, .keyed = {}};
   for (std::size_t index = 0; index < names.classes.size(); ++index) {
-    if (!config_.live[index]) names.classes[index] = kUnmatchableName;
+    if (!config_.class_active[index]) names.classes[index] = kUnmatchableName;
     const auto idempotency = config_.settings.classes[index].idempotency;
     names.keyed.push_back(idempotency == balancing::Idempotency::kIdempotentWithKey);
   }
--- a/src/node/node_planner.cpp
+++ b/src/node/node_planner.cpp
@@ -27,7 +27,7 @@
 }  // namespace
 
 std::string PlannerSocketPath(const Config& config, int planner) {
-  return config.link + "/planner-" + std::to_string(planner) + ".sock";
+  return config.link_directory + "/planner-" + std::to_string(planner) + ".sock";
 }
 
 Status Node::StartPlanner(std::uint64_t seed) {
@@ -48,8 +48,8 @@
   environment_.parts().discovery = discovery_.get();
   ServerList endpoint_list;
   std::string reason;
-  if (config_.known != "{}" &&
-      !ReadServerList(config_.known, config_.zones, config_.kinds, &endpoint_list, &reason)) {
+  if (config_.known_workers != "{}" && !ReadServerList(config_.known_workers, config_.zones,
+                                                       config_.kinds, &endpoint_list, &reason)) {
     return MakeError(ErrorCode::kInvalidArgument, reason);
   }
   if (inherited_state_.complete && !inherited_state_.endpoints.empty()) {
@@ -85,7 +85,7 @@
   parts.hot_restart = hot_restart_.get();
   planner_ = std::make_unique<Planner>(config_.settings, seed, &loop_.deadlines(), &environment_,
                                        &counters_, config_.scheduling);
-  planner_->SetClassNames(config_.classes, config_.live);
+  planner_->SetClassNames(config_.classes, config_.class_active);
 }
 
 Status Node::ConnectForwarders() {
--- a/src/node/node_reload.cpp
+++ b/src/node/node_reload.cpp
@@ -27,8 +27,9 @@
            (forwarder_ && forwarder_->InUse(class_index));
   };
   if (!ReloadConfig(config_path_, class_in_use, &new_config, &class_changes, &reason) ||
-      (fixed_list && new_config.known != "{}" &&
-       !ReadServerList(new_config.known, config_.zones, config_.kinds, &endpoint_list, &reason))) {
+      (fixed_list && new_config.known_workers != "{}" &&
+       !ReadServerList(new_config.known_workers, config_.zones, config_.kinds, &endpoint_list,
+                       &reason))) {
     LogLine(Level::kError) << "config-rejected reason=\"" << reason << '"';
     counters_.reload_errors += 1;
     return;
@@ -40,7 +41,8 @@
   if (member_) ApplyQuotas();
   if (planner_) {
     planner_->Configure(config_.scheduling);
-    planner_->Configure(config_.settings, config_.classes, config_.live, class_changes.begun);
+    planner_->Configure(config_.settings, config_.classes, config_.class_active,
+                        class_changes.reassigned);
   }
   if (client_front_) ApplyNamesToFront(old_config);
   if (discovery_) discovery_->Move(config_.discovery);
@@ -58,7 +60,7 @@
   for (std::size_t index = 0; index < old_config.classes.size(); ++index) {
     const bool replaced = std::find(names.classes.begin(), names.classes.end(),
                                     old_config.classes[index]) != names.classes.end();
-    if (old_config.live[index] && !config_.live[index] && !replaced)
+    if (old_config.class_active[index] && !config_.class_active[index] && !replaced)
       names.classes[index] = old_config.classes[index];
   }
   client_front_->SetNames(std::move(names));
--- a/tests/quota_wiring_test.cpp
+++ b/tests/quota_wiring_test.cpp
@@ -183,7 +183,8 @@
   EXPECT_EQ(defaults.allocators, (std::vector<std::string>{"a", "b", "c"}));
   EXPECT_GT(defaults.timings.superseded_grant_s, 4.0 * 1.01)
       << "the membership lease, measured by the slower clock";
-  EXPECT_LE(LongestOldLease(defaults.timings) + defaults.timings.renew_interval_s, kQuotaInForceS);
+  EXPECT_LE(MaxSupersededLeaseS(defaults.timings) + defaults.timings.renew_interval_s,
+            kMaxQuotaPropagationS);
   const QuotaOptions own = ReadSection(
                                R"("timings":{"lease_s":3,"drift":0.02},
          "quota":{"allocators":["d","b"],"span_s":2,"renew_s":0.5,"report_gap_s":0.05,"floor_part":0.1,
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -190,7 +190,8 @@
   const auto is_accepted = [&](const std::string& text) {
     Config config;
     std::string error;
-    const bool ok = ReadConfig(text, &config, &error) && CheckWhole(valid_config, text, &error);
+    const bool ok =
+        ReadConfig(text, &config, &error) && CheckNoKeyMissing(valid_config, text, &error);
     EXPECT_EQ(ok, error.empty());
     EXPECT_EQ(error.find('\n'), std::string::npos);
     return ok;
@@ -228,18 +229,18 @@
   bool class_in_use = true;
   const auto in_use = [&](int) { return class_in_use; };
   const Config renamed = read_config(Replace(text, R"("name":"look")", R"("name":"peek")"));
-  EXPECT_EQ(MergeClasses(renamed, in_use, &config).begun, (std::vector{2}));
+  EXPECT_EQ(MergeClasses(renamed, in_use, &config).reassigned, (std::vector{2}));
   EXPECT_EQ(config.classes, (std::vector<std::string>{"look", "charge", "peek"}));
-  EXPECT_EQ(config.live, (std::vector{false, true, true}));
+  EXPECT_EQ(config.class_active, (std::vector{false, true, true}));
   const Config changed = read_config(Replace(text, R"("give_up_s":25)", R"("give_up_s":20)"));
-  EXPECT_EQ(MergeClasses(changed, in_use, &config).begun,
+  EXPECT_EQ(MergeClasses(changed, in_use, &config).reassigned,
             (std::vector{3}));  // look has its index 0 again
-  EXPECT_EQ(config.live, (std::vector{true, false, false, true}));
+  EXPECT_EQ(config.class_active, (std::vector{true, false, false, true}));
   class_in_use = false;
-  EXPECT_EQ(MergeClasses(read_config(text), in_use, &config).begun, std::vector<int>{});
+  EXPECT_EQ(MergeClasses(read_config(text), in_use, &config).reassigned, std::vector<int>{});
   const Config extended = read_config(Replace(
       text, kLookupClassJson, kLookupClassJson + "," + Replace(kLookupClassJson, "look", "more")));
-  EXPECT_EQ(MergeClasses(extended, in_use, &config).begun, (std::vector{2}));
+  EXPECT_EQ(MergeClasses(extended, in_use, &config).reassigned, (std::vector{2}));
 }
 
 // A reload adds a class, removes one and reduces the attempt limit. Open requests keep their rules.
--- a/tests/support/compatibility_settings.h
+++ b/tests/support/compatibility_settings.h
@@ -1,5 +1,6 @@
-// Formats the values that were read from a configuration file, one a line, to be compared with
-// those that the program at commit 3865b00 read from the same file.
+// Prints each value of a configuration on a line of its own, under fixed names. A test compares the
+// lines with those that revision 3865b00 printed for the same file: a renamed or lost setting would
+// silently change the behavior of existing deployments.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_COMPATIBILITY_SETTINGS_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_COMPATIBILITY_SETTINGS_H_
 
@@ -10,9 +11,11 @@
 
 namespace millethollow::compatibility {
 
+// Collects lines `name=value`.
 class ValueLines {
  public:
   ValueLines() { out_.precision(17); }
+  // Adds a value; an enum as its number.
   template <typename T>
   void Add(const std::string& name, const T& value) {
     if constexpr (std::is_enum_v<T>) {
@@ -21,6 +24,7 @@
       out_ << name << '=' << value << '\n';
     }
   }
+  // Adds the values of a list under their indices.
   void AddAll(const std::string& name, const auto& values) {
     int index = 0;
     for (const auto& value : values) Add(name + "." + std::to_string(index++), value);
@@ -31,6 +35,7 @@
   std::ostringstream out_;
 };
 
+// The settings of the decision module.
 inline void AddBalancing(const balancing::Settings& settings, ValueLines* lines) {
   lines->Add("balancers", settings.dispatcher_count);
   lines->Add("ordinal", settings.dispatcher_index);
@@ -39,19 +44,19 @@
   lines->Add("zones", settings.zones);
   lines->Add("kinds", settings.kinds);
   int index = 0;
-  for (const balancing::ClassSettings& cls : settings.classes) {
+  for (const balancing::ClassSettings& class_settings : settings.classes) {
     const std::string prefix = "classes." + std::to_string(index++) + ".";
-    lines->Add(prefix + "aim_s", cls.latency_objective_s);
-    lines->Add(prefix + "stretch", cls.latency_objective_stretch);
-    lines->Add(prefix + "give_up_s", cls.client_timeout_s);
-    lines->Add(prefix + "importance", cls.priority_weight);
-    lines->Add(prefix + "late_worth", cls.late_weight);
-    lines->Add(prefix + "semantics", cls.idempotency);
-    lines->Add(prefix + "group", cls.deduplication_scope);
-    lines->Add(prefix + "window_s", cls.deduplication_window_s);
-    lines->Add(prefix + "kind", cls.kind);
-    lines->Add(prefix + "priority", cls.priority);
-    lines->Add(prefix + "streamed", cls.streamed);
+    lines->Add(prefix + "aim_s", class_settings.latency_objective_s);
+    lines->Add(prefix + "stretch", class_settings.latency_objective_stretch);
+    lines->Add(prefix + "give_up_s", class_settings.client_timeout_s);
+    lines->Add(prefix + "importance", class_settings.priority_weight);
+    lines->Add(prefix + "late_worth", class_settings.late_weight);
+    lines->Add(prefix + "semantics", class_settings.idempotency);
+    lines->Add(prefix + "group", class_settings.deduplication_scope);
+    lines->Add(prefix + "window_s", class_settings.deduplication_window_s);
+    lines->Add(prefix + "kind", class_settings.kind);
+    lines->Add(prefix + "priority", class_settings.priority);
+    lines->Add(prefix + "streamed", class_settings.streamed);
   }
   index = 0;
   for (const balancing::TenantSettings& tenant : settings.tenants) {
@@ -88,6 +93,7 @@
   lines->Add("overload_for_s", settings.overload_for_s);
 }
 
+// The options of the process.
 inline void AddNode(const Config& config, ValueLines* lines) {
   lines->Add("name", config.name);
   lines->Add("listen", config.listen);
@@ -95,17 +101,17 @@
   lines->Add("discovery", config.discovery);
   lines->Add("peer_listen", config.peer_listen);
   lines->Add("peers_all", config.peers_all);
-  lines->Add("known", config.known);
+  lines->Add("known", config.known_workers);
   lines->Add("log_level", config.log_level);
   lines->AddAll("peer_addresses", config.peers);
   lines->Add("seed", config.seed);
-  lines->Add("sockets", config.sockets);
+  lines->Add("sockets", config.max_sockets);
   lines->AddAll("class_names", config.classes);
   lines->AddAll("tenant_names", config.tenants);
   lines->AddAll("zone_names", config.zones);
   lines->AddAll("kind_names", config.kinds);
   lines->AddAll("column_names", config.columns);
-  lines->Add("conn_idle_s", config.conn_idle_s);
+  lines->Add("conn_idle_s", config.connection_idle_timeout_s);
   lines->Add("connect_timeout_s", config.connect_timeout_s);
   lines->Add("gearman.listen", config.gearman_listen);
   for (const auto& [function, mapping] : config.gearman_functions) {
@@ -116,11 +122,12 @@
   lines->Add("gearman.kind", config.gearman_kind);
   lines->Add("gearman.cell", config.gearman_cell);
   lines->Add("gearman.path", config.gearman_path);
-  lines->Add("levels.link", config.link);
+  lines->Add("levels.link", config.link_directory);
   lines->Add("levels.planners", config.planners);
   lines->Add("levels.forwarders", config.forwarders);
 }
 
+// The section `scheduling`.
 inline void AddScheduling(const scheduling::Options& options, ValueLines* lines) {
   lines->Add("scheduling.enabled", options.on);
   lines->Add("scheduling.waiting.jobs", options.max_queued_jobs);
@@ -134,6 +141,7 @@
   lines->Add("scheduling.memory_per_slot", options.memory_per_slot);
 }
 
+// The section `cluster`.
 inline void AddCluster(const ClusterOptions& options, ValueLines* lines) {
   lines->Add("cluster.name", options.name);
   lines->Add("cluster.self", options.self);
@@ -182,6 +190,7 @@
   lines->Add("cluster.timings.forgive_s", options.agreement.rejoin_backoff_reset_s);
 }
 
+// The lines of all values of a configuration.
 inline std::string FormatValues(const Config& config) {
   ValueLines lines;
   AddNode(config, &lines);
