--- a/src/net/http/client_front.cpp
+++ b/src/net/http/client_front.cpp
@@ -114,7 +114,7 @@
 
 }  // namespace
 
-int ReadRequest(const Head& head, const Names& names, ClientRequest* held, double* timeout_s,
+int ReadRequest(const Head& head, const FrontOptions& names, ClientRequest* held, double* timeout_s,
                 std::string* error) {
   const auto bad = [error](const char* text) {
     *error = text;
@@ -140,7 +140,7 @@
   }
   const std::string* key = head.Get("Idempotency-Key");
   if (key != nullptr && !Plain(*key)) return bad("Idempotency-Key is unreadable");
-  if (key == nullptr && names.keyed[static_cast<std::size_t>(e.cls)]) {
+  if (key == nullptr && names.requires_key[static_cast<std::size_t>(e.cls)]) {
     return bad("this class needs an Idempotency-Key");
   }
   *timeout_s = static_cast<double>(ms) / 1000;
@@ -402,7 +402,7 @@
   Deadlines::Ticket limit_ = Deadlines::kNone;
 };
 
-ClientFront::ClientFront(Forwarder* forwarder, Names names, Counters* counters)
+ClientFront::ClientFront(Forwarder* forwarder, FrontOptions names, Counters* counters)
     : forwarder_(forwarder), names_(std::move(names)), counters_(counters) {}
 ClientFront::~ClientFront() = default;
 
--- a/src/net/http/client_front.h
+++ b/src/net/http/client_front.h
@@ -16,27 +16,27 @@
 namespace millethollow::http {
 
 // Names of what a client may ask for, in the settings' order.
-struct Names {
+struct FrontOptions {
   std::vector<std::string> classes, tenants;
-  std::vector<bool> keyed;   // by class: must carry an idempotency key
+  std::vector<bool> requires_key;  // by class: must carry an idempotency key
   double retry_after_s = 0;  // told to those turned away here; 0: the settings allow no advice
 };
 
 // Fills `held` from a whole request, apart from its expiry. Returns 0, or the status of its fault
 // with `error`.
-int ReadRequest(const Head& head, const Names& names, ClientRequest* held, double* timeout_s,
+int ReadRequest(const Head& head, const FrontOptions& names, ClientRequest* held, double* timeout_s,
                 std::string* error);
 
 class ClientConnection;
 
 class ClientFront {
  public:
-  ClientFront(Forwarder* forwarder, Names names, Counters* counters);
+  ClientFront(Forwarder* forwarder, FrontOptions names, Counters* counters);
   ~ClientFront();
   // `shared`: other processes listen on the same address too.
   bool Listen(const std::string& address, bool shared, std::string* error);
   std::string address() const { return listener_.address(); }
-  void SetNames(Names names) { names_ = std::move(names); }
+  void SetOptions(FrontOptions names) { names_ = std::move(names); }
   void SetServing(bool serving) { serving_ = serving; }
   // Goes on serving, and asks each client to leave with its next answer.
   void BeginStop();
@@ -62,7 +62,7 @@
   bool MakeRoom(const ClientConnection* newest);
 
   Forwarder* forwarder_;
-  Names names_;
+  FrontOptions names_;
   Counters* counters_;
   Listener listener_;
   std::map<ClientConnection*, std::unique_ptr<ClientConnection>> clients_;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -103,7 +103,7 @@
   Status ListenForClients();
   Status ListenForGearman();
   void MakePlannerClient();
-  http::Names ActiveNames() const;
+  http::FrontOptions ActiveNames() const;
 
   // The cluster (node_cluster.cpp).
   Status StartMember();
--- a/src/node/node_forwarder.cpp
+++ b/src/node/node_forwarder.cpp
@@ -85,12 +85,13 @@
 }
 
 // The names by which clients may call classes and tenants. A class that is not live has none.
-http::Names Node::ActiveNames() const {
-  http::Names names{.classes = config_.classes, .tenants = config_.tenants, .keyed = {}};
+http::FrontOptions Node::ActiveNames() const {
+  http::FrontOptions names{
+      .classes = config_.classes, .tenants = config_.tenants, .requires_key = {}};
   for (std::size_t c = 0; c < names.classes.size(); ++c) {
     if (!config_.live[c]) names.classes[c] = kUnusableName;
     const auto idempotency = config_.settings.classes[c].idempotency;
-    names.keyed.push_back(idempotency == balancing::Idempotency::kIdempotentWithKey);
+    names.requires_key.push_back(idempotency == balancing::Idempotency::kIdempotentWithKey);
   }
   if (config_.settings.retry_after) {
     names.retry_after_s = std::min(kNoPlannerRetryAfterS, config_.settings.max_retry_after_s);
--- a/src/node/node_reload.cpp
+++ b/src/node/node_reload.cpp
@@ -52,17 +52,17 @@
 }
 
 void Node::ApplyToClients(const Config& before) {
-  http::Names names = ActiveNames();
+  http::FrontOptions names = ActiveNames();
   for (std::size_t c = 0; c < before.classes.size(); ++c) {
     const bool replaced = std::find(names.classes.begin(), names.classes.end(),
                                     before.classes[c]) != names.classes.end();
     if (before.live[c] && !config_.live[c] && !replaced) names.classes[c] = before.classes[c];
   }
-  front_->SetNames(std::move(names));
+  front_->SetOptions(std::move(names));
   loop_.deadlines().Drop(&old_names_);
   old_names_ = loop_.deadlines().At(loop_.Now() + kOldNamesS, [this] {
     old_names_ = Deadlines::kNone;
-    front_->SetNames(ActiveNames());
+    front_->SetOptions(ActiveNames());
   });
 }
 
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -65,7 +65,7 @@
 
 // The platform's Work-Hint is in microseconds; it was read as seconds, a million times too long.
 TEST(HttpParser, AWorkHintIsReadInMicrosecondsAndAnUnreadableOneIsLeftOut) {
-  const http::Names names{.classes = {"job"}, .tenants = {}, .keyed = {false}};
+  const http::FrontOptions names{.classes = {"job"}, .tenants = {}, .requires_key = {false}};
   const std::pair<std::string_view, double> kHints[] = {{"250000", 0.25},
                                                         {"1500.5", 0.0015005},
                                                         {"0", 0},
