--- a/src/net/gearman/front.h
+++ b/src/net/gearman/front.h
@@ -58,7 +58,7 @@
   void AnnounceWorkers();  // to a planner that has not heard of them
   void StopListening() { listener_.Close(); }
   // Background jobs are kept there from now on, and handed back to be run. Null: nowhere.
-  void SetPromises(DurableJobs* promises) { promises_ = promises; }
+  void SetDurableJobs(DurableJobs* durable_jobs) { durable_jobs_ = durable_jobs; }
 
   // ResponseHandler
   void Answer(const ClientRequest& held, const FinalAnswer& answer,
@@ -106,7 +106,7 @@
   Forwarder* forwarder_;
   const Config& config_;
   Counters* counters_;
-  DurableJobs* promises_ = nullptr;
+  DurableJobs* durable_jobs_ = nullptr;
   Listener listener_;
   std::map<Peer*, std::unique_ptr<Peer>> peers_;
   std::map<std::string, Peer*> workers_;  // by worker name
--- a/src/net/gearman/jobs.cpp
+++ b/src/net/gearman/jobs.cpp
@@ -54,14 +54,14 @@
   if (!key.second.empty()) {
     // A repeat of what is under way, or of a charge just made, is the same job.
     auto same = uniques_.find(key);
-    if (same == uniques_.end() && !background && promises_ != nullptr) {
+    if (same == uniques_.end() && !background && durable_jobs_ != nullptr) {
       // It is promised and waits: whoever asks for its result has it run now, and joins it.
-      const std::string promised = promises_->Find(key.first, key.second);
-      if (!promised.empty()) promises_->RunNow(promised);
+      const std::string promised = durable_jobs_->Find(key.first, key.second);
+      if (!promised.empty()) durable_jobs_->RunNow(promised);
       same = uniques_.find(key);
     }
     // What runs for a client alone is no promise: that is asked for besides.
-    const bool joins = same != uniques_.end() && (!background || promises_ == nullptr);
+    const bool joins = same != uniques_.end() && (!background || durable_jobs_ == nullptr);
     if (joins) {
       const std::shared_ptr<Job> job = same->second;
       if (!background) job->waiting.push_back(peer);
@@ -77,7 +77,7 @@
       return peer->Send(Response(Type::kWorkComplete, {f.handle, f.result}));
     }
   }
-  if (background && promises_ != nullptr) return SubmitPromised(peer, type, key, body);
+  if (background && durable_jobs_ != nullptr) return SubmitPromised(peer, type, key, body);
   auto job = std::make_shared<Job>();
   job->handle = "H:" + config_.name + ":" + std::to_string(++sequence_);
   job->function = function;
@@ -150,7 +150,7 @@
   job.body = body;
   job.priority = PriorityOf(type);
   const int cell = peer->cell();  // no other connection's
-  promises_->Accept(
+  durable_jobs_->Accept(
       std::move(job), [this, peer, cell](const std::string& handle, std::string_view refusal,
                                          double retry_after_s) {
         const auto there = peers_.find(peer);
@@ -166,7 +166,7 @@
 void Front::Run(const DurableJob& promised) {
   const auto ended = [&](const FinalAnswer& answer) {
     forwarder_->loop()->Later([this, handle = promised.handle, answer] {
-      if (promises_ != nullptr) promises_->Complete(handle, answer);
+      if (durable_jobs_ != nullptr) durable_jobs_->Complete(handle, answer);
     });
   };
   const auto mapped = config_.gearman_functions.find(promised.function);
@@ -280,7 +280,8 @@
     }
   }
   if (job->background) LogLine(Level::kInfo) << "background job " << job->handle << ' ' << how;
-  if (!job->promise.empty() && promises_ != nullptr) promises_->Complete(job->promise, answer);
+  if (!job->promise.empty() && durable_jobs_ != nullptr)
+    durable_jobs_->Complete(job->promise, answer);
 }
 
 }  // namespace millethollow::gearman
--- a/src/net/gearman/peer.h
+++ b/src/net/gearman/peer.h
@@ -288,7 +288,7 @@
     queue_.pop_front();
     // Another process may act for what it was promised to by now: this one does not know, or not
     // yet.
-    if (!task.promise.empty() && !front_->promises_->MayAct(task.promise)) {
+    if (!task.promise.empty() && !front_->durable_jobs_->MayAct(task.promise)) {
       Send(Response(Type::kNoJob, {}));
       return End(task, AttemptStatus::kNotSent);
     }
--- a/src/node/node_cluster.cpp
+++ b/src/node/node_cluster.cpp
@@ -41,7 +41,7 @@
                                                       (high << 32 | low) | 1);
   environment_.parts().durable_jobs = promised_.get();
   promised_->SetRunner(gearman_.get());
-  if (gearman_) gearman_->SetPromises(promised_.get());
+  if (gearman_) gearman_->SetDurableJobs(promised_.get());
 }
 
 std::vector<cluster::NamedQuota> Node::TenantQuotas() const {
