--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -14,7 +14,7 @@
     RawClient caller(&harness.host, harness.node->admin_address());
     caller.Write(method + " " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
     EXPECT_TRUE(harness.Until([&] { return caller.ended; })) << path;
-    return caller.in;
+    return caller.received;
   }
   std::string Status(const std::string& method, const std::string& path) {
     return Call(method, path).substr(0, 12);
@@ -24,7 +24,7 @@
   }
   std::string Job(const std::string& id, const std::string& cls = "look",
                   const std::string& more = "") {
-    return harness.Ask(Post(id, cls, more), "HTTP/1.1 ");
+    return harness.Exchange(Post(id, cls, more), "HTTP/1.1 ");
   }
   NodeHarness harness;
 };
@@ -64,15 +64,17 @@
   EXPECT_TRUE(Has("app.downstream_requests.charge.rejected:0|c"));
   Job("a");
   Job("b");
-  harness.workers[0]->act = harness.workers[1]->act = harness.workers[2]->act =
-      [](const ToyWorker::Got& g) { ToyWorker::Lines(g, {ToyWorker::Line(g, "failed")}); };
+  harness.workers[0]->on_request = harness.workers[1]->on_request =
+      harness.workers[2]->on_request = [](const FakeWorker::ReceivedRequest& g) {
+        FakeWorker::RespondWithLines(g, {FakeWorker::StateLine(g, "failed")});
+      };
   Job("c", "charge", "Idempotency-Key: k\r\n");
   EXPECT_TRUE(Has("app.downstream_requests.look.completed:2|c"));
   EXPECT_TRUE(Has("app.downstream_requests.charge.failed:1|c"));
-  EXPECT_TRUE(Has("app.upstream_requests:" + std::to_string(harness.Got()) + "|c"));
+  EXPECT_TRUE(Has("app.upstream_requests:" + std::to_string(harness.RequestCount()) + "|c"));
   EXPECT_TRUE(Has("app.pending:0|g"));
   EXPECT_TRUE(Has("app.members:3|g"));
-  for (auto& w : harness.workers) w->act = [](const ToyWorker::Got&) {};
+  for (auto& w : harness.workers) w->on_request = [](const FakeWorker::ReceivedRequest&) {};
   auto waits = harness.Client();
   waits->Write(Post("d", "look"));
   EXPECT_TRUE(harness.Until([&] { return Has("app.pending:1|g"); }));
@@ -83,16 +85,16 @@
     Status("PUT", std::string("/workers/") + w + "/maint");
   EXPECT_TRUE(Has("app.members_unavailable:2|g"));
   for (int i = 0; i < 6; ++i) Job("a" + std::to_string(i));
-  EXPECT_EQ(harness.workers[2]->got.size(), 6u);
+  EXPECT_EQ(harness.workers[2]->requests.size(), 6u);
   EXPECT_EQ(Status("PUT", "/workers/w1/ready"), "HTTP/1.1 200");
   EXPECT_TRUE(Has("app.members_unavailable:1|g"));
   const double back = harness.host.Now();  // it is cold, but must be in use again within 5 s
-  for (int i = 0; harness.workers[1]->got.empty() && harness.host.Now() < back + 5; ++i) {
+  for (int i = 0; harness.workers[1]->requests.empty() && harness.host.Now() < back + 5; ++i) {
     Job("b" + std::to_string(i));
     harness.Until([] { return false; }, 0.02);
   }
-  EXPECT_TRUE(harness.workers[0]->got.empty());
-  EXPECT_FALSE(harness.workers[1]->got.empty());
+  EXPECT_TRUE(harness.workers[0]->requests.empty());
+  EXPECT_FALSE(harness.workers[1]->requests.empty());
 }
 
 }  // namespace
--- a/tests/cluster/days_test.cpp
+++ b/tests/cluster/days_test.cpp
@@ -21,9 +21,9 @@
         history_(&harness_, kWorkers),
         jobs_(&harness_, kWorkers) {
     for (std::size_t w = 0; w < kWorkers; ++w) {
-      harness_.worker(w).act = [this](const ToyWorker::Got& got) {
+      harness_.worker(w).on_request = [this](const FakeWorker::ReceivedRequest& got) {
         jobs_.served.insert(got.body);
-        ToyWorker::Done(got, "ok");
+        FakeWorker::RespondWithResult(got, "ok");
       };
     }
     harness_.StartAll();
--- a/tests/cluster/jobs_test.cpp
+++ b/tests/cluster/jobs_test.cpp
@@ -22,10 +22,10 @@
     harness = std::make_unique<ClusterHarness>(options);
     jobs = std::make_unique<JobHistory>(harness.get(), kWorkers);
     for (std::size_t w = 0; w < kWorkers; ++w) {
-      harness->worker(w).act = [this](const ToyWorker::Got& got) {
+      harness->worker(w).on_request = [this](const FakeWorker::ReceivedRequest& got) {
         if (hold) return;  // it runs, and will not end
         jobs->served.insert(got.body);
-        ToyWorker::Done(got, "ok");
+        FakeWorker::RespondWithResult(got, "ok");
       };
     }
     harness->StartAll();
@@ -82,7 +82,7 @@
   }
   std::size_t Deliveries() {
     std::size_t n = 0;
-    for (std::size_t w = 0; w < kWorkers; ++w) n += harness->worker(w).got.size();
+    for (std::size_t w = 0; w < kWorkers; ++w) n += harness->worker(w).requests.size();
     return n;
   }
   std::unique_ptr<ClusterHarness> harness;
@@ -158,7 +158,7 @@
   // The module may send a second copy of one round, but there is one round of each.
   std::map<std::string, std::set<std::string>> rounds;
   for (std::size_t w = 0; w < kWorkers; ++w) {
-    for (const auto& got : harness->worker(w).got)
+    for (const auto& got : harness->worker(w).requests)
       rounds[got.body].insert(*got.head.Get("Request-Id"));
   }
   for (const auto& [body, ids] : rounds) EXPECT_EQ(ids.size(), 1U) << body;
@@ -198,7 +198,7 @@
   // It lives on for the rest.
   RawClient raw(&harness->loop(), harness->http_address(0));
   raw.Write(Post("after", "look"));
-  EXPECT_TRUE(harness->Until([&] { return raw.in.find("HTTP/1.1 200") == 0; }, 5));
+  EXPECT_TRUE(harness->Until([&] { return raw.received.find("HTTP/1.1 200") == 0; }, 5));
 }
 
 TEST_F(PromisedJobs, AFolderPutBackToAnOlderCopyIsNoticed) {
@@ -250,7 +250,7 @@
           peer.Send(gearman::Type::kSubmitJobBg, {"look", "", std::string(200, 'x')});
         }
       };
-      peer.act = [&](const gearman::Message& m) {
+      peer.on_message = [&](const gearman::Message& m) {
         if (m.type != gearman::Type::kJobCreated) return;
         took.push_back(harness->now() - asked.front());
         asked.pop_front();
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -326,7 +326,7 @@
 // Every node is asked; none may use a worker that was taken out at one of them.
 TEST_F(Nodes, AWorkerOutByHandIsOutAtAllSurvivesAndMergesAfterACut) {
   Begin({.members = 4, .voters = 3, .seed = 16, .workers = 2});
-  const ToyWorker& first = harness->worker(0);
+  const FakeWorker& first = harness->worker(0);
   const auto ask_all = [&] {
     for (std::size_t i = 0; i < harness->size(); ++i) {
       if (!harness->Running(i)) continue;
@@ -334,17 +334,17 @@
         RawClient client(&harness->loop(), harness->http_address(i));
         client.Write(Post("r" + std::to_string(harness->random().NextUint64()), "look"));
         const auto answered = [&] {
-          return client.ended || client.in.find("\r\n\r\n") != std::string::npos;
+          return client.ended || client.received.find("\r\n\r\n") != std::string::npos;
         };
-        EXPECT_TRUE(harness->Until(answered, 5)) << client.in;
-        EXPECT_TRUE(client.in.starts_with("HTTP/1.1 200")) << client.in;
+        EXPECT_TRUE(harness->Until(answered, 5)) << client.received;
+        EXPECT_TRUE(client.received.starts_with("HTTP/1.1 200")) << client.received;
       }
     }
   };
   const auto unused = [&] {
-    const std::size_t before = first.got.size();
+    const std::size_t before = first.requests.size();
     ask_all();
-    return first.got.size() == before;
+    return first.requests.size() == before;
   };
   EXPECT_FALSE(unused());
   EXPECT_NE(harness->Ask(0, "PUT /workers/w0/maint").find("done\n"), std::string::npos);
--- a/tests/cluster/quota_test.cpp
+++ b/tests/cluster/quota_test.cpp
@@ -136,7 +136,7 @@
     open.raw->Write(request);
   }
   bool Answered(const Open& open, double now) {
-    const std::string& in = open.raw->in;
+    const std::string& in = open.raw->received;
     if (in.find("\r\n\r\n") == std::string::npos) return open.raw->ended || now - open.at > 5;
     const bool refused = in.find("HTTP/1.1 503") == 0;
     const bool failed = !refused && in.find("HTTP/1.1 200") != 0;
@@ -171,7 +171,9 @@
     options.settings = SettingsWith(kQuota);
     harness = std::make_unique<ClusterHarness>(options);
     for (std::size_t w = 0; w < kWorkers; ++w) {
-      harness->worker(w).act = [this](const ToyWorker::Got& got) { Serve(got); };
+      harness->worker(w).on_request = [this](const FakeWorker::ReceivedRequest& got) {
+        Serve(got);
+      };
     }
     harness->StartAll();
     ASSERT_TRUE(harness->Until([&] { return harness->Whole(); }, 20)) << Describe();
@@ -179,11 +181,11 @@
   }
   // Each request finds its first worker full, so that the fleet counts as full, and is served by
   // the second.
-  void Serve(const ToyWorker::Got& got) {
+  void Serve(const FakeWorker::ReceivedRequest& got) {
     const std::string& id = *got.head.Get("Request-Id");
     const bool first = tried.insert(id).second;
-    if (first) return ToyWorker::Lines(got, {ToyWorker::Line(got, "returned")});
-    ToyWorker::Done(got, "ok");
+    if (first) return FakeWorker::RespondWithLines(got, {FakeWorker::StateLine(got, "returned")});
+    FakeWorker::RespondWithResult(got, "ok");
   }
   void TearDown() override {
     if (!harness) return;
--- a/tests/cluster/restart_test.cpp
+++ b/tests/cluster/restart_test.cpp
@@ -76,7 +76,7 @@
     Client* c = lines_[p].clients.back().get();
     c->raw = std::make_unique<RawClient>(loop_, fd);
     c->raw->on_read = [this, p, c] {
-      c->raw->in.erase(0, c->parser.Feed(c->raw->in));
+      c->raw->received.erase(0, c->parser.Feed(c->raw->received));
       if (!c->parser.done()) return;
       const std::string target = c->parser.head().target;
       c->parser.Reset();
@@ -139,7 +139,7 @@
     LogLevel() = Level::kError;
     char name[] = "/tmp/millethollow-tier-XXXXXX";
     folder = mkdtemp(name);
-    for (int w = 0; w < 3; ++w) workers.push_back(std::make_unique<ToyWorker>(&loop));
+    for (int w = 0; w < 3; ++w) workers.push_back(std::make_unique<FakeWorker>(&loop));
   }
   ~Tier() override {
     for (Process& p : processes) Kill(&p);
@@ -193,8 +193,8 @@
   void PollHealth() {
     for (Process& p : processes) {
       if (p.pid <= 0 || p.ready_at >= 0) continue;
-      if (p.health && p.health->in.find("\r\n\r\n") != std::string::npos) {
-        if (p.health->in.starts_with("HTTP/1.1 200")) p.ready_at = loop.Now();
+      if (p.health && p.health->received.find("\r\n\r\n") != std::string::npos) {
+        if (p.health->received.starts_with("HTTP/1.1 200")) p.ready_at = loop.Now();
         p.health.reset();
       } else if (p.health && p.health->ended) {
         p.health.reset();
@@ -222,7 +222,7 @@
 
   Loop loop;
   std::string folder;
-  std::vector<std::unique_ptr<ToyWorker>> workers;
+  std::vector<std::unique_ptr<FakeWorker>> workers;
   std::vector<Process> processes;
 };
 
@@ -240,9 +240,9 @@
 
   std::size_t sent = 0, turn = 0;
   std::vector<std::pair<double, std::size_t>> reached;  // worker 0: when, from which process
-  workers[0]->act = [&](const ToyWorker::Got& g) {
+  workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& g) {
     reached.emplace_back(loop.Now(), std::stoul(*g.head.Get("Request-Id")));
-    ToyWorker::Done(g, "ok");
+    FakeWorker::RespondWithResult(g, "ok");
   };
   double next = 0;
   const auto load = [&] {  // a request each 5 ms, at one process after the other
@@ -325,9 +325,10 @@
         callers.push_back(std::make_unique<RawClient>(&loop, fd));
         RawClient* c = callers.back().get();
         c->on_read = [c, &calls] {
-          if (c->in.find("\r\n\r\n") == std::string::npos) return;
-          const bool waits = !c->in.ends_with("wait_ms=0 HTTP/1.1\r\nHost: discovery\r\n\r\n");
-          c->in.clear();
+          if (c->received.find("\r\n\r\n") == std::string::npos) return;
+          const bool waits =
+              !c->received.ends_with("wait_ms=0 HTTP/1.1\r\nHost: discovery\r\n\r\n");
+          c->received.clear();
           ++calls;
           const std::string body =
               R"({"version":2,"full":false,"servers":[{"id":"w0","state":"terminating"}]})";
@@ -343,9 +344,9 @@
   for (int i = 0; i < 5; ++i) {
     RawClient client(&loop, At(processes[0].port));
     client.Write(Post("a" + std::to_string(i), "look"));
-    EXPECT_TRUE(Until([&] { return client.in.ends_with("ok"); }, 4, open)) << client.in;
+    EXPECT_TRUE(Until([&] { return client.received.ends_with("ok"); }, 4, open)) << client.received;
   }
-  EXPECT_EQ(workers[0]->got.size(), 0u);
+  EXPECT_EQ(workers[0]->requests.size(), 0u);
   EXPECT_GE(max_open, 20u);
   EXPECT_LE(max_open, 120u);
 }
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -479,7 +479,7 @@
 struct OldNode : Folder {
   OldNode() {
     LogLevel() = Level::kError;
-    for (int i = 0; i < 2; ++i) workers.push_back(std::make_unique<ToyWorker>(&host));
+    for (int i = 0; i < 2; ++i) workers.push_back(std::make_unique<FakeWorker>(&host));
     std::filesystem::create_directory(folder + "/store");
     for (const char* file : {"votes", "copies.db"}) {
       std::filesystem::copy(kData + "/node-folder/" + file, folder + "/store/" + file);
@@ -516,10 +516,10 @@
     RawClient caller(&host, node->admin_address());
     caller.Write("GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
     EXPECT_TRUE(Until([&] { return caller.ended; }, 5)) << path;
-    return caller.in.substr(caller.in.find("\r\n\r\n") + 4);
+    return caller.received.substr(caller.received.find("\r\n\r\n") + 4);
   }
   Loop host;
-  std::vector<std::unique_ptr<ToyWorker>> workers;
+  std::vector<std::unique_ptr<FakeWorker>> workers;
   Config config;
   std::unique_ptr<Node> node;
 };
@@ -563,9 +563,9 @@
   EXPECT_TRUE(says("app.cluster.jobs.served:2|c"));
   EXPECT_TRUE(says("app.cluster.jobs.failed:1|c"));
   std::multiset<std::string> bodies;
-  for (const ToyWorker::Got& got : workers[0]->got) bodies.insert(got.body);
+  for (const FakeWorker::ReceivedRequest& got : workers[0]->requests) bodies.insert(got.body);
   EXPECT_EQ(bodies, (std::multiset<std::string>{"body 0", "body 1"}));
-  EXPECT_EQ(workers[1]->got.size(), 0U);
+  EXPECT_EQ(workers[1]->requests.size(), 0U);
   const auto members = nlohmann::json::parse(Get("/members"));
   EXPECT_EQ(members["workers_out"], nlohmann::json::array({"toy-1"}));
 }
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -23,8 +23,8 @@
   std::unique_ptr<RawClient> Resting() {
     auto client = harness.Client();
     client->Write(Post("rest" + std::to_string(++rested), "look"));
-    EXPECT_TRUE(harness.Until([&] { return client->in.ends_with("ok"); }));
-    client->in.clear();
+    EXPECT_TRUE(harness.Until([&] { return client->received.ends_with("ok"); }));
+    client->received.clear();
     return client;
   }
   // A connection that takes in little at a time, so that an answer stays with the node's system.
@@ -48,13 +48,13 @@
   HostOnly(0.02);
   SweepOnly();  // the connection rests, for all that the node has read
   ASSERT_TRUE(harness.Until([&] { return client->ended; }));
-  EXPECT_TRUE(client->in.starts_with("HTTP/1.1 200")) << client->in;
-  EXPECT_NE(client->in.find("Connection: close"), std::string::npos);
+  EXPECT_TRUE(client->received.starts_with("HTTP/1.1 200")) << client->received;
+  EXPECT_NE(client->received.find("Connection: close"), std::string::npos);
 }
 
 TEST_F(Crossing, ARequestAfterTheEndOfItsConnectionIsNotSentOn) {
   auto client = Resting();
-  const std::size_t before = harness.Got();
+  const std::size_t before = harness.RequestCount();
   harness.node->BeginStop();
   HostOnly(0.52);
   SweepOnly();                        // our side has ended
@@ -62,8 +62,8 @@
   HostOnly(0.02);
   ASSERT_TRUE(client->ended);
   harness.Until([] { return false; }, 0.2);
-  EXPECT_EQ(harness.Got(), before);
-  EXPECT_EQ(client->in, "");
+  EXPECT_EQ(harness.RequestCount(), before);
+  EXPECT_EQ(client->received, "");
 }
 
 TEST_F(Crossing, AConnectionThatWaitedForItsAcceptWhenTheStopCameIsServed) {
@@ -74,14 +74,14 @@
   HostOnly(0.07);
   SweepOnly();  // the listener closes
   ASSERT_TRUE(harness.Until([&] { return client->ended; }));
-  EXPECT_TRUE(client->in.starts_with("HTTP/1.1 200")) << client->in;
+  EXPECT_TRUE(client->received.starts_with("HTTP/1.1 200")) << client->received;
 }
 
 // A request whose end comes late after SIGTERM might be cut off by SIGKILL: refused, and sent
 // nowhere.
 TEST_F(Crossing, ARequestThatIsWholeOnlyLateAfterTheStopIsRefused) {
   auto client = Resting();
-  const std::size_t before = harness.Got();
+  const std::size_t before = harness.RequestCount();
   const std::string request = Post("a1", "look");
   client->Write(request.substr(0, 30));
   harness.Until([] { return false; }, 0.02);
@@ -89,15 +89,17 @@
   harness.Until([] { return false; }, 0.7);
   client->Write(request.substr(30));
   ASSERT_TRUE(harness.Until([&] { return client->ended; }));
-  EXPECT_TRUE(client->in.starts_with("HTTP/1.1 503")) << client->in;
-  EXPECT_EQ(harness.Got(), before);
+  EXPECT_TRUE(client->received.starts_with("HTTP/1.1 503")) << client->received;
+  EXPECT_EQ(harness.RequestCount(), before);
 }
 
 // The last answer of a connection on which more has come: a close over bytes unread would reset the
 // connection, and what the client has not taken in yet would be gone.
 TEST_F(Crossing, ALastAnswerOutlivesTheBytesBehindItsRequest) {
   const std::string large(60000, 'x');
-  harness.workers[0]->act = [&](const ToyWorker::Got& g) { ToyWorker::Done(g, large); };
+  harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& g) {
+    FakeWorker::RespondWithResult(g, large);
+  };
   const int client = Narrow();
   std::string request = Post("a1", "look");
   request.insert(request.find("\r\n\r\n"), "\r\nConnection: close");
@@ -120,29 +122,29 @@
   });
   EXPECT_EQ(end, 1) << "reset";
   EXPECT_TRUE(in.ends_with(large)) << in.size();
-  EXPECT_EQ(harness.Got(), 1u);
+  EXPECT_EQ(harness.RequestCount(), 1u);
   close(client);
 }
 
 // Of a client that has sent more than is read ahead, the end stands behind bytes that nobody reads.
 TEST_F(Crossing, AClientThatFloodsAndLeavesHasLeft) {
-  std::vector<ToyWorker::Got> held;
-  harness.workers[0]->act = [&](const ToyWorker::Got& g) { held.push_back(g); };
+  std::vector<FakeWorker::ReceivedRequest> held;
+  harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& g) { held.push_back(g); };
   auto client = harness.Client();
   client->Write(Post("a1", "look", "", "{}", 60000) + std::string(300000, 'x'));
-  ASSERT_TRUE(harness.Until([&] { return harness.Got() == 1 && client->Drained(); }));
+  ASSERT_TRUE(harness.Until([&] { return harness.RequestCount() == 1 && client->Drained(); }));
   harness.Until([] { return false; }, 0.3);  // it is all with the node's system, or read
   client->Close("test");
   EXPECT_TRUE(harness.Until([&] { return harness.node->counters().cancelled == 1; }, 0.1));
-  EXPECT_TRUE(harness.Until([&] { return harness.workers[0]->AllGone(); }, 0.2));
+  EXPECT_TRUE(harness.Until([&] { return harness.workers[0]->AllConnectionsEnded(); }, 0.2));
 }
 
 // A second 'never begun' for one request, late, must not be taken for the answer to the next, which
 // runs.
 TEST_F(Crossing, ASecondAnswerIsNotTakenForThatOfTheNextRequest) {
   const std::string away = "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
-  ToyWorker::Got first{}, second{};
-  harness.workers[0]->act = [&](const ToyWorker::Got& g) {
+  FakeWorker::ReceivedRequest first{}, second{};
+  harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& g) {
     if (first.from == nullptr) {
       first = g;
       g.from->Write(away);
@@ -153,13 +155,13 @@
   };
   auto one = harness.Client(), two = harness.Client();
   one->Write(Post("a1", "charge", "Idempotency-Key: k1\r\n"));
-  ASSERT_TRUE(harness.Until([&] { return one->in.starts_with("HTTP/1.1 503"); }));
+  ASSERT_TRUE(harness.Until([&] { return one->received.starts_with("HTTP/1.1 503"); }));
   two->Write(Post("a2", "charge", "Idempotency-Key: k2\r\n"));
   ASSERT_TRUE(harness.Until([&] { return second.from != nullptr; }));
-  harness.Until([&] { return !two->in.empty(); }, 0.1);
-  EXPECT_EQ(two->in, "") << "it runs";
-  ToyWorker::Done(second, "ok");
-  ASSERT_TRUE(harness.Until([&] { return two->in.ends_with("ok"); }));
+  harness.Until([&] { return !two->received.empty(); }, 0.1);
+  EXPECT_EQ(two->received, "") << "it runs";
+  FakeWorker::RespondWithResult(second, "ok");
+  ASSERT_TRUE(harness.Until([&] { return two->received.ends_with("ok"); }));
 }
 
 // The worker has closed a resting connection, and no turn has seen it yet: the request goes out on
@@ -180,7 +182,7 @@
   for (const bool unasked : {false, true}) {
     LogLevel() = Level::kError;
     Loop host, loop;
-    ToyWorker worker(&host);
+    FakeWorker worker(&host);
     Link link;
     Client client;
     Forwarder forwarder(&loop);
@@ -204,8 +206,9 @@
       }
     };
     ask();
-    ASSERT_EQ(worker.got.size(), 1u);
-    unasked ? worker.got[0].from->Write("HTTP/1.1 200 OK\r\n") : worker.got[0].from->Close("test");
+    ASSERT_EQ(worker.requests.size(), 1u);
+    unasked ? worker.requests[0].from->Write("HTTP/1.1 200 OK\r\n")
+            : worker.requests[0].from->Close("test");
     for (int i = 0; i < 20; ++i) {
       host.deadlines().At(host.Now() + 0.001, [] {});
       host.Turn();
@@ -307,8 +310,9 @@
   for (const std::string& answer : {away, error, std::string()}) {
     for (const bool client_first : {true, false}) {
       NodeHarness harness(3);
-      std::vector<ToyWorker::Got> got;
-      for (auto& w : harness.workers) w->act = [&](const ToyWorker::Got& g) { got.push_back(g); };
+      std::vector<FakeWorker::ReceivedRequest> got;
+      for (auto& w : harness.workers)
+        w->on_request = [&](const FakeWorker::ReceivedRequest& g) { got.push_back(g); };
       auto client = harness.Client();
       client->Write(Post("a1", "look"));
       ASSERT_TRUE(harness.Until([&] { return got.size() == 1; }));
@@ -320,9 +324,9 @@
       if (!client_first) leave();
       harness.Until([&] { return harness.node->counters().cancelled == 1; }, 1);
       const double left = harness.host.Now();
-      const std::size_t then = harness.Got();
+      const std::size_t then = harness.RequestCount();
       harness.Until([&] { return harness.host.Now() - left > 0.5; }, 1);
-      EXPECT_EQ(harness.Got(), then) << answer << client_first;
+      EXPECT_EQ(harness.RequestCount(), then) << answer << client_first;
       EXPECT_LE(then, 2u);
     }
   }
@@ -336,14 +340,14 @@
     return size + line + "\r\n";
   };
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-  const auto done = [&](const ToyWorker::Got& g) {
-    std::string line = ToyWorker::Line(g, "done");
+  const auto done = [&](const FakeWorker::ReceivedRequest& g) {
+    std::string line = FakeWorker::StateLine(g, "done");
     line.insert(line.size() - 1, R"(,"result":"ok")");
     return chunk(line + "\n");
   };
   struct Case {
     const char* name;
-    std::function<void(const ToyWorker::Got&)> act;
+    std::function<void(const FakeWorker::ReceivedRequest&)> act;
     const char* status;
   };
   const Case cases[] = {
@@ -357,7 +361,7 @@
        "200"},
       {"half a line and an end",
        [&](const auto& g) {
-         g.from->Write(head + chunk(ToyWorker::Line(g, "done").substr(0, 20)));
+         g.from->Write(head + chunk(FakeWorker::StateLine(g, "done").substr(0, 20)));
          g.from->EndAfterWriting();
        },
        "503"},
@@ -376,12 +380,12 @@
   };
   for (const Case& c : cases) {
     NodeHarness harness(1);
-    harness.workers[0]->act = [&](const ToyWorker::Got& g) {
-      harness.Got() == 1 ? c.act(g) : ToyWorker::Done(g, "ok");
+    harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& g) {
+      harness.RequestCount() == 1 ? c.act(g) : FakeWorker::RespondWithResult(g, "ok");
     };
-    const std::string in = harness.Ask(Post("a1", "look", "", "{}", 1000), "\r\n\r\n");
+    const std::string in = harness.Exchange(Post("a1", "look", "", "{}", 1000), "\r\n\r\n");
     EXPECT_TRUE(in.starts_with(std::string("HTTP/1.1 ") + c.status)) << c.name << ": " << in;
-    const std::string next = harness.Ask(Post("a2", "look"), "\r\n\r\n");
+    const std::string next = harness.Exchange(Post("a2", "look"), "\r\n\r\n");
     EXPECT_TRUE(next.starts_with("HTTP/1.1 200") || next.starts_with("HTTP/1.1 503"))
         << c.name << ": " << next;
     EXPECT_LE(harness.node->counters().completed + harness.node->counters().rejected +
@@ -394,8 +398,8 @@
 TEST(BadAnswers, OneByteAtATimeIsRead) {
   NodeHarness harness(1);
   std::string answer;
-  harness.workers[0]->act = [&](const ToyWorker::Got& g) {
-    std::string line = ToyWorker::Line(g, "done");
+  harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& g) {
+    std::string line = FakeWorker::StateLine(g, "done");
     line.insert(line.size() - 1, R"(,"result":"ok")");
     answer = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(line.size() + 1) + "\r\n\r\n" +
              line + "\n";
@@ -411,7 +415,7 @@
     harness.host.deadlines().At(harness.host.Now() + 0.002 * static_cast<double>(i),
                                 [&client, c = request[i]] { client->Write(std::string(1, c)); });
   }
-  EXPECT_TRUE(harness.Until([&] { return client->in.ends_with("ok"); }));
+  EXPECT_TRUE(harness.Until([&] { return client->received.ends_with("ok"); }));
 }
 
 }  // namespace
--- a/tests/crowded_discovery_test.cpp
+++ b/tests/crowded_discovery_test.cpp
@@ -22,7 +22,7 @@
  public:
   SerialDiscovery(Loop* loop, double service_s, std::size_t max_waiting)
       : loop_(loop), service_s_(service_s), max_waiting_(max_waiting) {
-    server_.act = [this](const ToyWorker::Got& call) { Take(call); };
+    server_.on_request = [this](const FakeWorker::ReceivedRequest& call) { Take(call); };
   }
   std::string address() const { return server_.address(); }
   std::size_t turned_away() const { return turned_away_; }
@@ -43,7 +43,7 @@
     const std::size_t at = target.find(name + "=");
     return at == std::string::npos ? 0 : std::stoi(target.substr(at + name.size() + 1));
   }
-  void Take(const ToyWorker::Got& got) {
+  void Take(const FakeWorker::ReceivedRequest& got) {
     const Call call{got.from, Number(got.head.target, "after"),
                     Number(got.head.target, "wait_ms") > 0};
     const auto last = answered_.find(call.from);
@@ -81,7 +81,7 @@
   Loop* loop_;
   double service_s_;
   std::size_t max_waiting_;
-  ToyWorker server_{loop_};
+  FakeWorker server_{loop_};
   int version_ = 1;
   std::size_t turned_away_ = 0;
   std::deque<Call> queue_;
--- a/tests/descriptor_limit_test.cpp
+++ b/tests/descriptor_limit_test.cpp
@@ -29,7 +29,7 @@
   NodeHarness harness(1, R"("limits":{"sockets":264},)");  // room for 100 clients
   const auto rests = harness.Client();
   rests->Write(Post("a1", "look"));
-  ASSERT_TRUE(harness.Until([&] { return rests->in.ends_with("ok"); }));
+  ASSERT_TRUE(harness.Until([&] { return rests->received.ends_with("ok"); }));
   std::vector<std::unique_ptr<RawClient>> silent;
   const auto flood = [&](std::size_t connections) {
     for (std::size_t i = 0; i < connections; ++i) {
@@ -44,9 +44,9 @@
   EXPECT_GE(looks - before, 150u) << "the one to be closed is looked at";
   EXPECT_LE(looks - before, 450u) << "and hardly any other";
   // The one that was served still rests.
-  rests->in.clear();
+  rests->received.clear();
   rests->Write(Post("a2", "look"));
-  EXPECT_TRUE(harness.Until([&] { return rests->in.ends_with("ok"); }));
+  EXPECT_TRUE(harness.Until([&] { return rests->received.ends_with("ok"); }));
 }
 
 // A request that waits in the system is not closed over, whoever is the longest idle.
@@ -56,15 +56,15 @@
   for (int i = 0; i < 14; ++i) {
     resting.push_back(harness.Client());
     resting.back()->Write(Post("a" + std::to_string(i), "look"));
-    ASSERT_TRUE(harness.Until([&] { return resting.back()->in.ends_with("ok"); })) << i;
+    ASSERT_TRUE(harness.Until([&] { return resting.back()->received.ends_with("ok"); })) << i;
   }
   // The longest idle one asks again while others come, all within one turn of the node.
-  resting[0]->in.clear();
+  resting[0]->received.clear();
   resting[0]->Write(Post("b0", "look"));
   std::vector<std::unique_ptr<RawClient>> fresh;
   for (int i = 0; i < 4; ++i) fresh.push_back(harness.Client());
   for (int i = 0; i < 20; ++i) harness.host.Turn();
-  EXPECT_TRUE(harness.Until([&] { return resting[0]->in.ends_with("ok"); }));
+  EXPECT_TRUE(harness.Until([&] { return resting[0]->received.ends_with("ok"); }));
   EXPECT_FALSE(resting[0]->ended);
 }
 
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -21,11 +21,12 @@
   Replace() : harness(3, "", folder.path) {}
   // On a connection that stays: the answer to one request.
   std::string Ask(RawClient* client, const std::string& id, const std::string& cls = "look") {
-    client->in.clear();
+    client->received.clear();
     client->Write(Post(id, cls, cls == "charge" ? "Idempotency-Key: " + id + "\r\n" : ""));
-    EXPECT_TRUE(harness.Until([&] { return client->in.find("\r\n\r\n") != std::string::npos; }))
-        << id;
-    return client->in.substr(0, 12);
+    EXPECT_TRUE(harness.Until([&] {
+      return client->received.find("\r\n\r\n") != std::string::npos;
+    })) << id;
+    return client->received.substr(0, 12);
   }
   void Served(RawClient* client, const std::string& id) {
     EXPECT_EQ(Ask(client, id), "HTTP/1.1 200") << id;
@@ -38,31 +39,31 @@
 TEST_F(Replace, RestingClientsGoOnAtTheNewProcessAndNewOnesArriveThere) {
   auto resting = harness.Client(), waiting = harness.Client();
   Served(resting.get(), "a");
-  std::vector<ToyWorker::Got> held;
+  std::vector<FakeWorker::ReceivedRequest> held;
   for (auto& w : harness.workers) {
-    w->act = [&](const ToyWorker::Got& g) {
+    w->on_request = [&](const FakeWorker::ReceivedRequest& g) {
       if (*g.head.Get("Request-Id") == "b") return held.push_back(g);  // copies too
-      ToyWorker::Done(g, "ok");
+      FakeWorker::RespondWithResult(g, "ok");
     };
   }
   waiting->Write(Post("b", "look"));
   ASSERT_TRUE(harness.Until([&] { return !held.empty(); }));
-  ASSERT_TRUE(harness.StartNext());
+  ASSERT_TRUE(harness.StartSuccessor());
   Served(resting.get(), "c");
   auto fresh = harness.Client();
   Served(fresh.get(), "d");
   EXPECT_EQ(Taken(harness.node), 2u);  // counts begin at 0 in each process
-  EXPECT_EQ(Taken(harness.next), 2u);
+  EXPECT_EQ(Taken(harness.successor), 2u);
   harness.node->BeginStop();
   harness.Until([] { return false; }, 0.7);  // past the time at which it would close idle ones
-  for (const ToyWorker::Got& g : held) ToyWorker::Done(g, "late");
-  ASSERT_TRUE(harness.Until([&] { return waiting->in.find("late") != std::string::npos; }));
-  EXPECT_EQ(waiting->in.find("Connection: close"), std::string::npos);
+  for (const FakeWorker::ReceivedRequest& g : held) FakeWorker::RespondWithResult(g, "late");
+  ASSERT_TRUE(harness.Until([&] { return waiting->received.find("late") != std::string::npos; }));
+  EXPECT_EQ(waiting->received.find("Connection: close"), std::string::npos);
   Served(waiting.get(), "e");
   harness.node->Run();  // it has nothing left, and ends
   harness.node.reset();
   Served(resting.get(), "f");
-  EXPECT_EQ(Taken(harness.next), 4u);
+  EXPECT_EQ(Taken(harness.successor), 4u);
   EXPECT_FALSE(resting->ended || waiting->ended || fresh->ended);
 }
 
@@ -70,23 +71,25 @@
   auto client = harness.Client();
   Served(client.get(), "a");
   ASSERT_TRUE(harness.node->SetMaintenance("w0", true));
-  ASSERT_TRUE(harness.StartNext());
+  ASSERT_TRUE(harness.StartSuccessor());
   EXPECT_EQ(Ask(client.get(), "a"), "HTTP/1.1 409");
   ASSERT_TRUE(harness.node->SetMaintenance("w1", true));  // staff may ask either
   harness.Until([] { return false; }, 0.05);
-  const std::size_t before = harness.workers[0]->got.size() + harness.workers[1]->got.size();
+  const std::size_t before =
+      harness.workers[0]->requests.size() + harness.workers[1]->requests.size();
   auto again = harness.Client();
   for (int i = 0; i < 8; ++i) Served(again.get(), "b" + std::to_string(i));
-  EXPECT_EQ(harness.workers[0]->got.size() + harness.workers[1]->got.size(), before);
-  ASSERT_TRUE(harness.next->SetMaintenance("w0", false));
+  EXPECT_EQ(harness.workers[0]->requests.size() + harness.workers[1]->requests.size(), before);
+  ASSERT_TRUE(harness.successor->SetMaintenance("w0", false));
   harness.Until([] { return false; }, 0.05);
-  const std::size_t there = harness.workers[0]->got.size();
+  const std::size_t there = harness.workers[0]->requests.size();
   const double back = harness.host.Now();
-  for (int i = 0; harness.workers[0]->got.size() == there && harness.host.Now() < back + 5; ++i) {
+  for (int i = 0; harness.workers[0]->requests.size() == there && harness.host.Now() < back + 5;
+       ++i) {
     Served(again.get(), "c" + std::to_string(i));
     harness.Until([] { return false; }, 0.02);
   }
-  EXPECT_GT(harness.workers[0]->got.size(), there);
+  EXPECT_GT(harness.workers[0]->requests.size(), there);
 }
 
 TEST_F(Replace, AnOldProcessThatSaysNothingOrIsGoneKeepsNoneFromItsStart) {
@@ -96,11 +99,11 @@
   handover::Server silent(&harness.host, [&](auto link) { taken.push_back(std::move(link)); });
   ASSERT_TRUE(silent.Listen(path));
   const double began = harness.host.Now();
-  ASSERT_TRUE(harness.StartNext());
+  ASSERT_TRUE(harness.StartSuccessor());
   EXPECT_LT(harness.host.Now() - began, 3);
-  harness.next.reset();
+  harness.successor.reset();
   harness.node.reset();  // leaves its socket's file behind
-  ASSERT_TRUE(harness.StartNext());
+  ASSERT_TRUE(harness.StartSuccessor());
 }
 
 TEST_F(Replace, TheOldProcessGoesOnWhereTheNewOneNeverServesOrDies) {
@@ -115,9 +118,9 @@
   Served(client.get(), "b");
   never.reset();
   harness.Until([] { return false; }, 0.05);
-  ASSERT_TRUE(harness.StartNext());
+  ASSERT_TRUE(harness.StartSuccessor());
   harness.Until([] { return false; }, 0.05);
-  harness.next.reset();
+  harness.successor.reset();
   harness.Until([] { return false; }, 0.05);
   auto fresh = harness.Client();
   Served(fresh.get(), "c");
@@ -151,11 +154,11 @@
   auto client = harness.Client();
   for (int i = 0; i < 4; ++i) {
     Served(client.get(), "a" + std::to_string(i));
-    ASSERT_TRUE(harness.StartNext());
+    ASSERT_TRUE(harness.StartSuccessor());
     harness.Until([] { return false; }, 0.05);
     harness.node->BeginStop();
     harness.node->Run();
-    harness.node = std::move(harness.next);
+    harness.node = std::move(harness.successor);
   }
   Served(client.get(), "z");
   EXPECT_FALSE(client->ended);
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -108,16 +108,16 @@
   }
   // Asks once; gives the answer's head and body.
   std::string Ask(const std::string& bytes) {
-    client->in.clear();
+    client->received.clear();
     client->Write(bytes);
-    Until([&] { return client->in.find("\r\n\r\n") != std::string::npos; });
-    return client->in;
+    Until([&] { return client->received.find("\r\n\r\n") != std::string::npos; });
+    return client->received;
   }
   bool Serving() {
     return Until([&] { return Ask("GET /_health HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200"); });
   }
   Loop host;
-  ToyWorker worker;
+  FakeWorker worker;
   std::string path;
   Config config;
   std::unique_ptr<Node> planner, forwarder;
@@ -134,20 +134,22 @@
 TEST(TwoLevels, ALostPlannerFailsWhatMayHaveRunAndRefusesTheRest) {
   Levels levels;
   ASSERT_TRUE(levels.Serving());
-  levels.worker.act = [](const ToyWorker::Got&) {};
-  levels.client->in.clear();
+  levels.worker.on_request = [](const FakeWorker::ReceivedRequest&) {};
+  levels.client->received.clear();
   levels.client->Write(Post("a1", "look"));
-  ASSERT_TRUE(levels.Until([&] { return levels.worker.got.size() == 1; }));
+  ASSERT_TRUE(levels.Until([&] { return levels.worker.requests.size() == 1; }));
   levels.planner.reset();
-  ASSERT_TRUE(levels.Until([&] { return !levels.client->in.empty(); }));
-  EXPECT_TRUE(levels.client->in.starts_with("HTTP/1.1 502")) << levels.client->in;
+  ASSERT_TRUE(levels.Until([&] { return !levels.client->received.empty(); }));
+  EXPECT_TRUE(levels.client->received.starts_with("HTTP/1.1 502")) << levels.client->received;
   EXPECT_TRUE(levels.Ask("GET /_health HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503"));
   const std::string in = levels.Ask(Post("a2", "look"));
   EXPECT_TRUE(in.starts_with("HTTP/1.1 503")) << in;
   EXPECT_NE(in.find("Retry-After"), std::string::npos);
   // One that comes back is found again.
   levels.StartPlanner();
-  levels.worker.act = [](const ToyWorker::Got& g) { ToyWorker::Done(g, "ok"); };
+  levels.worker.on_request = [](const FakeWorker::ReceivedRequest& g) {
+    FakeWorker::RespondWithResult(g, "ok");
+  };
   ASSERT_TRUE(levels.Serving());
   EXPECT_TRUE(levels.Ask(Post("a3", "look")).ends_with("\r\n\r\nok"));
 }
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -13,8 +13,8 @@
 struct Listed : testing::Test {
   void Make(int nodes) {
     LogLevel() = Level::kError;
-    for (int i = 0; i < 2; ++i) workers.push_back(std::make_unique<ToyWorker>(&host));
-    discovery.act = [this](const ToyWorker::Got& g) {
+    for (int i = 0; i < 2; ++i) workers.push_back(std::make_unique<FakeWorker>(&host));
+    discovery.on_request = [this](const FakeWorker::ReceivedRequest& g) {
       calls.push_back(g);
       on_call(g);
     };
@@ -43,8 +43,8 @@
   std::string Ask(const std::string& bytes, const std::string& at = "") {
     RawClient client(&host, at.empty() ? node->http_address() : at);
     client.Write(bytes);
-    Until([&] { return client.in.find("\r\n\r\n") != std::string::npos || client.ended; });
-    return client.in.substr(0, 12);
+    Until([&] { return client.received.find("\r\n\r\n") != std::string::npos || client.ended; });
+    return client.received.substr(0, 12);
   }
   std::string Health() { return Ask("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n"); }
   std::string Healthcheck() {
@@ -55,19 +55,20 @@
            workers[static_cast<std::size_t>(w)]->address() +
            R"(","zone":"q","kind":"k","state":")" + state + R"(","started_ms":0})";
   }
-  void Tell(const ToyWorker::Got& g, int version, const std::string& entries) {
+  void Tell(const FakeWorker::ReceivedRequest& g, int version, const std::string& entries) {
     const std::string body = R"({"version":)" + std::to_string(version) +
                              R"(,"full":false,"servers":[)" + entries + "]}";
     g.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                   body);
   }
-  std::size_t Got(std::size_t w) const { return workers[w]->got.size(); }
+  std::size_t Got(std::size_t w) const { return workers[w]->requests.size(); }
 
   Loop host;
-  std::vector<std::unique_ptr<ToyWorker>> workers;
-  ToyWorker discovery{&host};
-  std::vector<ToyWorker::Got> calls;
-  std::function<void(const ToyWorker::Got&)> on_call = [](const ToyWorker::Got&) {};
+  std::vector<std::unique_ptr<FakeWorker>> workers;
+  FakeWorker discovery{&host};
+  std::vector<FakeWorker::ReceivedRequest> calls;
+  std::function<void(const FakeWorker::ReceivedRequest&)> on_call =
+      [](const FakeWorker::ReceivedRequest&) {};
   std::unique_ptr<Node> node;
 };
 
@@ -100,7 +101,7 @@
   for (const int nodes : {2, 30}) {
     if (node) node.reset();
     workers.clear(), calls.clear();
-    on_call = [](const ToyWorker::Got& g) {
+    on_call = [](const FakeWorker::ReceivedRequest& g) {
       g.from->Write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
     };
     const double began = host.Now();
@@ -115,8 +116,8 @@
 // late, sends wait for it: here it ends the server that nothing may reach any more.
 TEST_F(Listed, NothingGoesByAListThatIsOverdue) {
   Make(300);
-  std::vector<ToyWorker::Got> held;
-  on_call = [&](const ToyWorker::Got& g) {
+  std::vector<FakeWorker::ReceivedRequest> held;
+  on_call = [&](const FakeWorker::ReceivedRequest& g) {
     if (calls.size() == 1) return Tell(g, 2, Entry(0, "in_service"));
     // What follows at once is turned away, so that the call after the next answer comes later.
     if (calls.size() == 2) return g.from->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
@@ -138,7 +139,7 @@
   Tell(held[0], 4, Entry(0, "terminating"));
   ASSERT_TRUE(Until([&] {
     return std::all_of(clients.begin(), clients.end(),
-                       [](const auto& c) { return c->in.ends_with("ok"); });
+                       [](const auto& c) { return c->received.ends_with("ok"); });
   }));
   EXPECT_EQ(Got(0), before0);
 }
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -19,12 +19,12 @@
 TEST(HttpFront, ServesWhatTheWorkerMadeAndPassesItOnUnchanged) {
   NodeHarness harness;
   const std::string in =
-      harness.Ask(Post("a1", "charge", "Idempotency-Key: k9\r\n", "{\"n\":1}"), "ok");
+      harness.Exchange(Post("a1", "charge", "Idempotency-Key: k9\r\n", "{\"n\":1}"), "ok");
   EXPECT_TRUE(in.starts_with("HTTP/1.1 200 OK\r\n")) << in;
   EXPECT_TRUE(in.ends_with("\r\n\r\nok")) << in;
-  ASSERT_EQ(harness.Got(), 1u);
+  ASSERT_EQ(harness.RequestCount(), 1u);
   for (const auto& w : harness.workers) {
-    for (const auto& g : w->got) {
+    for (const auto& g : w->requests) {
       EXPECT_EQ(g.head.target, "/api?x=1");
       EXPECT_EQ(g.body, "{\"n\":1}");
       EXPECT_EQ(*g.head.Get("Request-Id"), "a1");
@@ -59,34 +59,37 @@
       {"nonsense\r\n", "400"},
   };
   for (const auto& [bytes, status] : cases) {
-    const std::string in = harness.Ask(bytes, "\r\n\r\n");
+    const std::string in = harness.Exchange(bytes, "\r\n\r\n");
     EXPECT_TRUE(in.starts_with("HTTP/1.1 " + status)) << bytes.substr(0, 300) << "\n" << in;
   }
-  EXPECT_EQ(harness.Got(), 0u);
-  EXPECT_TRUE(harness.Ask("GET /_health HTTP/1.1\r\n\r\n", "serving").starts_with("HTTP/1.1 200"));
+  EXPECT_EQ(harness.RequestCount(), 0u);
+  EXPECT_TRUE(
+      harness.Exchange("GET /_health HTTP/1.1\r\n\r\n", "serving").starts_with("HTTP/1.1 200"));
 }
 
 // A worker's 4xx speaks of the request: no other is asked, and no worker is left out for it.
 TEST(HttpFront, BlamesNoWorkerForABadRequest) {
   NodeHarness harness;
   for (auto& w : harness.workers) {
-    w->act = [](const ToyWorker::Got& g) {
+    w->on_request = [](const FakeWorker::ReceivedRequest& g) {
       g.from->Write("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
     };
   }
   for (int i = 1; i <= 20; ++i) {
-    const std::string in = harness.Ask(Post("a" + std::to_string(i), "look"), "\r\n\r\n");
+    const std::string in = harness.Exchange(Post("a" + std::to_string(i), "look"), "\r\n\r\n");
     EXPECT_TRUE(in.starts_with("HTTP/1.1 502")) << in;
-    EXPECT_EQ(harness.Got(), static_cast<std::size_t>(i));
+    EXPECT_EQ(harness.RequestCount(), static_cast<std::size_t>(i));
   }
-  for (const auto& w : harness.workers) EXPECT_FALSE(w->got.empty());
+  for (const auto& w : harness.workers) EXPECT_FALSE(w->requests.empty());
 }
 
 // A client that asks again and again and reads nothing is held back, not stored.
 TEST(HttpFront, HoldsBackAClientThatReadsNothing) {
   NodeHarness harness(1);
   const std::string large(60000, 'x');
-  harness.workers[0]->act = [&](const ToyWorker::Got& g) { ToyWorker::Done(g, large); };
+  harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& g) {
+    FakeWorker::RespondWithResult(g, large);
+  };
   auto client = harness.Client();
   client->StopReading();
   std::string many;
@@ -115,11 +118,11 @@
   worker->Send(Type::kCanDo, {"charge"});
   ASSERT_TRUE(
       harness.Until([&] { return silent->ended && half->ended && mute->ended && part->ended; }, 3));
-  EXPECT_TRUE(half->in.starts_with("HTTP/1.1 408")) << half->in;
+  EXPECT_TRUE(half->received.starts_with("HTTP/1.1 408")) << half->received;
   EXPECT_FALSE(rests->ended || worker->ended);
-  rests->in.clear();
+  rests->received.clear();
   rests->Write(Post("a3", "look"));
-  EXPECT_TRUE(harness.Until([&] { return rests->in.ends_with("ok"); }));
+  EXPECT_TRUE(harness.Until([&] { return rests->received.ends_with("ok"); }));
 }
 
 // Hundreds that connect and say nothing must shut nobody out, nor cost a usual client the
@@ -128,34 +131,34 @@
   NodeHarness harness(1, R"("limits":{"sockets":96},)");
   auto rests = harness.Client();
   for (const char* id : {"a1", "a2"}) {
-    rests->in.clear();
+    rests->received.clear();
     rests->Write(Post(id, "look"));
-    ASSERT_TRUE(harness.Until([&] { return rests->in.ends_with("ok"); }));
+    ASSERT_TRUE(harness.Until([&] { return rests->received.ends_with("ok"); }));
   }
   std::vector<std::unique_ptr<RawClient>> silent;
   for (int i = 0; i < 60; ++i) silent.push_back(harness.Client());
   const double began = harness.host.Now();
-  EXPECT_TRUE(harness.Ask(Post("a3", "look"), "ok").ends_with("ok"));
+  EXPECT_TRUE(harness.Exchange(Post("a3", "look"), "ok").ends_with("ok"));
   EXPECT_LT(harness.host.Now() - began, 1.0);
-  rests->in.clear();
+  rests->received.clear();
   rests->Write(Post("a4", "look"));
-  EXPECT_TRUE(harness.Until([&] { return rests->in.ends_with("ok"); }));
+  EXPECT_TRUE(harness.Until([&] { return rests->received.ends_with("ok"); }));
 }
 
 TEST(HttpFront, RefusesTheIdOfAnOpenRequestAndReadsNoFurtherFromABadClient) {
   NodeHarness harness(1);
-  ToyWorker::Got held;
-  harness.workers[0]->act = [&](const ToyWorker::Got& g) { held = g; };
+  FakeWorker::ReceivedRequest held;
+  harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& g) { held = g; };
   auto first = harness.Client(), second = harness.Client();
   first->Write(Post("a1", "look"));
-  ASSERT_TRUE(harness.Until([&] { return harness.Got() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return harness.RequestCount() == 1; }));
   second->Write(Post("a1", "look") + Post("a2", "look"));
   ASSERT_TRUE(harness.Until([&] { return second->ended; }));
-  EXPECT_TRUE(second->in.starts_with("HTTP/1.1 409")) << second->in;
-  EXPECT_EQ(second->in.find("HTTP/1.1", 1), std::string::npos);
-  ToyWorker::Done(held, "mine");
-  EXPECT_TRUE(harness.Until([&] { return first->in.ends_with("mine"); }));
-  EXPECT_EQ(harness.Got(), 1u);
+  EXPECT_TRUE(second->received.starts_with("HTTP/1.1 409")) << second->received;
+  EXPECT_EQ(second->received.find("HTTP/1.1", 1), std::string::npos);
+  FakeWorker::RespondWithResult(held, "mine");
+  EXPECT_TRUE(harness.Until([&] { return first->received.ends_with("mine"); }));
+  EXPECT_EQ(harness.RequestCount(), 1u);
 }
 
 // 60 MB at full speed: the answer comes at the head, and what follows is not read to its end.
@@ -170,24 +173,24 @@
 
 TEST(HttpFront, EndsTheAttemptWhenTheClientLeaves) {
   NodeHarness harness;
-  for (auto& w : harness.workers) w->act = [](const ToyWorker::Got&) {};
+  for (auto& w : harness.workers) w->on_request = [](const FakeWorker::ReceivedRequest&) {};
   auto client = harness.Client();
   client->Write(Post("a1", "charge", "Idempotency-Key: k\r\n"));
-  ASSERT_TRUE(harness.Until([&] { return harness.Got() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return harness.RequestCount() == 1; }));
   client->Close("test");
   EXPECT_TRUE(harness.Until([&] {
     return std::all_of(harness.workers.begin(), harness.workers.end(),
-                       [](const auto& w) { return w->AllGone(); });
+                       [](const auto& w) { return w->AllConnectionsEnded(); });
   }));
   EXPECT_EQ(harness.node->counters().cancelled, 1u);
 }
 
 TEST(HttpFront, AnswersAtExpiryAndFailsAChargeThatMayHaveRun) {
   NodeHarness harness;
-  for (auto& w : harness.workers) w->act = [](const ToyWorker::Got&) {};
+  for (auto& w : harness.workers) w->on_request = [](const FakeWorker::ReceivedRequest&) {};
   const double began = harness.host.Now();
   const std::string in =
-      harness.Ask(Post("a1", "charge", "Idempotency-Key: k\r\n", "{}", 150), "\r\n\r\n");
+      harness.Exchange(Post("a1", "charge", "Idempotency-Key: k\r\n", "{}", 150), "\r\n\r\n");
   EXPECT_TRUE(in.starts_with("HTTP/1.1 504")) << in;
   EXPECT_LT(harness.host.Now() - began, 1.0);
 }
@@ -203,13 +206,16 @@
     harness.config.connect_timeout_s = 1e-9;
     harness.node = std::make_unique<Node>(harness.config);
     ASSERT_TRUE(IsOk(harness.node->Start()));
-    for (const auto& w : harness.workers) w->act = [](const ToyWorker::Got&) {};  // runs on and on
+    for (const auto& w : harness.workers)
+      w->on_request = [](const FakeWorker::ReceivedRequest&) {};  // runs on and on
     const auto client = harness.Client();
     client->Write(Post("c", "charge", "Idempotency-Key: k\r\n", "{}", 200));
-    harness.Until([&] { return client->in.find("\r\n\r\n") != std::string::npos; });
-    const std::size_t first = harness.workers[0]->got.size() + harness.workers[1]->got.size();
-    EXPECT_TRUE(first == 0 || harness.workers[2]->got.empty()) << "in two groups";
-    EXPECT_EQ(harness.Got() > 0, !client->in.starts_with("HTTP/1.1 503")) << client->in;
+    harness.Until([&] { return client->received.find("\r\n\r\n") != std::string::npos; });
+    const std::size_t first =
+        harness.workers[0]->requests.size() + harness.workers[1]->requests.size();
+    EXPECT_TRUE(first == 0 || harness.workers[2]->requests.empty()) << "in two groups";
+    EXPECT_EQ(harness.RequestCount() > 0, !client->received.starts_with("HTTP/1.1 503"))
+        << client->received;
   }
 }
 
@@ -243,9 +249,9 @@
   for (const Case& c : kCases) {
     LogLevel() = Level::kError;
     Loop loop;
-    ToyWorker worker(&loop);
-    worker.act = [&c](const ToyWorker::Got& g) {
-      std::string last = ToyWorker::Line(g, c.state);
+    FakeWorker worker(&loop);
+    worker.on_request = [&c](const FakeWorker::ReceivedRequest& g) {
+      std::string last = FakeWorker::StateLine(g, c.state);
       std::string more = R"(,"result":"r")";
       if (!c.load.empty()) more += R"(,"load":)" + c.load;
       last.insert(last.size() - 1, more);
@@ -281,8 +287,11 @@
 TEST(HttpFront, ServesNothingThatNoWorkerMadeForIt) {
   for (const std::string line : {R"({"id":"zz","state":"done","result":"x"})", "}{", "[1]"}) {
     NodeHarness harness(1);
-    harness.workers[0]->act = [&](const ToyWorker::Got& g) { ToyWorker::Lines(g, {line}); };
-    const std::string in = harness.Ask(Post("a1", "charge", "Idempotency-Key: k\r\n"), "\r\n\r\n");
+    harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& g) {
+      FakeWorker::RespondWithLines(g, {line});
+    };
+    const std::string in =
+        harness.Exchange(Post("a1", "charge", "Idempotency-Key: k\r\n"), "\r\n\r\n");
     EXPECT_TRUE(in.starts_with("HTTP/1.1 502")) << in;
   }
 }
@@ -293,13 +302,15 @@
     NodeHarness harness;
     std::vector<int> order;
     for (int i = 0; i < 3; ++i) {
-      harness.workers[static_cast<std::size_t>(i)]->act = [&order, i](const ToyWorker::Got& g) {
-        order.push_back(i);
-        g.from->Close("test");
-      };
+      harness.workers[static_cast<std::size_t>(i)]->on_request =
+          [&order, i](const FakeWorker::ReceivedRequest& g) {
+            order.push_back(i);
+            g.from->Close("test");
+          };
     }
     const std::string id = "a" + std::to_string(round);
-    const std::string in = harness.Ask(Post(id, "charge", "Idempotency-Key: k\r\n"), "\r\n\r\n");
+    const std::string in =
+        harness.Exchange(Post(id, "charge", "Idempotency-Key: k\r\n"), "\r\n\r\n");
     EXPECT_TRUE(in.starts_with("HTTP/1.1 502")) << in;
     ASSERT_FALSE(order.empty());
     for (const int i : order) EXPECT_EQ(i / 2, order[0] / 2);
@@ -309,37 +320,38 @@
 TEST(HttpFront, TurnedAwayEverywhereIsRefusedWithATime) {
   NodeHarness harness;
   for (auto& w : harness.workers) {
-    w->act = [](const ToyWorker::Got& g) {
+    w->on_request = [](const FakeWorker::ReceivedRequest& g) {
       g.from->Write("HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
     };
   }
-  const std::string in = harness.Ask(Post("a1", "charge", "Idempotency-Key: k\r\n"), "\r\n\r\n");
+  const std::string in =
+      harness.Exchange(Post("a1", "charge", "Idempotency-Key: k\r\n"), "\r\n\r\n");
   EXPECT_TRUE(in.starts_with("HTTP/1.1 503")) << in;
   EXPECT_NE(in.find("Retry-After: "), std::string::npos) << in;
-  EXPECT_EQ(harness.Got(), 3u);
+  EXPECT_EQ(harness.RequestCount(), 3u);
 }
 
 TEST(HttpFront, StopsOnlyWhenWhatItTookIsAnswered) {
   NodeHarness harness(1);
-  ToyWorker::Got held;
-  harness.workers[0]->act = [&](const ToyWorker::Got& g) { held = g; };
+  FakeWorker::ReceivedRequest held;
+  harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& g) { held = g; };
   auto busy = harness.Client(), idle = harness.Client();
   busy->Write(Post("a1", "look"));
-  ASSERT_TRUE(harness.Until([&] { return harness.Got() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return harness.RequestCount() == 1; }));
   harness.node->BeginStop();
   ASSERT_TRUE(harness.Until([&] { return idle->ended; }));
   EXPECT_FALSE(busy->ended);
-  ToyWorker::Done(held, "late");
+  FakeWorker::RespondWithResult(held, "late");
   ASSERT_TRUE(harness.Until([&] { return busy->ended; }));
-  EXPECT_NE(busy->in.find("Connection: close"), std::string::npos);
-  EXPECT_TRUE(busy->in.ends_with("late"));
+  EXPECT_NE(busy->received.find("Connection: close"), std::string::npos);
+  EXPECT_TRUE(busy->received.ends_with("late"));
 }
 
 // That we have no descriptor left for one more connection says nothing of the worker.
 TEST(HttpFront, ItsOwnShortageLeavesNoWorkerOut) {
   NodeHarness harness;
   harness.node->loop().budget().max_workers = 1;
-  for (auto& w : harness.workers) w->act = [](const ToyWorker::Got&) {};
+  for (auto& w : harness.workers) w->on_request = [](const FakeWorker::ReceivedRequest&) {};
   std::vector<std::unique_ptr<RawClient>> clients;
   for (int i = 0; i < 4; ++i) {
     clients.push_back(harness.Client());
@@ -347,34 +359,34 @@
   }
   ASSERT_TRUE(harness.Until([&] {
     return std::all_of(clients.begin(), clients.end(),
-                       [](const auto& c) { return !c->in.empty(); });
+                       [](const auto& c) { return !c->received.empty(); });
   }));
-  EXPECT_EQ(harness.Got(), 1u);
+  EXPECT_EQ(harness.RequestCount(), 1u);
   harness.node->loop().budget().max_workers = 9;
   // The one that kept its request past its time is left out, and no other: two at once find two.
-  for (auto& w : harness.workers) w->got.clear();
+  for (auto& w : harness.workers) w->requests.clear();
   for (const char* id : {"b1", "b2"}) {
     clients.push_back(harness.Client());
     clients.back()->Write(Post(id, "look"));
   }
-  ASSERT_TRUE(harness.Until([&] { return harness.Got() == 2; }));
-  const auto asked = [](const auto& w) { return !w->got.empty(); };
+  ASSERT_TRUE(harness.Until([&] { return harness.RequestCount() == 2; }));
+  const auto asked = [](const auto& w) { return !w->requests.empty(); };
   EXPECT_EQ(std::count_if(harness.workers.begin(), harness.workers.end(), asked), 2);
 }
 
 TEST(Gearman, ServesAJobFromSubmitToComplete) {
   NodeHarness harness(0, kGearman);
   auto worker = harness.Gearman(), client = harness.Gearman();
-  worker->WorkOn("look", "done!");
+  worker->ServeJobs("look", "done!");
   client->Send(Type::kEchoReq, {"hi"});
-  ASSERT_TRUE(harness.Until([&] { return client->Of(Type::kEchoRes).size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return client->ResponsesOf(Type::kEchoRes).size() == 1; }));
   client->Send(Type::kSubmitJobHigh, {"look", "u1", "body"});
-  ASSERT_TRUE(harness.Until([&] { return client->Of(Type::kWorkComplete).size() == 1; }));
-  const std::string handle = client->Of(Type::kJobCreated).at(0);
-  EXPECT_EQ(client->Of(Type::kWorkComplete)[0], handle + '\0' + "done!");
-  EXPECT_EQ(worker->Of(Type::kJobAssign).at(0), handle + '\0' + "look" + '\0' + "body");
+  ASSERT_TRUE(harness.Until([&] { return client->ResponsesOf(Type::kWorkComplete).size() == 1; }));
+  const std::string handle = client->ResponsesOf(Type::kJobCreated).at(0);
+  EXPECT_EQ(client->ResponsesOf(Type::kWorkComplete)[0], handle + '\0' + "done!");
+  EXPECT_EQ(worker->ResponsesOf(Type::kJobAssign).at(0), handle + '\0' + "look" + '\0' + "body");
   client->Send(Type::kGetStatus, {handle});
-  ASSERT_TRUE(harness.Until([&] { return client->Of(Type::kStatusRes).size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return client->ResponsesOf(Type::kStatusRes).size() == 1; }));
 }
 
 TEST(Gearman, TellsFaultsOfPacketsApart) {
@@ -385,15 +397,15 @@
   peer->Send(Type::kWorkComplete, {"H:x:1", "r"});
   peer->Send(static_cast<Type>(99), {});
   peer->Send(Type::kOptionReq, {"exceptions"});
-  ASSERT_TRUE(harness.Until([&] { return peer->Of(Type::kOptionRes).size() == 1; }));
-  ASSERT_EQ(peer->Of(Type::kError).size(), 4u);
-  EXPECT_TRUE(peer->Of(Type::kError)[0].starts_with("unknown_function"));
-  EXPECT_TRUE(peer->Of(Type::kError)[1].starts_with("bad_packet"));
-  EXPECT_TRUE(peer->Of(Type::kError)[2].starts_with("unknown_job"));
+  ASSERT_TRUE(harness.Until([&] { return peer->ResponsesOf(Type::kOptionRes).size() == 1; }));
+  ASSERT_EQ(peer->ResponsesOf(Type::kError).size(), 4u);
+  EXPECT_TRUE(peer->ResponsesOf(Type::kError)[0].starts_with("unknown_function"));
+  EXPECT_TRUE(peer->ResponsesOf(Type::kError)[1].starts_with("bad_packet"));
+  EXPECT_TRUE(peer->ResponsesOf(Type::kError)[2].starts_with("unknown_job"));
   peer->Write("GARBAGE THAT NO GEARMAN KNOWS\n");
   ASSERT_TRUE(
-      harness.Until([&] { return peer->got.back().form == gearman::Message::Form::kLine; }));
-  EXPECT_TRUE(peer->got.back().data.starts_with("ERR unknown_command"));
+      harness.Until([&] { return peer->messages.back().form == gearman::Message::Form::kLine; }));
+  EXPECT_TRUE(peer->messages.back().data.starts_with("ERR unknown_command"));
 }
 
 TEST(Gearman, RefusesAtOnceWithTheTimeToComeBack) {
@@ -401,9 +413,9 @@
   auto client = harness.Gearman();
   client->Send(Type::kOptionReq, {"exceptions"});
   client->Send(Type::kSubmitJob, {"charge", "u1", "b"});
-  ASSERT_TRUE(harness.Until([&] { return client->Of(Type::kWorkFail).size() == 1; }, 1));
-  ASSERT_EQ(client->Of(Type::kWorkException).size(), 1u);
-  EXPECT_NE(client->Of(Type::kWorkException)[0].find("retry after"), std::string::npos);
+  ASSERT_TRUE(harness.Until([&] { return client->ResponsesOf(Type::kWorkFail).size() == 1; }, 1));
+  ASSERT_EQ(client->ResponsesOf(Type::kWorkException).size(), 1u);
+  EXPECT_NE(client->ResponsesOf(Type::kWorkException)[0].find("retry after"), std::string::npos);
 }
 
 // What an attempt sent ahead before it failed must not mix with the answer of the next.
@@ -412,8 +424,8 @@
   auto one = harness.Gearman(), two = harness.Gearman(), client = harness.Gearman();
   int assigned = 0;
   for (auto* w : {one.get(), two.get()}) {
-    w->WorkOn("look", "unused");
-    w->act = [&assigned, w](const gearman::Message& m) {
+    w->ServeJobs("look", "unused");
+    w->on_message = [&assigned, w](const gearman::Message& m) {
       if (m.type == Type::kNoop) w->Send(Type::kGrabJob, {});
       if (m.type != Type::kJobAssign) return;
       const std::string handle = m.data.substr(0, m.data.find('\0'));
@@ -426,20 +438,20 @@
     };
   }
   client->Send(Type::kSubmitJob, {"look", "u", "b"});
-  ASSERT_TRUE(harness.Until([&] { return client->Of(Type::kWorkComplete).size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return client->ResponsesOf(Type::kWorkComplete).size() == 1; }));
   EXPECT_EQ(assigned, 2);
-  ASSERT_EQ(client->Of(Type::kWorkData).size(), 1u);
-  EXPECT_TRUE(client->Of(Type::kWorkData)[0].ends_with("kept"));
-  EXPECT_EQ(client->Of(Type::kWorkWarning).size(), 1u);
-  EXPECT_FALSE(client->Of(Type::kWorkStatus).empty());
+  ASSERT_EQ(client->ResponsesOf(Type::kWorkData).size(), 1u);
+  EXPECT_TRUE(client->ResponsesOf(Type::kWorkData)[0].ends_with("kept"));
+  EXPECT_EQ(client->ResponsesOf(Type::kWorkWarning).size(), 1u);
+  EXPECT_FALSE(client->ResponsesOf(Type::kWorkStatus).empty());
 }
 
 TEST(Gearman, KeepsABackgroundJobWhoseClientLeft) {
   NodeHarness harness(0, kGearman);
   auto worker = harness.Gearman(), client = harness.Gearman(), other = harness.Gearman();
   std::string handle;
-  worker->WorkOn("look", "unused");
-  worker->act = [&](const gearman::Message& m) {
+  worker->ServeJobs("look", "unused");
+  worker->on_message = [&](const gearman::Message& m) {
     if (m.type == Type::kNoop) worker->Send(Type::kGrabJob, {});
     if (m.type == Type::kJobAssign) handle = m.data.substr(0, m.data.find('\0'));
   };
@@ -448,8 +460,9 @@
   client->Close("test");
   harness.Until([] { return false; }, 0.05);
   other->Send(Type::kGetStatus, {handle});
-  ASSERT_TRUE(harness.Until([&] { return other->Of(Type::kStatusRes).size() == 1; }));
-  EXPECT_EQ(other->Of(Type::kStatusRes)[0].substr(handle.size() + 1, 3), std::string("1\0001", 3));
+  ASSERT_TRUE(harness.Until([&] { return other->ResponsesOf(Type::kStatusRes).size() == 1; }));
+  EXPECT_EQ(other->ResponsesOf(Type::kStatusRes)[0].substr(handle.size() + 1, 3),
+            std::string("1\0001", 3));
   worker->Send(Type::kWorkComplete, {handle, "r"});
   EXPECT_TRUE(harness.Until([&] { return harness.node->counters().completed == 1; }));
 }
@@ -460,8 +473,8 @@
   auto one = harness.Gearman(), two = harness.Gearman(), client = harness.Gearman();
   std::string handle;
   for (auto* w : {one.get(), two.get()}) {
-    w->WorkOn("charge", "unused");
-    w->act = [&handle, w](const gearman::Message& m) {
+    w->ServeJobs("charge", "unused");
+    w->on_message = [&handle, w](const gearman::Message& m) {
       if (m.type == Type::kNoop) w->Send(Type::kGrabJobUniq, {});
       if (m.type == Type::kJobAssignUniq) handle = m.data.substr(0, m.data.find('\0'));
     };
@@ -472,30 +485,33 @@
   auto again = harness.Gearman();
   harness.Until([] { return false; }, 0.05);  // the node must have seen it go
   again->Send(Type::kSubmitJob, {"charge", "sub-7", "b"});
-  ASSERT_TRUE(harness.Until([&] { return again->Of(Type::kJobCreated).size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return again->ResponsesOf(Type::kJobCreated).size() == 1; }));
   for (auto* w : {one.get(), two.get()}) w->Send(Type::kWorkComplete, {handle, "paid"});
-  ASSERT_TRUE(harness.Until([&] { return again->Of(Type::kWorkComplete).size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return again->ResponsesOf(Type::kWorkComplete).size() == 1; }));
   auto late = harness.Gearman();  // and a repeat after the end still finds it
   late->Send(Type::kSubmitJob, {"charge", "sub-7", "b"});
-  ASSERT_TRUE(harness.Until([&] { return late->Of(Type::kWorkComplete).size() == 1; }));
-  EXPECT_EQ(one->Of(Type::kJobAssignUniq).size() + two->Of(Type::kJobAssignUniq).size(), 1u);
+  ASSERT_TRUE(harness.Until([&] { return late->ResponsesOf(Type::kWorkComplete).size() == 1; }));
+  EXPECT_EQ(
+      one->ResponsesOf(Type::kJobAssignUniq).size() + two->ResponsesOf(Type::kJobAssignUniq).size(),
+      1u);
 }
 
 TEST(Gearman, AWorkerThatDiesMidChargeEndsItAndNoOtherGetsIt) {
   NodeHarness harness(0, kGearman);
   auto one = harness.Gearman(), two = harness.Gearman(), client = harness.Gearman();
   for (auto* w : {one.get(), two.get()}) {
-    w->WorkOn("charge", "unused");
-    w->act = [w](const gearman::Message& m) {
+    w->ServeJobs("charge", "unused");
+    w->on_message = [w](const gearman::Message& m) {
       if (m.type == Type::kNoop) w->Send(Type::kGrabJob, {});
       if (m.type == Type::kJobAssign) w->Close("test");
     };
   }
   client->Send(Type::kOptionReq, {"exceptions"});
   client->Send(Type::kSubmitJob, {"charge", "u", "b"});
-  ASSERT_TRUE(harness.Until([&] { return client->Of(Type::kWorkFail).size() == 1; }));
-  EXPECT_EQ(client->Of(Type::kWorkException).at(0).find("retry after"), std::string::npos);
-  EXPECT_EQ(one->Of(Type::kJobAssign).size() + two->Of(Type::kJobAssign).size(), 1u);
+  ASSERT_TRUE(harness.Until([&] { return client->ResponsesOf(Type::kWorkFail).size() == 1; }));
+  EXPECT_EQ(client->ResponsesOf(Type::kWorkException).at(0).find("retry after"), std::string::npos);
+  EXPECT_EQ(one->ResponsesOf(Type::kJobAssign).size() + two->ResponsesOf(Type::kJobAssign).size(),
+            1u);
 }
 
 // Jobs that wait at a worker that drains were never sent: another takes them, and the one that
@@ -504,7 +520,7 @@
   NodeHarness harness(0, kGearman);
   auto old = harness.Gearman(), client = harness.Gearman(), admin = harness.Gearman();
   std::string running;
-  old->act = [&](const gearman::Message& m) {
+  old->on_message = [&](const gearman::Message& m) {
     if (m.type == Type::kNoop) old->Send(Type::kGrabJob, {});
     if (m.type == Type::kJobAssign) running = m.data.substr(0, m.data.find('\0'));
   };
@@ -517,19 +533,19 @@
     return !running.empty();
   }));
   client->Send(Type::kSubmitJob, {"charge", "second", "b"});
-  ASSERT_TRUE(harness.Until([&] { return client->Of(Type::kJobCreated).size() >= 2; }));
+  ASSERT_TRUE(harness.Until([&] { return client->ResponsesOf(Type::kJobCreated).size() >= 2; }));
   auto fresh = harness.Gearman();
-  fresh->WorkOn("charge", "fresh");
+  fresh->ServeJobs("charge", "fresh");
   harness.Until([] { return false; }, 0.05);
   admin->Write("drain old-roaster\n");
-  ASSERT_TRUE(harness.Until([&] { return fresh->Of(Type::kJobAssign).size() == 1; }));
+  ASSERT_TRUE(harness.Until([&] { return fresh->ResponsesOf(Type::kJobAssign).size() == 1; }));
   old->Send(Type::kWorkComplete, {running, "old"});
-  const auto completed = [&] { return client->Of(Type::kWorkComplete).size(); };
+  const auto completed = [&] { return client->ResponsesOf(Type::kWorkComplete).size(); };
   ASSERT_TRUE(harness.Until([&] { return completed() >= 2; }));
-  const std::size_t before = old->Of(Type::kJobAssign).size();
+  const std::size_t before = old->ResponsesOf(Type::kJobAssign).size();
   client->Send(Type::kSubmitJob, {"charge", "third", "b"});
   ASSERT_TRUE(harness.Until([&] { return completed() >= 3; }));
-  EXPECT_EQ(old->Of(Type::kJobAssign).size(), before);
+  EXPECT_EQ(old->ResponsesOf(Type::kJobAssign).size(), before);
 }
 
 // Both protocols at once, workers with random fates: whatever happens, the rules hold.
@@ -539,7 +555,7 @@
   std::map<std::string, std::vector<std::size_t>> sent;  // by key or id: cells it may have run in
   std::map<std::string, int> tries;
   for (std::size_t i = 0; i < harness.workers.size(); ++i) {
-    harness.workers[i]->act = [&, i](const ToyWorker::Got& g) {
+    harness.workers[i]->on_request = [&, i](const FakeWorker::ReceivedRequest& g) {
       const std::string id = *g.head.Get("Request-Id");
       // A look-up over Gearman has a key as well, and may be made again anywhere.
       const std::string* key =
@@ -550,21 +566,21 @@
           return g.from->Write("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
         case 1:
           if (key) sent[*key].push_back(i / 2);
-          return ToyWorker::Lines(g, {ToyWorker::Line(g, "failed")});
+          return FakeWorker::RespondWithLines(g, {FakeWorker::StateLine(g, "failed")});
         case 2:
           if (key) sent[*key].push_back(i / 2);
           return g.from->Close("test");
         default:
           if (key) sent[*key].push_back(i / 2);
-          return ToyWorker::Done(g, id);
+          return FakeWorker::RespondWithResult(g, id);
       }
     };
   }
   std::vector<std::unique_ptr<GearmanPeer>> gearman;
   for (int i = 0; i < 2; ++i) {
     gearman.push_back(harness.Gearman());
-    gearman.back()->WorkOn("look", "g");
-    gearman.back()->WorkOn("charge", "g");
+    gearman.back()->ServeJobs("look", "g");
+    gearman.back()->ServeJobs("charge", "g");
   }
   auto submitter = harness.Gearman();
   std::vector<std::unique_ptr<RawClient>> clients;
@@ -578,16 +594,19 @@
     harness.Until([] { return false; }, 0.004);
   }
   const auto ends = [&] {
-    return submitter->Of(Type::kWorkComplete).size() + submitter->Of(Type::kWorkFail).size();
+    return submitter->ResponsesOf(Type::kWorkComplete).size() +
+           submitter->ResponsesOf(Type::kWorkFail).size();
+  };
+  const auto answered = [](const auto& c) {
+    return c->received.find("\r\n\r\n") != std::string::npos;
   };
-  const auto answered = [](const auto& c) { return c->in.find("\r\n\r\n") != std::string::npos; };
   EXPECT_TRUE(harness.Until(
       [&] { return ends() == kEach && std::all_of(clients.begin(), clients.end(), answered); }));
   harness.Until([] { return false; }, 0.05);  // time for a second answer, if there were one
-  EXPECT_EQ(submitter->Of(Type::kJobCreated).size(), kEach);
+  EXPECT_EQ(submitter->ResponsesOf(Type::kJobCreated).size(), kEach);
   EXPECT_EQ(ends(), kEach);
   for (std::size_t i = 0; i < kEach; ++i) {
-    const std::string& in = clients[i]->in;
+    const std::string& in = clients[i]->received;
     EXPECT_EQ(in.find("HTTP/1.1 ", 1), std::string::npos) << in;
     if (in.starts_with("HTTP/1.1 200")) {
       EXPECT_TRUE(in.ends_with("\r\n\r\nh" + std::to_string(i)) || in.ends_with("\r\n\r\ng")) << in;
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -257,9 +257,9 @@
 // left unasked for longer than allowed, whether or not the module asks.
 TEST(Discovery, ChainsItsWatchesAndAsksAgainAfterAFailure) {
   Loop loop;
-  ToyWorker server(&loop);
+  FakeWorker server(&loop);
   std::vector<double> asked;
-  server.act = [&](const ToyWorker::Got& g) {
+  server.on_request = [&](const FakeWorker::ReceivedRequest& g) {
     asked.push_back(loop.Now());
     if (asked.size() == 3) return g.from->Close("test");
     const std::string body = R"({"version":)" + std::to_string(4 + asked.size()) + R"(,"full":)" +
@@ -280,9 +280,9 @@
   discovery.SetVersion(2);
   discovery.Subscribe(true);
   ASSERT_TRUE(TurnUntil(loop, [&] { return asked.size() == 4; }));
-  EXPECT_EQ(server.got[0].head.target, "/catalog/members?after=2&wait_ms=0");
-  EXPECT_EQ(server.got[1].head.target, "/catalog/members?after=5&wait_ms=1000");
-  EXPECT_EQ(server.got[2].head.target, "/catalog/members?after=6&wait_ms=1000");
+  EXPECT_EQ(server.requests[0].head.target, "/catalog/members?after=2&wait_ms=0");
+  EXPECT_EQ(server.requests[1].head.target, "/catalog/members?after=5&wait_ms=1000");
+  EXPECT_EQ(server.requests[2].head.target, "/catalog/members?after=6&wait_ms=1000");
   EXPECT_LT(asked[1] - asked[0], 0.2);
   EXPECT_LT(asked[2] - asked[1], 0.2);
   EXPECT_LT(asked[3] - asked[2], 1.0);
@@ -294,18 +294,18 @@
 // A discovery that the test answers for, call by call, and one client of it.
 struct Called {
   Loop loop;
-  ToyWorker server{&loop};
+  FakeWorker server{&loop};
   std::vector<double> asked;
   std::vector<std::string> targets;
   std::vector<balancing::EndpointListKind> known;
   int unavailable = 0;
-  std::function<void(const ToyWorker::Got&, std::size_t nth)> act;
+  std::function<void(const FakeWorker::ReceivedRequest&, std::size_t nth)> act;
   std::unique_ptr<Discovery> discovery;
 
   explicit Called(int nodes, double max_poll_interval_s = 10, std::uint64_t seed = 3,
                   double drain_grace_s = 2) {
     LogLevel() = Level::kError;
-    server.act = [this](const ToyWorker::Got& g) {
+    server.on_request = [this](const FakeWorker::ReceivedRequest& g) {
       asked.push_back(loop.Now());
       targets.push_back(g.head.target);
       act(g, asked.size());
@@ -329,7 +329,7 @@
                              }});
     discovery->SetVersion(2);
   }
-  static void Tell(const ToyWorker::Got& g, int version, bool full = false) {
+  static void Tell(const FakeWorker::ReceivedRequest& g, int version, bool full = false) {
     const std::string body = R"({"version":)" + std::to_string(version) + R"(,"full":)" +
                              (full ? "true" : "false") +
                              R"(,"servers":[{"id":"w","addr":"127.0.0.1:9"}]})";
@@ -345,7 +345,7 @@
 // Short watches of many nodes once kept discovery so busy that most of their calls failed.
 TEST(Discovery, ManyNodesWatchForLongerAndKeepAwayAfterAFailure) {
   Called d(48, 1);
-  d.act = [](const ToyWorker::Got& g, std::size_t nth) {
+  d.act = [](const FakeWorker::ReceivedRequest& g, std::size_t nth) {
     if (nth == 1) g.from->Close("test");
     if (nth == 2) Called::Tell(g, 2);  // nothing new
   };
@@ -370,7 +370,7 @@
 // many nodes' discovery cannot bear for each change.
 TEST(Discovery, OfManyNodesEachLetsItsWatchGoOnAfterNews) {
   Called d(300);
-  d.act = [&](const ToyWorker::Got& g, std::size_t nth) {
+  d.act = [&](const FakeWorker::ReceivedRequest& g, std::size_t nth) {
     if (nth <= 3) Called::Tell(g, 2 + static_cast<int>(nth));
   };
   d.discovery->Subscribe(true);
@@ -389,8 +389,8 @@
 // by a list that is older than the drain grace.
 TEST(Discovery, OfManyNodesOneWhoseAnswerIsLateSaysThatItsListIsOverdue) {
   Called d(300);
-  ToyWorker::Got last;
-  d.act = [&](const ToyWorker::Got& g, std::size_t nth) {
+  FakeWorker::ReceivedRequest last;
+  d.act = [&](const FakeWorker::ReceivedRequest& g, std::size_t nth) {
     if (nth == 1) Called::Tell(g, 3);
     if (nth == 2) g.from->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
     if (nth == 3) Called::Tell(g, 4);
@@ -420,8 +420,8 @@
 TEST(Discovery, OfManyNodesOneThatCallsLaterThanAShortDrainGraceSaysSoToo) {
   constexpr double kGraceS = 1.5;
   Called d(300, 10, 2197, kGraceS);
-  ToyWorker::Got last;
-  d.act = [&](const ToyWorker::Got& g, std::size_t nth) {
+  FakeWorker::ReceivedRequest last;
+  d.act = [&](const FakeWorker::ReceivedRequest& g, std::size_t nth) {
     if (nth == 1) Called::Tell(g, 3);
     if (nth == 2 || nth == 3) g.from->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
     if (nth == 4) Called::Tell(g, 4);
@@ -447,7 +447,7 @@
 TEST(Discovery, ASilentWatchIsFollowedByACallAtOnce) {
   for (const int nodes : {3, 7}) {
     Called d(nodes);
-    d.act = [](const ToyWorker::Got& g, std::size_t nth) {
+    d.act = [](const FakeWorker::ReceivedRequest& g, std::size_t nth) {
       if (nth != 2) Called::Tell(g, 2);
     };
     d.discovery->Subscribe(true);
@@ -460,8 +460,8 @@
 // A whole list may have been written before what the watch has told since.
 TEST(Discovery, AWholeListOlderThanTheWatchIsAskedForAgain) {
   Called d(1);
-  ToyWorker::Got whole{};
-  d.act = [&](const ToyWorker::Got& g, std::size_t) {
+  FakeWorker::ReceivedRequest whole{};
+  d.act = [&](const FakeWorker::ReceivedRequest& g, std::size_t) {
     if (g.head.target == "/catalog/members") {
       whole.from == nullptr ? void(whole = g) : Called::Tell(g, 7, true);
     } else if (g.head.target.ends_with("wait_ms=0")) {
@@ -481,7 +481,7 @@
 // A discovery that does not wait, or whose lists have no version, is not called without end.
 TEST(Discovery, OneThatDoesNotWaitIsNotCalledWithoutEnd) {
   Called d(1);
-  d.act = [](const ToyWorker::Got& g, std::size_t) { Called::Tell(g, 2); };
+  d.act = [](const FakeWorker::ReceivedRequest& g, std::size_t) { Called::Tell(g, 2); };
   d.discovery->Subscribe(true);
   TurnUntil(
       d.loop, [] { return false; }, 0.5);
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -22,7 +22,8 @@
   return R"({"id":")" + id + R"(","addr":"127.0.0.1:9","zone":"q","kind":"k","state":")" + state +
          R"(","started_ms":)" + std::to_string(started_ms) + "}";
 }
-void Tell(const ToyWorker::Got& got, int version, bool full, const std::string& entries) {
+void Tell(const FakeWorker::ReceivedRequest& got, int version, bool full,
+          const std::string& entries) {
   const std::string body = R"({"version":)" + std::to_string(version) + R"(,"full":)" +
                            (full ? "true" : "false") + R"(,"servers":[)" + entries + "]}";
   got.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
@@ -33,12 +34,12 @@
 struct Moved : testing::Test {
   Moved() {
     LogLevel() = Level::kError;
-    before.act = [](const ToyWorker::Got& g) {
+    before.on_request = [](const FakeWorker::ReceivedRequest& g) {
       if (g.head.target.ends_with("wait_ms=0")) Tell(g, 41, false, Entry("w0", "terminating"));
     };
     Make(1);
     discovery->Subscribe(true);
-    EXPECT_TRUE(TurnUntil(loop, [&] { return before.got.size() == 2; }));  // the watch is out
+    EXPECT_TRUE(TurnUntil(loop, [&] { return before.requests.size() == 2; }));  // the watch is out
   }
   void Make(int nodes) {
     discovery = std::make_unique<Discovery>(
@@ -50,29 +51,30 @@
                          .unavailable = [] {}});
   }
   Loop loop;
-  ToyWorker before{&loop}, after{&loop};
+  FakeWorker before{&loop}, after{&loop};
   std::vector<std::pair<EndpointListKind, ServerList>> known;
   std::unique_ptr<Discovery> discovery;
 };
 
 // The versions of another address may mean something else: the whole list first, then from there.
 TEST_F(Moved, AsksForTheWholeListAndWatchesFromItsVersion) {
-  after.act = [](const ToyWorker::Got& g) {
+  after.on_request = [](const FakeWorker::ReceivedRequest& g) {
     if (g.head.target.find("after") == std::string::npos)
       Tell(g, 3, true, Entry("w1", "in_service"));
   };
   discovery->Move(after.address());
-  ASSERT_TRUE(TurnUntil(loop, [&] { return after.got.size() == 2; }));
-  EXPECT_EQ(after.got[0].head.target, "/catalog/members");
-  EXPECT_TRUE(after.got[1].head.target.starts_with("/catalog/members?after=3&"));
+  ASSERT_TRUE(TurnUntil(loop, [&] { return after.requests.size() == 2; }));
+  EXPECT_EQ(after.requests[0].head.target, "/catalog/members");
+  EXPECT_TRUE(after.requests[1].head.target.starts_with("/catalog/members?after=3&"));
   // A watch that falls silent must not keep us from hearing of a drain for long.
-  EXPECT_TRUE(after.got[1].head.target.ends_with("&wait_ms=3000")) << after.got[1].head.target;
+  EXPECT_TRUE(after.requests[1].head.target.ends_with("&wait_ms=3000"))
+      << after.requests[1].head.target;
   EXPECT_EQ(known.back().first, EndpointListKind::kSnapshot);
 }
 
 // A drain that only the old address told counts, whether it came before the new list or after it.
 TEST_F(Moved, KeepsADrainThatOnlyTheOldAddressTold) {
-  after.act = [](const ToyWorker::Got& g) {
+  after.on_request = [](const FakeWorker::ReceivedRequest& g) {
     if (g.head.target.find("after") != std::string::npos) return;
     Tell(g, 3, true, Entry("w0", "in_service") + "," + Entry("w1", "in_service"));
   };
@@ -80,7 +82,7 @@
   ASSERT_TRUE(TurnUntil(loop, [&] { return known.size() == 2; }));
   EXPECT_EQ(known[1].second.entries[0].member.readiness, Readiness::kDraining);
   EXPECT_EQ(known[1].second.entries[1].member.readiness, Readiness::kReady);
-  Tell(before.got[1], 42, false, Entry("w1", "terminating") + "," + Entry("w2", "in_service"));
+  Tell(before.requests[1], 42, false, Entry("w1", "terminating") + "," + Entry("w2", "in_service"));
   ASSERT_TRUE(TurnUntil(loop, [&] { return known.size() == 3; }));
   EXPECT_EQ(known[2].first, EndpointListKind::kIncremental);
   ASSERT_EQ(known[2].second.entries.size(), 1u);
@@ -88,7 +90,7 @@
 }
 
 TEST_F(Moved, BelievesANewStart) {
-  after.act = [](const ToyWorker::Got& g) {
+  after.on_request = [](const FakeWorker::ReceivedRequest& g) {
     if (g.head.target.find("after") == std::string::npos)
       Tell(g, 3, true, Entry("w0", "in_service", 5000));
   };
@@ -102,10 +104,10 @@
 TEST_F(Moved, TriesANewAddressThatFailsAgainAtOnce) {
   for (const int nodes : {1, 100}) {
     Make(nodes);
-    after.got.clear();
+    after.requests.clear();
     const std::size_t known_before = known.size();
-    after.act = [&](const ToyWorker::Got& g) {
-      if (after.got.size() < 4) return g.from->Close("test");
+    after.on_request = [&](const FakeWorker::ReceivedRequest& g) {
+      if (after.requests.size() < 4) return g.from->Close("test");
       Tell(g, 3, true, Entry("w1", "in_service"));
     };
     discovery->Move(after.address());
@@ -118,9 +120,11 @@
 TEST(Reload, ReadsTheFileAgainAndKeepsTheOldOneIfTheNewIsBroken) {
   LogLevel() = Level::kError;
   Loop host;
-  ToyWorker one(&host), two(&host);
-  for (ToyWorker* d : {&one, &two}) {
-    d->act = [](const ToyWorker::Got& g) { Tell(g, 1, true, Entry("w1", "in_service")); };
+  FakeWorker one(&host), two(&host);
+  for (FakeWorker* d : {&one, &two}) {
+    d->on_request = [](const FakeWorker::ReceivedRequest& g) {
+      Tell(g, 1, true, Entry("w1", "in_service"));
+    };
   }
   const std::string path = testing::TempDir() + "reload" + std::to_string(getpid()) + ".json";
   const auto write = [&](const std::string& text) { std::ofstream(path) << text; };
@@ -146,7 +150,7 @@
   };
   write(with(two.address()));
   raise(SIGHUP);
-  ASSERT_TRUE(until([&] { return !two.got.empty(); }));
+  ASSERT_TRUE(until([&] { return !two.requests.empty(); }));
   const std::size_t lists = node.counters().endpoint_lists;
   for (const char* broken : {"{", R"({"listen":"127.0.0.1:0","discovery":"nowhere"})"}) {
     write(broken);
@@ -156,7 +160,7 @@
         until([&] { return node.counters().reloads + node.counters().reload_errors > reloads; }));
   }
   EXPECT_TRUE(until([&] { return node.counters().endpoint_lists > lists; }));  // the watch goes on
-  EXPECT_LE(one.got.size(), 1u);  // called at the start, and never since
+  EXPECT_LE(one.requests.size(), 1u);  // called at the start, and never since
   unlink(path.c_str());
 }
 
@@ -235,32 +239,38 @@
     return harness.Until([&] { return c.reloads + c.reload_errors > before; });
   };
   harness.node->CatchSignals(path);
-  std::vector<ToyWorker::Got> held;
-  for (auto& w : harness.workers) w->act = [&](const ToyWorker::Got& g) { held.push_back(g); };
+  std::vector<FakeWorker::ReceivedRequest> held;
+  for (auto& w : harness.workers)
+    w->on_request = [&](const FakeWorker::ReceivedRequest& g) { held.push_back(g); };
   auto open = harness.Client();
   open->Write(Post("a", "look"));
   ASSERT_TRUE(harness.Until([&] { return !held.empty(); }));
-  EXPECT_EQ(harness.Ask(Post("b", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
+  EXPECT_EQ(harness.Exchange(Post("b", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
   std::string fresh = Changed(text, kLook, Changed(kLook, "look", "new"));
   fresh = Changed(fresh, R"("most_tries":4)", R"("most_tries":1)");
   ASSERT_TRUE(reload(fresh));
-  for (const ToyWorker::Got& g : held) ToyWorker::Lines(g, {ToyWorker::Line(g, "failed")});
+  for (const FakeWorker::ReceivedRequest& g : held)
+    FakeWorker::RespondWithLines(g, {FakeWorker::StateLine(g, "failed")});
   const std::size_t first = held.size();
   ASSERT_TRUE(harness.Until([&] { return held.size() > first; }));  // the old job may try again
   for (auto& w : harness.workers) {
-    w->act = [](const ToyWorker::Got& g) { ToyWorker::Lines(g, {ToyWorker::Line(g, "failed")}); };
+    w->on_request = [](const FakeWorker::ReceivedRequest& g) {
+      FakeWorker::RespondWithLines(g, {FakeWorker::StateLine(g, "failed")});
+    };
   }
-  EXPECT_EQ(harness.Ask(Post("c", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 503");
+  EXPECT_EQ(harness.Exchange(Post("c", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 503");
   EXPECT_EQ(harness.AttemptsOf("c"), 1u);  // a new one may not
   for (auto& w : harness.workers)
-    w->act = [](const ToyWorker::Got& g) { ToyWorker::Done(g, "ok"); };
-  EXPECT_EQ(harness.Ask(Post("d", "look"), "\r\n\r\n").substr(0, 12),
+    w->on_request = [](const FakeWorker::ReceivedRequest& g) {
+      FakeWorker::RespondWithResult(g, "ok");
+    };
+  EXPECT_EQ(harness.Exchange(Post("d", "look"), "\r\n\r\n").substr(0, 12),
             "HTTP/1.1 200");  // was under way
   harness.Until([] { return false; }, 1.3);
-  EXPECT_EQ(harness.Ask(Post("e", "look"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
+  EXPECT_EQ(harness.Exchange(Post("e", "look"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
   ASSERT_TRUE(reload(""));
   EXPECT_EQ(harness.node->counters().reload_errors, 1u);
-  EXPECT_EQ(harness.Ask(Post("f", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 200");
+  EXPECT_EQ(harness.Exchange(Post("f", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 200");
   EXPECT_NE(harness.node->Figures().find("new.completed:1|c"), std::string::npos);
   unlink(path.c_str());
 }
--- a/tests/scheduling_balancer_test.cpp
+++ b/tests/scheduling_balancer_test.cpp
@@ -319,7 +319,7 @@
 struct SlotWorker {
   SlotWorker(Loop* loop, Resources capacity, std::size_t queue)
       : model(capacity, queue), toy(loop), loop(loop) {
-    toy.act = [this](const ToyWorker::Got& g) {
+    toy.on_request = [this](const FakeWorker::ReceivedRequest& g) {
       const std::string id = *g.head.Get("Request-Id");
       double run = 0, memory = 0;
       if (std::sscanf(g.body.c_str(), "%lf %lf", &run, &memory) != 2) return;
@@ -332,18 +332,18 @@
       Turn();
     };
   }
-  static void Chunk(const ToyWorker::Got& g, const std::string& line) {
+  static void Chunk(const FakeWorker::ReceivedRequest& g, const std::string& line) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", line.size() + 1);
     g.from->Write(size + line + "\n\r\n");
   }
   void Turn() {
     for (const WorkerModel::Job& job : model.Begin(loop->Now())) {
-      Chunk(asked.at(job.id), ToyWorker::Line(asked.at(job.id), "started"));
+      Chunk(asked.at(job.id), FakeWorker::StateLine(asked.at(job.id), "started"));
       loop->deadlines().At(job.ends_at, [this] {
         for (const WorkerModel::Job& done : model.End(loop->Now())) {
-          const ToyWorker::Got& g = asked.at(done.id);
-          std::string line = ToyWorker::Line(g, "done");
+          const FakeWorker::ReceivedRequest& g = asked.at(done.id);
+          std::string line = FakeWorker::StateLine(g, "done");
           line.insert(line.size() - 1, R"(,"result":"ok")");
           Chunk(g, line);
           g.from->Write("0\r\n\r\n");
@@ -353,9 +353,9 @@
     }
   }
   WorkerModel model;
-  ToyWorker toy;
+  FakeWorker toy;
   Loop* loop;
-  std::map<std::string, ToyWorker::Got> asked;
+  std::map<std::string, FakeWorker::ReceivedRequest> asked;
 };
 
 struct SlotHarness {
@@ -405,7 +405,9 @@
     std::unique_ptr<RawClient> raw;
     int cls = 0;
     double run = 0, at = 0, took = -1;
-    int status() const { return raw->in.size() > 12 ? std::atoi(raw->in.c_str() + 9) : 0; }
+    int status() const {
+      return raw->received.size() > 12 ? std::atoi(raw->received.c_str() + 9) : 0;
+    }
   };
   Call* Ask(int cls, double run, double memory, int timeout_ms) {
     auto call = std::make_unique<Call>();
@@ -415,7 +417,7 @@
     c->at = host.Now();
     c->raw = std::make_unique<RawClient>(&host, node->http_address());
     c->raw->on_read = [this, c] {
-      if (c->took < 0 && c->raw->in.find("\r\n\r\n") != std::string::npos) {
+      if (c->took < 0 && c->raw->received.find("\r\n\r\n") != std::string::npos) {
         c->took = host.Now() - c->at;
       }
     };
@@ -526,7 +528,7 @@
   }));
   for (const auto& c : harness.calls) {
     EXPECT_EQ(c->status(), 200);
-    EXPECT_EQ(c->raw->in.find("HTTP/1.1", 1), std::string::npos) << "one answer";
+    EXPECT_EQ(c->raw->received.find("HTTP/1.1", 1), std::string::npos) << "one answer";
   }
   EXPECT_EQ(harness.node->counters().completed, 4u);
   std::filesystem::remove_all(folder);
@@ -539,7 +541,7 @@
   std::vector<std::unique_ptr<GearmanPeer>> workers;
   for (int i = 0; i < 2; ++i) {
     workers.push_back(harness.Gearman());
-    workers.back()->WorkOn("f", "done");
+    workers.back()->ServeJobs("f", "done");
   }
   harness.Until([&] { return harness.node->Figures().find("app.members:2") != std::string::npos; });
   const auto client = harness.Gearman();
@@ -548,13 +550,13 @@
   }
   harness.Until(
       [&] {
-        return client->Of(gearman::Type::kWorkComplete).size() +
-                   client->Of(gearman::Type::kWorkFail).size() ==
+        return client->ResponsesOf(gearman::Type::kWorkComplete).size() +
+                   client->ResponsesOf(gearman::Type::kWorkFail).size() ==
                200;
       },
       20);
-  EXPECT_EQ(client->Of(gearman::Type::kWorkComplete).size(), 200u);
-  EXPECT_EQ(client->Of(gearman::Type::kWorkFail).size(), 0u);
+  EXPECT_EQ(client->ResponsesOf(gearman::Type::kWorkComplete).size(), 200u);
+  EXPECT_EQ(client->ResponsesOf(gearman::Type::kWorkFail).size(), 0u);
 }
 
 }  // namespace
--- a/tests/support/cluster_harness.cpp
+++ b/tests/support/cluster_harness.cpp
@@ -142,7 +142,7 @@
     p->near = std::make_unique<RawClient>(loop_, fd);
     p->far = std::make_unique<RawClient>(loop_, AddressText(target_));
     p->near->on_read = [this, p] { Pump(p); };
-    p->far->on_read = [p] { p->near->Write(std::exchange(p->far->in, {})); };
+    p->far->on_read = [p] { p->near->Write(std::exchange(p->far->received, {})); };
     p->near->on_end = [p] { p->far->Close("passed-on"), p->far->ended = true; };
     p->far->on_end = [p] { p->near->Close("passed-on"), p->near->ended = true; };
     pairs_.push_back(std::move(pair));
@@ -154,14 +154,15 @@
       p->near->ended = p->far->ended = true;
       return;
     }
-    if (faults.cut || p->near->in.empty()) return;
-    std::size_t max_bytes = p->near->in.size();
+    if (faults.cut || p->near->received.empty()) return;
+    std::size_t max_bytes = p->near->received.size();
     if (faults.bytes_per_s > 0)
       max_bytes =
           std::min<std::size_t>(max_bytes, static_cast<std::size_t>(faults.bytes_per_s / 50) + 1);
-    p->far->Write(p->near->in.substr(0, max_bytes));
-    p->near->in.erase(0, max_bytes);
-    if (!p->near->in.empty()) loop_->deadlines().At(loop_->Now() + 0.02, [this, p] { Pump(p); });
+    p->far->Write(p->near->received.substr(0, max_bytes));
+    p->near->received.erase(0, max_bytes);
+    if (!p->near->received.empty())
+      loop_->deadlines().At(loop_->Now() + 0.02, [this, p] { Pump(p); });
   }
 
   ClusterHarness* harness_;
@@ -228,7 +229,7 @@
   char name[] = "/tmp/millethollow-rig-XXXXXX";
   folder_ = mkdtemp(name);
   for (std::size_t w = 0; w < options.workers; ++w)
-    workers_.push_back(std::make_unique<ToyWorker>(&loop_));
+    workers_.push_back(std::make_unique<FakeWorker>(&loop_));
   nodes_.resize(options.members);
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     nodes_[i].folder = folder_ + "/" + Name(i);
@@ -500,8 +501,8 @@
     Node& n = nodes_[i];
     if (n.pid <= 0 || n.stopped) continue;
     if (n.poll) {
-      const bool whole = n.poll->ended && n.poll->in.find("\r\n\r\n") != std::string::npos;
-      if (whole) Take(i, n.poll->in);
+      const bool whole = n.poll->ended && n.poll->received.find("\r\n\r\n") != std::string::npos;
+      if (whole) Take(i, n.poll->received);
       if (!n.poll->ended && now() - n.poll_at < kPollGiveUpS) continue;
       if (!whole) n.polled.told = nullptr;
       n.poll.reset();
@@ -582,7 +583,7 @@
   RawClient raw(&loop_, At(nodes_[i].admin));
   raw.Write(call + " HTTP/1.1\r\nHost: a\r\n\r\n");
   Until([&] { return raw.ended; }, 2);
-  return raw.in;
+  return raw.received;
 }
 
 long ClusterHarness::Figure(std::size_t i, const std::string& name) {
--- a/tests/support/cluster_harness.h
+++ b/tests/support/cluster_harness.h
@@ -90,7 +90,7 @@
   bool Serves(std::size_t i) { return Running(i) && !nodes_[i].stopped && !nodes_[i].going; }
   // Rises with whatever is done to the process: what spans it may go wrong.
   std::uint64_t Disturbed(std::size_t i) const { return nodes_[i].disturbed; }
-  ToyWorker& worker(std::size_t i) { return *workers_[i]; }
+  FakeWorker& worker(std::size_t i) { return *workers_[i]; }
   int ExitCode(std::size_t i) const { return nodes_[i].exit_code; }
   std::string Folder(std::size_t i) const { return nodes_[i].folder; }
   std::string LogOf(std::size_t i) const;
@@ -157,7 +157,7 @@
   membership::Random random_;
   Loop loop_;
   std::string folder_;
-  std::vector<std::unique_ptr<ToyWorker>> workers_;
+  std::vector<std::unique_ptr<FakeWorker>> workers_;
   std::vector<Node> nodes_;
   Node twin_;
   std::vector<std::unique_ptr<Link>> links_;
--- a/tests/support/history.h
+++ b/tests/support/history.h
@@ -34,8 +34,8 @@
   void Gather() {
     while (!requests_.empty() && first_open_ < requests_.size()) {
       Request& r = requests_[first_open_];
-      if (r.raw->in.find("\r\n\r\n") == std::string::npos && !r.raw->ended) return;
-      r.told = std::move(r.raw->in);
+      if (r.raw->received.find("\r\n\r\n") == std::string::npos && !r.raw->ended) return;
+      r.told = std::move(r.raw->received);
       r.raw.reset();
       r.undisturbed = r.disturbed == rig_->Disturbed(r.node);
       ++first_open_;
@@ -48,7 +48,7 @@
   std::vector<std::string> Wrong() const {
     std::map<std::string, std::set<std::size_t>> cells;  // in which an id ran
     for (std::size_t w = 0; w < workers_; ++w) {
-      for (const auto& got : rig_->worker(w).got) {
+      for (const auto& got : rig_->worker(w).requests) {
         const std::string* id = got.head.Get("Request-Id");
         if (id != nullptr) cells[*id].insert(w / 2);
       }
--- a/tests/support/job_history.h
+++ b/tests/support/job_history.h
@@ -38,8 +38,8 @@
   void Gather() {
     for (Asked& a : asked_) {
       if (!a.peer) continue;
-      const auto created = a.peer->Of(gearman::Type::kJobCreated),
-                 refused = a.peer->Of(gearman::Type::kError);
+      const auto created = a.peer->ResponsesOf(gearman::Type::kJobCreated),
+                 refused = a.peer->ResponsesOf(gearman::Type::kError);
       const bool over = a.peer->ended || harness_->now() - a.at > kAnswerS;
       if (created.empty() && refused.empty() && !over) continue;
       if (!created.empty()) a.handle = created[0];
@@ -75,7 +75,7 @@
   std::vector<std::string> Wrong() const {
     std::map<std::string, std::set<std::size_t>> cells;  // in which a job ran
     for (std::size_t w = 0; w < workers_; ++w) {
-      for (const auto& got : harness_->worker(w).got) cells[got.body].insert(w / 2);
+      for (const auto& got : harness_->worker(w).requests) cells[got.body].insert(w / 2);
     }
     std::string logs;
     for (std::size_t i = 0; i < harness_->size(); ++i) logs += harness_->LogOf(i);
--- a/tests/support/node_harness.h
+++ b/tests/support/node_harness.h
@@ -10,7 +10,7 @@
   explicit NodeHarness(int workers = 3, const std::string& extra = "",
                        const std::string& handover = "") {
     LogLevel() = Level::kError;
-    for (int i = 0; i < workers; ++i) this->workers.push_back(std::make_unique<ToyWorker>(&host));
+    for (int i = 0; i < workers; ++i) this->workers.push_back(std::make_unique<FakeWorker>(&host));
     std::vector<std::string> addresses;
     for (const auto& w : this->workers) addresses.push_back(w->address());
     std::string error;
@@ -27,21 +27,22 @@
     return done();
   }
   void TurnAll() {
-    for (Loop* loop : {&host, node ? &node->loop() : nullptr, next ? &next->loop() : nullptr}) {
+    for (Loop* loop :
+         {&host, node ? &node->loop() : nullptr, successor ? &successor->loop() : nullptr}) {
       if (loop == nullptr) continue;
       loop->deadlines().At(loop->Now() + 0.001, [] {});
       loop->Turn();
     }
   }
   // The same program started once more beside itself.
-  bool StartNext() {
-    next = std::make_unique<Node>(config);
-    next->while_waiting = [this] {
+  bool StartSuccessor() {
+    successor = std::make_unique<Node>(config);
+    successor->while_waiting = [this] {
       if (!node) return;
       node->loop().deadlines().At(node->loop().Now() + 0.001, [] {});
       node->loop().Turn();
     };
-    const Status started = next->Start();
+    const Status started = successor->Start();
     EXPECT_TRUE(IsOk(started));
     return started.has_value();
   }
@@ -51,29 +52,30 @@
   std::unique_ptr<GearmanPeer> Gearman() {
     return std::make_unique<GearmanPeer>(&host, node->gearman_address());
   }
-  std::string Ask(const std::string& bytes, const std::string& wanted) {
+  std::string Exchange(const std::string& bytes, const std::string& wanted) {
     const auto client = Client();
     client->Write(bytes);
-    Until([&] { return client->in.find(wanted) != std::string::npos || client->ended; });
-    return client->in;
+    Until([&] { return client->received.find(wanted) != std::string::npos || client->ended; });
+    return client->received;
   }
-  std::size_t Got() const {
+  std::size_t RequestCount() const {
     std::size_t n = 0;
-    for (const auto& w : workers) n += w->got.size();
+    for (const auto& w : workers) n += w->requests.size();
     return n;
   }
   // How many attempts of one request came to workers.
   std::size_t AttemptsOf(const std::string& request_id) const {
     std::size_t n = 0;
     for (const auto& worker : workers) {
-      for (const ToyWorker::Got& got : worker->got) n += *got.head.Get("Request-Id") == request_id;
+      for (const FakeWorker::ReceivedRequest& request : worker->requests)
+        n += *request.head.Get("Request-Id") == request_id;
     }
     return n;
   }
   Loop host;
-  std::vector<std::unique_ptr<ToyWorker>> workers;
+  std::vector<std::unique_ptr<FakeWorker>> workers;
   Config config;
-  std::unique_ptr<Node> node, next;
+  std::unique_ptr<Node> node, successor;
 };
 
 }  // namespace millethollow
--- a/tests/support/support.cpp
+++ b/tests/support/support.cpp
@@ -26,7 +26,7 @@
         "fall_multiple":3,"overload_for_s":3,"answer_slack_s":0.02}}})";
 }
 
-ToyWorker::ToyWorker(Loop* loop) : loop_(loop) {
+FakeWorker::FakeWorker(Loop* loop) : loop_(loop) {
   std::string error;
   const bool open = listener_.Open(
       loop, "127.0.0.1:0",
@@ -35,13 +35,13 @@
         Client* c = client.get();
         c->raw = std::make_unique<RawClient>(loop_, fd);
         c->raw->on_read = [this, c] {
-          while (!c->raw->in.empty()) {
-            c->raw->in.erase(0, c->parser.Feed(c->raw->in));
+          while (!c->raw->received.empty()) {
+            c->raw->received.erase(0, c->parser.Feed(c->raw->received));
             if (!c->parser.done()) return;
-            const Got g{c->parser.head(), c->parser.TakeBody(), c->raw.get()};
+            const ReceivedRequest request{c->parser.head(), c->parser.TakeBody(), c->raw.get()};
             c->parser.Reset();
-            got.push_back(g);
-            act(g);
+            requests.push_back(request);
+            on_request(request);
           }
         };
         clients_.push_back(std::move(client));
@@ -50,27 +50,29 @@
   EXPECT_TRUE(open) << error;
 }
 
-void ToyWorker::Lines(const Got& got, const std::vector<std::string>& lines) {
+void FakeWorker::RespondWithLines(const ReceivedRequest& request,
+                                  const std::vector<std::string>& lines) {
   std::string out = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (const std::string& line : lines) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", line.size() + 1);
     out += size + line + "\n\r\n";
   }
-  got.from->Write(out + "0\r\n\r\n");
+  request.from->Write(out + "0\r\n\r\n");
 }
 
-std::string ToyWorker::Line(const Got& got, const std::string& state) {
-  return R"({"id":")" + *got.head.Get("Request-Id") + R"(","from":"w","state":")" + state + "\"}";
+std::string FakeWorker::StateLine(const ReceivedRequest& request, const std::string& state) {
+  return R"({"id":")" + *request.head.Get("Request-Id") + R"(","from":"w","state":")" + state +
+         "\"}";
 }
 
-void ToyWorker::Done(const Got& got, const std::string& result) {
-  std::string done = Line(got, "done");
+void FakeWorker::RespondWithResult(const ReceivedRequest& request, const std::string& result) {
+  std::string done = StateLine(request, "done");
   done.insert(done.size() - 1, R"(,"result":")" + result + "\"");
-  Lines(got, {Line(got, "started"), done});
+  RespondWithLines(request, {StateLine(request, "started"), done});
 }
 
-bool ToyWorker::AllGone() const {
+bool FakeWorker::AllConnectionsEnded() const {
   for (const auto& c : clients_) {
     if (!c->raw->ended) return false;
   }
@@ -79,13 +81,13 @@
 
 GearmanPeer::GearmanPeer(Loop* loop, const std::string& address) : RawClient(loop, address) {
   on_read = [this] {
-    while (!in.empty()) {
-      in.erase(0, parser_.Feed(in));
+    while (!received.empty()) {
+      received.erase(0, parser_.Feed(received));
       ASSERT_EQ(parser_.error(), nullptr);
       const auto message = parser_.Take();
       if (!message) return;
-      got.push_back(*message);
-      act(*message);
+      messages.push_back(*message);
+      on_message(*message);
     }
   };
 }
@@ -94,16 +96,17 @@
   Write(gearman::Packet(gearman::Message::Form::kRequest, type, arguments));
 }
 
-std::vector<std::string> GearmanPeer::Of(gearman::Type type) const {
+std::vector<std::string> GearmanPeer::ResponsesOf(gearman::Type type) const {
   std::vector<std::string> data;
-  for (const auto& m : got) {
-    if (m.form == gearman::Message::Form::kResponse && m.type == type) data.push_back(m.data);
+  for (const auto& message : messages) {
+    if (message.form == gearman::Message::Form::kResponse && message.type == type)
+      data.push_back(message.data);
   }
   return data;
 }
 
-void GearmanPeer::WorkOn(const std::string& function, const std::string& result) {
-  act = [this, result](const gearman::Message& m) {
+void GearmanPeer::ServeJobs(const std::string& function, const std::string& result) {
+  on_message = [this, result](const gearman::Message& m) {
     if (m.type == gearman::Type::kNoop) Send(gearman::Type::kGrabJob, {});
     if (m.type == gearman::Type::kJobAssign) {
       const std::string handle = m.data.substr(0, m.data.find('\0'));
--- a/tests/support/support.h
+++ b/tests/support/support.h
@@ -44,7 +44,7 @@
     Connect(*ParseAddress(address));
   }
   RawClient(Loop* loop, evutil_socket_t fd) : Connection(loop, "test") { Adopt(fd); }
-  std::string in;
+  std::string received;
   bool ended = false;
   std::function<void()> on_read = [] {}, on_end = [] {};
   void EndAfterWriting() {
@@ -54,7 +54,7 @@
 
  protected:
   void OnRead() override {
-    in += Peek(Available());
+    received += Peek(Available());
     Consume(Available());
     on_read();
   }
@@ -71,21 +71,24 @@
 };
 
 // A worker on HTTP: keeps what it was sent and does with it as the test says.
-class ToyWorker {
+class FakeWorker {
  public:
-  struct Got {
+  struct ReceivedRequest {
     http::Head head;
     std::string body;
     RawClient* from = nullptr;
   };
-  explicit ToyWorker(Loop* loop);
+  explicit FakeWorker(Loop* loop);
   std::string address() const { return listener_.address(); }
-  std::vector<Got> got;
-  std::function<void(const Got&)> act = [](const Got& g) { Done(g, "ok"); };
-  static void Lines(const Got& got, const std::vector<std::string>& lines);
-  static void Done(const Got& got, const std::string& result);
-  static std::string Line(const Got& got, const std::string& state);
-  bool AllGone() const;
+  std::vector<ReceivedRequest> requests;
+  std::function<void(const ReceivedRequest&)> on_request = [](const ReceivedRequest& request) {
+    RespondWithResult(request, "ok");
+  };
+  static void RespondWithLines(const ReceivedRequest& request,
+                               const std::vector<std::string>& lines);
+  static void RespondWithResult(const ReceivedRequest& request, const std::string& result);
+  static std::string StateLine(const ReceivedRequest& request, const std::string& state);
+  bool AllConnectionsEnded() const;
 
  private:
   struct Client {
@@ -103,11 +106,11 @@
   GearmanPeer(Loop* loop, const std::string& address);
   void Send(gearman::Type type, std::initializer_list<std::string_view> arguments);
   // The packets of this type that came, as their data.
-  std::vector<std::string> Of(gearman::Type type) const;
-  std::vector<gearman::Message> got;
-  std::function<void(const gearman::Message&)> act = [](const gearman::Message&) {};
+  std::vector<std::string> ResponsesOf(gearman::Type type) const;
+  std::vector<gearman::Message> messages;
+  std::function<void(const gearman::Message&)> on_message = [](const gearman::Message&) {};
   // Works as a worker does that never fails: sleeps, grabs, and completes with `result`.
-  void WorkOn(const std::string& function, const std::string& result);
+  void ServeJobs(const std::string& function, const std::string& result);
 
  private:
   gearman::Parser parser_{1 << 20};
