--- a/src/net/http/client_front.cpp
+++ b/src/net/http/client_front.cpp
@@ -16,35 +16,39 @@
 namespace millethollow::http {
 namespace {
 
-// What a client may still send, and for how long, while it is to see why it was cut off. Beyond
-// that, its bytes cost more than its knowing is worth.
+// Lingering close: after the last answer a client may send for so long and so much before the
+// connection is closed, so that it can read the answer first.
 constexpr double kLingerS = 0.3;
 constexpr std::size_t kMaxLingerBytes = 256 * 1024;
 constexpr std::size_t kMaxIdBytes = 128;
-// Sent ahead of an answer, beyond this it is a flood: what is not read hides that its client has
-// left. It is dropped, up to so much, and the connection ends with the answer.
-constexpr std::size_t kMaxAheadBytes = 96 * 1024, kMaxDroppedBytes = 1024 * 1024;
-// After SIGTERM: what comes later than this might be cut off by the end of the process.
-constexpr double kTakesS = 0.65;
-// A connection this young has its first request on the way.
-constexpr double kYoungS = 0.2;
+// Unread pipelined bytes hide whether the client has disconnected. Beyond the first limit, input
+// that arrives during a request is discarded, up to the second limit, and the connection closes
+// with the answer.
+constexpr std::size_t kMaxPipelinedBytes = 96 * 1024, kMaxDiscardedBytes = 1024 * 1024;
+// Requests that arrive later than this after SIGTERM are rejected: the process might exit before
+// they end.
+constexpr double kAcceptAfterStopS = 0.65;
+// The first request of a connection younger than this may still be on its way.
+constexpr double kNewConnectionS = 0.2;
 constexpr std::size_t kMaxTimeoutMs = 3'600'000;
 
-bool Plain(std::string_view text) {
+// Whether `text` consists of visible ASCII characters and is short enough for an id or a key.
+bool IsValidId(std::string_view text) {
   return !text.empty() && text.size() <= kMaxIdBytes &&
          std::all_of(text.begin(), text.end(), [](char c) { return c > 0x20 && c < 0x7f; });
 }
 
+// Parses the whole of `text` as a number.
 template <typename T>
-bool Digits(std::string_view text, T* value) {
+bool ParseNumber(std::string_view text, T* value) {
   const char* end = text.data() + text.size();
-  const auto [at, error] = std::from_chars(text.data(), end, *value);
-  return error == std::errc() && at == end && !text.empty();
+  const auto [parsed_end, error] = std::from_chars(text.data(), end, *value);
+  return error == std::errc() && parsed_end == end && !text.empty();
 }
 
-// Calls `each(name, value)` for the parts of a=b,c=d (or a=b; c=d).
+// Calls `each(name, value)` for each part of a list such as "a=b,c=d".
 template <typename Each>
-void Pairs(std::string_view text, char separator, Each each) {
+void ForEachPair(std::string_view text, char separator, Each each) {
   while (!text.empty()) {
     const std::size_t end = std::min(text.find(separator), text.size());
     std::string_view part = text.substr(0, end);
@@ -55,7 +59,7 @@
   }
 }
 
-const char* Reason(int status) {
+const char* ReasonPhrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -88,13 +92,14 @@
   }
 }
 
+// Returns -1 if `name` is not in `names`.
 int IndexOf(const std::vector<std::string>& names, const std::string& name) {
   const auto it = std::find(names.begin(), names.end(), name);
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
 }
 
-// Headers that belong to one connection or that we write ourselves.
-bool OurOwn(std::string_view name) {
+// Whether a header is not forwarded: it is hop-by-hop, or the worker pool writes it itself.
+bool IsNotForwarded(std::string_view name) {
   static constexpr std::string_view kNames[] = {"Host",
                                                 "Connection",
                                                 "Keep-Alive",
@@ -109,141 +114,151 @@
                                                 "Request-Id",
                                                 "Idempotency-Key"};
   return std::any_of(std::begin(kNames), std::end(kNames),
-                     [name](std::string_view own) { return SameName(own, name); });
+                     [name](std::string_view listed) { return SameName(listed, name); });
 }
 
 }  // namespace
 
-int ReadRequest(const Head& head, const FrontOptions& names, ClientRequest* held, double* timeout_s,
-                std::string* error) {
-  const auto bad = [error](const char* text) {
+int ReadRequest(const Head& head, const FrontOptions& options, ClientRequest* client_request,
+                double* timeout_s, std::string* error) {
+  const auto bad_request = [error](const char* text) {
     *error = text;
     return 400;
   };
-  Request& e = held->request;
+  Request& request = client_request->request;
   for (const char* name :
        {"Request-Id", "Request-Class", "Tenant", "Request-Timeout-Ms", "Idempotency-Key"}) {
-    if (head.Count(name) > 1) return bad("a header that counts came twice");
+    if (head.Count(name) > 1) return bad_request("a header that counts came twice");
   }
-  const std::string* id = head.Get("Request-Id");
-  if (id == nullptr || !Plain(*id)) return bad("Request-Id is missing or unreadable");
-  const std::string* cls = head.Get("Request-Class");
-  e.cls = cls == nullptr ? -1 : IndexOf(names.classes, *cls);
-  if (e.cls < 0) return bad("Request-Class is missing or unknown");
+  const std::string* request_id = head.Get("Request-Id");
+  if (request_id == nullptr || !IsValidId(*request_id))
+    return bad_request("Request-Id is missing or unreadable");
+  const std::string* class_name = head.Get("Request-Class");
+  request.cls = class_name == nullptr ? -1 : IndexOf(options.classes, *class_name);
+  if (request.cls < 0) return bad_request("Request-Class is missing or unknown");
   const std::string* tenant = head.Get("Tenant");
-  e.tenant = names.tenants.empty() ? 0 : tenant == nullptr ? -1 : IndexOf(names.tenants, *tenant);
-  if (e.tenant < 0) return bad("Tenant is missing or unknown");
+  request.tenant = options.tenants.empty() ? 0
+                   : tenant == nullptr     ? -1
+                                           : IndexOf(options.tenants, *tenant);
+  if (request.tenant < 0) return bad_request("Tenant is missing or unknown");
   const std::string* timeout = head.Get("Request-Timeout-Ms");
-  std::size_t ms = 0;
-  if (timeout == nullptr || !Digits(*timeout, &ms) || ms == 0 || ms > kMaxTimeoutMs) {
-    return bad("Request-Timeout-Ms is missing or out of range");
+  std::size_t milliseconds = 0;
+  if (timeout == nullptr || !ParseNumber(*timeout, &milliseconds) || milliseconds == 0 ||
+      milliseconds > kMaxTimeoutMs) {
+    return bad_request("Request-Timeout-Ms is missing or out of range");
   }
   const std::string* key = head.Get("Idempotency-Key");
-  if (key != nullptr && !Plain(*key)) return bad("Idempotency-Key is unreadable");
-  if (key == nullptr && names.requires_key[static_cast<std::size_t>(e.cls)]) {
-    return bad("this class needs an Idempotency-Key");
+  if (key != nullptr && !IsValidId(*key)) return bad_request("Idempotency-Key is unreadable");
+  if (key == nullptr && options.requires_key[static_cast<std::size_t>(request.cls)]) {
+    return bad_request("this class needs an Idempotency-Key");
   }
-  *timeout_s = static_cast<double>(ms) / 1000;
-  e.wire_id = *id;
-  if (key != nullptr) e.key = *key;
+  *timeout_s = static_cast<double>(milliseconds) / 1000;
+  request.wire_id = *request_id;
+  if (key != nullptr) request.key = *key;
   if (const std::string* cookie = head.Get("Cookie")) {
-    Pairs(*cookie, ';', [&e](std::string_view name, std::string_view value) {
-      if (name == "k") e.affinity = value;
+    ForEachPair(*cookie, ';', [&request](std::string_view name, std::string_view value) {
+      if (name == "k") request.affinity = value;
     });
   }
-  if (const std::string* retry = head.Get("Client-Retry")) e.retry = *retry == "1";
-  // The client's guess at the work, in microseconds. One that can't be read tells nothing: the
-  // request stands without it, as the guess is optional and its absence harmless.
+  if (const std::string* retry = head.Get("Client-Retry")) request.retry = *retry == "1";
+  // The client's estimate of the service time, in microseconds. It is optional: an unreadable value
+  // is ignored.
   if (const std::string* hint = head.Get("Work-Hint")) {
-    double us = 0;
-    const bool sane =
-        Digits(*hint, &us) && std::isfinite(us) && us > 0 && us <= kMaxTimeoutMs * 1e3;
-    e.size_hint_s = sane ? us / 1e6 : 0;
+    double microseconds = 0;
+    const bool sane = ParseNumber(*hint, &microseconds) && std::isfinite(microseconds) &&
+                      microseconds > 0 && microseconds <= kMaxTimeoutMs * 1e3;
+    request.size_hint_s = sane ? microseconds / 1e6 : 0;
   }
   if (const std::string* info = head.Get("Request-Info")) {
-    Pairs(*info, ',', [&e](std::string_view name, std::string_view value) {
+    ForEachPair(*info, ',', [&request](std::string_view name, std::string_view value) {
       double number = 0;
-      if (!Digits(value, &number) || !std::isfinite(number) || number < 0) return;
-      if (name == "slots") e.slots = number;
-      if (name == "ram_units" || name == "memory") e.memory = number;
-      if (name == "size_hint_s" || name == "hint") e.size_hint_s = number;
+      if (!ParseNumber(value, &number) || !std::isfinite(number) || number < 0) return;
+      if (name == "slots") request.slots = number;
+      if (name == "ram_units" || name == "memory") request.memory = number;
+      if (name == "size_hint_s" || name == "hint") request.size_hint_s = number;
     });
   }
-  held->target = head.target;
+  client_request->target = head.target;
   for (const auto& [name, value] : head.headers) {
-    if (!OurOwn(name)) held->forward_headers.append(name).append(": ").append(value).append("\r\n");
+    if (!IsNotForwarded(name))
+      client_request->forward_headers.append(name).append(": ").append(value).append("\r\n");
   }
   return 0;
 }
 
-// One client's connection: reads a request, hands it in, and writes its answer.
+// A client's connection. Serves one request at a time: parses it, submits it to the forwarder, and
+// writes the answer before it reads the next one.
 class ClientConnection final : public Connection, public ResponseHandler {
  public:
   ClientConnection(ClientFront* front, Loop* loop, evutil_socket_t fd)
       : Connection(loop, "client"), front_(front) {
     Adopt(fd);
     idle_since_ = loop->Now();
-    Limit(kReadS, [this] { Finish("silent"); });
+    SetDeadline(kReadS, [this] { Finish("silent"); });
   }
-  ~ClientConnection() override { loop_->deadlines().Drop(&limit_); }
+  ~ClientConnection() override { loop_->deadlines().Drop(&deadline_); }
 
-  // Nothing of a request is here, not even with the system.
-  bool Idle() const {
+  // No byte of a request has arrived, not even in the kernel's receive buffer.
+  bool IsIdle() const {
     return state_ == State::kReading && parser_.idle() && Available() == 0 && !UnreadInSystem();
   }
-  bool Young() const { return !heard_ && loop_->Now() - idle_since_ < kYoungS; }
+  bool IsNew() const { return !received_input_ && loop_->Now() - idle_since_ < kNewConnectionS; }
   double idle_since() const { return idle_since_; }
-  // Who makes room first when descriptors run out: clients already answered with their fault, those
-  // that have never sent a thing, those with half a request, and only then one that was served and
-  // rests. -1: not this one. `unread`: something waits in the system, a request perhaps.
-  int Dispensable(bool unread) const {
+  // Eviction order when descriptors run out, lowest first: lingering connections, connections that
+  // have sent nothing, those with a partial request, and last those that are idle after a valid
+  // request. -1: must not be evicted. `unread`: the kernel's receive buffer holds input, which may
+  // be a request.
+  int EvictionRank(bool unread) const {
     if (state_ == State::kLingering) return 0;
     if (state_ != State::kReading) return -1;
-    if (!parser_.idle() || Available() > 0) return proven_ ? -1 : 2;
-    if (proven_) return unread ? -1 : served_ > 1 ? 4 : 3;
+    if (!parser_.idle() || Available() > 0) return sent_valid_request_ ? -1 : 2;
+    if (sent_valid_request_) return unread ? -1 : requests_served_ > 1 ? 4 : 3;
     return unread ? 2 : 1;
   }
   void CloseNow(const char* reason) { Finish(reason); }
-  // Ends it as the last answer does: what crosses this end is not read, and goes elsewhere.
-  void Leave(const char* reason) {
-    ending_ = reason;
+  // Closes the connection as after a last answer. A request that crosses the close is not read; its
+  // client sees the end and can retry elsewhere.
+  void CloseGracefully(const char* reason) {
+    close_reason_ = reason;
     Linger();
   }
 
-  // It rested in another process.
-  void GoOn(bool served, const std::string& unread) {
+  // Continues a connection that another process handed over.
+  void Restore(bool served, const std::string& unread) {
     if (served) {
-      heard_ = proven_ = true;
-      served_ = 1;
-      loop_->deadlines().Drop(&limit_);
+      received_input_ = sent_valid_request_ = true;
+      requests_served_ = 1;
+      loop_->deadlines().Drop(&deadline_);
     }
     Unread(unread);
   }
-  // Between two requests, even with the next one's bytes here: another process can go on with it.
+  // Hands the connection to the successor process if no request is in progress. Bytes of the next
+  // request that have not been parsed go with it.
   void HandOver() {
     if (closed() || state_ != State::kReading || !parser_.idle()) return;
     std::string unread;
     const int fd = Release(&unread);
     if (fd < 0) return;
-    loop_->deadlines().Drop(&limit_);
-    front_->taker_(fd, proven_, unread);
-    front_->Drop(this);
+    loop_->deadlines().Drop(&deadline_);
+    front_->handover_(fd, sent_valid_request_, unread);
+    front_->Remove(this);
   }
 
-  void Answer(const ClientRequest& held, const FinalAnswer& answer,
+  void Answer(const ClientRequest& client_request, const FinalAnswer& answer,
               const std::string& result) override {
     request_ = 0;
-    served_ += 1;
+    requests_served_ += 1;
     if (closed()) return;
     switch (answer.kind) {
       case FinalAnswer::Kind::kCompleted:
         return Respond(200, result);
       case FinalAnswer::Kind::kRejected:
-        return Respond(503, "refused\n", RetryAfter(answer.retry_after_s));
+        return Respond(503, "refused\n", RetryAfterHeader(answer.retry_after_s));
       case FinalAnswer::Kind::kDuplicateId:
-        return Refuse(409, "this Request-Id is that of another request");
+        return RejectInput(409, "this Request-Id is that of another request");
       case FinalAnswer::Kind::kFailed:
-        return Respond(held.request.expires_at <= loop_->Now() + 0.001 ? 504 : 502, "failed\n");
+        return Respond(client_request.request.expires_at <= loop_->Now() + 0.001 ? 504 : 502,
+                       "failed\n");
     }
   }
 
@@ -252,46 +267,49 @@
 
   void OnRead() override {
     if (state_ == State::kLingering) {
-      lingered_ += Available();
+      lingering_bytes_ += Available();
       Consume(Available());
-      if (lingered_ > kMaxLingerBytes) Finish(ending_);
+      if (lingering_bytes_ > kMaxLingerBytes) Finish(close_reason_);
       return;
     }
-    if (state_ == State::kWaiting && Available() >= kMaxAheadBytes && dropped_ < kMaxDroppedBytes) {
-      keep_ = false;
-      dropped_ += Available();
+    if (state_ == State::kWaiting && Available() >= kMaxPipelinedBytes &&
+        discarded_bytes_ < kMaxDiscardedBytes) {
+      keep_alive_ = false;
+      discarded_bytes_ += Available();
       Consume(Available());
       return;
     }
     while (state_ == State::kReading && !closed()) {
       const std::string bytes = Peek(16 * 1024);
       if (bytes.empty()) return;
-      const bool fresh = parser_.idle();
+      const bool was_idle = parser_.idle();
       Consume(parser_.Feed(bytes));
-      if (fresh && !parser_.idle()) {
-        const double from = heard_ ? loop_->Now() : idle_since_;  // since it connected, at first
-        heard_ = true;
-        Limit(from + kReadS - loop_->Now(),
-              [this] { Refuse(408, "the request took too long to come in"); });
+      if (was_idle && !parser_.idle()) {
+        // The first request must arrive in time from connecting, later ones from their first byte.
+        const double from = received_input_ ? loop_->Now() : idle_since_;
+        received_input_ = true;
+        SetDeadline(from + kReadS - loop_->Now(),
+                    [this] { RejectInput(408, "the request took too long to come in"); });
       }
-      if (parser_.error() != 0) return Refuse(parser_.error(), "not a readable request");
+      if (parser_.error() != 0) return RejectInput(parser_.error(), "not a readable request");
       if (parser_.done()) {
-        Take();
-      } else if (parser_.head_done() && parser_.head().expects_continue && !continued_) {
-        continued_ = true;
+        HandleRequest();
+      } else if (parser_.head_done() && parser_.head().expects_continue && !continue_sent_) {
+        continue_sent_ = true;
         Write("HTTP/1.1 100 Continue\r\n\r\n");
       }
     }
   }
 
-  void Take() {
-    loop_->deadlines().Drop(&limit_);
-    continued_ = false;
+  // Handles the request that the parser has completed.
+  void HandleRequest() {
+    loop_->deadlines().Drop(&deadline_);
+    continue_sent_ = false;
     const Head head = parser_.head();
-    ClientRequest held;
-    held.request.body = parser_.TakeBody();
+    ClientRequest client_request;
+    client_request.request.body = parser_.TakeBody();
     parser_.Reset();
-    keep_ = head.keep_alive;
+    keep_alive_ = head.keep_alive;
     state_ = State::kWaiting;
     const std::string path = head.target.substr(0, head.target.find('?'));
     if (path == "/_health") {
@@ -304,78 +322,82 @@
     if (head.method != "POST") return Respond(405, "", "Allow: POST\r\n");
     double timeout_s = 0;
     std::string error;
-    if (const int status = ReadRequest(head, front_->names_, &held, &timeout_s, &error)) {
-      return Refuse(status, error.c_str());
+    if (const int status =
+            ReadRequest(head, front_->options_, &client_request, &timeout_s, &error)) {
+      return RejectInput(status, error.c_str());
     }
-    if (front_->stopping_ && !front_->taker_ && loop_->Now() - front_->stopped_at_ > kTakesS) {
-      return Respond(503, "stopping\n", RetryAfter(front_->names_.retry_after_s));
+    if (front_->stopping_ && !front_->handover_ &&
+        loop_->Now() - front_->stopping_since_ > kAcceptAfterStopS) {
+      return Respond(503, "stopping\n", RetryAfterHeader(front_->options_.retry_after_s));
     }
-    proven_ = true;
-    held.request.expires_at = loop_->Now() + timeout_s;
-    request_ = front_->forwarder_->Submit(std::move(held), this);
-    if (request_ == 0) Respond(503, "no planner\n", RetryAfter(front_->names_.retry_after_s));
+    sent_valid_request_ = true;
+    client_request.request.expires_at = loop_->Now() + timeout_s;
+    request_ = front_->forwarder_->Submit(std::move(client_request), this);
+    if (request_ == 0)
+      Respond(503, "no planner\n", RetryAfterHeader(front_->options_.retry_after_s));
   }
 
-  static std::string RetryAfter(double seconds) {
+  static std::string RetryAfterHeader(double seconds) {
     if (!(seconds > 0)) return {};
     char text[48];
     std::snprintf(text, sizeof text, "Retry-After: %.3f\r\n", seconds);
     return text;
   }
 
-  // An answer to what cannot be read: the connection ends with it, but not before the client can
-  // have read why. A close with bytes unread would reset the answer away.
-  void Refuse(int status, const char* error) {
+  // Answers faulty input and closes the connection with a lingering close: closing a socket with
+  // unread bytes would send a reset, and the client might lose the answer.
+  void RejectInput(int status, const char* error) {
     front_->counters_->bad_input += 1;
-    keep_ = false;
-    ending_ = "bad-request";
+    keep_alive_ = false;
+    close_reason_ = "bad-request";
     Respond(status, std::string(error) + "\n");
   }
 
   void Respond(int status, const std::string& body, const std::string& headers = {}) {
-    const bool last = !keep_ || (front_->stopping_ && !front_->taker_);
-    std::string text = "HTTP/1.1 " + std::to_string(status) + " " + Reason(status) + "\r\n" +
+    const bool last = !keep_alive_ || (front_->stopping_ && !front_->handover_);
+    std::string text = "HTTP/1.1 " + std::to_string(status) + " " + ReasonPhrase(status) + "\r\n" +
                        headers + "Content-Length: " + std::to_string(body.size()) + "\r\n" +
                        (last ? "Connection: close\r\n" : "") + "\r\n" + body;
     Write(text);
-    // The next request is read only once this answer is out: a client that asks and never reads
-    // would else have its answers pile up here.
+    // Backpressure: the next request is read only after this answer has been written, so that a
+    // client that never reads cannot make answers accumulate.
     state_ = last ? State::kClosing : State::kWriting;
-    Limit(kWriteS, [this] { Finish("reads-too-slowly"); });
+    SetDeadline(kWriteS, [this] { Finish("reads-too-slowly"); });
   }
 
-  // The one time limit that runs on this connection now.
-  void Limit(double after_s, std::function<void()> what) {
-    loop_->deadlines().Drop(&limit_);
-    limit_ = loop_->deadlines().At(loop_->Now() + after_s, [this, what = std::move(what)] {
-      limit_ = Deadlines::kNone;
-      what();
-    });
+  // Sets the connection's only deadline, in place of any earlier one. `after_s`: seconds from now.
+  void SetDeadline(double after_s, std::function<void()> callback) {
+    loop_->deadlines().Drop(&deadline_);
+    deadline_ =
+        loop_->deadlines().At(loop_->Now() + after_s, [this, callback = std::move(callback)] {
+          deadline_ = Deadlines::kNone;
+          callback();
+        });
   }
 
   void OnDrained() override {
     if (state_ == State::kWriting) {
-      loop_->deadlines().Drop(&limit_);
+      loop_->deadlines().Drop(&deadline_);
       state_ = State::kReading;
       idle_since_ = loop_->Now();
-      if (front_->taker_) return HandOver();
-      return OnRead();  // a request may have come in behind the last one already
+      if (front_->handover_) return HandOver();
+      return OnRead();  // a pipelined request may have arrived already
     }
     if (state_ == State::kClosing) Linger();
   }
 
-  // Ends our side and waits a moment for the other's. A close over bytes unread, or before bytes
-  // that are on their way, resets the connection, and what was last written may go with it. What
-  // comes from here on is not read: its client sees the end and turns elsewhere.
+  // Lingering close: half-closes the connection and waits briefly for the client to close. Closing
+  // while input is unread or in flight would reset the connection, and the client might lose the
+  // last answer. Input that arrives from here on is discarded.
   void Linger() {
     state_ = State::kLingering;
     EndSending();
     Consume(Available());
-    Limit(kLingerS, [this] { Finish(ending_); });
+    SetDeadline(kLingerS, [this] { Finish(close_reason_); });
   }
 
   void OnEnd(const char* reason) override {
-    Finish(state_ == State::kLingering ? ending_
+    Finish(state_ == State::kLingering ? close_reason_
            : state_ == State::kWaiting ? "client-gone"
            : state_ == State::kClosing ? "gone-before-answer"
                                        : reason);
@@ -383,65 +405,67 @@
 
   void Finish(const char* reason) {
     if (closed()) return;
-    loop_->deadlines().Drop(&limit_);
+    loop_->deadlines().Drop(&deadline_);
     Close(reason);
     if (request_ != 0) front_->forwarder_->CancelRequest(std::exchange(request_, 0));
-    front_->Drop(this);
+    front_->Remove(this);
   }
 
   ClientFront* front_;
   Parser parser_{Parser::Side::kRequest, {}};
   State state_ = State::kReading;
-  bool keep_ = true, continued_ = false;
-  const char* ending_ = "answered-last";  // the reason code, once our side has ended
-  bool heard_ = false;                    // something has come
-  bool proven_ = false;                   // has handed in a whole request that could be taken
-  std::size_t lingered_ = 0, dropped_ = 0, served_ = 0;
-  RequestId request_ = 0;
-  double idle_since_ = 0;
-  Deadlines::Ticket limit_ = Deadlines::kNone;
+  bool keep_alive_ = true, continue_sent_ = false;
+  const char* close_reason_ = "answered-last";  // reason logged for a lingering close
+  bool received_input_ = false;
+  bool sent_valid_request_ = false;
+  std::size_t lingering_bytes_ = 0, discarded_bytes_ = 0, requests_served_ = 0;
+  RequestId request_ = 0;  // in progress; 0: none
+  double idle_since_ = 0;  // loop time in seconds
+  Deadlines::Ticket deadline_ = Deadlines::kNone;
 };
 
-ClientFront::ClientFront(Forwarder* forwarder, FrontOptions names, Counters* counters)
-    : forwarder_(forwarder), names_(std::move(names)), counters_(counters) {}
+ClientFront::ClientFront(Forwarder* forwarder, FrontOptions options, Counters* counters)
+    : forwarder_(forwarder), options_(std::move(options)), counters_(counters) {}
 ClientFront::~ClientFront() = default;
 
 bool ClientFront::Listen(const std::string& address, bool shared, std::string* error) {
-  forwarder_->loop()->OnClientFreed([this] { Resume(); });
+  forwarder_->loop()->OnClientFreed([this] { ResumeAccepting(); });
   return listener_.Open(
       forwarder_->loop(), address, [this](evutil_socket_t fd) { Accept(fd); }, error, shared);
 }
 
 bool ClientFront::AdoptListener(int fd) {
-  forwarder_->loop()->OnClientFreed([this] { Resume(); });
-  return listener_.Adopt(forwarder_->loop(), fd, [this](evutil_socket_t s) { Accept(s); });
+  forwarder_->loop()->OnClientFreed([this] { ResumeAccepting(); });
+  return listener_.Adopt(forwarder_->loop(), fd,
+                         [this](evutil_socket_t accepted) { Accept(accepted); });
 }
 
-void ClientFront::Resume() {
-  if (!taker_ && !forwarder_->loop()->budget().ClientsFull()) listener_.Resume();
+void ClientFront::ResumeAccepting() {
+  if (!handover_ && !forwarder_->loop()->budget().ClientsFull()) listener_.Resume();
 }
 
-void ClientFront::HandOver(Taker taker) {
-  taker_ = std::move(taker);
-  if (!taker_) return Resume();
+void ClientFront::HandOver(HandoverCallback callback) {
+  handover_ = std::move(callback);
+  if (!handover_) return ResumeAccepting();
   listener_.Pause();
-  std::vector<ClientConnection*> all;
-  for (const auto& [raw, client] : clients_) all.push_back(raw);
-  for (ClientConnection* raw : all) raw->HandOver();
+  // A copy: handing a connection over removes it from clients_.
+  std::vector<ClientConnection*> clients;
+  for (const auto& [raw, client] : clients_) clients.push_back(raw);
+  for (ClientConnection* raw : clients) raw->HandOver();
 }
 
 void ClientFront::AdoptClient(int fd, bool served, const std::string& unread) {
   evutil_make_socket_nonblocking(fd);
-  Add(fd)->GoOn(served, unread);
+  AddClient(fd)->Restore(served, unread);
 }
 
 void ClientFront::Accept(evutil_socket_t fd) {
-  ClientConnection* raw = Add(fd);
-  // With no descriptor left for another, the longest idle makes room; else the next must wait.
-  if (forwarder_->loop()->budget().ClientsFull() && !MakeRoom(raw)) listener_.Pause();
+  ClientConnection* raw = AddClient(fd);
+  // If no descriptor is left for another client, evicts one; failing that, stops accepting.
+  if (forwarder_->loop()->budget().ClientsFull() && !EvictIdleConnection(raw)) listener_.Pause();
 }
 
-ClientConnection* ClientFront::Add(evutil_socket_t fd) {
+ClientConnection* ClientFront::AddClient(evutil_socket_t fd) {
   auto client = std::make_unique<ClientConnection>(this, forwarder_->loop(), fd);
   ClientConnection* raw = client.get();
   clients_.emplace(raw, std::move(client));
@@ -451,45 +475,47 @@
 
 namespace {
 
-// A connection that may be closed to make room for another.
-struct Dispensable {
+// A connection that may be closed to accept another.
+struct EvictionCandidate {
   int rank = 0;
   double idle_since = 0;
   ClientConnection* connection = nullptr;
-  bool looked = false;  // the rank heeds what waits in the system
-  bool operator>(const Dispensable& other) const {
+  bool receive_buffer_checked = false;  // the rank accounts for input in the kernel's buffer
+  bool operator>(const EvictionCandidate& other) const {
     return std::pair(rank, idle_since) > std::pair(other.rank, other.idle_since);
   }
 };
-using DispensableFirst = std::priority_queue<Dispensable, std::vector<Dispensable>, std::greater<>>;
+// Lowest rank first, then longest idle.
+using EvictionQueue =
+    std::priority_queue<EvictionCandidate, std::vector<EvictionCandidate>, std::greater<>>;
 
 }  // namespace
 
-// With hundreds that connect and say nothing, the longest idle would be a usual client's resting
-// connection: it must not pay for them. Only the one to be closed is looked at in the system: a
-// call for each of them, for each one accepted, once took all of a node's processor time.
-bool ClientFront::MakeRoom(const ClientConnection* newest) {
-  DispensableFirst candidates;
+// Evicts by rank rather than by idle time alone: under a flood of silent connections the longest
+// idle one is a regular client's keep-alive connection. Only the best candidate's receive buffer is
+// checked: a system call per connection for each accepted one can use up the node's processor.
+bool ClientFront::EvictIdleConnection(const ClientConnection* newest) {
+  EvictionQueue candidates;
   for (const auto& [raw, client] : clients_) {
     if (raw->closed() || raw == newest) continue;
-    const int rank = raw->Dispensable(false);
+    const int rank = raw->EvictionRank(false);
     if (rank >= 0) candidates.push({rank, raw->idle_since(), raw});
   }
   while (!candidates.empty()) {
-    Dispensable best = candidates.top();
+    EvictionCandidate best = candidates.top();
     candidates.pop();
-    if (best.looked || !best.connection->UnreadInSystem()) {
+    if (best.receive_buffer_checked || !best.connection->UnreadInSystem()) {
       best.connection->CloseNow("made-room");
       return true;
     }
-    best.rank = best.connection->Dispensable(true);
-    best.looked = true;
+    best.rank = best.connection->EvictionRank(true);
+    best.receive_buffer_checked = true;
     if (best.rank >= 0) candidates.push(best);
   }
   return false;
 }
 
-void ClientFront::Drop(ClientConnection* client) {
+void ClientFront::Remove(ClientConnection* client) {
   Loop* loop = forwarder_->loop();
   loop->ClientFreed();
   loop->Later([this, client] { clients_.erase(client); });
@@ -497,14 +523,14 @@
 
 void ClientFront::BeginStop() {
   stopping_ = true;
-  stopped_at_ = forwarder_->loop()->Now();
+  stopping_since_ = forwarder_->loop()->Now();
 }
 
 void ClientFront::CloseIdle() {
   listener_.AcceptPending();
   listener_.Close();
   for (const auto& [raw, client] : clients_) {
-    if (!raw->closed() && raw->Idle() && !raw->Young()) raw->Leave("stopping");
+    if (!raw->closed() && raw->IsIdle() && !raw->IsNew()) raw->CloseGracefully("stopping");
   }
 }
 
--- a/src/net/http/parser.cpp
+++ b/src/net/http/parser.cpp
@@ -6,11 +6,12 @@
 namespace millethollow::http {
 namespace {
 
-char Lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; }
+char ToLower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; }
 
+// Whether `text` is a token in the sense of RFC 9110.
 bool IsToken(std::string_view text) {
   return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
-    return (c >= '0' && c <= '9') || (Lower(c) >= 'a' && Lower(c) <= 'z') ||
+    return (c >= '0' && c <= '9') || (ToLower(c) >= 'a' && ToLower(c) <= 'z') ||
            std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
   });
 }
@@ -21,15 +22,17 @@
   return text;
 }
 
-bool Number(std::string_view text, int base, std::size_t* value) {
+// Parses the whole of `text` as an unsigned number without a sign.
+bool ParseNumber(std::string_view text, int base, std::size_t* value) {
   const char* end = text.data() + text.size();
-  // from_chars takes no sign for unsigned types but '-': digits only, so that "+5" is refused too.
+  // from_chars accepts '-' even for unsigned types. It never accepts '+'.
   if (text.empty() || text.front() == '-') return false;
-  const auto [at, error] = std::from_chars(text.data(), end, *value, base);
-  return error == std::errc() && at == end;
+  const auto [parsed_end, error] = std::from_chars(text.data(), end, *value, base);
+  return error == std::errc() && parsed_end == end;
 }
 
-bool ListHas(std::string_view list, std::string_view item) {
+// Whether a comma-separated list contains `item`, compared case-insensitively.
+bool ListContains(std::string_view list, std::string_view item) {
   while (!list.empty()) {
     const std::size_t comma = std::min(list.find(','), list.size());
     if (SameName(Trim(list.substr(0, comma)), item)) return true;
@@ -40,77 +43,80 @@
 
 }  // namespace
 
-bool SameName(std::string_view a, std::string_view b) {
-  return std::equal(a.begin(), a.end(), b.begin(), b.end(),
-                    [](char x, char y) { return Lower(x) == Lower(y); });
+bool SameName(std::string_view left, std::string_view right) {
+  return std::equal(left.begin(), left.end(), right.begin(), right.end(),
+                    [](char x, char y) { return ToLower(x) == ToLower(y); });
 }
 
 const std::string* Head::Get(std::string_view name) const {
-  for (const auto& [key, value] : headers) {
-    if (SameName(key, name)) return &value;
+  for (const auto& [field_name, value] : headers) {
+    if (SameName(field_name, name)) return &value;
   }
   return nullptr;
 }
 
 std::size_t Head::Count(std::string_view name) const {
-  return static_cast<std::size_t>(std::count_if(
-      headers.begin(), headers.end(), [name](const auto& h) { return SameName(h.first, name); }));
+  return static_cast<std::size_t>(
+      std::count_if(headers.begin(), headers.end(),
+                    [name](const auto& header) { return SameName(header.first, name); }));
 }
 
 void Parser::Reset() {
   state_ = State::kHead;
   error_ = 0;
-  first_line_done_ = false;
+  start_line_done_ = false;
   line_.clear();
   body_.clear();
-  head_bytes_ = body_bytes_ = left_ = 0;
+  head_bytes_ = body_bytes_ = remaining_bytes_ = 0;
   head_ = {};
 }
 
 void Parser::Fail(int status) {
-  state_ = State::kBad;
+  state_ = State::kError;
   error_ = status;
   line_.clear();
   body_.clear();
 }
 
 std::size_t Parser::Feed(std::string_view bytes) {
-  std::size_t used = 0;
-  while (used < bytes.size() && state_ != State::kDone && state_ != State::kBad) {
-    const std::string_view rest = bytes.substr(used);
-    if (state_ == State::kLength || state_ == State::kChunk || state_ == State::kToEnd) {
-      const std::size_t n = state_ == State::kToEnd ? rest.size() : std::min(left_, rest.size());
-      if (!AddBody(rest.substr(0, n))) break;
-      used += n;
-      left_ -= state_ == State::kToEnd ? 0 : n;
-      if (left_ == 0 && state_ == State::kLength) state_ = State::kDone;
-      if (left_ == 0 && state_ == State::kChunk) state_ = State::kChunkEnd;
+  std::size_t consumed = 0;
+  while (consumed < bytes.size() && state_ != State::kDone && state_ != State::kError) {
+    const std::string_view rest = bytes.substr(consumed);
+    if (state_ == State::kFixedLengthBody || state_ == State::kChunkData ||
+        state_ == State::kBodyUntilClose) {
+      const std::size_t count =
+          state_ == State::kBodyUntilClose ? rest.size() : std::min(remaining_bytes_, rest.size());
+      if (!AppendBody(rest.substr(0, count))) break;
+      consumed += count;
+      remaining_bytes_ -= state_ == State::kBodyUntilClose ? 0 : count;
+      if (remaining_bytes_ == 0 && state_ == State::kFixedLengthBody) state_ = State::kDone;
+      if (remaining_bytes_ == 0 && state_ == State::kChunkData) state_ = State::kChunkEnd;
       continue;
     }
-    // Everything else comes in lines.
+    // The head, chunk sizes and trailers are read line by line.
     const std::size_t newline = rest.find('\n');
-    const std::size_t n = newline == std::string_view::npos ? rest.size() : newline + 1;
-    line_.append(rest.substr(0, n));
-    used += n;
-    head_bytes_ += n;
+    const std::size_t count = newline == std::string_view::npos ? rest.size() : newline + 1;
+    line_.append(rest.substr(0, count));
+    consumed += count;
+    head_bytes_ += count;
     if (head_bytes_ > limits_.head) {
       Fail(side_ == Side::kRequest && state_ == State::kHead ? 431 : 400);
       break;
     }
-    if (newline != std::string_view::npos) Line();
+    if (newline != std::string_view::npos) HandleLine();
   }
-  return used;
+  return consumed;
 }
 
 void Parser::EndOfInput() {
-  if (state_ == State::kToEnd) {
+  if (state_ == State::kBodyUntilClose) {
     state_ = State::kDone;
-  } else if (state_ != State::kDone && state_ != State::kBad) {
+  } else if (state_ != State::kDone && state_ != State::kError) {
     Fail(400);
   }
 }
 
-bool Parser::AddBody(std::string_view bytes) {
+bool Parser::AppendBody(std::string_view bytes) {
   body_bytes_ += bytes.size();
   if (body_bytes_ > limits_.body) {
     Fail(413);
@@ -120,9 +126,10 @@
   return true;
 }
 
-void Parser::Line() {
+void Parser::HandleLine() {
   line_.pop_back();
-  // A bare line feed is where two readers of one stream come to disagree: refused.
+  // A bare line feed is rejected: implementations differ in how they frame it, which allows request
+  // smuggling.
   if (line_.empty() || line_.back() != '\r') return Fail(400);
   line_.pop_back();
   for (const char c : line_) {
@@ -130,17 +137,18 @@
   }
   switch (state_) {
     case State::kHead:
-      if (!first_line_done_) {
-        if (line_.empty() && side_ == Side::kRequest) break;  // stray empty lines between requests
-        FirstLine();
+      if (!start_line_done_) {
+        if (line_.empty() && side_ == Side::kRequest)
+          break;  // RFC 9112, 2.2: empty lines before a request
+        ParseStartLine();
       } else if (line_.empty()) {
-        EndOfHead();
+        HandleEndOfHead();
       } else {
-        HeaderLine();
+        ParseFieldLine();
       }
       break;
     case State::kChunkSize:
-      ChunkSize();
+      ParseChunkSize();
       break;
     case State::kChunkEnd:
       if (!line_.empty()) return Fail(400);
@@ -155,57 +163,58 @@
   line_.clear();
 }
 
-void Parser::FirstLine() {
+void Parser::ParseStartLine() {
   const std::string_view line = line_;
-  const std::size_t one = line.find(' ');
-  if (one == std::string_view::npos) return Fail(400);
+  const std::size_t first_space = line.find(' ');
+  if (first_space == std::string_view::npos) return Fail(400);
   std::string_view version;
   if (side_ == Side::kRequest) {
-    const std::size_t two = line.rfind(' ');
-    head_.method = line.substr(0, one);
-    if (two <= one || !IsToken(head_.method)) return Fail(400);
-    head_.target = line.substr(one + 1, two - one - 1);
-    version = line.substr(two + 1);
+    const std::size_t last_space = line.rfind(' ');
+    head_.method = line.substr(0, first_space);
+    if (last_space <= first_space || !IsToken(head_.method)) return Fail(400);
+    head_.target = line.substr(first_space + 1, last_space - first_space - 1);
+    version = line.substr(last_space + 1);
     if (head_.target.empty() || head_.target.find(' ') != std::string::npos) return Fail(400);
   } else {
-    version = line.substr(0, one);
+    version = line.substr(0, first_space);
     std::size_t status = 0;
-    const std::string_view code = line.substr(one + 1, 3);
-    if (code.size() != 3 || !Number(code, 10, &status) || status < 100) return Fail(400);
-    if (line.size() > one + 4 && line[one + 4] != ' ') return Fail(400);
+    const std::string_view code = line.substr(first_space + 1, 3);
+    if (code.size() != 3 || !ParseNumber(code, 10, &status) || status < 100) return Fail(400);
+    if (line.size() > first_space + 4 && line[first_space + 4] != ' ') return Fail(400);
     head_.status = static_cast<int>(status);
   }
   if (!version.starts_with("HTTP/")) return Fail(400);
   if (version != "HTTP/1.1" && version != "HTTP/1.0") return Fail(505);
   head_.keep_alive = version == "HTTP/1.1";
-  first_line_done_ = true;
+  start_line_done_ = true;
 }
 
-void Parser::HeaderLine() {
+void Parser::ParseFieldLine() {
   const std::size_t colon = line_.find(':');
   if (colon == std::string::npos) return Fail(400);
   const std::string_view name = std::string_view(line_).substr(0, colon);
-  // No space may stand before the colon, nor a folded line: both have been used to smuggle.
+  // Whitespace before the colon and folded lines are rejected: both are used for request
+  // smuggling.
   if (!IsToken(name)) return Fail(400);
   head_.headers.emplace_back(name, Trim(std::string_view(line_).substr(colon + 1)));
 }
 
-void Parser::EndOfHead() {
+void Parser::HandleEndOfHead() {
   for (const auto& [name, value] : head_.headers) {
     if (!SameName(name, "Connection")) continue;
-    if (ListHas(value, "close")) head_.keep_alive = false;
-    if (ListHas(value, "keep-alive")) head_.keep_alive = true;
+    if (ListContains(value, "close")) head_.keep_alive = false;
+    if (ListContains(value, "keep-alive")) head_.keep_alive = true;
   }
   if (const std::string* expect = head_.Get("Expect")) {
     head_.expects_continue = SameName(*expect, "100-continue");
   }
-  if (side_ == Side::kResponse && head_.status < 200) {  // interim: the real answer follows
+  if (side_ == Side::kResponse && head_.status < 200) {  // interim: the final response follows
     Reset();
     return;
   }
   const std::size_t lengths = head_.Count("Content-Length");
   const std::size_t codings = head_.Count("Transfer-Encoding");
-  // A length given twice, or beside a transfer coding, is how requests are smuggled.
+  // Repeated lengths, or a length next to a transfer coding, are used for request smuggling.
   if (lengths > 1 || codings > 1 || (lengths > 0 && codings > 0)) return Fail(400);
   if (codings == 1) {
     if (!SameName(*head_.Get("Transfer-Encoding"), "chunked")) return Fail(501);
@@ -217,21 +226,21 @@
     return;
   }
   if (lengths == 0) {
-    state_ = side_ == Side::kRequest ? State::kDone : State::kToEnd;
+    state_ = side_ == Side::kRequest ? State::kDone : State::kBodyUntilClose;
     if (side_ == Side::kResponse) head_.keep_alive = false;
     return;
   }
-  if (!Number(*head_.Get("Content-Length"), 10, &left_)) return Fail(400);
-  if (left_ > limits_.body) return Fail(413);
-  state_ = left_ == 0 ? State::kDone : State::kLength;
+  if (!ParseNumber(*head_.Get("Content-Length"), 10, &remaining_bytes_)) return Fail(400);
+  if (remaining_bytes_ > limits_.body) return Fail(413);
+  state_ = remaining_bytes_ == 0 ? State::kDone : State::kFixedLengthBody;
 }
 
-void Parser::ChunkSize() {
+void Parser::ParseChunkSize() {
   const std::string_view size = Trim(std::string_view(line_).substr(0, line_.find(';')));
-  if (size.size() > 8 || !Number(size, 16, &left_)) return Fail(400);
-  if (body_bytes_ + left_ > limits_.body) return Fail(413);
-  head_bytes_ = 0;  // the limit holds for each chunk's line and for the trailers
-  state_ = left_ == 0 ? State::kTrailer : State::kChunk;
+  if (size.size() > 8 || !ParseNumber(size, 16, &remaining_bytes_)) return Fail(400);
+  if (body_bytes_ + remaining_bytes_ > limits_.body) return Fail(413);
+  head_bytes_ = 0;  // the limit applies to each chunk-size line and to the trailers
+  state_ = remaining_bytes_ == 0 ? State::kTrailer : State::kChunkData;
 }
 
 }  // namespace millethollow::http
--- a/src/net/http/worker_pool.cpp
+++ b/src/net/http/worker_pool.cpp
@@ -11,22 +11,23 @@
 namespace {
 
 using Json = nlohmann::json;
-constexpr std::size_t kMaxAnswerBytes = 256 * 1024;  // of one worker's whole answer
-constexpr double kEndS = 1.0;                        // from an outcome to the end of its answer
-// A second answer may come some milliseconds after the first. One that names no request would be
-// taken for that of the next: 'never begun', of one that runs.
-constexpr double kEchoS = 0.1;
-constexpr double kRetireShare = 0.6;  // of the idle time after which it closes
-
-// 4xx, but for those that speak of the worker or of the moment.
-bool ClientsFault(int status) {
+constexpr std::size_t kMaxResponseBytes = 256 * 1024;  // of one response
+constexpr double kResponseEndTimeoutS = 1.0;           // from an outcome to the end of its response
+// A faulty worker may send a second response some milliseconds after the first. An error response
+// carries no request id, so it could be taken for the response to the next request and report a
+// running one as not started. After an error response, a connection is reused only after this time.
+constexpr double kReuseDelayS = 0.1;
+constexpr double kIdleTimeoutShare = 0.6;  // of the idle time after which the worker closes
+
+// 4xx, except for those that are due to the worker or temporary: 408, 425 and 429.
+bool IsClientError(int status) {
   return status >= 400 && status < 500 && status != 408 && status != 425 && status != 429;
 }
 
 }  // namespace
 
 void ReadReport(std::string_view text, const std::vector<std::string>& columns, Outcome* outcome) {
-  const auto put = [&](std::string_view name, double value) {
+  const auto store = [&](std::string_view name, double value) {
     for (std::size_t i = 0; i < columns.size() && i < 4; ++i) {
       if (columns[i] != name || !std::isfinite(value)) continue;
       outcome->report[i] = value;
@@ -40,7 +41,7 @@
     const Json object = Json::parse(text, nullptr, false);
     if (!object.is_object()) return;
     for (const auto& [name, value] : object.items()) {
-      if (value.is_number()) put(name, value.get<double>());
+      if (value.is_number()) store(name, value.get<double>());
     }
     return;
   }
@@ -52,150 +53,158 @@
     double value = 0;
     if (equals != std::string_view::npos) {
       const char* end = part.data() + part.size();
-      const auto [at, error] = std::from_chars(part.data() + equals + 1, end, value);
-      if (error == std::errc() && at == end) put(part.substr(0, equals), value);
+      const auto [parsed_end, error] = std::from_chars(part.data() + equals + 1, end, value);
+      if (error == std::errc() && parsed_end == end) store(part.substr(0, equals), value);
     }
     text.remove_prefix(std::min(comma + 1, text.size()));
   }
 }
 
 JobLine ReadJobLine(std::string_view line, std::string_view id) {
-  JobLine read;
+  JobLine parsed;
   const Json object = Json::parse(line, nullptr, false);
-  if (!object.is_object()) return read;
-  // Another job's line on our connection: whatever it says, it is not ours to pass on.
-  const auto own = object.find("id");
-  if (own == object.end() || !own->is_string() || own->get_ref<const std::string&>() != id) {
-    return read;
+  if (!object.is_object()) return parsed;
+  // A line with another job's id must not be taken for this attempt's.
+  const auto job_id = object.find("id");
+  if (job_id == object.end() || !job_id->is_string() ||
+      job_id->get_ref<const std::string&>() != id) {
+    return parsed;
   }
   const auto state = object.find("state");
-  if (state == object.end() || !state->is_string()) return read;
+  if (state == object.end() || !state->is_string()) return parsed;
   if (const auto load = object.find("load"); load != object.end() && load->is_object()) {
-    read.load = load->dump();
+    parsed.load = load->dump();
   }
   const auto& name = state->get_ref<const std::string&>();
-  using What = JobLine::What;
+  using Kind = JobLine::Kind;
   if (name == "done") {
     const auto result = object.find("result");
-    if (result == object.end()) return read;
-    read.result = result->is_string() ? result->get<std::string>() : result->dump();
-    read.what = What::kServed;
+    if (result == object.end()) return parsed;
+    parsed.result = result->is_string() ? result->get<std::string>() : result->dump();
+    parsed.kind = Kind::kDone;
   } else {
-    read.what = name == "started"    ? What::kStarted
-                : name == "running"  ? What::kRunning
-                : name == "failed"   ? What::kError
-                : name == "returned" ? What::kTurnedAway
-                : name == "lost"     ? What::kLost
-                                     : What::kNonsense;
-  }
-  return read;
+    parsed.kind = name == "started"    ? Kind::kStarted
+                  : name == "running"  ? Kind::kRunning
+                  : name == "failed"   ? Kind::kFailed
+                  : name == "returned" ? Kind::kReturned
+                  : name == "lost"     ? Kind::kLost
+                                       : Kind::kUnreadable;
+  }
+  return parsed;
 }
 
+// A connection to a worker: idle in the pool, or busy with one attempt or one probe.
 class WorkerConnection final : public Connection {
  public:
   WorkerConnection(WorkerPool* pool, Loop* loop, std::string worker)
       : Connection(loop, "worker"), pool_(pool), worker_(std::move(worker)) {}
-  ~WorkerConnection() override { loop_->deadlines().Drop(&limit_); }
+  ~WorkerConnection() override { loop_->deadlines().Drop(&deadline_); }
 
   const std::string& worker() const { return worker_; }
   double idle_since() const { return idle_since_; }
 
   bool Open(const sockaddr_in& address) {
-    limit_ = loop_->deadlines().At(loop_->Now() + pool_->options_.connect_timeout_s, [this] {
-      limit_ = Deadlines::kNone;
-      // Connected and written, though the turn ended before libevent could say so: what is out is
-      // out.
-      if (busy_ && pending_.empty() && Drained()) return;
+    deadline_ = loop_->deadlines().At(loop_->Now() + pool_->options_.connect_timeout_s, [this] {
+      deadline_ = Deadlines::kNone;
+      // The connection may be made and the request written although libevent has not reported it
+      // yet. The attempt must then count as sent.
+      if (busy_ && pending_request_.empty() && Drained()) return;
       Break("connect-timeout");
     });
     return Connect(address);
   }
 
-  void SendRequest(const ClientRequest& held, int attempt) {
-    const Request& e = held.request;
-    Begin();
-    id_ = e.id;
+  void SendRequest(const ClientRequest& client_request, int attempt) {
+    const Request& request = client_request.request;
+    BeginExchange();
+    request_id_ = request.id;
     attempt_ = attempt;
-    wire_id_ = e.wire_id;
-    const double left_ms = std::max(1.0, std::floor((e.expires_at - sent_at_) * 1000));
-    std::string text = "POST " + held.target + " HTTP/1.1\r\nHost: " + worker_ +
-                       "\r\nRequest-Id: " + e.wire_id + "\r\n" +
-                       (e.key.empty() ? "" : "Idempotency-Key: " + e.key + "\r\n") +
+    wire_id_ = request.wire_id;
+    const double left_ms = std::max(1.0, std::floor((request.expires_at - sent_at_) * 1000));
+    std::string text = "POST " + client_request.target + " HTTP/1.1\r\nHost: " + worker_ +
+                       "\r\nRequest-Id: " + request.wire_id + "\r\n" +
+                       (request.key.empty() ? "" : "Idempotency-Key: " + request.key + "\r\n") +
                        "Request-Timeout-Ms: " + std::to_string(static_cast<long long>(left_ms)) +
-                       "\r\n" + held.forward_headers +
-                       "Content-Length: " + std::to_string(e.body.size()) + "\r\n\r\n" + e.body;
-    if (e.durable_job.empty()) return Write(text);
-    if (connected_) return WritePromised(text);
-    // What is sent for a promise waits for the connection: the system makes it while this process
-    // is stopped, and by then the promise may be another's.
-    promise_ = e.durable_job;
-    pending_ = std::move(text);
+                       "\r\n" + client_request.forward_headers +
+                       "Content-Length: " + std::to_string(request.body.size()) + "\r\n\r\n" +
+                       request.body;
+    if (request.durable_job.empty()) return Write(text);
+    if (connected_) return WriteDurable(text);
+    // A durable job's request is held until connected: the kernel may complete the connection and
+    // send buffered bytes while this process is stopped, when another process may have taken the
+    // job over.
+    durable_job_ = request.durable_job;
+    pending_request_ = std::move(text);
   }
 
   void SendProbe() {
-    Begin();
-    id_ = 0;
+    BeginExchange();
+    request_id_ = 0;
     Write("GET /_load HTTP/1.1\r\nHost: " + worker_ + "\r\n\r\n");
-    probe_limit_ = loop_->deadlines().At(loop_->Now() + pool_->options_.probe_timeout_s, [this] {
-      probe_limit_ = Deadlines::kNone;
+    probe_deadline_ = loop_->deadlines().At(loop_->Now() + pool_->options_.probe_timeout_s, [this] {
+      probe_deadline_ = Deadlines::kNone;
       Report({.status = AttemptStatus::kNoResponse});
       Finish("probe-timeout");
     });
   }
 
-  // Its turn is over, or its address has changed.
+  // Closes the connection and removes it from the pool.
   void Finish(const char* reason) {
     if (closed()) return;
-    loop_->deadlines().Drop(&limit_);
-    loop_->deadlines().Drop(&probe_limit_);
+    loop_->deadlines().Drop(&deadline_);
+    loop_->deadlines().Drop(&probe_deadline_);
     Close(reason);
-    pool_->Drop(this);
+    pool_->Remove(this);
   }
 
-  // It rested in another process.
-  void GoOn(int fd, double idle_since) {
+  // Continues an idle connection that another process handed over.
+  void Restore(int fd, double idle_since) {
     Adopt(fd);
     connected_ = true;
-    Rest(idle_since);
+    BecomeIdle(idle_since);
   }
-  int LetGo() {
+  // Gives up the socket for a handover: the caller owns the descriptor. -1 on failure.
+  int ReleaseDescriptor() {
     std::string unread;
     const int fd = Release(&unread);
     if (fd < 0) return -1;
-    loop_->deadlines().Drop(&limit_);
-    pool_->Drop(this);
+    loop_->deadlines().Drop(&deadline_);
+    pool_->Remove(this);
     return fd;
   }
 
-  // May it carry a request now? The worker may have closed it, or sent what nobody asked for, since
-  // the last turn.
-  bool Fit() const { return loop_->Now() >= fit_from_; }
-  bool Stale() const { return UnreadInSystem(); }
-  // Nothing of the request may have reached the worker yet.
-  bool Unwritten() const { return !pending_.empty() || !Drained(); }
+  // Whether the delay before reuse is over.
+  bool IsReusable() const { return loop_->Now() >= reusable_from_; }
+  // Whether the worker has closed the connection, or sent unsolicited bytes, since the last turn.
+  bool IsStale() const { return UnreadInSystem(); }
+  // Whether the request has not been sent completely, so that the worker cannot have started it.
+  bool IsUnsent() const { return !pending_request_.empty() || !Drained(); }
+  // Cancels the attempt if it has not been sent completely.
   void CancelUnsent() {
-    if (!busy_ || reported_ || !Unwritten()) return;
+    if (!busy_ || reported_ || !IsUnsent()) return;
     Report({.status = AttemptStatus::kNotSent});
     Finish("called-off");
   }
 
-  void Rest() { Rest(loop_->Now()); }
-  void Rest(double since) {
+  // Starts the idle timeout. `since`: loop time in seconds.
+  void BecomeIdle() { BecomeIdle(loop_->Now()); }
+  void BecomeIdle(double since) {
     idle_since_ = since;
-    const double idle_s = pool_->options_.idle_s * kRetireShare;
-    limit_ = loop_->deadlines().At(idle_since_ + idle_s, [this] {
-      limit_ = Deadlines::kNone;
+    const double idle_s = pool_->options_.idle_s * kIdleTimeoutShare;
+    deadline_ = loop_->deadlines().At(idle_since_ + idle_s, [this] {
+      deadline_ = Deadlines::kNone;
       Finish("retired");
     });
   }
 
-  RequestId id() const { return id_; }
+  RequestId id() const { return request_id_; }
   int attempt() const { return attempt_; }
-  void Forget() { reported_ = true; }
+  // No outcome is reported for the current attempt any more.
+  void SuppressReport() { reported_ = true; }
 
  private:
-  void Begin() {
-    if (connected_) loop_->deadlines().Drop(&limit_);
+  void BeginExchange() {
+    if (connected_) loop_->deadlines().Drop(&deadline_);
     busy_ = true;
     reported_ = false;
     sent_at_ = loop_->Now();
@@ -206,38 +215,38 @@
 
   void OnConnected() override {
     connected_ = true;
-    loop_->deadlines().Drop(&limit_);
-    if (!busy_) return Rest();
-    if (pending_.empty()) return;
-    if (!pool_->options_.may_act || !pool_->options_.may_act(promise_)) {
+    loop_->deadlines().Drop(&deadline_);
+    if (!busy_) return BecomeIdle();
+    if (pending_request_.empty()) return;
+    if (!pool_->options_.may_act || !pool_->options_.may_act(durable_job_)) {
       Report({.status = AttemptStatus::kNotSent});
       return Finish("not-ours");
     }
-    WritePromised(std::exchange(pending_, {}));
+    WriteDurable(std::exchange(pending_request_, {}));
   }
 
-  // Leave to send it was asked for just now. Were it written in a later turn, this process might
-  // have been stopped in between, and the promise be another's.
-  void WritePromised(const std::string& text) {
+  // Writes a durable job's request at once, since may_act has just been checked: by a later turn,
+  // after a stop of this process, another process may have taken the job over.
+  void WriteDurable(const std::string& text) {
     WriteNow(text);
     if (Drained()) OnDrained();
   }
 
-  // All that was written has gone to the kernel: the attempt is out whole.
+  // The kernel has taken every byte: the attempt counts as sent.
   void OnDrained() override {
-    if (!busy_ || !connected_ || id_ == 0 || written_ || !pending_.empty()) return;
+    if (!busy_ || !connected_ || request_id_ == 0 || written_ || !pending_request_.empty()) return;
     written_ = true;
     if (pool_->options_.counters != nullptr) pool_->options_.counters->written += 1;
   }
 
   void OnRead() override {
-    OnDrained();  // an answer may be here before word that all was written
+    OnDrained();  // a response may arrive before the event that everything was written
     if (!busy_) return Finish("unasked-data");
     while (!closed() && !parser_.done()) {
       const std::string bytes = Peek(16 * 1024);
       if (bytes.empty()) return;
       Consume(parser_.Feed(bytes));
-      Digest();
+      ReadCompleteLines();
       if (closed()) return;
       if (parser_.error() != 0) {
         Report({.status = AttemptStatus::kServerError});
@@ -247,32 +256,34 @@
     Complete();
   }
 
-  // Reads the lines that have come so far: a 'started' counts at once, not with the answer's end.
-  void Digest() {
-    if (!parser_.head_done() || parser_.head().status != 200 || id_ == 0) return;
+  // Handles the lines received so far. 'started' must be reported at once, not at the response's
+  // end.
+  void ReadCompleteLines() {
+    if (!parser_.head_done() || parser_.head().status != 200 || request_id_ == 0) return;
     line_ += parser_.TakeBody();
     std::size_t start = 0;
     for (std::size_t end = line_.find('\n'); end != std::string::npos && !reported_;
          end = line_.find('\n', start)) {
-      Line(std::string_view(line_).substr(start, end - start));
+      HandleLine(std::string_view(line_).substr(start, end - start));
       if (closed()) return;
       start = end + 1;
     }
     line_.erase(0, start);
   }
 
-  void Line(std::string_view text) {
+  void HandleLine(std::string_view text) {
     if (text.find_first_not_of(" \r\t") == std::string_view::npos) return;
     const JobLine line = ReadJobLine(text, wire_id_);
-    using What = JobLine::What;
-    if (line.what == What::kStarted) return pool_->forwarder_->OnAttemptStarted(id_, attempt_);
-    if (line.what == What::kRunning) return;
-    Outcome outcome{.status = line.what == What::kServed       ? AttemptStatus::kSucceeded
-                              : line.what == What::kTurnedAway ? AttemptStatus::kRejected
-                              : line.what == What::kLost       ? AttemptStatus::kConnectionLost
-                                                               : AttemptStatus::kServerError};
-    // The load that comes with the end of an attempt: in the line, or in the answer's head. This
-    // line ends the attempt before the answer does, so the head is read here too.
+    using Kind = JobLine::Kind;
+    if (line.kind == Kind::kStarted)
+      return pool_->forwarder_->OnAttemptStarted(request_id_, attempt_);
+    if (line.kind == Kind::kRunning) return;
+    Outcome outcome{.status = line.kind == Kind::kDone       ? AttemptStatus::kSucceeded
+                              : line.kind == Kind::kReturned ? AttemptStatus::kRejected
+                              : line.kind == Kind::kLost     ? AttemptStatus::kConnectionLost
+                                                             : AttemptStatus::kServerError};
+    // The load report at the end of an attempt is in the line or in the response's head. The line
+    // ends the attempt before the response ends, so the head is read here too.
     if (const std::string* load = parser_.head().Get("Server-Load")) {
       ReadReport(*load, pool_->options_.columns, &outcome);
     }
@@ -280,23 +291,26 @@
     Report(outcome, line.result);
   }
 
+  // Handles the end of a response.
   void Complete() {
     const Head& head = parser_.head();
     const bool keep = head.keep_alive && Available() == 0;
     if (!reported_) {
       Outcome outcome;
-      if (id_ == 0) {
+      if (request_id_ == 0) {
         outcome.status = head.status == 200 ? AttemptStatus::kSucceeded : AttemptStatus::kRejected;
         if (head.status == 200) ReadReport(parser_.TakeBody(), pool_->options_.columns, &outcome);
       } else if (head.status == 200) {
-        if (!line_.empty()) Line(std::exchange(line_, {}));  // a last line without its line end
+        if (!line_.empty())
+          HandleLine(std::exchange(line_, {}));  // the last line lacks its newline
         if (closed()) return;
-        outcome.status = AttemptStatus::kConnectionLost;  // it ended before a last line
+        outcome.status = AttemptStatus::kConnectionLost;  // it ended without a final state
       } else {
-        const std::string* mark = head.Get("Not-Started");
-        const bool not_run = (head.status == 503 || head.status == 504) && mark && *mark == "1";
-        outcome.status = not_run ? AttemptStatus::kRejected : AttemptStatus::kServerError;
-        outcome.client_error = ClientsFault(head.status);
+        const std::string* not_started = head.Get("Not-Started");
+        const bool rejected =
+            (head.status == 503 || head.status == 504) && not_started && *not_started == "1";
+        outcome.status = rejected ? AttemptStatus::kRejected : AttemptStatus::kServerError;
+        outcome.client_error = IsClientError(head.status);
       }
       if (const std::string* load = head.Get("Server-Load")) {
         ReadReport(*load, pool_->options_.columns, &outcome);
@@ -305,34 +319,35 @@
     }
     if (closed()) return;
     if (!keep) return Finish("answered-last");
-    fit_from_ = head.status == 200 ? 0 : loop_->Now() + kEchoS;
+    reusable_from_ = head.status == 200 ? 0 : loop_->Now() + kReuseDelayS;
     busy_ = false;
-    loop_->deadlines().Drop(&limit_);
-    loop_->deadlines().Drop(&probe_limit_);
+    loop_->deadlines().Drop(&deadline_);
+    loop_->deadlines().Drop(&probe_deadline_);
     pool_->Release(this);
   }
 
+  // Reports the outcome of the attempt or probe, once.
   void Report(Outcome outcome, std::string result = {}) {
     if (reported_) return;
     reported_ = true;
     outcome.latency_s = loop_->Now() - sent_at_;
-    if (id_ == 0) return pool_->forwarder_->OnProbeAnswered(worker_, outcome);
-    pool_->NoLongerOut(id_, attempt_);
-    if (!parser_.done()) {  // the end of the answer must still come, or the connection is no use
-      loop_->deadlines().Drop(&limit_);
-      limit_ = loop_->deadlines().At(loop_->Now() + kEndS, [this] {
-        limit_ = Deadlines::kNone;
+    if (request_id_ == 0) return pool_->forwarder_->OnProbeAnswered(worker_, outcome);
+    pool_->RemoveInFlight(request_id_, attempt_);
+    if (!parser_.done()) {  // the connection can be reused only once the response has ended
+      loop_->deadlines().Drop(&deadline_);
+      deadline_ = loop_->deadlines().At(loop_->Now() + kResponseEndTimeoutS, [this] {
+        deadline_ = Deadlines::kNone;
         Finish("unfinished");
       });
     }
-    pool_->forwarder_->OnAttemptEnded(id_, attempt_, outcome, std::move(result));
+    pool_->forwarder_->OnAttemptEnded(request_id_, attempt_, outcome, std::move(result));
   }
 
   void OnEnd(const char* reason) override {
-    if (busy_ && connected_) {  // an answer without a length ends with its connection
+    if (busy_ && connected_) {  // a response without a length ends with its connection
       while (Available() > 0 && !parser_.done() && parser_.error() == 0) {
         Consume(parser_.Feed(Peek(16 * 1024)));
-        Digest();
+        ReadCompleteLines();
         if (closed()) return;
       }
       if (!parser_.done() && std::string_view(reason) == "peer-closed") {
@@ -343,25 +358,27 @@
     Break(reason);
   }
 
+  // Ends a failed connection.
   void Break(const char* reason) {
-    // Never sent as a whole, never run; otherwise it may have.
-    // Not by `connected_`: word of that may lag behind the bytes.
-    const bool whole = !Unwritten();
+    // A request that was not sent completely cannot have run; otherwise it may have. connected_
+    // does not tell: its event may come later than the bytes.
+    const bool sent = !IsUnsent();
     if (busy_) {
-      Report({.status = whole ? AttemptStatus::kConnectionLost : AttemptStatus::kConnectFailed});
+      Report({.status = sent ? AttemptStatus::kConnectionLost : AttemptStatus::kConnectFailed});
     }
     Finish(connected_ ? reason : "no-connection");
   }
 
   WorkerPool* pool_;
   std::string worker_, wire_id_, line_;
-  std::string pending_, promise_;  // a request that waits for the connection, and what it is for
-  Parser parser_{Parser::Side::kResponse, {.head = 16 * 1024, .body = kMaxAnswerBytes}};
+  std::string pending_request_,
+      durable_job_;  // a request to write once connected, and its durable job
+  Parser parser_{Parser::Side::kResponse, {.head = 16 * 1024, .body = kMaxResponseBytes}};
   bool connected_ = false, busy_ = false, reported_ = true, written_ = false;
-  RequestId id_ = 0;
+  RequestId request_id_ = 0;
   int attempt_ = 0;
-  double sent_at_ = 0, idle_since_ = 0, fit_from_ = 0;
-  Deadlines::Ticket limit_ = Deadlines::kNone, probe_limit_ = Deadlines::kNone;
+  double sent_at_ = 0, idle_since_ = 0, reusable_from_ = 0;
+  Deadlines::Ticket deadline_ = Deadlines::kNone, probe_deadline_ = Deadlines::kNone;
 };
 
 WorkerPool::WorkerPool(Forwarder* forwarder, Options options)
@@ -380,7 +397,7 @@
   for (WorkerConnection* idle : std::vector<WorkerConnection*>(pooled.idle)) idle->Finish("moved");
 }
 
-std::pair<WorkerConnection*, AttemptStatus> WorkerPool::Get(const std::string& worker) {
+std::pair<WorkerConnection*, AttemptStatus> WorkerPool::Acquire(const std::string& worker) {
   const auto it = workers_.find(worker);
   if (it == workers_.end() || !it->second.reachable)
     return {nullptr, AttemptStatus::kConnectFailed};
@@ -390,23 +407,23 @@
   if (budget.WorkersFull() && !CloseOldestIdle()) {
     return {nullptr, AttemptStatus::kNotSent};
   }
-  auto fresh = std::make_unique<WorkerConnection>(this, forwarder_->loop(), worker);
-  WorkerConnection* raw = fresh.get();
-  connections_.emplace(raw, std::move(fresh));
+  auto created = std::make_unique<WorkerConnection>(this, forwarder_->loop(), worker);
+  WorkerConnection* raw = created.get();
+  connections_.emplace(raw, std::move(created));
   budget.workers += 1;
   if (raw->Open(pooled.address)) return {raw, AttemptStatus::kSucceeded};
-  const bool ours = raw->closed();  // not even a socket was to be had
+  const bool no_descriptor = raw->closed();
   raw->Finish("no-connection");
-  if (ours) Drop(raw);
-  return {nullptr, ours ? AttemptStatus::kNotSent : AttemptStatus::kConnectFailed};
+  if (no_descriptor) Remove(raw);
+  return {nullptr, no_descriptor ? AttemptStatus::kNotSent : AttemptStatus::kConnectFailed};
 }
 
 WorkerConnection* WorkerPool::TakeIdle(PooledWorker* pooled) {
   for (std::size_t i = pooled->idle.size(); i-- > 0;) {
     WorkerConnection* idle = pooled->idle[i];
-    if (!idle->Fit()) continue;
-    if (idle->Stale()) {
-      idle->Finish("stale");  // and is off the list with it
+    if (!idle->IsReusable()) continue;
+    if (idle->IsStale()) {
+      idle->Finish("stale");  // removes it from the idle list
       continue;
     }
     pooled->idle.erase(pooled->idle.begin() + static_cast<std::ptrdiff_t>(i));
@@ -418,32 +435,32 @@
 bool WorkerPool::CloseOldestIdle() {
   WorkerConnection* oldest = nullptr;
   for (auto& [name, pooled] : workers_) {
-    for (WorkerConnection* c : pooled.idle) {
-      if (oldest == nullptr || c->idle_since() < oldest->idle_since()) oldest = c;
+    for (WorkerConnection* idle : pooled.idle) {
+      if (oldest == nullptr || idle->idle_since() < oldest->idle_since()) oldest = idle;
     }
   }
   if (oldest != nullptr) oldest->Finish("made-room");
   return oldest != nullptr;
 }
 
-void WorkerPool::Send(const ClientRequest& held, int attempt, const std::string& worker) {
+void WorkerPool::Send(const ClientRequest& client_request, int attempt, const std::string& worker) {
   const auto pooled = workers_.find(worker);
   if (pooled != workers_.end() && pooled->second.max_in_flight > 0 &&
       pooled->second.in_flight >= pooled->second.max_in_flight) {
-    return forwarder_->OnAttemptEnded(held.request.id, attempt,
+    return forwarder_->OnAttemptEnded(client_request.request.id, attempt,
                                       {.status = AttemptStatus::kRejected});
   }
-  const auto [connection, reason] = Get(worker);
+  const auto [connection, reason] = Acquire(worker);
   if (connection == nullptr) {
-    return forwarder_->OnAttemptEnded(held.request.id, attempt, {.status = reason});
+    return forwarder_->OnAttemptEnded(client_request.request.id, attempt, {.status = reason});
   }
-  in_flight_[{held.request.id, attempt}] = connection;
+  in_flight_[{client_request.request.id, attempt}] = connection;
   pooled->second.in_flight += 1;
-  connection->SendRequest(held, attempt);
+  connection->SendRequest(client_request, attempt);
 }
 
 void WorkerPool::Probe(const std::string& worker) {
-  const auto [connection, reason] = Get(worker);
+  const auto [connection, reason] = Acquire(worker);
   if (connection == nullptr) return forwarder_->OnProbeAnswered(worker, {.status = reason});
 
   connection->SendProbe();
@@ -453,8 +470,8 @@
   const auto it = in_flight_.find({id, attempt});
   if (it == in_flight_.end()) return;
   WorkerConnection* connection = it->second;
-  NoLongerOut(id, attempt);
-  connection->Forget();
+  RemoveInFlight(id, attempt);
+  connection->SuppressReport();
   connection->Finish("called-off");
 }
 
@@ -463,7 +480,7 @@
   if (it != in_flight_.end()) it->second->CancelUnsent();
 }
 
-void WorkerPool::NoLongerOut(RequestId id, int attempt) {
+void WorkerPool::RemoveInFlight(RequestId id, int attempt) {
   const auto it = in_flight_.find({id, attempt});
   if (it == in_flight_.end()) return;
   workers_[it->second->worker()].in_flight -= 1;
@@ -472,8 +489,8 @@
 
 void WorkerPool::Release(WorkerConnection* connection) {
   workers_[connection->worker()].idle.push_back(connection);
-  connection->Rest();
-  if (taker_) PassOn(connection);
+  connection->BecomeIdle();
+  if (handover_) HandOverIdle(connection);
 }
 
 std::pair<std::string, std::size_t> WorkerPool::Address(const std::string& worker) const {
@@ -482,19 +499,19 @@
   return {it->second.address_text, it->second.max_in_flight};
 }
 
-void WorkerPool::HandOver(Taker taker) {
-  taker_ = std::move(taker);
-  if (!taker_) return;
+void WorkerPool::HandOver(HandoverCallback callback) {
+  handover_ = std::move(callback);
+  if (!handover_) return;
   for (auto& [name, pooled] : workers_) {
-    for (WorkerConnection* idle : std::vector<WorkerConnection*>(pooled.idle)) PassOn(idle);
+    for (WorkerConnection* idle : std::vector<WorkerConnection*>(pooled.idle)) HandOverIdle(idle);
   }
 }
 
-void WorkerPool::PassOn(WorkerConnection* idle) {
+void WorkerPool::HandOverIdle(WorkerConnection* idle) {
   const std::string name = idle->worker();
   const double since = idle->idle_since();
-  const int fd = idle->LetGo();
-  if (fd >= 0) taker_(name, since, fd);
+  const int fd = idle->ReleaseDescriptor();
+  if (fd >= 0) handover_(name, since, fd);
 }
 
 void WorkerPool::AdoptIdle(const std::string& worker, double idle_since, int fd) {
@@ -505,15 +522,15 @@
     return;
   }
   evutil_make_socket_nonblocking(fd);
-  auto fresh = std::make_unique<WorkerConnection>(this, forwarder_->loop(), worker);
-  WorkerConnection* raw = fresh.get();
-  connections_.emplace(raw, std::move(fresh));
+  auto created = std::make_unique<WorkerConnection>(this, forwarder_->loop(), worker);
+  WorkerConnection* raw = created.get();
+  connections_.emplace(raw, std::move(created));
   budget.workers += 1;
   pooled.idle.insert(pooled.idle.begin(), raw);
-  raw->GoOn(fd, std::min(idle_since, forwarder_->loop()->Now()));
+  raw->Restore(fd, std::min(idle_since, forwarder_->loop()->Now()));
 }
 
-void WorkerPool::Drop(WorkerConnection* connection) {
+void WorkerPool::Remove(WorkerConnection* connection) {
   std::erase(workers_[connection->worker()].idle, connection);
   forwarder_->loop()->budget().workers -= 1;
   forwarder_->loop()->Later([this, connection] { connections_.erase(connection); });
--- a/src/net/http/worker_pool.h
+++ b/src/net/http/worker_pool.h
@@ -1,4 +1,6 @@
-// Connections to HTTP workers: one request at a time on each, the last used first.
+// The connection pool to the HTTP workers. Each connection carries one request at a time, without
+// pipelining; the most recently used idle connection is reused first. Everything here runs on the
+// forwarder's loop.
 #ifndef MILLETHOLLOW_NET_HTTP_WORKER_POOL_H_
 #define MILLETHOLLOW_NET_HTTP_WORKER_POOL_H_
 
@@ -17,34 +19,43 @@
 
 class WorkerConnection;
 
+// Sends attempts and probes to the workers that it owns, and reports their outcomes to the
+// forwarder. `forwarder` and the counters must outlive it.
 class WorkerPool final : public WorkerDriver {
  public:
   struct Options {
     double connect_timeout_s = 0.25;
-    double idle_s = 60;  // workers close idle connections after this
+    double idle_s = 60;  // idle time after which workers close connections
     double probe_timeout_s = 0.5;
-    std::vector<std::string> columns;  // names of the load report's values, in order
+    // Names of the load report's values, in the order of Outcome::report.
+    std::vector<std::string> columns;
     Counters* counters = nullptr;
-    // Asked right before a request for a promise is written; none: there are no promises.
-    std::function<bool(const std::string& promise)> may_act = {};
+    // Whether this process may still act for a durable job. Asked once a new connection is made for
+    // an attempt of the job, right before its request is written. Empty: it is never written then.
+    std::function<bool(const std::string& durable_job)> may_act = {};
   };
   WorkerPool(Forwarder* forwarder, Options options);
   ~WorkerPool() override;
 
-  // The server list: where each worker listens.
+  // Adds a worker from the endpoint list, or updates it. `max_in_flight`: attempts at once; 0: no
+  // limit. If the address changes, idle connections to the old one are closed.
   void SetAddress(const std::string& worker, const std::string& address,
                   std::size_t max_in_flight = 0);
 
   bool Owns(const std::string& worker) const override { return workers_.contains(worker); }
-  void Send(const ClientRequest& held, int attempt, const std::string& worker) override;
+  void Send(const ClientRequest& client_request, int attempt, const std::string& worker) override;
   void Cancel(RequestId id, int attempt) override;
   void Probe(const std::string& worker) override;
   void CancelUnsent(RequestId id, int attempt) override;
-  // Where a worker listens, and how many attempts it may have at once.
+  // Returns the worker's address and its limit of attempts at once; empty if it is unknown.
   std::pair<std::string, std::size_t> Address(const std::string& worker) const;
-  // Another process sends from now on: resting connections go to it. Empty: as before.
-  using Taker = std::function<void(const std::string& worker, double idle_since, int fd)>;
-  void HandOver(Taker taker);
+  // Hands idle connections over to a successor process, now and whenever one becomes idle:
+  // `callback` owns `fd`. `idle_since` is loop time in seconds. An empty callback cancels the
+  // handover.
+  using HandoverCallback =
+      std::function<void(const std::string& worker, double idle_since, int fd)>;
+  void HandOver(HandoverCallback callback);
+  // Adds an idle connection of the previous process, and takes ownership of `fd`.
   void AdoptIdle(const std::string& worker, double idle_since, int fd);
   std::size_t connections() const { return connections_.size(); }
 
@@ -54,45 +65,52 @@
     std::string address_text;
     sockaddr_in address{};
     bool reachable = false;
-    std::size_t max_in_flight = 0, in_flight = 0;  // attempts at once: allowed (0: any), and now
-    std::vector<WorkerConnection*> idle;           // the last is the one used last
+    std::size_t max_in_flight = 0, in_flight = 0;  // attempts: the limit (0: none), and now
+    std::vector<WorkerConnection*> idle;           // the most recently used is last
   };
-  // A connection, or why there is none. That we have no descriptor left says nothing of the next
-  // worker.
-  std::pair<WorkerConnection*, AttemptStatus> Get(const std::string& worker);
+  // Returns an idle or a new connection, or null and the status of the attempt. A lack of
+  // descriptors here is kNotSent, since it is no fault of the worker.
+  std::pair<WorkerConnection*, AttemptStatus> Acquire(const std::string& worker);
+  // Removes a usable connection from the idle list; null if there is none.
   WorkerConnection* TakeIdle(PooledWorker* pooled);
+  // Returns a connection to the idle list.
   void Release(WorkerConnection* connection);
-  void Drop(WorkerConnection* connection);
-  void PassOn(WorkerConnection* idle);
+  // Destroys the connection at the end of the loop's turn.
+  void Remove(WorkerConnection* connection);
+  void HandOverIdle(WorkerConnection* idle);
+  // Evicts the connection that has been idle longest, of any worker. False if none is idle.
   bool CloseOldestIdle();
-  void NoLongerOut(RequestId id, int attempt);
+  void RemoveInFlight(RequestId id, int attempt);
 
   Forwarder* forwarder_;
   Options options_;
-  Taker taker_;
+  HandoverCallback handover_;
   std::map<std::string, PooledWorker> workers_;
   std::map<WorkerConnection*, std::unique_ptr<WorkerConnection>> connections_;
   std::map<std::pair<RequestId, int>, WorkerConnection*> in_flight_;
 };
 
-// Reads name=value,... or a JSON object into `outcome`'s report, by the columns' names.
+// Parses a load report, either "name=value,..." or a JSON object, into `outcome`. Names that are
+// not in `columns` are ignored.
 void ReadReport(std::string_view text, const std::vector<std::string>& columns, Outcome* outcome);
 
-// What one line of a worker's answer says about the attempt that carries `id`.
+// The state of an attempt, as one line of a worker's response reports it.
 struct JobLine {
-  enum class What : std::uint8_t {
-    kNonsense,
+  enum class Kind : std::uint8_t {
+    kUnreadable,
     kStarted,
     kRunning,
-    kServed,
-    kError,
-    kTurnedAway,
+    kDone,
+    kFailed,
+    kReturned,
     kLost
   };
-  What what = What::kNonsense;
+  Kind kind = Kind::kUnreadable;
   std::string result;
-  std::string load;  // the load report that the line carries, as JSON; empty: none
+  std::string load;  // the load report in the line, as JSON; empty: none
 };
+// Parses one line of a response to the attempt with request id `id`. A line that is malformed or
+// has another id is kUnreadable.
 JobLine ReadJobLine(std::string_view line, std::string_view id);
 
 }  // namespace millethollow::http
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -136,16 +136,16 @@
 }
 
 TEST(JobLine, SaysWhatBecameOfTheAttempt) {
-  using What = http::JobLine::What;
-  const auto what = [](std::string_view line) { return http::ReadJobLine(line, "a1").what; };
-  EXPECT_EQ(what(R"({"id":"a1","state":"started"})"), What::kStarted);
-  EXPECT_EQ(what(R"({"id":"a1","state":"returned"})"), What::kTurnedAway);
-  EXPECT_EQ(what(R"({"id":"a1","state":"lost"})"), What::kLost);
-  EXPECT_EQ(what(R"({"id":"a1","state":"failed"})"), What::kError);
+  using Kind = http::JobLine::Kind;
+  const auto kind = [](std::string_view line) { return http::ReadJobLine(line, "a1").kind; };
+  EXPECT_EQ(kind(R"({"id":"a1","state":"started"})"), Kind::kStarted);
+  EXPECT_EQ(kind(R"({"id":"a1","state":"returned"})"), Kind::kReturned);
+  EXPECT_EQ(kind(R"({"id":"a1","state":"lost"})"), Kind::kLost);
+  EXPECT_EQ(kind(R"({"id":"a1","state":"failed"})"), Kind::kFailed);
   EXPECT_EQ(http::ReadJobLine(R"({"id":"a1","state":"done","result":"r"})", "a1").result, "r");
   for (const char* bad : {R"({"id":"zz","state":"done","result":"r"})", R"({"state":"done"})", "[]",
                           "{", R"({"id":"a1","state":7})", R"({"id":"a1","state":"done"})"}) {
-    EXPECT_EQ(what(bad), What::kNonsense) << bad;
+    EXPECT_EQ(kind(bad), Kind::kUnreadable) << bad;
   }
 }
 
