--- a/src/net/gearman/front.cpp
+++ b/src/net/gearman/front.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxFinished = 256;  // results kept for late repeats
-constexpr std::size_t kMaxTasks = 2;       // at a worker: one that runs and one that waits
-constexpr int kOwnCells = 1 << 20;         // cells from here on are no list's
+constexpr std::size_t kMaxFinished = 256;    // results kept for repeats of a job
+constexpr std::size_t kMaxTasks = 2;         // per worker: one running and one queued
+constexpr int kFirstUnlistedCell = 1 << 20;  // larger than the cells of endpoint lists
 constexpr std::string_view kVersion = "0.1.0";
 
 }  // namespace
@@ -25,12 +25,13 @@
 
 bool Front::AdoptListener(int fd) {
   forwarder_->loop()->OnClientFreed([this] { SetAccepting(accepting_); });
-  return listener_.Adopt(forwarder_->loop(), fd, [this](evutil_socket_t s) { Accept(s); });
+  return listener_.Adopt(forwarder_->loop(), fd,
+                         [this](evutil_socket_t accepted) { Accept(accepted); });
 }
 
-void Front::SetAccepting(bool on) {
-  accepting_ = on;
-  if (on) {
+void Front::SetAccepting(bool accepting) {
+  accepting_ = accepting;
+  if (accepting) {
     listener_.Resume();
   } else {
     listener_.Pause();
@@ -46,125 +47,128 @@
 void Front::Accept(evutil_socket_t fd) {
   DescriptorBudget& budget = forwarder_->loop()->budget();
   ++sequence_;
-  // A name is used again once its worker is gone: whoever remembers workers by name must not be
-  // made to remember more with every reconnect. The cell is new each time.
-  int slot = 1;
-  while (slots_.contains(slot)) ++slot;
-  slots_.insert(slot);
-  auto peer = std::make_unique<Peer>(this, forwarder_->loop(), fd,
-                                     "gearman-" + config_.name + "-" + std::to_string(slot), slot,
-                                     kOwnCells + static_cast<int>(sequence_ % kOwnCells));
+  // Names are reused once their worker is gone, so that state kept by worker name does not grow
+  // with every reconnect. The cell is new each time.
+  int name_number = 1;
+  while (name_numbers_.contains(name_number)) ++name_number;
+  name_numbers_.insert(name_number);
+  auto peer = std::make_unique<Peer>(
+      this, forwarder_->loop(), fd, "gearman-" + config_.name + "-" + std::to_string(name_number),
+      name_number, kFirstUnlistedCell + static_cast<int>(sequence_ % kFirstUnlistedCell));
   Peer* raw = peer.get();
   peers_.emplace(raw, std::move(peer));
   budget.clients += 1;
   if (!budget.ClientsFull()) return;
-  // Of the peers that have said nothing the oldest makes room; workers and clients never pay.
+  // Evicts the oldest connection that has sent no message; clients and workers are never evicted.
   Peer* oldest = nullptr;
   for (const auto& [other, owned] : peers_) {
     if (other == raw || other->closed() || !other->silent()) continue;
-    if (oldest == nullptr || other->cell() < oldest->cell()) oldest = other;  // counted up
+    if (oldest == nullptr || other->cell() < oldest->cell()) oldest = other;  // cells ascend
   }
   if (oldest == nullptr) return listener_.Pause();
   oldest->Finish("made-room");
 }
 
-void Front::Drop(Peer* peer) {
+void Front::Remove(Peer* peer) {
   Loop* loop = forwarder_->loop();
   loop->ClientFreed();
   if (workers_.contains(peer->name())) {
-    SetReady(peer);
+    UpdateWorker(peer);
     workers_.erase(peer->name());
   }
   Detach(peer);
   loop->Later([this, peer] {
-    slots_.erase(peer->slot());
+    name_numbers_.erase(peer->name_number());
     peers_.erase(peer);
   });
 }
 
-// A peer is a worker while it can do one of the functions that the file maps.
-void Front::SetReady(Peer* worker) {
-  const bool able =
-      std::any_of(worker->abilities().begin(), worker->abilities().end(),
-                  [this](const auto& a) { return config_.gearman_functions.contains(a.first); });
+// A peer is a worker while it supports at least one function of the configuration.
+void Front::UpdateWorker(Peer* worker) {
+  const bool capable = std::any_of(
+      worker->abilities().begin(), worker->abilities().end(),
+      [this](const auto& function) { return config_.gearman_functions.contains(function.first); });
   const bool known = workers_.contains(worker->name());
-  if (!able && !known) return;
+  if (!capable && !known) return;
   workers_[worker->name()] = worker;
-  balancing::Endpoint m;
-  m.worker = worker->name();
-  m.zone = config_.gearman_zone;
-  m.kind = config_.gearman_kind;
-  // Unless the file says that they tell each other, Gearman workers drop no repeats: each is a
-  // group of its own, and a charge that one may have run goes to no other.
-  m.slots = 1;  // it grabs one job at a time
-  m.cell = config_.gearman_cell >= 0 ? config_.gearman_cell : worker->cell();
-  // Never cold: it grabs one job at a time, so no rate of ours can push it over.
-  m.started_at_s = 0;
-  m.readiness = worker->closed()            ? Readiness::kGone
-                : !able || worker->drains() ? Readiness::kDraining
-                                            : Readiness::kReady;
-  if (forwarder_->link() != nullptr) forwarder_->link()->OnWorkerChanged(m);
+  balancing::Endpoint endpoint;
+  endpoint.worker = worker->name();
+  endpoint.zone = config_.gearman_zone;
+  endpoint.kind = config_.gearman_kind;
+  // Unless the configuration names a cell, Gearman workers do not share state by which to detect
+  // repeats. Each gets a cell of its own, so that a non-idempotent job that may have run at one
+  // worker is not retried at another.
+  endpoint.slots = 1;  // it grabs one job at a time
+  endpoint.cell = config_.gearman_cell >= 0 ? config_.gearman_cell : worker->cell();
+  // No slow start: a worker that grabs one job at a time cannot be overloaded by a rate.
+  endpoint.started_at_s = 0;
+  endpoint.readiness = worker->closed()                 ? Readiness::kGone
+                       : !capable || worker->draining() ? Readiness::kDraining
+                                                        : Readiness::kReady;
+  if (forwarder_->link() != nullptr) forwarder_->link()->OnWorkerChanged(endpoint);
 }
 
-// Results are kept for their class's window; over the bound, the oldest goes first.
-void Front::MakeRoom() {
+void Front::EvictFinished() {
   const double now = forwarder_->loop()->Now();
-  std::erase_if(finished_, [now](const auto& f) { return f.second.until < now; });
+  std::erase_if(finished_,
+                [now](const auto& finished) { return finished.second.expires_at < now; });
   if (finished_.size() < kMaxFinished) return;
-  finished_.erase(std::min_element(
-      finished_.begin(), finished_.end(),
-      [](const auto& a, const auto& b) { return a.second.until < b.second.until; }));
+  finished_.erase(
+      std::min_element(finished_.begin(), finished_.end(), [](const auto& left, const auto& right) {
+        return left.second.expires_at < right.second.expires_at;
+      }));
 }
 
 bool Front::Flushed() const {
-  return std::all_of(peers_.begin(), peers_.end(),
-                     [](const auto& p) { return p.first->closed() || p.first->Drained(); });
+  return std::all_of(peers_.begin(), peers_.end(), [](const auto& entry) {
+    return entry.first->closed() || entry.first->Drained();
+  });
 }
 
 void Front::AnnounceWorkers() {
-  for (const auto& [name, worker] : std::map<std::string, Peer*>(workers_)) SetReady(worker);
+  for (const auto& [name, worker] : std::map<std::string, Peer*>(workers_)) UpdateWorker(worker);
 }
 
-// The function under which `worker` is given a request; empty if it can't do it.
-std::string Front::FunctionFor(const ClientRequest& held, const Peer& worker) const {
-  if (const auto job = FindRequest(held.request.id)) {
+std::string Front::FunctionFor(const ClientRequest& client_request, const Peer& worker) const {
+  if (const auto job = FindByRequest(client_request.request.id)) {
     return worker.abilities().contains(job->function) ? job->function : "";
   }
-  std::string other;
-  for (const auto& [name, f] : config_.gearman_functions) {
-    if (f.cls != held.request.cls || !worker.abilities().contains(name)) continue;
-    if (f.tenant == held.request.tenant) return name;
-    if (other.empty()) other = name;
+  std::string fallback;  // of another tenant
+  for (const auto& [name, function] : config_.gearman_functions) {
+    if (function.cls != client_request.request.cls || !worker.abilities().contains(name)) continue;
+    if (function.tenant == client_request.request.tenant) return name;
+    if (fallback.empty()) fallback = name;
   }
-  return other;
+  return fallback;
 }
 
-void Front::Send(const ClientRequest& held, int attempt, const std::string& name) {
+void Front::Send(const ClientRequest& client_request, int attempt, const std::string& name) {
   const auto it = workers_.find(name);
-  const Request& e = held.request;
+  const Request& request = client_request.request;
   if (it == workers_.end() || it->second->closed()) {
-    return forwarder_->OnAttemptEnded(e.id, attempt, {.status = AttemptStatus::kConnectFailed});
+    return forwarder_->OnAttemptEnded(request.id, attempt,
+                                      {.status = AttemptStatus::kConnectFailed});
   }
   Peer* worker = it->second;
-  const std::string function = FunctionFor(held, *worker);
+  const std::string function = FunctionFor(client_request, *worker);
   if (function.empty()) {
-    return forwarder_->OnAttemptEnded(e.id, attempt, {.status = AttemptStatus::kNotSent});
+    return forwarder_->OnAttemptEnded(request.id, attempt, {.status = AttemptStatus::kNotSent});
   }
-  if (worker->tasks() >= kMaxTasks || worker->drains()) {
-    return forwarder_->OnAttemptEnded(e.id, attempt, {.status = AttemptStatus::kRejected});
+  if (worker->tasks() >= kMaxTasks || worker->draining()) {
+    return forwarder_->OnAttemptEnded(request.id, attempt, {.status = AttemptStatus::kRejected});
   }
-  const auto job = FindRequest(e.id);
+  const auto job = FindByRequest(request.id);
   Task task;
-  task.request = e.id;
+  task.request = request.id;
   task.attempt = attempt;
   task.priority = job ? job->priority : 1;
-  // A handle names one attempt: a worker that had an earlier one can't answer for a later one.
-  task.handle = (job ? job->handle : "H:" + config_.name + ":e" + std::to_string(e.id)) +
+  // Each attempt has its own handle, so that a worker cannot report a result for a later attempt.
+  task.handle = (job ? job->handle : "H:" + config_.name + ":e" + std::to_string(request.id)) +
                 (attempt > 0 ? "." + std::to_string(attempt) : "");
   task.function = function;
-  task.unique = job ? job->unique : e.key;
-  if (job) task.promise = job->promise;
-  task.body = e.body;
+  task.unique = job ? job->unique : request.key;
+  if (job) task.durable_handle = job->durable_handle;
+  task.body = request.body;
   task.sent_at = forwarder_->loop()->Now();
   worker->Enqueue(std::move(task));
 }
@@ -180,7 +184,7 @@
   }
 }
 
-// A worker of ours need not be asked: what it holds is known here.
+// A probe sends nothing: the load of a Gearman worker is known here.
 void Front::Probe(const std::string& worker) {
   Outcome outcome;
   const auto it = workers_.find(worker);
@@ -203,12 +207,12 @@
   forwarder_->OnProbeAnswered(worker, outcome);
 }
 
-void Front::AdminLine(Peer* peer, const std::string& line) {
+void Front::HandleAdminLine(Peer* peer, const std::string& line) {
   std::vector<std::string> words;
-  for (std::size_t at = 0; at < line.size();) {
-    const std::size_t end = std::min(line.find(' ', at), line.size());
-    if (end > at) words.push_back(line.substr(at, end - at));
-    at = end + 1;
+  for (std::size_t begin = 0; begin < line.size();) {
+    const std::size_t end = std::min(line.find(' ', begin), line.size());
+    if (end > begin) words.push_back(line.substr(begin, end - begin));
+    begin = end + 1;
   }
   const std::string command = words.empty() ? "" : words[0];
   std::string out;
@@ -216,24 +220,25 @@
     out = "OK millethollow " + std::string(kVersion) + "\n";
   } else if (command == "status") {
     for (const auto& [name, function] : config_.gearman_functions) {
-      std::size_t total = 0, running = 0, able = 0;
+      std::size_t total = 0, running = 0, capable = 0;
       for (const auto& [id, job] : jobs_) {
         total += job->function == name;
         running += job->function == name && job->running;
       }
-      for (const auto& [id, worker] : workers_) able += worker->abilities().contains(name);
+      for (const auto& [id, worker] : workers_) capable += worker->abilities().contains(name);
       out += name + "\t" + std::to_string(total) + "\t" + std::to_string(running) + "\t" +
-             std::to_string(able) + "\n";
+             std::to_string(capable) + "\n";
     }
     out += ".\n";
   } else if (command == "workers") {
-    for (const auto& [raw, p] : peers_) {
-      if (p->closed()) continue;
-      const std::string address = p->PeerAddress();
-      out += std::to_string(p->descriptor()) + " " + address.substr(0, address.find(':')) + " " +
-             p->client_id() + " :";
-      for (const auto& [function, limit] : p->abilities()) out += " " + SpaceFree(function);
-      out += p->drains() ? " (draining)\n" : "\n";
+    for (const auto& [raw, owned] : peers_) {
+      if (owned->closed()) continue;
+      const std::string address = owned->PeerAddress();
+      out += std::to_string(owned->descriptor()) + " " + address.substr(0, address.find(':')) +
+             " " + owned->client_id() + " :";
+      for (const auto& [function, limit] : owned->abilities())
+        out += " " + ReplaceWhitespace(function);
+      out += owned->draining() ? " (draining)\n" : "\n";
     }
     out += ".\n";
   } else if (command == "drain" && words.size() == 2) {
--- a/src/net/gearman/front.h
+++ b/src/net/gearman/front.h
@@ -1,4 +1,6 @@
-// The Gearman front: clients and workers connect to it, both under the one planner.
+// The Gearman front: a job server to which Gearman clients and workers connect. Its jobs and
+// workers are placed by the same planner as those of the HTTP front. Everything here runs on the
+// forwarder's loop.
 #ifndef MILLETHOLLOW_NET_GEARMAN_FRONT_H_
 #define MILLETHOLLOW_NET_GEARMAN_FRONT_H_
 
@@ -20,88 +22,113 @@
 
 class Peer;
 
-// What a Gearman client has handed in. Several clients may wait for one job by its unique id.
+// A submitted job. Several clients may wait for the same job, by its unique id.
 struct Job {
   std::string handle, function, unique;
   RequestId request = 0;
-  int priority = 1;     // 0 high, 1 normal, 2 low
-  std::string promise;  // the handle of the promise that it is for; empty: none
+  int priority = 1;            // 0 high, 1 normal, 2 low
+  std::string durable_handle;  // the handle of its durable job; empty: none
   bool background = false, running = false;
+  // From WORK_STATUS and WORK_EXCEPTION.
   std::string numerator = "0", denominator = "0", exception;
-  std::vector<Peer*> waiting;
+  std::vector<Peer*> waiters;
 };
 
-// One attempt at a worker: in its queue until the worker grabs it, then assigned.
+// An attempt at a worker: queued until the worker sends GRAB_JOB, then assigned.
 struct Task {
   RequestId request = 0;
   int attempt = 0, priority = 1;
   std::string handle, function, unique, body;
-  std::string promise;  // the handle of the promise that it is for; empty: none
-  double sent_at = 0;
-  bool orphan = false;  // called off after the assignment: its result has no taker
-  std::vector<std::pair<Type, std::string>> parts;  // WORK_DATA and WORK_WARNING so far
-  std::size_t part_bytes = 0;
-  Deadlines::Ticket limit = Deadlines::kNone;
+  std::string durable_handle;  // the handle of its durable job; empty: none
+  double sent_at = 0;          // loop time in seconds
+  bool abandoned = false;      // ended here after the assignment: the worker's result is discarded
+  std::vector<std::pair<Type, std::string>> partial_data;  // WORK_DATA and WORK_WARNING received
+  std::size_t partial_bytes = 0;
+  Deadlines::Ticket limit = Deadlines::kNone;  // from CAN_DO_TIMEOUT
 };
 
+// Owns the listening socket, the connections and the jobs. `forwarder`, `config` and `counters`
+// must outlive it.
 class Front final : public ResponseHandler, public WorkerDriver, public DurableJobRunner {
  public:
   Front(Forwarder* forwarder, const Config& config, Counters* counters);
   ~Front() override;
+  // Binds `address` and starts accepting. On failure returns false with `error`.
   bool Listen(const std::string& address, std::string* error);
-  bool AdoptListener(int fd);  // of the process that went before
+  // Accepts on the listening socket of the previous process, and takes ownership of `fd`.
+  bool AdoptListener(int fd);
   int listener() const { return listener_.descriptor(); }
-  void SetAccepting(bool on);  // not while another process serves at our address
+  // Pauses or resumes accepting. Paused while another process serves the same address.
+  void SetAccepting(bool accepting);
   std::string address() const { return listener_.address(); }
+  // Starts the shutdown. New jobs are refused once the listening socket is closed too.
   void BeginStop() { stopping_ = true; }
-  bool Flushed() const;    // all that was said has gone out
-  void AnnounceWorkers();  // to a planner that has not heard of them
+  // Whether every byte written to the peers has gone to the kernel.
+  bool Flushed() const;
+  // Reports every worker to a new planner.
+  void AnnounceWorkers();
   void StopListening() { listener_.Close(); }
-  // Background jobs are kept there from now on, and handed back to be run. Null: nowhere.
+  // Stores background jobs there from now on; it calls Run() for them. Null: they are kept in
+  // memory only. The caller owns it.
   void SetDurableJobs(DurableJobs* durable_jobs) { durable_jobs_ = durable_jobs; }
 
   // ResponseHandler
-  void Answer(const ClientRequest& held, const FinalAnswer& answer,
+  void Answer(const ClientRequest& client_request, const FinalAnswer& answer,
               const std::string& result) override;
   void OnAttemptStarted(RequestId id) override;
 
   // DurableJobRunner
-  void Run(const DurableJob& promised) override;
+  void Run(const DurableJob& durable_job) override;
   void Abort(const std::string& handle) override;
 
   // WorkerDriver
   bool Owns(const std::string& worker) const override { return workers_.contains(worker); }
-  void Send(const ClientRequest& held, int attempt, const std::string& worker) override;
+  void Send(const ClientRequest& client_request, int attempt, const std::string& worker) override;
   void Cancel(RequestId id, int attempt) override;
   void CancelUnsent(RequestId id, int attempt) override;
   void Probe(const std::string& worker) override;
 
  private:
   friend class Peer;
-  using Unique = std::pair<std::string, std::string>;  // function and unique id
+  using UniqueKey = std::pair<std::string, std::string>;  // function and unique id
+  // The result of a job, kept for repeats of it.
   struct Finished {
     std::string handle, result;
-    std::vector<std::pair<Type, std::string>> parts;
-    double until = 0;
+    std::vector<std::pair<Type, std::string>> partial_data;
+    double expires_at = 0;  // loop time in seconds
   };
 
   void Accept(evutil_socket_t fd);
-  void Drop(Peer* peer);
+  // Destroys the connection at the end of the loop's turn.
+  void Remove(Peer* peer);
+  // Handles one of the SUBMIT_JOB requests.
   void Submit(Peer* peer, Type type, std::string_view function, std::string_view unique,
               std::string_view body);
-  void SubmitPromised(Peer* peer, Type type, const Unique& key, std::string_view body);
-  ClientRequest Prepare(const Job& job, const GearmanFunction& mapped, std::string_view body) const;
-  void Add(const std::shared_ptr<Job>& job, std::size_t bytes);
+  // Stores a background job as a durable job.
+  void SubmitDurable(Peer* peer, Type type, const UniqueKey& key, std::string_view body);
+  // The request by which the forwarder runs the job.
+  ClientRequest MakeClientRequest(const Job& job, const GearmanFunction& mapped,
+                                  std::string_view body) const;
+  // Adds the job to the maps; `bytes`: the size of its body.
+  void AddJob(const std::shared_ptr<Job>& job, std::size_t bytes);
+  // Removes a closed client from the jobs that it waits for.
   void Detach(Peer* peer);
-  void Forget(const std::shared_ptr<Job>& job);
-  bool Keyed(int cls) const;
-  std::shared_ptr<Job> FindHandle(std::string_view handle) const;
-  std::shared_ptr<Job> FindRequest(RequestId id) const;
-  std::string FunctionFor(const ClientRequest& held, const Peer& worker) const;
-  void Tell(const Job& job, const std::string& packet);
-  void AdminLine(Peer* peer, const std::string& line);
-  void SetReady(Peer* worker);
-  void MakeRoom();
+  // Removes the job from the maps.
+  void RemoveJob(const std::shared_ptr<Job>& job);
+  // Whether a repeat of a job of this class must join the job or get its kept result.
+  bool NeedsDeduplication(int cls) const;
+  std::shared_ptr<Job> FindByHandle(std::string_view handle) const;
+  std::shared_ptr<Job> FindByRequest(RequestId id) const;
+  // The function under which `worker` is given the request; empty if it supports none.
+  std::string FunctionFor(const ClientRequest& client_request, const Peer& worker) const;
+  // Sends a packet to every client that waits for the job.
+  void SendToWaiters(const Job& job, const std::string& packet);
+  // Handles a command of the administrative text protocol.
+  void HandleAdminLine(Peer* peer, const std::string& line);
+  // Reports the worker's state to the planner.
+  void UpdateWorker(Peer* worker);
+  // Discards expired results, and the one that expires first if there are too many.
+  void EvictFinished();
 
   Forwarder* forwarder_;
   const Config& config_;
@@ -111,12 +138,13 @@
   std::map<Peer*, std::unique_ptr<Peer>> peers_;
   std::map<std::string, Peer*> workers_;  // by worker name
   std::map<RequestId, std::shared_ptr<Job>> jobs_;
-  std::map<std::string, std::shared_ptr<Job>, std::less<>> handles_;
-  std::map<Unique, std::shared_ptr<Job>> uniques_;
-  std::map<Unique, Finished> finished_;
-  std::map<std::pair<RequestId, int>, std::vector<std::pair<Type, std::string>>> parts_;
-  std::set<int> slots_;  // of the workers' names that are taken
-  std::size_t body_bytes_ = 0;
+  std::map<std::string, std::shared_ptr<Job>, std::less<>> jobs_by_handle_;
+  std::map<UniqueKey, std::shared_ptr<Job>> jobs_by_unique_;
+  std::map<UniqueKey, Finished> finished_;
+  // By request and attempt, while the outcome of a successful attempt is being reported.
+  std::map<std::pair<RequestId, int>, std::vector<std::pair<Type, std::string>>> partial_data_;
+  std::set<int> name_numbers_;  // in use by peers' names
+  std::size_t body_bytes_ = 0;  // of all jobs
   std::uint64_t sequence_ = 0;
   bool stopping_ = false, accepting_ = true;
 };
--- a/src/net/gearman/jobs.cpp
+++ b/src/net/gearman/jobs.cpp
@@ -1,4 +1,4 @@
-// The Gearman front's jobs: what clients hand in, what is promised, and what they are answered.
+// The jobs of the Gearman front: submission, durable background jobs, and results.
 #include <algorithm>
 #include <cstdio>
 
@@ -9,9 +9,12 @@
 namespace {
 
 constexpr std::size_t kMaxHeldBytes = 24 * 1024 * 1024;  // of all jobs' bodies
-constexpr double kNotMappedS = 5.0;  // a promised job that this node can't run is looked at again
-constexpr double kSameRunsS = 0.5;   // and one of whose unique id another runs
+// Delays before a durable job is retried: one that this node cannot run, and one while another job
+// with the same unique id runs.
+constexpr double kCannotRunRetryS = 5.0;
+constexpr double kSameUniqueRetryS = 0.5;
 
+// 0 high, 1 normal, 2 low.
 int PriorityOf(Type type) {
   return type == Type::kSubmitJobHigh || type == Type::kSubmitJobHighBg ? 0
          : type == Type::kSubmitJobLow || type == Type::kSubmitJobLowBg ? 2
@@ -20,17 +23,17 @@
 
 }  // namespace
 
-bool Front::Keyed(int cls) const {
+bool Front::NeedsDeduplication(int cls) const {
   return config_.settings.classes[static_cast<std::size_t>(cls)].idempotency !=
          balancing::Idempotency::kIdempotent;
 }
 
-std::shared_ptr<Job> Front::FindHandle(std::string_view handle) const {
-  const auto it = handles_.find(handle);
-  return it == handles_.end() ? nullptr : it->second;
+std::shared_ptr<Job> Front::FindByHandle(std::string_view handle) const {
+  const auto it = jobs_by_handle_.find(handle);
+  return it == jobs_by_handle_.end() ? nullptr : it->second;
 }
 
-std::shared_ptr<Job> Front::FindRequest(RequestId id) const {
+std::shared_ptr<Job> Front::FindByRequest(RequestId id) const {
   const auto it = jobs_.find(id);
   return it == jobs_.end() ? nullptr : it->second;
 }
@@ -49,45 +52,46 @@
   if (body_bytes_ + body.size() > kMaxHeldBytes) return error("queue_full", "Try again later");
   const bool background =
       type == Type::kSubmitJobBg || type == Type::kSubmitJobHighBg || type == Type::kSubmitJobLowBg;
-  // '-' asks that the work itself be the key.
-  const Unique key{function, unique == "-" ? body : unique};
+  // The unique id '-' stands for the body.
+  const UniqueKey key{function, unique == "-" ? body : unique};
   if (!key.second.empty()) {
-    // A repeat of what is under way, or of a charge just made, is the same job.
-    auto same = uniques_.find(key);
-    if (same == uniques_.end() && !background && durable_jobs_ != nullptr) {
-      // It is promised and waits: whoever asks for its result has it run now, and joins it.
-      const std::string promised = durable_jobs_->Find(key.first, key.second);
-      if (!promised.empty()) durable_jobs_->RunNow(promised);
-      same = uniques_.find(key);
+    // A repeat of a running job, or of one whose result is kept, is the same job.
+    auto same = jobs_by_unique_.find(key);
+    if (same == jobs_by_unique_.end() && !background && durable_jobs_ != nullptr) {
+      // A durable job that waits is run now, and the client waits for its result.
+      const std::string durable = durable_jobs_->Find(key.first, key.second);
+      if (!durable.empty()) durable_jobs_->RunNow(durable);
+      same = jobs_by_unique_.find(key);
     }
-    // What runs for a client alone is no promise: that is asked for besides.
-    const bool joins = same != uniques_.end() && (!background || durable_jobs_ == nullptr);
+    // A running foreground job is not durable: a background job is stored in addition to it.
+    const bool joins = same != jobs_by_unique_.end() && (!background || durable_jobs_ == nullptr);
     if (joins) {
       const std::shared_ptr<Job> job = same->second;
-      if (!background) job->waiting.push_back(peer);
+      if (!background) job->waiters.push_back(peer);
       return peer->Send(Response(Type::kJobCreated, {job->handle}));
     }
-    MakeRoom();
+    EvictFinished();
     const auto ended = finished_.find(key);
     if (ended != finished_.end()) {
-      const Finished& f = ended->second;
-      peer->Send(Response(Type::kJobCreated, {f.handle}));
+      const Finished& finished = ended->second;
+      peer->Send(Response(Type::kJobCreated, {finished.handle}));
       if (background) return;
-      for (const auto& [kind, part] : f.parts) peer->Send(Response(kind, {f.handle, part}));
-      return peer->Send(Response(Type::kWorkComplete, {f.handle, f.result}));
+      for (const auto& [kind, part] : finished.partial_data)
+        peer->Send(Response(kind, {finished.handle, part}));
+      return peer->Send(Response(Type::kWorkComplete, {finished.handle, finished.result}));
     }
   }
-  if (background && durable_jobs_ != nullptr) return SubmitPromised(peer, type, key, body);
+  if (background && durable_jobs_ != nullptr) return SubmitDurable(peer, type, key, body);
   auto job = std::make_shared<Job>();
   job->handle = "H:" + config_.name + ":" + std::to_string(++sequence_);
   job->function = function;
   job->unique = key.second;
   job->background = background;
   job->priority = PriorityOf(type);
-  if (!background) job->waiting.push_back(peer);
+  if (!background) job->waiters.push_back(peer);
   job->request = stopping_ && !listener_.open()
                      ? 0
-                     : forwarder_->Submit(Prepare(*job, mapped->second, body), this);
+                     : forwarder_->Submit(MakeClientRequest(*job, mapped->second, body), this);
   if (job->request == 0) {
     peer->Send(Response(Type::kJobCreated, {job->handle}));
     if (background) return;
@@ -96,49 +100,49 @@
     }
     return peer->Send(Response(Type::kWorkFail, {job->handle}));
   }
-  Add(job, body.size());
-  // Only now: a peer that takes no more bytes is closed here, and must find its job to leave it.
+  AddJob(job, body.size());
+  // After Add: sending may close the peer, which must then be removed from its job.
   peer->Send(Response(Type::kJobCreated, {job->handle}));
 }
 
-void Front::Add(const std::shared_ptr<Job>& job, std::size_t bytes) {
+void Front::AddJob(const std::shared_ptr<Job>& job, std::size_t bytes) {
   body_bytes_ += bytes;
   jobs_[job->request] = job;
-  handles_[job->handle] = job;
-  if (!job->unique.empty()) uniques_[{job->function, job->unique}] = job;
+  jobs_by_handle_[job->handle] = job;
+  if (!job->unique.empty()) jobs_by_unique_[{job->function, job->unique}] = job;
 }
 
-// What the planner and the worker are told of a job.
-ClientRequest Front::Prepare(const Job& job, const GearmanFunction& mapped,
-                             std::string_view body) const {
+ClientRequest Front::MakeClientRequest(const Job& job, const GearmanFunction& mapped,
+                                       std::string_view body) const {
   const auto [cls, tenant] = mapped;
-  ClientRequest held;
-  held.request.cls = cls;
-  held.request.tenant = tenant;
-  held.request.wire_id = job.handle;
-  held.request.body = body;
-  held.request.expires_at =
+  ClientRequest client_request;
+  client_request.request.cls = cls;
+  client_request.request.tenant = tenant;
+  client_request.request.wire_id = job.handle;
+  client_request.request.body = body;
+  client_request.request.expires_at =
       forwarder_->loop()->Now() +
       config_.settings.classes[static_cast<std::size_t>(cls)].client_timeout_s;
-  // An HTTP worker may get it too: its key must be a plain word there.
+  // An HTTP worker may run it too, so the key must be valid as a header value.
   char hashed[40];
   std::snprintf(hashed, sizeof hashed, "%016zx%016zx", std::hash<std::string>()(job.unique),
                 std::hash<std::string>()(job.function + '\n' + job.unique));
-  if (!job.unique.empty()) held.request.key = hashed;
-  if (job.unique.empty() && Keyed(cls)) held.request.key = job.handle;
-  held.target = config_.gearman_path;
-  held.forward_headers =
+  if (!job.unique.empty()) client_request.request.key = hashed;
+  if (job.unique.empty() && NeedsDeduplication(cls)) client_request.request.key = job.handle;
+  client_request.target = config_.gearman_path;
+  client_request.forward_headers =
       "Request-Class: " + config_.classes[static_cast<std::size_t>(cls)] + "\r\n";
   if (!config_.tenants.empty()) {
-    held.forward_headers += "Tenant: " + config_.tenants[static_cast<std::size_t>(tenant)] + "\r\n";
+    client_request.forward_headers +=
+        "Tenant: " + config_.tenants[static_cast<std::size_t>(tenant)] + "\r\n";
   }
-  return held;
+  return client_request;
 }
 
-// ---- background jobs that are promised ----
+// ---- Durable background jobs ----
 
-// The client is told only once whoever keeps promises has it where it must be.
-void Front::SubmitPromised(Peer* peer, Type type, const Unique& key, std::string_view body) {
+// JOB_CREATED is sent only once the job has been replicated.
+void Front::SubmitDurable(Peer* peer, Type type, const UniqueKey& key, std::string_view body) {
   const GearmanFunction& mapped = config_.gearman_functions.find(key.first)->second;
   DurableJob job;
   job.function = key.first;
@@ -149,12 +153,12 @@
   }
   job.body = body;
   job.priority = PriorityOf(type);
-  const int cell = peer->cell();  // no other connection's
+  const int cell = peer->cell();  // a later connection may reuse the pointer
   durable_jobs_->Accept(
       std::move(job), [this, peer, cell](const std::string& handle, std::string_view refusal,
                                          double retry_after_s) {
-        const auto there = peers_.find(peer);
-        if (there == peers_.end() || peer->cell() != cell || peer->closed()) return;
+        const auto found = peers_.find(peer);
+        if (found == peers_.end() || peer->cell() != cell || peer->closed()) return;
         if (refusal.empty()) return peer->Send(Response(Type::kJobCreated, {handle}));
         char text[96];
         std::snprintf(text, sizeof text, "%.*s: try again after %.1f s",
@@ -163,125 +167,129 @@
       });
 }
 
-void Front::Run(const DurableJob& promised) {
+void Front::Run(const DurableJob& durable_job) {
   const auto ended = [&](const FinalAnswer& answer) {
-    forwarder_->loop()->Later([this, handle = promised.handle, answer] {
+    forwarder_->loop()->Later([this, handle = durable_job.handle, answer] {
       if (durable_jobs_ != nullptr) durable_jobs_->Complete(handle, answer);
     });
   };
-  const auto mapped = config_.gearman_functions.find(promised.function);
-  const Unique key{promised.function, promised.unique};
+  const auto mapped = config_.gearman_functions.find(durable_job.function);
+  const UniqueKey key{durable_job.function, durable_job.unique};
   using Kind = FinalAnswer::Kind;
-  if (mapped == config_.gearman_functions.end()) {  // not of this node: it waits for one of its own
-    return ended({.kind = Kind::kRejected, .retry_after_s = kNotMappedS});
+  if (mapped == config_.gearman_functions.end()) {  // another node may have it
+    return ended({.kind = Kind::kRejected, .retry_after_s = kCannotRunRetryS});
   }
   if (!key.second.empty()) {
-    MakeRoom();
+    EvictFinished();
     if (finished_.contains(key)) return ended({.kind = Kind::kCompleted});
-    if (uniques_.contains(key))
-      return ended({.kind = Kind::kRejected, .retry_after_s = kSameRunsS});
+    if (jobs_by_unique_.contains(key))
+      return ended({.kind = Kind::kRejected, .retry_after_s = kSameUniqueRetryS});
   }
   auto job = std::make_shared<Job>();
-  job->handle = job->promise = promised.handle;
-  job->function = promised.function;
-  job->unique = promised.unique;
+  job->handle = job->durable_handle = durable_job.handle;
+  job->function = durable_job.function;
+  job->unique = durable_job.unique;
   job->background = true;
-  job->priority = promised.priority;
-  ClientRequest held = Prepare(*job, mapped->second, promised.body);
-  held.request.wire_id = promised.wire_id;
-  held.request.durable_job = promised.handle;
-  held.request.prior_attempts = promised.prior_attempts;
-  job->request = forwarder_->Submit(std::move(held), this);
-  if (job->request == 0) return ended({.kind = Kind::kRejected, .retry_after_s = kNotMappedS});
-  Add(job, promised.body.size());
+  job->priority = durable_job.priority;
+  ClientRequest client_request = MakeClientRequest(*job, mapped->second, durable_job.body);
+  client_request.request.wire_id = durable_job.wire_id;
+  client_request.request.durable_job = durable_job.handle;
+  client_request.request.prior_attempts = durable_job.prior_attempts;
+  job->request = forwarder_->Submit(std::move(client_request), this);
+  if (job->request == 0) return ended({.kind = Kind::kRejected, .retry_after_s = kCannotRunRetryS});
+  AddJob(job, durable_job.body.size());
 }
 
 void Front::Abort(const std::string& handle) {
-  const auto job = FindHandle(handle);
-  if (job == nullptr || job->promise.empty()) return;
-  for (Peer* peer : std::vector<Peer*>(job->waiting)) {
+  const auto job = FindByHandle(handle);
+  if (job == nullptr || job->durable_handle.empty()) return;
+  for (Peer* peer : std::vector<Peer*>(job->waiters)) {
     peer->Send(Response(Type::kWorkFail, {job->handle}));
   }
   const RequestId id = job->request;
-  Forget(job);
+  RemoveJob(job);
   forwarder_->CancelRequest(id);
 }
 
-// The client has gone. A job that nobody waits for any more is called off, unless it is a charge
-// that a worker has already begun: no word stops a Gearman worker, so the charge will be made, and
-// the client that comes back with the same unique id must find it rather than start another.
+// A job for which no client waits any more is cancelled, unless it is non-idempotent and a worker
+// has started it: Gearman cannot stop a worker, so the job will run, and a client that resubmits it
+// with the same unique id must join it rather than start a second one.
 void Front::Detach(Peer* peer) {
-  std::vector<std::shared_ptr<Job>> alone;
+  std::vector<std::shared_ptr<Job>> abandoned;
   for (const auto& [id, job] : jobs_) {
-    if (std::erase(job->waiting, peer) > 0 && job->waiting.empty() && !job->background) {
-      alone.push_back(job);
+    if (std::erase(job->waiters, peer) > 0 && job->waiters.empty() && !job->background) {
+      abandoned.push_back(job);
     }
   }
-  for (const auto& job : alone) {
-    const ClientRequest* held = forwarder_->Find(job->request);
-    if (held != nullptr && job->running && !job->unique.empty() && Keyed(held->request.cls)) {
+  for (const auto& job : abandoned) {
+    const ClientRequest* client_request = forwarder_->Find(job->request);
+    if (client_request != nullptr && job->running && !job->unique.empty() &&
+        NeedsDeduplication(client_request->request.cls)) {
       job->background = true;
       continue;
     }
     const RequestId id = job->request;
-    Forget(job);
+    RemoveJob(job);
     forwarder_->CancelRequest(id);
   }
 }
 
-void Front::Forget(const std::shared_ptr<Job>& job) {
-  if (const ClientRequest* held = forwarder_->Find(job->request)) {
-    body_bytes_ -= std::min(body_bytes_, held->request.body.size());
+void Front::RemoveJob(const std::shared_ptr<Job>& job) {
+  if (const ClientRequest* client_request = forwarder_->Find(job->request)) {
+    body_bytes_ -= std::min(body_bytes_, client_request->request.body.size());
   }
   jobs_.erase(job->request);
-  handles_.erase(job->handle);
-  const auto it = uniques_.find({job->function, job->unique});
-  if (it != uniques_.end() && it->second == job) uniques_.erase(it);
+  jobs_by_handle_.erase(job->handle);
+  const auto it = jobs_by_unique_.find({job->function, job->unique});
+  if (it != jobs_by_unique_.end() && it->second == job) jobs_by_unique_.erase(it);
 }
 
-void Front::Tell(const Job& job, const std::string& packet) {
-  for (Peer* peer : std::vector<Peer*>(job.waiting)) peer->Send(packet);
+void Front::SendToWaiters(const Job& job, const std::string& packet) {
+  for (Peer* peer : std::vector<Peer*>(job.waiters)) peer->Send(packet);
 }
 
 void Front::OnAttemptStarted(RequestId id) {
-  if (const auto job = FindRequest(id)) job->running = true;
+  if (const auto job = FindByRequest(id)) job->running = true;
 }
 
-void Front::Answer(const ClientRequest& held, const FinalAnswer& answer,
+void Front::Answer(const ClientRequest& client_request, const FinalAnswer& answer,
                    const std::string& result) {
-  const auto job = FindRequest(held.request.id);
+  const auto job = FindByRequest(client_request.request.id);
   if (job == nullptr) return;
-  Forget(job);
-  const char* how = "failed";
+  RemoveJob(job);
+  const char* outcome = "failed";
   if (answer.kind == FinalAnswer::Kind::kCompleted) {
-    how = "served";
-    auto parts = std::move(parts_[{held.request.id, answer.attempt}]);
-    parts_.erase({held.request.id, answer.attempt});
-    for (const auto& [kind, part] : parts) Tell(*job, Response(kind, {job->handle, part}));
-    Tell(*job, Response(Type::kWorkComplete, {job->handle, result}));
-    const auto& c = config_.settings.classes[static_cast<std::size_t>(held.request.cls)];
-    if (Keyed(held.request.cls) && !job->unique.empty() && c.deduplication_window_s > 0) {
-      MakeRoom();
+    outcome = "served";
+    auto partial_data = std::move(partial_data_[{client_request.request.id, answer.attempt}]);
+    partial_data_.erase({client_request.request.id, answer.attempt});
+    for (const auto& [kind, part] : partial_data)
+      SendToWaiters(*job, Response(kind, {job->handle, part}));
+    SendToWaiters(*job, Response(Type::kWorkComplete, {job->handle, result}));
+    const auto& settings =
+        config_.settings.classes[static_cast<std::size_t>(client_request.request.cls)];
+    if (NeedsDeduplication(client_request.request.cls) && !job->unique.empty() &&
+        settings.deduplication_window_s > 0) {
+      EvictFinished();
       finished_[{job->function, job->unique}] = {
-          job->handle, result, std::move(parts),
-          forwarder_->loop()->Now() + c.deduplication_window_s};
+          job->handle, result, std::move(partial_data),
+          forwarder_->loop()->Now() + settings.deduplication_window_s};
     }
   } else {
     std::string exception = job->exception.empty() ? "failed" : job->exception;
     if (answer.kind == FinalAnswer::Kind::kRejected) {
-      how = "refused";
+      outcome = "refused";
       char text[64];
       std::snprintf(text, sizeof text, "refused: retry after %.3f s", answer.retry_after_s);
       exception = text;
     }
-    for (Peer* peer : std::vector<Peer*>(job->waiting)) {
+    for (Peer* peer : std::vector<Peer*>(job->waiters)) {
       if (peer->exceptions()) peer->Send(Response(Type::kWorkException, {job->handle, exception}));
       peer->Send(Response(Type::kWorkFail, {job->handle}));
     }
   }
-  if (job->background) LogLine(Level::kInfo) << "background job " << job->handle << ' ' << how;
-  if (!job->promise.empty() && durable_jobs_ != nullptr)
-    durable_jobs_->Complete(job->promise, answer);
+  if (job->background) LogLine(Level::kInfo) << "background job " << job->handle << ' ' << outcome;
+  if (!job->durable_handle.empty() && durable_jobs_ != nullptr)
+    durable_jobs_->Complete(job->durable_handle, answer);
 }
 
 }  // namespace millethollow::gearman
--- a/src/net/gearman/packet.h
+++ b/src/net/gearman/packet.h
@@ -1,4 +1,5 @@
-// Gearman's binary packets and admin lines. Pure: bytes in, messages out, no socket.
+// Encoding and incremental decoding of Gearman's binary packets and of the lines of its
+// administrative text protocol. It performs no I/O.
 #ifndef MILLETHOLLOW_NET_GEARMAN_PACKET_H_
 #define MILLETHOLLOW_NET_GEARMAN_PACKET_H_
 
@@ -12,6 +13,7 @@
 
 namespace millethollow::gearman {
 
+// Packet types of the binary protocol.
 enum class Type : std::uint32_t {
   kCanDo = 1,
   kCantDo = 2,
@@ -50,35 +52,41 @@
   kStatusResUnique = 42,
 };
 
+// A binary packet or a line of the text protocol.
 struct Message {
+  // A packet with the magic code \0REQ or \0RES, or a text line.
   enum class Form : std::uint8_t { kRequest, kResponse, kLine };
   Form form = Form::kRequest;
   Type type = Type::kNoop;
-  std::string data;  // a packet's arguments, or a line without its end
+  std::string data;  // a packet's arguments, or a line without its line end
 };
 
+// Parses one message at a time: feed bytes, then Take() the message when it is complete.
 class Parser {
  public:
   explicit Parser(std::size_t max_data_bytes) : max_data_bytes_(max_data_bytes) {}
-  // Takes in bytes up to the end of one message; returns how many. After an error, none.
+  // Consumes bytes up to the end of one message and returns how many. Consumes none after an error,
+  // or while a complete message has not been taken.
   std::size_t Feed(std::string_view bytes);
-  std::optional<Message> Take();                          // the message that is complete, once
-  bool idle() const { return held_.empty() && !ready_; }  // between two messages
-  const char* error() const { return error_; }            // null while all is well
+  std::optional<Message> Take();                               // the complete message, if any
+  bool idle() const { return buffer_.empty() && !complete_; }  // no byte of a message is held
+  const char* error() const { return error_; }  // an error code for the peer, or null
 
  private:
   std::size_t max_data_bytes_;
-  std::string held_;
-  std::size_t need_ = 0;  // bytes of the packet under way, once its head is known
-  std::optional<Message> ready_;
+  std::string buffer_;
+  std::size_t data_bytes_ = 0;  // data bytes of the current packet, once its header is complete
+  std::optional<Message> complete_;
   const char* error_ = nullptr;
 };
 
-// Splits a packet's data into `count` arguments; the last takes all that is left. For packets whose
-// last argument is not free data (`closed`), a further separator is a fault.
+// Splits a packet's data into `count` arguments, which refer to `data`. The last argument takes the
+// rest, NUL bytes included, unless `last_is_text`: a further separator is an error then. Returns
+// nothing if the data is malformed.
 std::optional<std::vector<std::string_view>> Arguments(std::string_view data, std::size_t count,
-                                                       bool closed = false);
+                                                       bool last_is_text = false);
 
+// Encodes a packet, with the arguments separated by NUL bytes.
 std::string Packet(Message::Form form, Type type,
                    std::initializer_list<std::string_view> arguments);
 
