--- a/src/net/gearman/front.h
+++ b/src/net/gearman/front.h
@@ -57,9 +57,11 @@
   bool Listen(const std::string& address, std::string* error);
   // Accepts on the listening socket of the previous process, and takes ownership of `fd`.
   bool AdoptListener(int fd);
+  // The descriptor of the listening socket, or -1. The front owns it.
   int listener() const { return listener_.descriptor(); }
   // Pauses or resumes accepting. Paused while another process serves the same address.
   void SetAccepting(bool accepting);
+  // The bound address, with the actual port if port 0 was requested.
   std::string address() const { return listener_.address(); }
   // Starts the shutdown. New jobs are refused once the listening socket is closed too.
   void BeginStop() { stopping_ = true; }
@@ -67,6 +69,7 @@
   bool Flushed() const;
   // Reports every worker to a new planner.
   void AnnounceWorkers();
+  // Closes the listening socket.
   void StopListening() { listener_.Close(); }
   // Stores background jobs there from now on; it calls Run() for them. Null: they are kept in
   // memory only. The caller owns it.
@@ -117,6 +120,7 @@
   void RemoveJob(const std::shared_ptr<Job>& job);
   // Whether a repeat of a job of this class must join the job or get its kept result.
   bool NeedsDeduplication(int cls) const;
+  // These return null if there is no such job.
   std::shared_ptr<Job> FindByHandle(std::string_view handle) const;
   std::shared_ptr<Job> FindByRequest(RequestId id) const;
   // The function under which `worker` is given the request; empty if it supports none.
--- a/src/net/gearman/peer.h
+++ b/src/net/gearman/peer.h
@@ -57,8 +57,11 @@
 
   // The name by which the planner knows it as a worker.
   const std::string& name() const { return name_; }
+  // The number in the name, unique among open connections.
   int name_number() const { return name_number_; }
+  // Unique to this connection, unlike the name.
   int cell() const { return cell_; }
+  // From SET_CLIENT_ID; "-" if none.
   const std::string& client_id() const { return client_id_; }
   // No complete message has arrived.
   bool silent() const { return messages_ == 0; }
@@ -66,11 +69,15 @@
   const std::map<std::string, int>& abilities() const { return abilities_; }
   // The client has asked for WORK_EXCEPTION packets.
   bool exceptions() const { return exceptions_; }
+  // Takes no new attempts, after the administrative command drain.
   bool draining() const { return draining_; }
+  // Number of assigned attempts.
   std::size_t assigned() const { return assigned_.size(); }
   // Queued and assigned attempts.
   std::size_t tasks() const { return assigned_.size() + queue_.size(); }
+  // Attempts that wait for GRAB_JOB.
   const std::deque<Task>& queue() const { return queue_; }
+  // Assigned attempts, by handle.
   const std::map<std::string, Task, std::less<>>& running() const { return assigned_; }
 
   // Writes a packet. Closes the connection if too much is unsent.
--- a/src/net/http/client_front.h
+++ b/src/net/http/client_front.h
@@ -39,7 +39,9 @@
   // Binds `address` and starts accepting. `shared`: other processes listen on it too. On failure
   // returns false with `error`.
   bool Listen(const std::string& address, bool shared, std::string* error);
+  // The bound address, with the actual port if port 0 was requested.
   std::string address() const { return listener_.address(); }
+  // Takes effect with the next request.
   void SetOptions(FrontOptions options) { options_ = std::move(options); }
   // Whether the health check reports that this process serves.
   void SetServing(bool serving) { serving_ = serving; }
@@ -47,6 +49,7 @@
   void BeginStop();
   // Accepts on the listening socket of the previous process, and takes ownership of `fd`.
   bool AdoptListener(int fd);
+  // The descriptor of the listening socket, or -1. The front owns it.
   int listener() const { return listener_.descriptor(); }
   // Takes over an idle connection of the previous process. `served`: it has sent a valid request
   // before; `unread`: bytes received there and not yet parsed.
--- a/src/net/http/parser.h
+++ b/src/net/http/parser.h
@@ -51,10 +51,13 @@
 
   // No byte of a message has been consumed since construction or Reset().
   bool idle() const { return state_ == State::kHead && line_.empty() && head_bytes_ == 0; }
+  // The head is complete; false after an error.
   bool head_done() const { return state_ != State::kHead && state_ != State::kError; }
+  // The whole message is complete.
   bool done() const { return state_ == State::kDone; }
   // 0, or the status with which to answer a faulty request: 400, 413, 431, 501 or 505.
   int error() const { return error_; }
+  // The parsed head. Valid until Reset().
   const Head& head() const { return head_; }
   // Returns the body bytes decoded since the last call, and releases them.
   std::string TakeBody() { return std::exchange(body_, {}); }
--- a/src/net/http/worker_pool.h
+++ b/src/net/http/worker_pool.h
@@ -57,10 +57,12 @@
   void HandOver(HandoverCallback callback);
   // Adds an idle connection of the previous process, and takes ownership of `fd`.
   void AdoptIdle(const std::string& worker, double idle_since, int fd);
+  // Number of connections, including those that are about to be destroyed.
   std::size_t connections() const { return connections_.size(); }
 
  private:
   friend class WorkerConnection;
+  // A worker of the endpoint list and its idle connections.
   struct PooledWorker {
     std::string address_text;
     sockaddr_in address{};
@@ -77,9 +79,11 @@
   void Release(WorkerConnection* connection);
   // Destroys the connection at the end of the loop's turn.
   void Remove(WorkerConnection* connection);
+  // Passes an idle connection to the successor process.
   void HandOverIdle(WorkerConnection* idle);
   // Evicts the connection that has been idle longest, of any worker. False if none is idle.
   bool CloseOldestIdle();
+  // Frees the attempt's place under the worker's limit.
   void RemoveInFlight(RequestId id, int attempt);
 
   Forwarder* forwarder_;
@@ -97,17 +101,17 @@
 // The state of an attempt, as one line of a worker's response reports it.
 struct JobLine {
   enum class Kind : std::uint8_t {
-    kUnreadable,
+    kUnreadable,  // malformed, of another request, or of an unknown state
     kStarted,
     kRunning,
-    kDone,
+    kDone,  // succeeded, with a result
     kFailed,
-    kReturned,
+    kReturned,  // rejected by the worker before it started
     kLost
   };
   Kind kind = Kind::kUnreadable;
-  std::string result;
-  std::string load;  // the load report in the line, as JSON; empty: none
+  std::string result;  // of kDone; JSON unless the worker sent a string
+  std::string load;    // the load report in the line, as JSON; empty: none
 };
 // Parses one line of a response to the attempt with request id `id`. A line that is malformed or
 // has another id is kUnreadable.
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -1,4 +1,5 @@
-// The node on loopback, with the stand-ins of support.h: the HTTP path, then both fronts together.
+// A node on loopback with the test doubles of support.h: the HTTP front and the worker pool, the
+// Gearman front, and both fronts together.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -12,24 +13,24 @@
 
 using gearman::Type;
 
-const std::string kGearman =
+const std::string kGearmanConfig =
     R"("gearman":{"listen":"127.0.0.1:0","functions":{
        "look":{"class":"look","tenant":"andes"},"charge":{"class":"charge","tenant":"andes"}}},)";
 
-TEST(HttpFront, ServesWhatTheWorkerMadeAndPassesItOnUnchanged) {
+TEST(HttpFront, ForwardsTheRequestAndTheResultUnchanged) {
   NodeHarness harness;
-  const std::string in =
+  const std::string response =
       harness.Exchange(Post("a1", "charge", "Idempotency-Key: k9\r\n", "{\"n\":1}"), "ok");
-  EXPECT_TRUE(in.starts_with("HTTP/1.1 200 OK\r\n")) << in;
-  EXPECT_TRUE(in.ends_with("\r\n\r\nok")) << in;
+  EXPECT_TRUE(response.starts_with("HTTP/1.1 200 OK\r\n")) << response;
+  EXPECT_TRUE(response.ends_with("\r\n\r\nok")) << response;
   ASSERT_EQ(harness.RequestCount(), 1u);
-  for (const auto& w : harness.workers) {
-    for (const auto& g : w->requests) {
-      EXPECT_EQ(g.head.target, "/api?x=1");
-      EXPECT_EQ(g.body, "{\"n\":1}");
-      EXPECT_EQ(*g.head.Get("Request-Id"), "a1");
-      EXPECT_EQ(*g.head.Get("Idempotency-Key"), "k9");
-      EXPECT_LE(std::stoi(*g.head.Get("Request-Timeout-Ms")), 3000);
+  for (const auto& worker : harness.workers) {
+    for (const auto& request : worker->requests) {
+      EXPECT_EQ(request.head.target, "/api?x=1");
+      EXPECT_EQ(request.body, "{\"n\":1}");
+      EXPECT_EQ(*request.head.Get("Request-Id"), "a1");
+      EXPECT_EQ(*request.head.Get("Idempotency-Key"), "k9");
+      EXPECT_LE(std::stoi(*request.head.Get("Request-Timeout-Ms")), 3000);
     }
   }
 }
@@ -59,36 +60,39 @@
       {"nonsense\r\n", "400"},
   };
   for (const auto& [bytes, status] : cases) {
-    const std::string in = harness.Exchange(bytes, "\r\n\r\n");
-    EXPECT_TRUE(in.starts_with("HTTP/1.1 " + status)) << bytes.substr(0, 300) << "\n" << in;
+    const std::string response = harness.Exchange(bytes, "\r\n\r\n");
+    EXPECT_TRUE(response.starts_with("HTTP/1.1 " + status)) << bytes.substr(0, 300) << "\n"
+                                                            << response;
   }
   EXPECT_EQ(harness.RequestCount(), 0u);
   EXPECT_TRUE(
       harness.Exchange("GET /_health HTTP/1.1\r\n\r\n", "serving").starts_with("HTTP/1.1 200"));
 }
 
-// A worker's 4xx speaks of the request: no other is asked, and no worker is left out for it.
-TEST(HttpFront, BlamesNoWorkerForABadRequest) {
+// A 4xx from a worker is the client's error: the request is not retried, and no worker is ejected.
+TEST(HttpFront, AWorkers4xxIsNotRetriedAndEjectsNoWorker) {
   NodeHarness harness;
-  for (auto& w : harness.workers) {
-    w->on_request = [](const FakeWorker::ReceivedRequest& g) {
-      g.from->Write("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
+  for (auto& worker : harness.workers) {
+    worker->on_request = [](const FakeWorker::ReceivedRequest& request) {
+      request.from->Write("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
     };
   }
   for (int i = 1; i <= 20; ++i) {
-    const std::string in = harness.Exchange(Post("a" + std::to_string(i), "look"), "\r\n\r\n");
-    EXPECT_TRUE(in.starts_with("HTTP/1.1 502")) << in;
+    const std::string response =
+        harness.Exchange(Post("a" + std::to_string(i), "look"), "\r\n\r\n");
+    EXPECT_TRUE(response.starts_with("HTTP/1.1 502")) << response;
     EXPECT_EQ(harness.RequestCount(), static_cast<std::size_t>(i));
   }
-  for (const auto& w : harness.workers) EXPECT_FALSE(w->requests.empty());
+  for (const auto& worker : harness.workers) EXPECT_FALSE(worker->requests.empty());
 }
 
-// A client that asks again and again and reads nothing is held back, not stored.
-TEST(HttpFront, HoldsBackAClientThatReadsNothing) {
+// Backpressure: guards against storing answers without limit for a client that pipelines requests
+// and never reads.
+TEST(HttpFront, AppliesBackpressureToAClientThatReadsNothing) {
   NodeHarness harness(1);
   const std::string large(60000, 'x');
-  harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& g) {
-    FakeWorker::RespondWithResult(g, large);
+  harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& request) {
+    FakeWorker::RespondWithResult(request, large);
   };
   auto client = harness.Client();
   client->StopReading();
@@ -107,48 +111,53 @@
   EXPECT_LT(before, 400u);
 }
 
-// A close or an error within 3 s of connecting, on both fronts; but who was served and rests stays.
-TEST(BothFronts, CloseOnWhoSendsNothingOrHalfARequest) {
-  NodeHarness harness(1, kGearman);
-  auto rests = harness.Client(), silent = harness.Client(), half = harness.Client();
-  auto mute = harness.Gearman(), part = harness.Gearman(), worker = harness.Gearman();
-  rests->Write(Post("a1", "look"));
-  half->Write("POST /api HTTP/1.1\r\nRequest-Id: a2\r\n");
-  part->Write(std::string("\0RE", 3));
+// Both fronts answer an error or close within 3 s of connecting if no complete request arrives. An
+// idle connection that was served stays open.
+TEST(BothFronts, CloseConnectionsThatSendNothingOrAPartialRequest) {
+  NodeHarness harness(1, kGearmanConfig);
+  auto idle = harness.Client(), silent = harness.Client(), partial = harness.Client();
+  auto silent_peer = harness.Gearman(), partial_peer = harness.Gearman(),
+       worker = harness.Gearman();
+  idle->Write(Post("a1", "look"));
+  partial->Write("POST /api HTTP/1.1\r\nRequest-Id: a2\r\n");
+  partial_peer->Write(std::string("\0RE", 3));
   worker->Send(Type::kCanDo, {"charge"});
-  ASSERT_TRUE(
-      harness.Until([&] { return silent->ended && half->ended && mute->ended && part->ended; }, 3));
-  EXPECT_TRUE(half->received.starts_with("HTTP/1.1 408")) << half->received;
-  EXPECT_FALSE(rests->ended || worker->ended);
-  rests->received.clear();
-  rests->Write(Post("a3", "look"));
-  EXPECT_TRUE(harness.Until([&] { return rests->received.ends_with("ok"); }));
+  ASSERT_TRUE(harness.Until(
+      [&] { return silent->ended && partial->ended && silent_peer->ended && partial_peer->ended; },
+      3));
+  EXPECT_TRUE(partial->received.starts_with("HTTP/1.1 408")) << partial->received;
+  EXPECT_FALSE(idle->ended || worker->ended);
+  idle->received.clear();
+  idle->Write(Post("a3", "look"));
+  EXPECT_TRUE(harness.Until([&] { return idle->received.ends_with("ok"); }));
 }
 
-// Hundreds that connect and say nothing must shut nobody out, nor cost a usual client the
-// connection that it rests on.
-TEST(HttpFront, SilentConnectionsMakeRoomForThoseThatAsk) {
+// Under a flood of silent connections, new clients are still served, and a regular client keeps its
+// idle keep-alive connection.
+TEST(HttpFront, EvictsSilentConnectionsUnderAFlood) {
   NodeHarness harness(1, R"("limits":{"sockets":96},)");
-  auto rests = harness.Client();
+  auto idle = harness.Client();
   for (const char* id : {"a1", "a2"}) {
-    rests->received.clear();
-    rests->Write(Post(id, "look"));
-    ASSERT_TRUE(harness.Until([&] { return rests->received.ends_with("ok"); }));
+    idle->received.clear();
+    idle->Write(Post(id, "look"));
+    ASSERT_TRUE(harness.Until([&] { return idle->received.ends_with("ok"); }));
   }
   std::vector<std::unique_ptr<RawClient>> silent;
   for (int i = 0; i < 60; ++i) silent.push_back(harness.Client());
   const double began = harness.host.Now();
   EXPECT_TRUE(harness.Exchange(Post("a3", "look"), "ok").ends_with("ok"));
   EXPECT_LT(harness.host.Now() - began, 1.0);
-  rests->received.clear();
-  rests->Write(Post("a4", "look"));
-  EXPECT_TRUE(harness.Until([&] { return rests->received.ends_with("ok"); }));
+  idle->received.clear();
+  idle->Write(Post("a4", "look"));
+  EXPECT_TRUE(harness.Until([&] { return idle->received.ends_with("ok"); }));
 }
 
-TEST(HttpFront, RefusesTheIdOfAnOpenRequestAndReadsNoFurtherFromABadClient) {
+TEST(HttpFront, RejectsADuplicateRequestIdAndReadsNoFurtherFromThatClient) {
   NodeHarness harness(1);
   FakeWorker::ReceivedRequest held;
-  harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& g) { held = g; };
+  harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& request) {
+    held = request;
+  };
   auto first = harness.Client(), second = harness.Client();
   first->Write(Post("a1", "look"));
   ASSERT_TRUE(harness.Until([&] { return harness.RequestCount() == 1; }));
@@ -161,8 +170,8 @@
   EXPECT_EQ(harness.RequestCount(), 1u);
 }
 
-// 60 MB at full speed: the answer comes at the head, and what follows is not read to its end.
-TEST(HttpFront, CutsOffABodyThatIsFarTooLarge) {
+// A body of 60 MB is rejected at the head, and is not read to its end.
+TEST(HttpFront, RejectsAnOversizedBodyWithoutReadingIt) {
   NodeHarness harness(1);
   auto client = harness.Client();
   client->Write("POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" +
@@ -171,43 +180,44 @@
   EXPECT_GT(client->Unsent(), 0u);
 }
 
-TEST(HttpFront, EndsTheAttemptWhenTheClientLeaves) {
+TEST(HttpFront, CancelsTheAttemptWhenTheClientDisconnects) {
   NodeHarness harness;
-  for (auto& w : harness.workers) w->on_request = [](const FakeWorker::ReceivedRequest&) {};
+  for (auto& worker : harness.workers)
+    worker->on_request = [](const FakeWorker::ReceivedRequest&) {};
   auto client = harness.Client();
   client->Write(Post("a1", "charge", "Idempotency-Key: k\r\n"));
   ASSERT_TRUE(harness.Until([&] { return harness.RequestCount() == 1; }));
   client->Close("test");
   EXPECT_TRUE(harness.Until([&] {
     return std::all_of(harness.workers.begin(), harness.workers.end(),
-                       [](const auto& w) { return w->AllConnectionsEnded(); });
+                       [](const auto& worker) { return worker->AllConnectionsEnded(); });
   }));
   EXPECT_EQ(harness.node->counters().cancelled, 1u);
 }
 
 TEST(HttpFront, AnswersAtExpiryAndFailsAChargeThatMayHaveRun) {
   NodeHarness harness;
-  for (auto& w : harness.workers) w->on_request = [](const FakeWorker::ReceivedRequest&) {};
+  for (auto& worker : harness.workers)
+    worker->on_request = [](const FakeWorker::ReceivedRequest&) {};
   const double began = harness.host.Now();
-  const std::string in =
+  const std::string response =
       harness.Exchange(Post("a1", "charge", "Idempotency-Key: k\r\n", "{}", 150), "\r\n\r\n");
-  EXPECT_TRUE(in.starts_with("HTTP/1.1 504")) << in;
+  EXPECT_TRUE(response.starts_with("HTTP/1.1 504")) << response;
   EXPECT_LT(harness.host.Now() - began, 1.0);
 }
 
-// The load report of Karachi's workers comes in the object that ends an attempt. It was never read
-// there: the module learned nothing of free slots on real sockets, all day.
-// A stall between a connection and word of it: the deadline of the connection is over, yet the
-// whole charge is at the worker. Taken for never sent, it was sent to another group as well.
-TEST(Worker, AChargeThatIsOutWhenItsConnectionTimesOutMayHaveRun) {
+// Guards against a non-idempotent request that runs in two groups. If the process stalls between
+// the connection's completion and its event, the connect timeout expires although the worker
+// already has the whole request. The attempt must count as sent then.
+TEST(Worker, AChargeThatWasSentBeforeItsConnectTimeoutMayHaveRun) {
   for (int round = 0; round < 5; ++round) {
     NodeHarness harness(3);
     harness.node.reset();
     harness.config.connect_timeout_s = 1e-9;
     harness.node = std::make_unique<Node>(harness.config);
     ASSERT_TRUE(IsOk(harness.node->Start()));
-    for (const auto& w : harness.workers)
-      w->on_request = [](const FakeWorker::ReceivedRequest&) {};  // runs on and on
+    for (const auto& worker : harness.workers)
+      worker->on_request = [](const FakeWorker::ReceivedRequest&) {};  // never answers
     const auto client = harness.Client();
     client->Write(Post("c", "charge", "Idempotency-Key: k\r\n", "{}", 200));
     harness.Until([&] { return client->received.find("\r\n\r\n") != std::string::npos; });
@@ -219,8 +229,10 @@
   }
 }
 
+// Guards against ignoring load reports in the line that ends an attempt: the planner would never
+// learn of free slots from workers that report only there.
 TEST(Worker, TheLoadReportThatEndsAnAttemptReachesThePlanner) {
-  struct Planner : PlannerLink {
+  struct RecordingPlanner : PlannerLink {
     std::vector<Outcome> ended;
     void OnRequest(const Request&) override {}
     void OnRequestCancelled(RequestId) override {}
@@ -235,7 +247,8 @@
     void Answer(const ClientRequest&, const FinalAnswer&, const std::string&) override {}
   };
   struct Case {
-    std::string state, load, head;  // the last line's state and load, the answer's Server-Load
+    // The state and the load report of the last line, and the Server-Load header.
+    std::string state, load, head;
     AttemptStatus status;
     bool has_report;
     double x0, rif;
@@ -246,23 +259,23 @@
       {"done", "", "x0=4,rif=1", AttemptStatus::kSucceeded, true, 4, 1},
       {"done", "", "", AttemptStatus::kSucceeded, false, 0, 0},
       {"failed", R"({"x0":"many"})", "", AttemptStatus::kServerError, false, 0, 0}};
-  for (const Case& c : kCases) {
+  for (const Case& test_case : kCases) {
     LogLevel() = Level::kError;
     Loop loop;
     FakeWorker worker(&loop);
-    worker.on_request = [&c](const FakeWorker::ReceivedRequest& g) {
-      std::string last = FakeWorker::StateLine(g, c.state);
+    worker.on_request = [&test_case](const FakeWorker::ReceivedRequest& request) {
+      std::string last = FakeWorker::StateLine(request, test_case.state);
       std::string more = R"(,"result":"r")";
-      if (!c.load.empty()) more += R"(,"load":)" + c.load;
+      if (!test_case.load.empty()) more += R"(,"load":)" + test_case.load;
       last.insert(last.size() - 1, more);
       std::string out = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n";
-      if (!c.head.empty()) out += "Server-Load: " + c.head + "\r\n";
+      if (!test_case.head.empty()) out += "Server-Load: " + test_case.head + "\r\n";
       char size[16];
       std::snprintf(size, sizeof size, "%zx\r\n", last.size() + 1);
-      g.from->Write(out + "\r\n" + size + last + "\n\r\n0\r\n\r\n");
+      request.from->Write(out + "\r\n" + size + last + "\n\r\n0\r\n\r\n");
     };
     Forwarder forwarder(&loop);
-    Planner planner;
+    RecordingPlanner planner;
     forwarder.SetLink(&planner, 1);
     http::WorkerPool pool(&forwarder, {.columns = {"x0", "x1", "rif"}});
     forwarder.AddDriver(&pool);
@@ -274,67 +287,74 @@
     Client client;
     const RequestId id = forwarder.Submit(held, &client);
     forwarder.Send(id, 0, "w");
-    ASSERT_TRUE(TurnUntil(loop, [&] { return !planner.ended.empty(); })) << c.state;
-    const Outcome& o = planner.ended[0];
-    EXPECT_EQ(o.status, c.status) << c.state << c.load << c.head;
-    EXPECT_EQ(o.has_report, c.has_report) << c.state << c.load << c.head;
-    EXPECT_EQ(o.report[0], c.x0) << c.state << c.load << c.head;
-    EXPECT_EQ(o.report[2], c.rif) << c.state << c.load << c.head;
+    ASSERT_TRUE(TurnUntil(loop, [&] { return !planner.ended.empty(); })) << test_case.state;
+    const Outcome& reported = planner.ended[0];
+    EXPECT_EQ(reported.status, test_case.status)
+        << test_case.state << test_case.load << test_case.head;
+    EXPECT_EQ(reported.has_report, test_case.has_report)
+        << test_case.state << test_case.load << test_case.head;
+    EXPECT_EQ(reported.report[0], test_case.x0)
+        << test_case.state << test_case.load << test_case.head;
+    EXPECT_EQ(reported.report[2], test_case.rif)
+        << test_case.state << test_case.load << test_case.head;
   }
 }
 
-// A worker's nonsense, another's answer, or a broken line is an error, never an answer.
-TEST(HttpFront, ServesNothingThatNoWorkerMadeForIt) {
+// A malformed line, or a result with another request's id, is an error and never an answer.
+TEST(HttpFront, NeverAnswersWithAMalformedOrForeignResult) {
   for (const std::string line : {R"({"id":"zz","state":"done","result":"x"})", "}{", "[1]"}) {
     NodeHarness harness(1);
-    harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& g) {
-      FakeWorker::RespondWithLines(g, {line});
+    harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& request) {
+      FakeWorker::RespondWithLines(request, {line});
     };
-    const std::string in =
+    const std::string response =
         harness.Exchange(Post("a1", "charge", "Idempotency-Key: k\r\n"), "\r\n\r\n");
-    EXPECT_TRUE(in.starts_with("HTTP/1.1 502")) << in;
+    EXPECT_TRUE(response.starts_with("HTTP/1.1 502")) << response;
   }
 }
 
-// The group of a charge that may have run is one rack: the third worker, in another, never sees it.
-TEST(HttpFront, KeepsAChargeThatMayHaveRunInItsGroup) {
+// A non-idempotent request that may have run is retried only in the same group, which is the cell:
+// the worker of the other cell must never receive it.
+TEST(HttpFront, RetriesAChargeThatMayHaveRunOnlyInItsGroup) {
   for (int round = 0; round < 12; ++round) {
     NodeHarness harness;
     std::vector<int> order;
     for (int i = 0; i < 3; ++i) {
       harness.workers[static_cast<std::size_t>(i)]->on_request =
-          [&order, i](const FakeWorker::ReceivedRequest& g) {
+          [&order, i](const FakeWorker::ReceivedRequest& request) {
             order.push_back(i);
-            g.from->Close("test");
+            request.from->Close("test");
           };
     }
     const std::string id = "a" + std::to_string(round);
-    const std::string in =
+    const std::string response =
         harness.Exchange(Post(id, "charge", "Idempotency-Key: k\r\n"), "\r\n\r\n");
-    EXPECT_TRUE(in.starts_with("HTTP/1.1 502")) << in;
+    EXPECT_TRUE(response.starts_with("HTTP/1.1 502")) << response;
     ASSERT_FALSE(order.empty());
     for (const int i : order) EXPECT_EQ(i / 2, order[0] / 2);
   }
 }
 
-TEST(HttpFront, TurnedAwayEverywhereIsRefusedWithATime) {
+TEST(HttpFront, ARequestThatEveryWorkerRejectsIsAnsweredWithRetryAfter) {
   NodeHarness harness;
-  for (auto& w : harness.workers) {
-    w->on_request = [](const FakeWorker::ReceivedRequest& g) {
-      g.from->Write("HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
+  for (auto& worker : harness.workers) {
+    worker->on_request = [](const FakeWorker::ReceivedRequest& request) {
+      request.from->Write("HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
     };
   }
-  const std::string in =
+  const std::string response =
       harness.Exchange(Post("a1", "charge", "Idempotency-Key: k\r\n"), "\r\n\r\n");
-  EXPECT_TRUE(in.starts_with("HTTP/1.1 503")) << in;
-  EXPECT_NE(in.find("Retry-After: "), std::string::npos) << in;
+  EXPECT_TRUE(response.starts_with("HTTP/1.1 503")) << response;
+  EXPECT_NE(response.find("Retry-After: "), std::string::npos) << response;
   EXPECT_EQ(harness.RequestCount(), 3u);
 }
 
-TEST(HttpFront, StopsOnlyWhenWhatItTookIsAnswered) {
+TEST(HttpFront, ShutdownWaitsForRequestsInProgress) {
   NodeHarness harness(1);
   FakeWorker::ReceivedRequest held;
-  harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& g) { held = g; };
+  harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& request) {
+    held = request;
+  };
   auto busy = harness.Client(), idle = harness.Client();
   busy->Write(Post("a1", "look"));
   ASSERT_TRUE(harness.Until([&] { return harness.RequestCount() == 1; }));
@@ -347,11 +367,12 @@
   EXPECT_TRUE(busy->received.ends_with("late"));
 }
 
-// That we have no descriptor left for one more connection says nothing of the worker.
-TEST(HttpFront, ItsOwnShortageLeavesNoWorkerOut) {
+// A lack of descriptors in the node is no failure of a worker and must not eject one.
+TEST(HttpFront, ALackOfDescriptorsEjectsNoWorker) {
   NodeHarness harness;
   harness.node->loop().budget().max_workers = 1;
-  for (auto& w : harness.workers) w->on_request = [](const FakeWorker::ReceivedRequest&) {};
+  for (auto& worker : harness.workers)
+    worker->on_request = [](const FakeWorker::ReceivedRequest&) {};
   std::vector<std::unique_ptr<RawClient>> clients;
   for (int i = 0; i < 4; ++i) {
     clients.push_back(harness.Client());
@@ -359,23 +380,24 @@
   }
   ASSERT_TRUE(harness.Until([&] {
     return std::all_of(clients.begin(), clients.end(),
-                       [](const auto& c) { return !c->received.empty(); });
+                       [](const auto& client) { return !client->received.empty(); });
   }));
   EXPECT_EQ(harness.RequestCount(), 1u);
   harness.node->loop().budget().max_workers = 9;
-  // The one that kept its request past its time is left out, and no other: two at once find two.
-  for (auto& w : harness.workers) w->requests.clear();
+  // Only the worker that let its request time out is ejected: two concurrent requests reach two
+  // workers.
+  for (auto& worker : harness.workers) worker->requests.clear();
   for (const char* id : {"b1", "b2"}) {
     clients.push_back(harness.Client());
     clients.back()->Write(Post(id, "look"));
   }
   ASSERT_TRUE(harness.Until([&] { return harness.RequestCount() == 2; }));
-  const auto asked = [](const auto& w) { return !w->requests.empty(); };
+  const auto asked = [](const auto& worker) { return !worker->requests.empty(); };
   EXPECT_EQ(std::count_if(harness.workers.begin(), harness.workers.end(), asked), 2);
 }
 
 TEST(Gearman, ServesAJobFromSubmitToComplete) {
-  NodeHarness harness(0, kGearman);
+  NodeHarness harness(0, kGearmanConfig);
   auto worker = harness.Gearman(), client = harness.Gearman();
   worker->ServeJobs("look", "done!");
   client->Send(Type::kEchoReq, {"hi"});
@@ -389,8 +411,8 @@
   ASSERT_TRUE(harness.Until([&] { return client->ResponsesOf(Type::kStatusRes).size() == 1; }));
 }
 
-TEST(Gearman, TellsFaultsOfPacketsApart) {
-  NodeHarness harness(0, kGearman);
+TEST(Gearman, AnswersMalformedPacketsWithTheirErrorCode) {
+  NodeHarness harness(0, kGearmanConfig);
   auto peer = harness.Gearman();
   peer->Send(Type::kSubmitJob, {"nonesuch", "", ""});
   peer->Send(Type::kSubmitJob, {"look"});
@@ -408,8 +430,8 @@
   EXPECT_TRUE(peer->messages.back().data.starts_with("ERR unknown_command"));
 }
 
-TEST(Gearman, RefusesAtOnceWithTheTimeToComeBack) {
-  NodeHarness harness(0, kGearman);  // no worker at all
+TEST(Gearman, RejectsAtOnceWithARetryTimeWithoutWorkers) {
+  NodeHarness harness(0, kGearmanConfig);  // no worker at all
   auto client = harness.Gearman();
   client->Send(Type::kOptionReq, {"exceptions"});
   client->Send(Type::kSubmitJob, {"charge", "u1", "b"});
@@ -418,23 +440,24 @@
   EXPECT_NE(client->ResponsesOf(Type::kWorkException)[0].find("retry after"), std::string::npos);
 }
 
-// What an attempt sent ahead before it failed must not mix with the answer of the next.
-TEST(Gearman, PassesOnTheDataOfTheAttemptThatSucceeded) {
-  NodeHarness harness(0, kGearman);
+// Guards against mixing partial data: WORK_DATA of a failed attempt must not reach the client along
+// with the data of its retry.
+TEST(Gearman, ForwardsOnlyTheDataOfTheSuccessfulAttempt) {
+  NodeHarness harness(0, kGearmanConfig);
   auto one = harness.Gearman(), two = harness.Gearman(), client = harness.Gearman();
   int assigned = 0;
-  for (auto* w : {one.get(), two.get()}) {
-    w->ServeJobs("look", "unused");
-    w->on_message = [&assigned, w](const gearman::Message& m) {
-      if (m.type == Type::kNoop) w->Send(Type::kGrabJob, {});
-      if (m.type != Type::kJobAssign) return;
-      const std::string handle = m.data.substr(0, m.data.find('\0'));
+  for (auto* worker : {one.get(), two.get()}) {
+    worker->ServeJobs("look", "unused");
+    worker->on_message = [&assigned, worker](const gearman::Message& message) {
+      if (message.type == Type::kNoop) worker->Send(Type::kGrabJob, {});
+      if (message.type != Type::kJobAssign) return;
+      const std::string handle = message.data.substr(0, message.data.find('\0'));
       const std::string part = ++assigned == 1 ? "lost" : "kept";
-      w->Send(Type::kWorkStatus, {handle, "1", "2"});
-      w->Send(Type::kWorkData, {handle, part});
-      if (part == "lost") return w->Send(Type::kWorkFail, {handle});
-      w->Send(Type::kWorkWarning, {handle, "w"});
-      w->Send(Type::kWorkComplete, {handle, "end"});
+      worker->Send(Type::kWorkStatus, {handle, "1", "2"});
+      worker->Send(Type::kWorkData, {handle, part});
+      if (part == "lost") return worker->Send(Type::kWorkFail, {handle});
+      worker->Send(Type::kWorkWarning, {handle, "w"});
+      worker->Send(Type::kWorkComplete, {handle, "end"});
     };
   }
   client->Send(Type::kSubmitJob, {"look", "u", "b"});
@@ -446,14 +469,14 @@
   EXPECT_FALSE(client->ResponsesOf(Type::kWorkStatus).empty());
 }
 
-TEST(Gearman, KeepsABackgroundJobWhoseClientLeft) {
-  NodeHarness harness(0, kGearman);
+TEST(Gearman, KeepsABackgroundJobWhoseClientDisconnected) {
+  NodeHarness harness(0, kGearmanConfig);
   auto worker = harness.Gearman(), client = harness.Gearman(), other = harness.Gearman();
   std::string handle;
   worker->ServeJobs("look", "unused");
-  worker->on_message = [&](const gearman::Message& m) {
-    if (m.type == Type::kNoop) worker->Send(Type::kGrabJob, {});
-    if (m.type == Type::kJobAssign) handle = m.data.substr(0, m.data.find('\0'));
+  worker->on_message = [&](const gearman::Message& message) {
+    if (message.type == Type::kNoop) worker->Send(Type::kGrabJob, {});
+    if (message.type == Type::kJobAssign) handle = message.data.substr(0, message.data.find('\0'));
   };
   client->Send(Type::kSubmitJobLowBg, {"look", "u", "b"});
   ASSERT_TRUE(harness.Until([&] { return !handle.empty(); }));
@@ -467,28 +490,30 @@
   EXPECT_TRUE(harness.Until([&] { return harness.node->counters().completed == 1; }));
 }
 
-// The client of a running charge leaves and comes back: it finds the same charge, made once.
-TEST(Gearman, AChargeWhoseClientLeavesMidRunIsMadeOnce) {
-  NodeHarness harness(0, kGearman);
+// A client disconnects while its non-idempotent job runs, and resubmits it: it must join the same
+// job, which runs once.
+TEST(Gearman, AChargeWhoseClientReconnectsRunsOnce) {
+  NodeHarness harness(0, kGearmanConfig);
   auto one = harness.Gearman(), two = harness.Gearman(), client = harness.Gearman();
   std::string handle;
-  for (auto* w : {one.get(), two.get()}) {
-    w->ServeJobs("charge", "unused");
-    w->on_message = [&handle, w](const gearman::Message& m) {
-      if (m.type == Type::kNoop) w->Send(Type::kGrabJobUniq, {});
-      if (m.type == Type::kJobAssignUniq) handle = m.data.substr(0, m.data.find('\0'));
+  for (auto* worker : {one.get(), two.get()}) {
+    worker->ServeJobs("charge", "unused");
+    worker->on_message = [&handle, worker](const gearman::Message& message) {
+      if (message.type == Type::kNoop) worker->Send(Type::kGrabJobUniq, {});
+      if (message.type == Type::kJobAssignUniq)
+        handle = message.data.substr(0, message.data.find('\0'));
     };
   }
   client->Send(Type::kSubmitJob, {"charge", "sub-7", "b"});
   ASSERT_TRUE(harness.Until([&] { return !handle.empty(); }));
   client->Close("test");
   auto again = harness.Gearman();
-  harness.Until([] { return false; }, 0.05);  // the node must have seen it go
+  harness.Until([] { return false; }, 0.05);  // the node must have noticed the close
   again->Send(Type::kSubmitJob, {"charge", "sub-7", "b"});
   ASSERT_TRUE(harness.Until([&] { return again->ResponsesOf(Type::kJobCreated).size() == 1; }));
-  for (auto* w : {one.get(), two.get()}) w->Send(Type::kWorkComplete, {handle, "paid"});
+  for (auto* worker : {one.get(), two.get()}) worker->Send(Type::kWorkComplete, {handle, "paid"});
   ASSERT_TRUE(harness.Until([&] { return again->ResponsesOf(Type::kWorkComplete).size() == 1; }));
-  auto late = harness.Gearman();  // and a repeat after the end still finds it
+  auto late = harness.Gearman();  // a repeat after the end gets the kept result
   late->Send(Type::kSubmitJob, {"charge", "sub-7", "b"});
   ASSERT_TRUE(harness.Until([&] { return late->ResponsesOf(Type::kWorkComplete).size() == 1; }));
   EXPECT_EQ(
@@ -496,14 +521,14 @@
       1u);
 }
 
-TEST(Gearman, AWorkerThatDiesMidChargeEndsItAndNoOtherGetsIt) {
-  NodeHarness harness(0, kGearman);
+TEST(Gearman, AChargeWhoseWorkerDiesFailsAndIsNotRetried) {
+  NodeHarness harness(0, kGearmanConfig);
   auto one = harness.Gearman(), two = harness.Gearman(), client = harness.Gearman();
-  for (auto* w : {one.get(), two.get()}) {
-    w->ServeJobs("charge", "unused");
-    w->on_message = [w](const gearman::Message& m) {
-      if (m.type == Type::kNoop) w->Send(Type::kGrabJob, {});
-      if (m.type == Type::kJobAssign) w->Close("test");
+  for (auto* worker : {one.get(), two.get()}) {
+    worker->ServeJobs("charge", "unused");
+    worker->on_message = [worker](const gearman::Message& message) {
+      if (message.type == Type::kNoop) worker->Send(Type::kGrabJob, {});
+      if (message.type == Type::kJobAssign) worker->Close("test");
     };
   }
   client->Send(Type::kOptionReq, {"exceptions"});
@@ -514,15 +539,15 @@
             1u);
 }
 
-// Jobs that wait at a worker that drains were never sent: another takes them, and the one that
-// runs is finished where it is.
-TEST(Gearman, ADrainingWorkerHandsOnWhatWaits) {
-  NodeHarness harness(0, kGearman);
+// Jobs queued at a draining worker were never sent and go to another worker. The job that runs is
+// finished where it is.
+TEST(Gearman, QueuedJobsOfADrainingWorkerGoToAnother) {
+  NodeHarness harness(0, kGearmanConfig);
   auto old = harness.Gearman(), client = harness.Gearman(), admin = harness.Gearman();
   std::string running;
-  old->on_message = [&](const gearman::Message& m) {
-    if (m.type == Type::kNoop) old->Send(Type::kGrabJob, {});
-    if (m.type == Type::kJobAssign) running = m.data.substr(0, m.data.find('\0'));
+  old->on_message = [&](const gearman::Message& message) {
+    if (message.type == Type::kNoop) old->Send(Type::kGrabJob, {});
+    if (message.type == Type::kJobAssign) running = message.data.substr(0, message.data.find('\0'));
   };
   old->Send(Type::kSetClientId, {"old-roaster"});
   old->Send(Type::kCanDo, {"charge"});
@@ -548,31 +573,36 @@
   EXPECT_EQ(old->ResponsesOf(Type::kJobAssign).size(), before);
 }
 
-// Both protocols at once, workers with random fates: whatever happens, the rules hold.
-TEST(BothFronts, KeepTheRulesUnderMixedLoad) {
-  NodeHarness harness(3, kGearman);
+// Both protocols at once, with workers that succeed, reject, fail or disconnect at random: each
+// request gets one answer, a 503 means that nothing ran, and a non-idempotent request stays in its
+// group.
+TEST(BothFronts, KeepTheirGuaranteesUnderMixedLoad) {
+  NodeHarness harness(3, kGearmanConfig);
   std::mt19937 random(7);
-  std::map<std::string, std::vector<std::size_t>> sent;  // by key or id: cells it may have run in
-  std::map<std::string, int> tries;
+  // By key or id: the cells in which it may have run.
+  std::map<std::string, std::vector<std::size_t>> sent;
+  std::map<std::string, int> attempts;
   for (std::size_t i = 0; i < harness.workers.size(); ++i) {
-    harness.workers[i]->on_request = [&, i](const FakeWorker::ReceivedRequest& g) {
-      const std::string id = *g.head.Get("Request-Id");
-      // A look-up over Gearman has a key as well, and may be made again anywhere.
-      const std::string* key =
-          *g.head.Get("Request-Class") == "charge" ? g.head.Get("Idempotency-Key") : nullptr;
-      ++tries[id];
+    harness.workers[i]->on_request = [&, i](const FakeWorker::ReceivedRequest& request) {
+      const std::string id = *request.head.Get("Request-Id");
+      // An idempotent job from Gearman has a key too, and may be retried anywhere.
+      const std::string* key = *request.head.Get("Request-Class") == "charge"
+                                   ? request.head.Get("Idempotency-Key")
+                                   : nullptr;
+      ++attempts[id];
       switch (random() % 5) {
         case 0:
-          return g.from->Write("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
+          return request.from->Write(
+              "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
         case 1:
           if (key) sent[*key].push_back(i / 2);
-          return FakeWorker::RespondWithLines(g, {FakeWorker::StateLine(g, "failed")});
+          return FakeWorker::RespondWithLines(request, {FakeWorker::StateLine(request, "failed")});
         case 2:
           if (key) sent[*key].push_back(i / 2);
-          return g.from->Close("test");
+          return request.from->Close("test");
         default:
           if (key) sent[*key].push_back(i / 2);
-          return FakeWorker::RespondWithResult(g, id);
+          return FakeWorker::RespondWithResult(request, id);
       }
     };
   }
@@ -584,8 +614,8 @@
   }
   auto submitter = harness.Gearman();
   std::vector<std::unique_ptr<RawClient>> clients;
-  constexpr std::size_t kEach = 60;
-  for (std::size_t i = 0; i < kEach; ++i) {
+  constexpr std::size_t kRequestsPerFront = 60;
+  for (std::size_t i = 0; i < kRequestsPerFront; ++i) {
     const std::string id = "h" + std::to_string(i);
     clients.push_back(harness.Client());
     clients.back()->Write(i % 2 ? Post(id, "look")
@@ -597,30 +627,33 @@
     return submitter->ResponsesOf(Type::kWorkComplete).size() +
            submitter->ResponsesOf(Type::kWorkFail).size();
   };
-  const auto answered = [](const auto& c) {
-    return c->received.find("\r\n\r\n") != std::string::npos;
+  const auto answered = [](const auto& client) {
+    return client->received.find("\r\n\r\n") != std::string::npos;
   };
-  EXPECT_TRUE(harness.Until(
-      [&] { return ends() == kEach && std::all_of(clients.begin(), clients.end(), answered); }));
-  harness.Until([] { return false; }, 0.05);  // time for a second answer, if there were one
-  EXPECT_EQ(submitter->ResponsesOf(Type::kJobCreated).size(), kEach);
-  EXPECT_EQ(ends(), kEach);
-  for (std::size_t i = 0; i < kEach; ++i) {
-    const std::string& in = clients[i]->received;
-    EXPECT_EQ(in.find("HTTP/1.1 ", 1), std::string::npos) << in;
-    if (in.starts_with("HTTP/1.1 200")) {
-      EXPECT_TRUE(in.ends_with("\r\n\r\nh" + std::to_string(i)) || in.ends_with("\r\n\r\ng")) << in;
-    } else if (in.starts_with("HTTP/1.1 503")) {  // says that nothing happened
-      EXPECT_FALSE(sent.contains("h" + std::to_string(i))) << in;
+  EXPECT_TRUE(harness.Until([&] {
+    return ends() == kRequestsPerFront && std::all_of(clients.begin(), clients.end(), answered);
+  }));
+  harness.Until([] { return false; }, 0.05);  // time for a faulty second answer
+  EXPECT_EQ(submitter->ResponsesOf(Type::kJobCreated).size(), kRequestsPerFront);
+  EXPECT_EQ(ends(), kRequestsPerFront);
+  for (std::size_t i = 0; i < kRequestsPerFront; ++i) {
+    const std::string& response = clients[i]->received;
+    EXPECT_EQ(response.find("HTTP/1.1 ", 1), std::string::npos) << response;
+    if (response.starts_with("HTTP/1.1 200")) {
+      EXPECT_TRUE(response.ends_with("\r\n\r\nh" + std::to_string(i)) ||
+                  response.ends_with("\r\n\r\ng"))
+          << response;
+    } else if (response.starts_with("HTTP/1.1 503")) {  // means that it never ran
+      EXPECT_FALSE(sent.contains("h" + std::to_string(i))) << response;
     }
   }
   for (const auto& [key, cells] : sent) {
     for (const std::size_t cell : cells) EXPECT_EQ(cell, cells[0]) << key;
   }
-  for (const auto& [id, n] : tries) EXPECT_LE(n, 4) << id;
-  const Counters& c = harness.node->counters();
-  EXPECT_EQ(c.received, 2 * kEach);
-  EXPECT_EQ(c.completed + c.rejected + c.failed, 2 * kEach);
+  for (const auto& [id, count] : attempts) EXPECT_LE(count, 4) << id;
+  const Counters& counters = harness.node->counters();
+  EXPECT_EQ(counters.received, 2 * kRequestsPerFront);
+  EXPECT_EQ(counters.completed + counters.rejected + counters.failed, 2 * kRequestsPerFront);
 }
 
 }  // namespace
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -1,4 +1,5 @@
-// The parsers against every valid message cut at random places, and against random garbage.
+// The HTTP and Gearman parsers: valid messages split at random positions, malformed messages, and
+// random bytes.
 #include "net/http/parser.h"
 
 #include <gtest/gtest.h>
@@ -18,36 +19,37 @@
 using namespace std::string_view_literals;
 constexpr unsigned kSeed = 20261201;
 
-struct Whole {
+// A valid message and the body that the parser must return.
+struct WholeMessage {
   http::Parser::Side side;
   std::string_view text;
   std::string_view body;
 };
-constexpr auto kAsk = http::Parser::Side::kRequest, kTell = http::Parser::Side::kResponse;
-const Whole kWhole[] = {
-    {kAsk, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n", ""},
-    {kAsk, "POST /api HTTP/1.1\r\ncontent-length: 5\r\nA: \t b \r\n\r\nhello", "hello"},
-    {kAsk,
+constexpr auto kRequest = http::Parser::Side::kRequest, kResponse = http::Parser::Side::kResponse;
+const WholeMessage kWholeMessages[] = {
+    {kRequest, "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n", ""},
+    {kRequest, "POST /api HTTP/1.1\r\ncontent-length: 5\r\nA: \t b \r\n\r\nhello", "hello"},
+    {kRequest,
      "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;e=1\r\nabc\r\n2\r\nde\r\n0\r\nT: "
      "1\r\n\r\n",
      "abcde"},
-    {kTell, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "ok"},
-    {kTell, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503\r\nContent-Length: 0\r\n\r\n", ""},
-    {kTell, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\n0123456789\r\n0\r\n\r\n",
+    {kResponse, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "ok"},
+    {kResponse, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503\r\nContent-Length: 0\r\n\r\n", ""},
+    {kResponse, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\n0123456789\r\n0\r\n\r\n",
      "0123456789"},
 };
 
-TEST(HttpParser, ReadsEveryMessageCutAtRandom) {
+TEST(HttpParser, ReadsMessagesSplitAtRandom) {
   std::mt19937 random(kSeed);
-  for (const Whole& whole : kWhole) {
+  for (const WholeMessage& whole : kWholeMessages) {
     for (int round = 0; round < 200; ++round) {
       http::Parser parser(whole.side, {});
       std::string body;
       std::string_view rest = whole.text;
       while (!rest.empty()) {
-        const std::size_t n = std::min<std::size_t>(1 + random() % 9, rest.size());
-        ASSERT_EQ(parser.Feed(rest.substr(0, n)), n) << whole.text;
-        rest.remove_prefix(n);
+        const std::size_t count = std::min<std::size_t>(1 + random() % 9, rest.size());
+        ASSERT_EQ(parser.Feed(rest.substr(0, count)), count) << whole.text;
+        rest.remove_prefix(count);
         body += parser.TakeBody();
       }
       EXPECT_TRUE(parser.done()) << whole.text;
@@ -57,15 +59,15 @@
 }
 
 TEST(HttpParser, StopsAtTheEndOfAMessage) {
-  http::Parser parser(kAsk, {});
+  http::Parser parser(kRequest, {});
   const std::string_view two = "GET / HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n";
-  EXPECT_EQ(parser.Feed(two), two.size() / 2);  // the second is one byte longer
+  EXPECT_EQ(parser.Feed(two), two.size() / 2);  // the second message is one byte longer
   EXPECT_TRUE(parser.done());
 }
 
-// The platform's Work-Hint is in microseconds; it was read as seconds, a million times too long.
+// Guards against reading Work-Hint, which is in microseconds, as seconds.
 TEST(HttpParser, AWorkHintIsReadInMicrosecondsAndAnUnreadableOneIsLeftOut) {
-  const http::FrontOptions names{.classes = {"job"}, .tenants = {}, .requires_key = {false}};
+  const http::FrontOptions options{.classes = {"job"}, .tenants = {}, .requires_key = {false}};
   const std::pair<std::string_view, double> kHints[] = {{"250000", 0.25},
                                                         {"1500.5", 0.0015005},
                                                         {"0", 0},
@@ -81,17 +83,17 @@
                     {"Request-Class", "job"},
                     {"Request-Timeout-Ms", "500"},
                     {"Work-Hint", std::string(text)}};
-    ClientRequest held;
+    ClientRequest client_request;
     double timeout_s = 0;
     std::string error;
-    EXPECT_EQ(http::ReadRequest(head, names, &held, &timeout_s, &error), 0)
+    EXPECT_EQ(http::ReadRequest(head, options, &client_request, &timeout_s, &error), 0)
         << text << ": " << error;
-    EXPECT_DOUBLE_EQ(held.request.size_hint_s, seconds) << text;
+    EXPECT_DOUBLE_EQ(client_request.request.size_hint_s, seconds) << text;
   }
 }
 
-TEST(HttpParser, NamesTheFault) {
-  const auto error = [](const std::string& text, http::Parser::Side side = kAsk) {
+TEST(HttpParser, ReportsTheStatusOfAMalformedMessage) {
+  const auto error = [](const std::string& text, http::Parser::Side side = kRequest) {
     http::Parser parser(side, {});
     parser.Feed(text);
     return parser.error();
@@ -112,30 +114,32 @@
   EXPECT_EQ(error(post + "X: " + std::string(20000, 'a')), 431);
   EXPECT_EQ(error("GET / HTTP/2.0\r\n"), 505);
   EXPECT_EQ(error("GET /a b HTTP/1.1\r\n"), 400);
-  EXPECT_EQ(error("HTTP/1.1 2x0 OK\r\n", kTell), 400);
+  EXPECT_EQ(error("HTTP/1.1 2x0 OK\r\n", kResponse), 400);
 }
 
-TEST(HttpParser, OutlivesGarbage) {
+TEST(HttpParser, SurvivesRandomBytes) {
   std::mt19937 random(kSeed);
   for (int round = 0; round < 3000; ++round) {
-    const Whole& whole = kWhole[random() % std::size(kWhole)];
+    const WholeMessage& whole = kWholeMessages[random() % std::size(kWholeMessages)];
     std::string text(whole.text);
-    for (int hits = 1 + static_cast<int>(random() % 6); hits > 0; --hits) {
+    for (int mutations = 1 + static_cast<int>(random() % 6); mutations > 0; --mutations) {
       text[random() % text.size()] = static_cast<char>(random());
     }
     if (round % 3 == 0)
       std::generate(text.begin(), text.end(), [&] { return static_cast<char>(random()); });
     http::Parser parser(whole.side, {.head = 64, .body = 16});
-    for (std::size_t at = 0; at < text.size() && parser.error() == 0 && !parser.done();) {
-      const std::size_t n = parser.Feed(std::string_view(text).substr(at, 1 + random() % 7));
-      ASSERT_TRUE(n > 0 || parser.error() != 0);
-      at += n;
+    for (std::size_t position = 0;
+         position < text.size() && parser.error() == 0 && !parser.done();) {
+      const std::size_t count =
+          parser.Feed(std::string_view(text).substr(position, 1 + random() % 7));
+      ASSERT_TRUE(count > 0 || parser.error() != 0);
+      position += count;
     }
     EXPECT_LE(parser.TakeBody().size(), 16u);
   }
 }
 
-TEST(JobLine, SaysWhatBecameOfTheAttempt) {
+TEST(JobLine, IsParsedIntoTheStateOfTheAttempt) {
   using Kind = http::JobLine::Kind;
   const auto kind = [](std::string_view line) { return http::ReadJobLine(line, "a1").kind; };
   EXPECT_EQ(kind(R"({"id":"a1","state":"started"})"), Kind::kStarted);
@@ -162,7 +166,7 @@
   EXPECT_FALSE(none.has_report);
 }
 
-TEST(GearmanParser, ReadsEveryMessageCutAtRandom) {
+TEST(GearmanParser, ReadsMessagesSplitAtRandom) {
   std::mt19937 random(kSeed);
   using gearman::Message;
   using gearman::Type;
@@ -179,21 +183,22 @@
   }
   for (int round = 0; round < 100; ++round) {
     gearman::Parser parser(1000);
-    std::vector<std::string> got;
-    for (std::size_t at = 0; at < stream.size();) {
-      at += parser.Feed(std::string_view(stream).substr(at, 1 + random() % 17));
+    std::vector<std::string> messages;
+    for (std::size_t position = 0; position < stream.size();) {
+      position += parser.Feed(std::string_view(stream).substr(position, 1 + random() % 17));
       ASSERT_EQ(parser.error(), nullptr);
-      if (const auto m = parser.Take()) {
-        got.push_back(m->form == Message::Form::kLine
-                          ? m->data
-                          : std::to_string(static_cast<std::uint32_t>(m->type)) + m->data);
+      if (const auto message = parser.Take()) {
+        messages.push_back(message->form == Message::Form::kLine
+                               ? message->data
+                               : std::to_string(static_cast<std::uint32_t>(message->type)) +
+                                     message->data);
       }
     }
-    ASSERT_EQ(got, expected);
+    ASSERT_EQ(messages, expected);
   }
 }
 
-TEST(GearmanParser, RefusesWhatItCannotHold) {
+TEST(GearmanParser, RejectsBadMagicAndOversizedMessages) {
   gearman::Parser wrong(1000), large(10), line(10);
   wrong.Feed("\0REX"sv);
   EXPECT_STREQ(wrong.error(), "bad_magic");
@@ -204,22 +209,23 @@
   EXPECT_STREQ(line.error(), "line_too_long");
 }
 
-TEST(GearmanParser, OutlivesGarbage) {
+TEST(GearmanParser, SurvivesRandomBytes) {
   std::mt19937 random(kSeed);
   for (int round = 0; round < 3000; ++round) {
     std::string text = gearman::Packet(gearman::Message::Form::kRequest, gearman::Type::kSubmitJob,
                                        {"f", "u", "data"}) +
                        "workers\n";
-    for (int hits = static_cast<int>(random() % 8); hits > 0; --hits) {
+    for (int mutations = static_cast<int>(random() % 8); mutations > 0; --mutations) {
       text[random() % text.size()] = static_cast<char>(random());
     }
     gearman::Parser parser(64);
-    for (std::size_t at = 0; at < text.size() && parser.error() == nullptr;) {
-      const std::size_t n = parser.Feed(std::string_view(text).substr(at, 1 + random() % 7));
-      ASSERT_TRUE(n > 0 || parser.error() != nullptr);
-      at += n;
-      if (const auto m = parser.Take())
-        gearman::Arguments(m->data, 1 + random() % 4, round % 2 == 0);
+    for (std::size_t position = 0; position < text.size() && parser.error() == nullptr;) {
+      const std::size_t count =
+          parser.Feed(std::string_view(text).substr(position, 1 + random() % 7));
+      ASSERT_TRUE(count > 0 || parser.error() != nullptr);
+      position += count;
+      if (const auto message = parser.Take())
+        gearman::Arguments(message->data, 1 + random() % 4, round % 2 == 0);
     }
   }
 }
--- a/tests/support/node_harness.h
+++ b/tests/support/node_harness.h
@@ -1,4 +1,5 @@
-// A node on loopback with toy workers around it, each on a loop of its own that take turns.
+// A node on loopback with fake workers. The node and the test doubles have an event loop each; the
+// loops take turns on one thread.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_NODE_HARNESS_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_NODE_HARNESS_H_
 
@@ -12,14 +13,14 @@
     LogLevel() = Level::kError;
     for (int i = 0; i < workers; ++i) this->workers.push_back(std::make_unique<FakeWorker>(&host));
     std::vector<std::string> addresses;
-    for (const auto& w : this->workers) addresses.push_back(w->address());
+    for (const auto& worker : this->workers) addresses.push_back(worker->address());
     std::string error;
     EXPECT_TRUE(ReadConfig(TestConfig(addresses, extra), &config, &error)) << error;
     config.handover = handover;
     node = std::make_unique<Node>(config);
     EXPECT_TRUE(IsOk(node->Start()));
   }
-  // Node and stand-ins have a loop each; they take turns.
+  // Turns all loops until `done()` or the timeout, in seconds. Returns `done()`.
   template <typename Done>
   bool Until(Done done, double timeout_s = 5) {
     const double until = host.Now() + timeout_s;
@@ -34,7 +35,8 @@
       loop->Turn();
     }
   }
-  // The same program started once more beside itself.
+  // Starts a second node with the same configuration, which takes over from the first (hot
+  // restart).
   bool StartSuccessor() {
     successor = std::make_unique<Node>(config);
     successor->while_waiting = [this] {
@@ -52,30 +54,33 @@
   std::unique_ptr<GearmanPeer> Gearman() {
     return std::make_unique<GearmanPeer>(&host, node->gearman_address());
   }
+  // Sends `bytes` on a new connection and returns what was received when `wanted` occurs in it or
+  // the connection ends.
   std::string Exchange(const std::string& bytes, const std::string& wanted) {
     const auto client = Client();
     client->Write(bytes);
     Until([&] { return client->received.find(wanted) != std::string::npos || client->ended; });
     return client->received;
   }
+  // Requests received by all workers.
   std::size_t RequestCount() const {
-    std::size_t n = 0;
-    for (const auto& w : workers) n += w->requests.size();
-    return n;
+    std::size_t count = 0;
+    for (const auto& worker : workers) count += worker->requests.size();
+    return count;
   }
-  // How many attempts of one request came to workers.
+  // Attempts of one request that the workers received.
   std::size_t AttemptsOf(const std::string& request_id) const {
-    std::size_t n = 0;
+    std::size_t count = 0;
     for (const auto& worker : workers) {
       for (const FakeWorker::ReceivedRequest& request : worker->requests)
-        n += *request.head.Get("Request-Id") == request_id;
+        count += *request.head.Get("Request-Id") == request_id;
     }
-    return n;
+    return count;
   }
-  Loop host;
+  Loop host;  // of the test doubles
   std::vector<std::unique_ptr<FakeWorker>> workers;
   Config config;
-  std::unique_ptr<Node> node, successor;
+  std::unique_ptr<Node> node, successor;  // the successor only after StartSuccessor
 };
 
 }  // namespace millethollow
--- a/tests/support/support.cpp
+++ b/tests/support/support.cpp
@@ -32,14 +32,15 @@
       loop, "127.0.0.1:0",
       [this](evutil_socket_t fd) {
         auto client = std::make_unique<Client>();
-        Client* c = client.get();
-        c->raw = std::make_unique<RawClient>(loop_, fd);
-        c->raw->on_read = [this, c] {
-          while (!c->raw->received.empty()) {
-            c->raw->received.erase(0, c->parser.Feed(c->raw->received));
-            if (!c->parser.done()) return;
-            const ReceivedRequest request{c->parser.head(), c->parser.TakeBody(), c->raw.get()};
-            c->parser.Reset();
+        Client* connection = client.get();
+        connection->raw = std::make_unique<RawClient>(loop_, fd);
+        connection->raw->on_read = [this, connection] {
+          while (!connection->raw->received.empty()) {
+            connection->raw->received.erase(0, connection->parser.Feed(connection->raw->received));
+            if (!connection->parser.done()) return;
+            const ReceivedRequest request{connection->parser.head(), connection->parser.TakeBody(),
+                                          connection->raw.get()};
+            connection->parser.Reset();
             requests.push_back(request);
             on_request(request);
           }
@@ -73,8 +74,8 @@
 }
 
 bool FakeWorker::AllConnectionsEnded() const {
-  for (const auto& c : clients_) {
-    if (!c->raw->ended) return false;
+  for (const auto& client : clients_) {
+    if (!client->raw->ended) return false;
   }
   return true;
 }
@@ -106,10 +107,10 @@
 }
 
 void GearmanPeer::ServeJobs(const std::string& function, const std::string& result) {
-  on_message = [this, result](const gearman::Message& m) {
-    if (m.type == gearman::Type::kNoop) Send(gearman::Type::kGrabJob, {});
-    if (m.type == gearman::Type::kJobAssign) {
-      const std::string handle = m.data.substr(0, m.data.find('\0'));
+  on_message = [this, result](const gearman::Message& message) {
+    if (message.type == gearman::Type::kNoop) Send(gearman::Type::kGrabJob, {});
+    if (message.type == gearman::Type::kJobAssign) {
+      const std::string handle = message.data.substr(0, message.data.find('\0'));
       Send(gearman::Type::kWorkComplete, {handle, result});
       Send(gearman::Type::kPreSleep, {});
     }
--- a/tests/support/support.h
+++ b/tests/support/support.h
@@ -1,4 +1,5 @@
-// Stand-ins for the loopback tests, on the node's own loop: no thread, no sleep.
+// Test doubles for the tests that use loopback sockets: a raw client, an HTTP worker and a Gearman
+// peer. They run on an event loop, without threads and sleeps.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_SUPPORT_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_SUPPORT_H_
 
@@ -20,15 +21,17 @@
 
 namespace millethollow {
 
-// Settings as the platform's, with three HTTP workers: two in cell 0, one in cell 1.
+// Returns a configuration with HTTP workers at these addresses, named w0, w1 and so on, two per
+// cell. `extra` is inserted among its top-level keys.
 std::string TestConfig(const std::vector<std::string>& workers, const std::string& extra = "");
 
-// For EXPECT_TRUE: a failure shows the error's message.
+// For EXPECT_TRUE: a failure prints the error message.
 inline testing::AssertionResult IsOk(const Status& status) {
   if (status) return testing::AssertionSuccess();
   return testing::AssertionFailure() << status.error().message;
 }
 
+// Turns the loop until `done()` or the timeout, in seconds. Returns `done()`.
 template <typename Done>
 bool TurnUntil(Loop& loop, Done done, double timeout_s = 5) {
   const double until = loop.Now() + timeout_s;
@@ -37,18 +40,19 @@
   return done();
 }
 
-// A peer that sends bytes and keeps what comes back.
+// A connection that sends bytes and stores what it receives.
 class RawClient : public Connection {
  public:
   RawClient(Loop* loop, const std::string& address) : Connection(loop, "test") {
     Connect(*ParseAddress(address));
   }
   RawClient(Loop* loop, evutil_socket_t fd) : Connection(loop, "test") { Adopt(fd); }
-  std::string received;
-  bool ended = false;
+  std::string received;  // bytes received and not yet erased by the test
+  bool ended = false;    // the peer closed or broke the connection
   std::function<void()> on_read = [] {}, on_end = [] {};
+  // Half-closes the connection once everything is written.
   void EndAfterWriting() {
-    ends_ = true;
+    end_after_writing_ = true;
     if (Drained()) EndSending();
   }
 
@@ -63,16 +67,17 @@
     on_end();
   }
   void OnDrained() override {
-    if (ends_) EndSending();
+    if (end_after_writing_) EndSending();
   }
 
  private:
-  bool ends_ = false;
+  bool end_after_writing_ = false;
 };
 
-// A worker on HTTP: keeps what it was sent and does with it as the test says.
+// An HTTP worker: stores the requests that it receives and answers them by `on_request`.
 class FakeWorker {
  public:
+  // A request and the connection on which to answer it.
   struct ReceivedRequest {
     http::Head head;
     std::string body;
@@ -84,10 +89,14 @@
   std::function<void(const ReceivedRequest&)> on_request = [](const ReceivedRequest& request) {
     RespondWithResult(request, "ok");
   };
+  // Answers 200 with the lines as chunks.
   static void RespondWithLines(const ReceivedRequest& request,
                                const std::vector<std::string>& lines);
+  // Answers 'started' and then 'done' with the result.
   static void RespondWithResult(const ReceivedRequest& request, const std::string& result);
+  // One line of a worker's response, as JSON.
   static std::string StateLine(const ReceivedRequest& request, const std::string& state);
+  // Whether the clients have closed all connections that were ever accepted.
   bool AllConnectionsEnded() const;
 
  private:
@@ -100,22 +109,24 @@
   std::vector<std::unique_ptr<Client>> clients_;
 };
 
-// A Gearman peer: client, worker or both.
+// A Gearman client, worker or both.
 class GearmanPeer : public RawClient {
  public:
   GearmanPeer(Loop* loop, const std::string& address);
+  // Sends a request packet.
   void Send(gearman::Type type, std::initializer_list<std::string_view> arguments);
-  // The packets of this type that came, as their data.
+  // The data of the response packets of this type that were received.
   std::vector<std::string> ResponsesOf(gearman::Type type) const;
-  std::vector<gearman::Message> messages;
+  std::vector<gearman::Message> messages;  // received, in order
   std::function<void(const gearman::Message&)> on_message = [](const gearman::Message&) {};
-  // Works as a worker does that never fails: sleeps, grabs, and completes with `result`.
+  // Acts as a worker of `function`: sleeps, grabs jobs on NOOP, and completes each with `result`.
   void ServeJobs(const std::string& function, const std::string& result);
 
  private:
   gearman::Parser parser_{1 << 20};
 };
 
+// Returns a POST request for /api. `more`: further header lines, each with its line end.
 std::string Post(const std::string& id, const std::string& cls, const std::string& more = "",
                  const std::string& body = "{}", int timeout_ms = 3000);
 
