--- a/src/node/node.h
+++ b/src/node/node.h
@@ -111,7 +111,7 @@
   Status ListenForClients();
   Status ListenForGearman();
   void CreatePlannerClient();
-  http::Names ActiveNames() const;
+  http::FrontOptions ActiveNames() const;
 
   // The cluster (node_cluster.cpp).
   Status StartMember();
--- a/src/node/node_cluster.cpp
+++ b/src/node/node_cluster.cpp
@@ -42,7 +42,7 @@
       &loop_, member_.get(), limits, config_.name, (high << 32 | low) | 1);
   environment_.parts().durable_jobs = durable_jobs_.get();
   durable_jobs_->SetRunner(gearman_front_.get());
-  if (gearman_front_) gearman_front_->SetPromises(durable_jobs_.get());
+  if (gearman_front_) gearman_front_->SetDurableJobs(durable_jobs_.get());
 }
 
 std::vector<cluster::NamedQuota> Node::TenantQuotas() const {
--- a/src/node/node_forwarder.cpp
+++ b/src/node/node_forwarder.cpp
@@ -89,12 +89,13 @@
 
 // The class and tenant names that clients may use. A class that is not live gets an unmatchable
 // name.
-http::Names Node::ActiveNames() const {
-  http::Names names{.classes = config_.classes, .tenants = config_.tenants, .keyed = {}};
+http::FrontOptions Node::ActiveNames() const {
+  http::FrontOptions names{
+      .classes = config_.classes, .tenants = config_.tenants, .requires_key = {}};
   for (std::size_t index = 0; index < names.classes.size(); ++index) {
     if (!config_.class_active[index]) names.classes[index] = kUnmatchableName;
     const auto idempotency = config_.settings.classes[index].idempotency;
-    names.keyed.push_back(idempotency == balancing::Idempotency::kIdempotentWithKey);
+    names.requires_key.push_back(idempotency == balancing::Idempotency::kIdempotentWithKey);
   }
   if (config_.settings.retry_after) {
     names.retry_after_s = std::min(kNoPlannerRetryAfterS, config_.settings.max_retry_after_s);
--- a/src/node/node_reload.cpp
+++ b/src/node/node_reload.cpp
@@ -56,18 +56,18 @@
 }
 
 void Node::ApplyNamesToFront(const Config& old_config) {
-  http::Names names = ActiveNames();
+  http::FrontOptions names = ActiveNames();
   for (std::size_t index = 0; index < old_config.classes.size(); ++index) {
     const bool replaced = std::find(names.classes.begin(), names.classes.end(),
                                     old_config.classes[index]) != names.classes.end();
     if (old_config.class_active[index] && !config_.class_active[index] && !replaced)
       names.classes[index] = old_config.classes[index];
   }
-  client_front_->SetNames(std::move(names));
+  client_front_->SetOptions(std::move(names));
   loop_.deadlines().Drop(&removed_classes_timer_);
   removed_classes_timer_ = loop_.deadlines().At(loop_.Now() + kRemovedClassGraceS, [this] {
     removed_classes_timer_ = Deadlines::kNone;
-    client_front_->SetNames(ActiveNames());
+    client_front_->SetOptions(ActiveNames());
   });
 }
 
--- a/tests/cluster/jobs_test.cpp
+++ b/tests/cluster/jobs_test.cpp
@@ -22,10 +22,10 @@
     harness = std::make_unique<ClusterHarness>(options);
     jobs = std::make_unique<JobHistory>(harness.get(), kWorkers);
     for (std::size_t w = 0; w < kWorkers; ++w) {
-      harness->worker(w).act = [this](const ToyWorker::Got& got) {
+      harness->worker(w).on_request = [this](const FakeWorker::ReceivedRequest& got) {
         if (attempts_never_end) return;  // the attempt never ends
         jobs->completed_bodies.insert(got.body);
-        ToyWorker::Done(got, "ok");
+        FakeWorker::RespondWithResult(got, "ok");
       };
     }
     harness->StartAll();
@@ -83,7 +83,7 @@
   }
   std::size_t AttemptCount() {
     std::size_t n = 0;
-    for (std::size_t w = 0; w < kWorkers; ++w) n += harness->worker(w).got.size();
+    for (std::size_t w = 0; w < kWorkers; ++w) n += harness->worker(w).requests.size();
     return n;
   }
   std::unique_ptr<ClusterHarness> harness;
@@ -160,7 +160,7 @@
   // The load balancer may hedge an attempt within a run, but each job has one run.
   std::map<std::string, std::set<std::string>> runs;
   for (std::size_t w = 0; w < kWorkers; ++w) {
-    for (const auto& got : harness->worker(w).got)
+    for (const auto& got : harness->worker(w).requests)
       runs[got.body].insert(*got.head.Get("Request-Id"));
   }
   for (const auto& [body, ids] : runs) EXPECT_EQ(ids.size(), 1U) << body;
@@ -200,7 +200,7 @@
   // It still serves requests.
   RawClient raw(&harness->loop(), harness->http_address(0));
   raw.Write(Post("after", "look"));
-  EXPECT_TRUE(harness->RunUntil([&] { return raw.in.find("HTTP/1.1 200") == 0; }, 5));
+  EXPECT_TRUE(harness->RunUntil([&] { return raw.received.find("HTTP/1.1 200") == 0; }, 5));
 }
 
 TEST_F(ReplicatedJobs, AStoreRestoredFromAnOlderCopyIsDetected) {
@@ -254,7 +254,7 @@
           peer.Send(gearman::Type::kSubmitJobBg, {"look", "", std::string(200, 'x')});
         }
       };
-      peer.act = [&](const gearman::Message& m) {
+      peer.on_message = [&](const gearman::Message& m) {
         if (m.type != gearman::Type::kJobCreated) return;
         latencies_s.push_back(harness->now() - submitted_at.front());
         submitted_at.pop_front();
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -338,7 +338,7 @@
 // also after restarts and after a partition.
 TEST_F(ClusterNodes, MaintenanceHoldsAtAllNodesSurvivesRestartsAndMergesAfterAPartition) {
   StartCluster({.members = 4, .voters = 3, .seed = 16, .workers = 2});
-  const ToyWorker& first = harness->worker(0);
+  const FakeWorker& first = harness->worker(0);
   const auto send_requests_to_all = [&] {
     for (std::size_t i = 0; i < harness->size(); ++i) {
       if (!harness->Running(i)) continue;
@@ -346,17 +346,17 @@
         RawClient client(&harness->loop(), harness->http_address(i));
         client.Write(Post("r" + std::to_string(harness->random().NextUint64()), "look"));
         const auto answered = [&] {
-          return client.ended || client.in.find("\r\n\r\n") != std::string::npos;
+          return client.ended || client.received.find("\r\n\r\n") != std::string::npos;
         };
-        EXPECT_TRUE(harness->RunUntil(answered, 5)) << client.in;
-        EXPECT_TRUE(client.in.starts_with("HTTP/1.1 200")) << client.in;
+        EXPECT_TRUE(harness->RunUntil(answered, 5)) << client.received;
+        EXPECT_TRUE(client.received.starts_with("HTTP/1.1 200")) << client.received;
       }
     }
   };
   const auto is_unused = [&] {
-    const std::size_t before = first.got.size();
+    const std::size_t before = first.requests.size();
     send_requests_to_all();
-    return first.got.size() == before;
+    return first.requests.size() == before;
   };
   EXPECT_FALSE(is_unused());
   EXPECT_NE(harness->AdminRequest(0, "PUT /workers/w0/maint").find("done\n"), std::string::npos);
--- a/tests/cluster/quota_test.cpp
+++ b/tests/cluster/quota_test.cpp
@@ -137,7 +137,7 @@
     open.raw->Write(request);
   }
   bool Answered(const Open& open, double now) {
-    const std::string& in = open.raw->in;
+    const std::string& in = open.raw->received;
     if (in.find("\r\n\r\n") == std::string::npos) return open.raw->ended || now - open.at > 5;
     const bool rejected = in.find("HTTP/1.1 503") == 0;
     const bool failed = !rejected && in.find("HTTP/1.1 200") != 0;
@@ -172,7 +172,9 @@
     options.settings = SettingsWith(kQuotaRps);
     harness = std::make_unique<ClusterHarness>(options);
     for (std::size_t w = 0; w < kWorkers; ++w) {
-      harness->worker(w).act = [this](const ToyWorker::Got& got) { AnswerAttempt(got); };
+      harness->worker(w).on_request = [this](const FakeWorker::ReceivedRequest& got) {
+        AnswerAttempt(got);
+      };
     }
     harness->StartAll();
     ASSERT_TRUE(harness->RunUntil([&] { return harness->Converged(); }, 20)) << Describe();
@@ -180,11 +182,11 @@
   }
   // The first attempt of each request is rejected, so that the fleet counts as full; the second is
   // served.
-  void AnswerAttempt(const ToyWorker::Got& got) {
+  void AnswerAttempt(const FakeWorker::ReceivedRequest& got) {
     const std::string& id = *got.head.Get("Request-Id");
     const bool first = attempted_ids.insert(id).second;
-    if (first) return ToyWorker::Lines(got, {ToyWorker::Line(got, "returned")});
-    ToyWorker::Done(got, "ok");
+    if (first) return FakeWorker::RespondWithLines(got, {FakeWorker::StateLine(got, "returned")});
+    FakeWorker::RespondWithResult(got, "ok");
   }
   void TearDown() override {
     if (!harness) return;
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -28,8 +28,8 @@
   std::unique_ptr<RawClient> IdleClient() {
     auto client = harness.Client();
     client->Write(Post("rest" + std::to_string(++idle_clients), "look"));
-    EXPECT_TRUE(harness.Until([&] { return client->in.ends_with("ok"); }));
-    client->in.clear();
+    EXPECT_TRUE(harness.Until([&] { return client->received.ends_with("ok"); }));
+    client->received.clear();
     return client;
   }
   // Connects a socket with a small receive buffer, so that a response stays in the node's send
@@ -54,13 +54,13 @@
   RunHostOnly(0.02);
   SweepNodeDeadlinesOnly();  // as far as the node has read, the connection is idle
   ASSERT_TRUE(harness.Until([&] { return client->ended; }));
-  EXPECT_TRUE(client->in.starts_with("HTTP/1.1 200")) << client->in;
-  EXPECT_NE(client->in.find("Connection: close"), std::string::npos);
+  EXPECT_TRUE(client->received.starts_with("HTTP/1.1 200")) << client->received;
+  EXPECT_NE(client->received.find("Connection: close"), std::string::npos);
 }
 
 TEST_F(EventRace, ARequestOnAClosedConnectionIsNotForwarded) {
   auto client = IdleClient();
-  const std::size_t requests_before = harness.Got();
+  const std::size_t requests_before = harness.RequestCount();
   harness.node->BeginStop();
   RunHostOnly(0.52);
   SweepNodeDeadlinesOnly();           // the node closes the connection
@@ -68,8 +68,8 @@
   RunHostOnly(0.02);
   ASSERT_TRUE(client->ended);
   harness.Until([] { return false; }, 0.2);
-  EXPECT_EQ(harness.Got(), requests_before);
-  EXPECT_EQ(client->in, "");
+  EXPECT_EQ(harness.RequestCount(), requests_before);
+  EXPECT_EQ(client->received, "");
 }
 
 TEST_F(EventRace, AConnectionPendingAcceptAtTheStopIsServed) {
@@ -80,14 +80,14 @@
   RunHostOnly(0.07);
   SweepNodeDeadlinesOnly();  // the listener closes
   ASSERT_TRUE(harness.Until([&] { return client->ended; }));
-  EXPECT_TRUE(client->in.starts_with("HTTP/1.1 200")) << client->in;
+  EXPECT_TRUE(client->received.starts_with("HTTP/1.1 200")) << client->received;
 }
 
 // A request that is completed late after SIGTERM could be interrupted by SIGKILL, so it is rejected
 // and not sent to a worker.
 TEST_F(EventRace, ARequestCompletedLateAfterTheStopIsRejected) {
   auto client = IdleClient();
-  const std::size_t requests_before = harness.Got();
+  const std::size_t requests_before = harness.RequestCount();
   const std::string request = Post("a1", "look");
   client->Write(request.substr(0, 30));
   harness.Until([] { return false; }, 0.02);
@@ -95,16 +95,16 @@
   harness.Until([] { return false; }, 0.7);
   client->Write(request.substr(30));
   ASSERT_TRUE(harness.Until([&] { return client->ended; }));
-  EXPECT_TRUE(client->in.starts_with("HTTP/1.1 503")) << client->in;
-  EXPECT_EQ(harness.Got(), requests_before);
+  EXPECT_TRUE(client->received.starts_with("HTTP/1.1 503")) << client->received;
+  EXPECT_EQ(harness.RequestCount(), requests_before);
 }
 
 // Guards against the loss of the last response on a connection: closing a socket with unread bytes
 // would reset the connection and discard what the client has not read yet.
 TEST_F(EventRace, ALastResponseSurvivesUnreadBytesAfterItsRequest) {
   const std::string large_body(60000, 'x');
-  harness.workers[0]->act = [&](const ToyWorker::Got& request) {
-    ToyWorker::Done(request, large_body);
+  harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& request) {
+    FakeWorker::RespondWithResult(request, large_body);
   };
   const int client_socket = ConnectWithSmallReceiveBuffer();
   std::string request = Post("a1", "look");
@@ -130,32 +130,32 @@
   });
   EXPECT_EQ(read_state, 1) << "reset";
   EXPECT_TRUE(response.ends_with(large_body)) << response.size();
-  EXPECT_EQ(harness.Got(), 1u);
+  EXPECT_EQ(harness.RequestCount(), 1u);
   close(client_socket);
 }
 
 // If a client has sent more than the node reads ahead, its disconnect is queued behind unread
 // bytes.
 TEST_F(EventRace, DetectsTheDisconnectOfAClientWithUnreadBytes) {
-  std::vector<ToyWorker::Got> held_requests;
-  harness.workers[0]->act = [&](const ToyWorker::Got& request) {
+  std::vector<FakeWorker::ReceivedRequest> held_requests;
+  harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& request) {
     held_requests.push_back(request);
   };
   auto client = harness.Client();
   client->Write(Post("a1", "look", "", "{}", 60000) + std::string(300000, 'x'));
-  ASSERT_TRUE(harness.Until([&] { return harness.Got() == 1 && client->Drained(); }));
+  ASSERT_TRUE(harness.Until([&] { return harness.RequestCount() == 1 && client->Drained(); }));
   harness.Until([] { return false; }, 0.3);  // all bytes are in the node's receive buffer or read
   client->Close("test");
   EXPECT_TRUE(harness.Until([&] { return harness.node->counters().cancelled == 1; }, 0.1));
-  EXPECT_TRUE(harness.Until([&] { return harness.workers[0]->AllGone(); }, 0.2));
+  EXPECT_TRUE(harness.Until([&] { return harness.workers[0]->AllConnectionsEnded(); }, 0.2));
 }
 
 // A late second rejection of one request must not be taken for the response to the next one, which
 // runs.
 TEST_F(EventRace, ASecondResponseIsNotAttributedToTheNextRequest) {
   const std::string rejection = "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
-  ToyWorker::Got first_attempt{}, second_attempt{};
-  harness.workers[0]->act = [&](const ToyWorker::Got& request) {
+  FakeWorker::ReceivedRequest first_attempt{}, second_attempt{};
+  harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& request) {
     if (first_attempt.from == nullptr) {
       first_attempt = request;
       request.from->Write(rejection);
@@ -166,13 +166,13 @@
   };
   auto first_client = harness.Client(), second_client = harness.Client();
   first_client->Write(Post("a1", "charge", "Idempotency-Key: k1\r\n"));
-  ASSERT_TRUE(harness.Until([&] { return first_client->in.starts_with("HTTP/1.1 503"); }));
+  ASSERT_TRUE(harness.Until([&] { return first_client->received.starts_with("HTTP/1.1 503"); }));
   second_client->Write(Post("a2", "charge", "Idempotency-Key: k2\r\n"));
   ASSERT_TRUE(harness.Until([&] { return second_attempt.from != nullptr; }));
-  harness.Until([&] { return !second_client->in.empty(); }, 0.1);
-  EXPECT_EQ(second_client->in, "") << "it runs";
-  ToyWorker::Done(second_attempt, "ok");
-  ASSERT_TRUE(harness.Until([&] { return second_client->in.ends_with("ok"); }));
+  harness.Until([&] { return !second_client->received.empty(); }, 0.1);
+  EXPECT_EQ(second_client->received, "") << "it runs";
+  FakeWorker::RespondWithResult(second_attempt, "ok");
+  ASSERT_TRUE(harness.Until([&] { return second_client->received.ends_with("ok"); }));
 }
 
 // If a worker has closed an idle connection and the node has not processed this yet, the request is
@@ -195,7 +195,7 @@
   for (const bool unsolicited_response : {false, true}) {
     LogLevel() = Level::kError;
     Loop host, loop;
-    ToyWorker worker(&host);
+    FakeWorker worker(&host);
     Link link;
     Client client;
     Forwarder forwarder(&loop);
@@ -219,9 +219,9 @@
       }
     };
     send_request();
-    ASSERT_EQ(worker.got.size(), 1u);
-    unsolicited_response ? worker.got[0].from->Write("HTTP/1.1 200 OK\r\n")
-                         : worker.got[0].from->Close("test");
+    ASSERT_EQ(worker.requests.size(), 1u);
+    unsolicited_response ? worker.requests[0].from->Write("HTTP/1.1 200 OK\r\n")
+                         : worker.requests[0].from->Close("test");
     for (int i = 0; i < 20; ++i) {
       host.deadlines().At(host.Now() + 0.001, [] {});
       host.Turn();
@@ -325,9 +325,11 @@
   for (const std::string& worker_response : {rejection, server_error, std::string()}) {
     for (const bool client_disconnects_first : {true, false}) {
       NodeHarness harness(3);
-      std::vector<ToyWorker::Got> received_requests;
+      std::vector<FakeWorker::ReceivedRequest> received_requests;
       for (auto& worker : harness.workers)
-        worker->act = [&](const ToyWorker::Got& request) { received_requests.push_back(request); };
+        worker->on_request = [&](const FakeWorker::ReceivedRequest& request) {
+          received_requests.push_back(request);
+        };
       auto client = harness.Client();
       client->Write(Post("a1", "look"));
       ASSERT_TRUE(harness.Until([&] { return received_requests.size() == 1; }));
@@ -340,9 +342,9 @@
       if (!client_disconnects_first) disconnect();
       harness.Until([&] { return harness.node->counters().cancelled == 1; }, 1);
       const double cancelled_at = harness.host.Now();
-      const std::size_t requests_at_cancellation = harness.Got();
+      const std::size_t requests_at_cancellation = harness.RequestCount();
       harness.Until([&] { return harness.host.Now() - cancelled_at > 0.5; }, 1);
-      EXPECT_EQ(harness.Got(), requests_at_cancellation)
+      EXPECT_EQ(harness.RequestCount(), requests_at_cancellation)
           << worker_response << client_disconnects_first;
       EXPECT_LE(requests_at_cancellation, 2u);
     }
@@ -358,14 +360,14 @@
     return size + line + "\r\n";
   };
   const std::string response_head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-  const auto done_chunk = [&](const ToyWorker::Got& request) {
-    std::string line = ToyWorker::Line(request, "done");
+  const auto done_chunk = [&](const FakeWorker::ReceivedRequest& request) {
+    std::string line = FakeWorker::StateLine(request, "done");
     line.insert(line.size() - 1, R"(,"result":"ok")");
     return chunk(line + "\n");
   };
   struct Case {
     const char* name;
-    std::function<void(const ToyWorker::Got&)> act;
+    std::function<void(const FakeWorker::ReceivedRequest&)> act;
     const char* status;
   };
   const Case cases[] = {
@@ -385,7 +387,8 @@
        "200"},
       {"half a line and an end",
        [&](const auto& request) {
-         request.from->Write(response_head + chunk(ToyWorker::Line(request, "done").substr(0, 20)));
+         request.from->Write(response_head +
+                             chunk(FakeWorker::StateLine(request, "done").substr(0, 20)));
          request.from->EndAfterWriting();
        },
        "503"},
@@ -405,13 +408,14 @@
   };
   for (const Case& test_case : cases) {
     NodeHarness harness(1);
-    harness.workers[0]->act = [&](const ToyWorker::Got& request) {
-      harness.Got() == 1 ? test_case.act(request) : ToyWorker::Done(request, "ok");
+    harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& request) {
+      harness.RequestCount() == 1 ? test_case.act(request)
+                                  : FakeWorker::RespondWithResult(request, "ok");
     };
-    const std::string response = harness.Ask(Post("a1", "look", "", "{}", 1000), "\r\n\r\n");
+    const std::string response = harness.Exchange(Post("a1", "look", "", "{}", 1000), "\r\n\r\n");
     EXPECT_TRUE(response.starts_with(std::string("HTTP/1.1 ") + test_case.status))
         << test_case.name << ": " << response;
-    const std::string next = harness.Ask(Post("a2", "look"), "\r\n\r\n");
+    const std::string next = harness.Exchange(Post("a2", "look"), "\r\n\r\n");
     EXPECT_TRUE(next.starts_with("HTTP/1.1 200") || next.starts_with("HTTP/1.1 503"))
         << test_case.name << ": " << next;
     EXPECT_LE(harness.node->counters().completed + harness.node->counters().rejected +
@@ -424,8 +428,8 @@
 TEST(WorkerResponses, SingleBytesAreAccepted) {
   NodeHarness harness(1);
   std::string answer;
-  harness.workers[0]->act = [&](const ToyWorker::Got& request) {
-    std::string line = ToyWorker::Line(request, "done");
+  harness.workers[0]->on_request = [&](const FakeWorker::ReceivedRequest& request) {
+    std::string line = FakeWorker::StateLine(request, "done");
     line.insert(line.size() - 1, R"(,"result":"ok")");
     answer = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(line.size() + 1) + "\r\n\r\n" +
              line + "\n";
@@ -441,7 +445,7 @@
     harness.host.deadlines().At(harness.host.Now() + 0.002 * static_cast<double>(i),
                                 [&client, c = request[i]] { client->Write(std::string(1, c)); });
   }
-  EXPECT_TRUE(harness.Until([&] { return client->in.ends_with("ok"); }));
+  EXPECT_TRUE(harness.Until([&] { return client->received.ends_with("ok"); }));
 }
 
 }  // namespace
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -22,11 +22,12 @@
   HotRestartTest() : harness(3, "", folder.path) {}
   // Sends a request on a persistent connection and returns the status line's first 12 bytes.
   std::string Request(RawClient* client, const std::string& id, const std::string& cls = "look") {
-    client->in.clear();
+    client->received.clear();
     client->Write(Post(id, cls, cls == "charge" ? "Idempotency-Key: " + id + "\r\n" : ""));
-    EXPECT_TRUE(harness.Until([&] { return client->in.find("\r\n\r\n") != std::string::npos; }))
-        << id;
-    return client->in.substr(0, 12);
+    EXPECT_TRUE(harness.Until([&] {
+      return client->received.find("\r\n\r\n") != std::string::npos;
+    })) << id;
+    return client->received.substr(0, 12);
   }
   void ExpectServed(RawClient* client, const std::string& id) {
     EXPECT_EQ(Request(client, id), "HTTP/1.1 200") << id;
@@ -41,32 +42,34 @@
 TEST_F(HotRestartTest, IdleConnectionsMoveToTheNewProcessWhichAcceptsNewOnes) {
   auto idle = harness.Client(), in_progress = harness.Client();
   ExpectServed(idle.get(), "a");
-  std::vector<ToyWorker::Got> held;
+  std::vector<FakeWorker::ReceivedRequest> held;
   for (auto& w : harness.workers) {
-    w->act = [&](const ToyWorker::Got& attempt) {
+    w->on_request = [&](const FakeWorker::ReceivedRequest& attempt) {
       if (*attempt.head.Get("Request-Id") == "b")
         return held.push_back(attempt);  // also hedged attempts
-      ToyWorker::Done(attempt, "ok");
+      FakeWorker::RespondWithResult(attempt, "ok");
     };
   }
   in_progress->Write(Post("b", "look"));
   ASSERT_TRUE(harness.Until([&] { return !held.empty(); }));
-  ASSERT_TRUE(harness.StartNext());
+  ASSERT_TRUE(harness.StartSuccessor());
   ExpectServed(idle.get(), "c");
   auto fresh = harness.Client();
   ExpectServed(fresh.get(), "d");
   EXPECT_EQ(ReceivedRequests(harness.node), 2u);  // counts begin at 0 in each process
-  EXPECT_EQ(ReceivedRequests(harness.next), 2u);
+  EXPECT_EQ(ReceivedRequests(harness.successor), 2u);
   harness.node->BeginStop();
   harness.Until([] { return false; }, 0.7);  // longer than an idle connection is kept
-  for (const ToyWorker::Got& attempt : held) ToyWorker::Done(attempt, "late");
-  ASSERT_TRUE(harness.Until([&] { return in_progress->in.find("late") != std::string::npos; }));
-  EXPECT_EQ(in_progress->in.find("Connection: close"), std::string::npos);
+  for (const FakeWorker::ReceivedRequest& attempt : held)
+    FakeWorker::RespondWithResult(attempt, "late");
+  ASSERT_TRUE(
+      harness.Until([&] { return in_progress->received.find("late") != std::string::npos; }));
+  EXPECT_EQ(in_progress->received.find("Connection: close"), std::string::npos);
   ExpectServed(in_progress.get(), "e");
   harness.node->Run();  // returns, since no work is left
   harness.node.reset();
   ExpectServed(idle.get(), "f");
-  EXPECT_EQ(ReceivedRequests(harness.next), 4u);
+  EXPECT_EQ(ReceivedRequests(harness.successor), 4u);
   EXPECT_FALSE(idle->ended || in_progress->ended || fresh->ended);
 }
 
@@ -74,25 +77,26 @@
   auto client = harness.Client();
   ExpectServed(client.get(), "a");
   ASSERT_TRUE(harness.node->SetMaintenance("w0", true));
-  ASSERT_TRUE(harness.StartNext());
+  ASSERT_TRUE(harness.StartSuccessor());
   EXPECT_EQ(Request(client.get(), "a"), "HTTP/1.1 409");
   ASSERT_TRUE(harness.node->SetMaintenance("w1", true));  // an operator may call either process
   harness.Until([] { return false; }, 0.05);
-  const std::size_t before = harness.workers[0]->got.size() + harness.workers[1]->got.size();
+  const std::size_t before =
+      harness.workers[0]->requests.size() + harness.workers[1]->requests.size();
   auto again = harness.Client();
   for (int i = 0; i < 8; ++i) ExpectServed(again.get(), "b" + std::to_string(i));
-  EXPECT_EQ(harness.workers[0]->got.size() + harness.workers[1]->got.size(), before);
-  ASSERT_TRUE(harness.next->SetMaintenance("w0", false));
+  EXPECT_EQ(harness.workers[0]->requests.size() + harness.workers[1]->requests.size(), before);
+  ASSERT_TRUE(harness.successor->SetMaintenance("w0", false));
   harness.Until([] { return false; }, 0.05);
-  const std::size_t attempts_before = harness.workers[0]->got.size();
+  const std::size_t attempts_before = harness.workers[0]->requests.size();
   const double set_ready_at = harness.host.Now();
-  for (int i = 0;
-       harness.workers[0]->got.size() == attempts_before && harness.host.Now() < set_ready_at + 5;
+  for (int i = 0; harness.workers[0]->requests.size() == attempts_before &&
+                  harness.host.Now() < set_ready_at + 5;
        ++i) {
     ExpectServed(again.get(), "c" + std::to_string(i));
     harness.Until([] { return false; }, 0.02);
   }
-  EXPECT_GT(harness.workers[0]->got.size(), attempts_before);
+  EXPECT_GT(harness.workers[0]->requests.size(), attempts_before);
 }
 
 TEST_F(HotRestartTest, StartsWhenTheOldProcessIsSilentOrGone) {
@@ -103,11 +107,11 @@
                                    [&](auto link) { accepted.push_back(std::move(link)); });
   ASSERT_TRUE(silent.Listen(path));
   const double started_at = harness.host.Now();
-  ASSERT_TRUE(harness.StartNext());
+  ASSERT_TRUE(harness.StartSuccessor());
   EXPECT_LT(harness.host.Now() - started_at, 3);
-  harness.next.reset();
+  harness.successor.reset();
   harness.node.reset();  // the socket file stays behind
-  ASSERT_TRUE(harness.StartNext());
+  ASSERT_TRUE(harness.StartSuccessor());
 }
 
 TEST_F(HotRestartTest, TheOldProcessServesOnWhenTheNewOneNeverServesOrDies) {
@@ -122,9 +126,9 @@
   ExpectServed(client.get(), "b");
   never_serving.reset();
   harness.Until([] { return false; }, 0.05);
-  ASSERT_TRUE(harness.StartNext());
+  ASSERT_TRUE(harness.StartSuccessor());
   harness.Until([] { return false; }, 0.05);
-  harness.next.reset();
+  harness.successor.reset();
   harness.Until([] { return false; }, 0.05);
   auto fresh = harness.Client();
   ExpectServed(fresh.get(), "c");
@@ -159,11 +163,11 @@
   auto client = harness.Client();
   for (int i = 0; i < 4; ++i) {
     ExpectServed(client.get(), "a" + std::to_string(i));
-    ASSERT_TRUE(harness.StartNext());
+    ASSERT_TRUE(harness.StartSuccessor());
     harness.Until([] { return false; }, 0.05);
     harness.node->BeginStop();
     harness.node->Run();
-    harness.node = std::move(harness.next);
+    harness.node = std::move(harness.successor);
   }
   ExpectServed(client.get(), "z");
   EXPECT_FALSE(client->ended);
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -110,17 +110,17 @@
   }
   // Sends one request and returns the response, head and body.
   std::string SendRequest(const std::string& bytes) {
-    client->in.clear();
+    client->received.clear();
     client->Write(bytes);
-    Until([&] { return client->in.find("\r\n\r\n") != std::string::npos; });
-    return client->in;
+    Until([&] { return client->received.find("\r\n\r\n") != std::string::npos; });
+    return client->received;
   }
   bool Serving() {
     return Until(
         [&] { return SendRequest("GET /_health HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200"); });
   }
   Loop host;
-  ToyWorker worker;
+  FakeWorker worker;
   std::string path;
   Config config;
   std::unique_ptr<Node> planner, forwarder;
@@ -137,20 +137,22 @@
 TEST(TwoLevels, LosingThePlannerFailsRequestsThatMayHaveRunAndRejectsNewOnes) {
   Levels levels;
   ASSERT_TRUE(levels.Serving());
-  levels.worker.act = [](const ToyWorker::Got&) {};
-  levels.client->in.clear();
+  levels.worker.on_request = [](const FakeWorker::ReceivedRequest&) {};
+  levels.client->received.clear();
   levels.client->Write(Post("a1", "look"));
-  ASSERT_TRUE(levels.Until([&] { return levels.worker.got.size() == 1; }));
+  ASSERT_TRUE(levels.Until([&] { return levels.worker.requests.size() == 1; }));
   levels.planner.reset();
-  ASSERT_TRUE(levels.Until([&] { return !levels.client->in.empty(); }));
-  EXPECT_TRUE(levels.client->in.starts_with("HTTP/1.1 502")) << levels.client->in;
+  ASSERT_TRUE(levels.Until([&] { return !levels.client->received.empty(); }));
+  EXPECT_TRUE(levels.client->received.starts_with("HTTP/1.1 502")) << levels.client->received;
   EXPECT_TRUE(levels.SendRequest("GET /_health HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503"));
   const std::string response = levels.SendRequest(Post("a2", "look"));
   EXPECT_TRUE(response.starts_with("HTTP/1.1 503")) << response;
   EXPECT_NE(response.find("Retry-After"), std::string::npos);
   // The forwarder reconnects to a planner that restarts.
   levels.StartPlanner();
-  levels.worker.act = [](const ToyWorker::Got& attempt) { ToyWorker::Done(attempt, "ok"); };
+  levels.worker.on_request = [](const FakeWorker::ReceivedRequest& attempt) {
+    FakeWorker::RespondWithResult(attempt, "ok");
+  };
   ASSERT_TRUE(levels.Serving());
   EXPECT_TRUE(levels.SendRequest(Post("a3", "look")).ends_with("\r\n\r\nok"));
 }
--- a/tests/list_test.cpp
+++ b/tests/list_test.cpp
@@ -13,8 +13,8 @@
 struct NodeEndpointList : testing::Test {
   void StartNode(int nodes) {
     LogLevel() = Level::kError;
-    for (int i = 0; i < 2; ++i) workers.push_back(std::make_unique<ToyWorker>(&host));
-    discovery.act = [this](const ToyWorker::Got& call) {
+    for (int i = 0; i < 2; ++i) workers.push_back(std::make_unique<FakeWorker>(&host));
+    discovery.on_request = [this](const FakeWorker::ReceivedRequest& call) {
       discovery_calls.push_back(call);
       on_discovery_call(call);
     };
@@ -44,8 +44,8 @@
   std::string SendAndReadStatus(const std::string& bytes, const std::string& address = "") {
     RawClient client(&host, address.empty() ? node->http_address() : address);
     client.Write(bytes);
-    Until([&] { return client.in.find("\r\n\r\n") != std::string::npos || client.ended; });
-    return client.in.substr(0, 12);
+    Until([&] { return client.received.find("\r\n\r\n") != std::string::npos || client.ended; });
+    return client.received.substr(0, 12);
   }
   std::string Health() {
     return SendAndReadStatus("GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n");
@@ -59,19 +59,21 @@
            workers[static_cast<std::size_t>(worker)]->address() +
            R"(","zone":"q","kind":"k","state":")" + state + R"(","started_ms":0})";
   }
-  void RespondWithList(const ToyWorker::Got& call, int version, const std::string& entries) {
+  void RespondWithList(const FakeWorker::ReceivedRequest& call, int version,
+                       const std::string& entries) {
     const std::string body = R"({"version":)" + std::to_string(version) +
                              R"(,"full":false,"servers":[)" + entries + "]}";
     call.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
                      "\r\n\r\n" + body);
   }
-  std::size_t RequestsAt(std::size_t worker) const { return workers[worker]->got.size(); }
+  std::size_t RequestsAt(std::size_t worker) const { return workers[worker]->requests.size(); }
 
   Loop host;
-  std::vector<std::unique_ptr<ToyWorker>> workers;
-  ToyWorker discovery{&host};
-  std::vector<ToyWorker::Got> discovery_calls;
-  std::function<void(const ToyWorker::Got&)> on_discovery_call = [](const ToyWorker::Got&) {};
+  std::vector<std::unique_ptr<FakeWorker>> workers;
+  FakeWorker discovery{&host};
+  std::vector<FakeWorker::ReceivedRequest> discovery_calls;
+  std::function<void(const FakeWorker::ReceivedRequest&)> on_discovery_call =
+      [](const FakeWorker::ReceivedRequest&) {};
   std::unique_ptr<Node> node;
 };
 
@@ -104,7 +106,7 @@
   for (const int nodes : {2, 30}) {
     if (node) node.reset();
     workers.clear(), discovery_calls.clear();
-    on_discovery_call = [](const ToyWorker::Got& call) {
+    on_discovery_call = [](const FakeWorker::ReceivedRequest& call) {
       call.from->Write("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
     };
     const double started_at = host.Now();
@@ -120,8 +122,8 @@
 // here.
 TEST_F(NodeEndpointList, NothingIsSentWhileTheListIsOverdue) {
   StartNode(300);
-  std::vector<ToyWorker::Got> held_calls;
-  on_discovery_call = [&](const ToyWorker::Got& call) {
+  std::vector<FakeWorker::ReceivedRequest> held_calls;
+  on_discovery_call = [&](const FakeWorker::ReceivedRequest& call) {
     if (discovery_calls.size() == 1) return RespondWithList(call, 2, Entry(0, "in_service"));
     // The call that follows at once is rejected, so that the call after the next response comes
     // later.
@@ -146,7 +148,7 @@
   RespondWithList(held_calls[0], 4, Entry(0, "terminating"));
   ASSERT_TRUE(Until([&] {
     return std::all_of(clients.begin(), clients.end(),
-                       [](const auto& client) { return client->in.ends_with("ok"); });
+                       [](const auto& client) { return client->received.ends_with("ok"); });
   }));
   EXPECT_EQ(RequestsAt(0), draining_worker_requests_before);
 }
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -268,9 +268,9 @@
 // maximum poll interval even if the balancer does not request it.
 TEST(Discovery, WatchesContinuouslyAndRetriesAfterAFailure) {
   Loop loop;
-  ToyWorker server(&loop);
+  FakeWorker server(&loop);
   std::vector<double> call_times;
-  server.act = [&](const ToyWorker::Got& call) {
+  server.on_request = [&](const FakeWorker::ReceivedRequest& call) {
     call_times.push_back(loop.Now());
     if (call_times.size() == 3) return call.from->Close("test");
     const std::string body = R"({"version":)" + std::to_string(4 + call_times.size()) +
@@ -292,9 +292,9 @@
   discovery.SetVersion(2);
   discovery.Subscribe(true);
   ASSERT_TRUE(TurnUntil(loop, [&] { return call_times.size() == 4; }));
-  EXPECT_EQ(server.got[0].head.target, "/catalog/members?after=2&wait_ms=0");
-  EXPECT_EQ(server.got[1].head.target, "/catalog/members?after=5&wait_ms=1000");
-  EXPECT_EQ(server.got[2].head.target, "/catalog/members?after=6&wait_ms=1000");
+  EXPECT_EQ(server.requests[0].head.target, "/catalog/members?after=2&wait_ms=0");
+  EXPECT_EQ(server.requests[1].head.target, "/catalog/members?after=5&wait_ms=1000");
+  EXPECT_EQ(server.requests[2].head.target, "/catalog/members?after=6&wait_ms=1000");
   EXPECT_LT(call_times[1] - call_times[0], 0.2);
   EXPECT_LT(call_times[2] - call_times[1], 0.2);
   EXPECT_LT(call_times[3] - call_times[2], 1.0);
@@ -306,18 +306,18 @@
 // A discovery server whose responses the test controls call by call, and a client of it.
 struct DiscoveryHarness {
   Loop loop;
-  ToyWorker server{&loop};
+  FakeWorker server{&loop};
   std::vector<double> call_times;
   std::vector<std::string> targets;
   std::vector<balancing::EndpointListKind> list_kinds;
   int unavailable = 0;
-  std::function<void(const ToyWorker::Got&, std::size_t call_number)> on_call;
+  std::function<void(const FakeWorker::ReceivedRequest&, std::size_t call_number)> on_call;
   std::unique_ptr<Discovery> discovery;
 
   explicit DiscoveryHarness(int nodes, double max_poll_interval_s = 10, std::uint64_t seed = 3,
                             double drain_grace_s = 2) {
     LogLevel() = Level::kError;
-    server.act = [this](const ToyWorker::Got& call) {
+    server.on_request = [this](const FakeWorker::ReceivedRequest& call) {
       call_times.push_back(loop.Now());
       targets.push_back(call.head.target);
       on_call(call, call_times.size());
@@ -341,7 +341,8 @@
                              }});
     discovery->SetVersion(2);
   }
-  static void RespondWithList(const ToyWorker::Got& call, int version, bool full = false) {
+  static void RespondWithList(const FakeWorker::ReceivedRequest& call, int version,
+                              bool full = false) {
     const std::string body = R"({"version":)" + std::to_string(version) + R"(,"full":)" +
                              (full ? "true" : "false") +
                              R"(,"servers":[{"id":"w","addr":"127.0.0.1:9"}]})";
@@ -358,7 +359,7 @@
 // calls failed.
 TEST(Discovery, UsesLongerWatchesAndBackoffWithManyNodes) {
   DiscoveryHarness harness(48, 1);
-  harness.on_call = [](const ToyWorker::Got& call, std::size_t call_number) {
+  harness.on_call = [](const FakeWorker::ReceivedRequest& call, std::size_t call_number) {
     if (call_number == 1) call.from->Close("test");
     if (call_number == 2) DiscoveryHarness::RespondWithList(call, 2);  // no change
   };
@@ -385,7 +386,7 @@
 // new watch, and the server could not handle a new watch of every node for each change.
 TEST(Discovery, ContinuesTheWatchAfterAChangeWithManyNodes) {
   DiscoveryHarness harness(300);
-  harness.on_call = [&](const ToyWorker::Got& call, std::size_t call_number) {
+  harness.on_call = [&](const FakeWorker::ReceivedRequest& call, std::size_t call_number) {
     if (call_number <= 3)
       DiscoveryHarness::RespondWithList(call, 2 + static_cast<int>(call_number));
   };
@@ -406,8 +407,8 @@
 // overdue.
 TEST(Discovery, ReportsAnOverdueListWithManyNodes) {
   DiscoveryHarness harness(300);
-  ToyWorker::Got last_call;
-  harness.on_call = [&](const ToyWorker::Got& call, std::size_t call_number) {
+  FakeWorker::ReceivedRequest last_call;
+  harness.on_call = [&](const FakeWorker::ReceivedRequest& call, std::size_t call_number) {
     if (call_number == 1) DiscoveryHarness::RespondWithList(call, 3);
     if (call_number == 2) call.from->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
     if (call_number == 3) DiscoveryHarness::RespondWithList(call, 4);
@@ -437,8 +438,8 @@
 TEST(Discovery, ReportsAnOverdueListIfTheDrainGraceIsShort) {
   constexpr double kGraceS = 1.5;
   DiscoveryHarness harness(300, 10, 2197, kGraceS);
-  ToyWorker::Got last_call;
-  harness.on_call = [&](const ToyWorker::Got& call, std::size_t call_number) {
+  FakeWorker::ReceivedRequest last_call;
+  harness.on_call = [&](const FakeWorker::ReceivedRequest& call, std::size_t call_number) {
     if (call_number == 1) DiscoveryHarness::RespondWithList(call, 3);
     if (call_number == 2 || call_number == 3)
       call.from->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
@@ -467,7 +468,7 @@
 TEST(Discovery, CallsAgainAtOnceAfterASilentWatch) {
   for (const int nodes : {3, 7}) {
     DiscoveryHarness harness(nodes);
-    harness.on_call = [](const ToyWorker::Got& call, std::size_t call_number) {
+    harness.on_call = [](const FakeWorker::ReceivedRequest& call, std::size_t call_number) {
       if (call_number != 2) DiscoveryHarness::RespondWithList(call, 2);
     };
     harness.discovery->Subscribe(true);
@@ -481,8 +482,8 @@
 // A full list may have been produced before a change that the watch has reported since.
 TEST(Discovery, FetchesAFullListAgainIfItIsOlderThanTheWatch) {
   DiscoveryHarness harness(1);
-  ToyWorker::Got full_list_call{};
-  harness.on_call = [&](const ToyWorker::Got& call, std::size_t) {
+  FakeWorker::ReceivedRequest full_list_call{};
+  harness.on_call = [&](const FakeWorker::ReceivedRequest& call, std::size_t) {
     if (call.head.target == "/catalog/members") {
       full_list_call.from == nullptr ? void(full_list_call = call)
                                      : DiscoveryHarness::RespondWithList(call, 7, true);
@@ -504,7 +505,7 @@
 // A server that does not wait, or whose lists have no version, must not be called in a tight loop.
 TEST(Discovery, LimitsCallsToAServerThatDoesNotWait) {
   DiscoveryHarness harness(1);
-  harness.on_call = [](const ToyWorker::Got& call, std::size_t) {
+  harness.on_call = [](const FakeWorker::ReceivedRequest& call, std::size_t) {
     DiscoveryHarness::RespondWithList(call, 2);
   };
   harness.discovery->Subscribe(true);
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -23,7 +23,7 @@
   return R"({"id":")" + worker + R"(","addr":"127.0.0.1:9","zone":"q","kind":"k","state":")" +
          state + R"(","started_ms":)" + std::to_string(started_ms) + "}";
 }
-void RespondWithList(const ToyWorker::Got& call, int version, bool full,
+void RespondWithList(const FakeWorker::ReceivedRequest& call, int version, bool full,
                      const std::string& entries) {
   const std::string body = R"({"version":)" + std::to_string(version) + R"(,"full":)" +
                            (full ? "true" : "false") + R"(,"servers":[)" + entries + "]}";
@@ -36,13 +36,14 @@
 struct DiscoveryMove : testing::Test {
   DiscoveryMove() {
     LogLevel() = Level::kError;
-    old_server.act = [](const ToyWorker::Got& call) {
+    old_server.on_request = [](const FakeWorker::ReceivedRequest& call) {
       if (call.head.target.ends_with("wait_ms=0"))
         RespondWithList(call, 41, false, Entry("w0", "terminating"));
     };
     CreateDiscovery(1);
     discovery->Subscribe(true);
-    EXPECT_TRUE(TurnUntil(loop, [&] { return old_server.got.size() == 2; }));  // the watch is open
+    EXPECT_TRUE(
+        TurnUntil(loop, [&] { return old_server.requests.size() == 2; }));  // the watch is open
   }
   void CreateDiscovery(int nodes) {
     discovery = std::make_unique<Discovery>(
@@ -58,7 +59,7 @@
             .unavailable = [] {}});
   }
   Loop loop;
-  ToyWorker old_server{&loop}, new_server{&loop};
+  FakeWorker old_server{&loop}, new_server{&loop};
   std::vector<std::pair<EndpointListKind, ServerList>> lists;
   std::unique_ptr<Discovery> discovery;
 };
@@ -66,24 +67,24 @@
 // Versions of different servers can't be compared, so the client fetches a full list first and
 // watches from its version.
 TEST_F(DiscoveryMove, FetchesAFullListAndWatchesFromItsVersion) {
-  new_server.act = [](const ToyWorker::Got& call) {
+  new_server.on_request = [](const FakeWorker::ReceivedRequest& call) {
     if (call.head.target.find("after") == std::string::npos)
       RespondWithList(call, 3, true, Entry("w1", "in_service"));
   };
   discovery->Move(new_server.address());
-  ASSERT_TRUE(TurnUntil(loop, [&] { return new_server.got.size() == 2; }));
-  EXPECT_EQ(new_server.got[0].head.target, "/catalog/members");
-  EXPECT_TRUE(new_server.got[1].head.target.starts_with("/catalog/members?after=3&"));
+  ASSERT_TRUE(TurnUntil(loop, [&] { return new_server.requests.size() == 2; }));
+  EXPECT_EQ(new_server.requests[0].head.target, "/catalog/members");
+  EXPECT_TRUE(new_server.requests[1].head.target.starts_with("/catalog/members?after=3&"));
   // A watch without a response must not delay the report of a drain for long.
-  EXPECT_TRUE(new_server.got[1].head.target.ends_with("&wait_ms=3000"))
-      << new_server.got[1].head.target;
+  EXPECT_TRUE(new_server.requests[1].head.target.ends_with("&wait_ms=3000"))
+      << new_server.requests[1].head.target;
   EXPECT_EQ(lists.back().first, EndpointListKind::kSnapshot);
 }
 
 // A drain that only the old server has reported applies, whether it was reported before the new
 // list or after it.
 TEST_F(DiscoveryMove, KeepsADrainThatOnlyTheOldServerReported) {
-  new_server.act = [](const ToyWorker::Got& call) {
+  new_server.on_request = [](const FakeWorker::ReceivedRequest& call) {
     if (call.head.target.find("after") != std::string::npos) return;
     RespondWithList(call, 3, true, Entry("w0", "in_service") + "," + Entry("w1", "in_service"));
   };
@@ -91,7 +92,7 @@
   ASSERT_TRUE(TurnUntil(loop, [&] { return lists.size() == 2; }));
   EXPECT_EQ(lists[1].second.entries[0].member.readiness, Readiness::kDraining);
   EXPECT_EQ(lists[1].second.entries[1].member.readiness, Readiness::kReady);
-  RespondWithList(old_server.got[1], 42, false,
+  RespondWithList(old_server.requests[1], 42, false,
                   Entry("w1", "terminating") + "," + Entry("w2", "in_service"));
   ASSERT_TRUE(TurnUntil(loop, [&] { return lists.size() == 3; }));
   EXPECT_EQ(lists[2].first, EndpointListKind::kIncremental);
@@ -100,7 +101,7 @@
 }
 
 TEST_F(DiscoveryMove, AcceptsALaterStart) {
-  new_server.act = [](const ToyWorker::Got& call) {
+  new_server.on_request = [](const FakeWorker::ReceivedRequest& call) {
     if (call.head.target.find("after") == std::string::npos)
       RespondWithList(call, 3, true, Entry("w0", "in_service", 5000));
   };
@@ -115,10 +116,10 @@
 TEST_F(DiscoveryMove, RetriesAFailingNewAddressAtOnce) {
   for (const int nodes : {1, 100}) {
     CreateDiscovery(nodes);
-    new_server.got.clear();
+    new_server.requests.clear();
     const std::size_t known_before = lists.size();
-    new_server.act = [&](const ToyWorker::Got& call) {
-      if (new_server.got.size() < 4) return call.from->Close("test");
+    new_server.on_request = [&](const FakeWorker::ReceivedRequest& call) {
+      if (new_server.requests.size() < 4) return call.from->Close("test");
       RespondWithList(call, 3, true, Entry("w1", "in_service"));
     };
     discovery->Move(new_server.address());
@@ -131,9 +132,9 @@
 TEST(Reload, AppliesAValidFileAndKeepsTheConfigurationIfTheFileIsInvalid) {
   LogLevel() = Level::kError;
   Loop host;
-  ToyWorker first_server(&host), second_server(&host);
-  for (ToyWorker* server : {&first_server, &second_server}) {
-    server->act = [](const ToyWorker::Got& call) {
+  FakeWorker first_server(&host), second_server(&host);
+  for (FakeWorker* server : {&first_server, &second_server}) {
+    server->on_request = [](const FakeWorker::ReceivedRequest& call) {
       RespondWithList(call, 1, true, Entry("w1", "in_service"));
     };
   }
@@ -161,7 +162,7 @@
   };
   write_config(config_with(second_server.address()));
   raise(SIGHUP);
-  ASSERT_TRUE(until([&] { return !second_server.got.empty(); }));
+  ASSERT_TRUE(until([&] { return !second_server.requests.empty(); }));
   const std::size_t lists_before = node.counters().endpoint_lists;
   for (const char* invalid_config : {"{", R"({"listen":"127.0.0.1:0","discovery":"nowhere"})"}) {
     write_config(invalid_config);
@@ -172,7 +173,7 @@
   }
   EXPECT_TRUE(
       until([&] { return node.counters().endpoint_lists > lists_before; }));  // the watch continues
-  EXPECT_LE(first_server.got.size(), 1u);  // called at the start, and not after the move
+  EXPECT_LE(first_server.requests.size(), 1u);  // called at the start, and not after the move
   unlink(path.c_str());
 }
 
@@ -256,37 +257,41 @@
     return harness.Until([&] { return counters.reloads + counters.reload_errors > before; });
   };
   harness.node->CatchSignals(path);
-  std::vector<ToyWorker::Got> held_requests;
+  std::vector<FakeWorker::ReceivedRequest> held_requests;
   for (auto& worker : harness.workers)
-    worker->act = [&](const ToyWorker::Got& request) { held_requests.push_back(request); };
+    worker->on_request = [&](const FakeWorker::ReceivedRequest& request) {
+      held_requests.push_back(request);
+    };
   auto open_client = harness.Client();
   open_client->Write(Post("a", "look"));
   ASSERT_TRUE(harness.Until([&] { return !held_requests.empty(); }));
-  EXPECT_EQ(harness.Ask(Post("b", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
+  EXPECT_EQ(harness.Exchange(Post("b", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
   std::string new_text = Replace(text, kLookupClassJson, Replace(kLookupClassJson, "look", "new"));
   new_text = Replace(new_text, R"("most_tries":4)", R"("most_tries":1)");
   ASSERT_TRUE(reload(new_text));
-  for (const ToyWorker::Got& request : held_requests)
-    ToyWorker::Lines(request, {ToyWorker::Line(request, "failed")});
+  for (const FakeWorker::ReceivedRequest& request : held_requests)
+    FakeWorker::RespondWithLines(request, {FakeWorker::StateLine(request, "failed")});
   const std::size_t held_before = held_requests.size();
   ASSERT_TRUE(harness.Until(
       [&] { return held_requests.size() > held_before; }));  // the open request may be retried
   for (auto& worker : harness.workers) {
-    worker->act = [](const ToyWorker::Got& request) {
-      ToyWorker::Lines(request, {ToyWorker::Line(request, "failed")});
+    worker->on_request = [](const FakeWorker::ReceivedRequest& request) {
+      FakeWorker::RespondWithLines(request, {FakeWorker::StateLine(request, "failed")});
     };
   }
-  EXPECT_EQ(harness.Ask(Post("c", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 503");
+  EXPECT_EQ(harness.Exchange(Post("c", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 503");
   EXPECT_EQ(harness.AttemptsOf("c"), 1u);  // a new request may not be retried
   for (auto& worker : harness.workers)
-    worker->act = [](const ToyWorker::Got& request) { ToyWorker::Done(request, "ok"); };
-  EXPECT_EQ(harness.Ask(Post("d", "look"), "\r\n\r\n").substr(0, 12),
+    worker->on_request = [](const FakeWorker::ReceivedRequest& request) {
+      FakeWorker::RespondWithResult(request, "ok");
+    };
+  EXPECT_EQ(harness.Exchange(Post("d", "look"), "\r\n\r\n").substr(0, 12),
             "HTTP/1.1 200");  // may have been sent before the reload
   harness.Until([] { return false; }, 1.3);
-  EXPECT_EQ(harness.Ask(Post("e", "look"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
+  EXPECT_EQ(harness.Exchange(Post("e", "look"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
   ASSERT_TRUE(reload(""));
   EXPECT_EQ(harness.node->counters().reload_errors, 1u);
-  EXPECT_EQ(harness.Ask(Post("f", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 200");
+  EXPECT_EQ(harness.Exchange(Post("f", "new"), "\r\n\r\n").substr(0, 12), "HTTP/1.1 200");
   EXPECT_NE(harness.node->Metrics().find("new.completed:1|c"), std::string::npos);
   unlink(path.c_str());
 }
--- a/tests/scheduling_balancer_test.cpp
+++ b/tests/scheduling_balancer_test.cpp
@@ -350,7 +350,7 @@
 struct SlotWorker {
   SlotWorker(Loop* loop, Resources capacity, std::size_t queue)
       : model(capacity, queue), http_worker(loop), loop(loop) {
-    http_worker.act = [this](const ToyWorker::Got& request) {
+    http_worker.on_request = [this](const FakeWorker::ReceivedRequest& request) {
       const std::string id = *request.head.Get("Request-Id");
       double run_s = 0, memory = 0;
       if (std::sscanf(request.body.c_str(), "%lf %lf", &run_s, &memory) != 2) return;
@@ -363,18 +363,18 @@
       StartJobs();
     };
   }
-  static void WriteChunk(const ToyWorker::Got& request, const std::string& line) {
+  static void WriteChunk(const FakeWorker::ReceivedRequest& request, const std::string& line) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", line.size() + 1);
     request.from->Write(size + line + "\n\r\n");
   }
   void StartJobs() {
     for (const WorkerModel::Job& job : model.Begin(loop->Now())) {
-      WriteChunk(requests.at(job.id), ToyWorker::Line(requests.at(job.id), "started"));
+      WriteChunk(requests.at(job.id), FakeWorker::StateLine(requests.at(job.id), "started"));
       loop->deadlines().At(job.ends_at, [this] {
         for (const WorkerModel::Job& done : model.End(loop->Now())) {
-          const ToyWorker::Got& request = requests.at(done.id);
-          std::string line = ToyWorker::Line(request, "done");
+          const FakeWorker::ReceivedRequest& request = requests.at(done.id);
+          std::string line = FakeWorker::StateLine(request, "done");
           line.insert(line.size() - 1, R"(,"result":"ok")");
           WriteChunk(request, line);
           request.from->Write("0\r\n\r\n");
@@ -384,9 +384,9 @@
     }
   }
   WorkerModel model;
-  ToyWorker http_worker;
+  FakeWorker http_worker;
   Loop* loop;
-  std::map<std::string, ToyWorker::Got> requests;
+  std::map<std::string, FakeWorker::ReceivedRequest> requests;
 };
 
 // A node and its HTTP workers, on two event loops: `host` runs the workers and the clients.
@@ -439,7 +439,9 @@
     std::unique_ptr<RawClient> client;
     int class_index = 0;
     double run_s = 0, sent_at = 0, latency_s = -1;  // -1: not answered yet
-    int status() const { return client->in.size() > 12 ? std::atoi(client->in.c_str() + 9) : 0; }
+    int status() const {
+      return client->received.size() > 12 ? std::atoi(client->received.c_str() + 9) : 0;
+    }
   };
   // Sends a request on a connection of its own.
   Call* SendRequest(int class_index, double run_s, double memory, int timeout_ms) {
@@ -450,7 +452,7 @@
     call->sent_at = host.Now();
     call->client = std::make_unique<RawClient>(&host, node->http_address());
     call->client->on_read = [this, call] {
-      if (call->latency_s < 0 && call->client->in.find("\r\n\r\n") != std::string::npos) {
+      if (call->latency_s < 0 && call->client->received.find("\r\n\r\n") != std::string::npos) {
         call->latency_s = host.Now() - call->sent_at;
       }
     };
@@ -574,7 +576,8 @@
   }));
   for (const auto& call : harness.calls) {
     EXPECT_EQ(call->status(), 200);
-    EXPECT_EQ(call->client->in.find("HTTP/1.1", 1), std::string::npos) << "more than one response";
+    EXPECT_EQ(call->client->received.find("HTTP/1.1", 1), std::string::npos)
+        << "more than one response";
   }
   EXPECT_EQ(harness.node->counters().completed, 4u);
   std::filesystem::remove_all(folder);
@@ -588,7 +591,7 @@
   std::vector<std::unique_ptr<GearmanPeer>> workers;
   for (int i = 0; i < 2; ++i) {
     workers.push_back(harness.Gearman());
-    workers.back()->WorkOn("f", "done");
+    workers.back()->ServeJobs("f", "done");
   }
   harness.Until([&] { return harness.node->Metrics().find("app.members:2") != std::string::npos; });
   const auto client = harness.Gearman();
@@ -597,13 +600,13 @@
   }
   harness.Until(
       [&] {
-        return client->Of(gearman::Type::kWorkComplete).size() +
-                   client->Of(gearman::Type::kWorkFail).size() ==
+        return client->ResponsesOf(gearman::Type::kWorkComplete).size() +
+                   client->ResponsesOf(gearman::Type::kWorkFail).size() ==
                200;
       },
       20);
-  EXPECT_EQ(client->Of(gearman::Type::kWorkComplete).size(), 200u);
-  EXPECT_EQ(client->Of(gearman::Type::kWorkFail).size(), 0u);
+  EXPECT_EQ(client->ResponsesOf(gearman::Type::kWorkComplete).size(), 200u);
+  EXPECT_EQ(client->ResponsesOf(gearman::Type::kWorkFail).size(), 0u);
 }
 
 }  // namespace
--- a/tests/support/cluster_harness.cpp
+++ b/tests/support/cluster_harness.cpp
@@ -147,7 +147,7 @@
     raw->member_side = std::make_unique<RawClient>(loop_, AddressText(target_));
     raw->client_side->on_read = [this, raw] { ForwardStream(raw); };
     raw->member_side->on_read = [raw] {
-      raw->client_side->Write(std::exchange(raw->member_side->in, {}));
+      raw->client_side->Write(std::exchange(raw->member_side->received, {}));
     };
     raw->client_side->on_end = [raw] {
       raw->member_side->Close("passed-on"), raw->member_side->ended = true;
@@ -164,14 +164,14 @@
       raw->client_side->ended = raw->member_side->ended = true;
       return;
     }
-    if (faults.blocked || raw->client_side->in.empty()) return;
-    std::size_t max_bytes = raw->client_side->in.size();
+    if (faults.blocked || raw->client_side->received.empty()) return;
+    std::size_t max_bytes = raw->client_side->received.size();
     if (faults.bytes_per_s > 0)
       max_bytes =
           std::min<std::size_t>(max_bytes, static_cast<std::size_t>(faults.bytes_per_s / 50) + 1);
-    raw->member_side->Write(raw->client_side->in.substr(0, max_bytes));
-    raw->client_side->in.erase(0, max_bytes);
-    if (!raw->client_side->in.empty())
+    raw->member_side->Write(raw->client_side->received.substr(0, max_bytes));
+    raw->client_side->received.erase(0, max_bytes);
+    if (!raw->client_side->received.empty())
       loop_->deadlines().At(loop_->Now() + 0.02, [this, raw] { ForwardStream(raw); });
   }
 
@@ -239,7 +239,7 @@
   char name[] = "/tmp/millethollow-rig-XXXXXX";
   folder_ = mkdtemp(name);
   for (std::size_t w = 0; w < options.workers; ++w)
-    workers_.push_back(std::make_unique<ToyWorker>(&loop_));
+    workers_.push_back(std::make_unique<FakeWorker>(&loop_));
   nodes_.resize(options.members);
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     nodes_[i].folder = folder_ + "/" + Name(i);
@@ -516,9 +516,9 @@
     Node& node = nodes_[i];
     if (node.pid <= 0 || node.stopped) continue;
     if (node.poll_client) {
-      const bool complete =
-          node.poll_client->ended && node.poll_client->in.find("\r\n\r\n") != std::string::npos;
-      if (complete) OnMembersResponse(i, node.poll_client->in);
+      const bool complete = node.poll_client->ended &&
+                            node.poll_client->received.find("\r\n\r\n") != std::string::npos;
+      if (complete) OnMembersResponse(i, node.poll_client->received);
       if (!node.poll_client->ended && now() - node.polled_at < kPollTimeoutS) continue;
       if (!complete) node.polled.response = nullptr;
       node.poll_client.reset();
@@ -600,7 +600,7 @@
   RawClient raw(&loop_, LoopbackAddress(nodes_[i].admin));
   raw.Write(call + " HTTP/1.1\r\nHost: a\r\n\r\n");
   RunUntil([&] { return raw.ended; }, 2);
-  return raw.in;
+  return raw.received;
 }
 
 long ClusterHarness::Metric(std::size_t i, const std::string& name) {
--- a/tests/support/cluster_harness.h
+++ b/tests/support/cluster_harness.h
@@ -92,7 +92,7 @@
   bool Serves(std::size_t i) { return Running(i) && !nodes_[i].stopped && !nodes_[i].terminating; }
   // Rises with each start, stop or kill of the process. A request during which it changed may fail.
   std::uint64_t DisruptionCount(std::size_t i) const { return nodes_[i].disruptions; }
-  ToyWorker& worker(std::size_t i) { return *workers_[i]; }
+  FakeWorker& worker(std::size_t i) { return *workers_[i]; }
   int ExitCode(std::size_t i) const { return nodes_[i].exit_code; }
   std::string Folder(std::size_t i) const { return nodes_[i].folder; }
   std::string LogOf(std::size_t i) const;
@@ -164,7 +164,7 @@
   membership::Random random_;
   Loop loop_;
   std::string folder_;
-  std::vector<std::unique_ptr<ToyWorker>> workers_;
+  std::vector<std::unique_ptr<FakeWorker>> workers_;
   std::vector<Node> nodes_;
   Node duplicate_;
   std::vector<std::unique_ptr<LinkRelay>> links_;
--- a/tests/support/history.h
+++ b/tests/support/history.h
@@ -36,10 +36,10 @@
   void CollectResponses() {
     while (!requests_.empty() && first_pending_ < requests_.size()) {
       Request& request = requests_[first_pending_];
-      if (request.connection->in.find("\r\n\r\n") == std::string::npos &&
+      if (request.connection->received.find("\r\n\r\n") == std::string::npos &&
           !request.connection->ended)
         return;
-      request.response = std::move(request.connection->in);
+      request.response = std::move(request.connection->received);
       request.connection.reset();
       request.undisturbed = request.disturbances_before == cluster_->DisruptionCount(request.node);
       ++first_pending_;
@@ -52,7 +52,7 @@
   std::vector<std::string> Violations() const {
     std::map<std::string, std::set<std::size_t>> cells;  // in which each request id was executed
     for (std::size_t worker = 0; worker < workers_; ++worker) {
-      for (const auto& received : cluster_->worker(worker).got) {
+      for (const auto& received : cluster_->worker(worker).requests) {
         const std::string* id = received.head.Get("Request-Id");
         if (id != nullptr) cells[*id].insert(worker / 2);
       }
--- a/tests/support/job_history.h
+++ b/tests/support/job_history.h
@@ -41,8 +41,8 @@
   void CollectAnswers() {
     for (Submission& submission : submissions_) {
       if (!submission.peer) continue;
-      const auto created = submission.peer->Of(gearman::Type::kJobCreated),
-                 rejected = submission.peer->Of(gearman::Type::kError);
+      const auto created = submission.peer->ResponsesOf(gearman::Type::kJobCreated),
+                 rejected = submission.peer->ResponsesOf(gearman::Type::kError);
       const bool timed_out =
           submission.peer->ended || harness_->now() - submission.submitted_at > kAnswerTimeoutS;
       if (created.empty() && rejected.empty() && !timed_out) continue;
@@ -80,7 +80,7 @@
   std::vector<std::string> Violations() const {
     std::map<std::string, std::set<std::size_t>> cells;  // cells in which a job ran, by its body
     for (std::size_t worker = 0; worker < workers_; ++worker) {
-      for (const auto& execution : harness_->worker(worker).got)
+      for (const auto& execution : harness_->worker(worker).requests)
         cells[execution.body].insert(worker / 2);
     }
     std::string logs;
--- a/tests/support/node_harness.h
+++ b/tests/support/node_harness.h
@@ -1,4 +1,5 @@
-// A node on loopback with toy workers around it, each on a loop of its own that take turns.
+// A node on loopback with fake workers. The node and the test doubles have an event loop each; the
+// loops take turns on one thread.
 #ifndef MILLETHOLLOW_TESTS_SUPPORT_NODE_HARNESS_H_
 #define MILLETHOLLOW_TESTS_SUPPORT_NODE_HARNESS_H_
 
@@ -10,16 +11,16 @@
   explicit NodeHarness(int workers = 3, const std::string& extra = "",
                        const std::string& handover = "") {
     LogLevel() = Level::kError;
-    for (int i = 0; i < workers; ++i) this->workers.push_back(std::make_unique<ToyWorker>(&host));
+    for (int i = 0; i < workers; ++i) this->workers.push_back(std::make_unique<FakeWorker>(&host));
     std::vector<std::string> addresses;
-    for (const auto& w : this->workers) addresses.push_back(w->address());
+    for (const auto& worker : this->workers) addresses.push_back(worker->address());
     std::string error;
     EXPECT_TRUE(ReadConfig(TestConfig(addresses, extra), &config, &error)) << error;
     config.handover_directory = handover;
     node = std::make_unique<Node>(config);
     EXPECT_TRUE(IsOk(node->Start()));
   }
-  // Node and stand-ins have a loop each; they take turns.
+  // Turns all loops until `done()` or the timeout, in seconds. Returns `done()`.
   template <typename Done>
   bool Until(Done done, double timeout_s = 5) {
     const double until = host.Now() + timeout_s;
@@ -27,21 +28,23 @@
     return done();
   }
   void TurnAll() {
-    for (Loop* loop : {&host, node ? &node->loop() : nullptr, next ? &next->loop() : nullptr}) {
+    for (Loop* loop :
+         {&host, node ? &node->loop() : nullptr, successor ? &successor->loop() : nullptr}) {
       if (loop == nullptr) continue;
       loop->deadlines().At(loop->Now() + 0.001, [] {});
       loop->Turn();
     }
   }
-  // The same program started once more beside itself.
-  bool StartNext() {
-    next = std::make_unique<Node>(config);
-    next->run_predecessor = [this] {
+  // Starts a second node with the same configuration, which takes over from the first (hot
+  // restart).
+  bool StartSuccessor() {
+    successor = std::make_unique<Node>(config);
+    successor->run_predecessor = [this] {
       if (!node) return;
       node->loop().deadlines().At(node->loop().Now() + 0.001, [] {});
       node->loop().Turn();
     };
-    const Status started = next->Start();
+    const Status started = successor->Start();
     EXPECT_TRUE(IsOk(started));
     return started.has_value();
   }
@@ -51,29 +54,33 @@
   std::unique_ptr<GearmanPeer> Gearman() {
     return std::make_unique<GearmanPeer>(&host, node->gearman_address());
   }
-  std::string Ask(const std::string& bytes, const std::string& wanted) {
+  // Sends `bytes` on a new connection and returns what was received when `wanted` occurs in it or
+  // the connection ends.
+  std::string Exchange(const std::string& bytes, const std::string& wanted) {
     const auto client = Client();
     client->Write(bytes);
-    Until([&] { return client->in.find(wanted) != std::string::npos || client->ended; });
-    return client->in;
+    Until([&] { return client->received.find(wanted) != std::string::npos || client->ended; });
+    return client->received;
   }
-  std::size_t Got() const {
-    std::size_t n = 0;
-    for (const auto& w : workers) n += w->got.size();
-    return n;
+  // Requests received by all workers.
+  std::size_t RequestCount() const {
+    std::size_t count = 0;
+    for (const auto& worker : workers) count += worker->requests.size();
+    return count;
   }
-  // How many attempts of one request came to workers.
+  // Attempts of one request that the workers received.
   std::size_t AttemptsOf(const std::string& request_id) const {
-    std::size_t n = 0;
+    std::size_t count = 0;
     for (const auto& worker : workers) {
-      for (const ToyWorker::Got& got : worker->got) n += *got.head.Get("Request-Id") == request_id;
+      for (const FakeWorker::ReceivedRequest& request : worker->requests)
+        count += *request.head.Get("Request-Id") == request_id;
     }
-    return n;
+    return count;
   }
-  Loop host;
-  std::vector<std::unique_ptr<ToyWorker>> workers;
+  Loop host;  // of the test doubles
+  std::vector<std::unique_ptr<FakeWorker>> workers;
   Config config;
-  std::unique_ptr<Node> node, next;
+  std::unique_ptr<Node> node, successor;  // the successor only after StartSuccessor
 };
 
 }  // namespace millethollow
