--- a/src/net/cluster/async_record_store.h
+++ b/src/net/cluster/async_record_store.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "net/mailbox.h"
+#include "net/task_queue.h"
 #include "scheduling/runtime_estimator.h"
 #include "store/record_store.h"
 
@@ -69,7 +69,7 @@
   std::uint64_t ticket_ = 0, file_ = 0;  // file: rises with each Renew
   bool failed_ = false;
   Figures figures_;
-  Mailbox mail_;
+  TaskQueue mail_;
   std::unique_ptr<store::RecordStore> store_;  // goes first: its thread speaks to what is above
 };
 
--- a/src/net/cluster/member.h
+++ b/src/net/cluster/member.h
@@ -127,7 +127,7 @@
   std::map<std::uint64_t, Waiting> waiting_;  // who said something, by its number
   Deadlines::Ticket tick_ = Deadlines::kNone;
   bool was_leased_ = false;
-  Mailbox mail_;
+  TaskQueue mail_;
   std::unique_ptr<store::VoteFile> votes_;
   std::unique_ptr<AsyncRecordStore> store_;
   std::unique_ptr<FactKeeper> keeper_;
