--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -22,9 +22,9 @@
 // The client side's times, the same on both fronts. Who sends what is no request, or never sends at
 // all, is owed a close within 3 s of connecting. One that was used and rests is another matter: it
 // may stay.
-constexpr double kReadS =
+constexpr double kClientReadTimeoutS =
     2.5;  // from connecting to a first request's end; later, from its first byte
-constexpr double kWriteS = 2.5;  // an answer must be out within this
+constexpr double kClientWriteTimeoutS = 2.5;  // an answer must be out within this
 
 struct BufferFree {
   void operator()(bufferevent* b) const { bufferevent_free(b); }
--- a/src/net/http/client_front.cpp
+++ b/src/net/http/client_front.cpp
@@ -183,7 +183,7 @@
       : Connection(loop, "client"), front_(front) {
     Adopt(fd);
     idle_since_ = loop->Now();
-    Limit(kReadS, [this] { Finish("silent"); });
+    Limit(kClientReadTimeoutS, [this] { Finish("silent"); });
   }
   ~ClientConnection() override { loop_->deadlines().Drop(&limit_); }
 
@@ -271,7 +271,7 @@
       if (fresh && !parser_.idle()) {
         const double from = heard_ ? loop_->Now() : idle_since_;  // since it connected, at first
         heard_ = true;
-        Limit(from + kReadS - loop_->Now(),
+        Limit(from + kClientReadTimeoutS - loop_->Now(),
               [this] { Refuse(408, "the request took too long to come in"); });
       }
       if (parser_.error() != 0) return Refuse(parser_.error(), "not a readable request");
@@ -341,7 +341,7 @@
     // The next request is read only once this answer is out: a client that asks and never reads
     // would else have its answers pile up here.
     state_ = last ? State::kClosing : State::kWriting;
-    Limit(kWriteS, [this] { Finish("reads-too-slowly"); });
+    Limit(kClientWriteTimeoutS, [this] { Finish("reads-too-slowly"); });
   }
 
   // The one time limit that runs on this connection now.
