--- a/src/net/admin/admin_server.cpp
+++ b/src/net/admin/admin_server.cpp
@@ -32,7 +32,7 @@
   AdminConnection(AdminServer* server, Loop* loop, evutil_socket_t fd)
       : Connection(loop, "admin"), server_(server), began_at_(loop->Now()) {
     Adopt(fd);
-    Hurry();
+    SetHighPriority();
     limit_ = loop->deadlines().At(began_at_ + kCallS, [this] {
       limit_ = Deadlines::kNone;
       Finish("no-call");
@@ -133,7 +133,7 @@
   readable_.reset(event_new(
       loop_->base(), fd_, EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) { static_cast<AdminServer*>(self)->Accept(); }, this));
-  event_priority_set(readable_.get(), Loop::kFirst);
+  event_priority_set(readable_.get(), Loop::kHighPriority);
   event_add(readable_.get(), nullptr);
   return true;
 }
--- a/src/net/cluster/transport.cpp
+++ b/src/net/cluster/transport.cpp
@@ -78,7 +78,7 @@
   }
   void OnDrained() override {
     if (!outgoing_) return;
-    if (line_ == 0) return EndSending();  // the other closes once it has read all
+    if (line_ == 0) return ShutdownWrite();  // the other closes once it has read all
     Limit(kIdleS / 2);
   }
   void OnEnd(const char* reason) override { Finish(reason); }
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -84,13 +84,13 @@
   return fd;
 }
 
-void Connection::Unread(std::string_view bytes) {
+void Connection::PrependInput(std::string_view bytes) {
   if (bytes.empty()) return;
   evbuffer_prepend(bufferevent_get_input(bev_.get()), bytes.data(), bytes.size());
   bufferevent_trigger(bev_.get(), EV_READ, BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
 }
 
-void Connection::Hurry() { bufferevent_priority_set(bev_.get(), Loop::kFirst); }
+void Connection::SetHighPriority() { bufferevent_priority_set(bev_.get(), Loop::kHighPriority); }
 
 // Where nothing is read, the end that stands behind the bytes is not seen: a peer that had sent
 // much and left was taken for one that waits.
@@ -104,7 +104,7 @@
   });
 }
 
-bool Connection::UnreadInSystem() const {
+bool Connection::HasUnreadInput() const {
   char byte = 0;
   const ssize_t n = recv(descriptor(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return n >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
@@ -184,7 +184,7 @@
   if (bev_ != nullptr) bufferevent_disable(bev_.get(), EV_READ);
 }
 
-void Connection::EndSending() {
+void Connection::ShutdownWrite() {
   if (bev_ != nullptr) shutdown(bufferevent_getfd(bev_.get()), SHUT_WR);
 }
 
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -48,7 +48,7 @@
   void Consume(std::size_t n);
   std::size_t Available() const;
   // Something has come that no turn has read yet: bytes, an end, or an error.
-  bool UnreadInSystem() const;
+  bool HasUnreadInput() const;
   int descriptor() const;
   std::string PeerAddress() const;
   bool closed() const { return bev_ == nullptr; }
@@ -62,11 +62,11 @@
  protected:
   Connection(Loop* loop, const char* what) : loop_(loop), what_(what) {}
   void Adopt(evutil_socket_t fd);            // an accepted socket
-  void Unread(std::string_view bytes);       // puts back what came in
-  void Hurry();                              // its events go before all others
+  void PrependInput(std::string_view bytes);       // puts back what came in
+  void SetHighPriority();                              // its events go before all others
   bool Connect(const sockaddr_in& address);  // false if it fails at once
   bool ConnectUnix(const std::string& path);
-  void EndSending();  // half-closes: the peer can still be read
+  void ShutdownWrite();  // half-closes: the peer can still be read
   virtual void OnConnected() {}
   virtual void OnRead() = 0;
   virtual void OnDrained() {}
--- a/src/net/http/client_front.cpp
+++ b/src/net/http/client_front.cpp
@@ -189,7 +189,7 @@
 
   // Nothing of a request is here, not even with the system.
   bool Idle() const {
-    return state_ == State::kReading && parser_.idle() && Available() == 0 && !UnreadInSystem();
+    return state_ == State::kReading && parser_.idle() && Available() == 0 && !HasUnreadInput();
   }
   bool Young() const { return !heard_ && loop_->Now() - idle_since_ < kYoungS; }
   double idle_since() const { return idle_since_; }
@@ -217,7 +217,7 @@
       served_ = 1;
       loop_->deadlines().Drop(&limit_);
     }
-    Unread(unread);
+    PrependInput(unread);
   }
   // Between two requests, even with the next one's bytes here: another process can go on with it.
   void HandOver() {
@@ -369,7 +369,7 @@
   // comes from here on is not read: its client sees the end and turns elsewhere.
   void Linger() {
     state_ = State::kLingering;
-    EndSending();
+    ShutdownWrite();
     Consume(Available());
     Limit(kLingerS, [this] { Finish(ending_); });
   }
@@ -478,7 +478,7 @@
   while (!candidates.empty()) {
     Dispensable best = candidates.top();
     candidates.pop();
-    if (best.looked || !best.connection->UnreadInSystem()) {
+    if (best.looked || !best.connection->HasUnreadInput()) {
       best.connection->CloseNow("made-room");
       return true;
     }
--- a/src/net/http/worker_pool.cpp
+++ b/src/net/http/worker_pool.cpp
@@ -170,7 +170,7 @@
   // May it carry a request now? The worker may have closed it, or sent what nobody asked for, since
   // the last turn.
   bool Fit() const { return loop_->Now() >= fit_from_; }
-  bool Stale() const { return UnreadInSystem(); }
+  bool Stale() const { return HasUnreadInput(); }
   // Nothing of the request may have reached the worker yet.
   bool Unwritten() const { return !pending_.empty() || !Drained(); }
   void CancelUnsent() {
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -40,7 +40,7 @@
 
 class Loop {
  public:
-  static constexpr int kFirst = 0;  // the priority of events that go before all others
+  static constexpr int kHighPriority = 0;  // the priority of events that go before all others
 
   Loop();
   ~Loop();
--- a/tests/support/support.h
+++ b/tests/support/support.h
@@ -49,7 +49,7 @@
   std::function<void()> on_read = [] {}, on_end = [] {};
   void EndAfterWriting() {
     ends_ = true;
-    if (Drained()) EndSending();
+    if (Drained()) ShutdownWrite();
   }
 
  protected:
@@ -63,7 +63,7 @@
     on_end();
   }
   void OnDrained() override {
-    if (ends_) EndSending();
+    if (ends_) ShutdownWrite();
   }
 
  private:
