--- a/src/net/handover/hot_restart.cpp
+++ b/src/net/handover/hot_restart.cpp
@@ -251,11 +251,11 @@
 
 void HotRestart::OnSiblingsChanged() {
   DescriptorBudget& budget = loop_->budget();
-  budget.clients_elsewhere = budget.workers_elsewhere = 0;
+  budget.predecessor_clients = budget.predecessor_workers = 0;
   for (const Sibling* m : {predecessor_.get(), successor_.get()}) {
     if (m == nullptr) continue;
-    budget.clients_elsewhere += m->clients;
-    budget.workers_elsewhere += m->workers;
+    budget.predecessor_clients += m->clients;
+    budget.predecessor_workers += m->workers;
   }
   loop_->NotifyClientCapacity();
   const bool present = predecessor_ != nullptr || leaving_;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -28,7 +28,7 @@
 }
 
 Status Node::Start() {
-  loop_.budget() = DescriptorBudget::Of(config_.sockets);
+  loop_.budget() = DescriptorBudget::ForSocketLimit(config_.sockets);
   std::uint64_t seed = config_.seed;
   if (seed == 0) seed = std::random_device{}();
   RequestStateFromPredecessor();
