--- a/examples/toy_worker.cpp
+++ b/examples/toy_worker.cpp
@@ -65,7 +65,7 @@
   void OnEnd(const char* reason) override {
     loop_->deadlines().Drop(&work_);
     Close(reason);
-    loop_->Later([this] { clients.erase(this); });
+    loop_->Defer([this] { clients.erase(this); });
   }
 
   http::Parser parser_{http::Parser::Side::kRequest, {}};
--- a/src/net/admin/admin_server.cpp
+++ b/src/net/admin/admin_server.cpp
@@ -164,7 +164,7 @@
 }
 
 void AdminServer::Drop(AdminConnection* caller) {
-  loop_->Later([this, caller] { callers_.erase(caller); });
+  loop_->Defer([this, caller] { callers_.erase(caller); });
 }
 
 }  // namespace millethollow::admin
--- a/src/net/cluster/log_replicator.cpp
+++ b/src/net/cluster/log_replicator.cpp
@@ -45,7 +45,7 @@
   loading_.clear();
   copies_ = std::make_unique<ReplicatedLogs>(options_, AsyncRecordStore::Records{});
   if (store_->failed()) copies_->OnStoreFailed();
-  loop_->Later([this] { Look(); });
+  loop_->Defer([this] { Look(); });
 }
 
 void LogReplicator::Do(const std::function<void(ReplicatedLogs*, double, Actions*)>& event) {
@@ -88,7 +88,7 @@
     Events().error(
         "cluster copies-lied: this disk is older than what it told: kept={}, others fill it anew",
         "copies.db.damaged");
-    loop_->Later([this, run] {
+    loop_->Defer([this, run] {
       if (run == run_) Renew();
     });
   }
--- a/src/net/cluster/promised_jobs.cpp
+++ b/src/net/cluster/promised_jobs.cpp
@@ -167,7 +167,7 @@
         {record.attempts[i].worker, record.attempts[i].local_worker, round.ages_s[i]});
   }
   if (runner_ != nullptr) return runner_->Run(job);
-  loop_->Later([this, handle = job.handle] {
+  loop_->Defer([this, handle = job.handle] {
     Complete(handle, {.kind = FinalAnswer::Kind::kRejected, .retry_after_s = 1});
   });
 }
--- a/src/net/cluster/transport.cpp
+++ b/src/net/cluster/transport.cpp
@@ -197,7 +197,7 @@
 }
 
 void Transport::Drop(Stream* stream) {
-  loop_->Later([this, stream] { streams_.erase(stream); });
+  loop_->Defer([this, stream] { streams_.erase(stream); });
 }
 
 }  // namespace millethollow::cluster
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -408,7 +408,7 @@
   call->Finish("done");
   // Its callback may be on the stack: destroyed at the turn's end.
   std::shared_ptr<DiscoveryCall> old(std::move(slot));
-  loop_->Later([old] {});
+  loop_->Defer([old] {});
 }
 
 }  // namespace millethollow
--- a/src/net/forwarder.cpp
+++ b/src/net/forwarder.cpp
@@ -29,7 +29,7 @@
   });
   // The request may be answered within the call: the answer reaches the client only next turn's
   // end, so that a client always has the id first.
-  loop_->Later([this, id] {
+  loop_->Defer([this, id] {
     const auto it = held_.find(id);
     if (it == held_.end()) return;
     if (link_ == nullptr) return OnPlannerLost();
--- a/src/net/gearman/front.cpp
+++ b/src/net/gearman/front.cpp
@@ -76,7 +76,7 @@
     workers_.erase(peer->name());
   }
   Detach(peer);
-  loop->Later([this, peer] {
+  loop->Defer([this, peer] {
     slots_.erase(peer->slot());
     peers_.erase(peer);
   });
--- a/src/net/gearman/jobs.cpp
+++ b/src/net/gearman/jobs.cpp
@@ -165,7 +165,7 @@
 
 void Front::Run(const DurableJob& promised) {
   const auto ended = [&](const FinalAnswer& answer) {
-    forwarder_->loop()->Later([this, handle = promised.handle, answer] {
+    forwarder_->loop()->Defer([this, handle = promised.handle, answer] {
       if (promises_ != nullptr) promises_->Complete(handle, answer);
     });
   };
--- a/src/net/handover/handover.cpp
+++ b/src/net/handover/handover.cpp
@@ -144,7 +144,7 @@
 void Link::Lose() {
   if (std::exchange(lost_, true)) return;
   if (readable_ != nullptr) event_del(readable_.get());
-  if (on_lost_) loop_->Later(on_lost_);
+  if (on_lost_) loop_->Defer(on_lost_);
 }
 
 Server::~Server() {
--- a/src/net/http/client_front.cpp
+++ b/src/net/http/client_front.cpp
@@ -492,7 +492,7 @@
 void ClientFront::Drop(ClientConnection* client) {
   Loop* loop = forwarder_->loop();
   loop->ClientFreed();
-  loop->Later([this, client] { clients_.erase(client); });
+  loop->Defer([this, client] { clients_.erase(client); });
 }
 
 void ClientFront::BeginStop() {
--- a/src/net/http/worker_pool.cpp
+++ b/src/net/http/worker_pool.cpp
@@ -516,7 +516,7 @@
 void WorkerPool::Drop(WorkerConnection* connection) {
   std::erase(workers_[connection->worker()].idle, connection);
   forwarder_->loop()->budget().workers -= 1;
-  forwarder_->loop()->Later([this, connection] { connections_.erase(connection); });
+  forwarder_->loop()->Defer([this, connection] { connections_.erase(connection); });
 }
 
 }  // namespace millethollow::http
--- a/src/net/link/link.cpp
+++ b/src/net/link/link.cpp
@@ -184,7 +184,7 @@
 
 void PlannerServer::Drop(Channel* channel) {
   planner_->OnForwarderLost(channel->number_);
-  loop_->Later([this, channel] { channels_.erase(channel); });
+  loop_->Defer([this, channel] { channels_.erase(channel); });
 }
 
 // ---- the forwarder's end ----
@@ -274,7 +274,7 @@
   if (++failures_ % kPatience == 0) ++next_;
   std::shared_ptr<PlannerConnection> old(std::move(connection_));
   Loop* loop = forwarder_->loop();
-  loop->Later([old] {});
+  loop->Defer([old] {});
   loop->deadlines().Drop(&retry_);
   retry_ = loop->deadlines().At(loop->Now() + kRetryS, [this] {
     retry_ = Deadlines::kNone;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -60,8 +60,8 @@
   event_add(tick_.get(), &tv);
   event_base_loop(base_.get(), EVLOOP_ONCE);
   deadlines_.Sweep(Now());
-  while (!later_.empty()) {
-    for (const auto& what : std::exchange(later_, {})) what();
+  while (!deferred_.empty()) {
+    for (const auto& what : std::exchange(deferred_, {})) what();
   }
 }
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -59,7 +59,7 @@
 
   // Runs at the end of this turn: where connections are destroyed, never within a callback of
   // theirs.
-  void Later(std::function<void()> what) { later_.push_back(std::move(what)); }
+  void Defer(std::function<void()> what) { deferred_.push_back(std::move(what)); }
   void Turn();  // waits for events up to the next deadline, then sweeps
   void Run();   // turns until Stop
   void Stop() { stopped_ = true; }
@@ -69,7 +69,7 @@
   EventPtr tick_;
   Deadlines deadlines_;
   DescriptorBudget budget_;
-  std::vector<std::function<void()>> later_, client_freed_;
+  std::vector<std::function<void()>> deferred_, client_freed_;
   double wall_at_start_ = 0, steady_at_start_ = 0;
   bool stopped_ = false;
 };
