--- a/src/net/gearman/peer.h
+++ b/src/net/gearman/peer.h
@@ -140,7 +140,8 @@
     if (closed()) return;
     if (parser_.idle()) return loop_->deadlines().Drop(&limit_);
     // What is left over has just begun. No drip of bytes moves the limit, only a whole message.
-    if (messages_ > before || (limit_ == Deadlines::kNone)) Limit(kClientReadTimeoutS, "half-a-packet");
+    if (messages_ > before || (limit_ == Deadlines::kNone))
+      Limit(kClientReadTimeoutS, "half-a-packet");
   }
 
   void Read() {
