--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -184,7 +184,7 @@
   loop_->deadlines().Drop(&settle_);
 }
 
-void Discovery::Move(const std::string& address) {
+void Discovery::SetAddress(const std::string& address) {
   if (stopped_ || address == options_.address) return;
   options_.address = address;
   LogLine(Level::kInfo) << "discovery moved to " << address;
@@ -202,12 +202,12 @@
   Ask(false, 0);
 }
 
-bool Discovery::Overdue() const { return loop_->Now() >= overdue_from_; }
+bool Discovery::IsOverdue() const { return loop_->Now() >= overdue_from_; }
 
-bool Discovery::Crowd() const { return options_.nodes > kCrowd; }
+bool Discovery::IsLargeTier() const { return options_.nodes > kCrowd; }
 
 double Discovery::WaitS() {
-  if (Crowd()) {
+  if (IsLargeTier()) {
     const double max_wait_s = std::min(kCrowdWaitS, kMaxWaitS * options_.nodes / kCrowd);
     return max_wait_s * (1 - kCrowdWaitSpread * Unit());
   }
@@ -238,7 +238,8 @@
   if (watching_) return;  // the watch is still out: what it has to tell will come
   watching_ = true;
   loop_->deadlines().Drop(&retry_);
-  if (Crowd() && loop_->Now() - moved_at_ >= kMoveS) return CallIn(pace_.InitialDelay(Unit()));
+  if (IsLargeTier() && loop_->Now() - moved_at_ >= kMoveS)
+    return CallIn(pace_.InitialDelay(Unit()));
   // The first call does not wait: it says what was missed, and that discovery is there.
   Ask(false, 0);
 }
@@ -300,7 +301,7 @@
     const bool soon = loop_->Now() - call->asked_at() < kNoNewsS;
     if (list.version > 0) version_ = list.version;
     overdue_from_ = kNever;
-    const double spread_s = Crowd() ? pace_.DelayAfterAnswer(Unit()) : 0;
+    const double spread_s = IsLargeTier() ? pace_.DelayAfterAnswer(Unit()) : 0;
     if (news && spread_s > 0) {
       // What changed right after the answer counts as told, since the watch might have gone on.
       const double max_delay_s = kOverdueShare * options_.drain_grace_s;
@@ -313,7 +314,7 @@
     }
   }
   if (list.version > 0) version_ = std::max(version_, list.version);
-  hooks_.known(list.full ? EndpointListKind::kSnapshot : EndpointListKind::kIncremental, list);
+  hooks_.on_list(list.full ? EndpointListKind::kSnapshot : EndpointListKind::kIncremental, list);
 }
 
 // From here on the new address has the last word on who is in service. But a drain that only the
@@ -326,7 +327,7 @@
                 [](const ListEntry& e) { return e.member.readiness == Readiness::kReady; });
   if (list.entries.empty()) return;
   RememberDown(list);
-  hooks_.known(EndpointListKind::kIncremental, list);
+  hooks_.on_list(EndpointListKind::kIncremental, list);
 }
 
 // The first list of a new address may be older than what the old one told: nobody is back in
@@ -366,7 +367,7 @@
   overdue_from_ = kNever;
   Lost(call, "silent");
   CallIn(pace_.DelayAfterSilence(Unit()));
-  hooks_.unavailable();
+  hooks_.on_unavailable();
 }
 
 void Discovery::Lost(DiscoveryCall* call, const char* reason) {
@@ -380,7 +381,7 @@
   // One that has lasted for longer was a watch, and has ended with discovery or its connection.
   const bool refused = call->goes_on() && loop_->Now() - call->asked_at() < kCallS;
   Lost(call, reason);
-  if (!whole && Crowd() && loop_->Now() - moved_at_ >= kMoveS) {
+  if (!whole && IsLargeTier() && loop_->Now() - moved_at_ >= kMoveS) {
     if (refused) pace_.OnImmediatePollRejected();
     CallIn(pace_.DelayAfterFailure(Unit()));  // whatever the module asks meanwhile, no sooner
   } else if (!whole) {
@@ -399,7 +400,7 @@
       Subscribe(true);
     });
   }
-  hooks_.unavailable();
+  hooks_.on_unavailable();
 }
 
 void Discovery::Drop(DiscoveryCall* call) {
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -46,20 +46,20 @@
     int nodes = 1;  // that ask the same discovery: many ask less often, and not all at once
   };
   struct Hooks {
-    std::function<void(balancing::EndpointListKind, const ServerList&)> known;
-    std::function<void()> unavailable;
+    std::function<void(balancing::EndpointListKind, const ServerList&)> on_list;
+    std::function<void()> on_unavailable;
   };
   Discovery(Loop* loop, Options options, Hooks hooks);
   ~Discovery();
 
   void SetVersion(long long version) { version_ = version; }
   long long version() const { return version_; }
-  bool Crowd() const;  // many nodes ask the same discovery
+  bool IsLargeTier() const;  // many nodes ask the same discovery
   // A call is out that may bring what has counted as told for as long as the drain grace lasts.
-  bool Overdue() const;
+  bool IsOverdue() const;
   // Discovery has moved. Its whole list is asked for at once, since another's versions may mean
   // something else; a call that is out at the old address is heard to its end.
-  void Move(const std::string& address);
+  void SetAddress(const std::string& address);
   void Subscribe(bool enable);
   void Fetch();
   void Stop();
--- a/src/net/poll_backoff.h
+++ b/src/net/poll_backoff.h
@@ -74,16 +74,17 @@
 class InitialListGate {
  public:
   // In a large tier a call that fails says little: discovery may have too many callers just then.
-  InitialListGate(bool crowd, double started_at) : crowd_(crowd), until_(started_at + kMaxWaitS) {}
+  InitialListGate(bool large_tier, double started_at)
+      : large_tier_(large_tier), deadline_(started_at + kMaxWaitS) {}
   void OnList() { ready_ = true; }
-  void OnPollFailed() { ready_ |= !crowd_; }
-  bool Ready(double now) const { return ready_ || now >= until_; }
-  double until() const { return until_; }
+  void OnPollFailed() { ready_ |= !large_tier_; }
+  bool Ready(double now) const { return ready_ || now >= deadline_; }
+  double deadline() const { return deadline_; }
 
  private:
   static constexpr double kMaxWaitS = 7.0;  // nine in ten are to be ready within 10 s
-  bool crowd_, ready_ = false;
-  double until_;
+  bool large_tier_, ready_ = false;
+  double deadline_;
 };
 
 }  // namespace millethollow
--- a/src/node/node_environment.cpp
+++ b/src/node/node_environment.cpp
@@ -15,7 +15,7 @@
 }
 
 bool NodeEnvironment::EndpointsOverdue() {
-  return parts_.discovery != nullptr && parts_.discovery->Overdue();
+  return parts_.discovery != nullptr && parts_.discovery->IsOverdue();
 }
 
 void NodeEnvironment::SendPeerMessage(int recipient, const std::string& body) {
--- a/src/node/node_planner.cpp
+++ b/src/node/node_planner.cpp
@@ -115,10 +115,10 @@
 
 void Node::MakeDiscovery(std::uint64_t seed) {
   Discovery::Hooks hooks;
-  hooks.known = [this](balancing::EndpointListKind kind, const ServerList& list) {
+  hooks.on_list = [this](balancing::EndpointListKind kind, const ServerList& list) {
     OnList(kind, list);
   };
-  hooks.unavailable = [this] {
+  hooks.on_unavailable = [this] {
     planner_->OnEndpointsUpdated(balancing::EndpointListKind::kUnavailable, {});
     if (initial_list_gate_) initial_list_gate_->OnPollFailed();
     AcceptOnceListed();
@@ -144,9 +144,9 @@
 // ---- endpoint lists ----
 
 void Node::AwaitFirstList() {
-  initial_list_gate_.emplace(discovery_->Crowd(), loop_.Now());
+  initial_list_gate_.emplace(discovery_->IsLargeTier(), loop_.Now());
   forwarder_->SetAccepting(false);
-  loop_.deadlines().At(initial_list_gate_->until(), [this] { AcceptOnceListed(); });
+  loop_.deadlines().At(initial_list_gate_->deadline(), [this] { AcceptOnceListed(); });
 }
 
 void Node::AcceptOnceListed() {
--- a/src/node/node_reload.cpp
+++ b/src/node/node_reload.cpp
@@ -41,7 +41,7 @@
     planner_->Configure(config_.settings, config_.classes, config_.live, changes.begun);
   }
   if (front_) ApplyToClients(before);
-  if (discovery_) discovery_->Move(config_.discovery);
+  if (discovery_) discovery_->SetAddress(config_.discovery);
   if (fixed_list) OnList(balancing::EndpointListKind::kSnapshot, known);
 }
 
--- a/tests/crowded_discovery_test.cpp
+++ b/tests/crowded_discovery_test.cpp
@@ -99,11 +99,11 @@
           .address = discovery.address(), .max_poll_interval_s = 10, .zones = {}, .kinds = {}};
       options.seed = 7919 * (node + 1);
       options.nodes = static_cast<int>(nodes);
-      const auto known = [this, node](balancing::EndpointListKind, const ServerList& list) {
+      const auto on_list = [this, node](balancing::EndpointListKind, const ServerList& list) {
         versions[node] = std::max(versions[node], list.version);
       };
       clients.push_back(std::make_unique<Discovery>(
-          &loop, options, Discovery::Hooks{.known = known, .unavailable = [] {}}));
+          &loop, options, Discovery::Hooks{.on_list = on_list, .on_unavailable = [] {}}));
       clients.back()->SetVersion(1);
       clients.back()->Subscribe(true);
     }
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -275,8 +275,8 @@
   Discovery discovery(
       &loop,
       {.address = server.address(), .max_poll_interval_s = 1, .zones = {}, .kinds = {}, .seed = 3},
-      {.known = [&](balancing::EndpointListKind k, const ServerList&) { known.push_back(k); },
-       .unavailable = [&] { ++unavailable; }});
+      {.on_list = [&](balancing::EndpointListKind k, const ServerList&) { known.push_back(k); },
+       .on_unavailable = [&] { ++unavailable; }});
   discovery.SetVersion(2);
   discovery.Subscribe(true);
   ASSERT_TRUE(TurnUntil(loop, [&] { return asked.size() == 4; }));
@@ -319,9 +319,9 @@
                            .seed = seed,
                            .drain_grace_s = drain_grace_s,
                            .nodes = nodes},
-        Discovery::Hooks{.known = [this](balancing::EndpointListKind k,
-                                         const ServerList&) { known.push_back(k); },
-                         .unavailable =
+        Discovery::Hooks{.on_list = [this](balancing::EndpointListKind k,
+                                           const ServerList&) { known.push_back(k); },
+                         .on_unavailable =
                              [this] {
                                ++unavailable;
                                loop.deadlines().At(loop.Now() + 0.1,
@@ -381,7 +381,7 @@
     ASSERT_TRUE(d.targets[call].starts_with(watch)) << d.targets[call];
     EXPECT_GE(std::stoi(d.targets[call].substr(watch.size())), 8000) << call;
   }
-  EXPECT_FALSE(d.discovery->Overdue());
+  EXPECT_FALSE(d.discovery->IsOverdue());
 }
 
 // What changes within 200 ms of an answer counts as told. Where discovery turns away what follows
@@ -401,17 +401,17 @@
   EXPECT_LT(d.asked[1] - d.asked[0], 0.2);
   EXPECT_LT(d.asked[3] - d.asked[2], 1.4);
   EXPECT_GT(d.asked[3] - d.asked[2], 0.2);
-  EXPECT_FALSE(d.discovery->Overdue());
+  EXPECT_FALSE(d.discovery->IsOverdue());
   ASSERT_TRUE(TurnUntil(
-      d.loop, [&] { return d.discovery->Overdue(); }, 3));
+      d.loop, [&] { return d.discovery->IsOverdue(); }, 3));
   EXPECT_LT(d.loop.Now() - d.asked[2], 2.0);
   EXPECT_GT(d.loop.Now() - d.asked[2], 1.7);
   Called::Tell(last, 4);
   ASSERT_TRUE(TurnUntil(d.loop, [&] { return d.known.size() == 3; }));
-  EXPECT_FALSE(d.discovery->Overdue());
+  EXPECT_FALSE(d.discovery->IsOverdue());
   ASSERT_TRUE(d.Asked(5));  // nothing new: from here on a watch is out
   EXPECT_FALSE(TurnUntil(
-      d.loop, [&] { return d.discovery->Overdue(); }, 2.2));
+      d.loop, [&] { return d.discovery->IsOverdue(); }, 2.2));
 }
 
 // The same where the drain grace is shorter than the wait until the next call: a worker that ended
@@ -430,17 +430,17 @@
   d.discovery->Subscribe(true);
   ASSERT_TRUE(d.Asked(4, 12));
   ASSERT_TRUE(TurnUntil(d.loop, [&] { return d.known.size() == 2; }));
-  EXPECT_FALSE(d.discovery->Overdue());
+  EXPECT_FALSE(d.discovery->IsOverdue());
   EXPECT_TRUE(TurnUntil(
-      d.loop, [&] { return d.discovery->Overdue() || d.asked.size() == 5; }, 3));
+      d.loop, [&] { return d.discovery->IsOverdue() || d.asked.size() == 5; }, 3));
   EXPECT_EQ(d.asked.size(), 4U) << "overdue before the next call";
   EXPECT_LT(d.loop.Now() - d.asked[3], kGraceS);
   ASSERT_TRUE(d.Asked(5));
   EXPECT_GT(d.asked[4] - d.asked[3], kGraceS) << "or the case was not met";
-  EXPECT_TRUE(d.discovery->Overdue());
+  EXPECT_TRUE(d.discovery->IsOverdue());
   Called::Tell(last, 4);
   ASSERT_TRUE(TurnUntil(d.loop, [&] { return d.known.size() == 3; }));
-  EXPECT_FALSE(d.discovery->Overdue());
+  EXPECT_FALSE(d.discovery->IsOverdue());
 }
 
 // A watch that falls silent is given up soon after its wait, and the next call does not wait.
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -45,9 +45,9 @@
         &loop,
         Discovery::Options{
             .address = before.address(), .zones = {"q"}, .kinds = {"k"}, .seed = 3, .nodes = nodes},
-        Discovery::Hooks{.known = [this](EndpointListKind kind,
-                                         const ServerList& l) { known.emplace_back(kind, l); },
-                         .unavailable = [] {}});
+        Discovery::Hooks{.on_list = [this](EndpointListKind kind,
+                                           const ServerList& l) { known.emplace_back(kind, l); },
+                         .on_unavailable = [] {}});
   }
   Loop loop;
   ToyWorker before{&loop}, after{&loop};
@@ -61,7 +61,7 @@
     if (g.head.target.find("after") == std::string::npos)
       Tell(g, 3, true, Entry("w1", "in_service"));
   };
-  discovery->Move(after.address());
+  discovery->SetAddress(after.address());
   ASSERT_TRUE(TurnUntil(loop, [&] { return after.got.size() == 2; }));
   EXPECT_EQ(after.got[0].head.target, "/catalog/members");
   EXPECT_TRUE(after.got[1].head.target.starts_with("/catalog/members?after=3&"));
@@ -76,7 +76,7 @@
     if (g.head.target.find("after") != std::string::npos) return;
     Tell(g, 3, true, Entry("w0", "in_service") + "," + Entry("w1", "in_service"));
   };
-  discovery->Move(after.address());
+  discovery->SetAddress(after.address());
   ASSERT_TRUE(TurnUntil(loop, [&] { return known.size() == 2; }));
   EXPECT_EQ(known[1].second.entries[0].member.readiness, Readiness::kDraining);
   EXPECT_EQ(known[1].second.entries[1].member.readiness, Readiness::kReady);
@@ -92,7 +92,7 @@
     if (g.head.target.find("after") == std::string::npos)
       Tell(g, 3, true, Entry("w0", "in_service", 5000));
   };
-  discovery->Move(after.address());
+  discovery->SetAddress(after.address());
   ASSERT_TRUE(TurnUntil(loop, [&] { return known.size() == 2; }));
   EXPECT_EQ(known[1].second.entries[0].member.readiness, Readiness::kReady);
 }
@@ -108,7 +108,7 @@
       if (after.got.size() < 4) return g.from->Close("test");
       Tell(g, 3, true, Entry("w1", "in_service"));
     };
-    discovery->Move(after.address());
+    discovery->SetAddress(after.address());
     EXPECT_TRUE(TurnUntil(
         loop, [&] { return known.size() > known_before; }, 1.5))
         << nodes;
