--- a/src/net/handover/hot_restart.cpp
+++ b/src/net/handover/hot_restart.cpp
@@ -251,11 +251,11 @@
 
 void HotRestart::OnSiblingsChanged() {
   DescriptorBudget& budget = loop_->budget();
-  budget.predecessor_clients = budget.predecessor_workers = 0;
+  budget.sibling_clients = budget.sibling_workers = 0;
   for (const Sibling* m : {predecessor_.get(), successor_.get()}) {
     if (m == nullptr) continue;
-    budget.predecessor_clients += m->clients;
-    budget.predecessor_workers += m->workers;
+    budget.sibling_clients += m->clients;
+    budget.sibling_workers += m->workers;
   }
   loop_->NotifyClientCapacity();
   const bool present = predecessor_ != nullptr || leaving_;
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -25,10 +25,10 @@
 struct DescriptorBudget {
   std::size_t max_clients = 480, max_workers = 480;
   std::size_t clients = 0, workers = 0;
-  std::size_t predecessor_clients = 0, predecessor_workers = 0;  // of the process that we replace
+  std::size_t sibling_clients = 0, sibling_workers = 0;  // of the process that we replace
 
-  bool ClientsFull() const { return clients + predecessor_clients >= max_clients; }
-  bool WorkersFull() const { return workers + predecessor_workers >= max_workers; }
+  bool ClientsFull() const { return clients + sibling_clients >= max_clients; }
+  bool WorkersFull() const { return workers + sibling_workers >= max_workers; }
 
   static DescriptorBudget ForSocketLimit(std::size_t sockets) {
     // The rest is for the listener, discovery, peers, standard streams, and sockets that wait for
