--- a/src/net/handover/hot_restart.cpp
+++ b/src/net/handover/hot_restart.cpp
@@ -158,7 +158,7 @@
   leaving_ = true;
   server_.reset();  // its place is taken already
   LogLine(Level::kInfo) << "another process serves: taking nothing new";
-  if (parts_.peers != nullptr) parts_.peers->Listen(false);
+  if (parts_.peers != nullptr) parts_.peers->SetReceiving(false);
   if (parts_.gearman != nullptr) parts_.gearman->SetAccepting(false);
   parts_.front->HandOver([this](int fd, bool served, const std::string& unread) {
     const std::string frame = Writer(Kind::kClient).U8(served).Raw(unread).Done();
@@ -239,7 +239,7 @@
   if (replaced) {  // it died before we did: we go on
     leaving_ = false;
     LogLine(Level::kWarn) << "the process that replaced us is gone: serving again";
-    if (parts_.peers != nullptr) parts_.peers->Listen(true);
+    if (parts_.peers != nullptr) parts_.peers->SetReceiving(true);
     if (parts_.gearman != nullptr) parts_.gearman->SetAccepting(true);
     parts_.pool->HandOver({});
     parts_.front->HandOver({});
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -12,7 +12,7 @@
 namespace millethollow {
 namespace {
 
-constexpr int kMaxReceivedPerTurn = 64;  // a turn, so that a flood of messages can't hold it up
+constexpr int kMaxDatagramsPerTurn = 64;  // a turn, so that a flood of messages can't hold it up
 
 }  // namespace
 
@@ -21,9 +21,9 @@
   if (fd_ >= 0) close(fd_);
 }
 
-void Peers::Listen(bool on) {
+void Peers::SetReceiving(bool enable) {
   if (readable_ == nullptr) return;
-  if (on) {
+  if (enable) {
     event_add(readable_.get(), nullptr);
   } else {
     event_del(readable_.get());
@@ -31,7 +31,7 @@
 }
 
 bool Peers::Open(int fd, const std::string& listen, const std::vector<std::string>& peers,
-                 const std::string& all, std::string* error) {
+                 const std::string& broadcast, std::string* error) {
   const auto own = ParseAddress(listen);
   if (!own) return *error = "not a peer address: '" + listen + "'", false;
   for (const std::string& peer : peers) {
@@ -39,9 +39,9 @@
     if (!address) return *error = "not a peer address: '" + peer + "'", false;
     peers_.push_back(*address);
   }
-  if (const auto address = ParseAddress(all)) {
-    all_ = *address;
-    has_all_ = true;
+  if (const auto address = ParseAddress(broadcast)) {
+    broadcast_ = *address;
+    has_broadcast_ = true;
   }
   fd_ = fd >= 0 ? fd : socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   const int on = 1;  // a process that is silent and has it yet must not keep us from our start
@@ -57,21 +57,21 @@
   return true;
 }
 
-void Peers::Tell(int whom, const std::string& body) {
+void Peers::SendMessage(int recipient, const std::string& body) {
   if (body.size() > kMaxMessageBytes) {
     counters_->too_long += 1;
-  } else if (whom >= 0 && static_cast<std::size_t>(whom) < peers_.size()) {
-    Send(peers_[static_cast<std::size_t>(whom)], body);
-  } else if (whom >= 0) {
+  } else if (recipient >= 0 && static_cast<std::size_t>(recipient) < peers_.size()) {
+    SendTo(peers_[static_cast<std::size_t>(recipient)], body);
+  } else if (recipient >= 0) {
     counters_->no_address += 1;
-  } else if (has_all_) {
-    Send(all_, body);
+  } else if (has_broadcast_) {
+    SendTo(broadcast_, body);
   } else {
-    for (const sockaddr_in& peer : peers_) Send(peer, body);
+    for (const sockaddr_in& peer : peers_) SendTo(peer, body);
   }
 }
 
-void Peers::Send(const sockaddr_in& to, const std::string& body) {
+void Peers::SendTo(const sockaddr_in& to, const std::string& body) {
   const ssize_t sent = sendto(fd_, body.data(), body.size(), MSG_DONTWAIT,
                               reinterpret_cast<const sockaddr*>(&to), sizeof to);
   if (sent < 0 || static_cast<std::size_t>(sent) != body.size()) {
@@ -90,7 +90,7 @@
 }
 
 void Peers::Receive() {
-  for (int i = 0; i < kMaxReceivedPerTurn; ++i) {
+  for (int i = 0; i < kMaxDatagramsPerTurn; ++i) {
     char bytes[kMaxMessageBytes + 1];
     sockaddr_in from{};
     socklen_t size = sizeof from;
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -25,14 +25,14 @@
 
   // `fd`: the socket of the process that went before, or -1 for one of our own.
   bool Open(int fd, const std::string& listen, const std::vector<std::string>& peers,
-            const std::string& all, std::string* error);
+            const std::string& broadcast, std::string* error);
   int descriptor() const { return fd_; }
-  void Listen(bool on);  // off while another process reads the same socket
-  // To everyone where `whom` is -1. Best effort: what can't be sent is dropped and counted.
-  void Tell(int whom, const std::string& body);
+  void SetReceiving(bool enable);  // off while another process reads the same socket
+  // To everyone where `recipient` is -1. Best effort: what can't be sent is dropped and counted.
+  void SendMessage(int recipient, const std::string& body);
 
  private:
-  void Send(const sockaddr_in& to, const std::string& body);
+  void SendTo(const sockaddr_in& to, const std::string& body);
   void Receive();
   int SenderAt(const sockaddr_in& address) const;  // -1: none of the peers
   Loop* loop_;
@@ -41,8 +41,8 @@
   int fd_ = -1;
   EventPtr readable_;
   std::vector<sockaddr_in> peers_;
-  sockaddr_in all_{};
-  bool has_all_ = false;
+  sockaddr_in broadcast_{};
+  bool has_broadcast_ = false;
 };
 
 }  // namespace millethollow
--- a/src/node/node_environment.cpp
+++ b/src/node/node_environment.cpp
@@ -22,7 +22,7 @@
   if (recipient == parts_.dispatcher_index) {  // the sibling process of a hot restart
     if (parts_.hot_restart != nullptr) parts_.hot_restart->SendPeerMessage(body);
   } else if (parts_.peers != nullptr) {
-    parts_.peers->Tell(recipient, body);
+    parts_.peers->SendMessage(recipient, body);
   }
 }
 
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -65,13 +65,13 @@
 TEST_F(PeersTest, CountsWhatGoesOutAndWhatIsDropped) {
   Datagrams other;
   Open({other.address()});
-  peers.Tell(0, std::string(256, 'a'));
-  peers.Tell(-1, "abc");
+  peers.SendMessage(0, std::string(256, 'a'));
+  peers.SendMessage(-1, "abc");
   EXPECT_EQ(counters.messages_out, 2u);
   EXPECT_EQ(counters.bytes_out, 259u);
-  peers.Tell(0, std::string(257, 'a'));
+  peers.SendMessage(0, std::string(257, 'a'));
   EXPECT_EQ(counters.too_long, 1u);
-  peers.Tell(1, "abc");
+  peers.SendMessage(1, "abc");
   EXPECT_EQ(counters.no_address, 1u);
   EXPECT_EQ(counters.not_sent, 0u);
   EXPECT_EQ(counters.messages_out, 2u);
@@ -79,7 +79,7 @@
 
 TEST_F(PeersTest, CountsWhatTheSocketDoesNotTake) {
   Open({"127.0.0.1:0"});  // nothing can be sent to port 0
-  peers.Tell(0, "abc");
+  peers.SendMessage(0, "abc");
   EXPECT_EQ(counters.not_sent, 1u);
   EXPECT_EQ(counters.messages_out, 0u);
   EXPECT_EQ(counters.bytes_out, 0u);
