--- a/src/net/forwarder.cpp
+++ b/src/net/forwarder.cpp
@@ -44,7 +44,7 @@
   return it == held_.end() ? nullptr : &it->second.held;
 }
 
-bool Forwarder::InUse(int cls) const {
+bool Forwarder::IsClassInUse(int cls) const {
   return std::any_of(held_.begin(), held_.end(),
                      [cls](const auto& h) { return h.second.held.request.cls == cls; });
 }
--- a/src/net/forwarder.h
+++ b/src/net/forwarder.h
@@ -64,7 +64,7 @@
   void CancelRequest(RequestId id);
   const ClientRequest* Find(RequestId id) const;
   std::size_t open() const { return held_.size(); }
-  bool InUse(int cls) const;  // by a request held here
+  bool IsClassInUse(int cls) const;  // by a request held here
 
   // From the drivers.
   void OnAttemptStarted(RequestId id, int attempt);
--- a/src/node/node_reload.cpp
+++ b/src/node/node_reload.cpp
@@ -22,7 +22,7 @@
   // Without discovery the configuration has the endpoint list.
   const bool fixed_list = planner_ && !discovery_ && fresh.discovery.empty();
   const auto in_use = [this](int cls) {
-    return (planner_ && planner_->InUse(cls)) || (forwarder_ && forwarder_->InUse(cls));
+    return (planner_ && planner_->InUse(cls)) || (forwarder_ && forwarder_->IsClassInUse(cls));
   };
   if (!ReloadConfig(config_path_, in_use, &fresh, &changes, &reason) ||
       (fixed_list && fresh.known != "{}" &&
