--- a/src/net/admin/admin_server.cpp
+++ b/src/net/admin/admin_server.cpp
@@ -13,7 +13,7 @@
 namespace millethollow::admin {
 namespace {
 
-constexpr double kCallS = 1.5;  // a caller waits 1 s: one that has sent no call by then won't
+constexpr double kCallS = 1.5;  // a connection waits 1 s: one that has sent no call by then won't
 constexpr int kMaxAcceptsPerTurn = 16;
 constexpr std::string_view kWorkers = "/workers/";
 
@@ -65,13 +65,13 @@
     const std::string path = head.target.substr(0, head.target.find('?'));
     if (path == "/healthcheck" || path == "/stats") {
       if (head.method != "GET") return Respond(405, "", "Allow: GET\r\n");
-      if (path == "/stats") return Respond(200, server_->hooks_.figures());
-      const bool serving = server_->hooks_.serving();
+      if (path == "/stats") return Respond(200, server_->hooks_.stats());
+      const bool serving = server_->hooks_.is_serving();
       return Respond(serving ? 200 : 503, serving ? "serving\n" : "not serving\n");
     }
-    if (path == "/members" && server_->hooks_.members) {
+    if (path == "/members" && server_->hooks_.members_json) {
       if (head.method != "GET") return Respond(405, "", "Allow: GET\r\n");
-      return Respond(200, server_->hooks_.members());
+      return Respond(200, server_->hooks_.members_json());
     }
     for (const std::string_view verb : {"/maint", "/ready"}) {
       if (!path.starts_with(kWorkers) || !path.ends_with(verb)) continue;
@@ -79,7 +79,7 @@
       if (head.method != "PUT") return Respond(405, "", "Allow: PUT\r\n");
       const std::string worker =
           path.substr(kWorkers.size(), path.size() - kWorkers.size() - verb.size());
-      return server_->hooks_.maintain(
+      return server_->hooks_.set_maintenance(
           worker, verb == "/maint",
           [this, here = std::weak_ptr(here_)](int status, const std::string& body) {
             if (!here.expired() && !closed()) Respond(status, body);
@@ -99,7 +99,7 @@
     if (answered_) Finish("answered-last");
   }
   void OnEnd(const char* reason) override {
-    // A caller may end its sending with its call: the answer still goes out.
+    // A connection may end its sending with its call: the answer still goes out.
     if (answered_ && std::string_view(reason) == "peer-closed" && !Drained()) return;
     Finish(reason);
   }
@@ -114,7 +114,7 @@
 
 AdminServer::AdminServer(Loop* loop, Hooks hooks) : loop_(loop), hooks_(std::move(hooks)) {}
 AdminServer::~AdminServer() {
-  callers_.clear();
+  connections_.clear();
   readable_.reset();
   if (fd_ >= 0) close(fd_);
 }
@@ -149,22 +149,22 @@
   for (int i = 0; i < kMaxAcceptsPerTurn; ++i) {
     const int fd = accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
-    auto caller = std::make_unique<AdminConnection>(this, loop_, fd);
-    AdminConnection* raw = caller.get();
+    auto connection = std::make_unique<AdminConnection>(this, loop_, fd);
+    AdminConnection* raw = connection.get();
     std::size_t open = 1;
     AdminConnection* oldest = nullptr;
-    for (const auto& [other, unused] : callers_) {
+    for (const auto& [other, unused] : connections_) {
       if (other->closed()) continue;
       open += 1;
       if (oldest == nullptr || other->began_at() < oldest->began_at()) oldest = other;
     }
-    callers_.emplace(raw, std::move(caller));
-    if (open > kMaxCallers && oldest != nullptr) oldest->Finish("made-room");
+    connections_.emplace(raw, std::move(connection));
+    if (open > kMaxConnections && oldest != nullptr) oldest->Finish("made-room");
   }
 }
 
-void AdminServer::Drop(AdminConnection* caller) {
-  loop_->Defer([this, caller] { callers_.erase(caller); });
+void AdminServer::Drop(AdminConnection* connection) {
+  loop_->Defer([this, connection] { connections_.erase(connection); });
 }
 
 }  // namespace millethollow::admin
--- a/src/net/admin/admin_server.h
+++ b/src/net/admin/admin_server.h
@@ -16,16 +16,18 @@
 class AdminServer {
  public:
   struct Hooks {
-    std::function<bool()> serving;
-    std::function<std::string()> figures;
+    std::function<bool()> is_serving;
+    std::function<std::string()> stats;
     // Takes a worker out, or puts it back, and says what to answer: at once, or later.
-    using Answer = std::function<void(int status, const std::string& body)>;
-    std::function<void(const std::string& worker, bool in_maintenance, Answer answer)> maintain;
-    std::function<std::string()> members;  // of the cluster, as JSON; none: there is no cluster
+    using ResponseCallback = std::function<void(int status, const std::string& body)>;
+    std::function<void(const std::string& worker, bool in_maintenance, ResponseCallback respond)>
+        set_maintenance;
+    std::function<std::string()>
+        members_json;  // of the cluster, as JSON; none: there is no cluster
   };
-  // Part of the descriptors that the budget leaves aside. Whoever comes beyond it costs the caller
-  // that has been here longest without a whole call its place: nobody is shut out.
-  static constexpr std::size_t kMaxCallers = 24;
+  // Part of the descriptors that the budget leaves aside. Whoever comes beyond it costs the
+  // connection that has been here longest without a whole call its place: nobody is shut out.
+  static constexpr std::size_t kMaxConnections = 24;
 
   AdminServer(Loop* loop, Hooks hooks);
   ~AdminServer();
@@ -37,13 +39,13 @@
  private:
   friend class AdminConnection;
   void Accept();
-  void Drop(AdminConnection* caller);
+  void Drop(AdminConnection* connection);
 
   Loop* loop_;
   Hooks hooks_;
   int fd_ = -1;
   EventPtr readable_;
-  std::map<AdminConnection*, std::unique_ptr<AdminConnection>> callers_;
+  std::map<AdminConnection*, std::unique_ptr<AdminConnection>> connections_;
 };
 
 }  // namespace millethollow::admin
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -81,15 +81,15 @@
 
 Status Node::StartAdmin() {
   admin::AdminServer::Hooks hooks;
-  hooks.serving = [this] {
+  hooks.is_serving = [this] {
     return planner_ != nullptr && !stopping_ && (!forwarder_ || forwarder_->accepting());
   };
-  hooks.figures = [this] { return Figures(); };
-  hooks.maintain = [this](const std::string& worker, bool in_maintenance,
-                          admin::AdminServer::Hooks::Answer answer) {
+  hooks.stats = [this] { return Figures(); };
+  hooks.set_maintenance = [this](const std::string& worker, bool in_maintenance,
+                                 admin::AdminServer::Hooks::ResponseCallback answer) {
     SetMaintenanceEverywhere(worker, in_maintenance, std::move(answer));
   };
-  if (member_) hooks.members = [this] { return member_->Json(); };
+  if (member_) hooks.members_json = [this] { return member_->Json(); };
   admin_ = std::make_unique<admin::AdminServer>(&loop_, std::move(hooks));
   std::string reason;
   if (!admin_->Listen(config_.admin, &reason)) return MakeError(ErrorCode::kUnavailable, reason);
@@ -103,7 +103,7 @@
 }
 
 void Node::SetMaintenanceEverywhere(const std::string& worker, bool in_maintenance,
-                                    admin::AdminServer::Hooks::Answer answer) {
+                                    admin::AdminServer::Hooks::ResponseCallback answer) {
   if (!SetMaintenance(worker, in_maintenance)) return answer(404, "no such worker\n");
   if (!member_) return answer(200, "done\n");
   member_->SetMaintenance(worker, in_maintenance, [answer = std::move(answer)](bool elsewhere) {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -81,7 +81,7 @@
   void ServeSuccessor();
   Status StartAdmin();
   void SetMaintenanceEverywhere(const std::string& worker, bool in_maintenance,
-                                admin::AdminServer::Hooks::Answer answer);
+                                admin::AdminServer::Hooks::ResponseCallback answer);
   void CheckStopped();
 
   // The planner side (node_planner.cpp).
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -47,7 +47,7 @@
 // Callers that finish no call once could have held every place, and so shut the staff out.
 TEST_F(AdminServerTest, CallersThatFinishNothingShutNobodyOut) {
   std::vector<std::unique_ptr<RawClient>> idle;
-  for (std::size_t i = 0; i < 2 * admin::AdminServer::kMaxCallers; ++i) {
+  for (std::size_t i = 0; i < 2 * admin::AdminServer::kMaxConnections; ++i) {
     idle.push_back(std::make_unique<RawClient>(&harness.host, harness.node->admin_address()));
     idle.back()->Write("GET /st");
   }
