--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -15,10 +15,11 @@
 namespace millethollow {
 namespace {
 
-// No reader needs more at once than one message of the largest size; the kernel holds the rest
-// back.
+// Input is paused at this size: no reader needs more at once than one message of the largest size.
+// Beyond it the kernel's flow control holds the peer back.
 constexpr std::size_t kMaxBufferedBytes = 128 * 1024;
-constexpr double kLookS = 0.05;  // how often a peer that is held back is looked at
+// Interval of the checks for a peer's close while input is paused.
+constexpr double kPeerCloseCheckS = 0.05;
 
 }  // namespace
 
@@ -37,84 +38,90 @@
 }
 
 void Connection::Attach(evutil_socket_t fd) {
-  began_ = loop_->Now();
-  // Deferred callbacks: nothing that we do to a connection calls back before we return.
-  bev_.reset(
+  opened_at_ = loop_->Now();
+  // With deferred callbacks no call into the bufferevent runs a callback before it returns.
+  bufferevent_.reset(
       bufferevent_socket_new(loop_->base(), fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
   bufferevent_setcb(
-      bev_.get(),
+      bufferevent_.get(),
       [](bufferevent*, void* arg) {
         auto* self = static_cast<Connection*>(arg);
         if (self->closed()) return;
         self->OnRead();
-        // Held back by hand. With libevent's own high watermark and deferred callbacks, a reader
-        // that leaves bytes over the mark is called again at once, for ever, and no turn ends.
-        if (self->Available() < kMaxBufferedBytes || self->held_back_) return;
-        self->held_back_ = true;
-        bufferevent_disable(self->bev_.get(), EV_READ);
-        self->LookForEnd();
+        // Input is paused here instead of by libevent's read watermark: with deferred callbacks, a
+        // reader that leaves bytes above the watermark is called again at once, so that the turn of
+        // the loop never ends.
+        if (self->Available() < kMaxBufferedBytes || self->input_paused_) return;
+        self->input_paused_ = true;
+        bufferevent_disable(self->bufferevent_.get(), EV_READ);
+        self->CheckForPeerClose();
       },
       [](bufferevent*, void* arg) {
-        // libevent also calls when a fresh socket turns writable, by then perhaps with an answer
-        // queued: taken for drained, that answer was once shut off before it went out.
+        // libevent also calls this when a new socket becomes writable, when output may already be
+        // buffered. Reporting that as drained made the owner half-close the connection before the
+        // response was sent.
         auto* self = static_cast<Connection*>(arg);
         if (!self->closed() && self->Drained()) self->OnDrained();
       },
-      [](bufferevent*, short what, void* arg) {
+      [](bufferevent*, short events, void* arg) {
         auto* self = static_cast<Connection*>(arg);
         if (self->closed()) return;
-        if ((what & BEV_EVENT_CONNECTED) != 0) return self->OnConnected();
-        self->OnEnd((what & BEV_EVENT_EOF) != 0 ? "peer-closed" : "reset");
+        if ((events & BEV_EVENT_CONNECTED) != 0) return self->OnConnected();
+        self->OnEnd((events & BEV_EVENT_EOF) != 0 ? "peer-closed" : "reset");
       },
       this);
-  bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
+  bufferevent_enable(bufferevent_.get(), EV_READ | EV_WRITE);
 }
 
 void Connection::Adopt(evutil_socket_t fd) {
-  const int on = 1;
-  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+  const int enabled = 1;
+  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
   Attach(fd);
 }
 
 int Connection::Release(std::string* unread) {
-  if (bev_ == nullptr) return -1;
+  if (bufferevent_ == nullptr) return -1;
   *unread = Peek(Available());
-  const int fd = fcntl(descriptor(), F_DUPFD_CLOEXEC, 0);  // ours is closed with its bufferevent
+  const int fd =
+      fcntl(descriptor(), F_DUPFD_CLOEXEC, 0);  // freeing the bufferevent closes the original
   if (fd >= 0) Close("handed-over");
   return fd;
 }
 
 void Connection::PrependInput(std::string_view bytes) {
   if (bytes.empty()) return;
-  evbuffer_prepend(bufferevent_get_input(bev_.get()), bytes.data(), bytes.size());
-  bufferevent_trigger(bev_.get(), EV_READ, BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
+  evbuffer_prepend(bufferevent_get_input(bufferevent_.get()), bytes.data(), bytes.size());
+  bufferevent_trigger(bufferevent_.get(), EV_READ,
+                      BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
 }
 
-void Connection::SetHighPriority() { bufferevent_priority_set(bev_.get(), Loop::kHighPriority); }
+void Connection::SetHighPriority() {
+  bufferevent_priority_set(bufferevent_.get(), Loop::kHighPriority);
+}
 
-// Where nothing is read, the end that stands behind the bytes is not seen: a peer that had sent
-// much and left was taken for one that waits.
-void Connection::LookForEnd() {
-  look_ = loop_->deadlines().At(loop_->Now() + kLookS, [this] {
-    look_ = Deadlines::kNone;
-    if (closed() || !held_back_) return;
-    pollfd look{.fd = descriptor(), .events = POLLRDHUP, .revents = 0};
-    if (poll(&look, 1, 0) > 0) return OnEnd("peer-closed");
-    LookForEnd();
+// While input is paused, libevent does not report the end of the stream behind the buffered bytes:
+// a peer that had sent much and disconnected was taken for one that still waits for its response.
+void Connection::CheckForPeerClose() {
+  peer_close_check_ = loop_->deadlines().At(loop_->Now() + kPeerCloseCheckS, [this] {
+    peer_close_check_ = Deadlines::kNone;
+    if (closed() || !input_paused_) return;
+    pollfd poll_request{.fd = descriptor(), .events = POLLRDHUP, .revents = 0};
+    if (poll(&poll_request, 1, 0) > 0) return OnEnd("peer-closed");
+    CheckForPeerClose();
   });
 }
 
 bool Connection::HasUnreadInput() const {
   char byte = 0;
-  const ssize_t n = recv(descriptor(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return n >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
+  const ssize_t received = recv(descriptor(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return received >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
 bool Connection::Connect(const sockaddr_in& address) {
   const evutil_socket_t fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return false;
   Adopt(fd);
-  return bufferevent_socket_connect(bev_.get(), reinterpret_cast<const sockaddr*>(&address),
+  return bufferevent_socket_connect(bufferevent_.get(), reinterpret_cast<const sockaddr*>(&address),
                                     sizeof address) == 0;
 }
 
@@ -123,24 +130,24 @@
   const evutil_socket_t fd = socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return false;
   Attach(fd);
-  return address &&
-         bufferevent_socket_connect(bev_.get(), reinterpret_cast<const sockaddr*>(&*address),
-                                    sizeof *address) == 0;
+  return address && bufferevent_socket_connect(bufferevent_.get(),
+                                               reinterpret_cast<const sockaddr*>(&*address),
+                                               sizeof *address) == 0;
 }
 
 void Connection::Write(std::string_view bytes) {
-  if (bev_ == nullptr) return;
-  out_ += bytes.size();
-  bufferevent_write(bev_.get(), bytes.data(), bytes.size());
+  if (bufferevent_ == nullptr) return;
+  bytes_out_ += bytes.size();
+  bufferevent_write(bufferevent_.get(), bytes.data(), bytes.size());
 }
 
 void Connection::WriteNow(std::string_view bytes) {
-  if (bev_ == nullptr) return;
+  if (bufferevent_ == nullptr) return;
   if (Drained()) {
     const ssize_t sent =
         send(descriptor(), bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
     if (sent > 0) {
-      out_ += static_cast<std::size_t>(sent);
+      bytes_out_ += static_cast<std::size_t>(sent);
       bytes.remove_prefix(static_cast<std::size_t>(sent));
     }
   }
@@ -148,10 +155,13 @@
 }
 
 std::size_t Connection::Unsent() const {
-  return bev_ == nullptr ? 0 : evbuffer_get_length(bufferevent_get_output(bev_.get()));
+  return bufferevent_ == nullptr ? 0
+                                 : evbuffer_get_length(bufferevent_get_output(bufferevent_.get()));
 }
 
-int Connection::descriptor() const { return bev_ == nullptr ? -1 : bufferevent_getfd(bev_.get()); }
+int Connection::descriptor() const {
+  return bufferevent_ == nullptr ? -1 : bufferevent_getfd(bufferevent_.get());
+}
 
 std::string Connection::PeerAddress() const {
   sockaddr_in peer{};
@@ -161,44 +171,45 @@
 }
 
 std::size_t Connection::Available() const {
-  return bev_ == nullptr ? 0 : evbuffer_get_length(bufferevent_get_input(bev_.get()));
+  return bufferevent_ == nullptr ? 0
+                                 : evbuffer_get_length(bufferevent_get_input(bufferevent_.get()));
 }
 
 std::string Connection::Peek(std::size_t max_bytes) const {
   std::string bytes(std::min(max_bytes, Available()), '\0');
   if (!bytes.empty()) {
-    evbuffer_copyout(bufferevent_get_input(bev_.get()), bytes.data(), bytes.size());
+    evbuffer_copyout(bufferevent_get_input(bufferevent_.get()), bytes.data(), bytes.size());
   }
   return bytes;
 }
 
-void Connection::Consume(std::size_t n) {
-  in_ += n;
-  evbuffer_drain(bufferevent_get_input(bev_.get()), n);
-  if (!held_back_ || Available() >= kMaxBufferedBytes) return;
-  held_back_ = false;
-  bufferevent_enable(bev_.get(), EV_READ);
+void Connection::Consume(std::size_t bytes) {
+  bytes_in_ += bytes;
+  evbuffer_drain(bufferevent_get_input(bufferevent_.get()), bytes);
+  if (!input_paused_ || Available() >= kMaxBufferedBytes) return;
+  input_paused_ = false;
+  bufferevent_enable(bufferevent_.get(), EV_READ);
 }
 
 void Connection::StopReading() {
-  if (bev_ != nullptr) bufferevent_disable(bev_.get(), EV_READ);
+  if (bufferevent_ != nullptr) bufferevent_disable(bufferevent_.get(), EV_READ);
 }
 
 void Connection::ShutdownWrite() {
-  if (bev_ != nullptr) shutdown(bufferevent_getfd(bev_.get()), SHUT_WR);
+  if (bufferevent_ != nullptr) shutdown(bufferevent_getfd(bufferevent_.get()), SHUT_WR);
 }
 
 void Connection::Close(const char* reason) {
-  if (bev_ == nullptr) return;
-  loop_->deadlines().Drop(&look_);
-  // libevent lets go of it only in a later turn: many closed in one turn to make room for others
-  // would still hold their descriptors when those come.
-  const evutil_socket_t fd = bufferevent_getfd(bev_.get());
-  if (fd >= 0) bufferevent_setfd(bev_.get(), -1);
-  bev_.reset();
+  if (bufferevent_ == nullptr) return;
+  loop_->deadlines().Drop(&peer_close_check_);
+  // The descriptor is closed here, since libevent frees the bufferevent only in a later turn:
+  // connections evicted in this turn would still hold their descriptors when new ones are accepted.
+  const evutil_socket_t fd = bufferevent_getfd(bufferevent_.get());
+  if (fd >= 0) bufferevent_setfd(bufferevent_.get(), -1);
+  bufferevent_.reset();
   if (fd >= 0) evutil_closesocket(fd);
-  LogLine(Level::kInfo) << what_ << " end reason=" << reason << " in=" << in_ << " out=" << out_
-                        << " s=" << loop_->Now() - began_;
+  LogLine(Level::kInfo) << kind_ << " end reason=" << reason << " in=" << bytes_in_
+                        << " out=" << bytes_out_ << " s=" << loop_->Now() - opened_at_;
 }
 
 }  // namespace millethollow
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -1,4 +1,6 @@
-// A connection as an object with callbacks, over a libevent bufferevent.
+// A buffered, non-blocking stream connection (TCP or Unix domain) on top of a libevent bufferevent.
+//
+// Everything here runs on the thread of the connection's event loop.
 #ifndef MILLETHOLLOW_NET_CONNECTION_H_
 #define MILLETHOLLOW_NET_CONNECTION_H_
 
@@ -16,73 +18,109 @@
 
 namespace millethollow {
 
+// The socket address of a path, or nothing if the path is empty or too long for one.
 std::optional<sockaddr_un> UnixAddress(const std::string& path);
+// The address as "a.b.c.d:port".
 std::string AddressText(const sockaddr_in& address);
 
-// The client side's times, the same on both fronts. Who sends what is no request, or never sends at
-// all, is owed a close within 3 s of connecting. One that was used and rests is another matter: it
-// may stay.
-constexpr double kClientReadTimeoutS =
-    2.5;  // from connecting to a first request's end; later, from its first byte
-constexpr double kClientWriteTimeoutS = 2.5;  // an answer must be out within this
+// Timeouts of client connections, in seconds, the same for the HTTP and the Gearman front. A client
+// that sends no valid request has to be disconnected within 3 s of connecting. An idle connection
+// that has carried a request is not subject to them.
 
-struct BufferFree {
-  void operator()(bufferevent* b) const { bufferevent_free(b); }
+// For reading a request: the first one from the time of connecting, later ones from their first
+// byte.
+constexpr double kClientReadTimeoutS = 2.5;
+// For writing a whole response to the client.
+constexpr double kClientWriteTimeoutS = 2.5;
+
+// Deleter for bufferevents held by smart pointers.
+struct BuffereventDeleter {
+  void operator()(bufferevent* handle) const { bufferevent_free(handle); }
 };
 
+// Base class of all connections of a process: owns the socket and its buffers, and calls the
+// virtual functions of the derived class from the event loop. None of them is called from within a
+// call into this class. The loop is not owned and must outlive the connection.
 class Connection {
  public:
-  virtual ~Connection() { loop_->deadlines().Drop(&look_); }
+  virtual ~Connection() { loop_->deadlines().Drop(&peer_close_check_); }
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
+  // Appends to the output buffer, which the loop writes out. Does nothing once closed.
   void Write(std::string_view bytes);
-  // Hands to the system at once what it takes, where nothing waits before it; the rest goes as with
-  // Write. What Write holds back goes out in a later turn, however long this process is stopped
-  // before it. The socket must be connected.
+  // Sends at once what the kernel accepts if the output buffer is empty, and buffers the rest as
+  // Write does. Buffered bytes go out only in a later turn of the loop, which may be long after if
+  // the process is stopped in between. The socket must be connected.
   void WriteNow(std::string_view bytes);
-  // True once every byte written so far has gone to the kernel.
+  // True once the kernel has accepted every byte written so far.
   bool Drained() const { return Unsent() == 0; }
+  // Bytes in the output buffer.
   std::size_t Unsent() const;
-  std::string Peek(std::size_t max_bytes) const;  // of what has come in
-  void Consume(std::size_t n);
+  // Up to `max_bytes` from the front of the input buffer, which is left unchanged.
+  std::string Peek(std::size_t max_bytes) const;
+  // Removes bytes from the front of the input buffer; resumes reading if it was paused because the
+  // buffer was full.
+  void Consume(std::size_t bytes);
+  // Bytes in the input buffer.
   std::size_t Available() const;
-  // Something has come that no turn has read yet: bytes, an end, or an error.
+  // Whether the kernel holds something that the loop has not read yet: bytes, an end of stream, or
+  // an error. Costs a system call.
   bool HasUnreadInput() const;
+  // The socket's file descriptor, or -1 once closed.
   int descriptor() const;
+  // The IPv4 address of the peer, or "-" if it is unknown.
   std::string PeerAddress() const;
-  bool closed() const { return bev_ == nullptr; }
-  // Lets go of the socket for another process to go on with: a descriptor that the caller owns, or
-  // -1. What came in and was not consumed is in `unread`. The object is closed after it.
+  // Whether Close or Release has ended the connection.
+  bool closed() const { return bufferevent_ == nullptr; }
+  // Detaches the socket so that another process can take it over. Returns a duplicate descriptor
+  // that the caller owns, or -1, and puts the unconsumed input into `unread`. Where a descriptor is
+  // returned the connection is closed.
   int Release(std::string* unread);
-  void StopReading();  // what comes in stays with the kernel, and so with the client
-  // Ends the connection with its one log line. The object lives on until its owner drops it.
+  // Stops reading from the socket. Further input stays in the kernel's buffers, so that TCP flow
+  // control holds the peer back.
+  void StopReading();
+  // Closes the socket and writes the connection's one log line with `reason`. The object stays
+  // valid until its owner destroys it.
   void Close(const char* reason);
 
  protected:
-  Connection(Loop* loop, const char* what) : loop_(loop), what_(what) {}
-  void Adopt(evutil_socket_t fd);            // an accepted socket
-  void PrependInput(std::string_view bytes);       // puts back what came in
-  void SetHighPriority();                              // its events go before all others
-  bool Connect(const sockaddr_in& address);  // false if it fails at once
+  // `what` names the kind of connection in its log line; it must be a string literal.
+  Connection(Loop* loop, const char* kind) : loop_(loop), kind_(kind) {}
+  // Takes ownership of an accepted socket.
+  void Adopt(evutil_socket_t fd);
+  // Puts bytes back at the front of the input buffer and schedules OnRead.
+  void PrependInput(std::string_view bytes);
+  // Handles the events of this connection before all ordinary ones.
+  void SetHighPriority();
+  // Start connecting; OnConnected or OnEnd follows. False if it fails at once.
+  bool Connect(const sockaddr_in& address);
   bool ConnectUnix(const std::string& path);
-  void ShutdownWrite();  // half-closes: the peer can still be read
+  // Half-closes the connection: nothing more is sent, but input can still be read.
+  void ShutdownWrite();
+  // The connection that Connect started is established.
   virtual void OnConnected() {}
+  // The input buffer has new bytes.
   virtual void OnRead() = 0;
+  // The output buffer is empty.
   virtual void OnDrained() {}
-  virtual void OnEnd(const char* reason) = 0;  // the peer ended or broke it
+  // The peer closed ("peer-closed") or reset ("reset") the connection, or it could not be
+  // established. The socket is still open: the derived class has to call Close.
+  virtual void OnEnd(const char* reason) = 0;
 
   Loop* loop_;
 
  private:
   void Attach(evutil_socket_t fd);
-  void LookForEnd();
-  const char* what_;
-  std::unique_ptr<bufferevent, BufferFree> bev_;
-  std::size_t in_ = 0, out_ = 0;
-  bool held_back_ = false;
-  double began_ = 0;
-  Deadlines::Ticket look_ = Deadlines::kNone;  // while held back
+  // Polls for the peer's close while reading is paused.
+  void CheckForPeerClose();
+
+  const char* kind_;
+  std::unique_ptr<bufferevent, BuffereventDeleter> bufferevent_;
+  std::size_t bytes_in_ = 0, bytes_out_ = 0;               // consumed and written
+  bool input_paused_ = false;                              // the input buffer is full
+  double opened_at_ = 0;                                   // on the loop's clock, in seconds
+  Deadlines::Ticket peer_close_check_ = Deadlines::kNone;  // set while input is paused
 };
 
 }  // namespace millethollow
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -13,29 +13,29 @@
 
 namespace millethollow {
 
-bool Listener::Open(Loop* loop, const std::string& address, Accepted accepted, std::string* error,
-                    bool shared) {
+bool Listener::Open(Loop* loop, const std::string& address, AcceptHandler on_accept,
+                    std::string* error, bool reuse_port) {
   const auto parsed = ParseAddress(address);
   if (!parsed) {
     *error = "not an address to listen on: '" + address + "'";
     return false;
   }
   loop_ = loop;
-  accepted_ = std::move(accepted);
+  on_accept_ = std::move(on_accept);
   return Bind(reinterpret_cast<const sockaddr*>(&*parsed), sizeof *parsed,
-              shared ? LEV_OPT_REUSEABLE_PORT : 0u, address, error);
+              reuse_port ? LEV_OPT_REUSEABLE_PORT : 0u, address, error);
 }
 
-bool Listener::OpenUnix(Loop* loop, const std::string& path, Accepted accepted,
+bool Listener::OpenUnix(Loop* loop, const std::string& path, AcceptHandler on_accept,
                         std::string* error) {
   const auto address = UnixAddress(path);
   if (!address) return *error = "not a socket path: '" + path + "'", false;
   loop_ = loop;
-  accepted_ = std::move(accepted);
-  unlink(path.c_str());  // left there by a process that died
+  on_accept_ = std::move(on_accept);
+  unlink(path.c_str());  // a process that crashed leaves its socket file behind
   const bool bound =
       Bind(reinterpret_cast<const sockaddr*>(&*address), sizeof *address, 0, path, error);
-  if (bound) chmod(path.c_str(), 0600);  // forwarders are of the same user
+  if (bound) chmod(path.c_str(), 0600);  // forwarders run as the same user
   return bound;
 }
 
@@ -44,7 +44,7 @@
   listener_.reset(evconnlistener_new_bind(
       loop_->base(),
       [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
-        static_cast<Listener*>(self)->accepted_(fd);
+        static_cast<Listener*>(self)->on_accept_(fd);
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC | flags, 512, address,
       size));
@@ -52,20 +52,20 @@
     *error = "cannot listen on " + name + ": " + std::strerror(errno);
     return false;
   }
-  Watch();
+  InstallErrorHandler();
   return true;
 }
 
-bool Listener::Adopt(Loop* loop, evutil_socket_t fd, Accepted accepted) {
+bool Listener::Adopt(Loop* loop, evutil_socket_t fd, AcceptHandler on_accept) {
   loop_ = loop;
-  accepted_ = std::move(accepted);
+  on_accept_ = std::move(on_accept);
   listener_.reset(evconnlistener_new(
       loop_->base(),
       [](evconnlistener*, evutil_socket_t peer, sockaddr*, int, void* self) {
-        static_cast<Listener*>(self)->accepted_(peer);
+        static_cast<Listener*>(self)->on_accept_(peer);
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, 0, fd));
-  if (listener_ != nullptr) Watch();
+  if (listener_ != nullptr) InstallErrorHandler();
   return listener_ != nullptr;
 }
 
@@ -73,13 +73,13 @@
   while (listener_ != nullptr) {
     const int fd = accept4(descriptor(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
-    accepted_(fd);
+    on_accept_(fd);
   }
 }
 
-void Listener::Watch() {
+void Listener::InstallErrorHandler() {
   evconnlistener_set_error_cb(listener_.get(), [](evconnlistener*, void* arg) {
-    // Out of descriptors, most likely: a short pause instead of a spin.
+    // Most likely the process is out of descriptors: pause briefly instead of busy-looping.
     auto* self = static_cast<Listener*>(arg);
     LogLine(Level::kWarn) << "accept failed: " << std::strerror(errno);
     self->Pause();
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,7 @@
-// The event loop: libevent, the one sorted structure of deadlines, and the descriptor budget.
+// The event loop of a process: a libevent base, its timers, and the budget of file descriptors.
+//
+// A loop and everything that is registered with it belong to one thread. Other threads hand work to
+// it through a TaskQueue.
 #ifndef MILLETHOLLOW_NET_LOOP_H_
 #define MILLETHOLLOW_NET_LOOP_H_
 
@@ -13,64 +16,81 @@
 
 namespace millethollow {
 
-struct EventBaseFree {
-  void operator()(event_base* b) const { event_base_free(b); }
+// Deleters for libevent objects held by smart pointers.
+struct EventBaseDeleter {
+  void operator()(event_base* base) const { event_base_free(base); }
 };
-struct EventFree {
-  void operator()(event* e) const { event_free(e); }
+struct EventDeleter {
+  void operator()(event* handle) const { event_free(handle); }
 };
-using EventPtr = std::unique_ptr<event, EventFree>;
+// Owns a libevent event; destroying it removes it from its loop.
+using EventPtr = std::unique_ptr<event, EventDeleter>;
 
-// Who may hold how many sockets, under the one limit that the platform sets.
+// How many sockets clients and workers may use, within the process's limit of open descriptors. The
+// sockets of sibling processes in a hot restart count as well: both share one limit.
 struct DescriptorBudget {
   std::size_t max_clients = 480, max_workers = 480;
   std::size_t clients = 0, workers = 0;
-  std::size_t sibling_clients = 0, sibling_workers = 0;  // of the process that we replace
+  std::size_t sibling_clients = 0, sibling_workers = 0;  // as reported by sibling processes
 
   bool ClientsFull() const { return clients + sibling_clients >= max_clients; }
   bool WorkersFull() const { return workers + sibling_workers >= max_workers; }
 
+  // The budget for a limit of `sockets` open sockets.
   static DescriptorBudget ForSocketLimit(std::size_t sockets) {
-    // The rest is for the listener, discovery, peers, standard streams, and sockets that wait for
-    // their accept or close.
-    const std::size_t free = sockets > 80 ? sockets - 64 : 16;
-    return {.max_clients = free / 2, .max_workers = free / 2};
+    // 64 are reserved for the listeners, discovery, the sockets between planners, the standard
+    // streams, and sockets that are about to be accepted or closed.
+    const std::size_t available = sockets > 80 ? sockets - 64 : 16;
+    return {.max_clients = available / 2, .max_workers = available / 2};
   }
 };
 
+// Dispatches I/O events, timers and deferred callbacks.
 class Loop {
  public:
-  static constexpr int kHighPriority = 0;  // the priority of events that go before all others
+  // Priority of events that are handled before all ordinary ones.
+  static constexpr int kHighPriority = 0;
 
+  // Also ignores SIGPIPE in the whole process.
   Loop();
   ~Loop();
   event_base* base() { return base_.get(); }
+  // Timers, on the clock of Now().
   Deadlines& deadlines() { return deadlines_; }
   DescriptorBudget& budget() { return budget_; }
 
-  // Seconds since the epoch as of the start, carried on by the monotonic clock: never runs back,
-  // and the list's start times, which are Unix time, compare with it directly.
+  // Seconds since the Unix epoch: the wall-clock time at which the loop was created plus the
+  // monotonic time since. It never runs backwards, and the start times in endpoint lists, which are
+  // Unix times, can be compared with it.
   double Now() const;
 
-  // Every front counts its clients here: one that gives a descriptor back may let another accept.
-  void OnClientFreed(std::function<void()> what) { client_freed_.push_back(std::move(what)); }
+  // Registers a callback for when a client's descriptor has been released. Clients of all fronts
+  // share the budget, so a release at one front may let another accept again.
+  void OnClientFreed(std::function<void()> callback) {
+    client_freed_callbacks_.push_back(std::move(callback));
+  }
+  // Takes one client off the budget and notifies.
   void ClientFreed();
-  void NotifyClientCapacity();  // more clients may be accepted again
-
-  // Runs at the end of this turn: where connections are destroyed, never within a callback of
-  // theirs.
-  void Defer(std::function<void()> what) { deferred_.push_back(std::move(what)); }
-  void Turn();  // waits for events up to the next deadline, then sweeps
-  void Run();   // turns until Stop
+  // Runs the callbacks registered by OnClientFreed: more clients may be accepted again.
+  void NotifyClientCapacity();
+
+  // Runs a callback at the end of the current turn. Connections are destroyed there, so that none
+  // is destroyed within one of its own callbacks.
+  void Defer(std::function<void()> callback) { deferred_.push_back(std::move(callback)); }
+  // One iteration of the loop: waits for events until the next deadline at the latest, handles
+  // them, runs the timers that are due, and then the deferred callbacks.
+  void Turn();
+  // Iterates until Stop is called.
+  void Run();
   void Stop() { stopped_ = true; }
 
  private:
-  std::unique_ptr<event_base, EventBaseFree> base_;
-  EventPtr tick_;
+  std::unique_ptr<event_base, EventBaseDeleter> base_;
+  EventPtr turn_timeout_;
   Deadlines deadlines_;
   DescriptorBudget budget_;
-  std::vector<std::function<void()>> deferred_, client_freed_;
-  double wall_at_start_ = 0, steady_at_start_ = 0;
+  std::vector<std::function<void()>> deferred_, client_freed_callbacks_;
+  double wall_time_at_start_s_ = 0, monotonic_time_at_start_s_ = 0;
   bool stopped_ = false;
 };
 
--- a/src/net/task_queue.cpp
+++ b/src/net/task_queue.cpp
@@ -8,17 +8,17 @@
 namespace millethollow {
 
 TaskQueue::~TaskQueue() {
-  readable_.reset();
+  read_event_.reset();
   if (event_fd_ >= 0) close(event_fd_);
 }
 
 bool TaskQueue::Open(Loop* loop, std::string* error) {
   event_fd_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-  if (event_fd_ < 0) return *error = "no descriptor to be had", false;
-  readable_.reset(event_new(
+  if (event_fd_ < 0) return *error = "cannot create an eventfd", false;
+  read_event_.reset(event_new(
       loop->base(), event_fd_, EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) { static_cast<TaskQueue*>(self)->RunTasks(); }, this));
-  event_add(readable_.get(), nullptr);
+  event_add(read_event_.get(), nullptr);
   return true;
 }
 
--- a/src/net/task_queue.h
+++ b/src/net/task_queue.h
@@ -1,4 +1,4 @@
-// What other threads have for the loop's: taken out in turns of the loop, in order.
+// A queue of tasks that any thread posts and an event loop runs, in the order of posting.
 #ifndef MILLETHOLLOW_NET_TASK_QUEUE_H_
 #define MILLETHOLLOW_NET_TASK_QUEUE_H_
 
@@ -11,7 +11,8 @@
 
 namespace millethollow {
 
-// To outlive the threads that speak to it. What is left in it at its end is not run.
+// Must outlive the threads that post to it. Tasks that are still queued when it is destroyed are
+// discarded. Create and destroy it on the loop's thread; the loop is not owned and must outlive it.
 class TaskQueue {
  public:
   using Task = std::function<void()>;
@@ -20,16 +21,18 @@
   TaskQueue(const TaskQueue&) = delete;
   TaskQueue& operator=(const TaskQueue&) = delete;
 
-  bool Open(Loop* loop, std::string* error);  // false: no descriptor to be had
-  void Post(Task task);                   // on any thread
+  // Starts running tasks on `loop`. False, with `error`, if no eventfd can be created.
+  bool Open(Loop* loop, std::string* error);
+  // Queues a task. May be called on any thread.
+  void Post(Task task);
 
  private:
-  void RunTasks();
+  void RunTasks();  // on the loop's thread
 
   std::mutex mutex_;
-  std::vector<Task> tasks_;
-  int event_fd_ = -1;
-  EventPtr readable_;
+  std::vector<Task> tasks_;  // guarded by mutex_
+  int event_fd_ = -1;        // wakes the loop
+  EventPtr read_event_;
 };
 
 }  // namespace millethollow
