--- a/src/net/admin/admin_server.cpp
+++ b/src/net/admin/admin_server.cpp
@@ -13,11 +13,13 @@
 namespace millethollow::admin {
 namespace {
 
-constexpr double kCallS = 1.5;  // a connection waits 1 s: one that has sent no call by then won't
+// A connection that has not sent a complete request is closed after this time, in seconds. Clients
+// of this address give up after 1 s, so nobody waits for a response by then.
+constexpr double kRequestTimeoutS = 1.5;
 constexpr int kMaxAcceptsPerTurn = 16;
-constexpr std::string_view kWorkers = "/workers/";
+constexpr std::string_view kWorkersPrefix = "/workers/";
 
-const char* Reason(int status) {
+const char* ReasonPhrase(int status) {
   return status == 200   ? "OK"
          : status == 400 ? "Bad Request"
          : status == 404 ? "Not Found"
@@ -27,41 +29,42 @@
 
 }  // namespace
 
+// One connection of the admin address: reads a request, responds and closes.
 class AdminConnection final : public Connection {
  public:
   AdminConnection(AdminServer* server, Loop* loop, evutil_socket_t fd)
-      : Connection(loop, "admin"), server_(server), began_at_(loop->Now()) {
+      : Connection(loop, "admin"), server_(server), opened_at_(loop->Now()) {
     Adopt(fd);
     SetHighPriority();
-    limit_ = loop->deadlines().At(began_at_ + kCallS, [this] {
-      limit_ = Deadlines::kNone;
+    request_timer_ = loop->deadlines().At(opened_at_ + kRequestTimeoutS, [this] {
+      request_timer_ = Deadlines::kNone;
       Finish("no-call");
     });
   }
-  ~AdminConnection() override { loop_->deadlines().Drop(&limit_); }
-  double began_at() const { return began_at_; }
+  ~AdminConnection() override { loop_->deadlines().Drop(&request_timer_); }
+  double opened_at() const { return opened_at_; }
 
   void Finish(const char* reason) {
     if (closed()) return;
-    loop_->deadlines().Drop(&limit_);
+    loop_->deadlines().Drop(&request_timer_);
     Close(reason);
-    server_->Drop(this);
+    server_->DestroyLater(this);
   }
 
  private:
   void OnRead() override {
-    while (!called_ && !closed()) {
+    while (!request_complete_ && !closed()) {
       const std::string bytes = Peek(4 * 1024);
       if (bytes.empty()) return;
       Consume(parser_.Feed(bytes));
       if (parser_.error() != 0) return Respond(400, "not a readable call\n");
-      if (parser_.done()) Call(parser_.head());
+      if (parser_.done()) HandleRequest(parser_.head());
     }
-    Consume(Available());  // nothing after the one call is read
+    Consume(Available());  // input after the one request is ignored
   }
 
-  void Call(const http::Head& head) {
-    called_ = true;
+  void HandleRequest(const http::Head& head) {
+    request_complete_ = true;
     const std::string path = head.target.substr(0, head.target.find('?'));
     if (path == "/healthcheck" || path == "/stats") {
       if (head.method != "GET") return Respond(405, "", "Allow: GET\r\n");
@@ -73,97 +76,102 @@
       if (head.method != "GET") return Respond(405, "", "Allow: GET\r\n");
       return Respond(200, server_->hooks_.members_json());
     }
-    for (const std::string_view verb : {"/maint", "/ready"}) {
-      if (!path.starts_with(kWorkers) || !path.ends_with(verb)) continue;
-      if (path.size() <= kWorkers.size() + verb.size()) continue;
+    for (const std::string_view action : {"/maint", "/ready"}) {
+      if (!path.starts_with(kWorkersPrefix) || !path.ends_with(action)) continue;
+      if (path.size() <= kWorkersPrefix.size() + action.size()) continue;
       if (head.method != "PUT") return Respond(405, "", "Allow: PUT\r\n");
       const std::string worker =
-          path.substr(kWorkers.size(), path.size() - kWorkers.size() - verb.size());
+          path.substr(kWorkersPrefix.size(), path.size() - kWorkersPrefix.size() - action.size());
       return server_->hooks_.set_maintenance(
-          worker, verb == "/maint",
-          [this, here = std::weak_ptr(here_)](int status, const std::string& body) {
-            if (!here.expired() && !closed()) Respond(status, body);
+          worker, action == "/maint",
+          [this, alive = std::weak_ptr(alive_)](int status, const std::string& body) {
+            if (!alive.expired() && !closed()) Respond(status, body);
           });
     }
     Respond(404, "no such path\n");
   }
 
   void Respond(int status, const std::string& body, const std::string& headers = {}) {
-    answered_ = true;
-    Write("HTTP/1.1 " + std::to_string(status) + " " + Reason(status) + "\r\n" + headers +
+    responded_ = true;
+    Write("HTTP/1.1 " + std::to_string(status) + " " + ReasonPhrase(status) + "\r\n" + headers +
           "Content-Type: text/plain\r\nContent-Length: " + std::to_string(body.size()) +
           "\r\nConnection: close\r\n\r\n" + body);
   }
 
   void OnDrained() override {
-    if (answered_) Finish("answered-last");
+    if (responded_) Finish("answered-last");
   }
   void OnEnd(const char* reason) override {
-    // A connection may end its sending with its call: the answer still goes out.
-    if (answered_ && std::string_view(reason) == "peer-closed" && !Drained()) return;
+    // The client may half-close after its request: the response is still sent.
+    if (responded_ && std::string_view(reason) == "peer-closed" && !Drained()) return;
     Finish(reason);
   }
 
   AdminServer* server_;
-  std::shared_ptr<bool> here_ = std::make_shared<bool>(true);  // an answer may come after us
-  double began_at_;
-  bool called_ = false, answered_ = false;
+  // Expires with the connection: a response that comes later is dropped.
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  double opened_at_;
+  bool request_complete_ = false, responded_ = false;
   http::Parser parser_{http::Parser::Side::kRequest, {.head = 4 * 1024, .body = 4 * 1024}};
-  Deadlines::Ticket limit_ = Deadlines::kNone;
+  Deadlines::Ticket request_timer_ = Deadlines::kNone;
 };
 
 AdminServer::AdminServer(Loop* loop, Hooks hooks) : loop_(loop), hooks_(std::move(hooks)) {}
 AdminServer::~AdminServer() {
   connections_.clear();
-  readable_.reset();
-  if (fd_ >= 0) close(fd_);
+  read_event_.reset();
+  if (listen_socket_ >= 0) close(listen_socket_);
 }
 
-// An event of our own instead of a listener: it must go before all that clients and workers bring.
+// Uses a read event instead of a Listener, since accepting here has to take precedence over the
+// events of clients and workers.
 bool AdminServer::Listen(const std::string& address, std::string* error) {
-  const auto at = ParseAddress(address);
-  if (!at) return *error = "not an address to listen on: '" + address + "'", false;
-  fd_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  const int on = 1;
-  if (fd_ >= 0) setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (fd_ < 0 || bind(fd_, reinterpret_cast<const sockaddr*>(&*at), sizeof *at) != 0 ||
-      listen(fd_, 128) != 0) {
+  const auto listen_address = ParseAddress(address);
+  if (!listen_address) return *error = "not an address to listen on: '" + address + "'", false;
+  listen_socket_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+  const int enabled = 1;
+  if (listen_socket_ >= 0)
+    setsockopt(listen_socket_, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
+  if (listen_socket_ < 0 ||
+      bind(listen_socket_, reinterpret_cast<const sockaddr*>(&*listen_address),
+           sizeof *listen_address) != 0 ||
+      listen(listen_socket_, 128) != 0) {
     return *error = "cannot listen on " + address + ": " + std::strerror(errno), false;
   }
-  readable_.reset(event_new(
-      loop_->base(), fd_, EV_READ | EV_PERSIST,
+  read_event_.reset(event_new(
+      loop_->base(), listen_socket_, EV_READ | EV_PERSIST,
       [](evutil_socket_t, short, void* self) { static_cast<AdminServer*>(self)->Accept(); }, this));
-  event_priority_set(readable_.get(), Loop::kHighPriority);
-  event_add(readable_.get(), nullptr);
+  event_priority_set(read_event_.get(), Loop::kHighPriority);
+  event_add(read_event_.get(), nullptr);
   return true;
 }
 
 std::string AdminServer::address() const {
   sockaddr_in bound{};
   socklen_t size = sizeof bound;
-  getsockname(fd_, reinterpret_cast<sockaddr*>(&bound), &size);
+  getsockname(listen_socket_, reinterpret_cast<sockaddr*>(&bound), &size);
   return AddressText(bound);
 }
 
 void AdminServer::Accept() {
-  for (int i = 0; i < kMaxAcceptsPerTurn; ++i) {
-    const int fd = accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+  for (int accepted = 0; accepted < kMaxAcceptsPerTurn; ++accepted) {
+    const int fd = accept4(listen_socket_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
     auto connection = std::make_unique<AdminConnection>(this, loop_, fd);
-    AdminConnection* raw = connection.get();
+    AdminConnection* added = connection.get();
     std::size_t open = 1;
     AdminConnection* oldest = nullptr;
     for (const auto& [other, unused] : connections_) {
       if (other->closed()) continue;
       open += 1;
-      if (oldest == nullptr || other->began_at() < oldest->began_at()) oldest = other;
+      if (oldest == nullptr || other->opened_at() < oldest->opened_at()) oldest = other;
     }
-    connections_.emplace(raw, std::move(connection));
+    connections_.emplace(added, std::move(connection));
     if (open > kMaxConnections && oldest != nullptr) oldest->Finish("made-room");
   }
 }
 
-void AdminServer::Drop(AdminConnection* connection) {
+void AdminServer::DestroyLater(AdminConnection* connection) {
   loop_->Defer([this, connection] { connections_.erase(connection); });
 }
 
--- a/src/net/admin/admin_server.h
+++ b/src/net/admin/admin_server.h
@@ -1,4 +1,6 @@
-// The second address, for the operators' staff and their tools: HTTP/1.1, one call per connection.
+// The admin address, for operators and their tools: HTTP/1.1, one request per connection.
+//
+// Everything here runs on the thread of the event loop.
 #ifndef MILLETHOLLOW_NET_ADMIN_ADMIN_SERVER_H_
 #define MILLETHOLLOW_NET_ADMIN_ADMIN_SERVER_H_
 
@@ -13,38 +15,46 @@
 
 class AdminConnection;
 
+// Owns the listening socket and the connections of the admin address. The loop is not owned and
+// must outlive the server.
 class AdminServer {
  public:
+  // What the server shows and changes.
   struct Hooks {
+    // Whether the process takes requests, for /healthcheck.
     std::function<bool()> is_serving;
+    // The body of /stats.
     std::function<std::string()> stats;
-    // Takes a worker out, or puts it back, and says what to answer: at once, or later.
+    // Puts a worker into maintenance or back into service. Has to call `respond` with the HTTP
+    // status and the body of the response, at once or later.
     using ResponseCallback = std::function<void(int status, const std::string& body)>;
     std::function<void(const std::string& worker, bool in_maintenance, ResponseCallback respond)>
         set_maintenance;
-    std::function<std::string()>
-        members_json;  // of the cluster, as JSON; none: there is no cluster
+    // The body of /members, as JSON. Empty if the process belongs to no cluster.
+    std::function<std::string()> members_json;
   };
-  // Part of the descriptors that the budget leaves aside. Whoever comes beyond it costs the
-  // connection that has been here longest without a whole call its place: nobody is shut out.
+  // Taken from the descriptors that DescriptorBudget reserves. A new connection beyond the limit
+  // evicts the oldest open one, so that idle connections cannot lock operators out.
   static constexpr std::size_t kMaxConnections = 24;
 
   AdminServer(Loop* loop, Hooks hooks);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
+  // Starts listening on an IPv4 address "a.b.c.d:port". False, with `error`, if it fails.
   bool Listen(const std::string& address, std::string* error);
-  std::string address() const;  // as bound
+  // The address as bound, with the port that the kernel chose where 0 was asked for.
+  std::string address() const;
 
  private:
   friend class AdminConnection;
   void Accept();
-  void Drop(AdminConnection* connection);
+  void DestroyLater(AdminConnection* connection);
 
   Loop* loop_;
   Hooks hooks_;
-  int fd_ = -1;
-  EventPtr readable_;
+  int listen_socket_ = -1;
+  EventPtr read_event_;
   std::map<AdminConnection*, std::unique_ptr<AdminConnection>> connections_;
 };
 
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -85,7 +85,7 @@
   void Close(const char* reason);
 
  protected:
-  // `what` names the kind of connection in its log line; it must be a string literal.
+  // `kind` names the connection in its log line; it must be a string literal.
   Connection(Loop* loop, const char* kind) : loop_(loop), kind_(kind) {}
   // Takes ownership of an accepted socket.
   void Adopt(evutil_socket_t fd);
--- a/src/net/forwarder.cpp
+++ b/src/net/forwarder.cpp
@@ -7,64 +7,70 @@
 
 namespace millethollow {
 namespace {
-constexpr double kBackstopS = 0.03;  // within the slack that the rules leave
-}
+// How long after a request's expiry the planner's answer is waited for, in seconds. Shorter than
+// the tolerance that clients are promised for answers at expiry.
+constexpr double kExpiryGraceS = 0.03;
+}  // namespace
 
-RequestId Forwarder::Submit(ClientRequest held, ResponseHandler* client) {
+RequestId Forwarder::Submit(ClientRequest client_request, ResponseHandler* client) {
   if (link_ == nullptr || !accepting_) return 0;
-  const RequestId id = number_ << kForwarderShift | ++sequence_;
-  held.request.id = id;
-  Open& open = held_[id];
-  open.held = std::move(held);
-  open.client = client;
-  // The planner answers at expiry. One across a link that hangs must not keep a client waiting.
-  open.backstop = loop_->deadlines().At(open.held.request.expires_at + kBackstopS, [this, id] {
-    const auto it = held_.find(id);
-    if (it == held_.end()) return;
-    it->second.backstop = Deadlines::kNone;
-    if (it->second.answered) return;
-    LogLine(Level::kWarn) << "the planner left a request unanswered";
-    Abandon(id);
-    if (link_ != nullptr) link_->OnRequestCancelled(id);
-  });
-  // The request may be answered within the call: the answer reaches the client only next turn's
-  // end, so that a client always has the id first.
+  const RequestId id = forwarder_number_ << kForwarderShift | ++last_sequence_;
+  client_request.request.id = id;
+  PendingRequest& pending = requests_[id];
+  pending.client_request = std::move(client_request);
+  pending.client = client;
+  // The planner answers at expiry. If its link hangs, the client must not be kept waiting.
+  pending.expiry_timer =
+      loop_->deadlines().At(pending.client_request.request.expires_at + kExpiryGraceS, [this, id] {
+        const auto it = requests_.find(id);
+        if (it == requests_.end()) return;
+        it->second.expiry_timer = Deadlines::kNone;
+        if (it->second.answered) return;
+        LogLine(Level::kWarn) << "no answer from the planner for an expired request";
+        Abandon(id);
+        if (link_ != nullptr) link_->OnRequestCancelled(id);
+      });
+  // The planner may answer within OnRequest. Deferring the call ensures that the client side has
+  // the id before the answer arrives.
   loop_->Defer([this, id] {
-    const auto it = held_.find(id);
-    if (it == held_.end()) return;
+    const auto it = requests_.find(id);
+    if (it == requests_.end()) return;
     if (link_ == nullptr) return OnPlannerLost();
-    const Request request = it->second.held.request;
+    const Request request = it->second.client_request.request;
     link_->OnRequest(request);
   });
   return id;
 }
 
 const ClientRequest* Forwarder::Find(RequestId id) const {
-  const auto it = held_.find(id);
-  return it == held_.end() ? nullptr : &it->second.held;
+  const auto it = requests_.find(id);
+  return it == requests_.end() ? nullptr : &it->second.client_request;
 }
 
-bool Forwarder::IsClassInUse(int cls) const {
-  return std::any_of(held_.begin(), held_.end(),
-                     [cls](const auto& h) { return h.second.held.request.cls == cls; });
+bool Forwarder::IsClassInUse(int class_index) const {
+  return std::any_of(requests_.begin(), requests_.end(), [class_index](const auto& entry) {
+    return entry.second.client_request.request.cls == class_index;
+  });
 }
 
 void Forwarder::CancelRequest(RequestId id) {
-  const auto it = held_.find(id);
-  if (it == held_.end() || it->second.answered) return;
+  const auto it = requests_.find(id);
+  if (it == requests_.end() || it->second.answered) return;
   it->second.answered = true;
   it->second.client = nullptr;
-  loop_->deadlines().Drop(&it->second.backstop);
-  const auto out = it->second.attempts;
+  loop_->deadlines().Drop(&it->second.expiry_timer);
+  const auto attempts = it->second.attempts;
   if (link_ != nullptr) link_->OnRequestCancelled(id);
-  // Whether or not the planner may call attempts off: none begins for a client that has left.
-  for (const auto& [attempt, driver] : out) driver->CancelUnsent(id, attempt);
-  Forget(id);
+  // No attempt may start for a client that is gone, whether or not the planner may cancel attempts
+  // that have started.
+  for (const auto& [attempt, driver] : attempts) driver->CancelUnsent(id, attempt);
+  EraseIfFinished(id);
 }
 
-void Forwarder::Forget(RequestId id) {
-  const auto it = held_.find(id);
-  if (it != held_.end() && it->second.answered && it->second.attempts.empty()) held_.erase(it);
+void Forwarder::EraseIfFinished(RequestId id) {
+  const auto it = requests_.find(id);
+  if (it != requests_.end() && it->second.answered && it->second.attempts.empty())
+    requests_.erase(it);
 }
 
 WorkerDriver* Forwarder::DriverOf(const std::string& worker) const {
@@ -75,26 +81,26 @@
 }
 
 void Forwarder::Send(RequestId id, int attempt, const std::string& worker) {
-  const auto it = held_.find(id);
+  const auto it = requests_.find(id);
   WorkerDriver* driver = DriverOf(worker);
-  if (it == held_.end() || it->second.answered || driver == nullptr) {
+  if (it == requests_.end() || it->second.answered || driver == nullptr) {
     if (link_ != nullptr) link_->OnAttemptEnded(id, attempt, {.status = AttemptStatus::kNotSent});
     return;
   }
   it->second.attempts[attempt] = driver;
-  driver->Send(it->second.held, attempt, worker);
+  driver->Send(it->second.client_request, attempt, worker);
 }
 
 void Forwarder::Cancel(RequestId id, int attempt) {
-  const auto it = held_.find(id);
-  if (it == held_.end()) return;
-  const auto out = it->second.attempts.find(attempt);
-  if (out == it->second.attempts.end()) return;
-  WorkerDriver* driver = out->second;
-  it->second.attempts.erase(out);
+  const auto it = requests_.find(id);
+  if (it == requests_.end()) return;
+  const auto found = it->second.attempts.find(attempt);
+  if (found == it->second.attempts.end()) return;
+  WorkerDriver* driver = found->second;
+  it->second.attempts.erase(found);
   it->second.may_have_run = true;
   driver->Cancel(id, attempt);
-  Forget(id);
+  EraseIfFinished(id);
 }
 
 void Forwarder::Probe(const std::string& worker) {
@@ -103,20 +109,21 @@
 }
 
 void Forwarder::Answer(RequestId id, const FinalAnswer& answer) {
-  const auto it = held_.find(id);
-  if (it == held_.end() || it->second.answered) return;
-  Open& open = it->second;
-  open.answered = true;
-  loop_->deadlines().Drop(&open.backstop);
-  ResponseHandler* client = std::exchange(open.client, nullptr);
-  if (client != nullptr) client->Answer(open.held, answer, open.results[answer.attempt]);
-  open.results.clear();
-  Forget(id);
+  const auto it = requests_.find(id);
+  if (it == requests_.end() || it->second.answered) return;
+  PendingRequest& pending = it->second;
+  pending.answered = true;
+  loop_->deadlines().Drop(&pending.expiry_timer);
+  ResponseHandler* client = std::exchange(pending.client, nullptr);
+  if (client != nullptr)
+    client->Answer(pending.client_request, answer, pending.results[answer.attempt]);
+  pending.results.clear();
+  EraseIfFinished(id);
 }
 
 void Forwarder::OnAttemptStarted(RequestId id, int attempt) {
-  const auto it = held_.find(id);
-  if (it == held_.end() || !it->second.attempts.contains(attempt)) return;
+  const auto it = requests_.find(id);
+  if (it == requests_.end() || !it->second.attempts.contains(attempt)) return;
   it->second.may_have_run = true;
   if (it->second.client != nullptr) it->second.client->OnAttemptStarted(id);
   if (link_ != nullptr) link_->OnAttemptStarted(id, attempt);
@@ -124,14 +131,14 @@
 
 void Forwarder::OnAttemptEnded(RequestId id, int attempt, const Outcome& outcome,
                                std::string result) {
-  const auto it = held_.find(id);
-  if (it == held_.end() || it->second.attempts.erase(attempt) == 0) return;
+  const auto it = requests_.find(id);
+  if (it == requests_.end() || it->second.attempts.erase(attempt) == 0) return;
   if (!NeverRan(outcome.status)) it->second.may_have_run = true;
   if (outcome.status == AttemptStatus::kSucceeded && !it->second.answered) {
     it->second.results[attempt] = std::move(result);
   }
   if (link_ != nullptr) link_->OnAttemptEnded(id, attempt, outcome);
-  Forget(id);
+  EraseIfFinished(id);
 }
 
 void Forwarder::OnProbeAnswered(const std::string& worker, const Outcome& outcome) {
@@ -141,22 +148,21 @@
 void Forwarder::OnPlannerLost() {
   link_ = nullptr;
   std::vector<RequestId> ids;
-  for (const auto& [id, open] : held_) ids.push_back(id);
+  for (const auto& [id, pending] : requests_) ids.push_back(id);
   std::sort(ids.begin(), ids.end());
   for (const RequestId id : ids) Abandon(id);
 }
 
-// Without the planner's word: what was never sent is refused, what may have run fails.
 void Forwarder::Abandon(RequestId id) {
-  const auto it = held_.find(id);
-  if (it == held_.end()) return;
+  const auto it = requests_.find(id);
+  if (it == requests_.end()) return;
   const bool ran = it->second.may_have_run || !it->second.attempts.empty();
   for (const auto& [attempt, driver] : std::exchange(it->second.attempts, {})) {
     driver->Cancel(id, attempt);
   }
   using Kind = FinalAnswer::Kind;
   Answer(id, {.kind = ran ? Kind::kFailed : Kind::kRejected, .retry_after_s = ran ? 0.0 : 0.5});
-  Forget(id);
+  EraseIfFinished(id);
 }
 
 }  // namespace millethollow
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -157,7 +157,7 @@
 void Node::CheckStopped() {
   // With the process that replaces this one at the same address, idle connections may stay.
   if (front_ && !(hot_restart_ && hot_restart_->leaving())) front_->CloseIdle();
-  const bool done = forwarder_ ? forwarder_->open() == 0 && front_->connections() == 0
+  const bool done = forwarder_ ? forwarder_->pending_requests() == 0 && front_->connections() == 0
                                : planner_->open_requests() == 0;
   const bool handed_over = !hot_restart_ || hot_restart_->Flushed();
   const bool flushed =
