--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -366,7 +366,7 @@
   if (call == old_.get()) return Drop(call);
   overdue_from_ = kNever;
   Lost(call, "silent");
-  CallIn(pace_.DelayAfterSilence(Unit()));
+  CallIn(pace_.DelayAfterTimeout(Unit()));
   hooks_.on_unavailable();
 }
 
--- a/src/net/poll_backoff.h
+++ b/src/net/poll_backoff.h
@@ -1,5 +1,8 @@
-// When a node of a large tier calls discovery next, and when a new process may take requests.
-// Decides only: no I/O, no clock; random numbers come from the caller.
+// Backoff with jitter for polling discovery from a large tier, and the gate that holds back
+// requests until a new process has its first endpoint list.
+//
+// Pure decisions without I/O or a clock of their own; the caller passes in the time and random
+// numbers. Not synchronized.
 #ifndef MILLETHOLLOW_NET_POLL_BACKOFF_H_
 #define MILLETHOLLOW_NET_POLL_BACKOFF_H_
 
@@ -7,82 +10,101 @@
 
 namespace millethollow {
 
-// Discovery serves one call after the other and fails those that have waited too long (some
-// seconds), or that find too many before them. A call that follows an answer at once lets the watch
-// go on, which costs discovery next to nothing; a later one begins a new watch, and waits in turn.
-// In a tier of 32 nodes new watches after each change kept discovery so busy that a node's calls
-// were turned away eight times in a row. So the watch goes on at once, until discovery turns such a
-// call away: then the calls after answers are spread too, until they no longer fail.
+// Computes the delay, in seconds, before a node's next poll of discovery.
+//
+// Discovery serves polls one at a time; it fails those that have been queued for too long (some
+// seconds) or that arrive while its queue is full. A poll that follows an answer immediately
+// continues the node's watch, which costs discovery almost nothing; a later poll starts a new watch
+// and has to queue. In a tier of 32 nodes, new watches after each change kept discovery so busy
+// that a node's polls were rejected eight times in a row. So a watch is continued immediately until
+// discovery rejects such a poll; from then on polls after answers are spread over a window as well,
+// until they succeed again.
 //
-// After a call that failed, a change counts as told 6 s after discovery had it, and a node may send
-// to a server that is to end for the drain grace longer: of a failed call, the wait after it, and
-// one more call, the sum has to stay below that. So waits after failures are bounded.
+// The delay after a failure is bounded. After a failed poll, a change counts as delivered to the
+// node 6 s after discovery had it, and the node may send to a draining server for the drain grace
+// longer. A failed poll, the delay after it and one more poll have to take less than that in total.
 class PollBackoff {
  public:
+  // `nodes` is the number of nodes that poll the same discovery.
   explicit PollBackoff(int nodes)
-      : start_(std::min(kMaxStartS, kStartSpreadS * nodes)),
-        min_window_(std::min(kMaxSpreadS, kSpreadS * nodes)),
-        window_(min_window_) {}
+      : startup_window_s_(std::min(kMaxStartupWindowS, kStartupWindowPerNodeS * nodes)),
+        min_window_s_(std::min(kMaxMinWindowS, kWindowPerNodeS * nodes)),
+        window_s_(min_window_s_) {}
 
-  // The wait before the next call; `unit` is random, from 0 to 1.
-  double InitialDelay(double unit) const { return start_ * unit; }
-  // 0: at once, so that the watch goes on.
-  double DelayAfterAnswer(double unit) {
-    waited_ = 0;
-    window_ = std::max(min_window_, std::min(kMaxAnsweredS, window_ * kNarrower));
-    if (!refused_) return 0;
-    refused_ = window_ > min_window_;
-    return window_ * (kSure + (1 - kSure) * unit);
+  // Before the first poll of a process. `random` is uniform in [0, 1], here and below.
+  double InitialDelay(double random) const { return startup_window_s_ * random; }
+  // After an answer. 0 means to poll immediately, which continues the watch.
+  double DelayAfterAnswer(double random) {
+    waited_s_ = 0;
+    window_s_ = std::max(min_window_s_, std::min(kMaxAnswerWindowS, window_s_ * kWindowDecay));
+    if (!spread_polls_) return 0;
+    spread_polls_ = window_s_ > min_window_s_;
+    return window_s_ * (kMinAnswerShare + (1 - kMinAnswerShare) * random);
+  }
+  // A poll that followed an answer immediately was rejected: discovery is overloaded.
+  void OnImmediatePollRejected() { spread_polls_ = true; }
+  // After a failed poll: exponential backoff with jitter, which starts over with the next answer.
+  double DelayAfterFailure(double random) {
+    const bool first_failure = waited_s_ == 0;
+    // After failures for this long, discovery may be too overloaded to answer anyone. It recovers
+    // only once fewer nodes poll, so the window grows.
+    window_s_ = first_failure ? kFirstRetryWindowS
+                : waited_s_ < kMaxSteadyRetriesS
+                    ? kRetryWindowS
+                    : std::min(kRetryWindowGrowth * window_s_, kMaxRetryWindowS);
+    const double wait_s = window_s_ * (kMinRetryShare + (1 - kMinRetryShare) * random);
+    waited_s_ += wait_s;
+    return wait_s;
   }
-  // A call that followed an answer at once was turned away: discovery bears no such calls now.
-  void OnImmediatePollRejected() { refused_ = true; }
-  double DelayAfterFailure(double unit) {
-    const bool first = waited_ == 0;
-    // Overbooked for so long, discovery may answer nobody: it comes back only once fewer call.
-    window_ = first                 ? kFirstS
-              : waited_ < kHopefulS ? kNextS
-                                    : std::min(kWider * window_, kMaxFailedS);
-    const double wait = window_ * (kSoonest + (1 - kSoonest) * unit);
-    waited_ += wait;
-    return wait;
+  // After a long poll that timed out. That does not indicate overload, and the changes it should
+  // have returned are overdue, so the delay is short.
+  double DelayAfterTimeout(double random) const {
+    return std::min(min_window_s_, kMaxTimeoutWindowS) * random;
   }
-  // A watch that fell silent says nothing of how busy discovery is, and what it missed is overdue.
-  double DelayAfterSilence(double unit) const { return std::min(min_window_, kSilenceS) * unit; }
 
  private:
-  // For each node of the tier: after an answer, and where all may have been started at once and
-  // none knows what discovery bears.
-  static constexpr double kSpreadS = 0.03, kStartSpreadS = 0.045;
-  static constexpr double kMaxSpreadS = 1.3, kMaxStartS = 2.8;
-  static constexpr double kSure = 0.6;  // of a wait after an answer: it bounds the pace
-  static constexpr double kFirstS = 2.0, kNextS = 4.0, kWider = 3.0,
-                          kMaxFailedS = 20.0;   // after failures
-  static constexpr double kHopefulS = 10.0;     // of waits after failures, without an answer
-  static constexpr double kMaxAnsweredS = 7.0;  // well within the time that a list may be kept
-  static constexpr double kNarrower = 0.4;
-  static constexpr double kSoonest = 0.25;  // of the window: a queue that is full must drain first
-  static constexpr double kSilenceS = 0.8;
+  // Windows per node of the tier: after an answer, and at startup, when all nodes may start at the
+  // same time and none knows the load of discovery.
+  static constexpr double kWindowPerNodeS = 0.03, kStartupWindowPerNodeS = 0.045;
+  static constexpr double kMaxMinWindowS = 1.3, kMaxStartupWindowS = 2.8;
+  // Smallest delay after an answer, as a share of the window: bounds the rate of polls.
+  static constexpr double kMinAnswerShare = 0.6;
+  // Windows after the first failure and after further ones.
+  static constexpr double kFirstRetryWindowS = 2.0, kRetryWindowS = 4.0;
+  // Once the delays after failures add up to this, the window grows by the factor, up to the
+  // maximum.
+  static constexpr double kMaxSteadyRetriesS = 10.0, kRetryWindowGrowth = 3.0,
+                          kMaxRetryWindowS = 20.0;
+  // Well within the time for which a list may be used without polling.
+  static constexpr double kMaxAnswerWindowS = 7.0;
+  // Factor by which each answer shrinks the window.
+  static constexpr double kWindowDecay = 0.4;
+  // Smallest delay after a failure, as a share of the window: a full queue has to drain first.
+  static constexpr double kMinRetryShare = 0.25;
+  static constexpr double kMaxTimeoutWindowS = 0.8;
 
-  double start_, min_window_, window_;
-  bool refused_ = false;
-  double waited_ = 0;  // in all, after failures since the last answer
+  double startup_window_s_, min_window_s_, window_s_;
+  bool spread_polls_ = false;  // an immediate poll was rejected
+  double waited_s_ = 0;        // sum of the delays after failures since the last answer
 };
 
-// A process that has not heard the list is held to what discovery has all the same, from its first
-// moment: what it last knew may name servers that ended long ago. So it takes no request before its
-// first list, unless there is none to be had.
+// Decides when a new process may take requests. The process is bound by discovery's current list
+// from its start, and the list it was configured with may name servers that terminated long ago. So
+// it takes no request before it has received its first list, unless discovery is unavailable. Times
+// are in seconds on the caller's clock.
 class InitialListGate {
  public:
-  // In a large tier a call that fails says little: discovery may have too many callers just then.
+  // In a large tier a failed poll does not open the gate: discovery may be overloaded for a moment.
   InitialListGate(bool large_tier, double started_at)
       : large_tier_(large_tier), deadline_(started_at + kMaxWaitS) {}
   void OnList() { ready_ = true; }
   void OnPollFailed() { ready_ |= !large_tier_; }
   bool Ready(double now) const { return ready_ || now >= deadline_; }
+  // The time from which the gate is open in any case.
   double deadline() const { return deadline_; }
 
  private:
-  static constexpr double kMaxWaitS = 7.0;  // nine in ten are to be ready within 10 s
+  static constexpr double kMaxWaitS = 7.0;  // 90% of the processes have to be ready within 10 s
   bool large_tier_, ready_ = false;
   double deadline_;
 };
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -90,7 +90,7 @@
       EXPECT_LT(kPatienceS + wait + 1.5, kToldS + kGraceS) << nodes;
       waited += kPatienceS + wait;
     }
-    EXPECT_LT(pace.DelayAfterSilence(1.0), 1.0);
+    EXPECT_LT(pace.DelayAfterTimeout(1.0), 1.0);
   }
 }
 
