--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -16,48 +16,53 @@
 namespace {
 
 constexpr std::size_t kMaxListBytes = 4 * 1024 * 1024;
-constexpr double kConnectS = 1.0;
-constexpr double kCallS = 4.0;  // a call that does not wait is given up after this
-// What a watch had to tell counts as told this long after its wait: silence may not last longer.
-constexpr double kPastWaitS = 1.5;
-// Of one watch. A watch that falls silent is noticed only kPastWaitS after its wait, and until then
-// all that changes goes unheard: short waits cost discovery little and keep that short too.
-constexpr double kMaxWaitS = 3;
-// Discovery works through calls one after the other. Of a tier of this many nodes short watches
-// alone keep it busy, and each change ends all watches at once: most calls then waited until they
-// failed, and the nodes went on sending to workers long gone. Many nodes watch for longer, spread
-// their calls, and keep away for longer after one that failed.
-constexpr int kCrowd = 6;
-constexpr double kCrowdWaitS = 12;
-constexpr double kCrowdWaitSpread = 0.3;  // of it: watches that fell silent together end apart
-// A watch that ends at once with nothing new: the next comes a little later, else a discovery that
-// does not wait is called without end. Sooner than 200 ms, within which a watch goes on.
-constexpr double kNoNewsS = 0.1;
-// Of the drain grace after a list, when nothing may be sent by it until the next call's answer. The
-// rest is for what the send itself takes.
+constexpr double kConnectTimeoutS = 1.0;
+constexpr double kPollTimeoutS = 4.0;  // timeout of a poll that discovery may not hold
+// A long poll times out this long after the time for which discovery may hold it: the changes that
+// it should have returned count as delivered by then.
+constexpr double kLongPollGraceS = 1.5;
+// Longest time for which discovery may hold a long poll. A long poll that is never answered is
+// noticed only kLongPollGraceS after it, and changes are missed until then. Short long polls
+// keep that time short and cost discovery little.
+constexpr double kMaxLongPollS = 3;
+// Discovery serves polls one at a time. With more nodes than this, short long polls alone
+// keep it busy, and each change ends all of them at once: most polls were then queued until
+// they failed, and the nodes kept sending to workers long gone. Nodes of larger tiers use longer
+// long polls, spread their polls over time, and back off for longer after a failure.
+constexpr int kSmallTierNodes = 6;
+constexpr double kLargeTierLongPollS = 12;
+// Jitter as a share of the long poll, so that long polls that time out together are not repeated
+// together.
+constexpr double kLongPollJitter = 0.3;
+// Delay after a long poll that was answered at once without a change, so that a discovery that does
+// not hold polls is not polled in a busy loop. Less than the 200 ms within which a poll continues
+// the watch.
+constexpr double kUnchangedDelayS = 0.1;
+// Share of the drain grace after a list for which requests may be sent by it without the answer to
+// the next poll. The rest is for the time that sending takes.
 constexpr double kOverdueShare = 0.95;
-// Sends wait no longer than this for a call that is to come: beyond, discovery bears so few calls
-// that requests would end while they wait.
-constexpr double kMaxHeldS = 1.0;
-// After a move: what the new address has to tell counts as told this long after it, and until then
-// a call that fails is soon tried again.
-constexpr double kMoveS = 4.0;
-constexpr double kMoveRetryS = 0.15;
+// Longest time for which requests are held back until the next poll. With longer delays discovery
+// is so overloaded that requests would expire while they are held.
+constexpr double kMaxSendHoldS = 1.0;
+// After a change of address: the changes known at the new address count as delivered this long
+// after it. Until then failed polls are retried quickly.
+constexpr double kAddressChangeS = 4.0;
+constexpr double kAddressChangeRetryS = 0.15;
 
 int IndexOf(const std::vector<std::string>& names, const Json& entry, const char* field) {
   const auto it = entry.find(field);
   if (it == entry.end()) return 0;
   if (it->is_number_integer()) return it->get<int>();
   if (!it->is_string()) return 0;
-  const auto at = std::find(names.begin(), names.end(), it->get_ref<const std::string&>());
-  return at == names.end() ? 0 : static_cast<int>(at - names.begin());
+  const auto position = std::find(names.begin(), names.end(), it->get_ref<const std::string&>());
+  return position == names.end() ? 0 : static_cast<int>(position - names.begin());
 }
 
-// Bounded, so that whatever stands there fits an integer.
-double Number(const Json& entry, const char* field, double otherwise) {
+// The field as a number, bounded so that any value fits an integer.
+double Number(const Json& entry, const char* field, double fallback) {
   constexpr double kMaxNumber = 1e15;
   const auto it = entry.find(field);
-  if (it == entry.end() || !it->is_number()) return otherwise;
+  if (it == entry.end() || !it->is_number()) return fallback;
   return std::clamp(it->get<double>(), -kMaxNumber, kMaxNumber);
 }
 
@@ -65,7 +70,7 @@
 
 std::vector<balancing::Endpoint> ServerList::Members() const {
   std::vector<balancing::Endpoint> members;
-  for (const ListEntry& e : entries) members.push_back(e.member);
+  for (const ListEntry& entry : entries) members.push_back(entry.member);
   return members;
 }
 
@@ -80,151 +85,156 @@
   list->version = static_cast<long long>(Number(object, "version", 0));
   const auto full = object.find("full");
   list->full = full != object.end() && full->is_boolean() && full->get<bool>();
-  for (const Json& s : *servers) {
-    if (!s.is_object() || !s.contains("id") || !s["id"].is_string()) continue;
+  for (const Json& server : *servers) {
+    if (!server.is_object() || !server.contains("id") || !server["id"].is_string()) continue;
     ListEntry entry;
-    entry.member.worker = s["id"].get<std::string>();
-    if (s.contains("addr") && s["addr"].is_string()) entry.address = s["addr"].get<std::string>();
-    entry.max_in_flight = static_cast<std::size_t>(std::clamp(Number(s, "max_out", 0), 0.0, 1e6));
-    const std::string state = s.contains("state") && s["state"].is_string()
-                                  ? s["state"].get<std::string>()
+    entry.member.worker = server["id"].get<std::string>();
+    if (server.contains("addr") && server["addr"].is_string())
+      entry.address = server["addr"].get<std::string>();
+    entry.max_in_flight =
+        static_cast<std::size_t>(std::clamp(Number(server, "max_out", 0), 0.0, 1e6));
+    const std::string state = server.contains("state") && server["state"].is_string()
+                                  ? server["state"].get<std::string>()
                                   : std::string("in_service");
-    // An unknown state is taken as draining: nothing new goes where we do not know better.
+    // A worker in an unknown state gets no new requests, as one that is draining.
     entry.member.readiness = state == "in_service"   ? Readiness::kReady
                              : state == "terminated" ? Readiness::kGone
                                                      : Readiness::kDraining;
-    entry.member.zone = IndexOf(zones, s, "zone");
-    entry.member.kind = IndexOf(kinds, s, "kind");
-    entry.member.cell = static_cast<int>(std::clamp(Number(s, "cell", 0), -1e9, 1e9));
-    entry.member.capacity_hint = Number(s, "weight", 1.0);
-    entry.member.slots = std::clamp(Number(s, "slots", 0), 0.0, 1e6);
-    entry.member.memory = std::clamp(Number(s, "memory", 0), 0.0, 1e12);
-    entry.member.started_at_s = Number(s, "started_ms", 0) / 1000;  // the loop's clock is Unix time
+    entry.member.zone = IndexOf(zones, server, "zone");
+    entry.member.kind = IndexOf(kinds, server, "kind");
+    entry.member.cell = static_cast<int>(std::clamp(Number(server, "cell", 0), -1e9, 1e9));
+    entry.member.capacity_hint = Number(server, "weight", 1.0);
+    entry.member.slots = std::clamp(Number(server, "slots", 0), 0.0, 1e6);
+    entry.member.memory = std::clamp(Number(server, "memory", 0), 0.0, 1e12);
+    entry.member.started_at_s =
+        Number(server, "started_ms", 0) / 1000;  // the loop's clock is Unix time
     list->entries.push_back(std::move(entry));
   }
   return true;
 }
 
-// One connection to discovery, with one call after the other on it.
-class DiscoveryCall final : public Connection {
+// A keep-alive connection to discovery that carries one poll at a time.
+class DiscoveryConnection final : public Connection {
  public:
-  DiscoveryCall(Discovery* owner, Loop* loop, bool whole)
-      : Connection(loop, "discovery"), owner_(owner), whole_(whole) {}
-  ~DiscoveryCall() override { loop_->deadlines().Drop(&limit_); }
+  DiscoveryConnection(Discovery* owner, Loop* loop, bool is_fetch)
+      : Connection(loop, "discovery"), owner_(owner), is_fetch_(is_fetch) {}
+  ~DiscoveryConnection() override { loop_->deadlines().Drop(&timeout_timer_); }
 
   bool Open(const std::string& address) {
     const auto parsed = ParseAddress(address);
     return parsed && Connect(*parsed);
   }
-  // `waits`: discovery may keep it until there is something to tell.
-  // `goes_on`: it follows an answer at once.
-  void Ask(const std::string& target, double limit_s, bool waits, bool goes_on) {
+  // `long_poll`: discovery may hold the poll until there is a change. `immediate`: the poll follows
+  // an answer immediately.
+  void SendPoll(const std::string& target, double timeout_s, bool long_poll, bool immediate) {
     parser_.Reset();
-    waits_ = waits;
-    goes_on_ = goes_on;
+    long_poll_ = long_poll;
+    immediate_ = immediate;
     busy_ = true;
-    asked_at_ = loop_->Now();
+    sent_at_ = loop_->Now();
     Write("GET " + target + " HTTP/1.1\r\nHost: discovery\r\n\r\n");
-    loop_->deadlines().Drop(&limit_);
-    limit_ = loop_->deadlines().At(asked_at_ + limit_s, [this] {
-      limit_ = Deadlines::kNone;
-      waits_ ? owner_->Silent(this) : owner_->Failed(this, "timeout", whole_);
+    loop_->deadlines().Drop(&timeout_timer_);
+    timeout_timer_ = loop_->deadlines().At(sent_at_ + timeout_s, [this] {
+      timeout_timer_ = Deadlines::kNone;
+      long_poll_ ? owner_->OnLongPollTimeout(this)
+                 : owner_->OnPollFailed(this, "timeout", is_fetch_);
     });
   }
   void Finish(const char* reason) { Close(reason); }
   bool busy() const { return busy_ && !closed(); }
-  bool waits() const { return waits_; }
-  bool goes_on() const { return goes_on_; }
-  double asked_at() const { return asked_at_; }
+  bool long_poll() const { return long_poll_; }
+  bool immediate() const { return immediate_; }
+  double sent_at() const { return sent_at_; }
 
  private:
   void OnRead() override {
     while (!closed() && !parser_.done()) {
       const std::string bytes = Peek(64 * 1024);
       if (bytes.empty()) return;
-      if (!busy_) return owner_->Failed(this, "unasked-data", whole_);
+      if (!busy_) return owner_->OnPollFailed(this, "unasked-data", is_fetch_);
       Consume(parser_.Feed(bytes));
-      if (parser_.error() != 0) return owner_->Failed(this, "nonsense", whole_);
+      if (parser_.error() != 0) return owner_->OnPollFailed(this, "nonsense", is_fetch_);
     }
     if (!closed()) Complete();
   }
   void Complete() {
     busy_ = false;
-    loop_->deadlines().Drop(&limit_);
-    const bool keep = parser_.head().keep_alive;
+    loop_->deadlines().Drop(&timeout_timer_);
+    const bool keep_alive = parser_.head().keep_alive;
     const std::string body = parser_.TakeBody();
     const int status = parser_.head().status;
-    if (!keep) Close("answered-last");
-    owner_->Answered(this, status, body, whole_);
+    if (!keep_alive) Close("answered-last");
+    owner_->OnAnswer(this, status, body, is_fetch_);
   }
   void OnEnd(const char* reason) override {
     if (busy_) {
       parser_.EndOfInput();
       if (parser_.done()) return Complete();
-      return owner_->Failed(this, reason, whole_);
+      return owner_->OnPollFailed(this, reason, is_fetch_);
     }
     Close(reason);
   }
 
   Discovery* owner_;
-  bool whole_, busy_ = false, waits_ = false, goes_on_ = false;
-  double asked_at_ = 0;
+  bool is_fetch_, busy_ = false, long_poll_ = false, immediate_ = false;
+  double sent_at_ = 0;
   http::Parser parser_{http::Parser::Side::kResponse, {.head = 16 * 1024, .body = kMaxListBytes}};
-  Deadlines::Ticket limit_ = Deadlines::kNone;
+  Deadlines::Ticket timeout_timer_ = Deadlines::kNone;
 };
 
 Discovery::Discovery(Loop* loop, Options options, Hooks hooks)
     : loop_(loop),
       options_(std::move(options)),
       hooks_(std::move(hooks)),
-      pace_(options_.nodes),
-      jitter_(options_.seed | 1) {}
+      backoff_(options_.nodes),
+      random_state_(options_.seed | 1) {}
 Discovery::~Discovery() {
-  loop_->deadlines().Drop(&retry_);
-  loop_->deadlines().Drop(&settle_);
+  loop_->deadlines().Drop(&poll_timer_);
+  loop_->deadlines().Drop(&refetch_timer_);
 }
 
 void Discovery::SetAddress(const std::string& address) {
   if (stopped_ || address == options_.address) return;
   options_.address = address;
   LogLine(Level::kInfo) << "discovery moved to " << address;
-  if (old_ != nullptr) Drop(old_.get());
-  old_ = std::move(watch_);
-  if (old_ != nullptr && !old_->busy()) Drop(old_.get());
+  if (old_address_watch_ != nullptr) Drop(old_address_watch_.get());
+  old_address_watch_ = std::move(watch_);
+  if (old_address_watch_ != nullptr && !old_address_watch_->busy()) Drop(old_address_watch_.get());
   if (fetch_ != nullptr) Drop(fetch_.get());
-  loop_->deadlines().Drop(&retry_);
-  loop_->deadlines().Drop(&settle_);
-  failures_ = 0;
+  loop_->deadlines().Drop(&poll_timer_);
+  loop_->deadlines().Drop(&refetch_timer_);
+  consecutive_failures_ = 0;
   version_ = 0;
-  unread_ = true;
-  moved_at_ = loop_->Now();
+  awaiting_first_list_ = true;
+  address_changed_at_ = loop_->Now();
   watching_ = true;
-  Ask(false, 0);
+  SendPoll(false, 0);
 }
 
 bool Discovery::IsOverdue() const { return loop_->Now() >= overdue_from_; }
 
-bool Discovery::IsLargeTier() const { return options_.nodes > kCrowd; }
+bool Discovery::IsLargeTier() const { return options_.nodes > kSmallTierNodes; }
 
-double Discovery::WaitS() {
+double Discovery::LongPollS() {
   if (IsLargeTier()) {
-    const double max_wait_s = std::min(kCrowdWaitS, kMaxWaitS * options_.nodes / kCrowd);
-    return max_wait_s * (1 - kCrowdWaitSpread * Unit());
+    const double max_wait_s =
+        std::min(kLargeTierLongPollS, kMaxLongPollS * options_.nodes / kSmallTierNodes);
+    return max_wait_s * (1 - kLongPollJitter * RandomUnit());
   }
-  return std::min(kMaxWaitS, std::max(1.0, options_.max_poll_interval_s * 0.8));
+  return std::min(kMaxLongPollS, std::max(1.0, options_.max_poll_interval_s * 0.8));
 }
 
-double Discovery::Unit() {
-  jitter_ = jitter_ * 6364136223846793005ULL + 1442695040888963407ULL;
-  return static_cast<double>(jitter_ >> 40) / static_cast<double>(1 << 24);
+double Discovery::RandomUnit() {
+  random_state_ = random_state_ * 6364136223846793005ULL + 1442695040888963407ULL;
+  return static_cast<double>(random_state_ >> 40) / static_cast<double>(1 << 24);
 }
 
-// Once `wait_s` have passed; `waits`: discovery may keep the call.
-void Discovery::CallIn(double wait_s, bool waits) {
-  loop_->deadlines().Drop(&retry_);
-  retry_ = loop_->deadlines().At(loop_->Now() + wait_s, [this, waits] {
-    retry_ = Deadlines::kNone;
-    if (watching_ && !stopped_) Ask(false, waits ? WaitS() : 0);
+// Polls after `wait_s` seconds; `long_poll` makes it a long poll.
+void Discovery::SchedulePoll(double wait_s, bool long_poll) {
+  loop_->deadlines().Drop(&poll_timer_);
+  poll_timer_ = loop_->deadlines().At(loop_->Now() + wait_s, [this, long_poll] {
+    poll_timer_ = Deadlines::kNone;
+    if (watching_ && !stopped_) SendPoll(false, long_poll ? LongPollS() : 0);
   });
 }
 
@@ -235,181 +245,193 @@
     if (watch_ != nullptr) Drop(watch_.get());
     return;
   }
-  if (watching_) return;  // the watch is still out: what it has to tell will come
+  if (watching_) return;  // the current poll will return the changes
   watching_ = true;
-  loop_->deadlines().Drop(&retry_);
-  if (IsLargeTier() && loop_->Now() - moved_at_ >= kMoveS)
-    return CallIn(pace_.InitialDelay(Unit()));
-  // The first call does not wait: it says what was missed, and that discovery is there.
-  Ask(false, 0);
+  loop_->deadlines().Drop(&poll_timer_);
+  if (IsLargeTier() && loop_->Now() - address_changed_at_ >= kAddressChangeS)
+    return SchedulePoll(backoff_.InitialDelay(RandomUnit()));
+  // The first poll is no long poll: it returns the changes so far and shows that discovery is up.
+  SendPoll(false, 0);
 }
 
 void Discovery::Fetch() {
-  if (!stopped_ && fetch_ == nullptr) Ask(true, 0);
+  if (!stopped_ && fetch_ == nullptr) SendPoll(true, 0);
 }
 
 void Discovery::Stop() {
   stopped_ = true;
-  loop_->deadlines().Drop(&retry_);
-  loop_->deadlines().Drop(&settle_);
-  if (old_ != nullptr) Drop(old_.get());
+  loop_->deadlines().Drop(&poll_timer_);
+  loop_->deadlines().Drop(&refetch_timer_);
+  if (old_address_watch_ != nullptr) Drop(old_address_watch_.get());
   if (watch_ != nullptr) Drop(watch_.get());
   if (fetch_ != nullptr) Drop(fetch_.get());
 }
 
-void Discovery::Ask(bool whole, double wait_s, bool goes_on) {
-  auto& call = whole ? fetch_ : watch_;
-  if (call == nullptr || call->closed()) {
-    if (call != nullptr) Drop(call.get());
-    call = std::make_unique<DiscoveryCall>(this, loop_, whole);
-    if (!call->Open(options_.address)) return Failed(call.get(), "no-connection", whole);
+void Discovery::SendPoll(bool is_fetch, double wait_s, bool immediate) {
+  auto& connection = is_fetch ? fetch_ : watch_;
+  if (connection == nullptr || connection->closed()) {
+    if (connection != nullptr) Drop(connection.get());
+    connection = std::make_unique<DiscoveryConnection>(this, loop_, is_fetch);
+    if (!connection->Open(options_.address))
+      return OnPollFailed(connection.get(), "no-connection", is_fetch);
   }
   const auto wait_ms = static_cast<long long>(wait_s * 1000);
-  call->Ask(whole || unread_ ? "/catalog/members"
-                             : "/catalog/members?after=" + std::to_string(version_) +
-                                   "&wait_ms=" + std::to_string(wait_ms),
-            wait_s > 0 ? wait_s + kPastWaitS : kCallS, wait_s > 0, goes_on);
+  connection->SendPoll(
+      is_fetch || awaiting_first_list_ ? "/catalog/members"
+                                       : "/catalog/members?after=" + std::to_string(version_) +
+                                             "&wait_ms=" + std::to_string(wait_ms),
+      wait_s > 0 ? wait_s + kLongPollGraceS : kPollTimeoutS, wait_s > 0, immediate);
 }
 
-void Discovery::Answered(DiscoveryCall* call, int status, const std::string& body, bool whole) {
-  if (call == old_.get()) {
+void Discovery::OnAnswer(DiscoveryConnection* connection, int status, const std::string& body,
+                         bool is_fetch) {
+  if (connection == old_address_watch_.get()) {
     if (status == 200) OnOldAddressAnswer(body);
-    return Drop(call);
+    return Drop(connection);
   }
   ServerList list;
   std::string error;
   if (status != 200 || !ReadServerList(body, options_.zones, options_.kinds, &list, &error)) {
-    return Failed(call, status != 200 ? "status" : error.c_str(), whole);
+    return OnPollFailed(connection, status != 200 ? "status" : error.c_str(), is_fetch);
   }
-  failures_ = 0;
-  if (whole && list.version > 0 && list.version < version_) {
-    // It was written before what the watch has told meanwhile: who ended since is no server again.
-    Drop(call);
-    loop_->deadlines().Drop(&settle_);
-    settle_ = loop_->deadlines().At(loop_->Now() + kNoNewsS, [this] {
-      settle_ = Deadlines::kNone;
+  consecutive_failures_ = 0;
+  if (is_fetch && list.version > 0 && list.version < version_) {
+    // The watch has returned newer changes than this snapshot, which would bring back workers that
+    // have terminated since. Fetch again.
+    Drop(connection);
+    loop_->deadlines().Drop(&refetch_timer_);
+    refetch_timer_ = loop_->deadlines().At(loop_->Now() + kUnchangedDelayS, [this] {
+      refetch_timer_ = Deadlines::kNone;
       Fetch();
     });
     return;
   }
-  if (std::exchange(unread_, false)) KeepDown(&list);
-  RememberDown(list);
-  if (whole) {
-    Drop(call);
+  if (std::exchange(awaiting_first_list_, false)) KeepUnavailable(&list);
+  RecordUnavailable(list);
+  if (is_fetch) {
+    Drop(connection);
   } else if (watching_) {
-    const bool news = list.version > version_;
-    const bool soon = loop_->Now() - call->asked_at() < kNoNewsS;
+    const bool changed = list.version > version_;
+    const bool answered_at_once = loop_->Now() - connection->sent_at() < kUnchangedDelayS;
     if (list.version > 0) version_ = list.version;
     overdue_from_ = kNever;
-    const double spread_s = IsLargeTier() ? pace_.DelayAfterAnswer(Unit()) : 0;
-    if (news && spread_s > 0) {
-      // What changed right after the answer counts as told, since the watch might have gone on.
+    const double delay_s = IsLargeTier() ? backoff_.DelayAfterAnswer(RandomUnit()) : 0;
+    if (changed && delay_s > 0) {
+      // A change right after the answer counts as delivered, since the watch could have continued.
       const double max_delay_s = kOverdueShare * options_.drain_grace_s;
-      if (spread_s < max_delay_s + kMaxHeldS) overdue_from_ = loop_->Now() + max_delay_s;
-      CallIn(spread_s);
-    } else if (!news && call->waits() && soon) {
-      CallIn(kNoNewsS, true);
-    } else {  // at once, on the same connection: a later call would begin a new watch
-      Ask(false, WaitS(), true);
+      if (delay_s < max_delay_s + kMaxSendHoldS) overdue_from_ = loop_->Now() + max_delay_s;
+      SchedulePoll(delay_s);
+    } else if (!changed && connection->long_poll() && answered_at_once) {
+      SchedulePoll(kUnchangedDelayS, true);
+    } else {  // immediately, on the same connection: a later poll would start a new watch
+      SendPoll(false, LongPollS(), true);
     }
   }
   if (list.version > 0) version_ = std::max(version_, list.version);
   hooks_.on_list(list.full ? EndpointListKind::kSnapshot : EndpointListKind::kIncremental, list);
 }
 
-// From here on the new address has the last word on who is in service. But a drain that only the
-// old one told has been told to us all the same, and counts.
+// The new address is now authoritative for which workers are in service. But a drain that only the
+// old address reported has been delivered to this node and must be honoured.
 void Discovery::OnOldAddressAnswer(const std::string& body) {
   ServerList list;
   std::string error;
   if (!ReadServerList(body, options_.zones, options_.kinds, &list, &error)) return;
   std::erase_if(list.entries,
-                [](const ListEntry& e) { return e.member.readiness == Readiness::kReady; });
+                [](const ListEntry& entry) { return entry.member.readiness == Readiness::kReady; });
   if (list.entries.empty()) return;
-  RememberDown(list);
+  RecordUnavailable(list);
   hooks_.on_list(EndpointListKind::kIncremental, list);
 }
 
-// The first list of a new address may be older than what the old one told: nobody is back in
-// service by it without a new start. Once all counts as told, the whole list is asked for again
-// and believed.
-void Discovery::KeepDown(ServerList* list) {
-  bool kept = false;
-  for (ListEntry& e : list->entries) {
-    const auto it = down_.find(e.member.worker);
-    if (it == down_.end() || e.member.started_at_s > it->second) continue;
-    if (e.member.readiness != Readiness::kReady) continue;
-    e.member.readiness = Readiness::kDraining;
-    kept = true;
+// The first list of a new address may be older than the last one of the old address, so a worker
+// that was draining or gone returns to service by it only with a later start time. Once all changes
+// count as delivered, the complete list is fetched again and used as it is.
+void Discovery::KeepUnavailable(ServerList* list) {
+  bool any_changed = false;
+  for (ListEntry& entry : list->entries) {
+    const auto it = unavailable_.find(entry.member.worker);
+    if (it == unavailable_.end() || entry.member.started_at_s > it->second) continue;
+    if (entry.member.readiness != Readiness::kReady) continue;
+    entry.member.readiness = Readiness::kDraining;
+    any_changed = true;
   }
-  if (!kept) return;
-  settle_ = loop_->deadlines().At(moved_at_ + kMoveS, [this] {
-    settle_ = Deadlines::kNone;
+  if (!any_changed) return;
+  refetch_timer_ = loop_->deadlines().At(address_changed_at_ + kAddressChangeS, [this] {
+    refetch_timer_ = Deadlines::kNone;
     Fetch();
   });
 }
 
-void Discovery::RememberDown(const ServerList& list) {
-  if (list.full) down_.clear();
-  for (const ListEntry& e : list.entries) {
-    if (e.member.readiness == Readiness::kReady) {
-      down_.erase(e.member.worker);
+void Discovery::RecordUnavailable(const ServerList& list) {
+  if (list.full) unavailable_.clear();
+  for (const ListEntry& entry : list.entries) {
+    if (entry.member.readiness == Readiness::kReady) {
+      unavailable_.erase(entry.member.worker);
     } else {
-      down_[e.member.worker] = e.member.started_at_s;
+      unavailable_[entry.member.worker] = entry.member.started_at_s;
     }
   }
 }
 
-// A watch that nobody answered though its wait is over: what it missed is overdue, and a call on a
-// new connection brings it.
-void Discovery::Silent(DiscoveryCall* call) {
-  if (call == old_.get()) return Drop(call);
+// A long poll was not answered in time. The changes that it should have returned are overdue; a
+// poll on a new connection returns them.
+void Discovery::OnLongPollTimeout(DiscoveryConnection* connection) {
+  if (connection == old_address_watch_.get()) return Drop(connection);
   overdue_from_ = kNever;
-  Lost(call, "silent");
-  CallIn(pace_.DelayAfterTimeout(Unit()));
+  DropFailed(connection, "silent");
+  SchedulePoll(backoff_.DelayAfterTimeout(RandomUnit()));
   hooks_.on_unavailable();
 }
 
-void Discovery::Lost(DiscoveryCall* call, const char* reason) {
-  LogLine(Level::kWarn) << "discovery call failed: " << reason;
-  Drop(call);
+void Discovery::DropFailed(DiscoveryConnection* connection, const char* reason) {
+  LogLine(Level::kWarn) << "poll of discovery failed: " << reason;
+  Drop(connection);
 }
 
-void Discovery::Failed(DiscoveryCall* call, const char* reason, bool whole) {
-  if (call == old_.get()) return Drop(call);  // it was to end
-  if (!whole) overdue_from_ = kNever;
-  // One that has lasted for longer was a watch, and has ended with discovery or its connection.
-  const bool refused = call->goes_on() && loop_->Now() - call->asked_at() < kCallS;
-  Lost(call, reason);
-  if (!whole && IsLargeTier() && loop_->Now() - moved_at_ >= kMoveS) {
-    if (refused) pace_.OnImmediatePollRejected();
-    CallIn(pace_.DelayAfterFailure(Unit()));  // whatever the module asks meanwhile, no sooner
-  } else if (!whole) {
+void Discovery::OnPollFailed(DiscoveryConnection* connection, const char* reason, bool is_fetch) {
+  if (connection == old_address_watch_.get())
+    return Drop(connection);  // it was about to be dropped anyway
+  if (!is_fetch) overdue_from_ = kNever;
+  // A poll that was open for longer was held by discovery, and so failed with its connection
+  // instead of being rejected.
+  const bool rejected =
+      connection->immediate() && loop_->Now() - connection->sent_at() < kPollTimeoutS;
+  DropFailed(connection, reason);
+  if (!is_fetch && IsLargeTier() && loop_->Now() - address_changed_at_ >= kAddressChangeS) {
+    if (rejected) backoff_.OnImmediatePollRejected();
+    SchedulePoll(
+        backoff_.DelayAfterFailure(RandomUnit()));  // also if the planner subscribes earlier
+  } else if (!is_fetch) {
     watching_ = false;
-    failures_ = std::min(failures_ + 1, 5);
-    // The module asks again in its own time; should it not, we do, later each time, and always
-    // within the time that the list may be left unasked.
-    const double unit = Unit();
+    consecutive_failures_ = std::min(consecutive_failures_ + 1, 5);
+    // The planner is expected to subscribe again. If it does not, this does so with exponential
+    // backoff and jitter, always within the time that the list may go without a poll.
+    const double random = RandomUnit();
     const double max_wait_s = 0.4 * options_.max_poll_interval_s;
-    double wait = std::min(max_wait_s, 0.5 * (1 << failures_)) * (0.75 + 0.5 * unit) +
-                  0.1 * options_.max_poll_interval_s;
-    if (loop_->Now() - moved_at_ < kMoveS) wait = kMoveRetryS * (0.75 + 0.5 * unit);
-    loop_->deadlines().Drop(&retry_);
-    retry_ = loop_->deadlines().At(loop_->Now() + wait, [this] {
-      retry_ = Deadlines::kNone;
+    double wait_s =
+        std::min(max_wait_s, 0.5 * (1 << consecutive_failures_)) * (0.75 + 0.5 * random) +
+        0.1 * options_.max_poll_interval_s;
+    if (loop_->Now() - address_changed_at_ < kAddressChangeS)
+      wait_s = kAddressChangeRetryS * (0.75 + 0.5 * random);
+    loop_->deadlines().Drop(&poll_timer_);
+    poll_timer_ = loop_->deadlines().At(loop_->Now() + wait_s, [this] {
+      poll_timer_ = Deadlines::kNone;
       Subscribe(true);
     });
   }
   hooks_.on_unavailable();
 }
 
-void Discovery::Drop(DiscoveryCall* call) {
-  auto& slot = watch_.get() == call ? watch_ : old_.get() == call ? old_ : fetch_;
-  if (slot.get() != call) return;
-  call->Finish("done");
-  // Its callback may be on the stack: destroyed at the turn's end.
-  std::shared_ptr<DiscoveryCall> old(std::move(slot));
-  loop_->Defer([old] {});
+void Discovery::Drop(DiscoveryConnection* connection) {
+  auto& slot = watch_.get() == connection               ? watch_
+               : old_address_watch_.get() == connection ? old_address_watch_
+                                                        : fetch_;
+  if (slot.get() != connection) return;
+  connection->Finish("done");
+  // One of its callbacks may be on the stack, so it is destroyed at the end of the turn.
+  std::shared_ptr<DiscoveryConnection> dropped(std::move(slot));
+  loop_->Defer([dropped] {});
 }
 
 }  // namespace millethollow
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -1,4 +1,7 @@
-// The client of discovery: fetches and watches the list, and turns it into members.
+// The client of discovery: fetches and watches the list of workers over HTTP/1.1 and converts it
+// into endpoints for the planner.
+//
+// Everything here runs on the thread of the event loop.
 #ifndef MILLETHOLLOW_NET_DISCOVERY_H_
 #define MILLETHOLLOW_NET_DISCOVERY_H_
 
@@ -15,85 +18,106 @@
 
 namespace millethollow {
 
+// One worker of a list.
 struct ListEntry {
   balancing::Endpoint member;
   std::string address;
-  std::size_t max_in_flight = 0;  // requests out at once that it may have of a forwarder; 0: any
+  std::size_t max_in_flight = 0;  // concurrent requests per forwarder; 0: unlimited
 };
 
+// A list as discovery sends it: either all workers, or those that changed since another version.
 struct ServerList {
   long long version = 0;
-  bool full = false;
+  bool full = false;  // whether it names all workers
   std::vector<ListEntry> entries;
   std::vector<balancing::Endpoint> Members() const;
 };
 
-// Reads a list in discovery's form. False, with `error`, where the whole is unusable; single bad
-// entries are left out.
+// Parses a list in discovery's JSON format; `zones` and `kinds` are the configured names that
+// become indexes. False, with `error`, if the list as a whole is unusable; single invalid
+// entries are skipped.
 bool ReadServerList(std::string_view text, const std::vector<std::string>& zones,
                     const std::vector<std::string>& kinds, ServerList* list, std::string* error);
 
-class DiscoveryCall;
+class DiscoveryConnection;
 
+// Keeps the list of workers current. A poll is one HTTP request; discovery may hold a long poll
+// until there is a change. The watch is a chain of polls on one connection, each of which follows
+// the answer to the last. A fetch is a poll for the complete list, on a connection of its own.
+//
+// Discovery considers a change delivered to a node some seconds after it happened, whether or not
+// the node received it. From then on nothing may be sent to a draining worker after the drain
+// grace. The loop is not owned and must outlive the object.
 class Discovery {
  public:
   struct Options {
-    std::string address;
-    double max_poll_interval_s = 10;
-    std::vector<std::string> zones, kinds;
-    std::uint64_t seed = 0;
-    double drain_grace_s = 2;  // for which a worker that was told to end may be sent to
-    int nodes = 1;  // that ask the same discovery: many ask less often, and not all at once
+    std::string address;                    // "a.b.c.d:port"
+    double max_poll_interval_s = 10;        // the list may not go without a poll for longer
+    std::vector<std::string> zones, kinds;  // configured names, by index
+    std::uint64_t seed = 0;                 // of the jitter
+    double drain_grace_s = 2;               // how long a draining worker may still be sent requests
+    int nodes = 1;  // that poll the same discovery; large tiers poll less often, with jitter
   };
   struct Hooks {
+    // A list arrived: a snapshot or the changes since the last version.
     std::function<void(balancing::EndpointListKind, const ServerList&)> on_list;
+    // A poll failed or timed out.
     std::function<void()> on_unavailable;
   };
   Discovery(Loop* loop, Options options, Hooks hooks);
   ~Discovery();
 
+  // Sets the version of the list that the caller already has.
   void SetVersion(long long version) { version_ = version; }
   long long version() const { return version_; }
-  bool IsLargeTier() const;  // many nodes ask the same discovery
-  // A call is out that may bring what has counted as told for as long as the drain grace lasts.
+  // Whether so many nodes poll the same discovery that their polls have to be spread out.
+  bool IsLargeTier() const;
+  // Whether a change may have counted as delivered for as long as the drain grace and the poll that
+  // would return it has no answer yet. Until then nothing may be sent by the current list.
   bool IsOverdue() const;
-  // Discovery has moved. Its whole list is asked for at once, since another's versions may mean
-  // something else; a call that is out at the old address is heard to its end.
+  // Discovery has a new address. Fetches the complete list from there at once, since its versions
+  // need not match those of the old address; a poll in flight at the old address may still
+  // complete.
   void SetAddress(const std::string& address);
+  // Starts or stops watching the list.
   void Subscribe(bool enable);
+  // Requests the complete list, unless that is in progress.
   void Fetch();
+  // Ends all requests for good.
   void Stop();
 
  private:
-  friend class DiscoveryCall;
-  void Ask(bool whole, double wait_s, bool goes_on = false);
-  double WaitS();
-  double Unit();
-  void CallIn(double wait_s, bool waits = false);
-  void Answered(DiscoveryCall* call, int status, const std::string& body, bool whole);
-  void Failed(DiscoveryCall* call, const char* reason, bool whole);
-  void Silent(DiscoveryCall* call);
-  void Lost(DiscoveryCall* call, const char* reason);
-  void Drop(DiscoveryCall* call);
+  friend class DiscoveryConnection;
+  void SendPoll(bool is_fetch, double wait_s, bool immediate = false);
+  double LongPollS();   // how long discovery may hold the next long poll, in seconds
+  double RandomUnit();  // random, uniform in [0, 1)
+  void SchedulePoll(double wait_s, bool long_poll = false);
+  void OnAnswer(DiscoveryConnection* connection, int status, const std::string& body,
+                bool is_fetch);
+  void OnPollFailed(DiscoveryConnection* connection, const char* reason, bool is_fetch);
+  void OnLongPollTimeout(DiscoveryConnection* connection);
+  void DropFailed(DiscoveryConnection* connection, const char* reason);
+  void Drop(DiscoveryConnection* connection);
   void OnOldAddressAnswer(const std::string& body);
-  void KeepDown(ServerList* list);
-  void RememberDown(const ServerList& list);
+  void KeepUnavailable(ServerList* list);
+  void RecordUnavailable(const ServerList& list);
 
   Loop* loop_;
   Options options_;
   Hooks hooks_;
-  std::unique_ptr<DiscoveryCall> watch_, fetch_, old_;
-  long long version_ = 0;
+  std::unique_ptr<DiscoveryConnection> watch_, fetch_, old_address_watch_;
+  long long version_ = 0;  // of the newest list received
   bool watching_ = false, stopped_ = false;
-  bool unread_ = false;  // nothing has come from the present address yet
+  bool awaiting_first_list_ = false;  // no list has arrived from the current address yet
   static constexpr double kNever = 1e18;
-  double overdue_from_ = kNever;        // on the loop's clock
-  double moved_at_ = -1e9;              // on the loop's clock
-  std::map<std::string, double> down_;  // told to drain or be gone: their last start
-  int failures_ = 0;
-  PollBackoff pace_;  // of a large tier
-  std::uint64_t jitter_ = 0;
-  Deadlines::Ticket retry_ = Deadlines::kNone, settle_ = Deadlines::kNone;
+  double overdue_from_ = kNever;      // on the loop's clock
+  double address_changed_at_ = -1e9;  // on the loop's clock
+  // Start times of the workers that are draining or gone, in Unix seconds.
+  std::map<std::string, double> unavailable_;
+  int consecutive_failures_ = 0;
+  PollBackoff backoff_;  // used in large tiers
+  std::uint64_t random_state_ = 0;
+  Deadlines::Ticket poll_timer_ = Deadlines::kNone, refetch_timer_ = Deadlines::kNone;
 };
 
 }  // namespace millethollow
--- a/src/net/poll_backoff.h
+++ b/src/net/poll_backoff.h
@@ -69,12 +69,11 @@
   static constexpr double kMaxMinWindowS = 1.3, kMaxStartupWindowS = 2.8;
   // Smallest delay after an answer, as a share of the window: bounds the rate of polls.
   static constexpr double kMinAnswerShare = 0.6;
-  // Windows after the first failure and after further ones.
-  static constexpr double kFirstRetryWindowS = 2.0, kRetryWindowS = 4.0;
-  // Once the delays after failures add up to this, the window grows by the factor, up to the
-  // maximum.
-  static constexpr double kMaxSteadyRetriesS = 10.0, kRetryWindowGrowth = 3.0,
+  // The window after the first failure, the window after further ones, and the factor and the limit
+  // of its growth once the delays after failures add up to kMaxSteadyRetriesS.
+  static constexpr double kFirstRetryWindowS = 2.0, kRetryWindowS = 4.0, kRetryWindowGrowth = 3.0,
                           kMaxRetryWindowS = 20.0;
+  static constexpr double kMaxSteadyRetriesS = 10.0;
   // Well within the time for which a list may be used without polling.
   static constexpr double kMaxAnswerWindowS = 7.0;
   // Factor by which each answer shrinks the window.
