--- a/tests/crowded_discovery_test.cpp
+++ b/tests/crowded_discovery_test.cpp
@@ -1,4 +1,4 @@
-// Many clients of one discovery that serves call after call, on real sockets.
+// Many clients of one discovery that serves polls one at a time, on real sockets.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,46 +14,48 @@
 namespace millethollow {
 namespace {
 
-constexpr double kWatchGoesOnS = 0.2;  // a call within this of the last answer lets the watch go on
+// A poll within this time of the last answer continues the watch.
+constexpr double kWatchContinuesS = 0.2;
 
-// A discovery as the protocol has it: it works through new watches one after the other, turns away
-// calls that find too many before them, and answers at once what goes on.
+// A discovery with the behaviour of the real one: it serves new watches one at a time, rejects
+// polls while its queue is full, and answers polls that continue a watch immediately.
 class SerialDiscovery {
  public:
-  SerialDiscovery(Loop* loop, double service_s, std::size_t max_waiting)
-      : loop_(loop), service_s_(service_s), max_waiting_(max_waiting) {
-    server_.act = [this](const ToyWorker::Got& call) { Take(call); };
+  SerialDiscovery(Loop* loop, double service_s, std::size_t max_queued)
+      : loop_(loop), service_s_(service_s), max_queued_(max_queued) {
+    server_.act = [this](const ToyWorker::Got& request) { OnPoll(request); };
   }
   std::string address() const { return server_.address(); }
-  std::size_t turned_away() const { return turned_away_; }
+  std::size_t rejected() const { return rejected_; }
 
-  // The list has changed: whoever watches hears so.
+  // The list has changed: answers every watch.
   void Change() {
     ++version_;
-    for (const Call& watch : std::exchange(watches_, {})) Answer(watch);
+    for (const Poll& watch : std::exchange(watches_, {})) Answer(watch);
   }
 
  private:
-  struct Call {
-    RawClient* from;
+  struct Poll {
+    RawClient* client;
     int after = 0;
-    bool waits = false;
+    bool long_poll = false;
   };
   static int Number(const std::string& target, const std::string& name) {
-    const std::size_t at = target.find(name + "=");
-    return at == std::string::npos ? 0 : std::stoi(target.substr(at + name.size() + 1));
+    const std::size_t position = target.find(name + "=");
+    return position == std::string::npos ? 0 : std::stoi(target.substr(position + name.size() + 1));
   }
-  void Take(const ToyWorker::Got& got) {
-    const Call call{got.from, Number(got.head.target, "after"),
-                    Number(got.head.target, "wait_ms") > 0};
-    const auto last = answered_.find(call.from);
-    if (last != answered_.end() && loop_->Now() - last->second <= kWatchGoesOnS) return Serve(call);
-    if (queue_.size() >= max_waiting_) {
-      ++turned_away_;
-      call.from->Write("HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+  void OnPoll(const ToyWorker::Got& request) {
+    const Poll poll{request.from, Number(request.head.target, "after"),
+                    Number(request.head.target, "wait_ms") > 0};
+    const auto last = answered_.find(poll.client);
+    if (last != answered_.end() && loop_->Now() - last->second <= kWatchContinuesS)
+      return Serve(poll);
+    if (queue_.size() >= max_queued_) {
+      ++rejected_;
+      poll.client->Write("HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
       return;
     }
-    queue_.push_back(call);
+    queue_.push_back(poll);
     if (queue_.size() == 1) ServeNext();
   }
   void ServeNext() {
@@ -63,36 +65,36 @@
       if (!queue_.empty()) ServeNext();
     });
   }
-  void Serve(const Call& call) {
-    if (call.after < version_ || !call.waits) return Answer(call);
-    watches_.push_back(call);
+  void Serve(const Poll& poll) {
+    if (poll.after < version_ || !poll.long_poll) return Answer(poll);
+    watches_.push_back(poll);
   }
-  void Answer(const Call& call) {
-    if (call.from->closed()) return;
+  void Answer(const Poll& poll) {
+    if (poll.client->closed()) return;
     const std::string servers =
-        call.after < version_ ? R"({"id":"w","addr":"127.0.0.1:9","state":"in_service"})" : "";
+        poll.after < version_ ? R"({"id":"w","addr":"127.0.0.1:9","state":"in_service"})" : "";
     const std::string body = R"({"version":)" + std::to_string(version_) +
                              R"(,"full":false,"servers":[)" + servers + "]}";
-    call.from->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
-                     "\r\n\r\n" + body);
-    answered_[call.from] = loop_->Now();
+    poll.client->Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
+                       "\r\n\r\n" + body);
+    answered_[poll.client] = loop_->Now();
   }
 
   Loop* loop_;
   double service_s_;
-  std::size_t max_waiting_;
+  std::size_t max_queued_;
   ToyWorker server_{loop_};
   int version_ = 1;
-  std::size_t turned_away_ = 0;
-  std::deque<Call> queue_;
-  std::vector<Call> watches_;
+  std::size_t rejected_ = 0;
+  std::deque<Poll> queue_;
+  std::vector<Poll> watches_;
   std::map<RawClient*, double> answered_;
 };
 
-// A tier and its discovery; for each change, when each node heard of it.
-struct CrowdedTier {
-  CrowdedTier(std::size_t nodes, double service_s, std::size_t max_waiting)
-      : discovery(&loop, service_s, max_waiting), versions(nodes) {
+// The nodes of a tier and their discovery, with the newest version that each node has received.
+struct LargeTier {
+  LargeTier(std::size_t nodes, double service_s, std::size_t max_queued)
+      : discovery(&loop, service_s, max_queued), versions(nodes) {
     LogLevel() = Level::kError;
     for (std::size_t node = 0; node < nodes; ++node) {
       Discovery::Options options{
@@ -110,7 +112,7 @@
   }
   bool AllReceived(long long version) const {
     return std::all_of(versions.begin(), versions.end(),
-                       [&](long long had) { return had >= version; });
+                       [&](long long received) { return received >= version; });
   }
 
   Loop loop;
@@ -119,34 +121,35 @@
   std::vector<std::unique_ptr<Discovery>> clients;
 };
 
-// Thirty nodes, whose new watches keep discovery busy for 7 s, and a change every few seconds. Each
-// change once cost every node a new watch: discovery turned away most calls, and a node went on by
-// a list of 24 s before, sending to servers that had ended.
-TEST(CrowdedDiscovery, EachNodeHearsOfEachChangeInTime) {
+// Guards against nodes using an outdated list because discovery is overloaded: each change made
+// every node start a new watch, discovery rejected most polls, and a node kept sending to
+// terminated servers by a list that was 24 s old. Here the new watches of 32 nodes keep discovery
+// busy for 7 s, and the list changes every few seconds.
+TEST(CrowdedDiscovery, EachNodeReceivesEachChangeInTime) {
   constexpr double kNotifiedS = 6, kGraceS = 2;
-  CrowdedTier tier(32, 0.23, 13);
-  const double began = tier.loop.Now();
+  LargeTier tier(32, 0.23, 13);
+  const double began_at = tier.loop.Now();
   double changed_at = 0;
-  for (const double at : {2.5, 4.9, 8.6}) {
+  for (const double change_s : {2.5, 4.9, 8.6}) {
     TurnUntil(
-        tier.loop, [] { return false; }, began + at - tier.loop.Now());
+        tier.loop, [] { return false; }, began_at + change_s - tier.loop.Now());
     tier.discovery.Change();
     changed_at = tier.loop.Now();
   }
   ASSERT_TRUE(TurnUntil(
       tier.loop, [&] { return tier.AllReceived(4); }, kNotifiedS + kGraceS))
       << std::count_if(tier.versions.begin(), tier.versions.end(),
-                       [](long long had) { return had < 4; })
-      << " nodes have not heard of it";
-  // All have a watch now. What changes next all hear at once, and nobody is turned away.
-  const std::size_t turned_away = tier.discovery.turned_away();
+                       [](long long received) { return received < 4; })
+      << " nodes have not received it";
+  // All nodes have a watch now: further changes reach them immediately, and no poll is rejected.
+  const std::size_t rejected = tier.discovery.rejected();
   for (long long version = 5; version <= 7; ++version) {
     tier.discovery.Change();
     ASSERT_TRUE(TurnUntil(
         tier.loop, [&] { return tier.AllReceived(version); }, 1.0))
         << version;
   }
-  EXPECT_EQ(tier.discovery.turned_away(), turned_away);
+  EXPECT_EQ(tier.discovery.rejected(), rejected);
   EXPECT_LT(tier.loop.Now() - changed_at, kNotifiedS + kGraceS);
 }
 
--- a/tests/descriptor_limit_test.cpp
+++ b/tests/descriptor_limit_test.cpp
@@ -1,4 +1,4 @@
-// What it costs to make room for a new connection when the descriptors are used up.
+// Eviction of idle connections when the process runs out of descriptors: its cost and its choice.
 #include <dlfcn.h>
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -7,65 +7,67 @@
 
 namespace {
 
-std::size_t looks = 0;  // at what waits in the system, of all connections
+std::size_t peek_calls = 0;  // calls of recv with MSG_PEEK, on all connections
 
 }  // namespace
 
-// Counts calls that look at a socket's input without taking it.
+// Replaces recv to count the calls that peek at a socket's input.
 extern "C" ssize_t recv(int fd, void* buffer, size_t size, int flags) {
-  static const auto next =
+  static const auto real_recv =
       reinterpret_cast<ssize_t (*)(int, void*, size_t, int)>(dlsym(RTLD_NEXT, "recv"));
-  if ((flags & MSG_PEEK) != 0) ++looks;
-  return next(fd, buffer, size, flags);
+  if ((flags & MSG_PEEK) != 0) ++peek_calls;
+  return real_recv(fd, buffer, size, flags);
 }
 
 namespace millethollow {
 namespace {
 
-// Hundreds of idle connections and a flood of new ones: each new one closes another. A call to the
-// system for each idle one, for each that came, kept nodes so busy that they heard of drains 5 s
-// late.
-TEST(MakeRoom, LooksAtTheConnectionToBeClosedOnly) {
+// Guards against eviction that makes a system call for every idle connection: with hundreds of idle
+// connections and many new ones, each of which evicts another, nodes were so busy with these calls
+// that they learned of drains 5 s late.
+TEST(DescriptorLimit, ChecksOnlyTheConnectionToBeEvicted) {
   NodeHarness harness(1, R"("limits":{"sockets":264},)");  // room for 100 clients
-  const auto rests = harness.Client();
-  rests->Write(Post("a1", "look"));
-  ASSERT_TRUE(harness.Until([&] { return rests->in.ends_with("ok"); }));
-  std::vector<std::unique_ptr<RawClient>> silent;
-  const auto flood = [&](std::size_t connections) {
+  const auto served_client = harness.Client();
+  served_client->Write(Post("a1", "look"));
+  ASSERT_TRUE(harness.Until([&] { return served_client->in.ends_with("ok"); }));
+  std::vector<std::unique_ptr<RawClient>> idle_clients;
+  const auto connect_many = [&](std::size_t connections) {
     for (std::size_t i = 0; i < connections; ++i) {
-      silent.push_back(harness.Client());
+      idle_clients.push_back(harness.Client());
       if (i % 20 == 19) harness.TurnAll();
     }
     harness.Until([&] { return false; }, 0.2);
   };
-  flood(150);
-  const std::size_t before = looks;
-  flood(200);
-  EXPECT_GE(looks - before, 150u) << "the one to be closed is looked at";
-  EXPECT_LE(looks - before, 450u) << "and hardly any other";
-  // The one that was served still rests.
-  rests->in.clear();
-  rests->Write(Post("a2", "look"));
-  EXPECT_TRUE(harness.Until([&] { return rests->in.ends_with("ok"); }));
+  connect_many(150);
+  const std::size_t peek_calls_before = peek_calls;
+  connect_many(200);
+  EXPECT_GE(peek_calls - peek_calls_before, 150u) << "the connection to be evicted is checked";
+  EXPECT_LE(peek_calls - peek_calls_before, 450u) << "and hardly any other is";
+  // The connection that has carried a request is still open.
+  served_client->in.clear();
+  served_client->Write(Post("a2", "look"));
+  EXPECT_TRUE(harness.Until([&] { return served_client->in.ends_with("ok"); }));
 }
 
-// A request that waits in the system is not closed over, whoever is the longest idle.
-TEST(MakeRoom, ClosesNoRestingConnectionWithARequestUnread) {
+// Guards against evicting a connection whose request is in the kernel's buffer but not read yet,
+// even if it is the one that has been idle for longest.
+TEST(DescriptorLimit, EvictsNoIdleConnectionWithAnUnreadRequest) {
   NodeHarness harness(1, R"("limits":{"sockets":96},)");  // room for 16 clients
-  std::vector<std::unique_ptr<RawClient>> resting;
+  std::vector<std::unique_ptr<RawClient>> idle_clients;
   for (int i = 0; i < 14; ++i) {
-    resting.push_back(harness.Client());
-    resting.back()->Write(Post("a" + std::to_string(i), "look"));
-    ASSERT_TRUE(harness.Until([&] { return resting.back()->in.ends_with("ok"); })) << i;
+    idle_clients.push_back(harness.Client());
+    idle_clients.back()->Write(Post("a" + std::to_string(i), "look"));
+    ASSERT_TRUE(harness.Until([&] { return idle_clients.back()->in.ends_with("ok"); })) << i;
   }
-  // The longest idle one asks again while others come, all within one turn of the node.
-  resting[0]->in.clear();
-  resting[0]->Write(Post("b0", "look"));
-  std::vector<std::unique_ptr<RawClient>> fresh;
-  for (int i = 0; i < 4; ++i) fresh.push_back(harness.Client());
+  // The one that has been idle for longest sends a request while new clients connect, all within
+  // one turn of the node's loop.
+  idle_clients[0]->in.clear();
+  idle_clients[0]->Write(Post("b0", "look"));
+  std::vector<std::unique_ptr<RawClient>> new_clients;
+  for (int i = 0; i < 4; ++i) new_clients.push_back(harness.Client());
   for (int i = 0; i < 20; ++i) harness.host.Turn();
-  EXPECT_TRUE(harness.Until([&] { return resting[0]->in.ends_with("ok"); }));
-  EXPECT_FALSE(resting[0]->ended);
+  EXPECT_TRUE(harness.Until([&] { return idle_clients[0]->in.ends_with("ok"); }));
+  EXPECT_FALSE(idle_clients[0]->ended);
 }
 
 }  // namespace
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -1,5 +1,4 @@
-// The socket between planners: what goes out, what comes in, and that all that is dropped is
-// counted.
+// The socket between planners: sending, receiving, and the counters of dropped messages.
 #include "net/peers.h"
 
 #include <arpa/inet.h>
@@ -17,32 +16,32 @@
 namespace millethollow {
 namespace {
 
-// A UDP socket on loopback, at a port of the system's choice.
-class Datagrams {
+// A UDP socket on loopback, at a port that the kernel chooses.
+class UdpSocket {
  public:
-  Datagrams() : fd_(socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) {
-    sockaddr_in any = *ParseAddress("127.0.0.1:0");
-    EXPECT_EQ(bind(fd_, reinterpret_cast<const sockaddr*>(&any), sizeof any), 0);
+  UdpSocket() : socket_(socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) {
+    sockaddr_in any_port = *ParseAddress("127.0.0.1:0");
+    EXPECT_EQ(bind(socket_, reinterpret_cast<const sockaddr*>(&any_port), sizeof any_port), 0);
   }
-  ~Datagrams() { close(fd_); }
-  Datagrams(const Datagrams&) = delete;
-  Datagrams& operator=(const Datagrams&) = delete;
-  std::string address() const { return AddressOf(fd_); }
+  ~UdpSocket() { close(socket_); }
+  UdpSocket(const UdpSocket&) = delete;
+  UdpSocket& operator=(const UdpSocket&) = delete;
+  std::string address() const { return AddressOf(socket_); }
   static std::string AddressOf(int fd) {
-    sockaddr_in own{};
-    socklen_t size = sizeof own;
-    EXPECT_EQ(getsockname(fd, reinterpret_cast<sockaddr*>(&own), &size), 0);
-    return "127.0.0.1:" + std::to_string(ntohs(own.sin_port));
+    sockaddr_in own_address{};
+    socklen_t size = sizeof own_address;
+    EXPECT_EQ(getsockname(fd, reinterpret_cast<sockaddr*>(&own_address), &size), 0);
+    return "127.0.0.1:" + std::to_string(ntohs(own_address.sin_port));
   }
   void SendTo(const std::string& address, const std::string& body) const {
     const sockaddr_in to = *ParseAddress(address);
-    EXPECT_EQ(
-        sendto(fd_, body.data(), body.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof to),
-        std::ssize(body));
+    EXPECT_EQ(sendto(socket_, body.data(), body.size(), 0, reinterpret_cast<const sockaddr*>(&to),
+                     sizeof to),
+              std::ssize(body));
   }
 
  private:
-  int fd_;
+  int socket_;
 };
 
 struct PeersTest : testing::Test {
@@ -55,15 +54,15 @@
     std::string error;
     ASSERT_TRUE(peers.Open(-1, "127.0.0.1:0", addresses, "", &error)) << error;
   }
-  std::string address() const { return Datagrams::AddressOf(peers.descriptor()); }
+  std::string address() const { return UdpSocket::AddressOf(peers.descriptor()); }
   Loop loop;
   PeerCounters counters;
   std::vector<std::pair<int, std::string>> received;
   Peers peers;
 };
 
-TEST_F(PeersTest, CountsWhatGoesOutAndWhatIsDropped) {
-  Datagrams other;
+TEST_F(PeersTest, CountsSentAndDroppedMessages) {
+  UdpSocket other;
   Open({other.address()});
   peers.SendMessage(0, std::string(256, 'a'));
   peers.SendMessage(-1, "abc");
@@ -77,7 +76,7 @@
   EXPECT_EQ(counters.messages_out, 2u);
 }
 
-TEST_F(PeersTest, CountsWhatTheSocketDoesNotTake) {
+TEST_F(PeersTest, CountsMessagesThatTheSocketRejects) {
   Open({"127.0.0.1:0"});  // nothing can be sent to port 0
   peers.SendMessage(0, "abc");
   EXPECT_EQ(counters.not_sent, 1u);
@@ -85,11 +84,11 @@
   EXPECT_EQ(counters.bytes_out, 0u);
 }
 
-TEST_F(PeersTest, HearsPeersAloneAndCountsWhatItCannotRead) {
-  Datagrams peer, stranger;
+TEST_F(PeersTest, ReceivesFromPeersOnlyAndCountsUnreadableMessages) {
+  UdpSocket peer, unknown_sender;
   Open({"127.0.0.1:1", peer.address()});
-  stranger.SendTo(address(), "from a stranger");
-  stranger.SendTo(address(), std::string(300, 's'));
+  unknown_sender.SendTo(address(), "from a stranger");
+  unknown_sender.SendTo(address(), std::string(300, 's'));
   peer.SendTo(address(), std::string(257, 'a'));
   peer.SendTo(address(), std::string(256, 'b'));
   EXPECT_TRUE(TurnUntil(loop, [&] { return !received.empty(); }));
@@ -99,42 +98,43 @@
   EXPECT_EQ(counters.unreadable, 1u);
 }
 
-std::string Replaced(std::string text, const std::string& what, const std::string& by) {
-  EXPECT_NE(text.find(what), std::string::npos) << what;
-  return text.replace(text.find(what), what.size(), by);
+std::string Replace(std::string text, const std::string& old_text, const std::string& new_text) {
+  EXPECT_NE(text.find(old_text), std::string::npos) << old_text;
+  return text.replace(text.find(old_text), old_text.size(), new_text);
 }
 
-// The same figures of a node, with what its decision module refuses.
-TEST(PeersOfANode, TheirCountersAreAmongTheFigures) {
+// The same counters in the statistics of a node, and the messages that its planner rejects.
+TEST(NodePeersTest, PeerCountersAreInTheStatistics) {
   LogLevel() = Level::kError;
-  Datagrams peer, stranger;
-  const std::string listen = Datagrams().address();  // free again from here on
+  UdpSocket peer, unknown_sender;
+  const std::string listen = UdpSocket().address();  // the port is free again after this line
   std::string text = TestConfig({}, R"("peer_listen":")" + listen + R"(","peers":[")" + listen +
                                         R"(",")" + peer.address() + R"("],)");
-  text = Replaced(text, R"("balancers":1)", R"("balancers":2)");
-  text = Replaced(text, R"("limits":{)", R"("limits":{"peers":true,)");
+  text = Replace(text, R"("balancers":1)", R"("balancers":2)");
+  text = Replace(text, R"("limits":{)", R"("limits":{"peers":true,)");
   Config config;
   std::string error;
   ASSERT_TRUE(ReadConfig(text, &config, &error)) << error;
   Node node(config);
   ASSERT_TRUE(IsOk(node.Start()));
-  const auto has = [&](const std::string& line) {
+  const auto stats_have = [&](const std::string& line) {
     return ("\n" + node.Figures()).find("\napp.peers." + line + "\n") != std::string::npos;
   };
   for (const char* cause :
        {"too_long", "no_address", "not_sent", "unreadable", "strangers", "refused"}) {
-    EXPECT_TRUE(has("dropped." + std::string(cause) + ":0|c")) << cause;
+    EXPECT_TRUE(stats_have("dropped." + std::string(cause) + ":0|c")) << cause;
   }
-  stranger.SendTo(listen, "from a stranger");
+  unknown_sender.SendTo(listen, "from a stranger");
   peer.SendTo(listen, std::string(257, 'a'));
   peer.SendTo(listen, "nothing that a dispatcher says");
   peer.SendTo(listen, std::string("D\x03 cut", 6));
-  EXPECT_TRUE(TurnUntil(node.loop(), [&] { return has("dropped.refused:2|c"); }));
-  EXPECT_TRUE(has("dropped.strangers:1|c"));
-  EXPECT_TRUE(has("dropped.unreadable:1|c"));
-  EXPECT_TRUE(has("messages_in:2|c"));
-  EXPECT_TRUE(TurnUntil(node.loop(), [&] { return !has("messages_out:0|c"); }));  // it reports, too
-  EXPECT_FALSE(has("bytes_out:0|c"));
+  EXPECT_TRUE(TurnUntil(node.loop(), [&] { return stats_have("dropped.refused:2|c"); }));
+  EXPECT_TRUE(stats_have("dropped.strangers:1|c"));
+  EXPECT_TRUE(stats_have("dropped.unreadable:1|c"));
+  EXPECT_TRUE(stats_have("messages_in:2|c"));
+  // The node sends load reports, too.
+  EXPECT_TRUE(TurnUntil(node.loop(), [&] { return !stats_have("messages_out:0|c"); }));
+  EXPECT_FALSE(stats_have("bytes_out:0|c"));
 }
 
 }  // namespace
