--- a/src/net/admin/admin_server.h
+++ b/src/net/admin/admin_server.h
@@ -25,9 +25,10 @@
     std::function<bool()> is_serving;
     // The body of /stats.
     std::function<std::string()> stats;
-    // Puts a worker into maintenance or back into service. Has to call `respond` with the HTTP
-    // status and the body of the response, at once or later.
+    // Takes the HTTP status and the body of a response.
     using ResponseCallback = std::function<void(int status, const std::string& body)>;
+    // Puts a worker into maintenance or back into service. Has to call `respond` once, immediately
+    // or later.
     std::function<void(const std::string& worker, bool in_maintenance, ResponseCallback respond)>
         set_maintenance;
     // The body of /members, as JSON. Empty if the process belongs to no cluster.
--- a/src/net/forwarder.h
+++ b/src/net/forwarder.h
@@ -47,8 +47,9 @@
   // Sends an attempt of the request to the worker.
   virtual void Send(const ClientRequest& client_request, int attempt,
                     const std::string& worker) = 0;
-  // Stops an attempt; its outcome is not reported.
+  // Stops an attempt; its outcome is ignored from then on.
   virtual void Cancel(RequestId id, int attempt) = 0;
+  // Sends a health probe to the worker.
   virtual void Probe(const std::string& worker) = 0;
   // The client is gone: drops the attempt if it has not been sent completely, and leaves it running
   // otherwise.
