--- a/src/net/cluster/async_record_store.cpp
+++ b/src/net/cluster/async_record_store.cpp
@@ -17,7 +17,7 @@
   return store_->Open(
       options_.folder, {options_.cluster, options_.member, new_store_id}, options_.max_bytes,
       [this, generation](std::uint64_t ticket, bool ok) {
-        mailbox_.Post([this, generation, ticket, ok] { OnWritten(generation, ticket, ok); });
+        task_queue_.Post([this, generation, ticket, ok] { OnWritten(generation, ticket, ok); });
       },
       error);
 }
@@ -33,7 +33,7 @@
                             std::string* error) {
   loop_ = loop;
   options_ = options;
-  if (!mailbox_.Open(loop, error)) return false;
+  if (!task_queue_.Open(loop, error)) return false;
   bool opened = OpenFile(new_store_id, error);
   if (!opened && store_->damaged()) {  // its contents are replicated at other members
     Events().error("cluster store-damaged {} kept=copies.db.damaged", *error);
@@ -87,8 +87,8 @@
   store_->Read(std::move(prefix), std::move(after), max_records,
                [this, generation, on_records = std::move(on_records)](
                    Records records, bool last, const std::vector<std::string>& damaged) {
-                 mailbox_.Post([this, generation, on_records, records = std::move(records), last,
-                                bad = !damaged.empty()]() mutable {
+                 task_queue_.Post([this, generation, on_records, records = std::move(records), last,
+                                   bad = !damaged.empty()]() mutable {
                    if (generation == file_generation_) on_records(std::move(records), last, bad);
                  });
                });
--- a/src/net/cluster/async_record_store.h
+++ b/src/net/cluster/async_record_store.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "net/mailbox.h"
+#include "net/task_queue.h"
 #include "scheduling/runtime_estimator.h"
 #include "store/record_store.h"
 
@@ -78,7 +78,7 @@
   std::uint64_t last_ticket_ = 0, file_generation_ = 0;
   bool failed_ = false;
   Metrics metrics_;
-  Mailbox mailbox_;
+  TaskQueue task_queue_;
   // Declared last, so destroyed first: its thread posts to the mailbox above.
   std::unique_ptr<store::RecordStore> store_;
 };
--- a/src/net/cluster/log_replicator.cpp
+++ b/src/net/cluster/log_replicator.cpp
@@ -46,7 +46,7 @@
   loading_.clear();
   logs_ = std::make_unique<ReplicatedLogs>(options_, AsyncRecordStore::Records{});
   if (store_->failed()) logs_->OnStoreFailed();
-  loop_->Later([this] { Reevaluate(); });
+  loop_->Defer([this] { Reevaluate(); });
 }
 
 void LogReplicator::RunEvent(const std::function<void(ReplicatedLogs*, double, Actions*)>& event) {
@@ -95,7 +95,7 @@
         "restored "
         "from other members",
         "copies.db.damaged");
-    loop_->Later([this, generation] {
+    loop_->Defer([this, generation] {
       if (generation == store_generation_) RecreateStore();
     });
   }
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -117,11 +117,11 @@
   if (options_.quota.on && !QuotaLeaseManager::ValidateTenants(tenants_, error)) return false;
   membership::PersistentVoterState votes;
   if (!options_.store.empty()) {
-    if (!mailbox_.Open(loop_, error)) return false;
+    if (!task_queue_.Open(loop_, error)) return false;
     vote_file_ = std::make_unique<store::VoteFile>();
     bool damaged = false;
     const auto on_written = [this](std::uint64_t ticket, bool ok) {
-      mailbox_.Post([this, ticket, ok] { OnVotesWritten(ticket, ok); });
+      task_queue_.Post([this, ticket, ok] { OnVotesWritten(ticket, ok); });
     };
     if (!vote_file_->Open(options_.store, cluster_hash_, self_, on_written, &votes, &damaged,
                           error))
--- a/src/net/cluster/member.h
+++ b/src/net/cluster/member.h
@@ -139,7 +139,7 @@
   std::map<std::uint64_t, PendingMaintenance> pending_maintenance_;  // by number of the change
   Deadlines::Ticket tick_timer_ = Deadlines::kNone;
   bool held_lease_ = false;  // as last logged
-  Mailbox mailbox_;
+  TaskQueue task_queue_;
   std::unique_ptr<store::VoteFile> vote_file_;           // null: this member has no store
   std::unique_ptr<AsyncRecordStore> store_;              // likewise
   std::unique_ptr<MaintenanceStore> maintenance_store_;  // likewise
--- a/src/net/cluster/transport.cpp
+++ b/src/net/cluster/transport.cpp
@@ -83,7 +83,7 @@
   }
   void OnDrained() override {
     if (!outgoing_) return;
-    if (ordered_peer_ == 0) return EndSending();  // the receiver closes after reading all of it
+    if (ordered_peer_ == 0) return ShutdownWrite();  // the receiver closes after reading all of it
     SetTimeout(kIdleTimeoutS / 2);
   }
   void OnEnd(const char* reason) override { CloseStream(reason); }
@@ -204,7 +204,7 @@
 }
 
 void Transport::RemoveStream(Stream* stream) {
-  loop_->Later([this, stream] { streams_.erase(stream); });
+  loop_->Defer([this, stream] { streams_.erase(stream); });
 }
 
 }  // namespace millethollow::cluster
--- a/src/net/gearman/front.cpp
+++ b/src/net/gearman/front.cpp
@@ -77,7 +77,7 @@
     workers_.erase(peer->name());
   }
   Detach(peer);
-  loop->Later([this, peer] {
+  loop->Defer([this, peer] {
     name_numbers_.erase(peer->name_number());
     peers_.erase(peer);
   });
--- a/src/net/gearman/jobs.cpp
+++ b/src/net/gearman/jobs.cpp
@@ -169,7 +169,7 @@
 
 void Front::Run(const DurableJob& durable_job) {
   const auto ended = [&](const FinalAnswer& answer) {
-    forwarder_->loop()->Later([this, handle = durable_job.handle, answer] {
+    forwarder_->loop()->Defer([this, handle = durable_job.handle, answer] {
       if (durable_jobs_ != nullptr) durable_jobs_->Complete(handle, answer);
     });
   };
--- a/src/net/gearman/peer.h
+++ b/src/net/gearman/peer.h
@@ -48,7 +48,7 @@
         name_number_(name_number),
         cell_(cell) {
     Adopt(fd);
-    SetDeadline(kReadS, "silent");
+    SetDeadline(kClientReadTimeoutS, "silent");
   }
   ~Peer() override {
     loop_->deadlines().Drop(&deadline_);
@@ -162,7 +162,8 @@
     if (closed()) return;
     if (parser_.idle()) return loop_->deadlines().Drop(&deadline_);
     // A partial message remains. Only a complete message extends the deadline, not single bytes.
-    if (messages_ > before || (deadline_ == Deadlines::kNone)) SetDeadline(kReadS, "half-a-packet");
+    if (messages_ > before || (deadline_ == Deadlines::kNone))
+      SetDeadline(kClientReadTimeoutS, "half-a-packet");
   }
 
   void ReadMessages() {
--- a/src/net/handover/handover.cpp
+++ b/src/net/handover/handover.cpp
@@ -154,7 +154,7 @@
 void SiblingConnection::MarkLost() {
   if (std::exchange(lost_, true)) return;
   if (readable_ != nullptr) event_del(readable_.get());
-  if (on_lost_) loop_->Later(on_lost_);
+  if (on_lost_) loop_->Defer(on_lost_);
 }
 
 SiblingListener::~SiblingListener() {
--- a/src/net/handover/hot_restart.cpp
+++ b/src/net/handover/hot_restart.cpp
@@ -176,7 +176,7 @@
   replaced_ = true;
   listener_.reset();  // the successor listens at the same path
   LogLine(Level::kInfo) << "hot restart: the new process serves, accepting no new work";
-  if (dependencies_.peers != nullptr) dependencies_.peers->Listen(false);
+  if (dependencies_.peers != nullptr) dependencies_.peers->SetReceiving(false);
   if (dependencies_.gearman != nullptr) dependencies_.gearman->SetAccepting(false);
   dependencies_.front->HandOver(
       [this](int fd, bool served_before, const std::string& unread_bytes) {
@@ -263,7 +263,7 @@
   if (was_replaced) {  // the successor ended first: this process serves again
     replaced_ = false;
     LogLine(Level::kWarn) << "hot restart: the new process is lost, serving again";
-    if (dependencies_.peers != nullptr) dependencies_.peers->Listen(true);
+    if (dependencies_.peers != nullptr) dependencies_.peers->SetReceiving(true);
     if (dependencies_.gearman != nullptr) dependencies_.gearman->SetAccepting(true);
     dependencies_.pool->HandOver({});
     dependencies_.front->HandOver({});
@@ -275,11 +275,11 @@
 
 void HotRestart::OnSiblingsChanged() {
   DescriptorBudget& budget = loop_->budget();
-  budget.clients_elsewhere = budget.workers_elsewhere = 0;
+  budget.sibling_clients = budget.sibling_workers = 0;
   for (const Sibling* sibling : {predecessor_.get(), successor_.get()}) {
     if (sibling == nullptr) continue;
-    budget.clients_elsewhere += sibling->clients;
-    budget.workers_elsewhere += sibling->workers;
+    budget.sibling_clients += sibling->clients;
+    budget.sibling_workers += sibling->workers;
   }
   loop_->NotifyClientCapacity();
   const bool present = predecessor_ != nullptr || replaced_;
--- a/src/net/http/client_front.cpp
+++ b/src/net/http/client_front.cpp
@@ -194,13 +194,13 @@
       : Connection(loop, "client"), front_(front) {
     Adopt(fd);
     idle_since_ = loop->Now();
-    SetDeadline(kReadS, [this] { Finish("silent"); });
+    SetDeadline(kClientReadTimeoutS, [this] { Finish("silent"); });
   }
   ~ClientConnection() override { loop_->deadlines().Drop(&deadline_); }
 
   // No byte of a request has arrived, not even in the kernel's receive buffer.
   bool IsIdle() const {
-    return state_ == State::kReading && parser_.idle() && Available() == 0 && !UnreadInSystem();
+    return state_ == State::kReading && parser_.idle() && Available() == 0 && !HasUnreadInput();
   }
   bool IsNew() const { return !received_input_ && loop_->Now() - idle_since_ < kNewConnectionS; }
   double idle_since() const { return idle_since_; }
@@ -230,7 +230,7 @@
       requests_served_ = 1;
       loop_->deadlines().Drop(&deadline_);
     }
-    Unread(unread);
+    PrependInput(unread);
   }
   // Hands the connection to the successor process if no request is in progress. Bytes of the next
   // request that have not been parsed go with it.
@@ -288,7 +288,7 @@
         // The first request must arrive in time from connecting, later ones from their first byte.
         const double from = received_input_ ? loop_->Now() : idle_since_;
         received_input_ = true;
-        SetDeadline(from + kReadS - loop_->Now(),
+        SetDeadline(from + kClientReadTimeoutS - loop_->Now(),
                     [this] { RejectInput(408, "the request took too long to come in"); });
       }
       if (parser_.error() != 0) return RejectInput(parser_.error(), "not a readable request");
@@ -362,7 +362,7 @@
     // Backpressure: the next request is read only after this answer has been written, so that a
     // client that never reads cannot make answers accumulate.
     state_ = last ? State::kClosing : State::kWriting;
-    SetDeadline(kWriteS, [this] { Finish("reads-too-slowly"); });
+    SetDeadline(kClientWriteTimeoutS, [this] { Finish("reads-too-slowly"); });
   }
 
   // Sets the connection's only deadline, in place of any earlier one. `after_s`: seconds from now.
@@ -391,7 +391,7 @@
   // last answer. Input that arrives from here on is discarded.
   void Linger() {
     state_ = State::kLingering;
-    EndSending();
+    ShutdownWrite();
     Consume(Available());
     SetDeadline(kLingerS, [this] { Finish(close_reason_); });
   }
@@ -504,7 +504,7 @@
   while (!candidates.empty()) {
     EvictionCandidate best = candidates.top();
     candidates.pop();
-    if (best.receive_buffer_checked || !best.connection->UnreadInSystem()) {
+    if (best.receive_buffer_checked || !best.connection->HasUnreadInput()) {
       best.connection->CloseNow("made-room");
       return true;
     }
@@ -518,7 +518,7 @@
 void ClientFront::Remove(ClientConnection* client) {
   Loop* loop = forwarder_->loop();
   loop->ClientFreed();
-  loop->Later([this, client] { clients_.erase(client); });
+  loop->Defer([this, client] { clients_.erase(client); });
 }
 
 void ClientFront::BeginStop() {
--- a/src/net/http/worker_pool.cpp
+++ b/src/net/http/worker_pool.cpp
@@ -176,7 +176,7 @@
   // Whether the delay before reuse is over.
   bool IsReusable() const { return loop_->Now() >= reusable_from_; }
   // Whether the worker has closed the connection, or sent unsolicited bytes, since the last turn.
-  bool IsStale() const { return UnreadInSystem(); }
+  bool IsStale() const { return HasUnreadInput(); }
   // Whether the request has not been sent completely, so that the worker cannot have started it.
   bool IsUnsent() const { return !pending_request_.empty() || !Drained(); }
   // Cancels the attempt if it has not been sent completely.
@@ -533,7 +533,7 @@
 void WorkerPool::Remove(WorkerConnection* connection) {
   std::erase(workers_[connection->worker()].idle, connection);
   forwarder_->loop()->budget().workers -= 1;
-  forwarder_->loop()->Later([this, connection] { connections_.erase(connection); });
+  forwarder_->loop()->Defer([this, connection] { connections_.erase(connection); });
 }
 
 }  // namespace millethollow::http
--- a/src/net/link/link.cpp
+++ b/src/net/link/link.cpp
@@ -195,7 +195,7 @@
 
 void PlannerServer::OnForwarderConnectionLost(ForwarderConnection* connection) {
   planner_->OnForwarderLost(connection->forwarder_number_);
-  loop_->Later([this, connection] { connections_.erase(connection); });
+  loop_->Defer([this, connection] { connections_.erase(connection); });
 }
 
 // ---- the forwarder's end ----
@@ -292,7 +292,7 @@
   if (++failures_ % kMaxConnectFailures == 0) ++planner_index_;
   std::shared_ptr<PlannerConnection> old(std::move(connection_));
   Loop* loop = forwarder_->loop();
-  loop->Later([old] {});
+  loop->Defer([old] {});
   loop->deadlines().Drop(&reconnect_timer_);
   reconnect_timer_ = loop->deadlines().At(loop->Now() + kReconnectDelayS, [this] {
     reconnect_timer_ = Deadlines::kNone;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -29,7 +29,7 @@
 }
 
 Status Node::Start() {
-  loop_.budget() = DescriptorBudget::Of(config_.max_sockets);
+  loop_.budget() = DescriptorBudget::ForSocketLimit(config_.max_sockets);
   std::uint64_t seed = config_.seed;
   if (seed == 0) seed = std::random_device{}();
   RequestStateFromPredecessor();
@@ -82,15 +82,15 @@
 
 Status Node::StartAdmin() {
   admin::AdminServer::Hooks hooks;
-  hooks.serving = [this] {
+  hooks.is_serving = [this] {
     return planner_ != nullptr && !stopping_ && (!forwarder_ || forwarder_->accepting());
   };
-  hooks.figures = [this] { return Metrics(); };
-  hooks.maintain = [this](const std::string& worker, bool in_maintenance,
-                          admin::AdminServer::Hooks::Answer answer) {
+  hooks.stats = [this] { return Metrics(); };
+  hooks.set_maintenance = [this](const std::string& worker, bool in_maintenance,
+                                 admin::AdminServer::Hooks::ResponseCallback answer) {
     SetMaintenanceEverywhere(worker, in_maintenance, std::move(answer));
   };
-  if (member_) hooks.members = [this] { return member_->MembersJson(); };
+  if (member_) hooks.members_json = [this] { return member_->MembersJson(); };
   admin_ = std::make_unique<admin::AdminServer>(&loop_, std::move(hooks));
   std::string reason;
   if (!admin_->Listen(config_.admin, &reason)) return MakeError(ErrorCode::kUnavailable, reason);
@@ -104,7 +104,7 @@
 }
 
 void Node::SetMaintenanceEverywhere(const std::string& worker, bool in_maintenance,
-                                    admin::AdminServer::Hooks::Answer answer) {
+                                    admin::AdminServer::Hooks::ResponseCallback answer) {
   if (!SetMaintenance(worker, in_maintenance)) return answer(404, "no such worker\n");
   if (!member_) return answer(200, "done\n");
   member_->SetMaintenance(worker, in_maintenance, [answer = std::move(answer)](bool elsewhere) {
@@ -158,9 +158,9 @@
 void Node::CheckStopped() {
   // Idle connections may stay open if another process takes over this address.
   if (client_front_ && !(hot_restart_ && hot_restart_->replaced())) client_front_->CloseIdle();
-  const bool requests_done = forwarder_
-                                 ? forwarder_->open() == 0 && client_front_->connections() == 0
-                                 : planner_->open_requests() == 0;
+  const bool requests_done =
+      forwarder_ ? forwarder_->pending_requests() == 0 && client_front_->connections() == 0
+                 : planner_->open_requests() == 0;
   const bool handed_over = !hot_restart_ || hot_restart_->Flushed();
   const bool flushed =
       handed_over && (!gearman_front_ || gearman_front_->Flushed() || loop_.Now() > flush_until_);
--- a/src/node/node_environment.cpp
+++ b/src/node/node_environment.cpp
@@ -15,14 +15,14 @@
 }
 
 bool NodeEnvironment::EndpointsOverdue() {
-  return parts_.discovery != nullptr && parts_.discovery->Overdue();
+  return parts_.discovery != nullptr && parts_.discovery->IsOverdue();
 }
 
 void NodeEnvironment::SendPeerMessage(int recipient, const std::string& body) {
   if (recipient == parts_.dispatcher_index) {  // the sibling process in a hot restart
     if (parts_.hot_restart != nullptr) parts_.hot_restart->SendPeerMessage(body);
   } else if (parts_.peers != nullptr) {
-    parts_.peers->Tell(recipient, body);
+    parts_.peers->SendMessage(recipient, body);
   }
 }
 
--- a/src/node/node_planner.cpp
+++ b/src/node/node_planner.cpp
@@ -119,10 +119,10 @@
 
 void Node::CreateDiscovery(std::uint64_t seed) {
   Discovery::Hooks hooks;
-  hooks.known = [this](balancing::EndpointListKind kind, const ServerList& list) {
+  hooks.on_list = [this](balancing::EndpointListKind kind, const ServerList& list) {
     OnEndpointList(kind, list);
   };
-  hooks.unavailable = [this] {
+  hooks.on_unavailable = [this] {
     planner_->OnEndpointsUpdated(balancing::EndpointListKind::kUnavailable, {});
     if (initial_list_gate_) initial_list_gate_->OnPollFailed();
     AcceptOnceListReceived();
@@ -148,9 +148,9 @@
 // ---- endpoint lists ----
 
 void Node::AwaitInitialList() {
-  initial_list_gate_.emplace(discovery_->Crowd(), loop_.Now());
+  initial_list_gate_.emplace(discovery_->IsLargeTier(), loop_.Now());
   forwarder_->SetAccepting(false);
-  loop_.deadlines().At(initial_list_gate_->until(), [this] { AcceptOnceListReceived(); });
+  loop_.deadlines().At(initial_list_gate_->deadline(), [this] { AcceptOnceListReceived(); });
 }
 
 void Node::AcceptOnceListReceived() {
--- a/src/node/node_reload.cpp
+++ b/src/node/node_reload.cpp
@@ -24,7 +24,7 @@
   const bool fixed_list = planner_ && !discovery_ && new_config.discovery.empty();
   const auto class_in_use = [this](int class_index) {
     return (planner_ && planner_->IsClassInUse(class_index)) ||
-           (forwarder_ && forwarder_->InUse(class_index));
+           (forwarder_ && forwarder_->IsClassInUse(class_index));
   };
   if (!ReloadConfig(config_path_, class_in_use, &new_config, &class_changes, &reason) ||
       (fixed_list && new_config.known_workers != "{}" &&
@@ -45,7 +45,7 @@
                         class_changes.reassigned);
   }
   if (client_front_) ApplyNamesToFront(old_config);
-  if (discovery_) discovery_->Move(config_.discovery);
+  if (discovery_) discovery_->SetAddress(config_.discovery);
   if (fixed_list) OnEndpointList(balancing::EndpointListKind::kSnapshot, endpoint_list);
 }
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -97,7 +97,7 @@
       EXPECT_LT(kTimeoutS + wait + 1.5, kMaxPropagationS + kGraceS) << nodes;
       waited += kTimeoutS + wait;
     }
-    EXPECT_LT(backoff.DelayAfterSilence(1.0), 1.0);
+    EXPECT_LT(backoff.DelayAfterTimeout(1.0), 1.0);
   }
 }
 
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -286,9 +286,9 @@
   Discovery discovery(
       &loop,
       {.address = server.address(), .max_poll_interval_s = 1, .zones = {}, .kinds = {}, .seed = 3},
-      {.known = [&](balancing::EndpointListKind kind,
-                    const ServerList&) { list_kinds.push_back(kind); },
-       .unavailable = [&] { ++unavailable; }});
+      {.on_list = [&](balancing::EndpointListKind kind,
+                      const ServerList&) { list_kinds.push_back(kind); },
+       .on_unavailable = [&] { ++unavailable; }});
   discovery.SetVersion(2);
   discovery.Subscribe(true);
   ASSERT_TRUE(TurnUntil(loop, [&] { return call_times.size() == 4; }));
@@ -331,9 +331,9 @@
                            .seed = seed,
                            .drain_grace_s = drain_grace_s,
                            .nodes = nodes},
-        Discovery::Hooks{.known = [this](balancing::EndpointListKind kind,
-                                         const ServerList&) { list_kinds.push_back(kind); },
-                         .unavailable =
+        Discovery::Hooks{.on_list = [this](balancing::EndpointListKind kind,
+                                           const ServerList&) { list_kinds.push_back(kind); },
+                         .on_unavailable =
                              [this] {
                                ++unavailable;
                                loop.deadlines().At(loop.Now() + 0.1,
@@ -398,7 +398,7 @@
     ASSERT_TRUE(harness.targets[call].starts_with(watch)) << harness.targets[call];
     EXPECT_GE(std::stoi(harness.targets[call].substr(watch.size())), 8000) << call;
   }
-  EXPECT_FALSE(harness.discovery->Overdue());
+  EXPECT_FALSE(harness.discovery->IsOverdue());
 }
 
 // A change within 200 ms after a response counts as known to the node. If the server rejects the
@@ -419,17 +419,17 @@
   EXPECT_LT(harness.call_times[1] - harness.call_times[0], 0.2);
   EXPECT_LT(harness.call_times[3] - harness.call_times[2], 1.4);
   EXPECT_GT(harness.call_times[3] - harness.call_times[2], 0.2);
-  EXPECT_FALSE(harness.discovery->Overdue());
+  EXPECT_FALSE(harness.discovery->IsOverdue());
   ASSERT_TRUE(TurnUntil(
-      harness.loop, [&] { return harness.discovery->Overdue(); }, 3));
+      harness.loop, [&] { return harness.discovery->IsOverdue(); }, 3));
   EXPECT_LT(harness.loop.Now() - harness.call_times[2], 2.0);
   EXPECT_GT(harness.loop.Now() - harness.call_times[2], 1.7);
   DiscoveryHarness::RespondWithList(last_call, 4);
   ASSERT_TRUE(TurnUntil(harness.loop, [&] { return harness.list_kinds.size() == 3; }));
-  EXPECT_FALSE(harness.discovery->Overdue());
+  EXPECT_FALSE(harness.discovery->IsOverdue());
   ASSERT_TRUE(harness.WaitForCalls(5));  // no change: from now on a watch is open
   EXPECT_FALSE(TurnUntil(
-      harness.loop, [&] { return harness.discovery->Overdue(); }, 2.2));
+      harness.loop, [&] { return harness.discovery->IsOverdue(); }, 2.2));
 }
 
 // The same if the drain grace period is shorter than the wait until the next call: attempts used to
@@ -449,19 +449,19 @@
   harness.discovery->Subscribe(true);
   ASSERT_TRUE(harness.WaitForCalls(4, 12));
   ASSERT_TRUE(TurnUntil(harness.loop, [&] { return harness.list_kinds.size() == 2; }));
-  EXPECT_FALSE(harness.discovery->Overdue());
+  EXPECT_FALSE(harness.discovery->IsOverdue());
   EXPECT_TRUE(TurnUntil(
-      harness.loop, [&] { return harness.discovery->Overdue() || harness.call_times.size() == 5; },
-      3));
+      harness.loop,
+      [&] { return harness.discovery->IsOverdue() || harness.call_times.size() == 5; }, 3));
   EXPECT_EQ(harness.call_times.size(), 4U) << "overdue before the next call";
   EXPECT_LT(harness.loop.Now() - harness.call_times[3], kGraceS);
   ASSERT_TRUE(harness.WaitForCalls(5));
   EXPECT_GT(harness.call_times[4] - harness.call_times[3], kGraceS)
       << "the wait is too short for this test";
-  EXPECT_TRUE(harness.discovery->Overdue());
+  EXPECT_TRUE(harness.discovery->IsOverdue());
   DiscoveryHarness::RespondWithList(last_call, 4);
   ASSERT_TRUE(TurnUntil(harness.loop, [&] { return harness.list_kinds.size() == 3; }));
-  EXPECT_FALSE(harness.discovery->Overdue());
+  EXPECT_FALSE(harness.discovery->IsOverdue());
 }
 
 // A watch without a response is abandoned soon after its wait, and the next call does not wait.
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -54,9 +54,9 @@
                            .seed = 3,
                            .nodes = nodes},
         Discovery::Hooks{
-            .known = [this](EndpointListKind kind,
-                            const ServerList& list) { lists.emplace_back(kind, list); },
-            .unavailable = [] {}});
+            .on_list = [this](EndpointListKind kind,
+                              const ServerList& list) { lists.emplace_back(kind, list); },
+            .on_unavailable = [] {}});
   }
   Loop loop;
   FakeWorker old_server{&loop}, new_server{&loop};
@@ -71,7 +71,7 @@
     if (call.head.target.find("after") == std::string::npos)
       RespondWithList(call, 3, true, Entry("w1", "in_service"));
   };
-  discovery->Move(new_server.address());
+  discovery->SetAddress(new_server.address());
   ASSERT_TRUE(TurnUntil(loop, [&] { return new_server.requests.size() == 2; }));
   EXPECT_EQ(new_server.requests[0].head.target, "/catalog/members");
   EXPECT_TRUE(new_server.requests[1].head.target.starts_with("/catalog/members?after=3&"));
@@ -88,7 +88,7 @@
     if (call.head.target.find("after") != std::string::npos) return;
     RespondWithList(call, 3, true, Entry("w0", "in_service") + "," + Entry("w1", "in_service"));
   };
-  discovery->Move(new_server.address());
+  discovery->SetAddress(new_server.address());
   ASSERT_TRUE(TurnUntil(loop, [&] { return lists.size() == 2; }));
   EXPECT_EQ(lists[1].second.entries[0].member.readiness, Readiness::kDraining);
   EXPECT_EQ(lists[1].second.entries[1].member.readiness, Readiness::kReady);
@@ -105,7 +105,7 @@
     if (call.head.target.find("after") == std::string::npos)
       RespondWithList(call, 3, true, Entry("w0", "in_service", 5000));
   };
-  discovery->Move(new_server.address());
+  discovery->SetAddress(new_server.address());
   ASSERT_TRUE(TurnUntil(loop, [&] { return lists.size() == 2; }));
   EXPECT_EQ(lists[1].second.entries[0].member.readiness, Readiness::kReady);
 }
@@ -122,7 +122,7 @@
       if (new_server.requests.size() < 4) return call.from->Close("test");
       RespondWithList(call, 3, true, Entry("w1", "in_service"));
     };
-    discovery->Move(new_server.address());
+    discovery->SetAddress(new_server.address());
     EXPECT_TRUE(TurnUntil(
         loop, [&] { return lists.size() > known_before; }, 1.5))
         << nodes;
--- a/tests/support/support.h
+++ b/tests/support/support.h
@@ -53,7 +53,7 @@
   // Half-closes the connection once everything is written.
   void EndAfterWriting() {
     end_after_writing_ = true;
-    if (Drained()) EndSending();
+    if (Drained()) ShutdownWrite();
   }
 
  protected:
@@ -67,7 +67,7 @@
     on_end();
   }
   void OnDrained() override {
-    if (end_after_writing_) EndSending();
+    if (end_after_writing_) ShutdownWrite();
   }
 
  private:
