--- a/src/net/link/link.cpp
+++ b/src/net/link/link.cpp
@@ -106,7 +106,7 @@
         request.tenant = frame.I32();
         request.wire_id = frame.Text();
         request.affinity = frame.Text();
-        // Sent as the time left, because the clocks of the two processeshave different origins.
+        // Sent as the time left, because the clocks of the two processes have different origins.
         request.expires_at = loop_->Now() + frame.F64();
         request.slots = frame.F64();
         request.memory = frame.F64();
--- a/tests/cluster/days_test.cpp
+++ b/tests/cluster/days_test.cpp
@@ -1,4 +1,4 @@
-// Random faults on several processesunder a load of requests and durable jobs; at the end all
+// Random faults on several processes under a load of requests and durable jobs; at the end all
 // faults are healed. Guards against promises to clients that are broken, and nodes that do not
 // converge again. The faults follow from a seed,  and a failure prints them. With SEEDS in the
 // environment there are as many runs, and longer ones, from the seed SEED on.
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -81,7 +81,7 @@
                                      .epoch = 4,
                                      .store_id = 41,
                                      .sequence = 6,
-                                     .commit = 5};
+                                     .commit_index = 5};
   message.sequence_epoch = 3;
   message.query_number = 8;
   message.last_chunk = message.matched = true;
--- a/tests/idempotency_keys_test.cpp
+++ b/tests/idempotency_keys_test.cpp
@@ -175,7 +175,7 @@
       } else if (claim_result.kind == Kind::kAnswered) {
         repeated_answers += 1;
         if (!histories_[key].answers.contains(claim_result.result))
-          world_.ReportViolation(key + " is answered with the answer to anotherrequest");
+          world_.ReportViolation(key + " is answered with the answer to another request");
       } else {
         granted += 1;
         // The number of the claim is known once Claim has returned.
--- a/tests/support/replication_simulation.h
+++ b/tests/support/replication_simulation.h
@@ -67,9 +67,9 @@
     store_restored = true;
   }
   void SetWriteLatency(std::size_t i, double latency_s) { nodes_[i].write_latency_s = latency_s; }
-  // Whether the node may lose its store: at most one less than `min_replicas` stores of a logmay
-  // be lost at a time, in any view that a node knows or has
-  accepted.bool CanLoseStore(std::size_t i) {
+  // Whether the node may lose its store: at most one less than `min_replicas` stores of a log may
+  // be lost at a time, in any view that a node knows or has accepted.
+  bool CanLoseStore(std::size_t i) {
     for (std::size_t other = 0; other < nodes_.size(); ++other) {
       std::vector<const View*> views{&world.node(other).disk.accepted};
       if (world.up(other)) {
