--- a/tests/cluster/days_test.cpp
+++ b/tests/cluster/days_test.cpp
@@ -8,7 +8,7 @@
 #include "support/job_history.h"
 #include "support/seeded_runs.h"
 
-namespace millethollow::rig {
+namespace millethollow::cluster_test {
 namespace {
 
 class RandomFaultRun {
@@ -222,4 +222,4 @@
 }
 
 }  // namespace
-}  // namespace millethollow::rig
+}  // namespace millethollow::cluster_test
--- a/tests/cluster/jobs_test.cpp
+++ b/tests/cluster/jobs_test.cpp
@@ -7,7 +7,7 @@
 #include "support/job_history.h"
 #include "support/seeded_runs.h"
 
-namespace millethollow::rig {
+namespace millethollow::cluster_test {
 namespace {
 
 constexpr std::size_t kWorkers = 4;
@@ -292,4 +292,4 @@
 }
 
 }  // namespace
-}  // namespace millethollow::rig
+}  // namespace millethollow::cluster_test
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -9,7 +9,7 @@
 #include "net/cluster/frame.h"
 #include "support/cluster_harness.h"
 
-namespace millethollow::rig {
+namespace millethollow::cluster_test {
 namespace {
 
 bool LongRun() { return std::getenv("LONG") != nullptr; }
@@ -406,4 +406,4 @@
 }
 
 }  // namespace
-}  // namespace millethollow::rig
+}  // namespace millethollow::cluster_test
--- a/tests/cluster/quota_test.cpp
+++ b/tests/cluster/quota_test.cpp
@@ -16,7 +16,7 @@
 
 #include "support/cluster_harness.h"
 
-namespace millethollow::rig {
+namespace millethollow::cluster_test {
 namespace {
 
 constexpr std::size_t kMembers = 6, kZones = 3, kWorkers = 4;
@@ -374,4 +374,4 @@
 }
 
 }  // namespace
-}  // namespace millethollow::rig
+}  // namespace millethollow::cluster_test
--- a/tests/cluster/restart_test.cpp
+++ b/tests/cluster/restart_test.cpp
@@ -13,7 +13,7 @@
 
 #include "support/cluster_harness.h"
 
-namespace millethollow::rig {
+namespace millethollow::cluster_test {
 namespace {
 
 // The discovery service of all processes, with an address for each so that it can tell them apart.
@@ -358,4 +358,4 @@
 }
 
 }  // namespace
-}  // namespace millethollow::rig
+}  // namespace millethollow::cluster_test
--- a/tests/support/cluster_harness.cpp
+++ b/tests/support/cluster_harness.cpp
@@ -17,7 +17,7 @@
 #include <fstream>
 #include <sstream>
 
-namespace millethollow::rig {
+namespace millethollow::cluster_test {
 namespace {
 
 constexpr double kPollIntervalS = 0.05, kPollTimeoutS = 0.5;
@@ -29,7 +29,7 @@
   constexpr int kFirstPort = 12000, kPortsPerRange = 120, kRanges = 150;
   static int range = -1, next = 0;
   for (int r = 0; range < 0 && r < kRanges; ++r) {
-    const std::string path = "/tmp/millethollow-rig-ports-" + std::to_string(r);
+    const std::string path = "/tmp/millethollow-test-ports-" + std::to_string(r);
     const int lock =
         open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);  // held until the process ends
     if (lock >= 0 && flock(lock, LOCK_EX | LOCK_NB) == 0)
@@ -236,7 +236,7 @@
 
 ClusterHarness::ClusterHarness(const Options& options) : options_(options), random_(options.seed) {
   LogLevel() = Level::kError;
-  char name[] = "/tmp/millethollow-rig-XXXXXX";
+  char name[] = "/tmp/millethollow-test-XXXXXX";
   folder_ = mkdtemp(name);
   for (std::size_t w = 0; w < options.workers; ++w)
     workers_.push_back(std::make_unique<FakeWorker>(&loop_));
@@ -610,4 +610,4 @@
                                  : std::strtol(answer.c_str() + at + name.size() + 1, nullptr, 10);
 }
 
-}  // namespace millethollow::rig
+}  // namespace millethollow::cluster_test
--- a/tests/support/cluster_harness.h
+++ b/tests/support/cluster_harness.h
@@ -19,7 +19,7 @@
 #include "support/network_shim.h"
 #include "support/support.h"
 
-namespace millethollow::rig {
+namespace millethollow::cluster_test {
 
 // Returns a port that is free for both TCP and UDP. It is from a range that this process has
 // locked, because tests run in parallel and a node that is down must find its ports free when it
@@ -176,6 +176,6 @@
   std::vector<std::string> violations_;
 };
 
-}  // namespace millethollow::rig
+}  // namespace millethollow::cluster_test
 
 #endif  // MILLETHOLLOW_TESTS_SUPPORT_CLUSTER_HARNESS_H_
--- a/tests/support/history.h
+++ b/tests/support/history.h
@@ -9,13 +9,14 @@
 #include <string>
 #include <vector>
 
-#include "support/cluster_rig.h"
+#include "support/cluster_harness.h"
 
-namespace millethollow::rig {
+namespace millethollow::cluster_test {
 
 class History {
  public:
-  explicit History(Cluster* cluster, std::size_t workers) : cluster_(cluster), workers_(workers) {}
+  explicit History(ClusterHarness* cluster, std::size_t workers)
+      : cluster_(cluster), workers_(workers) {}
 
   // Sends a request to a random node, unless that node does not serve now.
   void SendRequest() {
@@ -26,7 +27,8 @@
     request.node = node;
     request.charge = cluster_->random().Below(2) == 0;
     request.disturbances_before = cluster_->DisruptionCount(node);
-    request.connection = std::make_unique<Raw>(&cluster_->loop(), cluster_->http_address(node));
+    request.connection =
+        std::make_unique<RawClient>(&cluster_->loop(), cluster_->http_address(node));
     request.connection->Write(
         Post(request.id, request.charge ? "charge" : "look",
              request.charge ? "Idempotency-Key: " + request.id + "\r\n" : ""));
@@ -62,7 +64,7 @@
       const Request& request = requests_[i];
       const std::string status = request.response.substr(0, 12);
       const auto executed = cells.find(request.id);
-      const std::string prefix = request.id + " at " + Cluster::Name(request.node) + ": ";
+      const std::string prefix = request.id + " at " + ClusterHarness::Name(request.node) + ": ";
       if (request.undisturbed && status != "HTTP/1.1 200")
         violations.push_back(prefix + "response '" + status + "'");
       if (status == "HTTP/1.1 200" && executed == cells.end())
@@ -82,14 +84,14 @@
     // undisturbed: its node had no fault until the response.
     bool charge = false, undisturbed = false;
     std::uint64_t disturbances_before = 0;
-    std::unique_ptr<Raw> connection;
+    std::unique_ptr<RawClient> connection;
   };
-  Cluster* cluster_;
+  ClusterHarness* cluster_;
   std::size_t workers_;
   std::deque<Request> requests_;
   std::size_t first_pending_ = 0;
 };
 
-}  // namespace millethollow::rig
+}  // namespace millethollow::cluster_test
 
 #endif  // MILLETHOLLOW_TESTS_SUPPORT_HISTORY_H_
--- a/tests/support/job_history.h
+++ b/tests/support/job_history.h
@@ -11,7 +11,7 @@
 
 #include "support/cluster_harness.h"
 
-namespace millethollow::rig {
+namespace millethollow::cluster_test {
 
 // Submits jobs to a cluster, and checks their history.
 class JobHistory {
@@ -118,6 +118,6 @@
   std::deque<Submission> submissions_;
 };
 
-}  // namespace millethollow::rig
+}  // namespace millethollow::cluster_test
 
 #endif  // MILLETHOLLOW_TESTS_SUPPORT_JOB_HISTORY_H_
--- a/tests/support/network_shim.cpp
+++ b/tests/support/network_shim.cpp
@@ -15,16 +15,16 @@
 
 namespace {
 
-millethollow::rig::Shim* SharedShim() {
-  static millethollow::rig::Shim* shim = [] {
+millethollow::cluster_test::Shim* SharedShim() {
+  static millethollow::cluster_test::Shim* shim = [] {
     const char* path = getenv("MILLETHOLLOW_SHIM_PAGE");
     const int fd =
         path == nullptr ? -1 : static_cast<int>(syscall(SYS_openat, AT_FDCWD, path, O_RDWR));
     void* at = fd < 0 ? MAP_FAILED
-                      : mmap(nullptr, sizeof(millethollow::rig::Shim), PROT_READ | PROT_WRITE,
-                             MAP_SHARED, fd, 0);
+                      : mmap(nullptr, sizeof(millethollow::cluster_test::Shim),
+                             PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     if (fd >= 0) syscall(SYS_close, fd);
-    return at == MAP_FAILED ? nullptr : static_cast<millethollow::rig::Shim*>(at);
+    return at == MAP_FAILED ? nullptr : static_cast<millethollow::cluster_test::Shim*>(at);
   }();
   return shim;
 }
--- a/tests/support/network_shim.h
+++ b/tests/support/network_shim.h
@@ -6,7 +6,7 @@
 #include <atomic>
 #include <cstdint>
 
-namespace millethollow::rig {
+namespace millethollow::cluster_test {
 
 struct Shim {
   std::atomic<std::int64_t> wall_clock_offset_s;  // added to the wall clock
@@ -16,6 +16,6 @@
   std::atomic<std::uint32_t> sync_delay_ms;  // delay of each sync
 };
 
-}  // namespace millethollow::rig
+}  // namespace millethollow::cluster_test
 
 #endif  // MILLETHOLLOW_TESTS_SUPPORT_NETWORK_SHIM_H_
