--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -372,7 +372,7 @@
   const std::uint64_t change_number =
       membership_->SetMaintenance(Now(), worker, in_maintenance, &actions);
   const bool has_receivers = !actions.send.empty();
-  Events().info("cluster worker={} out={} set-here", worker, in_maintenance);
+  Events().info("cluster worker={} out={} said-here", worker, in_maintenance);
   if (change_number != 0 && has_receivers) {
     PendingMaintenance& pending = pending_maintenance_[change_number];
     pending.on_replicated = std::move(on_replicated);
