--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -505,13 +505,15 @@
   template <typename Done>
   bool Until(Done done, double timeout_s) {
     const double until = host.Now() + timeout_s;
-    while (!done() && host.Now() < until) {
+    bool reached = done();
+    while (!reached && host.Now() < until) {
       for (Loop* loop : {&host, &node->loop()}) {
         loop->deadlines().At(loop->Now() + 0.001, [] {});
         loop->Turn();
       }
+      reached = done();
     }
-    return done();
+    return reached;
   }
   std::string Get(const std::string& path) {
     RawClient caller(&host, node->admin_address());
