--- a/bench/scale/axes.cpp
+++ b/bench/scale/axes.cpp
@@ -21,16 +21,16 @@
 }
 
 void AddPoint(const std::vector<Measure>& measures, const std::string& size, AxisResult* result) {
-  Point whole;
+  Point combined;
   for (const Measure& measure : measures) {
     ChildResult child = RunInChild(measure);
     if (!child.point) {
       result->failures.push_back(size + ": " + child.failure);
       continue;
     }
-    for (Figure& figure : child.point->figures) whole.figures.push_back(std::move(figure));
+    for (Figure& figure : child.point->figures) combined.figures.push_back(std::move(figure));
   }
-  if (!whole.figures.empty()) result->points.push_back(std::move(whole));
+  if (!combined.figures.empty()) result->points.push_back(std::move(combined));
 }
 
 AxisResult NewResult(const std::string& name) {
--- a/bench/scale/axes.h
+++ b/bench/scale/axes.h
@@ -1,4 +1,4 @@
-// The axes along which the program is measured, each with its sizes.
+// The axes of fleet size along which the program's parts are measured.
 #ifndef MILLETHOLLOW_BENCH_SCALE_AXES_H_
 #define MILLETHOLLOW_BENCH_SCALE_AXES_H_
 
@@ -11,16 +11,19 @@
 
 namespace millethollow::scale {
 
+// Options that apply to every axis.
 struct AxisOptions {
-  bool is_short = false;  // small sizes and few samples, for continuous integration
+  bool is_short = false;  // Small sizes and few samples, for continuous integration.
   std::uint64_t seed = 1;
 };
 
+// An axis and the function that measures all of its sizes.
 struct Axis {
   std::string name;
   AxisResult (*run)(const AxisOptions& options);
 };
 
+// Each measures one axis at all of its sizes; bench/scale/README.md describes the figures.
 AxisResult RunTenants(const AxisOptions& options);
 AxisResult RunWorkers(const AxisOptions& options);
 AxisResult RunDispatchers(const AxisOptions& options);
@@ -32,13 +35,16 @@
 AxisResult RunQuotaTenants(const AxisOptions& options);
 AxisResult RunQuotaAllocators(const AxisOptions& options);
 
+// All axes in the order in which they run.
 const std::vector<Axis>& AllAxes();
 
-// Runs each size's measurements in child processes of their own and puts their figures together.
+// One measurement at one size.
 using Measure = std::function<Point()>;
+// Runs each measurement in a child process and appends their combined figures to `result` as one
+// point. A measurement that fails is recorded under failures with the text `size`.
 void AddPoint(const std::vector<Measure>& measures, const std::string& size, AxisResult* result);
 
-// A result that says how to get it again.
+// An empty result with the command that repeats the run.
 AxisResult NewResult(const std::string& name);
 
 }  // namespace millethollow::scale
--- a/bench/scale/axis_dispatchers.cpp
+++ b/bench/scale/axis_dispatchers.cpp
@@ -1,39 +1,40 @@
-// Dispatchers: what their reports cost each of them, and how soon quotas follow demand that moves.
+// Axis `dispatchers`: the cost of reports per dispatcher, and how soon quotas follow demand that
+// moves between dispatchers.
 #include <algorithm>
 
 #include "scale/axes.h"
 #include "scale/fixtures.h"
-#include "scale/hollow_tier.h"
 #include "scale/process.h"
+#include "scale/simulated_tier.h"
 #include "scale/statistics.h"
 
 namespace millethollow::scale {
 namespace {
 
-constexpr int kDirectTier = 24;  // up to so many all hear each other; beyond, a few at random
+constexpr int kMaxFullMeshDispatchers = 24;  // A larger tier reports to a few random peers.
 constexpr int kMovingTenant = 0;
-constexpr double kMovingPart = 0.25;  // of all demand and of all quotas
-constexpr double kOverload = 1.3;     // demand over what the workers can do
-constexpr double kRunS = 0.2;
-constexpr double kLeastJobsPerS = 1300, kLeastJobsPerSShort = 500;  // of the whole tier
-constexpr double kJobsPerDispatcherS = 5.2;
+constexpr double kMovingShare = 0.25;    // Share of all demand and of all quotas.
+constexpr double kOverloadFactor = 1.3;  // Demand over the workers' capacity.
+constexpr double kJobDurationS = 0.2;
+constexpr double kMinJobsPerS = 1300, kMinJobsPerSShort = 500;  // Of the whole tier.
+constexpr double kJobsPerDispatcherPerS = 5.2;
 constexpr int kFewTenants = 13, kManyTenants = 130;
-constexpr double kBackAt = 0.95;  // of the admissions before the move
-constexpr double kWindowS = 2;    // over which admissions are compared
+constexpr double kRecoveredShare = 0.95;  // Of the admission rate before the move.
+constexpr double kRateWindowS = 2;        // Window of the admission rates compared.
 
-// How much is played, and when each part of it ends, in seconds of the virtual clock.
+// The load of the simulation and the end of each of its phases, in seconds of the virtual clock.
 struct Phases {
-  double least_jobs_per_s = kLeastJobsPerS;
-  double settled = 20, even = 40, first_half = 70, second_half = 100;
-  double measured_s = 15;  // at the end of each phase
+  double min_jobs_per_s = kMinJobsPerS;
+  double settled_end_s = 20, even_end_s = 40, first_half_end_s = 70, second_half_end_s = 100;
+  double measurement_window_s = 15;  // At the end of each phase.
 };
 
-Phases PhasesOf(const AxisOptions& options) {
-  if (options.is_short) return {kLeastJobsPerSShort, 10, 16, 28, 40, 6};
+Phases MakePhases(const AxisOptions& options) {
+  if (options.is_short) return {kMinJobsPerSShort, 10, 16, 28, 40, 6};
   return {};
 }
 
-Demand DemandAt(double jobs_per_s, int first, int dispatchers) {
+Demand MakeDemand(double jobs_per_s, int first, int dispatchers) {
   Demand demand;
   demand.jobs_per_s = jobs_per_s;
   demand.first_dispatcher = first;
@@ -41,87 +42,101 @@
   return demand;
 }
 
-// Seconds from the move until admissions over the last kWindowS are back; -1: not before the end.
-double RecoveryTime(const HollowTier& tier, double moved_at, double end, double rate_before) {
-  for (double t = moved_at + kWindowS; t <= end; t += HollowTier::kSliceS) {
-    const double rate = tier.AdmittedBetween(kMovingTenant, t - kWindowS, t) / kWindowS;
-    if (rate >= kBackAt * rate_before) return t - moved_at;
+// Seconds from the move until the admission rate over kRateWindowS has recovered, or -1 if it has
+// not by `end_s`.
+double RecoveryTime(const SimulatedTier& tier, double moved_at_s, double end_s,
+                    double rate_before) {
+  for (double time_s = moved_at_s + kRateWindowS; time_s <= end_s;
+       time_s += SimulatedTier::kSliceS) {
+    const double rate =
+        tier.AdmittedBetween(kMovingTenant, time_s - kRateWindowS, time_s) / kRateWindowS;
+    if (rate >= kRecoveredShare * rate_before) return time_s - moved_at_s;
   }
   return -1;
 }
 
 Point MeasureTier(int dispatchers, int tenants, const Phases& phases, std::uint64_t seed) {
-  const double demand = std::max(phases.least_jobs_per_s, kJobsPerDispatcherS * dispatchers);
-  const double capacity = demand / kOverload;
-  HollowTier::Options options;
+  const double demand = std::max(phases.min_jobs_per_s, kJobsPerDispatcherPerS * dispatchers);
+  const double capacity = demand / kOverloadFactor;
+  SimulatedTier::Options options;
   options.dispatcher_count = dispatchers;
   options.tenants = tenants;
-  options.workers = static_cast<int>(capacity * kRunS / kSlotsPerWorker);
-  options.run_s = kRunS;
+  options.workers = static_cast<int>(capacity * kJobDurationS / kSlotsPerWorker);
+  options.job_duration_s = kJobDurationS;
   options.seed = seed;
   options.quotas_rps.assign(static_cast<std::size_t>(tenants),
-                            (1 - kMovingPart) * capacity / (tenants - 1));
-  const double quota = kMovingPart * capacity;
+                            (1 - kMovingShare) * capacity / (tenants - 1));
+  const double quota = kMovingShare * capacity;
   options.quotas_rps[kMovingTenant] = quota;
 
   const std::size_t memory_before = AllocatedMemory();
-  HollowTier tier(options);
-  const auto memory = static_cast<double>(AllocatedMemory() - memory_before);
-  const double moving = kMovingPart * demand;
-  tier.SetDemand(0, DemandAt(moving, 0, dispatchers));
-  Demand others = DemandAt(demand - moving, 0, dispatchers);
-  others.first_tenant = 1;
-  others.tenants = tenants - 1;
-  tier.SetDemand(1, others);
-  tier.Run(phases.settled);
+  SimulatedTier tier(options);
+  const auto memory_bytes = static_cast<double>(AllocatedMemory() - memory_before);
+  const double moving_demand = kMovingShare * demand;
+  tier.SetDemand(0, MakeDemand(moving_demand, 0, dispatchers));
+  Demand other_demand = MakeDemand(demand - moving_demand, 0, dispatchers);
+  other_demand.first_tenant = 1;
+  other_demand.tenants = tenants - 1;
+  tier.SetDemand(1, other_demand);
+  tier.Run(phases.settled_end_s);
   tier.ResetCost();
-  tier.Run(phases.even);
+  tier.Run(phases.even_end_s);
   const ControlCost cost = tier.cost();
-  const int half = std::max(1, dispatchers / 2);
-  tier.SetDemand(0, DemandAt(moving, 0, half));
-  tier.Run(phases.first_half);
-  tier.SetDemand(0, DemandAt(moving, dispatchers - half, half));
-  tier.Run(phases.second_half);
+  const int half_dispatchers = std::max(1, dispatchers / 2);
+  tier.SetDemand(0, MakeDemand(moving_demand, 0, half_dispatchers));
+  tier.Run(phases.first_half_end_s);
+  tier.SetDemand(0, MakeDemand(moving_demand, dispatchers - half_dispatchers, half_dispatchers));
+  tier.Run(phases.second_half_end_s);
 
-  const auto admitted_rate = [&](double end) {
-    return tier.AdmittedBetween(kMovingTenant, end - phases.measured_s, end) / phases.measured_s;
+  const auto admitted_rate = [&](double end_s) {
+    return tier.AdmittedBetween(kMovingTenant, end_s - phases.measurement_window_s, end_s) /
+           phases.measurement_window_s;
   };
-  const auto used = [&](double end) {
-    const double served = tier.ServedBetween(kMovingTenant, end - phases.measured_s, end);
-    return served / phases.measured_s / quota;
+  const auto quota_used_share = [&](double end_s) {
+    const double served =
+        tier.ServedBetween(kMovingTenant, end_s - phases.measurement_window_s, end_s);
+    return served / phases.measurement_window_s / quota;
   };
-  const auto fleet_used = [&](double end) {
-    const double served = tier.AllServedBetween(end - phases.measured_s, end);
-    return served / phases.measured_s / capacity;
+  const auto fleet_used_share = [&](double end_s) {
+    const double served = tier.AllServedBetween(end_s - phases.measurement_window_s, end_s);
+    return served / phases.measurement_window_s / capacity;
   };
-  const double spans = (phases.even - phases.settled) * dispatchers;
-  const double rate_even = admitted_rate(phases.even);
-  const double rate_before = admitted_rate(phases.first_half);
-  const std::string suffix = Numbered("_", tenants) + "t";
+  const double dispatcher_seconds = (phases.even_end_s - phases.settled_end_s) * dispatchers;
+  const double rate_even = admitted_rate(phases.even_end_s);
+  const double rate_before = admitted_rate(phases.first_half_end_s);
+  const std::string suffix = AppendNumber("_", tenants) + "t";
   Point point;
-  point.Computed("datagrams_each" + suffix, "datagram/s",
-                 static_cast<double>(cost.datagrams) / spans);
-  point.Computed("bytes_each" + suffix, "B/s", static_cast<double>(cost.bytes) / spans);
-  point.Computed("dropped_each" + suffix, "datagram/s", static_cast<double>(cost.too_long) / spans);
-  point.Measured("peers_processor_each" + suffix, "ns/s", cost.peer_nanoseconds / spans);
-  point.Measured("jobs_processor_each" + suffix, "ns/s", cost.job_nanoseconds / spans);
-  point.Measured("memory_each" + suffix, "KiB",
-                 memory / dispatchers / static_cast<double>(kKibibyte));
-  point.Computed("quota_used_even" + suffix, "share", used(phases.even));
-  point.Computed("quota_used_at_first_half" + suffix, "share", used(phases.first_half));
-  point.Computed("quota_used_at_second_half" + suffix, "share", used(phases.second_half));
-  point.Computed("fleet_used_even" + suffix, "share", fleet_used(phases.even));
-  point.Computed("fleet_used_at_second_half" + suffix, "share", fleet_used(phases.second_half));
-  point.Computed("back_after_gathering" + suffix, "s",
-                 RecoveryTime(tier, phases.even, phases.first_half, rate_even));
-  point.Computed("back_after_move" + suffix, "s",
-                 RecoveryTime(tier, phases.first_half, phases.second_half, rate_before));
+  point.AddComputed("datagrams_each" + suffix, "datagram/s",
+                    static_cast<double>(cost.datagrams) / dispatcher_seconds);
+  point.AddComputed("bytes_each" + suffix, "B/s",
+                    static_cast<double>(cost.bytes) / dispatcher_seconds);
+  point.AddComputed("dropped_each" + suffix, "datagram/s",
+                    static_cast<double>(cost.oversized_messages) / dispatcher_seconds);
+  point.AddMeasured("peers_processor_each" + suffix, "ns/s",
+                    cost.peer_nanoseconds / dispatcher_seconds);
+  point.AddMeasured("jobs_processor_each" + suffix, "ns/s",
+                    cost.job_nanoseconds / dispatcher_seconds);
+  point.AddMeasured("memory_each" + suffix, "KiB",
+                    memory_bytes / dispatchers / static_cast<double>(kKibibyte));
+  point.AddComputed("quota_used_even" + suffix, "share", quota_used_share(phases.even_end_s));
+  point.AddComputed("quota_used_at_first_half" + suffix, "share",
+                    quota_used_share(phases.first_half_end_s));
+  point.AddComputed("quota_used_at_second_half" + suffix, "share",
+                    quota_used_share(phases.second_half_end_s));
+  point.AddComputed("fleet_used_even" + suffix, "share", fleet_used_share(phases.even_end_s));
+  point.AddComputed("fleet_used_at_second_half" + suffix, "share",
+                    fleet_used_share(phases.second_half_end_s));
+  point.AddComputed("back_after_gathering" + suffix, "s",
+                    RecoveryTime(tier, phases.even_end_s, phases.first_half_end_s, rate_even));
+  point.AddComputed(
+      "back_after_move" + suffix, "s",
+      RecoveryTime(tier, phases.first_half_end_s, phases.second_half_end_s, rate_before));
   return point;
 }
 
 Point SizePoint(int dispatchers) {
   Point point;
-  point.Computed("dispatchers", "dispatcher", dispatchers);
+  point.AddComputed("dispatchers", "dispatcher", dispatchers);
   return point;
 }
 
@@ -131,7 +146,7 @@
   AxisResult result = NewResult("dispatchers");
   const std::vector<int> sizes = options.is_short ? std::vector<int>{3, 10, 24, 30}
                                                   : std::vector<int>{3, 10, 24, 30, 100, 300, 1000};
-  const Phases phases = PhasesOf(options);
+  const Phases phases = MakePhases(options);
   for (const int dispatchers : sizes) {
     std::vector<Measure> measures{
         [=] { return SizePoint(dispatchers); },
@@ -143,9 +158,10 @@
     AddPoint(measures, std::to_string(dispatchers) + " dispatchers", &result);
   }
   for (const char* figure : {"bytes_each_13t", "peers_processor_each_13t", "memory_each_13t"}) {
-    result.trends.push_back(TrendOf(figure, result.points, {.min = 0, .max = kDirectTier}));
+    result.trends.push_back(
+        FitTrend(figure, result.points, {.min = 0, .max = kMaxFullMeshDispatchers}));
     if (options.is_short) continue;
-    result.trends.push_back(TrendOf(figure, result.points, {.min = kDirectTier + 1}));
+    result.trends.push_back(FitTrend(figure, result.points, {.min = kMaxFullMeshDispatchers + 1}));
   }
   return result;
 }
--- a/bench/scale/axis_list_changes.cpp
+++ b/bench/scale/axis_list_changes.cpp
@@ -1,4 +1,4 @@
-// List changes: the share of a core that workers which come and go cost a planner.
+// Axis `list-changes`: the share of a core that a planner uses to apply endpoint list changes.
 #include "scale/axes.h"
 #include "scale/planner_fixture.h"
 #include "scale/statistics.h"
@@ -7,30 +7,30 @@
 namespace {
 
 constexpr int kFullWorkers = 23000, kShortWorkers = 1000;
-constexpr double kBatchS = 0.25;  // one list tells of all that changed in so long
+constexpr double kBatchIntervalS = 0.25;  // Changes of this time go into one list.
 
-// Share of a core, where each list tells of `batch` changes.
-double ShareOfCore(PlannerFixture* fixture, double changes_per_s, int batch, double seconds) {
-  const double lists = changes_per_s * seconds / batch;
-  const double gap = seconds / lists;
-  const double before = ProcessorSeconds();
-  for (double i = 0; i < lists; ++i) {
+// Share of a core used when each list holds `batch` changes.
+double MeasureCoreShare(PlannerFixture* fixture, double changes_per_s, int batch, double seconds) {
+  const double list_count = changes_per_s * seconds / batch;
+  const double interval_s = seconds / list_count;
+  const double processor_before_s = ProcessCpuSeconds();
+  for (double i = 0; i < list_count; ++i) {
     fixture->ChangeWorkers(batch);
-    fixture->Advance(gap);
+    fixture->Advance(interval_s);
   }
-  return (ProcessorSeconds() - before) / seconds;
+  return (ProcessCpuSeconds() - processor_before_s) / seconds;
 }
 
-Point MeasureChanges(int workers, int changes_per_s, double least_seconds, std::uint64_t seed) {
-  const double seconds = std::max(least_seconds, 10.0 / changes_per_s);
+Point MeasureChanges(int workers, int changes_per_s, double min_seconds, std::uint64_t seed) {
+  const double seconds = std::max(min_seconds, 10.0 / changes_per_s);
   PlannerFixture fixture(workers, seed);
-  const int batch = std::max(1, static_cast<int>(changes_per_s * kBatchS));
+  const int batch = std::max(1, static_cast<int>(changes_per_s * kBatchIntervalS));
   Point point;
-  point.Computed("changes", "change/s", changes_per_s);
-  point.Measured("core_share", "core", ShareOfCore(&fixture, changes_per_s, 1, seconds));
-  point.Computed("batch", "change", batch);
-  point.Measured("core_share_batched", "core",
-                 ShareOfCore(&fixture, changes_per_s, batch, seconds));
+  point.AddComputed("changes", "change/s", changes_per_s);
+  point.AddMeasured("core_share", "core", MeasureCoreShare(&fixture, changes_per_s, 1, seconds));
+  point.AddComputed("batch", "change", batch);
+  point.AddMeasured("core_share_batched", "core",
+                    MeasureCoreShare(&fixture, changes_per_s, batch, seconds));
   return point;
 }
 
@@ -48,7 +48,7 @@
              std::to_string(changes) + " changes a second", &result);
   }
   for (const char* figure : {"core_share", "core_share_batched"}) {
-    result.trends.push_back(TrendOf(figure, result.points));
+    result.trends.push_back(FitTrend(figure, result.points));
   }
   return result;
 }
--- a/bench/scale/axis_quota.cpp
+++ b/bench/scale/axis_quota.cpp
@@ -1,5 +1,5 @@
-// Quota leases: what they cost each dispatcher and each allocator, and how soon a shift of demand
-// is granted, by dispatchers, by tenants and by allocators.
+// Axes `quota-dispatchers`, `quota-tenants` and `quota-allocators`: the cost of quota leases per
+// dispatcher and per allocator, and how soon a shift of demand is granted.
 #include <algorithm>
 
 #include "net/cluster/frame.h"
@@ -14,168 +14,175 @@
 using quota::QuotaSimulation;
 using quota::SimulationOptions;
 
-constexpr std::size_t kZones = 11;
-constexpr std::size_t kUsualDispatchers = 300, kUsualTenants = 130, kUsualAllocators = 5;
+constexpr std::size_t kZoneCount = 11;
+constexpr std::size_t kDefaultDispatchers = 300, kDefaultTenants = 130, kDefaultAllocators = 5;
 constexpr std::size_t kIpAndUdpBytes = 28;
-constexpr std::size_t kDatagramBytes = cluster::kMaxDatagramBytes;  // longer frames go by TCP
+constexpr std::size_t kDatagramBytes = cluster::kMaxDatagramBytes;  // Longer frames go by TCP.
 constexpr double kFirstViewS = 0.5, kWarmUpS = 12;
 constexpr double kMovePeriodS = 1;
 
+// The size of one simulation. `seconds` is the length of the steady and of the moving phase.
 struct QuotaCase {
-  std::size_t dispatchers = kUsualDispatchers;
-  std::size_t tenants = kUsualTenants;
-  std::size_t allocators = kUsualAllocators;
+  std::size_t dispatchers = kDefaultDispatchers;
+  std::size_t tenants = kDefaultTenants;
+  std::size_t allocators = kDefaultAllocators;
   double seconds = 30;
   int shifts = 100;
   std::uint64_t seed = 1;
 };
 
-// What went over the network and was computed, of all processes.
-struct Spent {
+// Network traffic and processor time since the start, summed over all processes.
+struct ResourceUse {
   double messages = 0, bytes = 0;
   double holder_ns = 0, allocator_ns = 0;
 };
 
-std::size_t WireBytes(const quota::Message& message) {
+std::size_t MessageWireBytes(const quota::Message& message) {
   const std::size_t frame = cluster::Encode(cluster::Header{}, cluster::Body(message)).size();
   const std::size_t packets = (frame + kDatagramBytes - 1) / kDatagramBytes;
   return frame + packets * kIpAndUdpBytes;
 }
 
-Spent SpentOf(const QuotaSimulation& world) {
-  Spent spent;
-  for (std::size_t i = 0; i < world.size(); ++i) {
-    const QuotaSimulation::Process& process = world.process(i);
-    spent.messages += static_cast<double>(process.reports.messages + process.grants.messages);
-    spent.bytes += static_cast<double>(process.reports.bytes + process.grants.bytes);
-    spent.holder_ns += process.holder_ns;
-    spent.allocator_ns += process.allocator_ns;
+ResourceUse TotalResourceUse(const QuotaSimulation& simulation) {
+  ResourceUse use;
+  for (std::size_t process_index = 0; process_index < simulation.size(); ++process_index) {
+    const QuotaSimulation::Process& process = simulation.process(process_index);
+    use.messages += static_cast<double>(process.reports.messages + process.grants.messages);
+    use.bytes += static_cast<double>(process.reports.bytes + process.grants.bytes);
+    use.holder_ns += process.holder_ns;
+    use.allocator_ns += process.allocator_ns;
   }
-  return spent;
+  return use;
 }
 
-// Each tenant is asked for everywhere, at 0.2 to 2 times its quota in all.
-void AskEverywhere(QuotaSimulation* world) {
-  const std::size_t count = world->size();
-  for (std::size_t tenant = 0; tenant < world->tenants(); ++tenant) {
-    const double part = 0.2 + 1.8 * world->random().Unit();
-    const double each = world->quota(tenant) * part / static_cast<double>(count);
-    quota::SetTenantDemand(world, tenant, std::vector<double>(count, each));
+// Gives each tenant a demand of 0.2 to 2 times its quota, spread evenly over all dispatchers.
+void SetDemandEverywhere(QuotaSimulation* simulation) {
+  const std::size_t count = simulation->size();
+  for (std::size_t tenant = 0; tenant < simulation->tenants(); ++tenant) {
+    const double demand_ratio = 0.2 + 1.8 * simulation->random().Unit();
+    const double demand_per_dispatcher =
+        simulation->quota(tenant) * demand_ratio / static_cast<double>(count);
+    quota::SetTenantDemand(simulation, tenant, std::vector<double>(count, demand_per_dispatcher));
   }
 }
 
-// A tenth of the tenants has its demand elsewhere.
-void MoveSomeDemand(QuotaSimulation* world) {
-  const std::size_t moves = std::max<std::size_t>(1, world->tenants() / 10);
-  for (std::size_t move = 0; move < moves; ++move) {
-    const std::size_t tenant = world->random().Below(world->tenants());
-    quota::SetTenantDemand(
-        world, tenant,
-        quota::RandomDemand(&world->random(), world->size(), kZones, world->quota(tenant)));
+// Redistributes the demand of a random tenth of the tenants over the dispatchers.
+void MoveTenantDemand(QuotaSimulation* simulation) {
+  const std::size_t move_count = std::max<std::size_t>(1, simulation->tenants() / 10);
+  for (std::size_t move = 0; move < move_count; ++move) {
+    const std::size_t tenant = simulation->random().Below(simulation->tenants());
+    quota::SetTenantDemand(simulation, tenant,
+                           quota::RandomDemand(&simulation->random(), simulation->size(),
+                                               kZoneCount, simulation->quota(tenant)));
   }
 }
 
-// Each message is sent by one and heard by another: in sum over all dispatchers, as over all
-// allocators, both ways together are all messages once.
-void AddSpent(const std::string& when, const QuotaCase& of, const Spent& before, const Spent& after,
-              Point* point) {
-  const double bytes = (after.bytes - before.bytes) / of.seconds;
-  const double messages = (after.messages - before.messages) / of.seconds;
-  const double holder = (after.holder_ns - before.holder_ns) / of.seconds;
-  const double allocator = (after.allocator_ns - before.allocator_ns) / of.seconds;
-  const auto dispatchers = static_cast<double>(of.dispatchers);
-  const auto allocators = static_cast<double>(of.allocators);
-  point->Computed("dispatcher_messages_" + when, "message/s", messages / dispatchers);
-  point->Computed("dispatcher_bytes_" + when, "B/s", bytes / dispatchers);
-  point->Computed("allocator_messages_" + when, "message/s", messages / allocators);
-  point->Computed("allocator_bytes_" + when, "B/s", bytes / allocators);
-  point->Measured("dispatcher_processor_" + when, "ns/s", holder / dispatchers);
-  point->Measured("allocator_processor_" + when, "ns/s", allocator / allocators);
+// Adds the use per second between `before` and `after`. Every message has a dispatcher at one end
+// and an allocator at the other, so the messages sent and received by all dispatchers are all
+// messages counted once; the same holds for all allocators.
+void AddResourceUse(const std::string& phase, const QuotaCase& quota_case,
+                    const ResourceUse& before, const ResourceUse& after, Point* point) {
+  const double bytes = (after.bytes - before.bytes) / quota_case.seconds;
+  const double messages = (after.messages - before.messages) / quota_case.seconds;
+  const double holder_ns_per_s = (after.holder_ns - before.holder_ns) / quota_case.seconds;
+  const double allocator_ns_per_s = (after.allocator_ns - before.allocator_ns) / quota_case.seconds;
+  const auto dispatchers = static_cast<double>(quota_case.dispatchers);
+  const auto allocators = static_cast<double>(quota_case.allocators);
+  point->AddComputed("dispatcher_messages_" + phase, "message/s", messages / dispatchers);
+  point->AddComputed("dispatcher_bytes_" + phase, "B/s", bytes / dispatchers);
+  point->AddComputed("allocator_messages_" + phase, "message/s", messages / allocators);
+  point->AddComputed("allocator_bytes_" + phase, "B/s", bytes / allocators);
+  point->AddMeasured("dispatcher_processor_" + phase, "ns/s", holder_ns_per_s / dispatchers);
+  point->AddMeasured("allocator_processor_" + phase, "ns/s", allocator_ns_per_s / allocators);
 }
 
-// Half of a tenant's quota is asked for anew at one dispatcher: seconds until its rate rises.
-Samples MeasureShifts(QuotaSimulation* world, int shifts) {
+// Repeatedly adds half of a tenant's quota to the demand at one dispatcher; each sample is the time
+// in seconds until the dispatcher's granted rate rises.
+Samples MeasureShifts(QuotaSimulation* simulation, int shifts) {
   constexpr double kMaxWaitS = 5, kStepS = 0.05;
-  Samples took;
-  std::size_t watched = 0, tenant = 0;
-  double rate = 0, granted_at = -1;
-  world->on_grant = [&](std::size_t i) {
-    if (i != watched || granted_at >= 0 || world->RateOf(i, tenant) <= rate) return;
-    granted_at = world->now();
+  Samples grant_delays_s;
+  std::size_t dispatcher = 0, tenant = 0;
+  double rate_before = 0, granted_at_s = -1;
+  simulation->on_grant = [&](std::size_t process_index) {
+    if (process_index != dispatcher || granted_at_s >= 0 ||
+        simulation->RateOf(process_index, tenant) <= rate_before)
+      return;
+    granted_at_s = simulation->now();
   };
   for (int shift = 0; shift < shifts; ++shift) {
-    watched = world->random().Below(world->size());
-    tenant = world->random().Below(world->tenants());
-    rate = world->RateOf(watched, tenant);
-    granted_at = -1;
-    const double shifted_at = world->now();
-    const double before = world->demand(watched, tenant);
-    world->SetDemand(watched, tenant, before + world->quota(tenant) / 2);
-    while (granted_at < 0 && world->now() < shifted_at + kMaxWaitS) {
-      world->RunUntil(world->now() + kStepS);
+    dispatcher = simulation->random().Below(simulation->size());
+    tenant = simulation->random().Below(simulation->tenants());
+    rate_before = simulation->RateOf(dispatcher, tenant);
+    granted_at_s = -1;
+    const double shifted_at_s = simulation->now();
+    const double before = simulation->demand(dispatcher, tenant);
+    simulation->SetDemand(dispatcher, tenant, before + simulation->quota(tenant) / 2);
+    while (granted_at_s < 0 && simulation->now() < shifted_at_s + kMaxWaitS) {
+      simulation->RunUntil(simulation->now() + kStepS);
     }
-    if (granted_at >= 0) took.Add(granted_at - shifted_at);
-    world->SetDemand(watched, tenant, before);
-    world->RunUntil(world->now() + 1 + world->random().Unit());
+    if (granted_at_s >= 0) grant_delays_s.Add(granted_at_s - shifted_at_s);
+    simulation->SetDemand(dispatcher, tenant, before);
+    simulation->RunUntil(simulation->now() + 1 + simulation->random().Unit());
   }
-  world->on_grant = [](std::size_t) {};
-  return took;
+  simulation->on_grant = [](std::size_t) {};
+  return grant_delays_s;
 }
 
-void MeasureQuota(const QuotaCase& of, Point* point) {
+void MeasureQuota(const QuotaCase& quota_case, Point* point) {
   SimulationOptions options;
-  options.regions = kZones;
-  options.dispatchers = of.dispatchers;
-  options.allocators = of.allocators;
-  options.tenants = of.tenants;
+  options.regions = kZoneCount;
+  options.dispatchers = quota_case.dispatchers;
+  options.allocators = quota_case.allocators;
+  options.tenants = quota_case.tenants;
   options.check_invariants = false;
   options.measure_time = true;
-  options.message_size = WireBytes;
-  QuotaSimulation world(of.seed, options);
-  world.StartAll();
-  world.ProposeFullView(kFirstViewS);
-  AskEverywhere(&world);
-  world.RunUntil(kWarmUpS);
-  const Spent at_start = SpentOf(world);
-  world.RunUntil(world.now() + of.seconds);
-  const Spent after_rest = SpentOf(world);
-  AddSpent("steady", of, at_start, after_rest, point);
-  for (double s = 0; s < of.seconds; s += kMovePeriodS) {
-    MoveSomeDemand(&world);
-    world.RunUntil(world.now() + kMovePeriodS);
+  options.message_size = MessageWireBytes;
+  QuotaSimulation simulation(quota_case.seed, options);
+  simulation.StartAll();
+  simulation.ProposeFullView(kFirstViewS);
+  SetDemandEverywhere(&simulation);
+  simulation.RunUntil(kWarmUpS);
+  const ResourceUse at_start = TotalResourceUse(simulation);
+  simulation.RunUntil(simulation.now() + quota_case.seconds);
+  const ResourceUse after_steady = TotalResourceUse(simulation);
+  AddResourceUse("steady", quota_case, at_start, after_steady, point);
+  for (double elapsed_s = 0; elapsed_s < quota_case.seconds; elapsed_s += kMovePeriodS) {
+    MoveTenantDemand(&simulation);
+    simulation.RunUntil(simulation.now() + kMovePeriodS);
   }
-  AddSpent("moving", of, after_rest, SpentOf(world), point);
-  const Samples took = MeasureShifts(&world, of.shifts);
-  point->Computed("shifts_granted", "of all", static_cast<double>(took.size()) / of.shifts);
-  point->Computed("shift_to_grant_p50", "s", took.Quantile(0.5));
-  point->Computed("shift_to_grant_p99", "s", took.Quantile(0.99));
+  AddResourceUse("moving", quota_case, after_steady, TotalResourceUse(simulation), point);
+  const Samples grant_delays_s = MeasureShifts(&simulation, quota_case.shifts);
+  point->AddComputed("shifts_granted", "of all",
+                     static_cast<double>(grant_delays_s.size()) / quota_case.shifts);
+  point->AddComputed("shift_to_grant_p50", "s", grant_delays_s.Quantile(0.5));
+  point->AddComputed("shift_to_grant_p99", "s", grant_delays_s.Quantile(0.99));
 }
 
-QuotaCase UsualCase(const AxisOptions& options) {
-  QuotaCase usual;
-  usual.seed = options.seed;
-  if (!options.is_short) return usual;
-  usual.dispatchers = 40;
-  usual.tenants = 26;
-  usual.seconds = 5;
-  usual.shifts = 10;
-  return usual;
+QuotaCase DefaultCase(const AxisOptions& options) {
+  QuotaCase default_case;
+  default_case.seed = options.seed;
+  if (!options.is_short) return default_case;
+  default_case.dispatchers = 40;
+  default_case.tenants = 26;
+  default_case.seconds = 5;
+  default_case.shifts = 10;
+  return default_case;
 }
 
-// Sizes along one axis, rising.
+// Sizes along one axis, in ascending order.
 using Sizes = std::vector<std::size_t>;
 
-// One axis: the usual case with another number of one thing, named by `unit`.
+// Measures one axis: the default case with `varied_field`, whose unit is `unit`, set to each size.
 AxisResult RunQuota(const std::string& name, const std::string& unit, const AxisOptions& options,
-                    std::size_t QuotaCase::*varied, const Sizes& sizes) {
+                    std::size_t QuotaCase::*varied_field, const Sizes& sizes) {
   AxisResult result = NewResult(name);
   for (const std::size_t size : sizes) {
-    QuotaCase of = UsualCase(options);
-    of.*varied = size;
+    QuotaCase quota_case = DefaultCase(options);
+    quota_case.*varied_field = size;
     const auto measure = [=] {
       Point point;
-      point.Computed(unit + "s", unit, static_cast<double>(size));
-      MeasureQuota(of, &point);
+      point.AddComputed(unit + "s", unit, static_cast<double>(size));
+      MeasureQuota(quota_case, &point);
       return point;
     };
     AddPoint({measure}, std::to_string(size) + " " + unit + "s", &result);
@@ -184,7 +191,7 @@
        {"dispatcher_bytes_steady", "dispatcher_bytes_moving", "allocator_bytes_steady",
         "allocator_bytes_moving", "dispatcher_processor_moving", "allocator_processor_moving",
         "shift_to_grant_p99"}) {
-    result.trends.push_back(TrendOf(figure, result.points));
+    result.trends.push_back(FitTrend(figure, result.points));
   }
   return result;
 }
--- a/bench/scale/axis_tenants.cpp
+++ b/bench/scale/axis_tenants.cpp
@@ -1,4 +1,4 @@
-// Tenants: the report that a dispatcher sends each peer, and what quotas of many tenants cost.
+// Axis `tenants`: the report that a dispatcher sends to each peer, and the cost of many tenants.
 #include <cmath>
 #include <variant>
 
@@ -15,21 +15,22 @@
 
 constexpr int kDispatchers = 3;
 constexpr int kWorkers = 100;
-constexpr int kLeastJobsPerRound = 80;  // enough that a report names as many workers as it may
-constexpr int kPeer = 1;
-constexpr double kRoundS = 0.5;  // longer than the time between two reports
+constexpr int kMinJobsPerRound = 80;  // Fills a report's list of workers.
+constexpr int kReceiver = 1;
+constexpr double kRoundS = 0.5;  // Longer than the interval between two reports.
 constexpr std::uint64_t kReportTimer = 1;
 
+// The messages of one report.
 struct Report {
-  std::vector<std::string> bodies;  // to one peer
+  std::vector<std::string> bodies;  // To one peer.
   double nanoseconds = 0;
 
-  std::size_t Bytes() const {
+  std::size_t TotalBytes() const {
     std::size_t sum = 0;
     for (const std::string& body : bodies) sum += body.size();
     return sum;
   }
-  std::size_t Largest() const {
+  std::size_t LargestBodyBytes() const {
     std::size_t largest = 0;
     for (const std::string& body : bodies) largest = std::max(largest, body.size());
     return largest;
@@ -38,93 +39,95 @@
 
 bool Differs(double a, double b) { return std::abs(a - b) > 1e-9; }
 
-// A dispatcher that reports, one that listens, and jobs for every bucket in between.
-class Reporting {
+// A dispatcher that reports and one that receives its reports. Jobs cover every combination of
+// tenant and class.
+class ReportingPair {
  public:
-  Reporting(int tenants, std::uint64_t seed)
+  ReportingPair(int tenants, std::uint64_t seed)
       : tenants_(tenants),
-        settings_(FleetSettings(kDispatchers, tenants)),
-        teller_(settings_, seed),
-        listener_(ListenerSettings(settings_), seed + 1) {
-    const std::vector<balancing::Endpoint> members = Workers(kWorkers);
-    for (LoadBalancer* balancer : {&teller_, &listener_}) {
+        settings_(MakeFleetSettings(kDispatchers, tenants)),
+        reporter_(settings_, seed),
+        receiver_(ReceiverSettings(settings_), seed + 1) {
+    const std::vector<balancing::Endpoint> endpoints = MakeEndpoints(kWorkers);
+    for (LoadBalancer* balancer : {&reporter_, &receiver_}) {
       Handle(balancer, balancing::DispatcherStarted{});
       Handle(balancer,
-             balancing::EndpointsUpdated{balancing::EndpointListKind::kSnapshot, &members});
+             balancing::EndpointsUpdated{balancing::EndpointListKind::kSnapshot, &endpoints});
     }
   }
 
-  // Lets one job after the other arrive, each in the next bucket; they stay at their workers.
-  void TakeJobs(Samples* decisions) {
-    const int jobs = std::max(kLeastJobsPerRound, tenants_ * kClasses);
+  // Submits jobs of each tenant and class in turn; they stay at their workers until EndJobs.
+  void SubmitJobs(Samples* decision_times) {
+    const int jobs = std::max(kMinJobsPerRound, tenants_ * kClassCount);
     for (int i = 0; i < jobs; ++i) {
-      open_.push_back(Numbered("j", next_job_++));
+      open_jobs_.push_back(AppendNumber("j", next_job_++));
       balancing::RequestArrived job;
-      job.id = open_.back();
+      job.id = open_jobs_.back();
       job.expires_s = now_ + 30;
       job.tenant = i % tenants_;
-      job.class_index = i / tenants_ % kClasses;
+      job.class_index = i / tenants_ % kClassCount;
       const Stopwatch watch;
-      Handle(&teller_, job);
-      decisions->Add(watch.Nanoseconds());
+      Handle(&reporter_, job);
+      decision_times->Add(watch.Nanoseconds());
     }
   }
   void EndJobs() {
-    for (const std::string& id : open_) {
+    for (const std::string& id : open_jobs_) {
       balancing::AttemptEnded end;
       end.id = id;
       end.terminal = true;
       end.latency_s = 0.05;
-      Handle(&teller_, end);
+      Handle(&reporter_, end);
     }
-    open_.clear();
+    open_jobs_.clear();
   }
   Report MakeReport() {
     now_ += kRoundS;
     Report report;
     const Stopwatch watch;
-    const Actions actions = Handle(&teller_, balancing::TimerFired{kReportTimer});
+    const Actions actions = Handle(&reporter_, balancing::TimerFired{kReportTimer});
     report.nanoseconds = watch.Nanoseconds();
     for (const Action& action : actions) {
-      const auto* tell = std::get_if<balancing::SendPeerMessage>(&action);
-      if (tell != nullptr && tell->recipient == kPeer) report.bodies.push_back(tell->body);
+      const auto* peer_message = std::get_if<balancing::SendPeerMessage>(&action);
+      if (peer_message != nullptr && peer_message->recipient == kReceiver)
+        report.bodies.push_back(peer_message->body);
     }
     return report;
   }
-  // The listener's own round, with one job of its own, so that its demand is known to be small.
-  void ListenerReports() {
+  // Makes the receiver's own report after a single job, so that its demand is known to be small.
+  void MakeReceiverReport() {
     balancing::RequestArrived job;
-    const std::string id = Numbered("own", next_job_++);
+    const std::string id = AppendNumber("own", next_job_++);
     job.id = id;
     job.expires_s = now_ + 30;
-    Handle(&listener_, job);
+    Handle(&receiver_, job);
     balancing::AttemptEnded end;
     end.id = id;
     end.terminal = true;
-    Handle(&listener_, end);
-    Handle(&listener_, balancing::TimerFired{kReportTimer});
+    Handle(&receiver_, end);
+    Handle(&receiver_, balancing::TimerFired{kReportTimer});
   }
-  // Delivers what a node's process would deliver. Time for the whole report.
-  double Hear(const Report& report) {
+  // Delivers the messages that fit a datagram. Returns the nanoseconds for the whole report.
+  double DeliverReport(const Report& report) {
     const Stopwatch watch;
     for (const std::string& body : report.bodies) {
-      if (body.size() <= kMaxPeerMessageBytes) Handle(&listener_, balancing::PeerMessage{0, body});
+      if (body.size() <= kMaxPeerMessageBytes) Handle(&receiver_, balancing::PeerMessage{0, body});
     }
     return watch.Nanoseconds();
   }
-  // As if a datagram could hold any message: does the listener take the report then?
-  bool TakesAnyLength(const Report& report) {
-    const double before = ListenerDemandPart();
+  // Whether the receiver accepts the report when messages of any length are delivered.
+  bool AcceptsUnboundedReport(const Report& report) {
+    const double before = ReceiverDemandShare();
     for (const std::string& body : report.bodies) {
-      Handle(&listener_, balancing::PeerMessage{0, body});
+      Handle(&receiver_, balancing::PeerMessage{0, body});
     }
-    return Differs(before, ListenerDemandPart());
+    return Differs(before, ReceiverDemandShare());
   }
-  double ListenerDemandPart() const { return listener_.DemandShare(); }
+  double ReceiverDemandShare() const { return receiver_.DemandShare(); }
 
  private:
-  static balancing::Settings ListenerSettings(balancing::Settings settings) {
-    settings.dispatcher_index = kPeer;
+  static balancing::Settings ReceiverSettings(balancing::Settings settings) {
+    settings.dispatcher_index = kReceiver;
     return settings;
   }
   Actions Handle(LoadBalancer* balancer, const balancing::Event& event) {
@@ -135,44 +138,46 @@
 
   int tenants_;
   balancing::Settings settings_;
-  LoadBalancer teller_, listener_;
+  LoadBalancer reporter_, receiver_;
   double now_ = 1000;
   int next_job_ = 0;
-  std::vector<std::string> open_;
+  std::vector<std::string> open_jobs_;
 };
 
 Point MeasureTenants(int tenants, int rounds, std::uint64_t seed) {
-  Reporting world(tenants, seed);
-  Samples decisions, reports, hearings;
+  ReportingPair pair(tenants, seed);
+  Samples decision_times, report_times, delivery_times;
   Report loaded;
   bool received = false;
   for (int round = 0; round < rounds; ++round) {
-    world.TakeJobs(&decisions);
-    loaded = world.MakeReport();
-    world.EndJobs();
-    reports.Add(loaded.nanoseconds);
-    world.ListenerReports();
-    const double before = world.ListenerDemandPart();
-    hearings.Add(world.Hear(loaded));
-    // One that hears of a peer's demand no longer takes all peers for such as itself.
-    received = received || Differs(world.ListenerDemandPart(), before);
+    pair.SubmitJobs(&decision_times);
+    loaded = pair.MakeReport();
+    pair.EndJobs();
+    report_times.Add(loaded.nanoseconds);
+    pair.MakeReceiverReport();
+    const double before = pair.ReceiverDemandShare();
+    delivery_times.Add(pair.DeliverReport(loaded));
+    // Without a report a dispatcher assumes that each peer's demand equals its own.
+    received = received || Differs(pair.ReceiverDemandShare(), before);
   }
-  const bool taken = received || world.TakesAnyLength(loaded);
-  const Report quiet = world.MakeReport();
-  const auto fits = [](const Report& report) { return report.Largest() <= kMaxPeerMessageBytes; };
+  const bool accepted = received || pair.AcceptsUnboundedReport(loaded);
+  const Report quiet = pair.MakeReport();
+  const auto fits_datagram = [](const Report& report) {
+    return report.LargestBodyBytes() <= kMaxPeerMessageBytes;
+  };
   Point point;
-  point.Computed("tenants", "tenant", tenants);
-  point.Computed("report_bytes", "B", static_cast<double>(loaded.Bytes()));
-  point.Computed("report_bytes_quiet", "B", static_cast<double>(quiet.Bytes()));
-  point.Computed("report_datagrams", "datagram", static_cast<double>(loaded.bodies.size()));
-  point.Computed("largest_datagram", "B", static_cast<double>(loaded.Largest()));
-  point.Computed("fits", "yes=1", fits(loaded) ? 1 : 0);
-  point.Computed("fits_quiet", "yes=1", fits(quiet) ? 1 : 0);
-  point.Computed("heard_by_peer", "yes=1", received ? 1 : 0);
-  point.Computed("taken_if_delivered", "yes=1", taken ? 1 : 0);
-  AddQuantiles("report", reports, &point);
-  AddQuantiles("hear", hearings, &point);
-  AddQuantiles("decision", decisions, &point);
+  point.AddComputed("tenants", "tenant", tenants);
+  point.AddComputed("report_bytes", "B", static_cast<double>(loaded.TotalBytes()));
+  point.AddComputed("report_bytes_quiet", "B", static_cast<double>(quiet.TotalBytes()));
+  point.AddComputed("report_datagrams", "datagram", static_cast<double>(loaded.bodies.size()));
+  point.AddComputed("largest_datagram", "B", static_cast<double>(loaded.LargestBodyBytes()));
+  point.AddComputed("fits", "yes=1", fits_datagram(loaded) ? 1 : 0);
+  point.AddComputed("fits_quiet", "yes=1", fits_datagram(quiet) ? 1 : 0);
+  point.AddComputed("heard_by_peer", "yes=1", received ? 1 : 0);
+  point.AddComputed("taken_if_delivered", "yes=1", accepted ? 1 : 0);
+  AddQuantiles("report", report_times, &point);
+  AddQuantiles("hear", delivery_times, &point);
+  AddQuantiles("decision", decision_times, &point);
   return point;
 }
 
@@ -188,7 +193,7 @@
              std::to_string(tenants) + " tenants", &result);
   }
   for (const char* figure : {"report_bytes", "report_bytes_quiet", "report_p50", "decision_p50"}) {
-    result.trends.push_back(TrendOf(figure, result.points));
+    result.trends.push_back(FitTrend(figure, result.points));
   }
   return result;
 }
--- a/bench/scale/figures.h
+++ b/bench/scale/figures.h
@@ -1,4 +1,4 @@
-// What a scale test yields: figures at points along one axis, and straight lines fitted to them.
+// Results of a scale test: figures at points along one axis, and straight lines fitted to them.
 #ifndef MILLETHOLLOW_BENCH_SCALE_FIGURES_H_
 #define MILLETHOLLOW_BENCH_SCALE_FIGURES_H_
 
@@ -10,6 +10,7 @@
 // Equal seeds give equal computed figures; measured ones (times, memory) differ from run to run.
 enum class Source { kComputed, kMeasured };
 
+// One value with its unit.
 struct Figure {
   std::string name;
   std::string unit;
@@ -21,10 +22,10 @@
 struct Point {
   std::vector<Figure> figures;
 
-  void Computed(std::string name, std::string unit, double value) {
+  void AddComputed(std::string name, std::string unit, double value) {
     figures.push_back({std::move(name), std::move(unit), value, Source::kComputed});
   }
-  void Measured(std::string name, std::string unit, double value) {
+  void AddMeasured(std::string name, std::string unit, double value) {
     figures.push_back({std::move(name), std::move(unit), value, Source::kMeasured});
   }
   const Figure* Find(const std::string& name) const {
@@ -35,26 +36,28 @@
   }
 };
 
-// y = intercept + slope * x by least squares.
+// y = intercept + slope * x, fitted by least squares.
 struct Line {
   double slope = 0, intercept = 0;
-  double from = 0, to = 0;    // range of x
-  double relative_error = 0;  // largest residual over the mean of |y|
+  double from = 0, to = 0;    // Range of x.
+  double relative_error = 0;  // Largest residual over the mean of |y|.
 };
 
+// How one figure grows with the size.
 struct Trend {
-  std::string figure;  // y
-  std::string over;    // x
-  std::string unit;    // of the slope
+  std::string figure;  // y.
+  std::string over;    // x.
+  std::string unit;    // Of the slope.
   Line line;
 };
 
+// All points and trends of one axis.
 struct AxisResult {
   std::string name;
-  std::string command;  // how to get these figures again
+  std::string command;  // Repeats the run.
   std::vector<Point> points;
   std::vector<Trend> trends;
-  std::vector<std::string> failures;  // points that could not be run, and why
+  std::vector<std::string> failures;  // Measurements that failed, with the reason.
 };
 
 }  // namespace millethollow::scale
--- a/bench/scale/fixtures.h
+++ b/bench/scale/fixtures.h
@@ -1,4 +1,4 @@
-// Settings, workers and lists of the fleet that the scale tests play.
+// Settings, workers and endpoint lists of the fleet that the scale tests simulate.
 #ifndef MILLETHOLLOW_BENCH_SCALE_FIXTURES_H_
 #define MILLETHOLLOW_BENCH_SCALE_FIXTURES_H_
 
@@ -11,24 +11,28 @@
 
 namespace millethollow::scale {
 
-constexpr int kZones = 11;
+constexpr int kZoneCount = 11;
 constexpr int kSlotsPerWorker = 8;
-constexpr std::size_t kMaxPeerMessageBytes = 256;  // a longer message to a peer is not sent
-constexpr int kPlainClass = 0;                     // any worker, any number of times
-constexpr int kKeyedClass = 1;                     // jobs with a key, by which workers drop repeats
-constexpr int kClasses = 2;
+constexpr std::size_t kMaxPeerMessageBytes = 256;  // Longer messages are dropped.
+constexpr int kPlainClass = 0;                     // Idempotent at any worker.
+constexpr int kKeyedClass = 1;                     // Workers drop repeats by key.
+constexpr int kClassCount = 2;
 
-// Of dispatcher 0 of a tier.
-balancing::Settings FleetSettings(int dispatchers, int tenants);
+// Settings of dispatcher 0 of a tier of `dispatchers`.
+balancing::Settings MakeFleetSettings(int dispatchers, int tenants);
 
-// Text and a number behind it.
-std::string Numbered(std::string_view text, int number);
+// `text` followed by `number`.
+std::string AppendNumber(std::string_view text, int number);
+// The name of the worker with this index; all names have the same length.
 std::string WorkerName(int index);
-std::vector<balancing::Endpoint> Workers(int count);
+// Endpoints of `count` workers, spread over the zones.
+std::vector<balancing::Endpoint> MakeEndpoints(int count);
 
+// Names of zones and of worker kinds, as the endpoint list uses them.
 std::vector<std::string> ZoneNames();
 std::vector<std::string> KindNames();
-// The list of that many workers in discovery's form. Indent -1: on one line.
+// The endpoint list of that many workers as discovery sends it. `indent` is the number of spaces
+// per level; -1 puts it on one line.
 std::string ServerListText(int workers, int indent);
 
 }  // namespace millethollow::scale
--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -1,4 +1,4 @@
-// The scale tests' program: runs one axis or all, and writes what it found.
+// Command line program of the scale tests: measures one axis or all and writes the results.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 
@@ -10,33 +10,33 @@
 
 using namespace millethollow::scale;
 
-constexpr std::size_t kNeededMemory = 2048 * kMebibyte;
-constexpr std::size_t kNeededMemoryShort = 1024 * kMebibyte;
-constexpr char kAll[] = "all";
+constexpr std::size_t kRequiredMemoryBytes = 2048 * kMebibyte;
+constexpr std::size_t kRequiredMemoryShortBytes = 1024 * kMebibyte;
+constexpr char kAllAxes[] = "all";
 
 struct Arguments {
-  std::string axis = kAll;
+  std::string axis = kAllAxes;
   std::string json_path = "scale.json";
   std::string table_path = "scale.txt";
   AxisOptions options;
 };
 
-std::vector<Axis> ChosenAxes(const std::string& name) {
-  std::vector<Axis> chosen;
+std::vector<Axis> SelectAxes(const std::string& name) {
+  std::vector<Axis> selected;
   for (const Axis& axis : AllAxes()) {
-    if (name == kAll || name == axis.name) chosen.push_back(axis);
+    if (name == kAllAxes || name == axis.name) selected.push_back(axis);
   }
-  return chosen;
+  return selected;
 }
 
-// Runs the axis and writes its result. False where a point or a file failed.
+// Runs the axis and writes its result. Returns false if a measurement or a file failed.
 bool RunAndWrite(const Axis& axis, const Arguments& arguments) {
   const AxisResult result = axis.run(arguments.options);
-  std::fputs(TableOf(result).c_str(), stdout);
+  std::fputs(FormatTable(result).c_str(), stdout);
   std::fflush(stdout);
   std::string error;
-  const RunNotes notes{arguments.options.seed, arguments.options.is_short};
-  if (!WriteResult(result, notes, arguments.json_path, arguments.table_path, &error)) {
+  const RunParameters parameters{arguments.options.seed, arguments.options.is_short};
+  if (!WriteResult(result, parameters, arguments.json_path, arguments.table_path, &error)) {
     std::fprintf(stderr, "%s\n", error.c_str());
     return false;
   }
@@ -48,23 +48,25 @@
 int main(int argc, char** argv) {
   Arguments arguments;
   CLI::App app{"Measures how the program's parts grow with the size of a fleet."};
-  std::vector<std::string> names{kAll};
+  std::vector<std::string> names{kAllAxes};
   for (const Axis& axis : AllAxes()) names.push_back(axis.name);
-  app.add_option("--axis", arguments.axis, "which axis")->check(CLI::IsMember(names));
-  app.add_flag("--short", arguments.options.is_short, "small sizes, within a minute");
-  app.add_option("--seed", arguments.options.seed, "of all that is drawn");
-  app.add_option("--json", arguments.json_path, "figures; other axes in the file stay");
-  app.add_option("--out", arguments.table_path, "the same as a table");
+  app.add_option("--axis", arguments.axis, "axis to measure, or all")->check(CLI::IsMember(names));
+  app.add_flag("--short", arguments.options.is_short,
+               "small sizes, for continuous integration; under a minute");
+  app.add_option("--seed", arguments.options.seed, "seed of all random numbers");
+  app.add_option("--json", arguments.json_path, "JSON output; other axes in the file are kept");
+  app.add_option("--out", arguments.table_path, "table output");
   CLI11_PARSE(app, argc, argv);
-  const std::size_t needed = arguments.options.is_short ? kNeededMemoryShort : kNeededMemory;
-  const std::string refusal = RefusalForMemory(AvailableMemory(), needed);
-  if (!refusal.empty()) {
-    std::fprintf(stderr, "%s\n", refusal.c_str());
+  const std::size_t required_bytes =
+      arguments.options.is_short ? kRequiredMemoryShortBytes : kRequiredMemoryBytes;
+  const std::string memory_shortage = MemoryShortageMessage(AvailableMemory(), required_bytes);
+  if (!memory_shortage.empty()) {
+    std::fprintf(stderr, "%s\n", memory_shortage.c_str());
     return 2;
   }
-  bool good = true;
-  for (const Axis& axis : ChosenAxes(arguments.axis)) {
-    good = RunAndWrite(axis, arguments) && good;
+  bool succeeded = true;
+  for (const Axis& axis : SelectAxes(arguments.axis)) {
+    succeeded = RunAndWrite(axis, arguments) && succeeded;
   }
-  return good ? 0 : 1;
+  return succeeded ? 0 : 1;
 }
--- a/bench/scale/process.cpp
+++ b/bench/scale/process.cpp
@@ -20,18 +20,18 @@
 void WriteAll(int descriptor, const std::string& text) {
   std::size_t written = 0;
   while (written < text.size()) {
-    const ssize_t n = write(descriptor, text.data() + written, text.size() - written);
-    if (n <= 0) return;
-    written += static_cast<std::size_t>(n);
+    const ssize_t byte_count = write(descriptor, text.data() + written, text.size() - written);
+    if (byte_count <= 0) return;
+    written += static_cast<std::size_t>(byte_count);
   }
 }
 
 std::string ReadAll(int descriptor) {
   std::string text;
   char buffer[4096];
-  ssize_t n = 0;
-  while ((n = read(descriptor, buffer, sizeof buffer)) > 0) {
-    text.append(buffer, static_cast<std::size_t>(n));
+  ssize_t byte_count = 0;
+  while ((byte_count = read(descriptor, buffer, sizeof buffer)) > 0) {
+    text.append(buffer, static_cast<std::size_t>(byte_count));
   }
   return text;
 }
@@ -41,8 +41,8 @@
   int status = 0;
   try {
     WriteAll(descriptor, PointToText(measure()));
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "scale: %s\n", e.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "scale: %s\n", error.what());
     status = kFailedStatus;
   }
   close(descriptor);
@@ -65,8 +65,8 @@
   return ReadAvailableMemory(meminfo);
 }
 
-std::string RefusalForMemory(std::optional<std::size_t> available, std::size_t needed) {
-  if (!available) return "scale: available memory is not known";
+std::string MemoryShortageMessage(std::optional<std::size_t> available, std::size_t needed) {
+  if (!available) return "scale: available memory is unknown";
   if (*available >= needed) return "";
   return "scale: " + std::to_string(*available / kMebibyte) + " MiB of memory are available, " +
          std::to_string(needed / kMebibyte) + " MiB are needed";
@@ -86,29 +86,29 @@
 }
 
 ChildResult RunInChild(const std::function<Point()>& measure) {
-  int ends[2];
-  if (pipe(ends) != 0) return {std::nullopt, "no pipe"};
+  int pipe_ends[2];
+  if (pipe(pipe_ends) != 0) return {std::nullopt, "cannot create a pipe"};
   std::fflush(nullptr);
   const pid_t child = fork();
   if (child < 0) {
-    close(ends[0]);
-    close(ends[1]);
-    return {std::nullopt, "no child process"};
+    close(pipe_ends[0]);
+    close(pipe_ends[1]);
+    return {std::nullopt, "cannot start a child process"};
   }
   if (child == 0) {
-    close(ends[0]);
-    MeasureAndExit(ends[1], measure);
+    close(pipe_ends[0]);
+    MeasureAndExit(pipe_ends[1], measure);
   }
-  close(ends[1]);
-  const std::string text = ReadAll(ends[0]);
-  close(ends[0]);
+  close(pipe_ends[1]);
+  const std::string text = ReadAll(pipe_ends[0]);
+  close(pipe_ends[0]);
   int status = 0;
   waitpid(child, &status, 0);
   if (!WIFEXITED(status) || WEXITSTATUS(status) != 0) {
     return {std::nullopt, "the child process ended with status " + std::to_string(status)};
   }
   std::optional<Point> point = PointFromText(text);
-  if (!point) return {std::nullopt, "the child process gave no figures"};
+  if (!point) return {std::nullopt, "the child process returned no figures"};
   return {std::move(point), ""};
 }
 
--- a/bench/scale/process.h
+++ b/bench/scale/process.h
@@ -1,5 +1,5 @@
-// Memory of the machine and of this process, and points that are run in child processes, so that
-// what one size leaves in memory does not count for the next.
+// Memory of the machine and of this process, and measurements in child processes, so that memory
+// left by one size does not count for the next.
 #ifndef MILLETHOLLOW_BENCH_SCALE_PROCESS_H_
 #define MILLETHOLLOW_BENCH_SCALE_PROCESS_H_
 
@@ -16,24 +16,27 @@
 constexpr std::size_t kKibibyte = 1024;
 constexpr std::size_t kMebibyte = 1024 * kKibibyte;
 
-// Reads the line MemAvailable of /proc/meminfo's form; in bytes. None where there is no such line.
+// Reads the MemAvailable line of /proc/meminfo. Returns bytes, or nothing if there is no such line.
 std::optional<std::size_t> ReadAvailableMemory(std::istream& meminfo);
+// Available memory of the machine in bytes, or nothing if unknown.
 std::optional<std::size_t> AvailableMemory();
 
-// Why a run that needs so much must not start; empty: it may.
-std::string RefusalForMemory(std::optional<std::size_t> available, std::size_t needed);
+// The error message if fewer than `needed` bytes are available or the amount is unknown; empty if
+// the run may start.
+std::string MemoryShortageMessage(std::optional<std::size_t> available, std::size_t needed);
 
 // Resident memory of this process, in bytes.
 std::size_t ResidentMemory();
-// What this process has allocated and not freed, in bytes; 0 under a sanitizer's allocator.
+// Bytes allocated and not freed by this process; 0 under a sanitizer's allocator.
 std::size_t AllocatedMemory();
 
+// The outcome of a measurement in a child process.
 struct ChildResult {
   std::optional<Point> point;
-  std::string failure;  // where there is no point
+  std::string failure;  // The reason why there is no point.
 };
 
-// Runs `measure` in a child process and waits for its end. The child ends with its parent.
+// Runs `measure` in a child process and waits for it. The child is killed if its parent dies.
 ChildResult RunInChild(const std::function<Point()>& measure);
 
 }  // namespace millethollow::scale
--- a/bench/scale/report.cpp
+++ b/bench/scale/report.cpp
@@ -11,21 +11,21 @@
 
 using Json = nlohmann::ordered_json;
 
-constexpr int kDigits = 4;  // significant ones in the table
-constexpr std::size_t kColumnGap = 2;
+constexpr int kSignificantDigits = 4;  // In the table.
+constexpr std::size_t kColumnGapChars = 2;
 
-std::string NumberText(double value) {
+std::string FormatNumber(double value) {
   std::ostringstream out;
-  const bool whole = value == static_cast<double>(static_cast<long long>(value));
-  if (whole) {
+  const bool is_integer = value == static_cast<double>(static_cast<long long>(value));
+  if (is_integer) {
     out << static_cast<long long>(value);
   } else {
-    out << std::setprecision(kDigits) << value;
+    out << std::setprecision(kSignificantDigits) << value;
   }
   return out.str();
 }
 
-std::string TimeText() {
+std::string FormatCurrentUtcTime() {
   const std::time_t now = std::time(nullptr);
   std::tm utc{};
   gmtime_r(&now, &utc);
@@ -51,7 +51,7 @@
           {"largest_residual_over_mean", trend.line.relative_error}};
 }
 
-Json AxisToJson(const AxisResult& result, const RunNotes& notes) {
+Json AxisToJson(const AxisResult& result, const RunParameters& parameters) {
   Json points = Json::array();
   Json units = Json::object();
   Json measured = Json::array();
@@ -64,14 +64,14 @@
     }
   }
   for (const Trend& trend : result.trends) trends.push_back(TrendToJson(trend));
-  return {{"command", result.command},   {"taken_at", TimeText()},
-          {"seed", notes.seed},          {"short", notes.is_short},
+  return {{"command", result.command},   {"taken_at", FormatCurrentUtcTime()},
+          {"seed", parameters.seed},     {"short", parameters.is_short},
           {"units", std::move(units)},   {"measured", std::move(measured)},
           {"points", std::move(points)}, {"slopes", std::move(trends)},
-          {"failures", result.failures}, {"table", TableOf(result)}};
+          {"failures", result.failures}, {"table", FormatTable(result)}};
 }
 
-Json ReadObject(const std::string& path) {
+Json ReadResultsOrEmpty(const std::string& path) {
   std::ifstream file(path);
   Json json = Json::parse(file, nullptr, false);
   if (!json.is_object() || !json.contains("axes") || !json["axes"].is_object()) {
@@ -85,12 +85,12 @@
   file << text;
   file.close();
   if (file) return true;
-  *error = "scale: can't write " + path;
+  *error = "scale: cannot write " + path;
   return false;
 }
 
-// Rows of cells, each column as wide as its widest cell.
-std::string Align(const std::vector<std::vector<std::string>>& rows) {
+// Formats rows of cells, each column as wide as its widest cell.
+std::string AlignColumns(const std::vector<std::vector<std::string>>& rows) {
   std::vector<std::size_t> widths;
   for (const auto& row : rows) {
     widths.resize(std::max(widths.size(), row.size()));
@@ -99,7 +99,7 @@
   std::ostringstream out;
   for (const auto& row : rows) {
     for (std::size_t i = 0; i < row.size(); ++i) {
-      out << std::setw(static_cast<int>(widths[i] + kColumnGap)) << row[i];
+      out << std::setw(static_cast<int>(widths[i] + kColumnGapChars)) << row[i];
     }
     out << "\n";
   }
@@ -129,35 +129,35 @@
   return point;
 }
 
-std::string TableOf(const AxisResult& result) {
-  // Sizes go across: there are more figures than sizes.
+std::string FormatTable(const AxisResult& result) {
+  // One column per size and one row per figure, since there are more figures than sizes.
   std::vector<std::vector<std::string>> rows;
   if (!result.points.empty()) {
-    for (const Figure& named : result.points.front().figures) {
-      std::vector<std::string> row{named.name + " [" + named.unit + "]"};
+    for (const Figure& reference : result.points.front().figures) {
+      std::vector<std::string> row{reference.name + " [" + reference.unit + "]"};
       for (const Point& point : result.points) {
-        const Figure* figure = point.Find(named.name);
-        row.push_back(figure == nullptr ? "-" : NumberText(figure->value));
+        const Figure* figure = point.Find(reference.name);
+        row.push_back(figure == nullptr ? "-" : FormatNumber(figure->value));
       }
       rows.push_back(std::move(row));
     }
   }
   std::ostringstream out;
-  out << result.name << "  (" << result.command << ")\n" << Align(rows);
+  out << result.name << "  (" << result.command << ")\n" << AlignColumns(rows);
   for (const Trend& trend : result.trends) {
-    out << "  slope of " << trend.figure << ": " << NumberText(trend.line.slope) << " "
-        << trend.unit << ", from " << NumberText(trend.line.from) << " to "
-        << NumberText(trend.line.to) << ", largest residual "
-        << NumberText(trend.line.relative_error) << " of the mean\n";
+    out << "  slope of " << trend.figure << ": " << FormatNumber(trend.line.slope) << " "
+        << trend.unit << ", from " << FormatNumber(trend.line.from) << " to "
+        << FormatNumber(trend.line.to) << ", largest residual "
+        << FormatNumber(trend.line.relative_error) << " of the mean\n";
   }
   for (const std::string& failure : result.failures) out << "  FAILED: " << failure << "\n";
   return out.str();
 }
 
-bool WriteResult(const AxisResult& result, const RunNotes& notes, const std::string& json_path,
-                 const std::string& table_path, std::string* error) {
-  Json root = ReadObject(json_path);
-  root["axes"][result.name] = AxisToJson(result, notes);
+bool WriteResult(const AxisResult& result, const RunParameters& parameters,
+                 const std::string& json_path, const std::string& table_path, std::string* error) {
+  Json root = ReadResultsOrEmpty(json_path);
+  root["axes"][result.name] = AxisToJson(result, parameters);
   std::string table;
   for (const auto& [name, axis] : root["axes"].items()) {
     table += axis.value("table", std::string()) + "\n";
--- a/bench/scale/report.h
+++ b/bench/scale/report.h
@@ -1,4 +1,4 @@
-// Results as JSON and as a table for people.
+// Writes results as JSON and as a text table.
 #ifndef MILLETHOLLOW_BENCH_SCALE_REPORT_H_
 #define MILLETHOLLOW_BENCH_SCALE_REPORT_H_
 
@@ -12,22 +12,23 @@
 
 namespace millethollow::scale {
 
-// A point on its way from a child process.
+// Serialization of a point that a child process returns to its parent.
 std::string PointToText(const Point& point);
 std::optional<Point> PointFromText(std::string_view text);
 
-struct RunNotes {
+// Parameters of the run that are recorded with its results.
+struct RunParameters {
   std::uint64_t seed = 0;
   bool is_short = false;
 };
 
-// Puts the axis into the JSON file and writes the table of all axes in it. Axes that the file held
-// before and that are not this one stay. False, with `error`, where a file can't be written.
-bool WriteResult(const AxisResult& result, const RunNotes& notes, const std::string& json_path,
-                 const std::string& table_path, std::string* error);
+// Replaces this axis in the JSON file, keeps the other axes in it, and writes the table of all
+// axes. Returns false and sets `error` if a file cannot be written.
+bool WriteResult(const AxisResult& result, const RunParameters& parameters,
+                 const std::string& json_path, const std::string& table_path, std::string* error);
 
-// The table of one axis.
-std::string TableOf(const AxisResult& result);
+// The table of one axis as text.
+std::string FormatTable(const AxisResult& result);
 
 }  // namespace millethollow::scale
 
--- a/bench/scale/statistics.cpp
+++ b/bench/scale/statistics.cpp
@@ -10,7 +10,7 @@
 
 constexpr double kNanosecondsPerMicrosecond = 1e3;
 
-double MeanOf(const std::vector<double>& values) {
+double MeanValue(const std::vector<double>& values) {
   if (values.empty()) return 0;
   return std::accumulate(values.begin(), values.end(), 0.0) / static_cast<double>(values.size());
 }
@@ -19,7 +19,7 @@
 
 double Samples::Sum() const { return std::accumulate(values_.begin(), values_.end(), 0.0); }
 
-double Samples::Mean() const { return MeanOf(values_); }
+double Samples::Mean() const { return MeanValue(values_); }
 
 double Samples::Quantile(double share) const {
   if (values_.empty()) return 0;
@@ -31,15 +31,16 @@
   return sorted[static_cast<std::size_t>(index)];
 }
 
-double ProcessorSeconds() {
-  timespec spent{};
-  clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &spent);
-  return static_cast<double>(spent.tv_sec) + 1e-9 * static_cast<double>(spent.tv_nsec);
+double ProcessCpuSeconds() {
+  timespec processor_time{};
+  clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &processor_time);
+  return static_cast<double>(processor_time.tv_sec) +
+         1e-9 * static_cast<double>(processor_time.tv_nsec);
 }
 
 void AddQuantiles(const std::string& name, const Samples& nanoseconds, Point* point) {
-  point->Measured(name + "_p50", "us", nanoseconds.Quantile(0.5) / kNanosecondsPerMicrosecond);
-  point->Measured(name + "_p99", "us", nanoseconds.Quantile(0.99) / kNanosecondsPerMicrosecond);
+  point->AddMeasured(name + "_p50", "us", nanoseconds.Quantile(0.5) / kNanosecondsPerMicrosecond);
+  point->AddMeasured(name + "_p99", "us", nanoseconds.Quantile(0.99) / kNanosecondsPerMicrosecond);
 }
 
 Line FitLine(const std::vector<double>& x, const std::vector<double>& y) {
@@ -47,8 +48,8 @@
   if (x.empty() || x.size() != y.size()) return line;
   line.from = *std::min_element(x.begin(), x.end());
   line.to = *std::max_element(x.begin(), x.end());
-  const double mean_x = MeanOf(x);
-  const double mean_y = MeanOf(y);
+  const double mean_x = MeanValue(x);
+  const double mean_y = MeanValue(y);
   double covariance = 0;
   double variance = 0;
   double magnitude = 0;
@@ -66,7 +67,7 @@
   return line;
 }
 
-Trend TrendOf(const std::string& figure, const std::vector<Point>& points, SizeRange range) {
+Trend FitTrend(const std::string& figure, const std::vector<Point>& points, SizeRange range) {
   Trend trend;
   trend.figure = figure;
   std::vector<double> x;
--- a/bench/scale/statistics.h
+++ b/bench/scale/statistics.h
@@ -1,4 +1,4 @@
-// Exact quantiles of kept samples, straight lines by least squares, and a stopwatch.
+// Exact quantiles, straight lines by least squares, and clocks.
 #ifndef MILLETHOLLOW_BENCH_SCALE_STATISTICS_H_
 #define MILLETHOLLOW_BENCH_SCALE_STATISTICS_H_
 
@@ -18,14 +18,15 @@
   std::size_t size() const { return values_.size(); }
   double Sum() const;
   double Mean() const;
-  // The smallest sample that at least `share` of all are not above; 0 without samples.
+  // The smallest sample such that at least `share` of all samples are not above it; 0 without
+  // samples.
   double Quantile(double share) const;
 
  private:
   std::vector<double> values_;
 };
 
-// Real time since its making.
+// Real time since construction.
 class Stopwatch {
  public:
   double Nanoseconds() const {
@@ -37,21 +38,22 @@
   Clock::time_point start_ = Clock::now();
 };
 
-// Processor time of this process so far, in seconds.
-double ProcessorSeconds();
+// Processor time used by this process so far, in seconds.
+double ProcessCpuSeconds();
 
-// Adds p50 and p99 of samples in nanoseconds, as microseconds.
+// Adds the p50 and p99 of samples in nanoseconds as figures in microseconds.
 void AddQuantiles(const std::string& name, const Samples& nanoseconds, Point* point);
 
+// Fits a line by least squares.
 Line FitLine(const std::vector<double>& x, const std::vector<double>& y);
 
-// Which sizes a line is fitted to, both ends among them.
+// The sizes to which a line is fitted, both bounds included.
 struct SizeRange {
   double min = 0, max = std::numeric_limits<double>::infinity();
 };
 
-// The line of one figure over the first figure of each point that has both.
-Trend TrendOf(const std::string& figure, const std::vector<Point>& points, SizeRange range = {});
+// Fits one figure over the size of each point that has that figure and lies in `range`.
+Trend FitTrend(const std::string& figure, const std::vector<Point>& points, SizeRange range = {});
 
 }  // namespace millethollow::scale
 
--- a/tests/scale_bench_test.cpp
+++ b/tests/scale_bench_test.cpp
@@ -1,4 +1,5 @@
-// The scale tests' own checks, and the bounds that hold at small sizes.
+// Tests the statistics, processes and reports of the scale tests, and runs each axis at small sizes
+// with bounds on its figures.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -14,9 +15,9 @@
 namespace millethollow::scale {
 namespace {
 
-AxisOptions Short(std::uint64_t seed = 1) { return {.is_short = true, .seed = seed}; }
+AxisOptions ShortOptions(std::uint64_t seed = 1) { return {.is_short = true, .seed = seed}; }
 
-double Value(const Point& point, const std::string& name) {
+double FigureValue(const Point& point, const std::string& name) {
   const Figure* figure = point.Find(name);
   if (figure == nullptr) {
     ADD_FAILURE() << "no figure " << name;
@@ -25,7 +26,7 @@
   return figure->value;
 }
 
-// All that the virtual clock decides, without times and memory.
+// Figures that depend on the seed only: all but measured times and memory.
 std::string ComputedFigures(const AxisResult& result) {
   std::ostringstream out;
   for (const Point& point : result.points) {
@@ -36,21 +37,21 @@
   return out.str();
 }
 
-void ExpectWhole(const AxisResult& result, std::size_t sizes) {
+void ExpectComplete(const AxisResult& result, std::size_t sizes) {
   EXPECT_EQ(result.points.size(), sizes);
   EXPECT_TRUE(result.failures.empty()) << result.failures.front();
 }
 
 TEST(ScaleStatistics, QuantilesAreExact) {
   Samples samples;
-  for (const int v : {5, 1, 4, 2, 3}) samples.Add(v);
+  for (const int value : {5, 1, 4, 2, 3}) samples.Add(value);
   EXPECT_EQ(samples.Quantile(0.5), 3);
   EXPECT_EQ(samples.Quantile(0.99), 5);
   EXPECT_EQ(samples.Quantile(0), 1);
   EXPECT_EQ(Samples().Quantile(0.5), 0);
 }
 
-TEST(ScaleStatistics, ALineIsFoundAndItsErrorToo) {
+TEST(ScaleStatistics, LineFitReportsItsRelativeError) {
   const Line exact = FitLine({1, 2, 4}, {5, 7, 11});
   EXPECT_DOUBLE_EQ(exact.slope, 2);
   EXPECT_DOUBLE_EQ(exact.intercept, 3);
@@ -60,42 +61,43 @@
   EXPECT_GT(FitLine({1, 2, 3}, {1, 4, 1}).relative_error, 0.5);
 }
 
-TEST(ScaleMemory, TheGuardRefusesWithOneLine) {
+TEST(ScaleMemory, ShortageIsReportedInOneLine) {
   std::istringstream meminfo("MemTotal: 2000 kB\nMemFree: 1 kB\nMemAvailable:  1024 kB\n");
   const auto available = ReadAvailableMemory(meminfo);
   ASSERT_TRUE(available.has_value());
   EXPECT_EQ(*available, kMebibyte);
-  EXPECT_EQ(RefusalForMemory(available, kMebibyte), "");
-  EXPECT_EQ(RefusalForMemory(available, 2 * kMebibyte),
+  EXPECT_EQ(MemoryShortageMessage(available, kMebibyte), "");
+  EXPECT_EQ(MemoryShortageMessage(available, 2 * kMebibyte),
             "scale: 1 MiB of memory are available, 2 MiB are needed");
   std::istringstream unknown("MemTotal: 2000 kB\n");
   EXPECT_FALSE(ReadAvailableMemory(unknown).has_value());
-  EXPECT_NE(RefusalForMemory(std::nullopt, 1), "");
+  EXPECT_NE(MemoryShortageMessage(std::nullopt, 1), "");
 }
 
-TEST(ScaleChildren, FiguresComeBackAndAFailureIsToldAsSuch) {
-  const ChildResult good = RunInChild([] {
+TEST(ScaleChildren, FiguresAndFailuresAreReturned) {
+  const ChildResult success = RunInChild([] {
     Point point;
-    point.Computed("size", "thing", 3);
-    point.Measured("time", "us", 0.5);
+    point.AddComputed("size", "thing", 3);
+    point.AddMeasured("time", "us", 0.5);
     return point;
   });
-  ASSERT_TRUE(good.point.has_value()) << good.failure;
-  EXPECT_EQ(Value(*good.point, "size"), 3);
-  EXPECT_EQ(good.point->figures[1].source, Source::kMeasured);
-  const ChildResult bad = RunInChild([]() -> Point { throw std::runtime_error("of the test"); });
-  EXPECT_FALSE(bad.point.has_value());
-  EXPECT_NE(bad.failure, "");
+  ASSERT_TRUE(success.point.has_value()) << success.failure;
+  EXPECT_EQ(FigureValue(*success.point, "size"), 3);
+  EXPECT_EQ(success.point->figures[1].source, Source::kMeasured);
+  const ChildResult failure =
+      RunInChild([]() -> Point { throw std::runtime_error("of the test"); });
+  EXPECT_FALSE(failure.point.has_value());
+  EXPECT_NE(failure.failure, "");
 }
 
-TEST(ScaleReport, AnAxisIsReplacedAndOthersStay) {
+TEST(ScaleReport, WritingReplacesOneAxisAndKeepsOthers) {
   const std::string folder = testing::TempDir();
-  const std::string json_path = folder + "scale_rig_test.json";
-  const std::string table_path = folder + "scale_rig_test.txt";
+  const std::string json_path = folder + "scale_bench_test.json";
+  const std::string table_path = folder + "scale_bench_test.txt";
   std::remove(json_path.c_str());
   AxisResult result = NewResult("one");
   Point point;
-  point.Computed("size", "thing", 3);
+  point.AddComputed("size", "thing", 3);
   result.points.push_back(point);
   std::string error;
   ASSERT_TRUE(WriteResult(result, {}, json_path, table_path, &error)) << error;
@@ -114,136 +116,141 @@
   EXPECT_FALSE(WriteResult(result, {}, folder + "no/such/folder.json", table_path, &error));
 }
 
-// A report that is too long is dropped, and quotas then don't follow demand.
-TEST(ScaleTenants, AReportOfThirteenTenantsFitsAndIsHeard) {
-  const AxisResult result = RunTenants(Short());
-  ExpectWhole(result, 4);
+// Guards against reports that exceed a datagram: they are dropped, and quotas no longer follow
+// demand.
+TEST(ScaleTenants, ReportOfThirteenTenantsFitsAndIsReceived) {
+  const AxisResult result = RunTenants(ShortOptions());
+  ExpectComplete(result, 4);
   double bytes_before = 0;
   for (const Point& point : result.points) {
-    const double tenants = Value(point, "tenants");
-    EXPECT_GE(Value(point, "report_datagrams"), 1) << tenants;
-    EXPECT_GT(Value(point, "report_bytes"), bytes_before) << tenants;
-    bytes_before = Value(point, "report_bytes");
-    // What is sent is heard, and what can't be sent is not.
-    EXPECT_EQ(Value(point, "heard_by_peer"), Value(point, "fits")) << tenants;
+    const double tenants = FigureValue(point, "tenants");
+    EXPECT_GE(FigureValue(point, "report_datagrams"), 1) << tenants;
+    EXPECT_GT(FigureValue(point, "report_bytes"), bytes_before) << tenants;
+    bytes_before = FigureValue(point, "report_bytes");
+    // The peer receives the report exactly when it fits.
+    EXPECT_EQ(FigureValue(point, "heard_by_peer"), FigureValue(point, "fits")) << tenants;
     if (tenants <= 13) {
-      EXPECT_EQ(Value(point, "fits"), 1) << tenants;
+      EXPECT_EQ(FigureValue(point, "fits"), 1) << tenants;
     }
   }
 }
 
 TEST(ScaleTenants, EqualSeedsGiveEqualFigures) {
-  const std::string once = ComputedFigures(RunTenants(Short(7)));
-  EXPECT_NE(once, "");
-  EXPECT_EQ(once, ComputedFigures(RunTenants(Short(7))));
+  const std::string first_run = ComputedFigures(RunTenants(ShortOptions(7)));
+  EXPECT_NE(first_run, "");
+  EXPECT_EQ(first_run, ComputedFigures(RunTenants(ShortOptions(7))));
 }
 
-// A job without a key is placed by a sample of the workers: thirty times the workers may not make
-// it many times as slow. Both are medians of one run.
-TEST(ScaleWorkers, ADecisionHardlyGrowsWithTheFleet) {
-  constexpr double kMaxTimes = 6;
-  const AxisResult result = RunWorkers(Short());
-  ExpectWhole(result, 4);
+// Guards against a decision whose time grows with the number of workers: a job without a key is
+// placed by a sample of them. Compares the medians of one run at 1 and 30 times the workers.
+TEST(ScaleWorkers, DecisionTimeHardlyGrowsWithTheFleet) {
+  constexpr double kMaxGrowth = 6;
+  const AxisResult result = RunWorkers(ShortOptions());
+  ExpectComplete(result, 4);
   const Point& smallest = result.points.front();
   const Point& largest = result.points.back();
-  ASSERT_EQ(Value(largest, "workers"), 30 * Value(smallest, "workers"));
+  ASSERT_EQ(FigureValue(largest, "workers"), 30 * FigureValue(smallest, "workers"));
   for (const char* figure : {"planner_decision_p50", "balancer_decision_p50"}) {
-    EXPECT_LE(Value(largest, figure), kMaxTimes * Value(smallest, figure)) << figure;
+    EXPECT_LE(FigureValue(largest, figure), kMaxGrowth * FigureValue(smallest, figure)) << figure;
   }
   for (const Point& point : result.points) {
-    EXPECT_LT(Value(point, "list_indented_of_bound"), 1) << Value(point, "workers");
+    EXPECT_LT(FigureValue(point, "list_indented_of_bound"), 1) << FigureValue(point, "workers");
   }
 }
 
-TEST(ScaleDispatchers, QuotasFollowDemandThatMovesAtThirteenTenants) {
-  const AxisResult result = RunDispatchers(Short());
-  ExpectWhole(result, 4);
+TEST(ScaleDispatchers, QuotasFollowMovingDemandOfThirteenTenants) {
+  const AxisResult result = RunDispatchers(ShortOptions());
+  ExpectComplete(result, 4);
   for (const Point& point : result.points) {
-    const double dispatchers = Value(point, "dispatchers");
-    EXPECT_EQ(Value(point, "dropped_each_13t"), 0) << dispatchers;
-    EXPECT_GT(Value(point, "datagrams_each_13t"), 0) << dispatchers;
-    EXPECT_GT(Value(point, "quota_used_even_13t"), 0.5) << dispatchers;
-    EXPECT_GE(Value(point, "back_after_move_13t"), 0) << dispatchers;
+    const double dispatchers = FigureValue(point, "dispatchers");
+    EXPECT_EQ(FigureValue(point, "dropped_each_13t"), 0) << dispatchers;
+    EXPECT_GT(FigureValue(point, "datagrams_each_13t"), 0) << dispatchers;
+    EXPECT_GT(FigureValue(point, "quota_used_even_13t"), 0.5) << dispatchers;
+    EXPECT_GE(FigureValue(point, "back_after_move_13t"), 0) << dispatchers;
   }
 }
 
 TEST(ScaleStarts, EveryJobIsServed) {
-  const AxisResult result = RunStarts(Short());
-  ExpectWhole(result, 4);
+  const AxisResult result = RunStarts(ShortOptions());
+  ExpectComplete(result, 4);
   for (const Point& point : result.points) {
-    EXPECT_EQ(Value(point, "refused"), 0) << Value(point, "starts");
-    EXPECT_GT(Value(point, "served"), 0) << Value(point, "starts");
+    EXPECT_EQ(FigureValue(point, "refused"), 0) << FigureValue(point, "starts");
+    EXPECT_GT(FigureValue(point, "served"), 0) << FigureValue(point, "starts");
   }
 }
 
-TEST(ScaleInFlight, EveryJobFindsASlot) {
-  const AxisResult result = RunInFlight(Short());
-  ExpectWhole(result, 4);
+TEST(ScaleInFlight, EveryJobIsSent) {
+  const AxisResult result = RunInFlight(ShortOptions());
+  ExpectComplete(result, 4);
   for (const Point& point : result.points) {
-    EXPECT_EQ(Value(point, "sent"), Value(point, "open"));
+    EXPECT_EQ(FigureValue(point, "sent"), FigureValue(point, "open"));
   }
 }
 
-TEST(ScaleListChanges, AreMeasured) {
-  const AxisResult result = RunListChanges(Short());
-  ExpectWhole(result, 4);
-  for (const Point& point : result.points) EXPECT_GT(Value(point, "core_share"), 0);
+TEST(ScaleListChanges, ProcessorShareIsMeasured) {
+  const AxisResult result = RunListChanges(ShortOptions());
+  ExpectComplete(result, 4);
+  for (const Point& point : result.points) EXPECT_GT(FigureValue(point, "core_share"), 0);
 }
 
-TEST(ScaleMembers, AllComeToOneViewAndHearAFact) {
-  const AxisResult result = RunMembers(Short());
-  ExpectWhole(result, 4);
+TEST(ScaleMembers, AllMembersConvergeAndReceiveAFact) {
+  const AxisResult result = RunMembers(ShortOptions());
+  ExpectComplete(result, 4);
   for (const Point& point : result.points) {
-    const double members = Value(point, "members");
-    EXPECT_EQ(Value(point, "one_view"), 1) << members;
-    EXPECT_GE(Value(point, "fact_at_last"), 0) << members;
-    EXPECT_LT(Value(point, "fact_at_last"), 2) << members;
+    const double members = FigureValue(point, "members");
+    EXPECT_EQ(FigureValue(point, "one_view"), 1) << members;
+    EXPECT_GE(FigureValue(point, "fact_at_last"), 0) << members;
+    EXPECT_LT(FigureValue(point, "fact_at_last"), 2) << members;
   }
 }
 
-// A dispatcher's part may not grow with what others there are, nor in proportion to the tenants;
-// and each shift of demand is granted. All on the virtual clock.
-TEST(ScaleQuota, ADispatcherIsNearFlatAndShiftsAreGranted) {
+// Guards against quota traffic per dispatcher that grows with the number of dispatchers or in
+// proportion to the tenants, and against shifts of demand that are not granted. All figures come
+// from the virtual clock.
+TEST(ScaleQuota, DispatcherTrafficHardlyGrowsAndShiftsAreGranted) {
   struct Case {
     AxisResult (*run)(const AxisOptions&);
-    const char* size;
-    double max_times;  // the bytes of a dispatcher at eight times the size, against those at the
-                       // smallest
+    const char* size_figure;
+    double max_growth;  // Bytes per dispatcher at eight times the size over those at the smallest.
   };
   constexpr double kMaxShiftS = 1;
-  for (const Case& c :
+  for (const Case& test_case :
        {Case{RunQuotaDispatchers, "dispatchers", 1.5}, Case{RunQuotaTenants, "tenants", 4}}) {
-    const AxisResult result = c.run(Short());
-    ExpectWhole(result, 4);
+    const AxisResult result = test_case.run(ShortOptions());
+    ExpectComplete(result, 4);
     const Point& smallest = result.points.front();
     const Point& largest = result.points.back();
-    ASSERT_EQ(Value(largest, c.size), 8 * Value(smallest, c.size));
+    ASSERT_EQ(FigureValue(largest, test_case.size_figure),
+              8 * FigureValue(smallest, test_case.size_figure));
     for (const char* figure : {"dispatcher_bytes_steady", "dispatcher_bytes_moving"}) {
-      EXPECT_GT(Value(smallest, figure), 0) << c.size;
-      EXPECT_LE(Value(largest, figure), c.max_times * Value(smallest, figure))
-          << c.size << " " << figure;
+      EXPECT_GT(FigureValue(smallest, figure), 0) << test_case.size_figure;
+      EXPECT_LE(FigureValue(largest, figure), test_case.max_growth * FigureValue(smallest, figure))
+          << test_case.size_figure << " " << figure;
     }
     for (const Point& point : result.points) {
-      EXPECT_EQ(Value(point, "shifts_granted"), 1) << c.size << " " << Value(point, c.size);
-      EXPECT_LT(Value(point, "shift_to_grant_p99"), kMaxShiftS)
-          << c.size << " " << Value(point, c.size);
+      EXPECT_EQ(FigureValue(point, "shifts_granted"), 1)
+          << test_case.size_figure << " " << FigureValue(point, test_case.size_figure);
+      EXPECT_LT(FigureValue(point, "shift_to_grant_p99"), kMaxShiftS)
+          << test_case.size_figure << " " << FigureValue(point, test_case.size_figure);
     }
   }
 }
 
-// Each allocator is a link more for a dispatcher, and what moves is spread over all of them.
-TEST(ScaleQuota, AllocatorsShareTheirWork) {
-  constexpr double kOff = 0.2;
-  const AxisResult result = RunQuotaAllocators(Short());
-  ExpectWhole(result, 4);
+// Guards against allocators that do not divide the load: steady traffic of a dispatcher is
+// proportional to its links, one per allocator, and moving demand is spread over all allocators.
+TEST(ScaleQuota, AllocatorsShareTheLoad) {
+  constexpr double kTolerance = 0.2;
+  const AxisResult result = RunQuotaAllocators(ShortOptions());
+  ExpectComplete(result, 4);
   const Point& smallest = result.points.front();
   const Point& largest = result.points.back();
-  const double links = Value(largest, "allocators") / Value(smallest, "allocators");
-  const double times =
-      Value(largest, "dispatcher_bytes_steady") / Value(smallest, "dispatcher_bytes_steady");
-  EXPECT_NEAR(times / links, 1, kOff);
-  EXPECT_LT(Value(largest, "allocator_bytes_moving"),
-            0.7 * Value(smallest, "allocator_bytes_moving"));
+  const double allocator_ratio =
+      FigureValue(largest, "allocators") / FigureValue(smallest, "allocators");
+  const double growth = FigureValue(largest, "dispatcher_bytes_steady") /
+                        FigureValue(smallest, "dispatcher_bytes_steady");
+  EXPECT_NEAR(growth / allocator_ratio, 1, kTolerance);
+  EXPECT_LT(FigureValue(largest, "allocator_bytes_moving"),
+            0.7 * FigureValue(smallest, "allocator_bytes_moving"));
 }
 
 }  // namespace
