--- a/bench/node_soak.py
+++ b/bench/node_soak.py
@@ -1,10 +1,11 @@
 #!/usr/bin/env python3
-"""Soak of the whole node on loopback with stand-ins of our own.
+"""Soak test of a whole node on loopback with two example workers.
 
-Starts two toy workers and the node (the example configuration, with its quotas raised so that
-work passes), then for a while opens and closes connections that send requests with ever new
-Request-Ids, tenants and keys, and now and then garbage. Every few seconds it prints the node's
-RSS, descriptors, threads and the time of one request.
+Starts two toy workers and the node, with the example configuration and quotas raised so that
+requests are admitted. For SECONDS (60 by default) it sends requests over CONNECTIONS (16 by
+default) connections that are closed and replaced. Each request has a new Request-Id and key and a
+random tenant and class; one in a hundred is malformed. Every five seconds it prints the node's RSS,
+threads, descriptors, log size, number of requests, median response time and response codes.
 
     bench/node_soak.py BUILD_DIR [SECONDS] [CONNECTIONS]
 """
@@ -17,44 +18,46 @@
 import tempfile
 import time
 
-build = sys.argv[1]
+build_folder = sys.argv[1]
 seconds = float(sys.argv[2]) if len(sys.argv) > 2 else 60
-parallel = int(sys.argv[3]) if len(sys.argv) > 3 else 16
-here = os.path.dirname(os.path.abspath(__file__))
+connection_limit = int(sys.argv[3]) if len(sys.argv) > 3 else 16
+script_folder = os.path.dirname(os.path.abspath(__file__))
 
 
 def free_port():
-    with socket.socket() as s:
-        s.bind(("127.0.0.1", 0))
-        return s.getsockname()[1]
-
-
-config = json.load(open(os.path.join(here, "..", "examples", "millethollow.json")))
-front, admin, gearman = free_port(), free_port(), free_port()
-workers = [free_port(), free_port()]
-config["listen"] = f"127.0.0.1:{front}"
-config["admin"] = f"127.0.0.1:{admin}"
-config["gearman"]["listen"] = f"127.0.0.1:{gearman}"
+    """Returns a loopback port that is free at the moment."""
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        return listener.getsockname()[1]
+
+
+config = json.load(open(os.path.join(script_folder, "..", "examples", "millethollow.json")))
+http_port, admin_port, gearman_port = free_port(), free_port(), free_port()
+worker_ports = [free_port(), free_port()]
+config["listen"] = f"127.0.0.1:{http_port}"
+config["admin"] = f"127.0.0.1:{admin_port}"
+config["gearman"]["listen"] = f"127.0.0.1:{gearman_port}"
 config["log_level"] = "info"
-for server, port in zip(config["known"]["servers"], workers):
+for server, port in zip(config["known"]["servers"], worker_ports):
     server["addr"] = f"127.0.0.1:{port}"
 for tenant in config["settings"]["tenants"]:
     tenant["quota_rps"] = 2000
-tenants = [t["name"] for t in config["settings"]["tenants"]]
-classes = [c["name"] for c in config["settings"]["classes"]]
+tenants = [tenant["name"] for tenant in config["settings"]["tenants"]]
+classes = [job_class["name"] for job_class in config["settings"]["classes"]]
 
 folder = tempfile.mkdtemp()
-path = os.path.join(folder, "node.json")
-json.dump(config, open(path, "w"))
+config_path = os.path.join(folder, "node.json")
+json.dump(config, open(config_path, "w"))
 log = open(os.path.join(folder, "node.log"), "w")
-toys = [subprocess.Popen([os.path.join(build, "toy_worker"), f"127.0.0.1:{p}", "2"],
-                         stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL) for p in workers]
+worker_processes = [subprocess.Popen([os.path.join(build_folder, "toy_worker"), f"127.0.0.1:{port}", "2"],
+                         stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL) for port in worker_ports]
 time.sleep(0.3)
-node = subprocess.Popen([os.path.join(build, "millethollow"), "--config", path], stderr=log)
+node = subprocess.Popen([os.path.join(build_folder, "millethollow"), "--config", config_path], stderr=log)
 time.sleep(0.5)
 
 
-def status(pid):
+def process_resources(pid):
+    """Returns RSS in kB, threads and open descriptors of a process."""
     fields = {}
     for line in open(f"/proc/{pid}/status"):
         key, _, value = line.partition(":")
@@ -62,20 +65,22 @@
     return int(fields["VmRSS"][0]), int(fields["Threads"][0]), len(os.listdir(f"/proc/{pid}/fd"))
 
 
-def request(n):
-    tenant, cls = random.choice(tenants), random.choice(classes)
+def build_request(number):
+    """Returns the bytes of a random request whose Request-Id holds `number`."""
+    tenant, class_name = random.choice(tenants), random.choice(classes)
     body = b"x" * random.randint(0, 512)
-    head = (f"POST /api HTTP/1.1\r\nHost: t\r\nRequest-Id: s{n:012x}\r\nRequest-Class: {cls}\r\n"
+    head = (f"POST /api HTTP/1.1\r\nHost: t\r\nRequest-Id: s{number:012x}\r\nRequest-Class: {class_name}\r\n"
             f"Tenant: {tenant}\r\nCookie: k={random.getrandbits(48):012x}\r\n"
             f"Request-Timeout-Ms: 2000\r\nIdempotency-Key: {random.getrandbits(64):016x}\r\n"
             f"Content-Length: {len(body)}\r\n\r\n")
     return head.encode() + body
 
 
-def read_answer(sock):
+def read_response(connection):
+    """Reads one response; returns its status code, or None if the connection was closed first."""
     data = b""
     while b"\r\n\r\n" not in data:
-        chunk = sock.recv(65536)
+        chunk = connection.recv(65536)
         if not chunk:
             return None
         data += chunk
@@ -85,7 +90,7 @@
         if line.lower().startswith(b"content-length:"):
             length = int(line.split(b":")[1])
     while len(rest) < length:
-        chunk = sock.recv(65536)
+        chunk = connection.recv(65536)
         if not chunk:
             break
         rest += chunk
@@ -93,48 +98,48 @@
 
 
 random.seed(7)
-count, answers, took = 0, {}, []
-start = last = time.monotonic()
+request_count, responses_by_code, response_times_s = 0, {}, []
+start = last_report = time.monotonic()
 print("second  rss_kB  threads  descriptors  log_bytes  requests  p50_ms  answers")
-socks = []
+connections = []
 while time.monotonic() - start < seconds:
-    while len(socks) < parallel:
-        s = socket.create_connection(("127.0.0.1", front))
-        s.settimeout(5)
-        socks.append([s, random.randint(1, 30)])
-    for entry in list(socks):
-        s, left = entry
+    while len(connections) < connection_limit:
+        connection = socket.create_connection(("127.0.0.1", http_port))
+        connection.settimeout(5)
+        connections.append([connection, random.randint(1, 30)])
+    for entry in list(connections):
+        connection, _ = entry
         try:
             if random.random() < 0.01:
-                s.sendall(b"GARBAGE / HTTP/9\r\n\r\n")
-                read_answer(s)
+                connection.sendall(b"GARBAGE / HTTP/9\r\n\r\n")
+                read_response(connection)
                 raise OSError("closed after garbage")
-            t0 = time.monotonic()
-            s.sendall(request(count))
-            code = read_answer(s)
-            count += 1
-            took.append(time.monotonic() - t0)
-            answers[code] = answers.get(code, 0) + 1
+            sent_at = time.monotonic()
+            connection.sendall(build_request(request_count))
+            code = read_response(connection)
+            request_count += 1
+            response_times_s.append(time.monotonic() - sent_at)
+            responses_by_code[code] = responses_by_code.get(code, 0) + 1
             entry[1] -= 1
             if code is None or entry[1] <= 0:
                 raise OSError("done")
         except OSError:
-            s.close()
-            socks.remove(entry)
-    if time.monotonic() - last >= 5:
-        last = time.monotonic()
-        rss, threads, fds = status(node.pid)
-        took.sort()
-        p50 = 1000 * took[len(took) // 2] if took else 0
-        print(f"{last - start:6.0f}  {rss:6d}  {threads:7d}  {fds:11d}  "
-              f"{os.path.getsize(log.name):9d}  {count:8d}  {p50:6.2f}  {dict(sorted(answers.items(), key=str))}",
+            connection.close()
+            connections.remove(entry)
+    if time.monotonic() - last_report >= 5:
+        last_report = time.monotonic()
+        rss, threads, descriptors = process_resources(node.pid)
+        response_times_s.sort()
+        p50_ms = 1000 * response_times_s[len(response_times_s) // 2] if response_times_s else 0
+        print(f"{last_report - start:6.0f}  {rss:6d}  {threads:7d}  {descriptors:11d}  "
+              f"{os.path.getsize(log.name):9d}  {request_count:8d}  {p50_ms:6.2f}  {dict(sorted(responses_by_code.items(), key=str))}",
               flush=True)
-        took.clear()
-for s, _ in socks:
-    s.close()
+        response_times_s.clear()
+for connection, _ in connections:
+    connection.close()
 node.terminate()
 node.wait(timeout=10)
-for t in toys:
-    t.terminate()
-    t.wait()
+for process in worker_processes:
+    process.terminate()
+    process.wait()
 print("node exit", node.returncode)
--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -1,6 +1,5 @@
-// What the embedded stores of the registry take on this disk: small records, one writer, each batch
-// on the disk before the next (docs/design/copies.md). Stores whose headers are missing are left
-// out.
+// Benchmarks embedded stores on the local disk: small records, one writer, and each batch durable
+// before the next starts (docs/design/copies.md). Stores whose headers are missing are left out.
 //   store_bench FOLDER [records]
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -32,59 +31,66 @@
 namespace {
 
 using Clock = std::chrono::steady_clock;
-constexpr int kLive = 20000;  // records that stay: each write past these also erases the oldest
+constexpr int kLiveRecords = 20000;  // Each further write also erases the oldest record.
 
-struct Write {
-  std::string key, value;  // an empty value erases
+// One change of a record.
+struct RecordChange {
+  std::string key, value;  // An empty value erases the record.
 };
+// A store with durable batches.
 struct Store {
   virtual ~Store() = default;
-  virtual void Commit(const std::vector<Write>& batch) = 0;
+  virtual void Commit(const std::vector<RecordChange>& batch) = 0;
 };
 
-void Must(bool ok, const char* what) {
+// Exits with an error message that names `what`, unless `ok`.
+void ExitUnless(bool ok, const char* what) {
   if (ok) return;
   std::fprintf(stderr, "store_bench: %s failed\n", what);
   std::exit(1);
 }
 
-// No store: the least that any must do.
-struct Append final : Store {
-  explicit Append(const std::string& folder)
-      : fd(open((folder + "/log").c_str(), O_WRONLY | O_CREAT, 0600)) {}
-  ~Append() override { close(fd); }
-  void Commit(const std::vector<Write>& batch) override {
+// Appends to a file and syncs it: the lower bound for any store.
+struct AppendLog final : Store {
+  explicit AppendLog(const std::string& folder)
+      : descriptor(open((folder + "/log").c_str(), O_WRONLY | O_CREAT, 0600)) {}
+  ~AppendLog() override { close(descriptor); }
+  void Commit(const std::vector<RecordChange>& batch) override {
     std::string bytes;
-    for (const Write& w : batch) bytes += w.key + w.value;
-    Must(write(fd, bytes.data(), bytes.size()) == static_cast<ssize_t>(bytes.size()), "write");
-    Must(fdatasync(fd) == 0, "fdatasync");
+    for (const RecordChange& change : batch) bytes += change.key + change.value;
+    ExitUnless(write(descriptor, bytes.data(), bytes.size()) == static_cast<ssize_t>(bytes.size()),
+               "write");
+    ExitUnless(fdatasync(descriptor) == 0, "fdatasync");
   }
-  int fd;
+  int descriptor;
 };
 
 #ifdef HAS_LMDB
-struct Lmdb final : Store {
-  explicit Lmdb(const std::string& folder) {
-    Must(mdb_env_create(&env) == 0, "lmdb");
+struct LmdbStore final : Store {
+  explicit LmdbStore(const std::string& folder) {
+    ExitUnless(mdb_env_create(&env) == 0, "lmdb");
     mdb_env_set_mapsize(env, 1UL << 30);
-    Must(mdb_env_open(env, folder.c_str(), 0, 0600) == 0, "lmdb open");
-    MDB_txn* t = nullptr;
-    Must(mdb_txn_begin(env, nullptr, 0, &t) == 0 && mdb_dbi_open(t, nullptr, 0, &db) == 0 &&
-             mdb_txn_commit(t) == 0,
-         "lmdb begin");
+    ExitUnless(mdb_env_open(env, folder.c_str(), 0, 0600) == 0, "lmdb open");
+    MDB_txn* transaction = nullptr;
+    ExitUnless(mdb_txn_begin(env, nullptr, 0, &transaction) == 0 &&
+                   mdb_dbi_open(transaction, nullptr, 0, &db) == 0 &&
+                   mdb_txn_commit(transaction) == 0,
+               "lmdb begin");
   }
-  ~Lmdb() override { mdb_env_close(env); }
-  void Commit(const std::vector<Write>& batch) override {
-    MDB_txn* t = nullptr;
-    Must(mdb_txn_begin(env, nullptr, 0, &t) == 0, "lmdb begin");
-    for (const Write& w : batch) {
-      // LMDB takes pointers to what it only reads.
-      MDB_val k{w.key.size(), const_cast<char*>(w.key.data())};      // NOLINT(*-const-cast)
-      MDB_val v{w.value.size(), const_cast<char*>(w.value.data())};  // NOLINT(*-const-cast)
-      Must((w.value.empty() ? mdb_del(t, db, &k, nullptr) : mdb_put(t, db, &k, &v, 0)) == 0,
-           "lmdb put");
+  ~LmdbStore() override { mdb_env_close(env); }
+  void Commit(const std::vector<RecordChange>& batch) override {
+    MDB_txn* transaction = nullptr;
+    ExitUnless(mdb_txn_begin(env, nullptr, 0, &transaction) == 0, "lmdb begin");
+    for (const RecordChange& change : batch) {
+      // MDB_val holds non-const pointers, also for data that LMDB only reads.
+      MDB_val key{change.key.size(), const_cast<char*>(change.key.data())};  // NOLINT(*-const-cast)
+      MDB_val value{change.value.size(),
+                    const_cast<char*>(change.value.data())};  // NOLINT(*-const-cast)
+      ExitUnless((change.value.empty() ? mdb_del(transaction, db, &key, nullptr)
+                                       : mdb_put(transaction, db, &key, &value, 0)) == 0,
+                 "lmdb put");
     }
-    Must(mdb_txn_commit(t) == 0, "lmdb commit");
+    ExitUnless(mdb_txn_commit(transaction) == 0, "lmdb commit");
   }
   MDB_env* env = nullptr;
   MDB_dbi db = 0;
@@ -92,91 +98,99 @@
 #endif
 
 #ifdef HAS_ROCKSDB
-struct Rocks final : Store {
-  explicit Rocks(const std::string& folder) {
-    rocksdb::Options o;
-    o.create_if_missing = true;
+struct RocksDbStore final : Store {
+  explicit RocksDbStore(const std::string& folder) {
+    rocksdb::Options options;
+    options.create_if_missing = true;
     rocksdb::DB* raw = nullptr;
-    Must(rocksdb::DB::Open(o, folder + "/db", &raw).ok(), "rocksdb open");
+    ExitUnless(rocksdb::DB::Open(options, folder + "/db", &raw).ok(), "rocksdb open");
     db.reset(raw);
   }
-  void Commit(const std::vector<Write>& batch) override {
-    rocksdb::WriteBatch b;
-    for (const Write& w : batch) w.value.empty() ? b.Delete(w.key) : b.Put(w.key, w.value);
-    rocksdb::WriteOptions o;
-    o.sync = true;
-    Must(db->Write(o, &b).ok(), "rocksdb write");
+  void Commit(const std::vector<RecordChange>& batch) override {
+    rocksdb::WriteBatch write_batch;
+    for (const RecordChange& change : batch)
+      change.value.empty() ? write_batch.Delete(change.key)
+                           : write_batch.Put(change.key, change.value);
+    rocksdb::WriteOptions write_options;
+    write_options.sync = true;
+    ExitUnless(db->Write(write_options, &write_batch).ok(), "rocksdb write");
   }
   std::unique_ptr<rocksdb::DB> db;
 };
 #endif
 
 #ifdef HAS_SQLITE
-struct Sqlite final : Store {
-  explicit Sqlite(const std::string& folder) {
-    Must(sqlite3_open((folder + "/db").c_str(), &db) == SQLITE_OK, "sqlite open");
-    Run("PRAGMA journal_mode=WAL");
-    Run("PRAGMA synchronous=FULL");
-    Run("CREATE TABLE t(k BLOB PRIMARY KEY, v BLOB) WITHOUT ROWID");
-    sqlite3_prepare_v2(db, "INSERT OR REPLACE INTO t VALUES(?,?)", -1, &put, nullptr);
-    sqlite3_prepare_v2(db, "DELETE FROM t WHERE k=?", -1, &del, nullptr);
+struct SqliteStore final : Store {
+  explicit SqliteStore(const std::string& folder) {
+    ExitUnless(sqlite3_open((folder + "/db").c_str(), &db) == SQLITE_OK, "sqlite open");
+    Execute("PRAGMA journal_mode=WAL");
+    Execute("PRAGMA synchronous=FULL");
+    Execute("CREATE TABLE t(k BLOB PRIMARY KEY, v BLOB) WITHOUT ROWID");
+    sqlite3_prepare_v2(db, "INSERT OR REPLACE INTO t VALUES(?,?)", -1, &put_statement, nullptr);
+    sqlite3_prepare_v2(db, "DELETE FROM t WHERE k=?", -1, &delete_statement, nullptr);
   }
-  ~Sqlite() override {
-    sqlite3_finalize(put);
-    sqlite3_finalize(del);
+  ~SqliteStore() override {
+    sqlite3_finalize(put_statement);
+    sqlite3_finalize(delete_statement);
     sqlite3_close(db);
   }
-  void Run(const char* sql) {
-    Must(sqlite3_exec(db, sql, nullptr, nullptr, nullptr) == SQLITE_OK, sql);
+  void Execute(const char* sql) {
+    ExitUnless(sqlite3_exec(db, sql, nullptr, nullptr, nullptr) == SQLITE_OK, sql);
   }
-  void Commit(const std::vector<Write>& batch) override {
-    Run("BEGIN");
-    for (const Write& w : batch) {
-      sqlite3_stmt* s = w.value.empty() ? del : put;
-      sqlite3_bind_blob(s, 1, w.key.data(), static_cast<int>(w.key.size()), SQLITE_STATIC);
-      if (!w.value.empty())
-        sqlite3_bind_blob(s, 2, w.value.data(), static_cast<int>(w.value.size()), SQLITE_STATIC);
-      Must(sqlite3_step(s) == SQLITE_DONE, "sqlite step");
-      sqlite3_reset(s);
+  void Commit(const std::vector<RecordChange>& batch) override {
+    Execute("BEGIN");
+    for (const RecordChange& change : batch) {
+      sqlite3_stmt* statement = change.value.empty() ? delete_statement : put_statement;
+      sqlite3_bind_blob(statement, 1, change.key.data(), static_cast<int>(change.key.size()),
+                        SQLITE_STATIC);
+      if (!change.value.empty())
+        sqlite3_bind_blob(statement, 2, change.value.data(), static_cast<int>(change.value.size()),
+                          SQLITE_STATIC);
+      ExitUnless(sqlite3_step(statement) == SQLITE_DONE, "sqlite step");
+      sqlite3_reset(statement);
     }
-    Run("COMMIT");
+    Execute("COMMIT");
   }
   sqlite3* db = nullptr;
-  sqlite3_stmt *put = nullptr, *del = nullptr;
+  sqlite3_stmt *put_statement = nullptr, *delete_statement = nullptr;
 };
 #endif
 
+// Writes records in batches for at most 8 seconds and prints a table row: records per second,
+// commit times and size on disk.
 void Measure(const char* name, const std::string& folder, int records, int batch,
              const std::function<std::unique_ptr<Store>(const std::string&)>& make) {
   std::filesystem::remove_all(folder);
   std::filesystem::create_directories(folder);
   std::unique_ptr<Store> store = make(folder);
-  std::vector<double> took;
-  const auto began = Clock::now();
-  int n = 0;
-  for (; n < records; n += batch) {
-    std::vector<Write> writes;
-    for (int i = n; i < n + batch; ++i) {
-      writes.push_back(
+  std::vector<double> commit_seconds;
+  const auto started_at = Clock::now();
+  int written_records = 0;
+  for (; written_records < records; written_records += batch) {
+    std::vector<RecordChange> changes;
+    for (int i = written_records; i < written_records + batch; ++i) {
+      changes.push_back(
           {"promise-" + std::to_string(i), std::string(200, static_cast<char>('a' + i % 26))});
-      if (i >= kLive) writes.push_back({"promise-" + std::to_string(i - kLive), ""});
+      if (i >= kLiveRecords) changes.push_back({"promise-" + std::to_string(i - kLiveRecords), ""});
     }
-    const auto at = Clock::now();
-    store->Commit(writes);
-    took.push_back(std::chrono::duration<double>(Clock::now() - at).count());
-    if (std::chrono::duration<double>(Clock::now() - began).count() > 8) break;
+    const auto commit_started_at = Clock::now();
+    store->Commit(changes);
+    commit_seconds.push_back(
+        std::chrono::duration<double>(Clock::now() - commit_started_at).count());
+    if (std::chrono::duration<double>(Clock::now() - started_at).count() > 8) break;
   }
-  const double all = std::chrono::duration<double>(Clock::now() - began).count();
-  std::sort(took.begin(), took.end());
+  const double elapsed_s = std::chrono::duration<double>(Clock::now() - started_at).count();
+  std::sort(commit_seconds.begin(), commit_seconds.end());
   std::uintmax_t bytes = 0;
-  for (const auto& f : std::filesystem::recursive_directory_iterator(folder)) {
-    struct stat s {};
-    if (f.is_regular_file() && stat(f.path().c_str(), &s) == 0)
-      bytes += 512 * static_cast<std::uintmax_t>(s.st_blocks);
+  for (const auto& entry : std::filesystem::recursive_directory_iterator(folder)) {
+    struct stat status {};
+    if (entry.is_regular_file() && stat(entry.path().c_str(), &status) == 0)
+      bytes += 512 * static_cast<std::uintmax_t>(status.st_blocks);
   }
-  std::printf("| %s | %d | %.0f | %.2f / %.2f ms | %.1f MB for %d live |\n", name, batch, n / all,
-              1000 * took[took.size() / 2], 1000 * took[took.size() * 99 / 100],
-              static_cast<double>(bytes) / 1e6, std::min(n, kLive));
+  std::printf("| %s | %d | %.0f | %.2f / %.2f ms | %.1f MB for %d live |\n", name, batch,
+              written_records / elapsed_s, 1000 * commit_seconds[commit_seconds.size() / 2],
+              1000 * commit_seconds[commit_seconds.size() * 99 / 100],
+              static_cast<double>(bytes) / 1e6, std::min(written_records, kLiveRecords));
   std::fflush(stdout);
   store.reset();
   std::filesystem::remove_all(folder);
@@ -185,7 +199,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  Must(argc >= 2, "a folder to write in");
+  ExitUnless(argc >= 2, "reading the argument FOLDER");
   const std::string folder = std::string(argv[1]) + "/store_bench";
   const int records = argc > 2 ? std::atoi(argv[2]) : 100000;
   std::printf(
@@ -193,18 +207,18 @@
       "| --- |\n");
   for (const int batch : {1, 16, 128}) {
     Measure("append, fdatasync", folder, records, batch,
-            [](const auto& f) { return std::make_unique<Append>(f); });
+            [](const auto& directory) { return std::make_unique<AppendLog>(directory); });
 #ifdef HAS_LMDB
     Measure("LMDB", folder, records, batch,
-            [](const auto& f) { return std::make_unique<Lmdb>(f); });
+            [](const auto& directory) { return std::make_unique<LmdbStore>(directory); });
 #endif
 #ifdef HAS_ROCKSDB
     Measure("RocksDB", folder, records, batch,
-            [](const auto& f) { return std::make_unique<Rocks>(f); });
+            [](const auto& directory) { return std::make_unique<RocksDbStore>(directory); });
 #endif
 #ifdef HAS_SQLITE
     Measure("SQLite, WAL", folder, records, batch,
-            [](const auto& f) { return std::make_unique<Sqlite>(f); });
+            [](const auto& directory) { return std::make_unique<SqliteStore>(directory); });
 #endif
   }
 }
--- a/examples/toy_worker.cpp
+++ b/examples/toy_worker.cpp
@@ -1,4 +1,5 @@
-// A toy worker for trying the node out: takes every job, works for a moment, and says it's done.
+// Example worker for trying out the node: accepts every job, waits for the given time (200 ms by
+// default), and reports success.
 // Usage: toy_worker ADDRESS:PORT [MILLISECONDS]
 #include <csignal>
 #include <cstdlib>
@@ -15,29 +16,31 @@
 
 using namespace millethollow;
 
-class Client;
-std::map<Client*, std::unique_ptr<Client>> clients;
+class NodeConnection;
+// Open connections, owned here until they end.
+std::map<NodeConnection*, std::unique_ptr<NodeConnection>> connections;
 
-class Client final : public Connection {
+// One connection from a node; runs one job at a time.
+class NodeConnection final : public Connection {
  public:
-  Client(Loop* loop, evutil_socket_t fd, double work_s)
-      : Connection(loop, "node"), work_s_(work_s) {
-    Adopt(fd);
+  NodeConnection(Loop* loop, evutil_socket_t socket, double job_duration_s)
+      : Connection(loop, "node"), job_duration_s_(job_duration_s) {
+    Adopt(socket);
   }
-  ~Client() override { loop_->deadlines().Drop(&work_); }
+  ~NodeConnection() override { loop_->deadlines().Drop(&job_deadline_); }
 
  private:
   void OnRead() override {
-    while (!closed() && work_ == Deadlines::kNone) {
+    while (!closed() && job_deadline_ == Deadlines::kNone) {
       const std::string bytes = Peek(16 * 1024);
       if (bytes.empty()) return;
       Consume(parser_.Feed(bytes));
       if (parser_.error() != 0) return OnEnd("bad-request");
-      if (parser_.done()) Work();
+      if (parser_.done()) HandleRequest();
     }
   }
 
-  void Work() {
+  void HandleRequest() {
     const http::Head head = parser_.head();
     const std::string body = parser_.TakeBody();
     parser_.Reset();
@@ -46,31 +49,33 @@
     if (id == nullptr) return Write("HTTP/1.1 404 No Id\r\nContent-Length: 0\r\n\r\n");
     std::cout << "job " << *id << " of " << body.size() << " bytes" << std::endl;
     Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    Line("{\"id\":\"" + *id + "\",\"from\":\"toy\",\"state\":\"started\"}");
-    work_ = loop_->deadlines().At(loop_->Now() + work_s_, [this, id = *id] {
-      work_ = Deadlines::kNone;
-      Line("{\"id\":\"" + id + "\",\"from\":\"toy\",\"state\":\"done\",\"result\":\"roasted " + id +
-           "\\n\"}");
+    WriteChunkLine("{\"id\":\"" + *id + "\",\"from\":\"toy\",\"state\":\"started\"}");
+    job_deadline_ = loop_->deadlines().At(loop_->Now() + job_duration_s_, [this, id = *id] {
+      job_deadline_ = Deadlines::kNone;
+      WriteChunkLine("{\"id\":\"" + id +
+                     "\",\"from\":\"toy\",\"state\":\"done\",\"result\":\"roasted " + id +
+                     "\\n\"}");
       Write("0\r\n\r\n");
       OnRead();
     });
   }
 
-  void Line(const std::string& line) {
+  // Writes the line as one HTTP chunk.
+  void WriteChunkLine(const std::string& line) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", line.size() + 1);
     Write(size + line + "\n\r\n");
   }
 
   void OnEnd(const char* reason) override {
-    loop_->deadlines().Drop(&work_);
+    loop_->deadlines().Drop(&job_deadline_);
     Close(reason);
-    loop_->Defer([this] { clients.erase(this); });
+    loop_->Defer([this] { connections.erase(this); });
   }
 
   http::Parser parser_{http::Parser::Side::kRequest, {}};
-  double work_s_;
-  Deadlines::Ticket work_ = Deadlines::kNone;
+  double job_duration_s_;
+  Deadlines::Ticket job_deadline_ = Deadlines::kNone;
 };
 
 }  // namespace
@@ -80,19 +85,19 @@
     std::cerr << "usage: toy_worker ADDRESS:PORT [MILLISECONDS]\n";
     return 1;
   }
-  const double work_s = argc > 2 ? std::atof(argv[2]) / 1000 : 0.2;
+  const double job_duration_s = argc > 2 ? std::atof(argv[2]) / 1000 : 0.2;
   Loop loop;
   Listener listener;
   std::string error;
-  const bool open = listener.Open(
+  const bool is_open = listener.Open(
       &loop, argv[1],
-      [&](evutil_socket_t fd) {
-        auto client = std::make_unique<Client>(&loop, fd, work_s);
-        Client* raw = client.get();
-        clients.emplace(raw, std::move(client));
+      [&](evutil_socket_t socket) {
+        auto connection = std::make_unique<NodeConnection>(&loop, socket, job_duration_s);
+        NodeConnection* connection_key = connection.get();
+        connections.emplace(connection_key, std::move(connection));
       },
       &error);
-  if (!open) {
+  if (!is_open) {
     std::cerr << error << "\n";
     return 1;
   }
