--- a/bench/node_soak.py
+++ b/bench/node_soak.py
@@ -69,8 +69,8 @@
     """Returns the bytes of a random request whose Request-Id holds `number`."""
     tenant, class_name = random.choice(tenants), random.choice(classes)
     body = b"x" * random.randint(0, 512)
-    head = (f"POST /api HTTP/1.1\r\nHost: t\r\nRequest-Id: s{number:012x}\r\nRequest-Class: {class_name}\r\n"
-            f"Tenant: {tenant}\r\nCookie: k={random.getrandbits(48):012x}\r\n"
+    head = (f"POST /api HTTP/1.1\r\nHost: t\r\nRequest-Id: s{number:012x}\r\n"
+            f"Request-Class: {class_name}\r\nTenant: {tenant}\r\nCookie: k={random.getrandbits(48):012x}\r\n"
             f"Request-Timeout-Ms: 2000\r\nIdempotency-Key: {random.getrandbits(64):016x}\r\n"
             f"Content-Length: {len(body)}\r\n\r\n")
     return head.encode() + body
@@ -132,7 +132,8 @@
         response_times_s.sort()
         p50_ms = 1000 * response_times_s[len(response_times_s) // 2] if response_times_s else 0
         print(f"{last_report - start:6.0f}  {rss:6d}  {threads:7d}  {descriptors:11d}  "
-              f"{os.path.getsize(log.name):9d}  {request_count:8d}  {p50_ms:6.2f}  {dict(sorted(responses_by_code.items(), key=str))}",
+              f"{os.path.getsize(log.name):9d}  {request_count:8d}  {p50_ms:6.2f}  "
+              f"{dict(sorted(responses_by_code.items(), key=str))}",
               flush=True)
         response_times_s.clear()
 for connection, _ in connections:
--- a/bench/scale/axis_quota.cpp
+++ b/bench/scale/axis_quota.cpp
@@ -56,7 +56,7 @@
 }
 
 // Gives each tenant a demand of 0.2 to 2 times its quota, spread evenly over all dispatchers.
-void SetDemandEverywhere(QuotaSimulation* simulation) {
+void SpreadDemandEvenly(QuotaSimulation* simulation) {
   const std::size_t count = simulation->size();
   for (std::size_t tenant = 0; tenant < simulation->tenants(); ++tenant) {
     const double demand_ratio = 0.2 + 1.8 * simulation->random().Unit();
@@ -99,7 +99,7 @@
 // Repeatedly adds half of a tenant's quota to the demand at one dispatcher; each sample is the time
 // in seconds until the dispatcher's granted rate rises.
 Samples MeasureShifts(QuotaSimulation* simulation, int shifts) {
-  constexpr double kMaxWaitS = 5, kStepS = 0.05;
+  constexpr double kMaxWaitS = 5, kPollIntervalS = 0.05;
   Samples grant_delays_s;
   std::size_t dispatcher = 0, tenant = 0;
   double rate_before = 0, granted_at_s = -1;
@@ -115,13 +115,13 @@
     rate_before = simulation->RateOf(dispatcher, tenant);
     granted_at_s = -1;
     const double shifted_at_s = simulation->now();
-    const double before = simulation->demand(dispatcher, tenant);
-    simulation->SetDemand(dispatcher, tenant, before + simulation->quota(tenant) / 2);
+    const double demand_before = simulation->demand(dispatcher, tenant);
+    simulation->SetDemand(dispatcher, tenant, demand_before + simulation->quota(tenant) / 2);
     while (granted_at_s < 0 && simulation->now() < shifted_at_s + kMaxWaitS) {
-      simulation->RunUntil(simulation->now() + kStepS);
+      simulation->RunUntil(simulation->now() + kPollIntervalS);
     }
     if (granted_at_s >= 0) grant_delays_s.Add(granted_at_s - shifted_at_s);
-    simulation->SetDemand(dispatcher, tenant, before);
+    simulation->SetDemand(dispatcher, tenant, demand_before);
     simulation->RunUntil(simulation->now() + 1 + simulation->random().Unit());
   }
   simulation->on_grant = [](std::size_t) {};
@@ -140,7 +140,7 @@
   QuotaSimulation simulation(quota_case.seed, options);
   simulation.StartAll();
   simulation.ProposeFullView(kFirstViewS);
-  SetDemandEverywhere(&simulation);
+  SpreadDemandEvenly(&simulation);
   simulation.RunUntil(kWarmUpS);
   const ResourceUse at_start = TotalResourceUse(simulation);
   simulation.RunUntil(simulation.now() + quota_case.seconds);
--- a/bench/scale/axis_starts.cpp
+++ b/bench/scale/axis_starts.cpp
@@ -29,25 +29,25 @@
 Point MeasureRate(int workers, double jobs_per_s, double seconds, std::uint64_t seed) {
   PlannerFixture fixture(workers, seed);
   RunJobs(&fixture, jobs_per_s, seconds / 4);  // Warm-up: lets the maps reach their size.
-  const std::uint64_t before = fixture.answered();
-  const std::uint64_t refused_before = fixture.rejected();
+  const std::uint64_t answered_before = fixture.answered();
+  const std::uint64_t rejected_before = fixture.rejected();
   const double processor_before_s = ProcessCpuSeconds();
   RunJobs(&fixture, jobs_per_s, seconds);
   const double processor_s = ProcessCpuSeconds() - processor_before_s;
-  const auto served = static_cast<double>(fixture.answered() - before);
+  const auto served = static_cast<double>(fixture.answered() - answered_before);
   Point point;
   point.AddComputed("starts", "start/s", jobs_per_s);
   point.AddComputed("served", "job", served);
-  point.AddComputed("refused", "job", static_cast<double>(fixture.rejected() - refused_before));
+  point.AddComputed("refused", "job", static_cast<double>(fixture.rejected() - rejected_before));
   point.AddMeasured("core_share", "core", processor_s / seconds);
   point.AddMeasured("per_job", "us", served > 0 ? 1e6 * processor_s / served : 0);
   point.AddMeasured("saturates_at", "start/s", processor_s > 0 ? served / processor_s : 0);
   return point;
 }
 
-Point MeasureOpen(int workers, int open_jobs, int decisions, std::uint64_t seed) {
+Point MeasureInFlight(int workers, int open_jobs, int decisions, std::uint64_t seed) {
   PlannerFixture fixture(workers, seed);
-  const std::size_t before = ResidentMemory();
+  const std::size_t memory_before = ResidentMemory();
   int sent = 0;
   for (int i = 0; i < open_jobs; ++i) {
     const RequestId id = fixture.SubmitJob();
@@ -56,8 +56,9 @@
     ++sent;
     if (i % 100 == 99) fixture.Advance(kDeadlineSweepS);
   }
-  const std::size_t memory_growth_bytes = ResidentMemory() - std::min(before, ResidentMemory());
-  Samples decision_times, served;
+  const std::size_t memory_growth_bytes =
+      ResidentMemory() - std::min(memory_before, ResidentMemory());
+  Samples decision_times, completion_times;
   for (int i = 0; i < decisions; ++i) {
     const Stopwatch watch;
     const RequestId id = fixture.SubmitJob();
@@ -65,7 +66,7 @@
     if (id == 0) throw std::runtime_error("no worker took a job while others were open");
     const Stopwatch end_watch;
     fixture.CompleteJob(id);
-    served.Add(end_watch.Nanoseconds());
+    completion_times.Add(end_watch.Nanoseconds());
   }
   Point point;
   point.AddComputed("open", "job", open_jobs);
@@ -75,7 +76,7 @@
   point.AddMeasured("rss", "MiB",
                     static_cast<double>(ResidentMemory()) / static_cast<double>(kMebibyte));
   AddQuantiles("decision", decision_times, &point);
-  AddQuantiles("begin_and_end", served, &point);
+  AddQuantiles("begin_and_end", completion_times, &point);
   return point;
 }
 
@@ -105,7 +106,7 @@
   const std::vector<int> sizes = options.is_short ? std::vector<int>{200, 500, 1000, 3000}
                                                   : std::vector<int>{1000, 10000, 40000, 160000};
   for (const int open_jobs : sizes) {
-    AddPoint({[=] { return MeasureOpen(workers, open_jobs, decisions, options.seed); }},
+    AddPoint({[=] { return MeasureInFlight(workers, open_jobs, decisions, options.seed); }},
              std::to_string(open_jobs) + " open jobs", &result);
   }
   for (const char* figure : {"rss", "decision_p50", "begin_and_end_p50"}) {
--- a/bench/scale/axis_tenants.cpp
+++ b/bench/scale/axis_tenants.cpp
@@ -71,6 +71,7 @@
       decision_times->Add(watch.Nanoseconds());
     }
   }
+  // Ends all open jobs.
   void EndJobs() {
     for (const std::string& id : open_jobs_) {
       balancing::AttemptEnded end;
@@ -81,6 +82,7 @@
     }
     open_jobs_.clear();
   }
+  // Advances the clock by kRoundS and makes the reporter's report.
   Report MakeReport() {
     now_ += kRoundS;
     Report report;
@@ -117,12 +119,13 @@
   }
   // Whether the receiver accepts the report when messages of any length are delivered.
   bool AcceptsUnboundedReport(const Report& report) {
-    const double before = ReceiverDemandShare();
+    const double share_before = ReceiverDemandShare();
     for (const std::string& body : report.bodies) {
       Handle(&receiver_, balancing::PeerMessage{0, body});
     }
-    return Differs(before, ReceiverDemandShare());
+    return Differs(share_before, ReceiverDemandShare());
   }
+  // The receiver's own share of all demand, as it knows it.
   double ReceiverDemandShare() const { return receiver_.DemandShare(); }
 
  private:
@@ -155,10 +158,11 @@
     pair.EndJobs();
     report_times.Add(loaded.nanoseconds);
     pair.MakeReceiverReport();
-    const double before = pair.ReceiverDemandShare();
+    const double share_before = pair.ReceiverDemandShare();
     delivery_times.Add(pair.DeliverReport(loaded));
-    // Without a report a dispatcher assumes that each peer's demand equals its own.
-    received = received || Differs(pair.ReceiverDemandShare(), before);
+    // Without a report a dispatcher assumes that each peer's demand equals its own, so its share of
+    // all demand changes with the first report that it accepts.
+    received = received || Differs(pair.ReceiverDemandShare(), share_before);
   }
   const bool accepted = received || pair.AcceptsUnboundedReport(loaded);
   const Report quiet = pair.MakeReport();
--- a/bench/scale/axis_workers.cpp
+++ b/bench/scale/axis_workers.cpp
@@ -62,13 +62,13 @@
                &point);
   AddQuantiles("planner_keyed_decision",
                MeasurePlannerDecisions(&fixture, counts.keyed_decisions, true), &point);
-  Samples changes;
+  Samples change_times;
   for (int i = 0; i < counts.changes; ++i) {
     const Stopwatch watch;
     fixture.ChangeWorkers(1);
-    changes.Add(watch.Nanoseconds());
+    change_times.Add(watch.Nanoseconds());
   }
-  AddQuantiles("planner_change", changes, &point);
+  AddQuantiles("planner_change", change_times, &point);
   point.AddMeasured("rss_after_work", "MiB", InMebibytes(ResidentMemory()));
   return point;
 }
@@ -76,7 +76,7 @@
 // One report, as the first peer receives it.
 struct Report {
   std::vector<std::string> to_first_peer;  // One body per datagram.
-  double next_after_s = 0;
+  double next_report_after_s = 0;          // Interval until the next report.
 };
 
 // One decision module on a virtual clock, without the rest of the node.
@@ -93,6 +93,7 @@
     return actions;
   }
   void Advance(double seconds) { now_ += seconds; }
+  // Submits one job, which stays at its worker, and returns its id.
   std::string SubmitJob() {
     std::string id = AppendNumber("j", next_job_++);
     balancing::RequestArrived job;
@@ -109,6 +110,7 @@
     end.latency_s = 0.01;
     Handle(end);
   }
+  // Fires the report timer and returns the report.
   Report MakeReport() {
     Report report;
     for (const balancing::Action& action : Handle(balancing::TimerFired{kReportTimer})) {
@@ -116,7 +118,8 @@
       if (peer_message != nullptr && peer_message->recipient == 0)
         report.to_first_peer.push_back(peer_message->body);
       const auto* timer = std::get_if<balancing::SetTimer>(&action);
-      if (timer != nullptr && timer->timer_id == kReportTimer) report.next_after_s = timer->after_s;
+      if (timer != nullptr && timer->timer_id == kReportTimer)
+        report.next_report_after_s = timer->after_s;
     }
     return report;
   }
@@ -149,16 +152,16 @@
   Point point;
   const std::vector<Report> peer_reports = MakePeerReports(workers, seed);
   BalancerFixture fixture(workers, 0, seed);
-  Samples decisions;
+  Samples decision_times;
   for (int i = 0; i < counts.decisions; ++i) {
     const Stopwatch watch;
     const std::string id = fixture.SubmitJob();
-    decisions.Add(watch.Nanoseconds());
+    decision_times.Add(watch.Nanoseconds());
     fixture.EndJob(id);
     fixture.Advance(kJobIntervalS);
   }
-  AddQuantiles("balancer_decision", decisions, &point);
-  Samples reports, delivery_times, report_intervals_s;
+  AddQuantiles("balancer_decision", decision_times, &point);
+  Samples report_times, delivery_times, report_intervals_s;
   for (int i = 0; i < counts.reports; ++i) {
     for (std::size_t peer = 0; peer < peer_reports.size(); ++peer) {
       const Stopwatch watch;
@@ -170,14 +173,14 @@
     fixture.Advance(kReportIntervalS);
     const Stopwatch watch;
     const Report own_report = fixture.MakeReport();
-    reports.Add(watch.Nanoseconds());
-    report_intervals_s.Add(own_report.next_after_s);
+    report_times.Add(watch.Nanoseconds());
+    report_intervals_s.Add(own_report.next_report_after_s);
   }
-  AddQuantiles("report_to_23_peers", reports, &point);
+  AddQuantiles("report_to_23_peers", report_times, &point);
   AddQuantiles("hear_one_of_23_peers", delivery_times, &point);
   // For each report made, one is received from each peer.
   const double processor_ns =
-      reports.Mean() + (kMaxFullMeshDispatchers - 1) * delivery_times.Mean();
+      report_times.Mean() + (kMaxFullMeshDispatchers - 1) * delivery_times.Mean();
   point.AddMeasured("reports_core_share", "core", processor_ns * 1e-9 / report_intervals_s.Mean());
   return point;
 }
