--- a/bench/node_soak.py
+++ b/bench/node_soak.py
@@ -49,10 +49,13 @@
 config_path = os.path.join(folder, "node.json")
 json.dump(config, open(config_path, "w"))
 log = open(os.path.join(folder, "node.log"), "w")
-worker_processes = [subprocess.Popen([os.path.join(build_folder, "toy_worker"), f"127.0.0.1:{port}", "2"],
-                         stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL) for port in worker_ports]
+worker_processes = [
+    subprocess.Popen([os.path.join(build_folder, "toy_worker"), f"127.0.0.1:{port}", "2"],
+                     stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
+    for port in worker_ports]
 time.sleep(0.3)
-node = subprocess.Popen([os.path.join(build_folder, "millethollow"), "--config", config_path], stderr=log)
+node = subprocess.Popen([os.path.join(build_folder, "millethollow"), "--config", config_path],
+                        stderr=log)
 time.sleep(0.5)
 
 
@@ -70,7 +73,8 @@
     tenant, class_name = random.choice(tenants), random.choice(classes)
     body = b"x" * random.randint(0, 512)
     head = (f"POST /api HTTP/1.1\r\nHost: t\r\nRequest-Id: s{number:012x}\r\n"
-            f"Request-Class: {class_name}\r\nTenant: {tenant}\r\nCookie: k={random.getrandbits(48):012x}\r\n"
+            f"Request-Class: {class_name}\r\n"
+            f"Tenant: {tenant}\r\nCookie: k={random.getrandbits(48):012x}\r\n"
             f"Request-Timeout-Ms: 2000\r\nIdempotency-Key: {random.getrandbits(64):016x}\r\n"
             f"Content-Length: {len(body)}\r\n\r\n")
     return head.encode() + body
