--- a/examples/toy_worker.cpp
+++ b/examples/toy_worker.cpp
@@ -70,7 +70,7 @@
 
   http::Parser parser_{http::Parser::Side::kRequest, {}};
   double work_s_;
-  Deadlines::Ticket work_ = Deadlines::kNone;
+  Deadlines::TimerId work_ = Deadlines::kNone;
 };
 
 }  // namespace
--- a/src/core/deadlines.h
+++ b/src/core/deadlines.h
@@ -1,4 +1,4 @@
-// One-shot timers, kept in one sorted map that the event loop sweeps once per turn.
+// One-shot timers in one sorted map. The event loop runs those that are due once per turn.
 #ifndef MILLETHOLLOW_CORE_DEADLINES_H_
 #define MILLETHOLLOW_CORE_DEADLINES_H_
 
@@ -15,20 +15,20 @@
 class Deadlines {
  public:
   // Identifies a timer: its due time and a serial number.
-  using Ticket = std::pair<double, std::uint64_t>;
-  static constexpr Ticket kNone{0, 0};
+  using TimerId = std::pair<double, std::uint64_t>;
+  static constexpr TimerId kNone{0, 0};
 
-  // Runs `callback` once, in the first sweep at or after `when`. Timers with equal due times run in
-  // the order in which they were set.
-  Ticket At(double when, std::function<void()> callback) {
-    const Ticket ticket{when, ++last_serial_};
-    entries_.emplace(ticket, std::move(callback));
-    return ticket;
+  // Runs `callback` once, in the first call of Sweep at or after `when`. Timers with equal due
+  // times run in the order in which they were set.
+  TimerId At(double when, std::function<void()> callback) {
+    const TimerId timer_id{when, ++last_serial_};
+    entries_.emplace(timer_id, std::move(callback));
+    return timer_id;
   }
-  // Cancels the timer if it has not run yet, and sets the ticket to kNone.
-  void Drop(Ticket* ticket) {
-    entries_.erase(*ticket);
-    *ticket = kNone;
+  // Cancels the timer if it has not run yet, and sets `*timer_id` to kNone.
+  void Drop(TimerId* timer_id) {
+    entries_.erase(*timer_id);
+    *timer_id = kNone;
   }
   // Runs all timers that are due. Timers that are set during a sweep wait for the next one, so that
   // every sweep ends.
@@ -52,7 +52,7 @@
   }
 
  private:
-  std::map<Ticket, std::function<void()>> entries_;
+  std::map<TimerId, std::function<void()>> entries_;
   std::uint64_t last_serial_ = 0;
 };
 
--- a/src/core/dispatch_check.h
+++ b/src/core/dispatch_check.h
@@ -48,12 +48,12 @@
       : settings_(settings), workers_(workers) {}
 
   // Returns nullopt if `attempt` (an index into the entry's attempts) may be sent to `worker` now,
-  // and else the reason why not. `now`: seconds on the loop's clock.
+  // otherwise the reason why not. `now`: seconds on the loop's clock.
   std::optional<BlockReason> CheckAttempt(const LedgerEntry& entry, RequestId id,
                                           const std::string& worker, double now,
                                           std::size_t attempt = kNewAttempt) const;
-  // Returns nullopt if the request may be sent to `next_worker` after the attempt `previous`, and
-  // else the reason why not.
+  // Returns nullopt if the request may be sent to `next_worker` after the attempt `previous`,
+  // otherwise the reason why not.
   std::optional<BlockReason> CheckRepeat(const LedgerAttempt& previous,
                                          const balancing::ClassSettings& class_settings,
                                          const RegisteredWorker& next_worker, double now) const;
--- a/src/core/durable_jobs.h
+++ b/src/core/durable_jobs.h
@@ -28,19 +28,19 @@
   // Result of Accept. If `refusal` is empty, the job is durable under `handle`. Otherwise it was
   // not stored: `refusal` is the reason for the log, and `retry_after_s` the time in seconds after
   // which the client may retry.
-  using Then = std::function<void(const std::string& handle, std::string_view refusal,
-                                  double retry_after_s)>;
+  using AcceptCallback = std::function<void(const std::string& handle, std::string_view refusal,
+                                            double retry_after_s)>;
 
   virtual ~DurableJobs() = default;
   // Stores the job and calls `then` once it is replicated. A job with the same function and unique
   // id as a stored one is taken to be that job.
-  virtual void Accept(DurableJob job, Then then) = 0;
+  virtual void Accept(DurableJob job, AcceptCallback then) = 0;
   // Returns the handle of the job with this function and unique id, or an empty string if this
   // process has none.
   virtual std::string Find(std::string_view function, std::string_view unique) const = 0;
   // Whether this process has the job.
   virtual bool Has(std::string_view handle) const = 0;
-  // Runs the job at once, unless it is running: a client waits for it now.
+  // Runs the job at once, unless it is running, because a client now waits for its result.
   virtual void RunNow(const std::string& handle) = 0;
   // Whether this process still owns the job. Check it right before each action on the job's behalf,
   // since another process may have taken the job over.
--- a/src/core/event_queue.h
+++ b/src/core/event_queue.h
@@ -8,7 +8,8 @@
 
 namespace millethollow {
 
-// A queue without reentrancy. Not thread-safe: used from the loop's thread only.
+// A queue of events that never run within each other. Not thread-safe: used from the loop's thread
+// only.
 class EventQueue {
  public:
   // Runs `event` and all events that it posts before returning. If an event is running already,
--- a/src/core/planner.h
+++ b/src/core/planner.h
@@ -76,7 +76,7 @@
   // worker was ever listed.
   bool SetMaintenance(const std::string& worker, bool in_maintenance);
 
-  // Configuration. Sets the names of the classes by index, and which of them are live. Classes that
+  // Configuration: sets the names of the classes by index, and which of them are live. Classes that
   // are not live exist only for requests that are still open.
   void SetClassNames(std::vector<std::string> names, std::vector<bool> live);
   // Applies reloaded settings. Open requests keep their class with its rules, and their limit of
--- a/src/core/planner_environment.h
+++ b/src/core/planner_environment.h
@@ -15,7 +15,7 @@
 class AttemptRecorder {
  public:
   // `recorded`: whether the record is stored, so that the attempt may be sent.
-  using Done = std::function<void(bool recorded)>;
+  using DoneCallback = std::function<void(bool recorded)>;
   // An attempt that is about to be sent.
   struct Attempt {
     std::string durable_job;  // the job's handle
@@ -27,7 +27,7 @@
   virtual ~AttemptRecorder() = default;
   // Records the attempt and calls `done` exactly once, possibly before returning, on the loop's
   // thread.
-  virtual void Record(const Attempt& attempt, Done done) = 0;
+  virtual void Record(const Attempt& attempt, DoneCallback done) = 0;
 };
 
 // Implemented by the node, and by test doubles. Methods with a body are optional: the default is
--- a/src/core/request_ledger.h
+++ b/src/core/request_ledger.h
@@ -35,7 +35,7 @@
   std::string durable_job;  // handle of the durable job that it runs; empty if none
   bool answered = false;    // it has had its final answer, or its client has disconnected
   std::vector<LedgerAttempt> attempts;
-  Deadlines::Ticket expiry = Deadlines::kNone;
+  Deadlines::TimerId expiry = Deadlines::kNone;
 
   bool MayHaveRun() const;      // whether any attempt may have run
   bool HasOpenAttempt() const;  // whether any attempt has no outcome yet
--- a/src/net/admin/admin_server.cpp
+++ b/src/net/admin/admin_server.cpp
@@ -113,7 +113,7 @@
   double opened_at_;
   bool request_complete_ = false, responded_ = false;
   http::Parser parser_{http::Parser::Side::kRequest, {.head = 4 * 1024, .body = 4 * 1024}};
-  Deadlines::Ticket request_timer_ = Deadlines::kNone;
+  Deadlines::TimerId request_timer_ = Deadlines::kNone;
 };
 
 AdminServer::AdminServer(Loop* loop, Hooks hooks) : loop_(loop), hooks_(std::move(hooks)) {}
--- a/src/net/cluster/log_replicator.h
+++ b/src/net/cluster/log_replicator.h
@@ -92,7 +92,7 @@
   // Rises with each new store, so that callbacks of an earlier one are told apart.
   std::uint64_t store_generation_ = 0;
   std::map<copies::LogId, std::vector<copies::Operation>> loading_;  // entries read so far
-  Deadlines::Ticket tick_timer_ = Deadlines::kNone;
+  Deadlines::TimerId tick_timer_ = Deadlines::kNone;
 };
 
 }  // namespace millethollow::cluster
--- a/src/net/cluster/member.h
+++ b/src/net/cluster/member.h
@@ -107,7 +107,7 @@
   struct PendingMaintenance {
     ReplicatedCallback on_replicated;
     bool replicated = false, stored = false;
-    Deadlines::Ticket timeout = Deadlines::kNone;
+    Deadlines::TimerId timeout = Deadlines::kNone;
   };
   bool OpenStore(std::uint64_t new_store_id, std::string* error);
   void StartLogReplication();
@@ -137,7 +137,7 @@
   std::map<membership::NodeId, std::uint64_t> last_sequences_;  // by receiver
   RejectedFrames rejected_;
   std::map<std::uint64_t, PendingMaintenance> pending_maintenance_;  // by number of the change
-  Deadlines::Ticket tick_timer_ = Deadlines::kNone;
+  Deadlines::TimerId tick_timer_ = Deadlines::kNone;
   bool held_lease_ = false;  // as last logged
   TaskQueue task_queue_;
   std::unique_ptr<store::VoteFile> vote_file_;           // null: this member has no store
--- a/src/net/cluster/quota_lease_manager.h
+++ b/src/net/cluster/quota_lease_manager.h
@@ -93,7 +93,7 @@
   std::uint64_t epoch_ = 0;                    // of the last view given to holder and allocator
   std::vector<bool> allocated_;                // by tenant, as last logged
   std::vector<double> demand_;                 // by tenant, as last given to the holder
-  Deadlines::Ticket tick_timer_ = Deadlines::kNone, demand_timer_ = Deadlines::kNone;
+  Deadlines::TimerId tick_timer_ = Deadlines::kNone, demand_timer_ = Deadlines::kNone;
 };
 
 }  // namespace millethollow::cluster
--- a/src/net/cluster/replicated_durable_jobs.cpp
+++ b/src/net/cluster/replicated_durable_jobs.cpp
@@ -109,7 +109,7 @@
   });
 }
 
-void ReplicatedDurableJobs::Accept(DurableJob job, Then then) {
+void ReplicatedDurableJobs::Accept(DurableJob job, AcceptCallback then) {
   copies::JobRecord record;
   record.handle = jobs_.NewHandle("H:" + name_ + ":");
   record.function = std::move(job.function);
--- a/src/net/cluster/replicated_durable_jobs.h
+++ b/src/net/cluster/replicated_durable_jobs.h
@@ -35,7 +35,7 @@
   bool Idle() const { return jobs_.Idle(); }
 
   // DurableJobs:
-  void Accept(DurableJob job, Then then) override;
+  void Accept(DurableJob job, AcceptCallback then) override;
   std::string Find(std::string_view function, std::string_view unique) const override;
   bool Has(std::string_view handle) const override { return jobs_.Has(std::string(handle)); }
   void RunNow(const std::string& handle) override;
@@ -58,7 +58,7 @@
   std::uint64_t process_number_;
   DurableJobRunner* runner_ = nullptr;
   copies::DurableJobQueue jobs_;
-  Deadlines::Ticket tick_timer_ = Deadlines::kNone;
+  Deadlines::TimerId tick_timer_ = Deadlines::kNone;
 };
 
 }  // namespace millethollow::cluster
--- a/src/net/cluster/transport.cpp
+++ b/src/net/cluster/transport.cpp
@@ -98,7 +98,7 @@
   bool outgoing_;
   membership::NodeId ordered_peer_;  // the receiver of ordered frames; 0: a single frame
   std::string received_;             // the beginning of a frame that is not complete yet
-  Deadlines::Ticket timeout_ = Deadlines::kNone;
+  Deadlines::TimerId timeout_ = Deadlines::kNone;
 };
 
 Transport::Transport(Loop* loop, FrameHandler on_frame)
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -117,10 +117,10 @@
 
   const char* kind_;
   std::unique_ptr<bufferevent, BuffereventDeleter> bufferevent_;
-  std::size_t bytes_in_ = 0, bytes_out_ = 0;               // consumed and written
-  bool input_paused_ = false;                              // the input buffer is full
-  double opened_at_ = 0;                                   // on the loop's clock, in seconds
-  Deadlines::Ticket peer_close_check_ = Deadlines::kNone;  // set while input is paused
+  std::size_t bytes_in_ = 0, bytes_out_ = 0;                // consumed and written
+  bool input_paused_ = false;                               // the input buffer is full
+  double opened_at_ = 0;                                    // on the loop's clock, in seconds
+  Deadlines::TimerId peer_close_check_ = Deadlines::kNone;  // set while input is paused
 };
 
 }  // namespace millethollow
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -179,7 +179,7 @@
   bool is_fetch_, busy_ = false, long_poll_ = false, immediate_ = false;
   double sent_at_ = 0;
   http::Parser parser_{http::Parser::Side::kResponse, {.head = 16 * 1024, .body = kMaxListBytes}};
-  Deadlines::Ticket timeout_timer_ = Deadlines::kNone;
+  Deadlines::TimerId timeout_timer_ = Deadlines::kNone;
 };
 
 Discovery::Discovery(Loop* loop, Options options, Hooks hooks)
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -117,7 +117,7 @@
   int consecutive_failures_ = 0;
   PollBackoff backoff_;  // used in large tiers
   std::uint64_t random_state_ = 0;
-  Deadlines::Ticket poll_timer_ = Deadlines::kNone, refetch_timer_ = Deadlines::kNone;
+  Deadlines::TimerId poll_timer_ = Deadlines::kNone, refetch_timer_ = Deadlines::kNone;
 };
 
 }  // namespace millethollow
--- a/src/net/forwarder.h
+++ b/src/net/forwarder.h
@@ -108,7 +108,7 @@
     bool may_have_run = false;
     std::unordered_map<int, WorkerDriver*> attempts;  // in flight, by attempt number
     std::unordered_map<int, std::string> results;     // of successful attempts
-    Deadlines::Ticket expiry_timer = Deadlines::kNone;
+    Deadlines::TimerId expiry_timer = Deadlines::kNone;
   };
   // Erases the request if it is answered and has no attempt in flight.
   void EraseIfFinished(RequestId id);
--- a/src/net/gearman/front.h
+++ b/src/net/gearman/front.h
@@ -44,7 +44,7 @@
   bool abandoned = false;      // ended here after the assignment: the worker's result is discarded
   std::vector<std::pair<Type, std::string>> partial_data;  // WORK_DATA and WORK_WARNING received
   std::size_t partial_bytes = 0;
-  Deadlines::Ticket limit = Deadlines::kNone;  // from CAN_DO_TIMEOUT
+  Deadlines::TimerId limit = Deadlines::kNone;  // from CAN_DO_TIMEOUT
 };
 
 // Owns the listening socket, the connections and the jobs. `forwarder`, `config` and `counters`
--- a/src/net/gearman/peer.h
+++ b/src/net/gearman/peer.h
@@ -135,7 +135,7 @@
     ReturnQueue(AttemptStatus::kConnectFailed);
     // An attempt is sent by JOB_ASSIGN. If the packet's last byte went out, the job may have run.
     for (auto& [handle, task] : std::exchange(assigned_, {})) {
-      Deadlines::Ticket limit = task.limit;
+      Deadlines::TimerId limit = task.limit;
       loop_->deadlines().Drop(&limit);
       if (task.abandoned) continue;
       const bool unsent = assign_unsent && handle == last_assigned_;
@@ -447,7 +447,7 @@
   std::deque<Task> queue_;
   std::map<std::string, Task, std::less<>> assigned_;
   std::size_t messages_ = 0;  // complete messages received
-  Deadlines::Ticket deadline_ = Deadlines::kNone;
+  Deadlines::TimerId deadline_ = Deadlines::kNone;
   bool exceptions_ = false, sleeping_ = false, draining_ = false, assign_unsent_ = false;
 };
 
--- a/src/net/http/client_front.cpp
+++ b/src/net/http/client_front.cpp
@@ -421,7 +421,7 @@
   std::size_t lingering_bytes_ = 0, discarded_bytes_ = 0, requests_served_ = 0;
   RequestId request_ = 0;  // in progress; 0: none
   double idle_since_ = 0;  // loop time in seconds
-  Deadlines::Ticket deadline_ = Deadlines::kNone;
+  Deadlines::TimerId deadline_ = Deadlines::kNone;
 };
 
 ClientFront::ClientFront(Forwarder* forwarder, FrontOptions options, Counters* counters)
--- a/src/net/http/worker_pool.cpp
+++ b/src/net/http/worker_pool.cpp
@@ -378,7 +378,7 @@
   RequestId request_id_ = 0;
   int attempt_ = 0;
   double sent_at_ = 0, idle_since_ = 0, reusable_from_ = 0;
-  Deadlines::Ticket deadline_ = Deadlines::kNone, probe_deadline_ = Deadlines::kNone;
+  Deadlines::TimerId deadline_ = Deadlines::kNone, probe_deadline_ = Deadlines::kNone;
 };
 
 WorkerPool::WorkerPool(Forwarder* forwarder, Options options)
--- a/src/net/link/link.h
+++ b/src/net/link/link.h
@@ -83,7 +83,7 @@
   std::unique_ptr<PlannerConnection> connection_;
   bool connected_ = false;
   int failures_ = 0;  // connections that failed since a planner last accepted this forwarder
-  Deadlines::Ticket reconnect_timer_ = Deadlines::kNone;
+  Deadlines::TimerId reconnect_timer_ = Deadlines::kNone;
 };
 
 }  // namespace millethollow::link
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -16,7 +16,7 @@
 constexpr double kStopListeningAfterS = 0.5;
 constexpr double kStopCheckIntervalS = 0.02;
 constexpr double kFlushTimeoutS = 2.0;  // for the last answers to Gearman peers that read slowly
-constexpr double kLeaveTimeoutS = 1.5;  // for records of attempts of durable jobs
+constexpr double kLeaveTimeoutS = 1.5;  // for attempts of durable jobs to be recorded elsewhere
 
 }  // namespace
 
@@ -25,7 +25,7 @@
 Node::~Node() {
   // Connections that are closed when their owners are destroyed still call the planner, which must
   // not use components that are destroyed already.
-  environment_.parts() = {.loop = &loop_, .in_cluster = environment_.parts().in_cluster};
+  environment_.components() = {.loop = &loop_, .in_cluster = environment_.components().in_cluster};
 }
 
 Status Node::Start() {
@@ -54,7 +54,7 @@
 // ---- hot restart ----
 
 void Node::RequestStateFromPredecessor() {
-  // Hot restart needs two processes of a node at a time; a member of a cluster may have only one.
+  // In a hot restart a node has two processes at a time; a member of a cluster may have only one.
   if (config_.handover_directory.empty() || config_.cluster.on()) return;
   if (role_.kind != Role::Kind::kCombined) return;
   std::string name = config_.name + "-" + config_.listen;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -154,7 +154,7 @@
   bool stopping_ = false;
   double flush_until_ = 0;  // seconds on the loop's clock
   // Ends the time in which clients may still use classes that a reload has removed.
-  Deadlines::Ticket removed_classes_timer_ = Deadlines::kNone;
+  Deadlines::TimerId removed_classes_timer_ = Deadlines::kNone;
 };
 
 }  // namespace millethollow
--- a/src/node/node_cluster.cpp
+++ b/src/node/node_cluster.cpp
@@ -24,7 +24,7 @@
   hooks.tenant_demand = [this] { return planner_->TenantDemand(); };
   member_ = std::make_unique<cluster::Member>(&loop_, config_.cluster, TenantQuotas(),
                                               std::random_device{}(), std::move(hooks));
-  environment_.parts().member = member_.get();
+  environment_.components().member = member_.get();
   std::string reason;
   if (!member_->Start(&reason)) return MakeError(ErrorCode::kUnavailable, reason);
   if (member_->log_replicator() != nullptr) StartDurableJobs();
@@ -40,7 +40,7 @@
   const std::uint64_t low = std::random_device{}();
   durable_jobs_ = std::make_unique<cluster::ReplicatedDurableJobs>(
       &loop_, member_.get(), limits, config_.name, (high << 32 | low) | 1);
-  environment_.parts().durable_jobs = durable_jobs_.get();
+  environment_.components().durable_jobs = durable_jobs_.get();
   durable_jobs_->SetRunner(gearman_front_.get());
   if (gearman_front_) gearman_front_->SetDurableJobs(durable_jobs_.get());
 }
--- a/src/node/node_environment.h
+++ b/src/node/node_environment.h
@@ -19,7 +19,7 @@
 class NodeEnvironment final : public PlannerEnvironment, private AttemptRecorder {
  public:
   // The node's components, which the node owns; null while there is none.
-  struct Parts {
+  struct Components {
     Loop* loop = nullptr;
     int dispatcher_index = 0;  // of this node among its peers
     bool in_cluster = false;
@@ -31,22 +31,22 @@
   };
 
   // For the node, which sets each component when it has created it.
-  Parts& parts() { return parts_; }
+  Components& components() { return components_; }
 
-  double Now() override { return parts_.loop->Now(); }
+  double Now() override { return components_.loop->Now(); }
   void Subscribe(bool enable) override;
   void FetchEndpoints() override;
   bool EndpointsOverdue() override;
   void SendPeerMessage(int recipient, const std::string& body) override;
   std::optional<balancing::FleetShare> FleetShare() override;
   void OnWireIdReserved(const std::string& wire_id) override;
-  AttemptRecorder* attempt_recorder() override { return parts_.in_cluster ? this : nullptr; }
+  AttemptRecorder* attempt_recorder() override { return components_.in_cluster ? this : nullptr; }
   void Log(const std::string& line) override;
 
  private:
-  void Record(const AttemptRecorder::Attempt& attempt, Done done) override;
+  void Record(const AttemptRecorder::Attempt& attempt, DoneCallback done) override;
 
-  Parts parts_;
+  Components components_;
 };
 
 }  // namespace millethollow
--- a/src/node/node_forwarder.cpp
+++ b/src/node/node_forwarder.cpp
@@ -42,8 +42,8 @@
     return MakeError(ErrorCode::kUnavailable, "cannot listen on the inherited client socket");
   }
   if (config_.listen.empty()) return {};
-  // The address is shared with other forwarders, or with the predecessor in a hot restart if that
-  // does not respond.
+  // The address is shared with other forwarders. In a hot restart it is shared with a predecessor
+  // that did not respond and so has not handed over its socket.
   const bool shared =
       hot_restart_ || (role_.kind == Role::Kind::kForwarder && config_.forwarders > 1);
   std::string reason;
--- a/src/node/node_planner.cpp
+++ b/src/node/node_planner.cpp
@@ -44,8 +44,8 @@
   if (Status connected = ConnectForwarders(); !connected) return connected;
   if (Status opened = OpenPeers(); !opened) return opened;
   if (!config_.discovery.empty()) CreateDiscovery(seed);
-  environment_.parts().peers = peers_.get();
-  environment_.parts().discovery = discovery_.get();
+  environment_.components().peers = peers_.get();
+  environment_.components().discovery = discovery_.get();
   ServerList endpoint_list;
   std::string reason;
   if (config_.known_workers != "{}" && !ReadServerList(config_.known_workers, config_.zones,
@@ -60,7 +60,7 @@
   for (const ListEntry& entry : endpoint_list.entries)
     SetAddress(entry.member.worker, entry.address, entry.max_in_flight);
   if (discovery_) discovery_->SetVersion(endpoint_list.version);
-  // A process that replaces another inherits its list, which is current.
+  // A process that replaces another inherits its endpoint list, which is up to date.
   if (discovery_ && forwarder_ && !inherited_state_.complete) AwaitInitialList();
   planner_->Start(endpoint_list.Members());
   if (client_front_) client_front_->SetServing(true);
@@ -78,11 +78,11 @@
 }
 
 void Node::CreatePlanner(std::uint64_t seed) {
-  NodeEnvironment::Parts& parts = environment_.parts();
-  parts.loop = &loop_;
-  parts.dispatcher_index = config_.settings.dispatcher_index;
-  parts.in_cluster = config_.cluster.on();
-  parts.hot_restart = hot_restart_.get();
+  NodeEnvironment::Components& components = environment_.components();
+  components.loop = &loop_;
+  components.dispatcher_index = config_.settings.dispatcher_index;
+  components.in_cluster = config_.cluster.on();
+  components.hot_restart = hot_restart_.get();
   planner_ = std::make_unique<Planner>(config_.settings, seed, &loop_.deadlines(), &environment_,
                                        &counters_, config_.scheduling);
   planner_->SetClassNames(config_.classes, config_.class_active);
