--- a/include/millethollow/balancing/load_balancer.h
+++ b/include/millethollow/balancing/load_balancer.h
@@ -52,8 +52,8 @@
   // run time of the request.
   double latency_objective_s = 0.1;      // wire: `aim_s`
   double latency_objective_stretch = 0;  // wire: `aim_stretch`
-  double client_timeout_s = 1;           // that a client waits, retries included; wire: `give_up_s`
-  double priority_weight = 1;            // weight of a request's answer; wire: `importance`
+  double client_timeout_s = 1;  // time that a client waits, retries included; wire: `give_up_s`
+  double priority_weight = 1;   // weight of a request's answer; wire: `importance`
   double late_weight = 0;  // share of that weight for a late answer, 0 to 1; wire: `late_worth`
   Idempotency idempotency = Idempotency::kIdempotent;
   // Only for kIdempotentWithKey. The window begins with the first attempt that may have run. Wire:
@@ -175,8 +175,8 @@
   const std::vector<Endpoint>* endpoints = nullptr;  // may be null if kind is kUnavailable
 };
 
-// An operator takes a worker out of service or returns it to service, whatever the endpoint list
-// says. A worker returns as if it had just started.
+// An operator starts or ends a worker's maintenance (takes it out of service), whatever the
+// endpoint list says. A worker returns as if it had just started.
 struct MaintenanceChanged {
   std::string_view worker;
   bool out_of_service = false;
@@ -208,7 +208,7 @@
 // RejectRequest or FailRequest.
 struct RequestArrived {
   std::string_view id;     // unique, never reused
-  double expires_s = 0;    // when the client ends this try, on the caller's clock
+  double expires_s = 0;    // when the client ends this try, in seconds on the caller's clock
   double slots = 1;        // slots that it needs at a worker
   double memory = 0;       // units of memory that it needs at a worker; wire: `ram_units`
   double bytes = 0;        // size of its body; 0: not known
@@ -223,7 +223,7 @@
 // The attempts of a request are numbered from 0 in the order of their SendAttempt actions. Wire:
 // `hop`.
 
-// The answer to an attempt has begun: the request no longer has a timeout.
+// The answer to an attempt has begun: from now on expires_s does not apply to the request.
 struct StreamStarted {
   std::string_view id;
   int attempt = 0;
@@ -334,7 +334,7 @@
   std::string body;   // at most kMaxPeerMessageBytes
 };
 
-// Fetches the endpoint list and starts or ends watch events of its changes.
+// Fetches the endpoint list and starts (`enable`) or ends the delivery of its changes as events.
 struct Subscribe {
   bool enable = true;
 };
--- a/src/balancing/admission.cpp
+++ b/src/balancing/admission.cpp
@@ -9,7 +9,7 @@
 // Largest share of the admitted work of a tenant's other classes that is given up in favour of
 // classes that capacity is reserved for.
 constexpr double kMaxReserveLoss = 0.2;
-constexpr double kMinWork = 1e-9;
+constexpr double kMinWork = 1e-9;  // avoids a division by zero; seconds of run time per second
 
 void LoadBalancerImpl::On(const RequestArrived& event) {
   if (event.class_index < 0 || event.class_index >= class_count_ || requests_.contains(event.id))
@@ -29,8 +29,8 @@
   FinishIfIdle(entry->second);
 }
 
-// Rejects a request. Until its latency objective has passed, a request that returns finds about the
-// same limits: the client is advised to wait that long.
+// Rejects a request and advises the client to wait for the latency objective: the limits hardly
+// change within that time, so an earlier retry would be rejected too.
 void LoadBalancerImpl::Reject(const Request& request) {
   admission_.OnRejected(request, now_);
   const double retry_after_s = std::min(settings_.max_retry_after_s,
@@ -70,11 +70,11 @@
 
 // Sets the rates of a tenant's buckets so that `admit_share` of its demand is admitted.
 //
-// All classes are cut by the same share: the service of the worst class is rated by itself, and the
-// requests of classes with little weight are mostly short, so that shedding them first would free
-// little capacity. Exception: capacity reserved for a class is wasted if its requests are rejected
-// on arrival. The tenant's other classes are then cut further, by as much work, but at most by
-// kMaxReserveLoss of their share.
+// All classes are cut by the same share: the service of the worst class is rated separately, and
+// the requests of classes with little weight are mostly short, so that shedding them first would
+// free little capacity. Exception: capacity reserved for a class is wasted if its requests are
+// rejected on arrival. The tenant's other classes are then cut further, by as much work, but at
+// most by kMaxReserveLoss of their share.
 void LoadBalancerImpl::LimitTenant(int tenant, double admit_share) {
   double work = 0, reserving_work = 0;  // seconds of run time per second
   const auto may_reserve = [this](int class_index) {
--- a/src/balancing/admission_controller.cpp
+++ b/src/balancing/admission_controller.cpp
@@ -14,9 +14,9 @@
 constexpr double kBurstRequests = 2;
 constexpr double kBurstS = 0.5;           // seconds of the bucket's rate
 constexpr double kBurstDeviations = 2.0;  // standard deviations of the arrivals in a second
-// The depth of a bucket with less than one request per second would outlast any overload. In a
-// large tier the requests of such a bucket are admitted at random with its admitted share, each of
-// them once.
+// The tokens of a full bucket with less than one request per second would outlast any overload. In
+// a large tier the requests of such a bucket are admitted at random with its admitted share, each
+// of them once.
 constexpr double kSparseRps = 1.0;
 // A request that returns within this time after its rejection is recognized.
 constexpr double kReturnWindowS = 0.3;
@@ -83,7 +83,7 @@
     if (bucket.rate_rps != kInf) {
       bucket.rate_rps *= share.Factor(tenant);
     } else if (fleet_rate_known && share.Factor(tenant) < 1 && admit_share < 1) {
-      // It was not limited until now.
+      // The bucket was not limited until now.
       bucket.admit_share = admit_share;
       bucket.rate_rps = bucket.demand_rps * admit_share;
     }
--- a/src/balancing/agreed_share.h
+++ b/src/balancing/agreed_share.h
@@ -20,11 +20,11 @@
   // Whether a share is set.
   bool enabled() const { return share_ >= 0; }
   double share() const { return share_; }
-  // All other members of the agreed view have reported recently. Part of the usage reports.
+  // Whether all other members of the agreed view have reported recently. Usage reports contain it.
   bool receives_all() const { return receives_all_; }
 
-  // After a stop of this length, in seconds, others may no longer receive this dispatcher's
-  // reports, and use its share.
+  // After the process was stopped for this long, in seconds, the other members may have missed this
+  // dispatcher's reports and may use its share.
   static constexpr double kStoppedS = 1.0;
   // Sets the agreed share. It takes effect at once.
   void Set(const FleetShare& fleet_share) {
@@ -32,8 +32,8 @@
         shares_follow_demand_ && fleet_share.member_count > 0 && !fleet_share.stopped;
     factors_ = shares_;
     for (std::size_t index = 0; index < shares_.size(); ++index) {
-      // Shares by demand: new members get their share from now on, the others give up a part of
-      // theirs.
+      // Where shares follow demand, all are scaled down alike, which frees the shares of new
+      // members.
       double share = std::min(shares_[index], fleet_share.share);
       if (by_demand)
         share = shares_[index] * std::min(1.0, fleet_share.share / shares_computed_for_);
@@ -125,6 +125,8 @@
   }
 
  private:
+  // kMinShare avoids a division by zero. kWorkerRateKeep is the part of the largest rate of a
+  // worker that is kept from one control round to the next.
   static constexpr double kMinShare = 1e-6, kWorkerRateKeep = 0.99;
   static bool HasRate(const std::vector<double>& rates, std::size_t index) {
     return index < rates.size() && rates[index] >= 0;
--- a/src/balancing/attempts.cpp
+++ b/src/balancing/attempts.cpp
@@ -8,16 +8,17 @@
 
 // A worker is ejected when its error rate, an exponentially weighted mean, exceeds the limit. A
 // lost connection weighs more than a server error, because the worker may be gone.
-constexpr double kErrorRateKeep = 0.8;
+constexpr double kErrorRateKeep = 0.8;  // weight of the old mean
 constexpr double kServerErrorSample = 0.2;
 constexpr double kConnectionLostSample = 0.3;
 constexpr double kEjectErrorRate = 0.45;
 
 // Additive increase of a worker's slot limit after a success at the limit.
 constexpr double kSlotLimitStep = 0.1;
-// Used share of the window: clocks and queueing delays differ.
+// Share of the deduplication window in which an attempt may be repeated; the rest allows for clock
+// differences and queueing delays.
 constexpr double kDeduplicationWindowUse = 0.9;
-constexpr double kMinOverdueS = 0.02;
+constexpr double kMinOverdueS = 0.02;       // shortest time until an attempt is first checked
 constexpr double kStartOverdueShare = 0.6;  // of the latency objective, where starts are notified
 // A start notification takes at least this many ticks.
 constexpr double kStartNoticeTicks = 4;
@@ -140,8 +141,9 @@
   FinishIfIdle(entry->second);
 }
 
-// A request that waits past its latency objective counts as a late start, as at a worker.
-void LoadBalancerImpl::OnCapacityWaitCheck(const OverdueCheck& check) {
+// Checks a request that waits for capacity: past its latency objective it counts as a late start,
+// as in a worker's queue; shortly before it expires it is ended.
+void LoadBalancerImpl::OnCapacityWaitCheck(const ScheduledCheck& check) {
   const auto entry = requests_.find(check.request_id);
   if (entry == requests_.end()) return;
   Request& request = entry->second;
@@ -213,7 +215,7 @@
     case AttemptStatus::kServerError:
       worker.last_response_at = now_;
       [[fallthrough]];
-    // A single lost connection may be an accident; a worker that is gone refuses the next one.
+    // A lost connection alone does not eject the worker: if it is gone, the next connection fails.
     case AttemptStatus::kConnectionLost:
       worker.error_rate =
           worker.error_rate * kErrorRateKeep +
@@ -271,7 +273,8 @@
   if (attempt->had_free_slot) {
     estimates_.OnPromptStart(now_ - attempt->sent_at < kStartNoticeTicks * settings_.tick_s);
   }
-  // A hedged request looks for a free slot: one attempt runs now, so queued ones are cancelled.
+  // The purpose of hedging is to find a free slot. One attempt runs now, so queued ones are
+  // cancelled.
   CancelAttemptsInFlight(*request, true);
 }
 
@@ -291,9 +294,10 @@
   }
 }
 
-// Records that the request found no capacity at a worker. This says something about the tier only
-// if the worker is ready, past its slow start and large enough for the request. One full worker
-// says little while others have capacity, two say more.
+// Records that the request found no capacity at a worker. This indicates a full tier only if the
+// worker is ready, past its slow start and large enough for the request. A second rejection by a
+// full worker is the stronger indication, since after the first another worker may have capacity:
+// where workers never report load, only the second is counted, otherwise each counts as one half.
 void LoadBalancerImpl::OnNoCapacity(Request& request, Attempt& attempt, bool full, bool late) {
   Worker& worker = workers_[attempt.worker];
   if (!attempt.found_no_capacity)
--- a/src/balancing/constants.h
+++ b/src/balancing/constants.h
@@ -16,7 +16,7 @@
 constexpr double kBaseReportIntervalS = 0.25;
 // A peer is taken to be dead after this many report intervals without a report.
 constexpr double kPeerTimeoutReports = 6;
-// Weight of a dispatcher's own rate in its gossiped mean of a rate.
+// Weight of a dispatcher's own rate when it updates the gossiped mean of that rate.
 constexpr double kOwnRateWeight = 0.15;
 // A tier is not full while at least this share of the probed workers has a free slot.
 constexpr double kMinFreeProbedShare = 0.3;
@@ -24,14 +24,14 @@
 constexpr double kLoadReportFreshS = 0.1;
 // Success rate of a worker group below which other groups are preferred.
 constexpr double kMinGroupSuccess = 0.3;
-// Longest interval between two checks of overdue attempts.
-constexpr double kOverdueCheckS = 0.1;
+// Longest interval of kCheckTimer.
+constexpr double kMaxCheckIntervalS = 0.1;
 // Timer identifiers (SetTimer::timer_id).
-constexpr std::uint64_t kReportTimer = 1, kOverdueTimer = 2, kPollTimer = 3;
+constexpr std::uint64_t kReportTimer = 1, kCheckTimer = 2, kPollTimer = 3;
 
 // An attempt is overdue after this multiple of its expected run time.
 constexpr double kOverdueFactor = 4.0;
-// Values of OverdueCheck::attempt for a round of probes and for a wait for capacity.
+// Values of ScheduledCheck::attempt for a round of probes and for a wait for capacity.
 constexpr int kProbeCheck = -1;
 constexpr int kCapacityWaitCheck = -2;
 // Longest wait of a request for its probes.
--- a/src/balancing/fleet_rate_limiter.cpp
+++ b/src/balancing/fleet_rate_limiter.cpp
@@ -9,16 +9,18 @@
 
 // Share of sends that find workers full, above which the tier is full.
 constexpr double kFullSendShare = 0.05;
-// Added to the sends of an interval, so that one or two requests prove nothing.
+// Added to the sends of an interval, so that one or two requests that find workers full do not make
+// the tier full.
 constexpr double kPriorRequests = 8;
-constexpr double kLateWeight = 0.7;  // weight of a late start, relative to a full worker
+// Weight of a late start, relative to a request that found workers full.
+constexpr double kLateWeight = 0.7;
 constexpr double kCutFactor = 0.85;  // ends an overload within a few cuts
 // Share of the guaranteed demand that is cut at most where requests start late.
 constexpr double kLateCutShare = 0.5;
 constexpr double kMinCutIntervalS = 1.0;
-constexpr double kRisePerS = 0.2;          // share of the rate, while the tier is not full
-constexpr double kRisePerSWhenFree = 1.0;  // while probes find free workers
-constexpr double kUnboundFactor = 1.25;    // a rate this far above demand limits nobody
+constexpr double kRisePerS = 0.2;            // share of the rate, while the tier is not full
+constexpr double kRisePerSWhenFree = 1.0;    // while probes find free workers
+constexpr double kMaxRateOverDemand = 1.25;  // a rate this many times the demand limits nobody
 constexpr double kRateRounding = 1e-9;
 
 }  // namespace
@@ -38,13 +40,13 @@
     // once. A rate that had shrunk with it would reject requests for seconds at idle workers.
     if (limits()) {
       rate_rps_ = std::max(load.guaranteed_rps,
-                           std::min(rate_rps_ * factor, kUnboundFactor * load.demand_rps));
+                           std::min(rate_rps_ * factor, kMaxRateOverDemand * load.demand_rps));
     }
     return {.cut = false, .rise_factor = factor};
   }
   if (round.now_s < next_cut_at_s_) return {};
-  // The cut starts from what was carried: where clients retry at once, sends are a multiple of
-  // demand.
+  // The cut starts from the rate of requests that workers accepted, at most the demand: where
+  // clients retry at once, sends are a multiple of demand.
   const double carried_rps = std::min({rate_rps_, load.demand_rps, load.sends_rps - load.full_rps});
   // Not below the guaranteed demand, because a rejected send costs little. If instead requests
   // start late, deep queues at the workers delay all of them, and the minimum falls with the share
--- a/src/balancing/forecast.cpp
+++ b/src/balancing/forecast.cpp
@@ -5,7 +5,7 @@
 
 namespace millethollow::balancing {
 
-constexpr double kFreeSlotTolerance = 0.5;  // tolerated shortfall of reported free slots
+constexpr double kFreeSlotTolerance = 0.5;  // slots that a report may be short of the need
 
 double LoadBalancerImpl::LatencyObjectiveOf(const Request& request) const {
   const ClassSettings& class_settings = ClassSettingsOf(request.class_index);
--- a/src/balancing/hedge_budget.h
+++ b/src/balancing/hedge_budget.h
@@ -14,7 +14,8 @@
  public:
   static constexpr double kMaxPerAttempt = 1.0;
 
-  // Sets the hedges that an attempt adds to the budget at first; 0: only lost attempts are hedged.
+  // Sets the initial number of hedges that an attempt adds to the budget; 0: only attempts at lost
+  // workers are hedged.
   void SetPerAttempt(double hedges_per_attempt) { per_attempt_ = hedges_per_attempt; }
   // An attempt was sent.
   void OnAttempt() { available_ = std::min(kMaxAvailable, available_ + per_attempt_); }
@@ -28,9 +29,9 @@
   }
 
  private:
-  friend struct StateTransfer;  // transferred in a hot restart
-  static constexpr double kMaxAvailable = 3.0;
-  static constexpr double kRiseStep = 0.01;
+  friend struct StateTransfer;                  // transferred in a hot restart
+  static constexpr double kMaxAvailable = 3.0;  // hedges
+  static constexpr double kRiseStep = 0.01;     // hedges per attempt
 
   double available_ = 0;
   double per_attempt_ = 0;
@@ -47,8 +48,8 @@
   void Spend() { available_ -= 1; }
 
  private:
-  friend struct StateTransfer;  // transferred in a hot restart
-  static constexpr double kMaxAvailable = 10.0;
+  friend struct StateTransfer;                   // transferred in a hot restart
+  static constexpr double kMaxAvailable = 10.0;  // requests
 
   double available_ = 0;
 };
--- a/src/balancing/load_balancer_impl.cpp
+++ b/src/balancing/load_balancer_impl.cpp
@@ -6,9 +6,9 @@
 
 namespace millethollow::balancing {
 
-// Share of a request's weight that may be spent on messages.
+// Share of a request's weight that may be spent on messages to peers.
 constexpr double kPeerMessageBudget = 0.003;
-// Share of a group's failures that is forgiven per report interval.
+// Part of the way back to 1 that a group's success rate recovers per kBaseReportIntervalS.
 constexpr double kGroupRecovery = 0.05;
 
 LoadBalancerImpl::LoadBalancerImpl(Settings settings, std::uint64_t seed)
@@ -82,7 +82,7 @@
 
 void LoadBalancerImpl::On(const DispatcherStarted&) {
   reported_at_ = now_;
-  // Demand is not known before.
+  // Demand is not known earlier, and a cut is computed from it.
   fleet_rate_.AllowCutAt(now_ + std::max(kDemandSmoothingS, 2 * report_interval_s_));
   actions_->push_back(SetTimer{kReportTimer, report_interval_s_ * (0.2 + random_.Uniform())});
   if (settings_.polls_discovery) PollEndpoints();
@@ -103,6 +103,7 @@
     if (now_ - reported_at_ > report_interval_s_ / 4) PublishUsage();
     // Jitter keeps dispatchers that started together from sending their reports at the same time.
     // In large tiers with little traffic the price of messages per request determines the interval.
+    // A message is taken to have 100 bytes; price_peer is that of 256.
     const double message_price =
         full_mesh_ ? 0 : settings_.price_peer * kGossipFanout * 100 / 256 / kPeerMessageBudget;
     const double affordable_interval_s =
@@ -110,17 +111,17 @@
     const double interval_s =
         std::clamp(affordable_interval_s, report_interval_s_, 4 * report_interval_s_);
     actions_->push_back(SetTimer{kReportTimer, interval_s * (0.75 + 0.5 * random_.Uniform())});
-  } else if (event.timer_id == kOverdueTimer) {
-    while (!overdue_checks_.empty() && overdue_checks_.top().due_at <= now_) {
-      const OverdueCheck check = overdue_checks_.top();
-      overdue_checks_.pop();
-      OnOverdue(check);
+  } else if (event.timer_id == kCheckTimer) {
+    while (!scheduled_checks_.empty() && scheduled_checks_.top().due_at <= now_) {
+      const ScheduledCheck check = scheduled_checks_.top();
+      scheduled_checks_.pop();
+      RunCheck(check);
     }
-    check_timer_set_ = !overdue_checks_.empty();
-    const double delay_s =
-        check_timer_set_ ? std::clamp(overdue_checks_.top().due_at - now_, 0.005, kOverdueCheckS)
-                         : 0;
-    if (check_timer_set_) actions_->push_back(SetTimer{kOverdueTimer, delay_s});
+    check_timer_set_ = !scheduled_checks_.empty();
+    const double delay_s = check_timer_set_ ? std::clamp(scheduled_checks_.top().due_at - now_,
+                                                         0.005, kMaxCheckIntervalS)
+                                            : 0;
+    if (check_timer_set_) actions_->push_back(SetTimer{kCheckTimer, delay_s});
   } else if (event.timer_id == kPollTimer) {
     if (!subscribed_ && now_ > poll_at_ - settings_.tick_s)
       PollEndpoints();  // otherwise the timer was set again in the meantime
--- a/src/balancing/load_balancer_impl.h
+++ b/src/balancing/load_balancer_impl.h
@@ -69,11 +69,12 @@
   void NotifySibling();
   void OnPeerUsage(int sender, const UsageReport& report);
   std::vector<UsageReport::Usage> MeasureDemand(double sample_s);
-  void MeasureSignals(double sample_s);
+  void MeasureSignals(double sample_s);  // of signals and probes, see RowLayout
   void UpdateTierMeans(double sample_s);
   std::vector<int> ReportRecipients();
   void PublishUsage();
   void On(const PeerMessage& event);
+  // Identifies the worker in usage reports.
   static std::uint16_t Tag(const Worker& worker) { return static_cast<std::uint16_t>(worker.hash); }
   void UpdatePeerSlots() {
     peers_.SumSlotsInFlight(workers_.all(), now_ - kPeerTimeoutReports * report_interval_s_);
@@ -171,8 +172,8 @@
   void On(const ProbeAnswered& event);
   void OnProbesAnswered(std::string_view id);
   bool WouldEndLate(const Request& request, const Worker& worker, double age_s) const;
-  void OnOverdue(const OverdueCheck& check);
-  void OnCapacityWaitCheck(const OverdueCheck& check);
+  void RunCheck(const ScheduledCheck& check);
+  void OnCapacityWaitCheck(const ScheduledCheck& check);
 
   // Workers (endpoint_discovery.cpp), timers and settings (load_balancer_impl.cpp).
   void On(const DispatcherStarted&);
@@ -219,13 +220,15 @@
   std::vector<std::pair<std::uint64_t, int>> rank_scratch_;
   LoadEstimates estimates_;
   int shared_class_count_ = 0;
-  // Workers that were probed first for a request, and those of them with a free slot.
+  // Since the last report: workers that were the first to be probed for a request, and those of
+  // them with a free slot.
   double first_probes_ = 0, first_probes_free_ = 0;
   // Requests.
   StringMap<Request> requests_;
-  std::priority_queue<OverdueCheck, std::vector<OverdueCheck>, std::greater<>> overdue_checks_;
+  std::priority_queue<ScheduledCheck, std::vector<ScheduledCheck>, std::greater<>>
+      scheduled_checks_;
   std::vector<std::string> requests_awaiting_probes_;
-  std::uint64_t next_check_order_ = 0;
+  std::uint64_t last_check_sequence_ = 0;
   HedgeBudget hedge_budget_;
   ShedBudget shed_budget_;
   // Queued requests may be shed; workers notify starts but never report load.
--- a/src/balancing/load_estimates.cpp
+++ b/src/balancing/load_estimates.cpp
@@ -7,9 +7,10 @@
 namespace millethollow::balancing {
 namespace {
 
-// An observed wait for a start loses its meaning after this.
+// Time constant with which a worker's observed start wait decays to that of its group.
 constexpr double kStartWaitDecayS = 1.0;
-// A slow period is forgotten and the worker is tried again.
+// Time constant with which the weight of a worker's slowdown decays, so that a worker that was slow
+// for a time is tried again.
 constexpr double kSlowdownDecayS = 10.0;
 // Weight, in samples, of the slowdown of a worker's kind.
 constexpr double kKindSlowdownSamples = 8.0;
@@ -110,8 +111,8 @@
 }
 
 void LoadEstimates::OnLoadReport(std::ptrdiff_t index, Worker* worker) {
-  // A kind has the slots that two workers agree on: a single wrong report must not make it appear
-  // unlimited.
+  // The slots of a kind are the second largest number that workers reported: a single wrong report
+  // must not make the kind appear unlimited.
   double& slots = kind_slots_[ToIndex(worker->kind)];
   auto& [max_slots, reporter] = kind_max_slots_[ToIndex(worker->kind)];
   const double reported_slots = worker->ImpliedSlots();
--- a/src/balancing/load_estimates.h
+++ b/src/balancing/load_estimates.h
@@ -57,7 +57,8 @@
   // Relative increase of the run time if the request's key was not among the last sent to the
   // worker.
   double KeyFetchOverhead() const;
-  // Share of attempts that started at once, of those sent because a load report showed a free slot.
+  // Share of the attempts sent to a worker whose load report showed a free slot that started at
+  // once.
   double PromptStartShare() const { return prompt_starts_.ValueOr(1.0); }
 
   // Samples: a request arrived; an attempt started, at once or not; it started after `wait_s`; it
--- a/src/balancing/outlier_detection.cpp
+++ b/src/balancing/outlier_detection.cpp
@@ -11,8 +11,8 @@
 constexpr double kMaxEjectedShare = 0.7;
 // Factor of a group's success rate at each failure. Random choices prefer groups (the workers of
 // one kind in one zone) where attempts succeed. If the workers of a group fail one after the other,
-// all of them are probably lost, and no dispatcher could find that out for each by itself. Attempts
-// continue as the success rate recovers.
+// all of them are probably lost, and a dispatcher cannot find that out for each worker separately.
+// Attempts in the group resume as its success rate recovers.
 constexpr double kGroupFailureKeep = 0.75;
 
 void LoadBalancerImpl::Eject(int worker_index) {
@@ -20,7 +20,7 @@
   estimates_.GroupSuccess(worker) *= kGroupFailureKeep;
   if (worker.ejected) return;
   worker.ejection_s = std::clamp(worker.ejection_s * 2, kBaseEjectionS, kMaxEjectionS);
-  // If most of the fleet fails, the endpoint list is the better guide.
+  // If most of the fleet fails, workers are used as the endpoint list has them.
   if (workers_.ejected_count() + 1 > kMaxEjectedShare * workers_.ready_count()) return;
   worker.ejected = true;
   worker.probation = false;
--- a/src/balancing/overdue_attempts.cpp
+++ b/src/balancing/overdue_attempts.cpp
@@ -12,8 +12,11 @@
 // Progress intervals without a response, where workers report progress.
 constexpr double kProgressIntervals = 1.5;
 constexpr double kSlowWorkerSlowdown = 2.0;  // slowdown from which a worker counts as slow
-constexpr double kMinRecheckS = 0.25;
+constexpr double kMinRecheckS = 0.25;        // shortest time between two checks of an attempt
 
+// Whether an attempt that was sent `age_s` seconds ago is expected to end after the latency
+// objective. Where starts are notified, the attempt is known not to run yet. Otherwise it may be
+// running, and counts as late only once a whole run beyond the objective has passed.
 bool LoadBalancerImpl::WouldEndLate(const Request& request, const Worker& worker,
                                     double age_s) const {
   const double run_time_s = ExpectedRunTime(request) * SlowdownOf(worker);
@@ -21,8 +24,9 @@
          LatencyObjectiveOf(request) + (settings_.workers_notify_start ? -run_time_s : run_time_s);
 }
 
-// Checks an attempt that has not started, or not ended, when it should have.
-void LoadBalancerImpl::OnOverdue(const OverdueCheck& check) {
+// Runs a check. An attempt that has not started, or not ended, when it should have is hedged,
+// cancelled or shed, and its worker probed or ejected if it does not respond.
+void LoadBalancerImpl::RunCheck(const ScheduledCheck& check) {
   if (check.attempt == kCapacityWaitCheck) return OnCapacityWaitCheck(check);
   if (check.attempt == kProbeCheck) return OnProbesAnswered(check.request_id);
   Request* request = nullptr;
@@ -51,7 +55,7 @@
 void LoadBalancerImpl::OnStartOverdue(Request& request, Attempt& attempt, double age_s) {
   Worker& worker = workers_[attempt.worker];
   estimates_.OnStartWait(std::max(age_s, StartWaitOf(worker)), now_, &worker);
-  // An ejected or slow worker says nothing about the tier.
+  // A late start at an ejected or slow worker does not indicate a full tier.
   const bool late = !worker.ejected &&
                     age_s > ClassSettingsOf(request.class_index).latency_objective_s &&
                     SlowdownOf(worker) < kSlowWorkerSlowdown;
@@ -84,8 +88,8 @@
 }
 
 void LoadBalancerImpl::CheckAt(double due_at, const std::string& id, int attempt_index) {
-  overdue_checks_.push({due_at, ++next_check_order_, id, attempt_index});
-  if (!check_timer_set_) actions_->push_back(SetTimer{kOverdueTimer, kOverdueCheckS / 4});
+  scheduled_checks_.push({due_at, ++last_check_sequence_, id, attempt_index});
+  if (!check_timer_set_) actions_->push_back(SetTimer{kCheckTimer, kMaxCheckIntervalS / 4});
   check_timer_set_ = true;
 }
 
--- a/src/balancing/peer_usage.h
+++ b/src/balancing/peer_usage.h
@@ -75,9 +75,9 @@
     add(sibling, true);
   }
 
-  // Returns the sum of the own rates and of the rows received since `since`. Peers that never
-  // reported, and those with an incomplete row, count as the average dispatcher. Peers whose last
-  // report is older are taken to be dead.
+  // Returns the sum of the own rates (`sum`) and of the rows received since `since`. A peer that
+  // never reported, or whose row is incomplete, counts with the mean of the complete rows. A peer
+  // whose last report is older is taken to be dead and counts as 0.
   std::vector<double> TierRates(std::vector<double> sum, int own_index, double since) const {
     double complete_rows = 1, live_dispatchers = 1;
     for (std::size_t peer_index = 0; peer_index < rows.size(); ++peer_index) {
--- a/src/balancing/placement.cpp
+++ b/src/balancing/placement.cpp
@@ -15,8 +15,8 @@
 constexpr int kPreferredWorkers = 4;  // workers that a key prefers, the same at every dispatcher
 constexpr int kNotPreferredRank = 4 * kPreferredWorkers;  // rank of all other workers
 constexpr double kNoCapacityPenalty = 10.0;               // outweighs any slowdown or price
-// Latency objectives that a request waits for a worker rather than fetch the data of its key
-// elsewhere.
+// Extra wait, in latency objectives, up to which a worker that has the data of the request's key is
+// preferred to one that must fetch it.
 constexpr double kKeyFetchWeight = 1.5;
 
 // Whether the request may be sent to the worker at all. `scope_worker` is a worker whose
@@ -103,7 +103,7 @@
   const int sample_size = full_mesh_ ? kSampleSize : kSampleSizeLargeTier;
   if (!full_mesh_ && request.slow_start_worker >= 0)
     consider(request.slow_start_worker, kNotPreferredRank);
-  // More draws than workers to consider: many may be in slow start without tokens.
+  // Draws more workers than it has to consider, since many may be in slow start without tokens.
   for (int i = 0; i < 4 * kSampleSize && considered < sample_size; ++i) {
     const std::vector<int>& from =
         i % 2 == 0 && settings_.price_cross_zone > 0 && !same_zone.empty() ? same_zone : eligible;
--- a/src/balancing/probing.cpp
+++ b/src/balancing/probing.cpp
@@ -8,7 +8,8 @@
 
 // A tier is full only if at least this many probed workers have no free slot.
 constexpr int kMinProbedFull = 3;
-// Probes for a request; the second where load reports prove out of date.
+// Largest number of probes for a request; kMaxProbesStaleReports where load reports often prove out
+// of date.
 constexpr int kMaxProbes = 5, kMaxProbesStaleReports = 2;
 // Share of a request's weight that may be spent on probes, where they have a price.
 constexpr double kProbeBudget = 0.0025;
--- a/src/balancing/request.h
+++ b/src/balancing/request.h
@@ -41,6 +41,8 @@
   bool ended = false;  // has its final answer, or its client has left
   bool shed = false;   // cancelled while it was queued, because of overload
   bool awaiting_capacity = false;
+  // Whether a check of the wait for capacity is scheduled; whether no worker can ever have
+  // capacity.
   bool wait_check_set = false, impossible = false;
   int worker_with_capacity = -1;    // index of a worker with capacity for the request; -1: none
   int max_attempts = 1;             // Settings::max_attempts when the request arrived
@@ -101,14 +103,14 @@
   return request;
 }
 
-// A scheduled check of an attempt, a round of probes or a wait for capacity. Checks are ordered by
+// A check of an attempt, a round of probes or a wait for capacity. Checks are ordered by
 // their time, those of the same time by the order in which they were scheduled.
-struct OverdueCheck {
+struct ScheduledCheck {
   double due_at;
   std::uint64_t sequence;
   std::string request_id;
   int attempt;  // index in Request::attempts, or kProbeCheck or kCapacityWaitCheck
-  bool operator>(const OverdueCheck& other) const {
+  bool operator>(const ScheduledCheck& other) const {
     return due_at != other.due_at ? due_at > other.due_at : sequence > other.sequence;
   }
 };
--- a/src/balancing/slow_start.cpp
+++ b/src/balancing/slow_start.cpp
@@ -5,7 +5,8 @@
 
 namespace millethollow::balancing {
 
-constexpr double kSlowStartShare = 0.5;  // used share of the load that the settings permit
+// Share that is used of the load which the settings permit a worker in slow start.
+constexpr double kSlowStartShare = 0.5;
 // In a large tier the probed worker itself reports when it is full.
 constexpr double kSlowStartShareProbed = 0.8;
 
@@ -24,6 +25,8 @@
          (settings_.slow_start_min_share + (1 - settings_.slow_start_min_share) * age_share);
 }
 
+// Whether more than a quarter of the worker's slots are free by its load report; true without a
+// recent report.
 bool LoadBalancerImpl::SlowStartHasCapacity(const Worker& worker) const {
   return now_ - worker.reported_at > kLoadReportFreshS ||
          worker.reported_free_slots - worker.slots_sent_since_report > SlotsOf(worker) / 4;
@@ -34,6 +37,7 @@
          SlowStartShare(worker) * worker_rate_rps_ * (now_ - worker.slow_start_tokens_at);
 }
 
+// The tokens that the request takes: 1 for one slot and the mean run time.
 double LoadBalancerImpl::SlowStartCost(const Request& request) const {
   const double run_time_s = ExpectedRunTime(request);
   return std::max(1.0, request.slots) *
--- a/src/balancing/support.h
+++ b/src/balancing/support.h
@@ -29,7 +29,7 @@
     mixed = (mixed ^ (mixed >> 27)) * 0x94d049bb133111ebULL;
     return mixed ^ (mixed >> 31);
   }
-  // A random number of [0, 1).
+  // A random number in the interval [0, 1).
   double Uniform() { return static_cast<double>(Next() >> 11) * 0x1.0p-53; }
   // A random number of 0 to count-1.
   std::size_t Below(std::size_t count) { return static_cast<std::size_t>(Next() % count); }
@@ -109,7 +109,8 @@
   return Random(hash ^ (other * 0xff51afd7ed558ccdULL)).Next();
 }
 
-// FNV-1a, mixed once more: the same at every dispatcher.
+// Returns the FNV-1a hash of the text, mixed once more with its length. Every dispatcher computes
+// the same value, unlike with std::hash.
 inline std::uint64_t HashText(std::string_view text) {
   std::uint64_t hash = 1469598103934665603ULL;
   for (const char character : text)
@@ -117,8 +118,8 @@
   return CombineHashes(hash, text.size());
 }
 
-// Write and read fields in sequence, in their memory layout: for processes of the same program
-// only.
+// Write and read fields in sequence, in their memory layout: only for builds whose fields have the
+// same order, types and layout.
 struct StateWriter {
   std::string output;
   template <typename... Fields>
--- a/src/balancing/usage_exchange.cpp
+++ b/src/balancing/usage_exchange.cpp
@@ -8,11 +8,12 @@
 
 namespace millethollow::balancing {
 
-// Own signals weigh by the requests they cover, against this many.
+// An own signal that covers n requests has the weight n / (n + this) when it updates the gossiped
+// mean.
 constexpr double kSignalWeightRequests = 5;
 // Smoothing time of signals, at least one report interval.
 constexpr double kSignalSmoothingS = 0.5;
-// Share of the way to the peers' fleet rates, per report interval.
+// Part of the way towards the peers' fleet rates that the own rate moves per report interval.
 constexpr double kPeerRateWeight = 0.3;
 constexpr double kWorkerRateDecayS = 20.0;  // decay time of the largest rate that workers carried
 
@@ -24,9 +25,9 @@
   std::vector<UsageReport::Usage> usage = MeasureDemand(sample_s);
   MeasureSignals(sample_s);
   if (!full_mesh_) UpdateTierMeans(sample_s);
-  // The rate that a worker carries in normal operation, so a few sends after a cut do not lower it
-  // at once. In a large tier the gossiped mean is the better estimate: a dispatcher that has just
-  // restarted has sent nothing.
+  // The rate that a worker carries in normal operation. It decays slowly, so that fewer sends after
+  // a cut do not lower it at once. In a large tier the gossiped mean is the better estimate: a
+  // dispatcher that has just restarted has sent nothing.
   const double sends_rps = std::max(own_rates_[ToIndex(tenant_count_)],
                                     full_mesh_ ? 0.0 : tier_mean_rates_[ToIndex(tenant_count_)]);
   worker_rate_rps_ = WorkerRate(std::max(worker_rate_rps_ * std::exp(-sample_s / kWorkerRateDecayS),
@@ -77,7 +78,7 @@
   }
 }
 
-// All peers; in a large tier a few random ones.
+// Returns the peers that get the next report: all, or in a large tier a few random ones.
 std::vector<int> LoadBalancerImpl::ReportRecipients() {
   std::vector<int> recipients;
   for (int index = 0; index < (full_mesh_ ? settings_.dispatcher_count : kGossipFanout); ++index) {
@@ -102,8 +103,8 @@
   OnPeerUsage(event.sender, report);
   if (!report.BeginsRow()) return;  // the rest applies once per report
   has_received_reports_ = true;
-  // Rates converge slowly. Otherwise the many peers that have not cut their rate yet would undo
-  // each cut at once.
+  // The rate follows those of the peers slowly: otherwise the many peers that have not cut theirs
+  // yet would undo each cut at once.
   const double weight =
       kPeerRateWeight / (full_mesh_ ? settings_.dispatcher_count - 1 : kGossipFanout);
   if (report.fleet_rate_rps > 0) fleet_rate_.FollowPeer(report.fleet_rate_rps, weight);
--- a/src/balancing/usage_report.cpp
+++ b/src/balancing/usage_report.cpp
@@ -9,8 +9,9 @@
 namespace millethollow::balancing {
 namespace {
 
-// Datagrams. Numbers are little-endian, rates are 32-bit floats. Both forms have a common header:
-// 'D', version, flags, number of rates in this datagram, fleet rate. It is followed by:
+// The format of datagrams. Numbers are little-endian, rates are 32-bit floats. Both forms have a
+// common header: 'D', version, flags, number of rates in this datagram, fleet rate. It is followed
+// by:
 //  - complete row: the rates; the number of workers and for each 16 bits of its hash and 8 bits of
 //    slots in flight; then for each token bucket in use its index and the requests allowed and
 //    denied, 16 bits each.
--- a/src/balancing/usage_report.h
+++ b/src/balancing/usage_report.h
@@ -12,10 +12,10 @@
 
 namespace millethollow::balancing {
 
-// The positions of the values in a report's row of rates: the demand of each tenant, then first
-// attempts, requests that found workers full, and late starts. In a large tier these follow: probed
-// workers and those of them with capacity; run time and requests of each class; slowdown, requests
-// and slots of each worker kind.
+// The positions of the values in a report's row of rates: the demand of each tenant, then the
+// signals: first attempts, requests that found workers full, and late starts. In a large tier these
+// follow: probed workers and those of them with capacity; run time and requests of each class;
+// slowdown, requests and slots of each worker kind.
 struct RowLayout {
   static constexpr std::size_t kSignalValues = 3, kProbeValues = 2, kClassValues = 2,
                                kKindValues = 3;
