--- a/src/scheduling/runtime_estimator.cpp
+++ b/src/scheduling/runtime_estimator.cpp
@@ -17,8 +17,8 @@
     acc::accumulator_set<double,
                          acc::stats<acc::tag::extended_p_square, acc::tag::min, acc::tag::max>>;
 constexpr std::size_t kRefreshInterval = 16;  // samples between refreshes of the table
-// A job that has run for longer than all samples is expected to run for this part of its elapsed
-// time once more (median).
+// A job that has run for longer than all samples is expected to run on for this part of its elapsed
+// time (median).
 constexpr double kTailShare = 0.5;
 
 std::vector<double> InnerProbabilities() {
--- a/src/scheduling/scheduler.cpp
+++ b/src/scheduling/scheduler.cpp
@@ -11,17 +11,18 @@
 namespace {
 
 constexpr double kInfinity = std::numeric_limits<double>::infinity();
-constexpr Resources kUnlimited{1e12, 1e12};
+constexpr Resources kUnlimited{1e12, 1e12};  // slots, units of memory
 // Quantiles of the remaining run time that are used for jobs that run at a worker with a
 // reservation, and for jobs to be backfilled there, which should not delay the reserved job.
 constexpr double kReservationQuantile = 0.5;
 constexpr double kBackfillQuantile = 0.75;
-// One in this many picks takes a job that can no longer start in time.
+// One in this many picks prefers a job that can no longer start in time, so that such jobs do not
+// wait forever.
 constexpr std::uint64_t kLatePickInterval = 16;
 // Time for which a worker that rejected a job counts as full.
 constexpr double kRejectionBackoffS = 0.2;
-constexpr double kMinRunS = 1e-4;       // shorter run times count as this
-constexpr double kMeanRunWeight = 100;  // time constant of the mean run time, in samples
+constexpr double kMinRunS = 1e-4;        // shorter run times count as this
+constexpr double kMeanRunSamples = 100;  // time constant of the mean run time, in samples
 
 // Needs are rounded up to steps, so that there are few shapes. A step of slots is a quarter of a
 // slot.
@@ -342,7 +343,7 @@
       std::find_if(target.running.begin(), target.running.end(),
                    [job](const RunningJob& candidate) { return candidate.job == job; });
   if (running_job == target.running.end()) return;
-  if (ran_s >= 0) mean_run_s_ += (std::max(ran_s, kMinRunS) - mean_run_s_) / kMeanRunWeight;
+  if (ran_s >= 0) mean_run_s_ += (std::max(ran_s, kMinRunS) - mean_run_s_) / kMeanRunSamples;
   if (ran_s >= 0)
     runtimes_.AddSample(running_job->class_index, target.state.kind, running_job->hint_s, ran_s);
   target.used = target.used - running_job->need;
--- a/src/scheduling/scheduler.h
+++ b/src/scheduling/scheduler.h
@@ -48,8 +48,8 @@
 // The state of a worker as known to the balancer.
 struct WorkerState {
   int kind = 0;
-  bool usable = false;      // listed and not draining, in maintenance or ejected
-  bool warming_up = false;  // in slow start, and therefore without reservations
+  bool usable = false;         // listed and not draining, in maintenance or ejected
+  bool in_slow_start = false;  // no reservations are made there
   // In another zone: used by jobs that have waited, or while the queue is long.
   bool remote_zone = false;
   Resources capacity{0, 0};        // 0 slots if not known: then unlimited
@@ -143,8 +143,8 @@
  private:
   // Workers that are compared for one reservation or one backfill.
   static constexpr std::size_t kMaxWorkersCompared = 32;
-  // Jobs of one shape that are tried if they have size hints. Without hints the first stands for
-  // all.
+  // Jobs of one shape that are tried at a worker if they have size hints. Without hints the first
+  // one decides for all of them, since their run times are estimated alike.
   static constexpr int kMaxHintedTries = 4;
 
   // A job of this node that runs at a worker.
--- a/src/scheduling/scheduler_reservations.cpp
+++ b/src/scheduling/scheduler_reservations.cpp
@@ -144,7 +144,7 @@
 }
 
 bool Scheduler::MayReserveAt(const Worker& worker) const {
-  return worker.state.usable && !worker.excluded && !worker.state.warming_up &&
+  return worker.state.usable && !worker.excluded && !worker.state.in_slow_start &&
          worker.reserved_for == 0 && worker.state.capacity.slots > 0;
 }
 
--- a/src/scheduling/scheduling_balancer.cpp
+++ b/src/scheduling/scheduling_balancer.cpp
@@ -112,7 +112,7 @@
           : view.peer_slots_in_flight;
   return {.kind = view.kind,
           .usable = view.usable,
-          .warming_up = view.in_slow_start,
+          .in_slow_start = view.in_slow_start,
           .remote_zone = view.in_other_zone,
           .capacity = {slots, memory},
           .capacity_reported = view.capacity_slots > 0,
@@ -193,7 +193,7 @@
     if (!next) return;
     const std::string id = id_by_handle_.at(next->job);
     Deliver(balancing::CapacityFound{id, workers_[next->worker].name}, actions);
-    // The balancer did not send it there, and would not if it were asked again now.
+    // The balancer did not send the job there, and would not if it were asked again now.
     if (scheduler_.IsQueued(next->job)) scheduler_.ExcludeUntilTick(next->worker);
     SyncWorkers();
   }
--- a/src/scheduling/scheduling_balancer.h
+++ b/src/scheduling/scheduling_balancer.h
@@ -29,8 +29,7 @@
 
   // Handles the event and appends the resulting actions. `now_s` must not go backwards.
   void Handle(double now_s, const balancing::Event& event, balancing::Actions* actions);
-  // These pass the call on to the balancer.
-  // These pass the call on to the balancer.
+  // The following functions call the same function of the balancer.
   bool Excludes(std::string_view worker) const { return balancer_.Excludes(worker); }
   std::vector<balancing::WorkerView> Workers() const { return balancer_.Workers(); }
   std::string SaveState() const { return balancer_.SaveState(); }
@@ -40,7 +39,6 @@
     return balancer_.RestoreState(text, classes);
   }
 
-  // Whether scheduling is on.
   // Whether scheduling is on.
   bool on() const { return options_.on; }
   // Applies new limits at once, to queued jobs too. Does not turn scheduling on or off.
@@ -48,8 +46,7 @@
   // Sets the names of the classes by index, for Options::reserving_classes.
   void SetClassNames(std::vector<std::string> names);
   const Scheduler& scheduler() const { return scheduler_; }
-  // Requests that are not answered yet or have an open attempt.
-  // Requests that are not answered yet or have an open attempt.
+  // Number of requests that are not answered yet or have an open attempt.
   std::size_t open_jobs() const { return jobs_.size(); }
 
  private:
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -109,7 +109,7 @@
                  double other_slots = 0) {
     scheduler.SetWorker(static_cast<std::size_t>(worker), {.kind = 0,
                                                            .usable = usable,
-                                                           .warming_up = false,
+                                                           .in_slow_start = false,
                                                            .capacity = {slots, memory},
                                                            .capacity_reported = true,
                                                            .other_slots = other_slots});
