--- a/examples/toy_worker.cpp
+++ b/examples/toy_worker.cpp
@@ -75,7 +75,7 @@
 
   http::Parser parser_{http::Parser::Side::kRequest, {}};
   double job_duration_s_;
-  Deadlines::Ticket job_deadline_ = Deadlines::kNone;
+  Deadlines::TimerId job_deadline_ = Deadlines::kNone;
 };
 
 }  // namespace
