--- a/src/codec/membership.cpp
+++ b/src/codec/membership.cpp
@@ -178,23 +178,23 @@
 template <typename T, typename Message>
 concept SameMessage = std::is_same_v<std::remove_const_t<T>, Message>;
 
-// Fields that the messages of voters have in common.
+// The fields of VoterHeader, which all messages between voters have in common.
 template <typename Visit>
 void VisitIdentities(auto& header, Visit visit) {
   visit(4, header.storage_identity);
   visit(5, header.known_identities);
 }
 template <typename Visit>
-void VisitBuild(auto& header, Visit visit) {
+void VisitWritesAndFeatureLevel(auto& header, Visit visit) {
   visit(8, header.writes);
-  visit(16, header.features);
+  visit(16, header.feature_level);
 }
 
 template <SameMessage<IdentityQuery> Message, typename Visit>
 void VisitFields(Message& message, Visit visit) {
   VisitIdentities(message.voter, visit);
   visit(7, message.nonce);
-  VisitBuild(message.voter, visit);
+  VisitWritesAndFeatureLevel(message.voter, visit);
 }
 template <SameMessage<IdentityReply> Message, typename Visit>
 void VisitFields(Message& message, Visit visit) {
@@ -202,13 +202,13 @@
   visit(7, message.nonce);
   visit(8, message.writes_seen);
   visit(12, message.never_promised);
-  visit(16, message.voter.features);
+  visit(16, message.voter.feature_level);
 }
 template <SameMessage<IdentityClaim> Message, typename Visit>
 void VisitFields(Message& message, Visit visit) {
   VisitIdentities(message.voter, visit);
   visit(7, message.nonce);
-  VisitBuild(message.voter, visit);
+  VisitWritesAndFeatureLevel(message.voter, visit);
 }
 template <SameMessage<IdentityClaimAck> Message, typename Visit>
 void VisitFields(Message& message, Visit visit) {
@@ -216,13 +216,13 @@
   visit(2, message.accepted_by);
   visit(3, message.accepted);
   VisitIdentities(message.voter, visit);
-  VisitBuild(message.voter, visit);
+  VisitWritesAndFeatureLevel(message.voter, visit);
 }
 template <SameMessage<LeaderLossQuery> Message, typename Visit>
 void VisitFields(Message& message, Visit visit) {
   VisitIdentities(message.voter, visit);
   visit(7, message.query_number);
-  VisitBuild(message.voter, visit);
+  VisitWritesAndFeatureLevel(message.voter, visit);
 }
 template <SameMessage<LeaderLossReply> Message, typename Visit>
 void VisitFields(Message& message, Visit visit) {
@@ -231,13 +231,13 @@
   visit(7, message.query_number);
   visit(8, message.voter.writes);
   visit(12, message.leader_lost);
-  visit(16, message.voter.features);
+  visit(16, message.voter.feature_level);
 }
 template <SameMessage<Prepare> Message, typename Visit>
 void VisitFields(Message& message, Visit visit) {
   visit(1, message.ballot);
   VisitIdentities(message.voter, visit);
-  VisitBuild(message.voter, visit);
+  VisitWritesAndFeatureLevel(message.voter, visit);
 }
 template <SameMessage<Promise> Message, typename Visit>
 void VisitFields(Message& message, Visit visit) {
@@ -245,7 +245,7 @@
   visit(2, message.accepted_by);
   visit(3, message.accepted);
   VisitIdentities(message.voter, visit);
-  VisitBuild(message.voter, visit);
+  VisitWritesAndFeatureLevel(message.voter, visit);
 }
 template <SameMessage<Propose> Message, typename Visit>
 void VisitFields(Message& message, Visit visit) {
@@ -253,20 +253,20 @@
   visit(3, message.view);
   VisitIdentities(message.voter, visit);
   visit(6, message.quorum);
-  VisitBuild(message.voter, visit);
+  VisitWritesAndFeatureLevel(message.voter, visit);
 }
 template <SameMessage<Accepted> Message, typename Visit>
 void VisitFields(Message& message, Visit visit) {
   visit(1, message.ballot);
   VisitIdentities(message.voter, visit);
   visit(7, message.epoch);
-  VisitBuild(message.voter, visit);
+  VisitWritesAndFeatureLevel(message.voter, visit);
 }
 template <SameMessage<Rejection> Message, typename Visit>
 void VisitFields(Message& message, Visit visit) {
   visit(1, message.promised);
   VisitIdentities(message.voter, visit);
-  VisitBuild(message.voter, visit);
+  VisitWritesAndFeatureLevel(message.voter, visit);
 }
 template <SameMessage<Heartbeat> Message, typename Visit>
 void VisitFields(Message& message, Visit visit) {
@@ -274,14 +274,14 @@
   VisitIdentities(message.voter, visit);
   visit(6, message.quorum);
   visit(7, message.sequence);
-  VisitBuild(message.voter, visit);
+  VisitWritesAndFeatureLevel(message.voter, visit);
 }
 template <SameMessage<HeartbeatAck> Message, typename Visit>
 void VisitFields(Message& message, Visit visit) {
   visit(1, message.ballot);
   VisitIdentities(message.voter, visit);
   visit(7, message.sequence);
-  VisitBuild(message.voter, visit);
+  VisitWritesAndFeatureLevel(message.voter, visit);
 }
 template <SameMessage<ViewDecided> Message, typename Visit>
 void VisitFields(Message& message, Visit visit) {
@@ -295,7 +295,7 @@
   visit(10, message.requested_at_s);
   visit(13, message.origin);
   visit(14, message.store_id);
-  visit(15, message.wanted_logs);
+  visit(15, message.requested_logs);
 }
 template <SameMessage<LeaseGrant> Message, typename Visit>
 void VisitFields(Message& message, Visit visit) {
@@ -490,7 +490,7 @@
       const auto taken_out = record_reader.Raw<std::uint32_t>();
       record.decisions[process_incarnation] = {taken_out, record_reader.Raw<std::uint32_t>()};
     }
-    if (!record_reader.ok() || record.worker.empty() || record.worker.size() > kMaxNameBytes)
+    if (!record_reader.ok() || record.worker.empty() || record.worker.size() > kMaxWorkerNameBytes)
       return std::nullopt;
   }
   return reader.ok() ? std::optional(std::move(gossip)) : std::nullopt;
--- a/src/codec/membership.h
+++ b/src/codec/membership.h
@@ -13,12 +13,12 @@
 
 // Limits of a decoded message, which bound the memory that a peer can make this process use.
 constexpr std::size_t kMaxMembers = 4096, kMaxVoters = 16, kMaxFailureDomainBytes = 64,
-                      kMaxNameBytes = 256, kMaxDecisionsPerWorker = 64;
+                      kMaxWorkerNameBytes = 256, kMaxDecisionsPerWorker = 64;
 
 std::uint64_t Hash(std::string_view text);  // XXH3, 64 bits; never 0
 
 // Each Decode function returns nothing if the bytes are damaged.
-std::string Encode(const membership::PersistentVoterState& votes);
+std::string Encode(const membership::PersistentVoterState& state);
 std::optional<membership::PersistentVoterState> DecodeVoterState(std::string_view bytes);
 std::string Encode(const membership::SwimMessage& message);
 std::optional<membership::SwimMessage> DecodeSwimMessage(std::string_view bytes);
--- a/src/codec/quota.h
+++ b/src/codec/quota.h
@@ -13,7 +13,7 @@
 
 std::string Encode(const quota::Message& message);
 // Returns nothing if the bytes are truncated or have more than quota::kMaxEntries entries.
-// quota::Holder and quota::Allocator validate the values.
+// quota::LeaseHolder and quota::Allocator validate the values.
 std::optional<quota::Message> DecodeQuota(std::string_view bytes);
 
 }  // namespace millethollow::codec
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -11,10 +11,12 @@
 constexpr double kNever = std::numeric_limits<double>::infinity();
 // A tick that is this late means that the process was paused.
 constexpr double kPauseThresholdS = 0.2;
-constexpr std::size_t kMaxRelayedPings = 64;  // at once, on behalf of other members
-constexpr std::size_t kMaxPendingProbes = 64;
-constexpr std::size_t kMaxTableUpdates = 8;  // in one message, for anti-entropy
-// Members that suspect one, including the first; more don't shorten the suspicion.
+// Pings that are pending at once on behalf of other members.
+constexpr std::size_t kMaxRelayedPings = 64;
+constexpr std::size_t kMaxPendingProbes = 64;  // own probes without an ack so far
+constexpr std::size_t kMaxTableUpdates = 8;    // in one message, for anti-entropy
+// Members that suspect the same member, including the first one. Further ones don't shorten the
+// suspicion.
 constexpr std::size_t kMaxConfirmations = 4;
 constexpr std::uint32_t kMaxIncarnation = 0xffff0000;
 // A member that leaves gossips at once to this many times the fanout.
@@ -153,8 +155,8 @@
     return;
   }
   SetHealth(self, incarnation + 1, Health::kAlive, actions);
-  Gossip(static_cast<std::size_t>(timings_.fanout),
-         actions);  // at once, before the suspicion ends
+  // Gossips at once, as the suspicion may end before the next gossip is due.
+  Gossip(static_cast<std::size_t>(timings_.fanout), actions);
   gossip_at_ = now + timings_.gossip_interval_s;
 }
 
@@ -227,7 +229,7 @@
 }
 
 // Anti-entropy with a member whose digest differs: adds the next entries of this member's table.
-// The other member does the same.
+// The other member sends entries of its own table likewise.
 void FailureDetector::AddTableUpdates(SwimMessage* message) {
   for (std::size_t n = 0; n < std::min(kMaxTableUpdates, members_.size()); ++n) {
     if (message->updates.size() >= SwimMessage::kMaxUpdates) break;
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -56,7 +56,7 @@
     NodeId to = 0;
     SwimMessage message;
   };
-  // What the caller has to do and to know after a call.
+  // The result of a call: messages to be sent, and health changes.
   struct Actions {
     std::vector<Outgoing> send;
     std::vector<HealthChange> changes;
@@ -98,7 +98,7 @@
     double next_at = 0;      // of the next step: indirect probes, then suspicion; -1: none is left
     bool indirect_probes_requested = false;
     int nacks_expected = 0, nacks_received = 0;
-    bool of_failed_member = false;  // a missing ack changes nothing
+    bool of_failed_member = false;  // the target has failed or left: without an ack it stays so
   };
   struct RelayedPing {  // a ping on behalf of another member, the requester
     std::uint32_t sequence = 0, requester_sequence = 0;
--- a/src/membership/leader.cpp
+++ b/src/membership/leader.cpp
@@ -83,7 +83,7 @@
   for (const ViewMember& member : decided_.members) SendDecided(member.id, 0, send);
 }
 
-// For the members that the proposed view removes or adds.
+// Updates the backoffs of the members that the proposed view removes or adds.
 void Leader::UpdateRejoinBackoffs(double now) {
   for (const ViewMember& before : decided_.members) {
     if (proposed_.Find(before.id) != nullptr) continue;
@@ -122,10 +122,10 @@
   if (!leading_ || ack.ballot != ballot_ || it == unconfirmed_heartbeats_.end()) return;
   SentHeartbeat& heartbeat = it->second;
   heartbeat.acked_by[from] = ack.voter.storage_identity;
-  if (ack.voter.features >= kLogsFeature) {
-    voters_with_logs_.insert(from);
+  if (ack.voter.feature_level >= kLogsFeatureLevel) {
+    voters_with_log_support_.insert(from);
   } else {
-    voters_with_logs_.erase(from);
+    voters_with_log_support_.erase(from);
   }
   if (!IsMajority(heartbeat.acked_by, voter)) return;
   confirmed_at_ = std::max(confirmed_at_, heartbeat.sent_at);
@@ -210,16 +210,16 @@
   }
   if (holder.process_incarnation != request.process_incarnation) {
     holder.process_incarnation = request.process_incarnation;
-    holder.epoch = holder.wanted_logs_epoch = 0;
+    holder.epoch = holder.requested_logs_epoch = 0;
     holder.released = false;
   }
   if (holder.released) return;  // sent before the release, which has overtaken it
   holder.epoch = std::max(holder.epoch, request.epoch);
   holder.requested_at = now;
-  if (request.epoch >= holder.wanted_logs_epoch) {
+  if (request.epoch >= holder.requested_logs_epoch) {
     holder.store_id = request.store_id;
-    holder.wanted_logs_epoch = request.epoch;
-    holder.wanted_logs = request.wanted_logs;
+    holder.requested_logs_epoch = request.epoch;
+    holder.requested_logs = request.requested_logs;
   }
   pending_requests_[from] = {.process_incarnation = request.process_incarnation,
                              .epoch = request.epoch,
@@ -270,11 +270,12 @@
          now >= backoff->second.removed_at + backoff->second.wait_s;
 }
 
-// All voters must have a build that knows logs. Once the view has logs, all of them have had one.
+// All voters must have a build that supports logs. If the view has logs, all of them had one when
+// the first log was opened.
 bool Leader::MayOpenLogs(const Voter& voter) const {
   const auto& voters = voter.voters();
   return !decided_.logs.empty() || std::all_of(voters.begin(), voters.end(), [this](NodeId id) {
-    return voters_with_logs_.contains(id);
+    return voters_with_log_support_.contains(id);
   });
 }
 
@@ -313,10 +314,10 @@
   for (const ViewMember& member : next.members) {
     const auto holder = leaseholders_.find(member.id);
     // Replicas requested under another view may lack operations that were acknowledged since.
-    if (holder == leaseholders_.end() || holder->second.wanted_logs_epoch != decided_.epoch)
+    if (holder == leaseholders_.end() || holder->second.requested_logs_epoch != decided_.epoch)
       continue;
     if (holder->second.process_incarnation != member.process_incarnation) continue;
-    requests.push_back({member.id, member.process_incarnation, holder->second.wanted_logs});
+    requests.push_back({member.id, member.process_incarnation, holder->second.requested_logs});
   }
   return requests;
 }
--- a/src/membership/leader.h
+++ b/src/membership/leader.h
@@ -24,17 +24,18 @@
 
 // Durations in seconds, and the maximum clock drift.
 struct ViewAgreementTimings {
-  double heartbeat_s = 0.25;            // between heartbeats of the leader
-  double election_s = 1.0;              // election timeout: a voter without a heartbeat for once to
-                                        // twice this asks whether the others lost the leader too
+  double heartbeat_s = 0.25;  // between heartbeats of the leader
+  // Election timeout. A voter that gets no heartbeat for a random time of one to two timeouts asks
+  // the other voters whether they have lost the leader too.
+  double election_s = 1.0;
   double lease_s = 4.0;                 // duration of a lease, from its request
   double renew_s = 0.5;                 // between two lease requests of a member
   double min_view_interval_s = 1.0;     // between two proposals of a view
   double first_view_delay_s = 0.5;      // the first view waits this long for members to join
   double clock_drift = 0.01;            // maximum relative difference of the rates of two clocks
-  double rejoin_backoff_s = 1.0;        // a removed member is added again after this backoff,
-  double rejoin_backoff_max_s = 30;     // which doubles with each removal up to this maximum
-  double rejoin_backoff_reset_s = 120;  // and is reset by a stay in the view for this long
+  double rejoin_backoff_s = 1.0;        // until a removed member may be added again
+  double rejoin_backoff_max_s = 30;     // the backoff doubles with each removal up to this
+  double rejoin_backoff_reset_s = 120;  // a stay in the view for longer resets the backoff
 };
 
 // The leader's part of one voter.
@@ -80,8 +81,9 @@
     std::uint64_t epoch = 0;   // of the latest view that it knows
     bool released = false;     // it has given up its lease
     std::uint64_t store_id = 0;
-    std::uint64_t wanted_logs_epoch = 0;  // of the view that it knew when it sent `wanted_logs`
-    std::vector<LogAssignment> wanted_logs = {};
+    // Of the view that it knew when it sent `requested_logs`.
+    std::uint64_t requested_logs_epoch = 0;
+    std::vector<LogAssignment> requested_logs = {};
   };
   // A lease request that waits until a majority confirms the leader.
   struct PendingRequest {
@@ -148,7 +150,7 @@
   std::map<NodeId, PendingRequest> pending_requests_;
   std::map<NodeId, RejoinBackoff> rejoin_backoffs_;
   std::map<NodeId, Health> health_;
-  std::set<NodeId> voters_with_logs_;  // voters whose build knows logs, by their last ack
+  std::set<NodeId> voters_with_log_support_;  // voters whose build supports logs, by their last ack
 };
 
 }  // namespace millethollow::membership
--- a/src/membership/maintenance_registry.cpp
+++ b/src/membership/maintenance_registry.cpp
@@ -7,7 +7,7 @@
 namespace millethollow::membership {
 namespace {
 
-constexpr std::size_t kMaxUpdates = 64;            // queued, beyond which only local ones are added
+constexpr std::size_t kMaxUpdates = 64;  // queued; above it only updates made here are added
 constexpr std::size_t kMaxDecidingProcesses = 64;  // in the record of one worker
 
 // Covers only the decisions. Drain notices are gossiped but left out of anti-entropy: a member that
@@ -70,7 +70,7 @@
                                                               const std::string& worker) {
   const auto found = entries_.find(worker);
   if (found != entries_.end()) return &found->second;
-  if (entries_.size() >= kMaxWorkers && !EvictOldest()) return nullptr;
+  if (entries_.size() >= kMaxWorkers && !EvictLeastRecentlyActive()) return nullptr;
   Entry& entry = entries_[worker];
   entry.record.worker = worker;
   entry.last_activity_at = now;
@@ -79,7 +79,7 @@
 }
 
 // Evicts the least recently active entry that is not in maintenance.
-bool MaintenanceRegistry::EvictOldest() {
+bool MaintenanceRegistry::EvictLeastRecentlyActive() {
   auto oldest = entries_.end();
   for (auto it = entries_.begin(); it != entries_.end(); ++it) {
     if (it->second.record.InMaintenance()) continue;
@@ -93,7 +93,7 @@
   return true;
 }
 
-void MaintenanceRegistry::OnChanged(const std::string& worker, std::uint64_t digest_before) {
+void MaintenanceRegistry::UpdateDigest(const std::string& worker, std::uint64_t digest_before) {
   digest_ ^= digest_before ^ DigestOf(entries_[worker].record);
 }
 
@@ -115,7 +115,7 @@
       counts.put_back = std::max(counts.taken_out, counts.put_back);
     }
   }
-  OnChanged(worker, digest_before);
+  UpdateDigest(worker, digest_before);
   actions->changed.push_back(record);
   if (was_in_maintenance != in_maintenance)
     (in_maintenance ? actions->taken_out : actions->put_back).push_back(worker);
@@ -137,7 +137,7 @@
   const std::uint64_t digest_before = DigestOf(record);
   record.started_at_s = started_at_s;
   record.drain_state = state;
-  OnChanged(worker, digest_before);
+  UpdateDigest(worker, digest_before);
   StartUpdate(worker, false);
   update_at_ = now;
 }
@@ -162,7 +162,7 @@
   }
   if (local == before) return;
   entry->last_activity_at = now;
-  OnChanged(record.worker, DigestOf(before));
+  UpdateDigest(record.worker, DigestOf(before));
   const bool in_maintenance = local.InMaintenance();
   if (before.InMaintenance() != in_maintenance) {
     (in_maintenance ? actions->taken_out : actions->put_back).push_back(record.worker);
@@ -178,7 +178,7 @@
   if (entry == nullptr) return;
   const std::uint64_t digest_before = DigestOf(entry->record);
   entry->record = record;
-  OnChanged(record.worker, digest_before);
+  UpdateDigest(record.worker, digest_before);
 }
 
 // ---- gossip ----
@@ -272,7 +272,7 @@
   actions->send.emplace_back(alive[random_.Below(alive.size())], std::move(gossip));
 }
 
-void MaintenanceRegistry::DropOldDrains(double now) {
+void MaintenanceRegistry::DropExpiredDrainNotices(double now) {
   std::erase_if(entries_, [&](const auto& item) {
     const Entry& entry = item.second;
     const bool recent = now - entry.last_activity_at < timings_.drain_retention_s;
@@ -284,7 +284,7 @@
   if (!updates_.empty() && update_at_ <= now) SendUpdates(now, alive, actions);
   if (compare_at_ > now) return;
   CompareDigests(now, alive, actions);
-  DropOldDrains(now);
+  DropExpiredDrainNotices(now);
 }
 
 }  // namespace millethollow::membership
--- a/src/membership/maintenance_registry.h
+++ b/src/membership/maintenance_registry.h
@@ -1,10 +1,10 @@
 // Replicated maintenance state of workers: operators' decisions to take a worker into maintenance
-// or put it back, and drain notices that one member received from discovery. They are made at any
-// member and replicated to all. Merging records is commutative, associative and idempotent, so
-// their gossip may be lost, duplicated and delayed, and both sides of a partition merge when it
-// heals. A worker stays in maintenance until a later decision to put it back, which revokes the
-// decisions that its member knew, and no others (an observed-remove set: Shapiro, Preguica,
-// Baquero, Zawirski 2011).
+// or put it back, and drain notices that one member received from discovery. Decisions
+// and notices arrive at any member and are replicated to all. Merging records is commutative,
+// associative and idempotent, so their gossip may be lost, duplicated and delayed, and both sides
+// of a partition merge when it heals. A worker stays in maintenance until a later decision to put
+// it back, which revokes the decisions that its member knew, and no others (an observed-remove set:
+// Shapiro, Preguica, Baquero, Zawirski 2011).
 //
 // No I/O and no clock of its own; not thread-safe. State is bounded by kMaxWorkers. An update is
 // gossiped to a few random members and on from there (rumor mongering), and members whose digests
@@ -69,7 +69,7 @@
 class MaintenanceRegistry {
  public:
   static constexpr std::size_t kMaxWorkers = 2048;
-  // What the caller has to do and to know after a call.
+  // The result of a call: messages to be sent, and changes of the records.
   struct Actions {
     std::vector<std::pair<NodeId, MaintenanceGossip>> send;  // with their recipients
     std::vector<std::string> taken_out, put_back;  // workers that went into or out of maintenance
@@ -108,7 +108,7 @@
  private:
   struct Entry {
     MaintenanceRecord record;
-    double last_activity_at = 0;  // the last decision, drain notice or merged change
+    double last_activity_at = 0;  // time of the last decision, drain notice or merged change
   };
   struct Update {  // a record that is being gossiped
     std::uint64_t sequence = 0;
@@ -120,15 +120,15 @@
 
   // The worker's entry, created if there is none; null if there is no room for it.
   Entry* FindOrCreate(double now, const std::string& worker);
-  bool EvictOldest();
-  void OnChanged(const std::string& worker, std::uint64_t digest_before);
+  bool EvictLeastRecentlyActive();
+  void UpdateDigest(const std::string& worker, std::uint64_t digest_before);
   void StartUpdate(const std::string& worker, bool is_local);
   void Merge(double now, const MaintenanceRecord& record, Actions* actions);
   void OnAck(NodeId from, std::uint64_t sequence, Actions* actions);
   void SendUpdates(double now, const std::vector<NodeId>& alive, Actions* actions);
   void SendUpdate(const std::vector<NodeId>& alive, Update* update, Actions* actions);
   void CompareDigests(double now, const std::vector<NodeId>& alive, Actions* actions);
-  void DropOldDrains(double now);
+  void DropExpiredDrainNotices(double now);
   // The next records with decisions, in turn from the one after last_sent_worker_.
   MaintenanceGossip NextRecords() const;
 
--- a/src/membership/membership_node.cpp
+++ b/src/membership/membership_node.cpp
@@ -42,7 +42,7 @@
                  std::move(voter_state), seed ^ 0x9e3779b97f4a7c15ULL, now),
       maintenance_(options.self, options.process_incarnation, options.maintenance, seed + 1, now) {}
 
-// Of two processes with one member id the first is accepted until it falls silent.
+// Of two processes with one member id the first is accepted until it stops sending.
 bool MembershipNode::AcceptsProcess(double now, NodeId from,
                                     ProcessIncarnation process_incarnation) {
   if (detector_.Find(from) == nullptr) return false;
--- a/src/membership/membership_node.h
+++ b/src/membership/membership_node.h
@@ -43,7 +43,7 @@
     // The other members leave it unused.
     double isolated_share = 0.5;
   };
-  // What the caller has to do and to know after a call.
+  // The result of a call: messages to be sent, writes, and changes of the cluster.
   struct Actions {
     std::vector<std::pair<NodeId, Frame>> send;  // with their recipients
     std::vector<HealthChange> changes;
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -17,16 +17,16 @@
 };
 using VoterIdentities = std::vector<VoterIdentity>;  // in ascending order of id
 
-// The lowest VoterHeader::features of builds that read and write logs in views. Logs are opened
+// The lowest VoterHeader::feature_level of builds that support logs in views. Logs are opened
 // once all voters have such a build: an older one would propose views without logs.
-constexpr std::uint8_t kLogsFeature = 1;
+constexpr std::uint8_t kLogsFeatureLevel = 1;
 
 // The part of every message between voters that is about the sender's storage.
 struct VoterHeader {
   StorageIdentity storage_identity;  // number 0: it has none yet
   VoterIdentities known_identities;  // of all voters, including its own
-  std::uint64_t writes = 0;          // VoterState::writes of the sender
-  std::uint8_t features = 0;         // of the sender's build; 0: the first one
+  std::uint64_t writes = 0;          // PersistentVoterState::writes of the sender
+  std::uint8_t feature_level = 0;    // of the sender's build; 0: the first one
 };
 
 // ---- recovery of a voter's storage identity ----
@@ -126,8 +126,8 @@
   ProcessIncarnation process_incarnation = 0;
   double requested_at_s = 0;  // on the requesting member's clock
   NodeId origin = 0;
-  std::uint64_t store_id = 0;              // of its store of log replicas; 0: none
-  std::vector<LogAssignment> wanted_logs;  // as LogRequest::logs
+  std::uint64_t store_id = 0;                 // of its store of log replicas; 0: none
+  std::vector<LogAssignment> requested_logs;  // as LogRequest::logs
 };
 // Grants the lease; a majority has confirmed that its sender still leads.
 struct LeaseGrant {
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -16,9 +16,9 @@
 
 // Identifies a member: a hash of its configured id, the same at every node. 0: none.
 using NodeId = std::uint64_t;
-// Identifies one run of a member's process: a random number drawn at its start, `life` on the wire.
-// 0: none. Not the incarnation number of SWIM, which a running process raises to refute a
-// suspicion.
+// Identifies one run of a member's process: a random number drawn at its start, `life` in log lines
+// and in GET /members. 0: none. Not the incarnation number of SWIM, which a running process raises
+// to refute a suspicion.
 using ProcessIncarnation = std::uint64_t;
 
 // Pseudo-random numbers: equal seeds give equal sequences on every platform, which the
--- a/src/membership/view_agreement.cpp
+++ b/src/membership/view_agreement.cpp
@@ -8,11 +8,11 @@
 namespace millethollow::membership {
 namespace {
 
-constexpr double kRecoveryIntervalS = 0.2;
-constexpr std::size_t kMaxUnstored = 512;  // messages; beyond it the oldest is dropped, as if lost
-// For this long no LeaderRedirect to a voter that did not answer is followed.
+constexpr double kRecoveryIntervalS = 0.2;  // between messages to recover the storage identity
+constexpr std::size_t kMaxUnstored = 512;   // messages; beyond it the oldest is dropped, as if lost
+// A LeaderRedirect to a voter that did not answer is ignored for this long.
 constexpr double kUnresponsiveVoterS = 10;
-constexpr int kRequestsPerVoter = 2;  // unanswered, until another voter is asked
+constexpr int kRequestsPerVoter = 2;  // unanswered lease requests until another voter is asked
 
 template <typename Message>
 concept LeaseMessage =
@@ -384,7 +384,7 @@
                        .process_incarnation = options_.process_incarnation,
                        .requested_at_s = now,
                        .store_id = store_id_,
-                       .wanted_logs = wanted_logs_};
+                       .requested_logs = requested_logs_};
   const NodeId to = options_.voters[lease_voter_];
   if (to != options_.self) {
     actions->send.push_back({to, std::move(request)});
@@ -397,9 +397,9 @@
 
 void ViewAgreement::RequestLogs(double now, std::uint64_t store_id,
                                 std::vector<LogAssignment> logs) {
-  if (store_id == store_id_ && logs == wanted_logs_) return;
+  if (store_id == store_id_ && logs == requested_logs_) return;
   store_id_ = store_id;
-  wanted_logs_ = std::move(logs);
+  requested_logs_ = std::move(logs);
   renew_at_ = std::min(renew_at_, now);
 }
 
--- a/src/membership/view_agreement.h
+++ b/src/membership/view_agreement.h
@@ -39,7 +39,7 @@
     Leader::FailureDomains members;  // all, including this one
     ViewAgreementTimings timings;
   };
-  // What the caller has to do and to know after a call.
+  // The result of a call: messages to be sent, a write, and changes of the view.
   struct Actions {
     std::vector<OutgoingMessage> send;
     // voter_state() is to be written; then OnStored(ticket) or OnStoreFailed() is to be called.
@@ -163,7 +163,7 @@
   double avoid_voter_until_ = -1;  // until then no redirect to unresponsive_voter_ is followed
   int unanswered_requests_ = 0;
   std::uint64_t store_id_ = 0;
-  std::vector<LogAssignment> wanted_logs_;
+  std::vector<LogAssignment> requested_logs_;
   bool leaving_ = false, superseded_ = false, had_lease_ = false;
   ViewAgreementCounters counters_;
 };
--- a/src/membership/voter.cpp
+++ b/src/membership/voter.cpp
@@ -42,7 +42,7 @@
   VoterHeader header{.storage_identity = voter_state_.storage_identity,
                      .known_identities = voter_state_.known_identities,
                      .writes = voter_state_.writes,
-                     .features = kLogsFeature};
+                     .feature_level = kLogsFeatureLevel};
   if (voter_state_.storage_identity.number > 0) {
     header.known_identities.push_back({self_, voter_state_.storage_identity});
   }
@@ -175,7 +175,7 @@
   const bool same_identity = latest_identity_ == voter_state_.storage_identity;
   if (reply.writes_seen > voter_state_.writes && same_identity) lost_disk_ = true;
   if (reply.never_promised) never_promised_.insert(from);
-  if (reply.voter.storage_identity.number > 0) with_identity_.insert(from);
+  if (reply.voter.storage_identity.number > 0) voters_with_identity_.insert(from);
   if (latest_identity_ > voter_state_.storage_identity) lost_disk_ = true;
   EndRecoveryIfPossible();
 }
@@ -184,13 +184,13 @@
   const std::size_t others = voters_.size() - 1;
   if (voter_state_.storage_identity.number > 0 && !lost_disk_) {
     // A majority including this voter has its storage, and none knows a later identity of it.
-    if (with_identity_.size() + 1 >= Majority()) state_ = State::kVoting;
+    if (voters_with_identity_.size() + 1 >= Majority()) state_ = State::kVoting;
   } else if (!lost_disk_ && never_promised_.size() == others) {
     // The first start of the cluster: no voter has ever promised anything.
     voter_state_.storage_identity = {1, nonce_};
     MarkDirty();
     state_ = State::kVoting;
-  } else if (with_identity_.size() >= Majority()) {
+  } else if (voters_with_identity_.size() >= Majority()) {
     lost_disk_ = true;
     claimed_identity_ = {latest_identity_.number + 1, nonce_};
     recovered_state_ = {};
--- a/src/membership/voter.h
+++ b/src/membership/voter.h
@@ -99,11 +99,12 @@
   std::map<NodeId, WritesSeen> writes_seen_;           // in messages of other voters
   std::map<NodeId, StorageIdentity> recorded_claims_;  // on disk or being written to it
   // Recovery.
-  std::set<NodeId> never_promised_;  // voters that have no vote on record
-  std::set<NodeId> with_identity_;   // voters that have a storage identity
+  std::set<NodeId> never_promised_;        // voters that have no vote on record
+  std::set<NodeId> voters_with_identity_;  // voters that have a storage identity
   std::set<NodeId> claim_acks_;
-  StorageIdentity claimed_identity_, latest_identity_;  // of this voter; the latest known to any
-  PersistentVoterState recovered_state_;                // the latest votes in the acks of the claim
+  // Of this voter: the identity that it claims, and the latest one that any voter knows.
+  StorageIdentity claimed_identity_, latest_identity_;
+  PersistentVoterState recovered_state_;  // the latest votes in the acks of the claim
 };
 
 }  // namespace millethollow::membership
--- a/tests/cluster_parts_test.cpp
+++ b/tests/cluster_parts_test.cpp
@@ -19,7 +19,7 @@
   return {.storage_identity = {2, 77},
           .known_identities = {{1, {1, 5}}, {2, {2, 77}}},
           .writes = 3,
-          .features = 1};
+          .feature_level = 1};
 }
 
 membership::View SampleView() {
@@ -47,7 +47,7 @@
                    .requested_at_s = 12.5,
                    .origin = 3,
                    .store_id = 41,
-                   .wanted_logs = {{5, 1, 11, 0, 3, {{1, 41}}}}},
+                   .requested_logs = {{5, 1, 11, 0, 3, {{1, 41}}}}},
       LeaseGrant{.ballot = {7, 2},
                  .epoch = 9,
                  .process_incarnation = 11,
--- a/tests/support/compatibility_samples.h
+++ b/tests/support/compatibility_samples.h
@@ -62,7 +62,7 @@
           .known_identities = {{3, {.number = 2, .nonce = 0xfeed}},
                                {5, {.number = 1, .nonce = 0xbeef}}},
           .writes = 12,
-          .features = membership::kLogsFeature};
+          .feature_level = membership::kLogsFeatureLevel};
 }
 
 inline std::map<std::string, AgreementMessage> SampleMessages() {
@@ -103,7 +103,7 @@
                                          .requested_at_s = 123.0625,
                                          .origin = 5,
                                          .store_id = 0xd15c,
-                                         .wanted_logs = SampleView().logs};
+                                         .requested_logs = SampleView().logs};
   all["membership-grant"] = LeaseGrant{.ballot = {},
                                        .epoch = 9,
                                        .process_incarnation = 31,
