--- a/src/quota/allocator.cpp
+++ b/src/quota/allocator.cpp
@@ -31,7 +31,7 @@
   const bool consecutive = view.epoch == view_.epoch + 1;
   const AllocatorView before = std::exchange(view_, view);
   for (auto& [id, dispatcher] : dispatchers_) {
-    dispatcher.current = false;
+    dispatcher.usages_known = false;
     dispatcher.in_full_report = false;
     dispatcher.reply_due = false;
   }
@@ -40,7 +40,7 @@
     const AllocatorMember* allocator = view_.AllocatorOf(tenant);
     const AllocatorMember* allocator_before = before.AllocatorOf(tenant);
     if (allocator == nullptr || allocator->id != self_) {
-      Drop(tenant);
+      DropTenant(tenant);
     } else if (!consecutive || allocator_before == nullptr || *allocator != *allocator_before) {
       StartTakeover(now, tenant);
     }
@@ -48,9 +48,9 @@
 }
 
 void Allocator::StartTakeover(double now, TenantId tenant) {
-  Drop(tenant);
+  DropTenant(tenant);
   TenantLeases& taken_over = tenants_[tenant];
-  taken_over.leasable = timings_.LeasableRate(quotas_.at(tenant));
+  taken_over.leasable_rps = timings_.LeasableRate(quotas_.at(tenant));
   taken_over.takeover_epoch = view_.epoch;
   taken_over.taking_over = true;
   taken_over.takeover_ends_at =
@@ -60,7 +60,7 @@
   ++counters_.takeovers;
 }
 
-void Allocator::Drop(TenantId tenant) {
+void Allocator::DropTenant(TenantId tenant) {
   const auto found = tenants_.find(tenant);
   if (found == tenants_.end()) return;
   for (const auto& [id, share] : found->second.shares) {
@@ -94,17 +94,17 @@
     const auto found = tenants_.find(tenant_quota.tenant);
     if (found == tenants_.end()) continue;
     LowerPendingRates(tenant_quota.tenant, found->second, timings_.LeasableRate(quota->second));
-    found->second.leasable = timings_.LeasableRate(quota->second);
+    found->second.leasable_rps = timings_.LeasableRate(quota->second);
     changed_.insert(tenant_quota.tenant);
   }
 }
 
 // Pending rates of a higher quota must not be sent again.
-void Allocator::LowerPendingRates(TenantId id, TenantLeases& tenant, double leasable) {
-  if (leasable >= tenant.leasable) return;
+void Allocator::LowerPendingRates(TenantId id, TenantLeases& tenant, double leasable_rps) {
+  if (leasable_rps >= tenant.leasable_rps) return;
   for (auto& [dispatcher, share] : tenant.shares) {
     if (share.has_pending())
-      GrantRate(id, dispatcher, share, share.pending_rps * leasable / tenant.leasable);
+      GrantRate(id, dispatcher, share, share.pending_rps * leasable_rps / tenant.leasable_rps);
   }
 }
 
@@ -135,7 +135,7 @@
   for (const TenantUsage& usage : report.usages)
     ApplyUsage(from, dispatcher, usage, full_epoch_before);
   if (completes_full_report) EndFullReport(from, dispatcher, full_epoch_before);
-  CheckReachable(from, dispatcher);
+  DetectUnreachable(from, dispatcher);
   ScheduleExpiry(from, dispatcher);
   dispatcher.reply_due = true;
   to_send_.insert(from);
@@ -190,7 +190,7 @@
   changed_.insert(usage.tenant);
   if (share.has_pending() || dispatcher.pending_tenants.erase(usage.tenant) == 0) return;
   dispatcher.pending_since = dispatcher.last_report_at;
-  ReleaseWaiting(dispatcher);
+  MarkWaitingTenantsChanged(dispatcher);
   if (dispatcher.unreachable) SetUnreachable(from, dispatcher, false);
 }
 
@@ -199,7 +199,8 @@
   dispatcher.leases_expired = false;
 }
 
-void Allocator::ReleaseWaiting(DispatcherState& dispatcher) {
+// Has the tenants divided again whose grants waited for fewer pending ones.
+void Allocator::MarkWaitingTenantsChanged(DispatcherState& dispatcher) {
   for (const TenantId tenant : dispatcher.waiting_tenants) {
     if (tenants_.contains(tenant)) changed_.insert(tenant);
   }
@@ -208,8 +209,9 @@
 
 // Leases of a dispatcher that reports but confirms no grant are not extended any more, so that its
 // pending rates become free.
-void Allocator::CheckReachable(NodeId id, DispatcherState& dispatcher) {
-  if (dispatcher.pending_tenants.empty() || !dispatcher.current || dispatcher.unreachable) return;
+void Allocator::DetectUnreachable(NodeId id, DispatcherState& dispatcher) {
+  if (dispatcher.pending_tenants.empty() || !dispatcher.usages_known || dispatcher.unreachable)
+    return;
   const double unconfirmed_s = dispatcher.last_report_at - dispatcher.pending_since;
   if (unconfirmed_s > timings_.lease_duration_s) SetUnreachable(id, dispatcher, true);
 }
@@ -278,11 +280,11 @@
     if (!dispatcher.tenants.empty()) ++counters_.lapses;
     dispatcher.leases_expired = true;
     dispatcher.pending_tenants.clear();
-    ReleaseWaiting(dispatcher);
+    MarkWaitingTenantsChanged(dispatcher);
   }
   if (falls_silent) {
     dispatcher.silent = true;
-    dispatcher.current = dispatcher.current && dispatcher.tenants.empty();
+    dispatcher.usages_known = dispatcher.usages_known && dispatcher.tenants.empty();
   }
 }
 
@@ -336,7 +338,7 @@
 
 bool Allocator::CanGrant(TenantId tenant, NodeId id) {
   DispatcherState& dispatcher = dispatchers_.at(id);
-  if (!dispatcher.current || dispatcher.silent) return false;
+  if (!dispatcher.usages_known || dispatcher.silent) return false;
   if (dispatcher.HasRoomForGrant()) return true;
   dispatcher.waiting_tenants.insert(tenant);
   return false;
@@ -362,15 +364,15 @@
   grant.epoch = view_.epoch;
   grant.acked_sequence = dispatcher.sequence;
   grant.process_incarnation = dispatcher.process_incarnation;
-  grant.request_full_report = !dispatcher.current && !dispatcher.in_full_report;
-  if (dispatcher.current) {
+  grant.request_full_report = !dispatcher.usages_known && !dispatcher.in_full_report;
+  if (dispatcher.usages_known) {
     for (const TenantId tenant : dispatcher.pending_tenants) {
       const DispatcherShare& share = tenants_.at(tenant).shares.at(id);
       grant.assignments.push_back({tenant, share.pending_rps, share.pending_grant_number});
     }
   }
   if (!dispatcher.reply_due && grant.assignments.empty()) return;
-  if (dispatcher.current && !dispatcher.unreachable) {
+  if (dispatcher.usages_known && !dispatcher.unreachable) {
     grant.lease_duration_s = timings_.lease_duration_s;
     ExtendLeases(dispatcher, dispatcher.silent_at);
     ScheduleExpiry(id, dispatcher);
@@ -414,7 +416,7 @@
     if (now < dispatcher.leases_end_at) in_force += share.CurrentRate();
     if (now < dispatcher.earlier_leases_end_at) in_force += share.earlier_rps;
   }
-  return IsTakingOver(now, tenant) ? std::max(in_force, found->second.leasable) : in_force;
+  return IsTakingOver(now, tenant) ? std::max(in_force, found->second.leasable_rps) : in_force;
 }
 
 std::size_t Allocator::tenants_allocated() const { return tenants_.size(); }
--- a/src/quota/allocator.h
+++ b/src/quota/allocator.h
@@ -68,8 +68,8 @@
   void ApplyUsage(NodeId from, DispatcherState& dispatcher, const TenantUsage& usage,
                   std::uint64_t full_epoch_before);
   static void ExtendLeases(DispatcherState& dispatcher, double until);
-  void ReleaseWaiting(DispatcherState& dispatcher);
-  void CheckReachable(NodeId id, DispatcherState& dispatcher);
+  void MarkWaitingTenantsChanged(DispatcherState& dispatcher);
+  void DetectUnreachable(NodeId id, DispatcherState& dispatcher);
   void SetUnreachable(NodeId id, DispatcherState& dispatcher, bool unreachable);
   void EndFullReport(NodeId from, DispatcherState& dispatcher, std::uint64_t full_epoch_before);
   void StartIncarnation(NodeId id, DispatcherState& dispatcher,
@@ -78,9 +78,9 @@
   void StartTakeover(double now, TenantId tenant);
   void EndTakeover(TenantId id, TenantLeases& tenant);
   void EndTakeovers(double now);
-  void Drop(TenantId tenant);
+  void DropTenant(TenantId tenant);
 
-  void LowerPendingRates(TenantId id, TenantLeases& tenant, double leasable);
+  void LowerPendingRates(TenantId id, TenantLeases& tenant, double leasable_rps);
 
   void ExpireLeases(double now);
   void ExpireLeasesOf(double now, NodeId id, DispatcherState& dispatcher);
--- a/src/quota/dispatcher_state.cpp
+++ b/src/quota/dispatcher_state.cpp
@@ -22,7 +22,7 @@
   if (!leases_expired) earlier_leases_end_at = std::max(earlier_leases_end_at, leases_end_at);
   process_incarnation = started;
   sequence = 0;
-  current = false;
+  usages_known = false;
   in_full_report = false;
   leases_expired = true;
   unreachable = false;
@@ -37,14 +37,14 @@
     tenants_in_full_report.clear();
   } else if (gap) {
     in_full_report = false;
-    current = false;
+    usages_known = false;
   }
   if (!in_full_report) return false;
   for (const TenantUsage& usage : report.usages) tenants_in_full_report.insert(usage.tenant);
   if (report.usages.size() == kMaxEntries) return false;
   in_full_report = false;
   full_epoch = std::max(full_epoch, report.epoch);
-  current = true;
+  usages_known = true;
   return true;
 }
 
--- a/src/quota/dispatcher_state.h
+++ b/src/quota/dispatcher_state.h
@@ -19,9 +19,9 @@
 
   ProcessIncarnation process_incarnation = 0;  // 0: no report has arrived
   std::deque<ProcessIncarnation> earlier_incarnations;
-  std::uint64_t sequence = 0;                 // of the newest report
-  std::uint64_t full_epoch = 0;               // of the newest full report that is complete
-  bool current = false;                       // all its usages are known, in the current view
+  std::uint64_t sequence = 0;    // of the newest report
+  std::uint64_t full_epoch = 0;  // of the newest full report that is complete
+  bool usages_known = false;  // a full report in the current view is complete, without a gap since
   bool in_full_report = false;                // a full report has begun, without a gap so far
   std::set<TenantId> tenants_in_full_report;  // received so far
   bool reply_due = false;                     // its newest report has not been acknowledged
--- a/src/quota/lease_holder.cpp
+++ b/src/quota/lease_holder.cpp
@@ -6,7 +6,7 @@
 namespace millethollow::quota {
 namespace {
 
-// Reports to one allocator whose sending times are kept.
+// The sending times of this many reports to one allocator are kept.
 constexpr std::size_t kMaxSentReports = 64;
 // First delay of the exponential backoff of an unacknowledged full report, in units of
 // min_report_interval_s.
@@ -70,10 +70,10 @@
 }
 
 void LeaseHolder::ScheduleFullReport(double now, NodeId allocator, AllocatorLink& link) {
-  link.full = true;
+  link.full_report_pending = true;
   link.full_first_sequence = 0;
   link.full_last_sequence = 0;
-  link.reported_tenants = 0;
+  link.full_report_position = 0;
   link.retry_s = kFirstRetryIntervals * timings_.min_report_interval_s;
   ScheduleReport(now, allocator);
 }
@@ -133,7 +133,8 @@
     ApplyAssignment(tenants_[tenant_index_.at(assignment.tenant)], assignment, now, until);
   }
   // A grant that acknowledges a report before the current full one requests what is being sent.
-  const bool under_way = link.full && link.full_first_sequence > grant.acked_sequence;
+  const bool under_way =
+      link.full_report_pending && link.full_first_sequence > grant.acked_sequence;
   if (grant.request_full_report && !under_way) ScheduleFullReport(now, from, link);
   return RejectReason::kNone;
 }
@@ -141,7 +142,8 @@
 void LeaseHolder::AcknowledgeReports(AllocatorLink& link, std::uint64_t acked_sequence) {
   link.acked_sequence = acked_sequence;
   while (link.sent_reports.front().first < acked_sequence) link.sent_reports.pop_front();
-  if (link.full_last_sequence != 0 && acked_sequence >= link.full_last_sequence) link.full = false;
+  if (link.full_last_sequence != 0 && acked_sequence >= link.full_last_sequence)
+    link.full_report_pending = false;
 }
 
 RejectReason LeaseHolder::Check(NodeId from, const Grant& grant) const {
@@ -168,7 +170,8 @@
   return RejectReason::kNone;
 }
 
-// False for a grant received before, older than one received, or for an earlier process.
+// Whether the grant is new. It is not if it was received before, is older than a received one, or
+// is for an earlier process.
 bool LeaseHolder::IsNewer(const AllocatorLink& link, const Grant& grant) const {
   if (grant.process_incarnation != process_incarnation_ ||
       grant.acked_sequence < link.acked_sequence)
@@ -214,13 +217,13 @@
 bool LeaseHolder::MustReport(const AllocatorLink& link, const Tenant& tenant) const {
   if (tenant.changed || tenant.demand_rps != tenant.reported_demand_rps) return true;
   const bool in_use = tenant.demand_rps > 0 || tenant.rate_rps > 0;
-  return in_use && (link.full || link.reported_tenants > 0);
+  return in_use && (link.full_report_pending || link.full_report_position > 0);
 }
 
 // The usages to report, as many as one message holds. They count as reported from now on.
 std::vector<TenantUsage> LeaseHolder::CollectUsages(double now, AllocatorLink& link) {
   std::vector<TenantUsage> usages;
-  std::size_t next = link.reported_tenants;
+  std::size_t next = link.full_report_position;
   for (; next < link.tenants.size() && usages.size() < kMaxEntries; ++next) {
     Tenant& tenant = tenants_[link.tenants[next]];
     if (!MustReport(link, tenant)) continue;
@@ -230,18 +233,18 @@
     usages.push_back(
         {tenant.id, tenant.demand_rps, tenant.rate_rps, lease_remaining_s, tenant.grant_number});
   }
-  const bool is_full = link.full || link.reported_tenants > 0;
-  link.reported_tenants = is_full && usages.size() == kMaxEntries ? next : 0;
+  const bool is_full = link.full_report_pending || link.full_report_position > 0;
+  link.full_report_position = is_full && usages.size() == kMaxEntries ? next : 0;
   return usages;
 }
 
 // A full report that was begun is completed, even if another one was completed meanwhile.
 void LeaseHolder::SendReport(double now, NodeId allocator, AllocatorLink& link, Actions* actions) {
-  const bool is_full = link.full || link.reported_tenants > 0;
+  const bool is_full = link.full_report_pending || link.full_report_position > 0;
   UsageReport report;
   report.epoch = view_.epoch;
   report.sequence = ++link.sequence;
-  report.full = is_full && link.reported_tenants == 0;
+  report.full = is_full && link.full_report_position == 0;
   report.usages = CollectUsages(now, link);
   const bool is_filled = report.usages.size() == kMaxEntries;
   if (report.full && link.full_first_sequence == 0) link.full_first_sequence = report.sequence;
@@ -278,7 +281,7 @@
 double LeaseHolder::NextDue(const AllocatorLink& link) const {
   const double renewal = NeedsRenewal(link) ? link.reported_at + timings_.renew_interval_s : kNever;
   const bool unacknowledged =
-      link.full && link.full_last_sequence != 0 && link.reported_tenants == 0;
+      link.full_report_pending && link.full_last_sequence != 0 && link.full_report_position == 0;
   const double retry = unacknowledged ? link.reported_at + link.retry_s : kNever;
   return std::min({link.due_at, renewal, retry});
 }
--- a/src/quota/lease_holder.h
+++ b/src/quota/lease_holder.h
@@ -62,21 +62,22 @@
     // Of the grant applied last; 0: the lease is from an earlier allocator.
     std::uint64_t grant_number = 0;
     AllocatorMember allocator;  // in the current view; id 0: none
-    bool changed = false;       // the lease; to be reported
+    bool changed = false;       // the lease has changed since the last report
   };
   static constexpr double kNever = std::numeric_limits<double>::infinity();
   struct AllocatorLink {  // reports to one allocator
     std::uint64_t sequence = 0, acked_sequence = 0;
     double reported_at = 0;
-    double due_at = kNever;  // the next report of changes
-    bool active = false;     // is an allocator in the current view
-    bool full = false;       // a full report is due, or not acknowledged to its end
+    double due_at = kNever;            // the next report of changes
+    bool active = false;               // is an allocator in the current view
+    bool full_report_pending = false;  // a full report is due, or not acknowledged to its end
     std::uint64_t full_first_sequence = 0,
                   full_last_sequence = 0;  // of the first full report; 0: not sent
-    std::size_t reported_tenants = 0;      // by the full report that has begun
-    double retry_s = 0;                    // from an unacknowledged full report to the next
-    std::vector<std::size_t> tenants;      // that it allocates: their indices
-    std::deque<std::pair<std::uint64_t, double>> sent_reports;  // sequence and time; bounded size
+    // Index in `tenants` where the full report that has begun goes on; 0: none has begun.
+    std::size_t full_report_position = 0;
+    double retry_s = 0;                // from an unacknowledged full report to the next
+    std::vector<std::size_t> tenants;  // that it allocates: their indices
+    std::deque<std::pair<std::uint64_t, double>> sent_reports;  // sequences and sending times
   };
 
   void ExpireLeases(double now);
--- a/src/quota/tenant_leases.cpp
+++ b/src/quota/tenant_leases.cpp
@@ -10,7 +10,7 @@
 // A raise that the free rate allows only in part is granted in part if the part is at least this
 // fraction of the proposed rate, or of the raise: smaller steps cost messages, while waiting leaves
 // free rate unused.
-constexpr double kMinRaiseOfRate = 0.05;
+constexpr double kMinRaiseFractionOfRate = 0.05;
 constexpr double kMinFractionOfRaise = 0.5;
 
 }  // namespace
@@ -62,7 +62,7 @@
 std::vector<TenantLeases::ProposedChange> TenantLeases::ProposedChanges(double hysteresis) const {
   std::vector<DispatcherDemand> demands;
   std::vector<ProposedChange> proposals;
-  double available = leasable;
+  double available = leasable_rps;
   for (const auto& [dispatcher, share] : shares) {
     available -= share.earlier_rps;
     demands.push_back({share.unreachable ? 0 : share.demand_rps, share.IntendedRate()});
@@ -92,7 +92,7 @@
   double total_raise = 0;
   for (const ProposedChange& proposal : proposals)
     total_raise += std::max(0.0, proposal.to - proposal.from);
-  const double free = std::max(0.0, leasable - RateInForce());
+  const double free = std::max(0.0, leasable_rps - RateInForce());
   const double fraction = total_raise > free ? free / total_raise : 1;
   std::vector<RateChange> changes;
   for (const ProposedChange& proposal : proposals) {
@@ -100,7 +100,7 @@
     if (proposal.to > proposal.from) {
       const double raise = fraction * (proposal.to - proposal.from);
       const bool large_enough =
-          fraction >= kMinFractionOfRaise || raise >= kMinRaiseOfRate * proposal.to;
+          fraction >= kMinFractionOfRaise || raise >= kMinRaiseFractionOfRate * proposal.to;
       rate = large_enough ? proposal.from + raise : proposal.from;
     }
     if (rate != proposal.from || shares.at(proposal.dispatcher).inherited) {
--- a/src/quota/tenant_leases.h
+++ b/src/quota/tenant_leases.h
@@ -57,7 +57,7 @@
 
 // The leases of one tenant at all dispatchers.
 struct TenantLeases {
-  double leasable = 0;  // the part of the quota for leases
+  double leasable_rps = 0;  // the part of the quota that is leased
   std::map<NodeId, DispatcherShare> shares;
   std::uint64_t takeover_epoch = 0;  // of the view that brought the tenant here
   bool taking_over = false;          // leases from an earlier allocator may be unknown
@@ -69,7 +69,7 @@
   // The maximum that all dispatchers together may use above their floor rates.
   double RateInForce() const;
   // The changes that bring rates nearer to the division by demand; none during a takeover. Raises
-  // use only rate that is not in force elsewhere; inherited leases are granted again. `open`:
+  // use only rate that is not in force elsewhere; inherited leases are granted again. `can_grant`:
   // whether a dispatcher can be granted a rate now.
   std::vector<RateChange> Divide(double hysteresis,
                                  const std::function<bool(NodeId)>& can_grant) const;
