--- a/src/store/record_store.cpp
+++ b/src/store/record_store.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::uint64_t kPageBytes = 4096;
-constexpr std::size_t kMaxJobsPerCommit = 256;  // per transaction
+constexpr std::size_t kMaxTasksPerCommit = 256;  // per transaction
 constexpr std::size_t kHashBytes = 8;
 
 std::uint64_t HashOf(std::string_view key, std::string_view value) {
@@ -148,7 +148,7 @@
   return true;
 }
 
-// Checks whom the file belongs to, or records it in a new file.
+// Checks which cluster and member the file belongs to, or records them in a new file.
 bool RecordStore::CheckIdentity(const Identity& identity, std::string* error) {
   const std::int64_t schema = QueryInteger("SELECT number FROM about WHERE what='schema'");
   if (schema < 0) {
@@ -210,7 +210,7 @@
 void RecordStore::Write(std::vector<copies::StoreWrite> batch, std::uint64_t ticket) {
   {
     const std::lock_guard lock(mutex_);
-    jobs_.push_back(
+    tasks_.push_back(
         {.batch = std::move(batch), .ticket = ticket, .prefix = {}, .after = {}, .callback = {}});
   }
   wake_.notify_one();
@@ -220,11 +220,11 @@
                        ReadCallback callback) {
   {
     const std::lock_guard lock(mutex_);
-    jobs_.push_back({.batch = {},
-                     .prefix = std::move(prefix),
-                     .after = std::move(after),
-                     .max_records = max_records,
-                     .callback = std::move(callback)});
+    tasks_.push_back({.batch = {},
+                      .prefix = std::move(prefix),
+                      .after = std::move(after),
+                      .max_records = max_records,
+                      .callback = std::move(callback)});
   }
   wake_.notify_one();
 }
@@ -244,10 +244,10 @@
   return succeeded;
 }
 
-bool RecordStore::Commit(const std::vector<Job>& jobs) {
+bool RecordStore::Commit(const std::vector<Task>& tasks) {
   if (!Execute("BEGIN")) return false;
-  for (const Job& job : jobs) {
-    for (const copies::StoreWrite& write : job.batch) {
+  for (const Task& task : tasks) {
+    for (const copies::StoreWrite& write : task.batch) {
       if (!Apply(write)) return Execute("ROLLBACK"), false;
     }
   }
@@ -283,33 +283,33 @@
 
 void RecordStore::RunWriter() {
   while (true) {
-    std::vector<Job> jobs;
+    std::vector<Task> tasks;
     {
       std::unique_lock lock(mutex_);
-      wake_.wait(lock, [this] { return stop_ || !jobs_.empty(); });
-      if (jobs_.empty()) return;
+      wake_.wait(lock, [this] { return stop_ || !tasks_.empty(); });
+      if (tasks_.empty()) return;
       // Queued writes share a transaction; a read is done alone, in its order.
-      while (!jobs_.empty() && jobs.size() < kMaxJobsPerCommit) {
-        const bool read = static_cast<bool>(jobs_.front().callback);
-        if (read && !jobs.empty()) break;
-        jobs.push_back(std::move(jobs_.front()));
-        jobs_.pop_front();
+      while (!tasks_.empty() && tasks.size() < kMaxTasksPerCommit) {
+        const bool read = static_cast<bool>(tasks_.front().callback);
+        if (read && !tasks.empty()) break;
+        tasks.push_back(std::move(tasks_.front()));
+        tasks_.pop_front();
         if (read) break;
       }
     }
-    if (jobs.front().callback) {
+    if (tasks.front().callback) {
       Records records;
       std::vector<std::string> damaged;
       bool last = true;
-      if (!Scan(jobs.front().prefix, jobs.front().after, jobs.front().max_records, &records, &last,
-                &damaged)) {
-        damaged.push_back(jobs.front().prefix);
+      if (!Scan(tasks.front().prefix, tasks.front().after, tasks.front().max_records, &records,
+                &last, &damaged)) {
+        damaged.push_back(tasks.front().prefix);
       }
-      jobs.front().callback(std::move(records), last, std::move(damaged));
+      tasks.front().callback(std::move(records), last, std::move(damaged));
       continue;
     }
-    failed_ = failed_ || !Commit(jobs);
-    write_callback_(failed_ ? jobs.front().ticket : jobs.back().ticket, !failed_);
+    failed_ = failed_ || !Commit(tasks);
+    write_callback_(failed_ ? tasks.front().ticket : tasks.back().ticket, !failed_);
   }
 }
 
--- a/src/store/record_store.h
+++ b/src/store/record_store.h
@@ -33,14 +33,14 @@
 class RecordStore {
  public:
   using Records = std::vector<std::pair<std::string, std::string>>;
-  // The result of writes, on the writer thread: all up to this ticket are durable, or none from
-  // this ticket on.
+  // The result of writes, on the writer thread. `ok`: all writes up to this ticket are durable;
+  // otherwise this one and all later ones have failed.
   using WriteCallback = std::function<void(std::uint64_t ticket, bool ok)>;
   // The result of a read, on the writer thread: records in the order of their keys. `last`: there
   // are no further ones; `damaged`: keys of records with a wrong hash, which are left out.
   using ReadCallback =
       std::function<void(Records records, bool last, std::vector<std::string> damaged)>;
-  // Whom the file belongs to.
+  // The cluster and member that the file belongs to.
   struct Identity {
     std::uint64_t cluster = 0, member = 0;
     std::uint64_t new_store_id = 0;  // the id of the store if the file is created now; not 0
@@ -76,12 +76,12 @@
 
  private:
   // A queued write or read.
-  struct Job {
+  struct Task {
     std::vector<copies::StoreWrite> batch;
     std::uint64_t ticket = 0;
     std::string prefix, after;
     std::size_t max_records = 0;
-    ReadCallback callback;  // empty: the job is a write
+    ReadCallback callback;  // empty: the task is a write
   };
   struct DatabaseCloser {
     void operator()(sqlite3* db) const;
@@ -97,7 +97,7 @@
   std::string ErrorText();
   bool CheckIdentity(const Identity& identity, std::string* error);
   bool Apply(const copies::StoreWrite& write);
-  bool Commit(const std::vector<Job>& jobs);
+  bool Commit(const std::vector<Task>& tasks);
   // Reads up to `max_records` records with this prefix, after a key; false: the file is damaged.
   bool Scan(const std::string& prefix, const std::string& after, std::size_t max_records,
             Records* records, bool* last, std::vector<std::string>* damaged);
@@ -111,7 +111,7 @@
   std::thread writer_;
   std::mutex mutex_;
   std::condition_variable wake_;
-  std::deque<Job> jobs_;
+  std::deque<Task> tasks_;
   bool stop_ = false, failed_ = false;
   int last_error_code_ = 0;  // SQLite's result code
   std::atomic<double> used_fraction_ = 0;
--- a/src/store/vote_file.cpp
+++ b/src/store/vote_file.cpp
@@ -55,12 +55,12 @@
 }
 
 bool VoteFile::Open(const std::string& folder, std::uint64_t cluster, membership::NodeId self,
-                    WriteCallback written, membership::PersistentVoterState* votes, bool* damaged,
-                    std::string* error) {
+                    WriteCallback on_written, membership::PersistentVoterState* voter_state,
+                    bool* damaged, std::string* error) {
   folder_ = folder;
   cluster_ = cluster;
   self_ = self;
-  write_callback_ = std::move(written);
+  write_callback_ = std::move(on_written);
   *damaged = false;
   const std::string error_prefix = "cluster store " + folder + ": ";
   if (mkdir(folder.c_str(), 0700) != 0 && errno != EEXIST) {
@@ -96,7 +96,7 @@
                                       kHeaderBytes, bytes.size() - kHeaderBytes - kHashBytes))
                                 : std::nullopt;
     if (decoded) {
-      *votes = *decoded;
+      *voter_state = *decoded;
     } else {
       *damaged = true;
       if (rename(path.c_str(), (path + ".damaged").c_str()) != 0) {
@@ -109,13 +109,13 @@
   return true;
 }
 
-void VoteFile::Write(const membership::PersistentVoterState& votes, std::uint64_t ticket) {
+void VoteFile::Write(const membership::PersistentVoterState& voter_state, std::uint64_t ticket) {
   encoding::Writer writer;
   writer.Bytes(kMagic);
   writer.Raw(kSchema);
   writer.Raw(cluster_);
   writer.Raw(self_);
-  writer.Bytes(codec::Encode(votes));
+  writer.Bytes(codec::Encode(voter_state));
   writer.Raw(codec::Hash(writer.bytes()));
   {
     const std::lock_guard lock(mutex_);
--- a/src/store/vote_file.h
+++ b/src/store/vote_file.h
@@ -37,11 +37,11 @@
   // member, or has a later schema. A damaged file is renamed to `votes.damaged` and counts as
   // missing; `damaged` reports it.
   bool Open(const std::string& folder, std::uint64_t cluster, membership::NodeId self,
-            WriteCallback written, membership::PersistentVoterState* votes, bool* damaged,
+            WriteCallback on_written, membership::PersistentVoterState* voter_state, bool* damaged,
             std::string* error);
   // Queues a write; a later one replaces a queued one. After a failure nothing is written any more:
-  // the file may have either state, and a retry would not tell which.
-  void Write(const membership::PersistentVoterState& votes, std::uint64_t ticket);
+  // the file may have the previous or the new state, and a retry would not tell which.
+  void Write(const membership::PersistentVoterState& voter_state, std::uint64_t ticket);
 
  private:
   struct PendingWrite {
