--- a/src/copies/durable_job_queue.cpp
+++ b/src/copies/durable_job_queue.cpp
@@ -10,9 +10,9 @@
 
 constexpr double kInfinity = std::numeric_limits<double>::infinity();
 constexpr double kRetryAfterS = 1.0;        // advised to the client when a job is not accepted
-constexpr double kEndRetryIntervalS = 0.5;  // for an end that could not be appended
-constexpr double kReopenIntervalS = 30.0;   // after a requested log was not assigned
-constexpr std::size_t kRecordOverheadBytes = 256;  // per job, beside its bytes
+constexpr double kEndRetryIntervalS = 0.5;  // until the end of a job is appended again
+constexpr double kReopenIntervalS = 30.0;   // until a log that was not assigned is requested again
+constexpr std::size_t kRecordOverheadBytes = 256;  // counted per job on top of its fields
 
 std::string Hex(std::uint64_t number) {
   std::string text;
@@ -76,11 +76,11 @@
   return reader.ok() ? std::optional(std::move(job)) : std::nullopt;
 }
 
-DurableJobQueue::DurableJobQueue(const Limits& limits, std::uint64_t number, Hooks hooks)
-    : limits_(limits), process_number_(number), hooks_(std::move(hooks)) {}
+DurableJobQueue::DurableJobQueue(const Limits& limits, std::uint64_t process_number, Hooks hooks)
+    : limits_(limits), process_number_(process_number), hooks_(std::move(hooks)) {}
 
 std::string DurableJobQueue::NewHandle(const std::string& prefix) {
-  return prefix + Hex(process_number_) + ":" + std::to_string(++last_order_);
+  return prefix + Hex(process_number_) + ":" + std::to_string(++last_number_);
 }
 
 std::size_t DurableJobQueue::SizeOf(const JobRecord& job) {
@@ -100,7 +100,7 @@
   Job& job = jobs_[std::move(handle)];
   job.record = std::move(record);
   job.log = log;
-  job.order = ++last_order_;
+  job.order = ++last_number_;
   return &job;
 }
 
@@ -202,8 +202,8 @@
     const auto job = jobs_.find(pending.handle);
     if (pending.is_end) {
       if (job == jobs_.end()) continue;
-      const JobOutcome outcome = job->second.outcome;
-      (outcome == JobOutcome::kCompleted ? counters_.completed : counters_.failed) += 1;
+      const RoundOutcome outcome = job->second.outcome;
+      (outcome == RoundOutcome::kCompleted ? counters_.completed : counters_.failed) += 1;
       hooks_.on_ended(RemoveJob(job), outcome);
     } else if (pending.on_result) {
       counters_.accepted += 1;
@@ -290,14 +290,14 @@
       PendingCommit{.handle = handle, .on_result = {}, .on_recorded = std::move(on_recorded)});
 }
 
-void DurableJobQueue::OnJobEnded(double now, const std::string& handle, JobOutcome outcome,
-                                 double retry_after_s, const std::vector<std::string>& ran_at) {
+void DurableJobQueue::OnRoundEnded(double now, const std::string& handle, RoundOutcome outcome,
+                                   double retry_after_s, const std::vector<std::string>& ran_at) {
   const auto it = jobs_.find(handle);
   if (it == jobs_.end() || it->second.state != State::kRunning) return;
   Job& job = it->second;
   running_ -= 1;
   job.outcome = outcome;
-  if (outcome == JobOutcome::kRejected) {
+  if (outcome == RoundOutcome::kRejected) {
     std::erase_if(job.record.attempts, [&](const AttemptRecord& attempt) {
       return std::find(ran_at.begin(), ran_at.end(), attempt.worker) == ran_at.end();
     });
@@ -396,7 +396,7 @@
 void DurableJobQueue::Tick(double now) {
   if (now >= OpenLogAt()) {
     log_requested_at_ = now;
-    requested_log_ = (membership::Mix(process_number_ ^ membership::Mix(++last_order_)) << 8) |
+    requested_log_ = (membership::Mix(process_number_ ^ membership::Mix(++last_number_)) << 8) |
                      static_cast<std::uint64_t>(LogKind::kJobs);
     hooks_.open(requested_log_);
   }
@@ -413,7 +413,7 @@
   StartReadyJobs();
 }
 
-double DurableJobQueue::NextAt() const {
+double DurableJobQueue::NextTickAt() const {
   double at = timers_.empty() ? kInfinity : timers_.begin()->first;
   return std::min(at, OpenLogAt());
 }
--- a/src/copies/durable_job_queue.h
+++ b/src/copies/durable_job_queue.h
@@ -3,9 +3,9 @@
 // (replicated_logs.h); the member that may act on the log runs it. docs/design/copies.md has the
 // guarantees.
 //
-// Pure decisions: events of logs and attempts and the time come in; calls of Hooks go out. State is
-// bounded by Limits, recovered jobs aside. Times are seconds on a clock that includes pauses of the
-// machine.
+// No I/O and no clock of its own: takes events of logs and attempts and the time, and calls Hooks.
+// State is bounded by Limits, recovered jobs aside. Times are seconds on a clock that includes
+// pauses of the machine.
 #ifndef MILLETHOLLOW_COPIES_DURABLE_JOB_QUEUE_H_
 #define MILLETHOLLOW_COPIES_DURABLE_JOB_QUEUE_H_
 
@@ -27,8 +27,8 @@
 // An attempt at a worker that was sent or was about to be.
 struct AttemptRecord {
   std::string worker;
-  bool local_worker = false;    // connected to that node by itself; other nodes do not know it
-  SequenceNumber sequence = 0;  // of the operation that recorded it first; 0: the one it is in
+  bool local_worker = false;    // the worker connected to one node, and the others do not know it
+  SequenceNumber sequence = 0;  // of the operation that recorded it first; 0: this operation
 };
 
 // A durable job as its log stores it.
@@ -65,7 +65,7 @@
     double tenant_share = 0.5;                    // of both limits, for the jobs of one tenant
     std::size_t running = 64;                     // at once; further jobs wait here
     double retry_min_s = 0.1, retry_max_s = 5.0;  // between two rounds of one job
-    double open_delay_s = 1.0;  // a log is opened if a lease was held for so long without one
+    double open_delay_s = 1.0;  // from holding a lease without a log to opening a log
     bool accepts_jobs = true;   // false: no log is opened, and jobs are only recovered
   };
   // Why a job was not accepted.
@@ -79,7 +79,7 @@
     kOwnershipLost  // it is not known whether the job is committed
   };
   // The result of a round.
-  enum class JobOutcome : std::uint8_t { kCompleted, kFailed, kRejected };
+  enum class RoundOutcome : std::uint8_t { kCompleted, kFailed, kRejected };
   // Whether the job is accepted; otherwise why not, and when to submit it again (seconds).
   using SubmitCallback =
       std::function<void(const std::string& handle, RejectReason reason, double retry_after_s)>;
@@ -100,8 +100,8 @@
     std::function<double(LogId, SequenceNumber)> max_age_s;  // as LogReplicator::MaxAge
     std::function<void(const Round&)> run;
     std::function<void(const std::string& handle)> abort;  // another member owns the job's log now
-    std::function<void(const JobRecord&, JobOutcome)> on_ended = [](const JobRecord&, JobOutcome) {
-    };
+    std::function<void(const JobRecord&, RoundOutcome)> on_ended = [](const JobRecord&,
+                                                                      RoundOutcome) {};
   };
   // Events since the start of the process.
   struct Counters {
@@ -109,8 +109,8 @@
                   handed_over = 0;  // jobs of logs that another member owns now
   };
 
-  // `number` is unique to this process: ids of logs and handles of jobs are made from it.
-  DurableJobQueue(const Limits& limits, std::uint64_t number, Hooks hooks);
+  // `process_number` is unique to this process: ids of logs and handles of jobs are made from it.
+  DurableJobQueue(const Limits& limits, std::uint64_t process_number, Hooks hooks);
 
   // Events of the logs, as LogReplicator reports them.
   void OnLogAcquired(double now, LogId log, const std::vector<Operation>& entries);
@@ -127,11 +127,11 @@
   // Whether this process may act for the job now.
   bool MayAct(const std::string& handle) const;
   // The round has ended. `ran_at`: workers where the job may have run, in this round or before it.
-  void OnJobEnded(double now, const std::string& handle, JobOutcome outcome, double retry_after_s,
-                  const std::vector<std::string>& ran_at);
-  // Starts jobs whose backoff has ended and repeats failed writes. To be called at NextAt().
+  void OnRoundEnded(double now, const std::string& handle, RoundOutcome outcome,
+                    double retry_after_s, const std::vector<std::string>& ran_at);
+  // Starts jobs whose backoff has ended and repeats failed writes. To be called at NextTickAt().
   void Tick(double now);
-  double NextAt() const;
+  double NextTickAt() const;
   // A client waits for the result of the job: if it is queued or in backoff it runs at once.
   // Returns whether it runs.
   bool RunNow(double now, const std::string& handle);
@@ -162,7 +162,7 @@
     SequenceNumber last_write = 0;  // the last operation that wrote the record
     double due_at = 0, backoff_s = 0;
     std::uint64_t order = 0;
-    JobOutcome outcome = JobOutcome::kCompleted;
+    RoundOutcome outcome = RoundOutcome::kCompleted;
   };
   // What is to be done once an operation is committed.
   struct PendingCommit {
@@ -206,7 +206,7 @@
   std::string last_tenant_;                                            // that started a job
   std::set<std::pair<double, std::string>> timers_;  // ends of backoffs, and retries of WriteEnd
   std::size_t bytes_ = 0, running_ = 0, ending_ = 0;
-  std::uint64_t last_order_ = 0, last_round_ = 0, requested_log_ = 0;
+  std::uint64_t last_number_ = 0, last_round_ = 0, requested_log_ = 0;
   double leased_since_ = -1, log_requested_at_ = 0;
   bool stopping_ = false, starting_ = false;
   Counters counters_;
--- a/src/copies/idempotency_key_client.cpp
+++ b/src/copies/idempotency_key_client.cpp
@@ -10,7 +10,7 @@
 constexpr double kResendIntervalS = 0.25;
 constexpr double kMaxTransitS = 3.0;  // the greatest age of a message on arrival
 constexpr double kClaimTimeoutS = 2.0;
-constexpr double kReleaseBackoff = 0.05;  // part of a release's age until it is sent again
+constexpr double kReleaseBackoffFraction = 0.05;  // of a release's age, until it is sent again
 
 }  // namespace
 
@@ -45,11 +45,11 @@
                                           const std::string& worker, bool local_worker,
                                           AttemptCallback on_decision) {
   const auto it = claims_.find(number);
-  if (it == claims_.end() || it->second.unanswered || it->second.released) {
+  if (it == claims_.end() || it->second.awaiting_reply || it->second.released) {
     return on_decision(false);
   }
   OpenClaim& claim = it->second;
-  claim.unanswered = true;
+  claim.awaiting_reply = true;
   claim.on_decision = std::move(on_decision);
   claim.attempt += 1;
   claim.request.body = AttemptRequest{claim.attempt, worker, local_worker};
@@ -61,7 +61,7 @@
   const auto it = claims_.find(number);
   if (it == claims_.end() || it->second.released) return;
   OpenClaim& claim = it->second;
-  claim.unanswered = claim.released = true;
+  claim.awaiting_reply = claim.released = true;
   claim.on_result = nullptr;
   claim.on_decision = nullptr;
   claim.since = now;
@@ -93,7 +93,7 @@
     OnClaimResult(it, {});
   } else if (std::holds_alternative<ClaimPending>(message.body)) {
     const bool claiming = std::holds_alternative<ClaimRequest>(claim.request.body);
-    claim.pending |= claim.unanswered && claiming;
+    claim.pending |= claim.awaiting_reply && claiming;
   } else if (const auto* allowed = std::get_if<AttemptAllowed>(&message.body)) {
     OnAttemptDecision(&claim, allowed->attempt, true);
   } else if (const auto* rejected = std::get_if<AttemptRejected>(&message.body)) {
@@ -105,9 +105,9 @@
 
 void IdempotencyKeyClient::OnClaimResult(Claims::iterator it, const Result& result) {
   OpenClaim& claim = it->second;
-  if (!claim.unanswered || !std::holds_alternative<ClaimRequest>(claim.request.body)) return;
+  if (!claim.awaiting_reply || !std::holds_alternative<ClaimRequest>(claim.request.body)) return;
   const ClaimCallback on_result = std::move(claim.on_result);
-  claim.unanswered = false;
+  claim.awaiting_reply = false;
   claim.granted = result.kind == Result::Kind::kGranted;
   if (!claim.granted) claims_.erase(it);
   on_result(result);
@@ -116,8 +116,8 @@
 void IdempotencyKeyClient::OnAttemptDecision(OpenClaim* claim, std::uint64_t attempt,
                                              bool allowed) {
   const bool asked = std::holds_alternative<AttemptRequest>(claim->request.body);
-  if (!claim->unanswered || !asked || attempt != claim->attempt) return;
-  claim->unanswered = false;
+  if (!claim->awaiting_reply || !asked || attempt != claim->attempt) return;
+  claim->awaiting_reply = false;
   const AttemptCallback on_decision = std::move(claim->on_decision);
   on_decision(allowed);
 }
@@ -125,7 +125,7 @@
 void IdempotencyKeyClient::Tick(double now) {
   std::vector<std::uint64_t> timed_out;
   for (auto& [number, claim] : claims_) {
-    if (!claim.unanswered || now < ResendAt(claim)) continue;
+    if (!claim.awaiting_reply || now < ResendAt(claim)) continue;
     const bool claiming = std::holds_alternative<ClaimRequest>(claim.request.body);
     if (claiming && !claim.pending && now - claim.since > kClaimTimeoutS) {
       timed_out.push_back(number);
@@ -142,13 +142,13 @@
 
 double IdempotencyKeyClient::ResendAt(const OpenClaim& claim) {
   const double release_age_s = claim.released ? claim.sent_at - claim.since : 0;
-  return claim.sent_at + std::max(kResendIntervalS, kReleaseBackoff * release_age_s);
+  return claim.sent_at + std::max(kResendIntervalS, kReleaseBackoffFraction * release_age_s);
 }
 
 double IdempotencyKeyClient::NextTickAt() const {
   double at = kInfinity;
   for (const auto& [number, claim] : claims_) {
-    if (claim.unanswered) at = std::min(at, ResendAt(claim));
+    if (claim.awaiting_reply) at = std::min(at, ResendAt(claim));
   }
   return at;
 }
--- a/src/copies/idempotency_key_client.h
+++ b/src/copies/idempotency_key_client.h
@@ -1,9 +1,9 @@
 // The claimant's side of the claim protocol (idempotency_messages.h): the member that received a
 // client's request with an idempotency key.
 //
-// Pure decisions: requests, messages and the time come in; calls of Hooks and of the requests'
-// callbacks go out. Times are seconds on a clock that never runs backwards and includes pauses of
-// the machine.
+// No I/O and no clock of its own: takes requests, messages and the time, and calls Hooks and the
+// requests' callbacks. Times are seconds on a clock that never runs backwards and includes pauses
+// of the machine.
 #ifndef MILLETHOLLOW_COPIES_IDEMPOTENCY_KEY_CLIENT_H_
 #define MILLETHOLLOW_COPIES_IDEMPOTENCY_KEY_CLIENT_H_
 
@@ -55,7 +55,7 @@
                std::vector<std::string> ran_at);
   // Whether, as far as is known, another claim runs the request.
   bool IsPending(std::uint64_t number) const;
-  // An answer of the owner.
+  // A reply of the owner.
   void OnMessage(const IdempotencyMessage& message);
   // Sends unanswered messages again and lets claims time out. To be called at NextTickAt().
   void Tick(double now);
@@ -64,10 +64,11 @@
 
  private:
   struct OpenClaim {
-    IdempotencyMessage request;  // sent again until it is answered
+    // The last message to the owner, sent again until a reply to it arrives.
+    IdempotencyMessage request;
     ClaimCallback on_result;
     AttemptCallback on_decision;
-    bool unanswered = true, pending = false, granted = false, released = false;
+    bool awaiting_reply = true, pending = false, granted = false, released = false;
     std::uint64_t attempt = 0;
     double sent_at = 0, since = 0;
   };
--- a/src/copies/idempotency_key_registry.cpp
+++ b/src/copies/idempotency_key_registry.cpp
@@ -5,8 +5,8 @@
 namespace millethollow::copies {
 namespace {
 
-constexpr std::size_t kRecordOverheadBytes = 200;
-constexpr std::size_t kMaxExpiredAtOnce = 256;
+constexpr std::size_t kRecordOverheadBytes = 200;  // counted per key on top of its fields
+constexpr std::size_t kMaxExpiredAtOnce = 256;     // keys erased in one Tick()
 
 }  // namespace
 
@@ -45,7 +45,7 @@
 
 // Records the sequence number of the last attempt, which is that of the last write, before the
 // record is written again.
-void IdempotencyKeyRegistry::DateLastAttempt(Record* record) {
+void IdempotencyKeyRegistry::SetLastAttemptSequence(Record* record) {
   if (record->stored.attempts.empty() || record->stored.attempts.back().sequence != 0) return;
   record->stored.attempts.back().sequence = record->last_write;
 }
@@ -170,7 +170,7 @@
       continue;
     }
     record->stored.claim = next;
-    DateLastAttempt(record);
+    SetLastAttemptSequence(record);
     if (!Write(key, record)) {
       record->stored.claim = {};
       return;
@@ -196,7 +196,7 @@
     return;
   }
   const std::vector<AttemptRecord> before = record.stored.attempts;
-  DateLastAttempt(&record);
+  SetLastAttemptSequence(&record);
   record.stored.attempts.push_back({request.worker, request.local_worker, 0});
   if (record.stored.attempts.size() > kMaxAttempts || !Write(message.key, &record)) {
     record.stored.attempts = before;
@@ -239,7 +239,7 @@
 void IdempotencyKeyRegistry::ReleaseUnanswered(double now, const std::string& key,
                                                const ReleaseRequest& request, Record* record) {
   const IdempotencyRecord before = record->stored;
-  DateLastAttempt(record);
+  SetLastAttemptSequence(record);
   std::erase_if(record->stored.attempts, [&request](const AttemptRecord& attempt) {
     return std::ranges::none_of(request.ran_at, [&attempt](const std::string& worker) {
       return worker == attempt.worker || worker == kAnyWorker;
--- a/src/copies/idempotency_key_registry.h
+++ b/src/copies/idempotency_key_registry.h
@@ -2,9 +2,9 @@
 // of a key, its attempts, and its answer. The record of a key is an entry of one of a fixed set of
 // replicated logs; docs/design/copies.md has the guarantees.
 //
-// Pure decisions: messages, log events and the time come in; calls of Hooks go out. State is
-// bounded by Limits. Times are seconds on a clock that never runs backwards and includes pauses of
-// the machine.
+// No I/O and no clock of its own: takes messages, log events and the time, and calls Hooks. State
+// is bounded by Limits. Times are seconds on a clock that never runs backwards and includes pauses
+// of the machine.
 #ifndef MILLETHOLLOW_COPIES_IDEMPOTENCY_KEY_REGISTRY_H_
 #define MILLETHOLLOW_COPIES_IDEMPOTENCY_KEY_REGISTRY_H_
 
@@ -49,8 +49,9 @@
   IdempotencyKeyRegistry(const Limits& limits, Hooks hooks)
       : limits_(limits), hooks_(std::move(hooks)) {}
 
-  // This member may act on the log, which has these entries; it no longer may.
+  // This member may act on the log from now on; `entries` are all of its entries.
   void OnLogAcquired(double now, LogId log, const std::vector<Operation>& entries);
+  // This member may no longer act on the log.
   void OnLogReleased(LogId log);
   // All operations of the log up to this one are on its replicas.
   void OnCommitted(LogId log, SequenceNumber sequence);
@@ -69,7 +70,7 @@
     IdempotencyRecord stored;
     LogId log = 0;
     SequenceNumber last_write = 0;
-    bool committed = false;     // whether last_write is
+    bool committed = false;     // last_write is committed
     std::uint64_t attempt = 0;  // the latest that the claim requested
     double expires_at = 0;      // if no claim runs the request
     bool erasing = false;       // the last write erases it
@@ -91,7 +92,7 @@
   void OnWriteCommitted(const std::string& key, SequenceNumber sequence);
   bool Write(const std::string& key, Record* record);
   bool Erase(const std::string& key, Record* record);
-  static void DateLastAttempt(Record* record);
+  static void SetLastAttemptSequence(Record* record);
   void PassToNextWaiting(double now, const std::string& key, Record* record);
   ClaimGranted Grant(const Record& record) const;
   template <typename Body>
--- a/src/copies/records.h
+++ b/src/copies/records.h
@@ -63,7 +63,7 @@
   std::uint64_t epoch = 0;     // the epoch in which the owner became the owner
   std::uint64_t store_id = 0;  // of the replica that sends or receives the message
   SequenceNumber sequence = 0, commit_index = 0, end_sequence = 0;
-  std::uint64_t sequence_epoch = 0, end_epoch = 0;
+  std::uint64_t sequence_epoch = 0, end_epoch = 0;  // of the operations `sequence`, `end_sequence`
   std::uint64_t query_number = 0;  // of a kStatusQuery and of the kStatus that answers it
   membership::ProcessIncarnation process_incarnation = 0;  // of the sender of a kStatus
   // The snapshot and the index of the chunk; in a kStatus the number of chunks stored.
--- a/src/copies/replica_assignment.cpp
+++ b/src/copies/replica_assignment.cpp
@@ -89,7 +89,7 @@
       log->transfer_to = 0;
     }
   }
-  std::vector<LogReplica> replicas, silent;
+  std::vector<LogReplica> replicas, timed_out_replicas;
   for (const LogReplica& replica : assignment.replicas) {
     const auto* member = view_.Find(replica.id);
     const auto peer = log->peers.find(replica.id);
@@ -98,7 +98,7 @@
         replica.id != options_.self && peer != log->peers.end() &&
         now - std::max(peer->second.last_status_at, log->owner_since) > options_.replica_timeout_s;
     if (other_store && log->transfer_to == 0) continue;  // its replica is lost
-    (timed_out && log->transfer_to == 0 ? silent : replicas).push_back(replica);
+    (timed_out && log->transfer_to == 0 ? timed_out_replicas : replicas).push_back(replica);
   }
   const SequenceNumber required_sequence = std::max(log->takeover_end, log->commit_index);
   for (const auto& [node, peer] : log->peers) {
@@ -112,8 +112,8 @@
         replicas.size() < options_.replica_count)
       replicas.push_back({node, peer.store_id});
   }
-  // Never below the minimum: a silent replica may return with the whole log.
-  for (const LogReplica& replica : silent) {
+  // Never below the minimum: a replica that timed out may return with the whole log.
+  for (const LogReplica& replica : timed_out_replicas) {
     if (replicas.size() < options_.min_replicas) replicas.push_back(replica);
   }
   const auto by_id = [](const LogReplica& a, const LogReplica& b) { return a.id < b.id; };
--- a/src/copies/replicated_logs.cpp
+++ b/src/copies/replicated_logs.cpp
@@ -13,7 +13,7 @@
 
 double ReplicatedLogs::MaxAge(double now, LogId id, SequenceNumber sequence) const {
   const auto it = logs_.find(id);
-  if (it != logs_.end() && sequence > it->second.undated_end) {
+  if (it != logs_.end() && sequence > it->second.unknown_age_end) {
     const auto& age_marks = it->second.age_marks;
     // clang 14 does not compile std::views::reverse of this library.
     // NOLINTNEXTLINE(modernize-loop-convert)
@@ -43,7 +43,7 @@
   }
   for (auto& [id, log] : logs_) {
     log.previous_epoch = log.head.applied_epoch;
-    log.stored = log.undated_end = log.End();
+    log.stored = log.unknown_age_end = log.End();
     log.stored_applied = log.head.applied;
   }
 }
--- a/src/copies/replicated_logs.h
+++ b/src/copies/replicated_logs.h
@@ -3,9 +3,9 @@
 // 2008), with the log matching rule of Raft (Ongaro, Ousterhout 2014); docs/design/copies.md has
 // the guarantees.
 //
-// Pure decisions: views, operations, messages and the time come in; messages, store writes and
-// committed operations go out. State is bounded by Options. Times are seconds on a clock that never
-// runs backwards and includes pauses of the machine.
+// No I/O and no clock of its own: takes views, operations, messages and the time; returns messages,
+// store writes and committed operations. State is bounded by Options. Times are seconds on a clock
+// that never runs backwards and includes pauses of the machine.
 #ifndef MILLETHOLLOW_COPIES_REPLICATED_LOGS_H_
 #define MILLETHOLLOW_COPIES_REPLICATED_LOGS_H_
 
@@ -31,6 +31,8 @@
   NodeId self = 0;
   ProcessIncarnation process_incarnation = 0;
   std::uint64_t store_id = 0;  // of this member's store
+  // The replicas that a log should have, and the minimum without which nothing is committed. The
+  // owner counts.
   std::size_t replica_count = 3, min_replicas = 2;
   double replica_timeout_s = 1.0;           // a replica silent for longer is to be removed
   double resend_interval_s = 0.25;          // for messages that are not answered
@@ -66,7 +68,7 @@
     std::uint64_t snapshot_id = 0;
     std::string prefix, after;  // keys with this prefix, after this key; empty: from the first
   };
-  // What the caller is to do after an event.
+  // The result of a call: messages to be sent, reads and writes of the store, and changes of logs.
   struct Actions {
     std::vector<std::pair<NodeId, ReplicationMessage>> send;
     // To be written atomically and after all earlier writes; then OnStored(ticket) or
@@ -109,9 +111,9 @@
   // The result of a Read, in the order of the keys; `last`: there are no further entries.
   void OnSnapshotChunkRead(double now, LogId log, std::uint64_t snapshot_id,
                            std::vector<Operation> entries, bool last, Actions* actions);
-  // Resends, transfers snapshots and requests reconfigurations. To be called at NextAt().
+  // Resends, transfers snapshots and requests reconfigurations. To be called at NextTickAt().
   void Tick(double now, Actions* actions);
-  double NextAt() const { return next_tick_at_; }
+  double NextTickAt() const { return next_tick_at_; }
 
   // The assignments that the leader is to be asked for.
   std::vector<LogAssignment> RequestedLogs() const;
@@ -176,9 +178,9 @@
     SequenceNumber matched = 0;         // as a replica: matches the log of the owner of head.epoch
     std::uint64_t snapshot_id = 0, received_chunks = 0, stored_chunks = 0;
     // Times at which the log ended at a sequence number: what follows it is younger. Operations up
-    // to `undated_end` have no known age.
+    // to `unknown_age_end` have no known age.
     std::deque<std::pair<double, SequenceNumber>> age_marks;
-    SequenceNumber undated_end = 0;
+    SequenceNumber unknown_age_end = 0;
     void AddAgeMark(double time_s);
     // As the owner:
     bool is_owner = false, active = false, closing = false;
--- a/src/copies/replication.cpp
+++ b/src/copies/replication.cpp
@@ -177,7 +177,7 @@
       log.DropFirst();
     }
     log.head.snapshot_generation = next_generation;
-    log.undated_end = std::max(log.undated_end, log.End());
+    log.unknown_age_end = std::max(log.unknown_age_end, log.End());
     log.head.applied = message.sequence;
     log.head.applied_epoch = log.previous_epoch = message.sequence_epoch;
     log.matched = message.sequence;
@@ -199,13 +199,13 @@
   if (!message.operations.empty()) {
     // Commits wait for a replica of the view, so it receives an operation before it is committed,
     // at most kMaxTransitS after it was sent; messages that waited while this process was paused
-    // are dated back to the previous event. A member that commits do not wait for may receive
+    // count as received at the previous event. A member that commits do not wait for may receive
     // an operation at any later time, so its age is not known.
     const LogAssignment* assignment = view_.Log(message.log);
     const LogReplica* self = assignment == nullptr ? nullptr : assignment->Find(options_.self);
     if (self == nullptr || self->store_id != options_.store_id ||
         message.commit_index > log->End()) {
-      log->undated_end = std::max(log->undated_end, message.operations.back().sequence);
+      log->unknown_age_end = std::max(log->unknown_age_end, message.operations.back().sequence);
     } else {
       log->AddAgeMark(previous_event_at_ - kMaxTransitS);
     }
--- a/src/net/cluster/async_record_store.h
+++ b/src/net/cluster/async_record_store.h
@@ -66,7 +66,7 @@
     WriteCallback callback;
   };
   bool OpenFile(std::uint64_t new_store_id, std::string* error);
-  void SetAside();
+  void SetAside();  // closes the file and renames it to copies.db.damaged
   void OnWritten(std::uint64_t generation, std::uint64_t ticket, bool ok);
   void CompleteWrites(std::uint64_t ticket);
 
@@ -79,7 +79,7 @@
   bool failed_ = false;
   Metrics metrics_;
   TaskQueue task_queue_;
-  // Declared last, so destroyed first: its thread posts to the mailbox above.
+  // Declared last, so destroyed first: its thread posts to task_queue_.
   std::unique_ptr<store::RecordStore> store_;
 };
 
--- a/src/net/cluster/frame.h
+++ b/src/net/cluster/frame.h
@@ -3,7 +3,7 @@
 //   'm' 'h', protocol version (1 byte), kind of the body (1), length of the body (4), cluster (8),
 //   sender (8), the sender's process incarnation (8), sequence number (8), the body, and the XXH3
 //   hash of all before it (8).
-// Integers are little-endian. A frame with another version is refused; one with an unknown kind is
+// Integers are little-endian. A frame with another version is rejected; one with an unknown kind is
 // skipped.
 #ifndef MILLETHOLLOW_NET_CLUSTER_FRAME_H_
 #define MILLETHOLLOW_NET_CLUSTER_FRAME_H_
--- a/src/net/cluster/log_replicator.cpp
+++ b/src/net/cluster/log_replicator.cpp
@@ -32,7 +32,7 @@
   options_.store_id = store_->store_id();
   logs_ = std::make_unique<ReplicatedLogs>(options_, records);
   if (store_->failed()) logs_->OnStoreFailed();
-  Reevaluate();
+  OnViewOrLeaseChanged();
 }
 
 void LogReplicator::RecreateStore() {
@@ -46,7 +46,7 @@
   loading_.clear();
   logs_ = std::make_unique<ReplicatedLogs>(options_, AsyncRecordStore::Records{});
   if (store_->failed()) logs_->OnStoreFailed();
-  loop_->Defer([this] { Reevaluate(); });
+  loop_->Defer([this] { OnViewOrLeaseChanged(); });
 }
 
 void LogReplicator::RunEvent(const std::function<void(ReplicatedLogs*, double, Actions*)>& event) {
@@ -155,7 +155,7 @@
                });
 }
 
-void LogReplicator::Reevaluate() {
+void LogReplicator::OnViewOrLeaseChanged() {
   RunEvent([](ReplicatedLogs*, double, Actions*) {});
 }
 
@@ -173,11 +173,11 @@
   RunEvent([log](ReplicatedLogs* logs, double, Actions*) { logs->Close(log); });
 }
 
-SequenceNumber LogReplicator::Append(LogId log, std::string key, std::string value, bool erased,
+SequenceNumber LogReplicator::Append(LogId log, std::string key, std::string value, bool erase,
                                      ReplicatedLogs::AppendError* reason) {
   SequenceNumber sequence = 0;
   RunEvent([&](ReplicatedLogs* logs, double now, Actions* actions) {
-    sequence = logs->Append(now, log, std::move(key), std::move(value), erased, reason, actions);
+    sequence = logs->Append(now, log, std::move(key), std::move(value), erase, reason, actions);
   });
   return sequence;
 }
@@ -194,8 +194,8 @@
 
 void LogReplicator::ScheduleTick() {
   loop_->deadlines().Drop(&tick_timer_);
-  tick_timer_ =
-      loop_->deadlines().At(loop_->Now() + std::max(0.0, logs_->NextAt() - hooks_.now()), [this] {
+  tick_timer_ = loop_->deadlines().At(
+      loop_->Now() + std::max(0.0, logs_->NextTickAt() - hooks_.now()), [this] {
         tick_timer_ = Deadlines::kNone;
         RunEvent(
             [](ReplicatedLogs* logs, double now, Actions* actions) { logs->Tick(now, actions); });
--- a/src/net/cluster/log_replicator.h
+++ b/src/net/cluster/log_replicator.h
@@ -54,7 +54,7 @@
   // Loads the logs from the store, blocking. To be called once, before all that follows.
   void Start();
   // To be called when the view or the lease may have changed.
-  void Reevaluate();
+  void OnViewOrLeaseChanged();
   void OnMessage(membership::NodeId from, const copies::ReplicationMessage& message);
   // Requests a log that this member owns.
   void Open(copies::LogId log);
@@ -62,7 +62,7 @@
   void Close(copies::LogId log);
   // Appends an operation that sets `key`, or erases it. Returns its sequence number, or 0 and a
   // reason. It is durable once LogObserver::committed reports it.
-  copies::SequenceNumber Append(copies::LogId log, std::string key, std::string value, bool erased,
+  copies::SequenceNumber Append(copies::LogId log, std::string key, std::string value, bool erase,
                                 copies::ReplicatedLogs::AppendError* reason);
   // Whether this member may act on the log, by a clock read at the time of the call.
   bool MayAct(copies::LogId log);
@@ -80,8 +80,8 @@
   void RecreateStore();
   void ScheduleTick();
 
-  static constexpr std::size_t kMaxChunkBytes = 96 * 1024;
-  static constexpr std::size_t kLoadBatchEntries = 256;
+  static constexpr std::size_t kMaxChunkBytes = 96 * 1024;  // of values in a snapshot chunk
+  static constexpr std::size_t kLoadBatchEntries = 256;     // entries per read of the store
 
   Loop* loop_;
   AsyncRecordStore* store_;
--- a/src/net/cluster/maintenance_store.cpp
+++ b/src/net/cluster/maintenance_store.cpp
@@ -31,8 +31,8 @@
     const auto gossip = codec::DecodeMaintenanceGossip(value);
     if (gossip && gossip->records.size() == 1) maintenance.push_back(gossip->records[0]);
   }
-  // Names of workers accumulate over the years: records above the limit are removed from the disk
-  // too.
+  // Records of workers that no longer exist accumulate: those above the limit are removed from the
+  // disk too.
   std::stable_partition(maintenance.begin(), maintenance.end(),
                         [](const auto& record) { return record.InMaintenance(); });
   if (maintenance.size() > membership::MaintenanceRegistry::kMaxWorkers) {
--- a/src/net/cluster/member.cpp
+++ b/src/net/cluster/member.cpp
@@ -361,7 +361,7 @@
     held_lease_ = holds_lease;
     Events().info("cluster lease={} epoch={}", holds_lease ? "held" : "lost", view.epoch);
   }
-  if (log_replicator_ && actions->new_view) log_replicator_->Reevaluate();
+  if (log_replicator_ && actions->new_view) log_replicator_->OnViewOrLeaseChanged();
   if (quota_manager_ && actions->new_view) quota_manager_->OnViewChanged();
   ScheduleTick();
 }
--- a/src/net/cluster/member.h
+++ b/src/net/cluster/member.h
@@ -37,12 +37,13 @@
 // Does not own the loop. All calls and callbacks are on the loop's thread.
 class Member {
  public:
-  // The first two report what other members decided or noticed, to be applied at this node too.
+  // set_maintenance and on_worker_down report what other members decided or noticed, to be applied
+  // at this node too.
   struct Hooks {
     std::function<void(const std::string& worker, bool in_maintenance)> set_maintenance;
     // A worker drains, or is gone. `started_at_s` tells its processes apart (Unix time).
     std::function<void(const std::string& worker, double started_at_s, bool gone)> on_worker_down;
-    // By tenant, if quotas are leased: jobs per second that arrived lately.
+    // By tenant, if quotas are leased: requests per second that arrived lately.
     std::function<std::vector<double>()> tenant_demand = {};
   };
   // The result of SetMaintenance. True: another member has stored the change, and so has this one
@@ -61,7 +62,7 @@
   // Opens the stores, blocking, and the sockets; false, with a reason, if that fails. To be called
   // once, before all that follows.
   bool Start(std::string* error);
-  // Announces that this process ends, and returns its lease.
+  // Announces that this process ends, and releases its lease.
   void Leave();
   // An operator put a worker into maintenance at this node, or took it out: replicates that to all
   // members.
@@ -141,9 +142,9 @@
   bool held_lease_ = false;  // as last logged
   TaskQueue task_queue_;
   std::unique_ptr<store::VoteFile> vote_file_;           // null: this member has no store
-  std::unique_ptr<AsyncRecordStore> store_;              // likewise
-  std::unique_ptr<MaintenanceStore> maintenance_store_;  // likewise
-  std::unique_ptr<LogReplicator> log_replicator_;        // likewise
+  std::unique_ptr<AsyncRecordStore> store_;              // null: this member has no store
+  std::unique_ptr<MaintenanceStore> maintenance_store_;  // null: this member has no store
+  std::unique_ptr<LogReplicator> log_replicator_;        // null: this member has no store
   std::unique_ptr<QuotaLeaseManager> quota_manager_;     // null: quotas are not leased
 };
 
--- a/src/net/cluster/quota_lease_manager.cpp
+++ b/src/net/cluster/quota_lease_manager.cpp
@@ -14,8 +14,8 @@
 using membership::NodeId;
 
 constexpr double kDemandIntervalS = 0.1;  // between two samples of the demand
-constexpr double kMinDemandRps =
-    0.01;  // jobs per second; an average that decays below this counts as none
+// An average demand that decays below this counts as none.
+constexpr double kMinDemandRps = 0.01;
 constexpr double kMinTickDelayS = 0.001;      // before the next tick
 constexpr std::size_t kMaxLoggedTenants = 5;  // in one line of the log
 
@@ -125,7 +125,7 @@
 void QuotaLeaseManager::OnViewChanged() {
   const membership::View& view = hooks_.view();
   // The leases of an earlier process of this member are not known here: until a view contains this
-  // process, it uses its floors alone.
+  // process, it uses the floor rates alone.
   const bool first = epoch_ == 0;
   if (view.epoch <= epoch_ || (first && !InView(view))) return;
   epoch_ = view.epoch;
--- a/src/net/cluster/quota_lease_manager.h
+++ b/src/net/cluster/quota_lease_manager.h
@@ -22,7 +22,7 @@
 // A tenant of the configuration.
 struct NamedQuota {
   std::string name;
-  double quota = 0;  // jobs per second over all members; 0: no quota
+  double quota = 0;  // requests per second over all members; 0: no quota
 };
 
 // Does not own the loop. All calls and callbacks are on the loop's thread.
@@ -35,7 +35,7 @@
     // Whether this member holds its membership lease, by a clock read at the time of the call.
     std::function<bool()> holds_lease;
     std::function<void(membership::NodeId to, const quota::Message&)> send;
-    // By tenant: jobs per second that arrived lately, whether admitted or not.
+    // By tenant: requests per second that arrived lately, whether admitted or not.
     std::function<std::vector<double>()> demand;
   };
   struct Options {
@@ -68,7 +68,7 @@
   // Changes the quotas of the same tenants, in the order of Options::tenants.
   void SetQuotas(const std::vector<double>& quotas);
 
-  // By tenant: the rate in jobs per second that this member may admit; negative for a tenant
+  // By tenant: the rate in requests per second that this member may admit; negative for a tenant
   // without a quota. Depends on the time of the call, so it must not be cached.
   std::vector<double> AdmissibleRates() const;
   Allocation CurrentAllocation() const;
--- a/src/net/cluster/replicated_durable_jobs.cpp
+++ b/src/net/cluster/replicated_durable_jobs.cpp
@@ -48,10 +48,10 @@
       jobs_(
           limits, number,
           {.append =
-               [this](copies::LogId log, std::string key, std::string value, bool erased,
+               [this](copies::LogId log, std::string key, std::string value, bool erase,
                       copies::ReplicatedLogs::AppendError* reason) {
                  return member_->log_replicator()->Append(log, std::move(key), std::move(value),
-                                                          erased, reason);
+                                                          erase, reason);
                },
            .may_act = [this](copies::LogId log) { return member_->log_replicator()->MayAct(log); },
            .open = [this](copies::LogId log) { member_->log_replicator()->Open(log); },
@@ -66,11 +66,11 @@
                  if (runner_ != nullptr) runner_->Abort(handle);
                },
            .on_ended =
-               [](const copies::JobRecord& job, DurableJobQueue::JobOutcome outcome) {
+               [](const copies::JobRecord& job, DurableJobQueue::RoundOutcome outcome) {
                  Events().info(
                      "cluster job={} function={} tenant={} ended={}", job.handle, job.function,
                      job.tenant,
-                     outcome == DurableJobQueue::JobOutcome::kCompleted ? "served" : "failed");
+                     outcome == DurableJobQueue::RoundOutcome::kCompleted ? "served" : "failed");
                }}) {
   member_->log_replicator()->SetObserver(
       {.acquired =
@@ -100,7 +100,7 @@
 
 void ReplicatedDurableJobs::ScheduleTick() {
   loop_->deadlines().Drop(&tick_timer_);
-  const double delay_s = std::min(kLeaseCheckIntervalS, jobs_.NextAt() - Member::Now());
+  const double delay_s = std::min(kLeaseCheckIntervalS, jobs_.NextTickAt() - Member::Now());
   tick_timer_ = loop_->deadlines().At(loop_->Now() + std::max(0.0, delay_s), [this] {
     tick_timer_ = Deadlines::kNone;
     jobs_.OnLease(Member::Now(), member_->HoldsLease());
@@ -136,11 +136,11 @@
 
 void ReplicatedDurableJobs::Complete(const std::string& handle, const FinalAnswer& answer) {
   using Kind = FinalAnswer::Kind;
-  jobs_.OnJobEnded(Member::Now(), handle,
-                   answer.kind == Kind::kCompleted  ? DurableJobQueue::JobOutcome::kCompleted
-                   : answer.kind == Kind::kRejected ? DurableJobQueue::JobOutcome::kRejected
-                                                    : DurableJobQueue::JobOutcome::kFailed,
-                   answer.retry_after_s, answer.ran_at);
+  jobs_.OnRoundEnded(Member::Now(), handle,
+                     answer.kind == Kind::kCompleted  ? DurableJobQueue::RoundOutcome::kCompleted
+                     : answer.kind == Kind::kRejected ? DurableJobQueue::RoundOutcome::kRejected
+                                                      : DurableJobQueue::RoundOutcome::kFailed,
+                     answer.retry_after_s, answer.ran_at);
   ScheduleTick();
 }
 
--- a/src/net/cluster/replicated_durable_jobs.h
+++ b/src/net/cluster/replicated_durable_jobs.h
@@ -27,11 +27,11 @@
   ReplicatedDurableJobs(const ReplicatedDurableJobs&) = delete;
   ReplicatedDurableJobs& operator=(const ReplicatedDurableJobs&) = delete;
 
-  // Without a runner, each run ends as rejected and is tried again.
+  // Without a runner, each round ends as rejected and is repeated later.
   void SetRunner(DurableJobRunner* runner) { runner_ = runner; }
-  // Starts no further runs.
+  // Starts no further rounds.
   void Stop() { jobs_.Stop(); }
-  // Whether all runs have ended and their results are stored.
+  // Whether all rounds have ended and the ends of jobs are committed.
   bool Idle() const { return jobs_.Idle(); }
 
   // DurableJobs:
--- a/src/net/cluster/transport.cpp
+++ b/src/net/cluster/transport.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t kMaxUnsentBytes = 4 * 1024 * 1024;
 constexpr double kFrameTimeoutS = 3.0;     // from connecting to the end of the first frame
 constexpr double kIdleTimeoutS = 20.0;     // from one frame to the next on an ordered stream
-constexpr int kMaxDatagramsPerTurn = 256;  // so that a flood does not block the loop
+constexpr int kMaxDatagramsPerTurn = 256;  // so that many datagrams do not block the loop
 
 }  // namespace
 
@@ -31,12 +31,12 @@
         transport_(transport),
         outgoing_(outgoing),
         ordered_peer_(ordered_peer) {
-    (outgoing_ ? transport_->outgoing_ : transport_->incoming_) += 1;
+    (outgoing_ ? transport_->outgoing_streams_ : transport_->incoming_streams_) += 1;
     SetTimeout(kFrameTimeoutS);
   }
   ~Stream() override {
     loop_->deadlines().Drop(&timeout_);
-    (outgoing_ ? transport_->outgoing_ : transport_->incoming_) -= 1;
+    (outgoing_ ? transport_->outgoing_streams_ : transport_->incoming_streams_) -= 1;
   }
   void AdoptSocket(evutil_socket_t fd) { Adopt(fd); }
   void ConnectAndSend(const sockaddr_in& to, const std::string& frame) {
@@ -126,7 +126,7 @@
   return listener_.Open(
       loop_, address,
       [this](evutil_socket_t fd) {
-        if (incoming_ >= kMaxIncomingStreams) {
+        if (incoming_streams_ >= kMaxIncomingStreams) {
           close(fd);
           return;
         }
@@ -148,7 +148,7 @@
   counters_.bytes_out += frame.size();
   if (ordered) return SendOrdered(to, peer->second, frame);
   if (frame.size() <= kMaxDatagramBytes) return SendDatagram(peer->second, frame);
-  if (outgoing_ >= kMaxOutgoingStreams) {
+  if (outgoing_streams_ >= kMaxOutgoingStreams) {
     counters_.dropped += 1;
     return;
   }
@@ -166,7 +166,7 @@
     if (!existing->second->Append(frame)) counters_.dropped += 1;
     return;
   }
-  if (outgoing_ >= kMaxOutgoingStreams) {
+  if (outgoing_streams_ >= kMaxOutgoingStreams) {
     counters_.dropped += 1;
     return;
   }
--- a/src/net/cluster/transport.h
+++ b/src/net/cluster/transport.h
@@ -1,8 +1,8 @@
 // Sends frames between the members of a cluster. Frames of up to kMaxDatagramBytes go by UDP;
 // longer ones go by TCP to the same address and port, each on a connection of its own. Ordered
-// frames share one lasting TCP connection to each member. There are no acknowledgements and no
-// retransmissions here: protocols that need them send again. Connections, unsent bytes and times
-// are bounded. Everything here runs on the loop's thread.
+// frames share one TCP connection to each member, which stays open. There are no acknowledgements
+// and no retransmissions here: protocols that need them send again. Connections, unsent bytes and
+// times are bounded. Everything here runs on the loop's thread.
 #ifndef MILLETHOLLOW_NET_CLUSTER_TRANSPORT_H_
 #define MILLETHOLLOW_NET_CLUSTER_TRANSPORT_H_
 
@@ -63,8 +63,8 @@
   Listener listener_;
   std::map<membership::NodeId, sockaddr_in> peers_;
   std::map<Stream*, std::unique_ptr<Stream>> streams_;
-  std::map<membership::NodeId, Stream*> ordered_streams_;  // by receiver
-  std::size_t incoming_ = 0, outgoing_ = 0;                // numbers of streams
+  std::map<membership::NodeId, Stream*> ordered_streams_;    // by receiver
+  std::size_t incoming_streams_ = 0, outgoing_streams_ = 0;  // numbers of streams
   TransportCounters counters_;
 };
 
--- a/tests/durable_job_queue_test.cpp
+++ b/tests/durable_job_queue_test.cpp
@@ -123,7 +123,7 @@
             .run = [this, i](const DurableJobQueue::Round& round) { RunRound(i, round); },
             .abort = [this](const std::string&) { aborted += 1; },
             .on_ended = [this](const JobRecord& job,
-                               DurableJobQueue::JobOutcome outcome) { OnEnded(job, outcome); }});
+                               DurableJobQueue::RoundOutcome outcome) { OnEnded(job, outcome); }});
     TickLoop(i);
   }
   void TickLoop(std::size_t i) {
@@ -167,9 +167,9 @@
             if (!nodes_[i].jobs || !nodes_[i].jobs->Has(handle)) return;
             const auto send = [this, i, handle, worker, ran_at, age_s, started_at](bool recorded) {
               if (age_s + world_.now() - started_at > kWindowS)
-                return EndRound(i, handle, DurableJobQueue::JobOutcome::kFailed);
+                return EndRound(i, handle, DurableJobQueue::RoundOutcome::kFailed);
               if (!recorded || !nodes_[i].jobs->MayAct(handle))
-                return EndRound(i, handle, DurableJobQueue::JobOutcome::kRejected, ran_at);
+                return EndRound(i, handle, DurableJobQueue::RoundOutcome::kRejected, ran_at);
               ExecuteAtWorker(i, handle, worker);
             };
             if (!at_most_once || injected_.sends_before_commit) return send(true);
@@ -190,22 +190,22 @@
       history.first_at = world_.now();
     }
     const auto roll = random_.Below(20);
-    const DurableJobQueue::JobOutcome outcome = roll == 0 ? DurableJobQueue::JobOutcome::kFailed
-                                                : roll < 3 && !history.at_most_once
-                                                    ? DurableJobQueue::JobOutcome::kRejected
-                                                    : DurableJobQueue::JobOutcome::kCompleted;
+    const DurableJobQueue::RoundOutcome outcome = roll == 0 ? DurableJobQueue::RoundOutcome::kFailed
+                                                  : roll < 3 && !history.at_most_once
+                                                      ? DurableJobQueue::RoundOutcome::kRejected
+                                                      : DurableJobQueue::RoundOutcome::kCompleted;
     After(i, 0.3 * random_.Unit(), [this, i, handle, outcome] { EndRound(i, handle, outcome); });
   }
-  void EndRound(std::size_t i, const std::string& handle, DurableJobQueue::JobOutcome outcome,
+  void EndRound(std::size_t i, const std::string& handle, DurableJobQueue::RoundOutcome outcome,
                 const std::vector<std::string>& ran_at = {}) {
-    if (nodes_[i].jobs) nodes_[i].jobs->OnJobEnded(world_.now(), handle, outcome, 0.1, ran_at);
+    if (nodes_[i].jobs) nodes_[i].jobs->OnRoundEnded(world_.now(), handle, outcome, 0.1, ran_at);
   }
-  void OnEnded(const JobRecord& job, DurableJobQueue::JobOutcome outcome) {
+  void OnEnded(const JobRecord& job, DurableJobQueue::RoundOutcome outcome) {
     ObservedJob& history = histories_[job.handle];
     if (history.ended) ReportViolation(job.handle + " ended twice");
-    if (outcome == DurableJobQueue::JobOutcome::kCompleted && history.runs == 0)
+    if (outcome == DurableJobQueue::RoundOutcome::kCompleted && history.runs == 0)
       ReportViolation(job.handle + " is reported as completed, but no worker ran it");
-    failed += outcome == DurableJobQueue::JobOutcome::kFailed;
+    failed += outcome == DurableJobQueue::RoundOutcome::kFailed;
     history.ended = true;
   }
   // Runs the event later, if the process still runs then.
@@ -268,11 +268,11 @@
     jobs.OnLease(100, true);
     for (double now = 100; now < 150; now += 0.1) {
       jobs.Tick(now);
-      EXPECT_GT(jobs.NextAt(), now);
+      EXPECT_GT(jobs.NextTickAt(), now);
     }
     EXPECT_EQ(opened.size(), accepts ? 2U : 0U);
     jobs.Stop();
-    EXPECT_GT(jobs.NextAt(), 1e9);
+    EXPECT_GT(jobs.NextTickAt(), 1e9);
   }
 }
 
