--- a/bench/scale/axis_workers.cpp
+++ b/bench/scale/axis_workers.cpp
@@ -189,10 +189,10 @@
                  static_cast<double>(indented_bytes) / static_cast<double>(kMaxListBytes));
   Samples readings;
   for (int i = 0; i < effort.list_readings; ++i) {
-    ServerList list;
+    EndpointList list;
     std::string error;
     const Stopwatch watch;
-    const bool read = ReadServerList(plain, ZoneNames(), KindNames(), &list, &error);
+    const bool read = ReadEndpointList(plain, ZoneNames(), KindNames(), &list, &error);
     readings.Add(watch.Nanoseconds());
     if (!read || list.entries.size() != static_cast<std::size_t>(workers)) {
       throw std::runtime_error("the list can't be read: " + error);
--- a/src/config/cluster.cpp
+++ b/src/config/cluster.cpp
@@ -93,7 +93,7 @@
     return fail("1, 3, 5 or 7 members must be voters, not " + std::to_string(voters));
   }
   if (self->voter && options.store.empty())
-    return fail("a voter needs a folder: 'store' is missing");
+    return fail("a voter needs a directory: 'store' is missing");
   if (options.min_replicas > options.copies)
     return fail("'copies_least' must not be over 'copies'");
   if (options.min_replicas > options.members.size()) {
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -107,14 +107,15 @@
   }
   const Json functions = ObjectOrEmpty(gearman, "functions");
   for (const auto& [name, mapping] : functions.items()) {
-    std::string cls, tenant;
+    std::string class_name, tenant;
     if (!mapping.is_object())
       return *error = "configuration: not an object: gearman.functions." + name, false;
-    if (!ReadValue(mapping, "class", &cls, error) || !ReadValue(mapping, "tenant", &tenant, error))
+    if (!ReadValue(mapping, "class", &class_name, error) ||
+        !ReadValue(mapping, "tenant", &tenant, error))
       return false;
-    const GearmanFunction function{IndexOf(config->classes, cls),
+    const GearmanFunction function{IndexOf(config->classes, class_name),
                                    tenant.empty() ? 0 : IndexOf(config->tenants, tenant)};
-    if (function.cls < 0)
+    if (function.class_index < 0)
       return *error = "configuration: gearman function " + name + ": 'class' names no class", false;
     if (function.tenant < 0)
       return *error = "configuration: gearman function " + name + ": 'tenant' names no tenant",
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -17,7 +17,7 @@
 
 // Indices of the class and the tenant of the jobs of one Gearman function.
 struct GearmanFunction {
-  int cls = 0, tenant = 0;
+  int class_index = 0, tenant = 0;
 };
 
 // Configuration of a process.
--- a/src/config/reload.cpp
+++ b/src/config/reload.cpp
@@ -105,7 +105,7 @@
                           Config* config) {
   ClassChanges changes;
   std::vector<bool> active(config->classes.size(), false);
-  std::vector<int> index_of;  // by the order of classes in the new file
+  std::vector<int> index_by_new_index;  // in `config`, by the index in the new file
   std::vector<std::size_t> without_index;
   for (std::size_t new_index = 0; new_index < new_config.classes.size(); ++new_index) {
     int index = -1;
@@ -114,7 +114,7 @@
       if (SameSettings(config->settings.classes[i], new_config.settings.classes[new_index]))
         index = static_cast<int>(i);
     }
-    index_of.push_back(index);
+    index_by_new_index.push_back(index);
     if (index >= 0) active[static_cast<std::size_t>(index)] = true;
     if (index < 0) without_index.push_back(new_index);
   }
@@ -134,13 +134,13 @@
     config->classes[i] = new_config.classes[new_index];
     config->settings.classes[i] = new_config.settings.classes[new_index];
     active[i] = true;
-    index_of[new_index] = static_cast<int>(i);
-    changes.reassigned.push_back(index_of[new_index]);
+    index_by_new_index[new_index] = static_cast<int>(i);
+    changes.reassigned.push_back(index_by_new_index[new_index]);
   }
   config->class_active = std::move(active);
   config->gearman_functions = new_config.gearman_functions;
   for (auto& [name, function] : config->gearman_functions) {
-    function.cls = index_of[static_cast<std::size_t>(function.cls)];
+    function.class_index = index_by_new_index[static_cast<std::size_t>(function.class_index)];
   }
   return changes;
 }
--- a/src/encoding/fields.h
+++ b/src/encoding/fields.h
@@ -1,8 +1,8 @@
 // Encoding of messages between members of a cluster and of their stored records: a sequence of
 // fields, each a number (one byte), a length (a base-128 varint) and a value. Values are
 // little-endian. Callers skip fields with unknown numbers, so that different builds can read each
-// other's data. A field that is shorter than its type is an error; of a longer one the front is
-// read.
+// other's data. A field that is shorter than its type is an error; of a longer one the first
+// bytes are read.
 #ifndef MILLETHOLLOW_ENCODING_FIELDS_H_
 #define MILLETHOLLOW_ENCODING_FIELDS_H_
 
--- a/src/net/admin/admin_server.h
+++ b/src/net/admin/admin_server.h
@@ -34,8 +34,9 @@
     // The body of /members, as JSON. Empty if the process belongs to no cluster.
     std::function<std::string()> members_json;
   };
-  // Taken from the descriptors that DescriptorBudget reserves. A new connection beyond the limit
-  // evicts the oldest open one, so that idle connections cannot lock operators out.
+  // Most open connections; their descriptors are among those that DescriptorBudget reserves. A new
+  // connection beyond the limit evicts the oldest open one, so that idle connections cannot lock
+  // operators out.
   static constexpr std::size_t kMaxConnections = 24;
 
   AdminServer(Loop* loop, Hooks hooks);
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -19,7 +19,7 @@
 // Beyond it the kernel's flow control holds the peer back.
 constexpr std::size_t kMaxBufferedBytes = 128 * 1024;
 // Interval of the checks for a peer's close while input is paused.
-constexpr double kPeerCloseCheckS = 0.05;
+constexpr double kPeerCloseCheckIntervalS = 0.05;
 
 }  // namespace
 
@@ -58,8 +58,8 @@
       },
       [](bufferevent*, void* arg) {
         // libevent also calls this when a new socket becomes writable, when output may already be
-        // buffered. Reporting that as drained made the owner half-close the connection before the
-        // response was sent.
+        // buffered. Reported as drained, that would make the owner half-close the connection before
+        // the response is sent.
         auto* self = static_cast<Connection*>(arg);
         if (!self->closed() && self->Drained()) self->OnDrained();
       },
@@ -100,9 +100,10 @@
 }
 
 // While input is paused, libevent does not report the end of the stream behind the buffered bytes:
-// a peer that had sent much and disconnected was taken for one that still waits for its response.
+// without this check, a peer that sent much and disconnected would be taken for one that still
+// waits for its response.
 void Connection::CheckForPeerClose() {
-  peer_close_check_ = loop_->deadlines().At(loop_->Now() + kPeerCloseCheckS, [this] {
+  peer_close_check_ = loop_->deadlines().At(loop_->Now() + kPeerCloseCheckIntervalS, [this] {
     peer_close_check_ = Deadlines::kNone;
     if (closed() || !input_paused_) return;
     pollfd poll_request{.fd = descriptor(), .events = POLLRDHUP, .revents = 0};
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -22,13 +22,13 @@
 // it should have returned count as delivered by then.
 constexpr double kLongPollGraceS = 1.5;
 // Longest time for which discovery may hold a long poll. A long poll that is never answered is
-// noticed only kLongPollGraceS after it, and changes are missed until then. Short long polls
+// noticed only kLongPollGraceS after that time, and changes are missed until then. Short long polls
 // keep that time short and cost discovery little.
 constexpr double kMaxLongPollS = 3;
 // Discovery serves polls one at a time. With more nodes than this, short long polls alone
-// keep it busy, and each change ends all of them at once: most polls were then queued until
-// they failed, and the nodes kept sending to workers long gone. Nodes of larger tiers use longer
-// long polls, spread their polls over time, and back off for longer after a failure.
+// keep it busy, and each change ends all of them at once: most polls would then be queued until
+// they fail, and the nodes would keep sending to workers that are gone. Nodes of larger tiers use
+// longer long polls, spread their polls over time, and back off for longer after a failure.
 constexpr int kSmallTierNodes = 6;
 constexpr double kLargeTierLongPollS = 12;
 // Jitter as a share of the long poll, so that long polls that time out together are not repeated
@@ -46,9 +46,10 @@
 constexpr double kMaxSendHoldS = 1.0;
 // After a change of address: the changes known at the new address count as delivered this long
 // after it. Until then failed polls are retried quickly.
-constexpr double kAddressChangeS = 4.0;
+constexpr double kAddressChangeDeliveryS = 4.0;
 constexpr double kAddressChangeRetryS = 0.15;
 
+// The index that the field gives, as a number or by name; 0 if it is missing or unknown.
 int IndexOf(const std::vector<std::string>& names, const Json& entry, const char* field) {
   const auto it = entry.find(field);
   if (it == entry.end()) return 0;
@@ -68,14 +69,15 @@
 
 }  // namespace
 
-std::vector<balancing::Endpoint> ServerList::Members() const {
-  std::vector<balancing::Endpoint> members;
-  for (const ListEntry& entry : entries) members.push_back(entry.member);
-  return members;
+std::vector<balancing::Endpoint> EndpointList::Endpoints() const {
+  std::vector<balancing::Endpoint> endpoints;
+  for (const ListEntry& entry : entries) endpoints.push_back(entry.endpoint);
+  return endpoints;
 }
 
-bool ReadServerList(std::string_view text, const std::vector<std::string>& zones,
-                    const std::vector<std::string>& kinds, ServerList* list, std::string* error) {
+bool ReadEndpointList(std::string_view text, const std::vector<std::string>& zones,
+                      const std::vector<std::string>& kinds, EndpointList* list,
+                      std::string* error) {
   const Json object = Json::parse(text, nullptr, false);
   if (!object.is_object()) return *error = "the list is not a JSON object", false;
   const auto servers = object.find("servers");
@@ -88,7 +90,7 @@
   for (const Json& server : *servers) {
     if (!server.is_object() || !server.contains("id") || !server["id"].is_string()) continue;
     ListEntry entry;
-    entry.member.worker = server["id"].get<std::string>();
+    entry.endpoint.worker = server["id"].get<std::string>();
     if (server.contains("addr") && server["addr"].is_string())
       entry.address = server["addr"].get<std::string>();
     entry.max_in_flight =
@@ -97,16 +99,16 @@
                                   ? server["state"].get<std::string>()
                                   : std::string("in_service");
     // A worker in an unknown state gets no new requests, as one that is draining.
-    entry.member.readiness = state == "in_service"   ? Readiness::kReady
-                             : state == "terminated" ? Readiness::kGone
-                                                     : Readiness::kDraining;
-    entry.member.zone = IndexOf(zones, server, "zone");
-    entry.member.kind = IndexOf(kinds, server, "kind");
-    entry.member.cell = static_cast<int>(std::clamp(Number(server, "cell", 0), -1e9, 1e9));
-    entry.member.capacity_hint = Number(server, "weight", 1.0);
-    entry.member.slots = std::clamp(Number(server, "slots", 0), 0.0, 1e6);
-    entry.member.memory = std::clamp(Number(server, "memory", 0), 0.0, 1e12);
-    entry.member.started_at_s =
+    entry.endpoint.readiness = state == "in_service"   ? Readiness::kReady
+                               : state == "terminated" ? Readiness::kGone
+                                                       : Readiness::kDraining;
+    entry.endpoint.zone = IndexOf(zones, server, "zone");
+    entry.endpoint.kind = IndexOf(kinds, server, "kind");
+    entry.endpoint.cell = static_cast<int>(std::clamp(Number(server, "cell", 0), -1e9, 1e9));
+    entry.endpoint.capacity_hint = Number(server, "weight", 1.0);
+    entry.endpoint.slots = std::clamp(Number(server, "slots", 0), 0.0, 1e6);
+    entry.endpoint.memory = std::clamp(Number(server, "memory", 0), 0.0, 1e12);
+    entry.endpoint.started_at_s =
         Number(server, "started_ms", 0) / 1000;  // the loop's clock is Unix time
     list->entries.push_back(std::move(entry));
   }
@@ -217,9 +219,9 @@
 
 double Discovery::LongPollS() {
   if (IsLargeTier()) {
-    const double max_wait_s =
+    const double max_hold_s =
         std::min(kLargeTierLongPollS, kMaxLongPollS * options_.nodes / kSmallTierNodes);
-    return max_wait_s * (1 - kLongPollJitter * RandomUnit());
+    return max_hold_s * (1 - kLongPollJitter * RandomUnit());
   }
   return std::min(kMaxLongPollS, std::max(1.0, options_.max_poll_interval_s * 0.8));
 }
@@ -229,10 +231,10 @@
   return static_cast<double>(random_state_ >> 40) / static_cast<double>(1 << 24);
 }
 
-// Polls after `wait_s` seconds; `long_poll` makes it a long poll.
-void Discovery::SchedulePoll(double wait_s, bool long_poll) {
+// Polls after `delay_s` seconds; `long_poll` makes it a long poll.
+void Discovery::SchedulePoll(double delay_s, bool long_poll) {
   loop_->deadlines().Drop(&poll_timer_);
-  poll_timer_ = loop_->deadlines().At(loop_->Now() + wait_s, [this, long_poll] {
+  poll_timer_ = loop_->deadlines().At(loop_->Now() + delay_s, [this, long_poll] {
     poll_timer_ = Deadlines::kNone;
     if (watching_ && !stopped_) SendPoll(false, long_poll ? LongPollS() : 0);
   });
@@ -248,7 +250,7 @@
   if (watching_) return;  // the current poll will return the changes
   watching_ = true;
   loop_->deadlines().Drop(&poll_timer_);
-  if (IsLargeTier() && loop_->Now() - address_changed_at_ >= kAddressChangeS)
+  if (IsLargeTier() && loop_->Now() - address_changed_at_ >= kAddressChangeDeliveryS)
     return SchedulePoll(backoff_.InitialDelay(RandomUnit()));
   // The first poll is no long poll: it returns the changes so far and shows that discovery is up.
   SendPoll(false, 0);
@@ -267,7 +269,7 @@
   if (fetch_ != nullptr) Drop(fetch_.get());
 }
 
-void Discovery::SendPoll(bool is_fetch, double wait_s, bool immediate) {
+void Discovery::SendPoll(bool is_fetch, double hold_s, bool immediate) {
   auto& connection = is_fetch ? fetch_ : watch_;
   if (connection == nullptr || connection->closed()) {
     if (connection != nullptr) Drop(connection.get());
@@ -275,12 +277,12 @@
     if (!connection->Open(options_.address))
       return OnPollFailed(connection.get(), "no-connection", is_fetch);
   }
-  const auto wait_ms = static_cast<long long>(wait_s * 1000);
+  const auto hold_ms = static_cast<long long>(hold_s * 1000);
   connection->SendPoll(
       is_fetch || awaiting_first_list_ ? "/catalog/members"
                                        : "/catalog/members?after=" + std::to_string(version_) +
-                                             "&wait_ms=" + std::to_string(wait_ms),
-      wait_s > 0 ? wait_s + kLongPollGraceS : kPollTimeoutS, wait_s > 0, immediate);
+                                             "&wait_ms=" + std::to_string(hold_ms),
+      hold_s > 0 ? hold_s + kLongPollGraceS : kPollTimeoutS, hold_s > 0, immediate);
 }
 
 void Discovery::OnAnswer(DiscoveryConnection* connection, int status, const std::string& body,
@@ -289,9 +291,9 @@
     if (status == 200) OnOldAddressAnswer(body);
     return Drop(connection);
   }
-  ServerList list;
+  EndpointList list;
   std::string error;
-  if (status != 200 || !ReadServerList(body, options_.zones, options_.kinds, &list, &error)) {
+  if (status != 200 || !ReadEndpointList(body, options_.zones, options_.kinds, &list, &error)) {
     return OnPollFailed(connection, status != 200 ? "status" : error.c_str(), is_fetch);
   }
   consecutive_failures_ = 0;
@@ -334,11 +336,12 @@
 // The new address is now authoritative for which workers are in service. But a drain that only the
 // old address reported has been delivered to this node and must be honoured.
 void Discovery::OnOldAddressAnswer(const std::string& body) {
-  ServerList list;
+  EndpointList list;
   std::string error;
-  if (!ReadServerList(body, options_.zones, options_.kinds, &list, &error)) return;
-  std::erase_if(list.entries,
-                [](const ListEntry& entry) { return entry.member.readiness == Readiness::kReady; });
+  if (!ReadEndpointList(body, options_.zones, options_.kinds, &list, &error)) return;
+  std::erase_if(list.entries, [](const ListEntry& entry) {
+    return entry.endpoint.readiness == Readiness::kReady;
+  });
   if (list.entries.empty()) return;
   RecordUnavailable(list);
   hooks_.on_list(EndpointListKind::kIncremental, list);
@@ -347,29 +350,29 @@
 // The first list of a new address may be older than the last one of the old address, so a worker
 // that was draining or gone returns to service by it only with a later start time. Once all changes
 // count as delivered, the complete list is fetched again and used as it is.
-void Discovery::KeepUnavailable(ServerList* list) {
+void Discovery::KeepUnavailable(EndpointList* list) {
   bool any_changed = false;
   for (ListEntry& entry : list->entries) {
-    const auto it = unavailable_.find(entry.member.worker);
-    if (it == unavailable_.end() || entry.member.started_at_s > it->second) continue;
-    if (entry.member.readiness != Readiness::kReady) continue;
-    entry.member.readiness = Readiness::kDraining;
+    const auto it = unavailable_.find(entry.endpoint.worker);
+    if (it == unavailable_.end() || entry.endpoint.started_at_s > it->second) continue;
+    if (entry.endpoint.readiness != Readiness::kReady) continue;
+    entry.endpoint.readiness = Readiness::kDraining;
     any_changed = true;
   }
   if (!any_changed) return;
-  refetch_timer_ = loop_->deadlines().At(address_changed_at_ + kAddressChangeS, [this] {
+  refetch_timer_ = loop_->deadlines().At(address_changed_at_ + kAddressChangeDeliveryS, [this] {
     refetch_timer_ = Deadlines::kNone;
     Fetch();
   });
 }
 
-void Discovery::RecordUnavailable(const ServerList& list) {
+void Discovery::RecordUnavailable(const EndpointList& list) {
   if (list.full) unavailable_.clear();
   for (const ListEntry& entry : list.entries) {
-    if (entry.member.readiness == Readiness::kReady) {
-      unavailable_.erase(entry.member.worker);
+    if (entry.endpoint.readiness == Readiness::kReady) {
+      unavailable_.erase(entry.endpoint.worker);
     } else {
-      unavailable_[entry.member.worker] = entry.member.started_at_s;
+      unavailable_[entry.endpoint.worker] = entry.endpoint.started_at_s;
     }
   }
 }
@@ -398,7 +401,7 @@
   const bool rejected =
       connection->immediate() && loop_->Now() - connection->sent_at() < kPollTimeoutS;
   DropFailed(connection, reason);
-  if (!is_fetch && IsLargeTier() && loop_->Now() - address_changed_at_ >= kAddressChangeS) {
+  if (!is_fetch && IsLargeTier() && loop_->Now() - address_changed_at_ >= kAddressChangeDeliveryS) {
     if (rejected) backoff_.OnImmediatePollRejected();
     SchedulePoll(
         backoff_.DelayAfterFailure(RandomUnit()));  // also if the planner subscribes earlier
@@ -408,14 +411,14 @@
     // The planner is expected to subscribe again. If it does not, this does so with exponential
     // backoff and jitter, always within the time that the list may go without a poll.
     const double random = RandomUnit();
-    const double max_wait_s = 0.4 * options_.max_poll_interval_s;
-    double wait_s =
-        std::min(max_wait_s, 0.5 * (1 << consecutive_failures_)) * (0.75 + 0.5 * random) +
+    const double max_delay_s = 0.4 * options_.max_poll_interval_s;
+    double delay_s =
+        std::min(max_delay_s, 0.5 * (1 << consecutive_failures_)) * (0.75 + 0.5 * random) +
         0.1 * options_.max_poll_interval_s;
-    if (loop_->Now() - address_changed_at_ < kAddressChangeS)
-      wait_s = kAddressChangeRetryS * (0.75 + 0.5 * random);
+    if (loop_->Now() - address_changed_at_ < kAddressChangeDeliveryS)
+      delay_s = kAddressChangeRetryS * (0.75 + 0.5 * random);
     loop_->deadlines().Drop(&poll_timer_);
-    poll_timer_ = loop_->deadlines().At(loop_->Now() + wait_s, [this] {
+    poll_timer_ = loop_->deadlines().At(loop_->Now() + delay_s, [this] {
       poll_timer_ = Deadlines::kNone;
       Subscribe(true);
     });
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -20,24 +20,25 @@
 
 // One worker of a list.
 struct ListEntry {
-  balancing::Endpoint member;
+  balancing::Endpoint endpoint;
   std::string address;
-  std::size_t max_in_flight = 0;  // concurrent requests per forwarder; 0: unlimited
+  std::size_t max_in_flight = 0;  // attempts in flight per forwarder; 0: unlimited
 };
 
 // A list as discovery sends it: either all workers, or those that changed since another version.
-struct ServerList {
+struct EndpointList {
   long long version = 0;
   bool full = false;  // whether it names all workers
   std::vector<ListEntry> entries;
-  std::vector<balancing::Endpoint> Members() const;
+  std::vector<balancing::Endpoint> Endpoints() const;
 };
 
 // Parses a list in discovery's JSON format; `zones` and `kinds` are the configured names that
 // become indexes. False, with `error`, if the list as a whole is unusable; single invalid
 // entries are skipped.
-bool ReadServerList(std::string_view text, const std::vector<std::string>& zones,
-                    const std::vector<std::string>& kinds, ServerList* list, std::string* error);
+bool ReadEndpointList(std::string_view text, const std::vector<std::string>& zones,
+                      const std::vector<std::string>& kinds, EndpointList* list,
+                      std::string* error);
 
 class DiscoveryConnection;
 
@@ -46,8 +47,8 @@
 // the answer to the last. A fetch is a poll for the complete list, on a connection of its own.
 //
 // Discovery considers a change delivered to a node some seconds after it happened, whether or not
-// the node received it. From then on nothing may be sent to a draining worker after the drain
-// grace. The loop is not owned and must outlive the object.
+// the node received it. The drain grace runs from that time; once it is over, nothing may be sent
+// to a draining worker. The loop is not owned and must outlive the object.
 class Discovery {
  public:
   struct Options {
@@ -55,12 +56,13 @@
     double max_poll_interval_s = 10;        // the list may not go without a poll for longer
     std::vector<std::string> zones, kinds;  // configured names, by index
     std::uint64_t seed = 0;                 // of the jitter
-    double drain_grace_s = 2;               // how long a draining worker may still be sent requests
-    int nodes = 1;  // that poll the same discovery; large tiers poll less often, with jitter
+    double drain_grace_s = 2;  // time from a drain's delivery for which requests may be sent
+    // Number of nodes that poll the same discovery. Large tiers poll less often, with jitter.
+    int nodes = 1;
   };
   struct Hooks {
     // A list arrived: a snapshot or the changes since the last version.
-    std::function<void(balancing::EndpointListKind, const ServerList&)> on_list;
+    std::function<void(balancing::EndpointListKind, const EndpointList&)> on_list;
     // A poll failed or timed out.
     std::function<void()> on_unavailable;
   };
@@ -72,8 +74,9 @@
   long long version() const { return version_; }
   // Whether so many nodes poll the same discovery that their polls have to be spread out.
   bool IsLargeTier() const;
-  // Whether a change may have counted as delivered for as long as the drain grace and the poll that
-  // would return it has no answer yet. Until then nothing may be sent by the current list.
+  // Whether a change may exist whose drain grace is almost over, counted from its delivery, and
+  // which the current list lacks, since the next poll has no answer yet. While it is true, nothing
+  // may be sent by the current list.
   bool IsOverdue() const;
   // Discovery has a new address. Fetches the complete list from there at once, since its versions
   // need not match those of the old address; a poll in flight at the old address may still
@@ -88,10 +91,11 @@
 
  private:
   friend class DiscoveryConnection;
-  void SendPoll(bool is_fetch, double wait_s, bool immediate = false);
+  // `hold_s`: how long discovery may hold the poll; 0: not a long poll.
+  void SendPoll(bool is_fetch, double hold_s, bool immediate = false);
   double LongPollS();   // how long discovery may hold the next long poll, in seconds
   double RandomUnit();  // random, uniform in [0, 1)
-  void SchedulePoll(double wait_s, bool long_poll = false);
+  void SchedulePoll(double delay_s, bool long_poll = false);
   void OnAnswer(DiscoveryConnection* connection, int status, const std::string& body,
                 bool is_fetch);
   void OnPollFailed(DiscoveryConnection* connection, const char* reason, bool is_fetch);
@@ -99,8 +103,8 @@
   void DropFailed(DiscoveryConnection* connection, const char* reason);
   void Drop(DiscoveryConnection* connection);
   void OnOldAddressAnswer(const std::string& body);
-  void KeepUnavailable(ServerList* list);
-  void RecordUnavailable(const ServerList& list);
+  void KeepUnavailable(EndpointList* list);
+  void RecordUnavailable(const EndpointList& list);
 
   Loop* loop_;
   Options options_;
--- a/src/net/gearman/front.cpp
+++ b/src/net/gearman/front.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxFinished = 256;    // results kept for repeats of a job
-constexpr std::size_t kMaxTasks = 2;         // per worker: one running and one queued
-constexpr int kFirstUnlistedCell = 1 << 20;  // larger than the cells of endpoint lists
+constexpr std::size_t kMaxFinished = 256;      // results kept for repeats of a job
+constexpr std::size_t kMaxTasksPerWorker = 2;  // one running and one queued
+constexpr int kFirstUnlistedCell = 1 << 20;    // larger than the cells of endpoint lists
 constexpr std::string_view kVersion = "0.1.0";
 
 }  // namespace
@@ -135,7 +135,8 @@
   }
   std::string fallback;  // of another tenant
   for (const auto& [name, function] : config_.gearman_functions) {
-    if (function.cls != client_request.request.class_index || !worker.abilities().contains(name))
+    if (function.class_index != client_request.request.class_index ||
+        !worker.abilities().contains(name))
       continue;
     if (function.tenant == client_request.request.tenant) return name;
     if (fallback.empty()) fallback = name;
@@ -155,7 +156,7 @@
   if (function.empty()) {
     return forwarder_->OnAttemptEnded(request.id, attempt, {.status = AttemptStatus::kNotSent});
   }
-  if (worker->tasks() >= kMaxTasks || worker->draining()) {
+  if (worker->tasks() >= kMaxTasksPerWorker || worker->draining()) {
     return forwarder_->OnAttemptEnded(request.id, attempt, {.status = AttemptStatus::kRejected});
   }
   const auto job = FindByRequest(request.id);
@@ -193,7 +194,7 @@
     outcome.status = AttemptStatus::kConnectFailed;
   } else {
     const auto& columns = config_.settings.load_report_metrics;
-    const std::size_t running = it->second->assigned(), queued = it->second->queue().size();
+    const std::size_t running = it->second->assigned_count(), queued = it->second->queue().size();
     outcome.has_report = true;
     for (std::size_t i = 0; i < columns.size() && i < 4; ++i) {
       outcome.report[i] = columns[i] == LoadMetric::kFreeSlots     ? running + queued > 0 ? 0 : 1
--- a/src/net/gearman/front.h
+++ b/src/net/gearman/front.h
@@ -44,7 +44,7 @@
   bool abandoned = false;      // ended here after the assignment: the worker's result is discarded
   std::vector<std::pair<Type, std::string>> partial_data;  // WORK_DATA and WORK_WARNING received
   std::size_t partial_bytes = 0;
-  Deadlines::Ticket limit = Deadlines::kNone;  // from CAN_DO_TIMEOUT
+  Deadlines::Ticket limit_timer = Deadlines::kNone;  // time limit from CAN_DO_TIMEOUT
 };
 
 // Owns the listening socket, the connections and the jobs. `forwarder`, `config` and `counters`
@@ -71,8 +71,8 @@
   void AnnounceWorkers();
   // Closes the listening socket.
   void StopListening() { listener_.Close(); }
-  // Stores background jobs there from now on; it calls Run() for them. Null: they are kept in
-  // memory only. The caller owns it.
+  // Stores background jobs in `durable_jobs` from now on, which calls Run() for each of them.
+  // Null: they are kept in memory only. The caller owns `durable_jobs`.
   void SetDurableJobs(DurableJobs* durable_jobs) { durable_jobs_ = durable_jobs; }
 
   // ResponseHandler
@@ -114,12 +114,13 @@
                                   std::string_view body) const;
   // Adds the job to the maps; `bytes`: the size of its body.
   void AddJob(const std::shared_ptr<Job>& job, std::size_t bytes);
-  // Removes a closed client from the jobs that it waits for.
+  // Removes a closed client from the jobs that it waits for, and cancels those that no client
+  // waits for any more.
   void Detach(Peer* peer);
   // Removes the job from the maps.
   void RemoveJob(const std::shared_ptr<Job>& job);
   // Whether a repeat of a job of this class must join the job or get its kept result.
-  bool NeedsDeduplication(int cls) const;
+  bool NeedsDeduplication(int class_index) const;
   // These return null if there is no such job.
   std::shared_ptr<Job> FindByHandle(std::string_view handle) const;
   std::shared_ptr<Job> FindByRequest(RequestId id) const;
--- a/src/net/gearman/jobs.cpp
+++ b/src/net/gearman/jobs.cpp
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-bool Front::NeedsDeduplication(int cls) const {
-  return config_.settings.classes[static_cast<std::size_t>(cls)].idempotency !=
+bool Front::NeedsDeduplication(int class_index) const {
+  return config_.settings.classes[static_cast<std::size_t>(class_index)].idempotency !=
          balancing::Idempotency::kIdempotent;
 }
 
@@ -95,13 +95,13 @@
   if (job->request == 0) {
     peer->Send(Response(Type::kJobCreated, {job->handle}));
     if (background) return;
-    if (peer->exceptions()) {
+    if (peer->wants_exceptions()) {
       peer->Send(Response(Type::kWorkException, {job->handle, "refused: not taking jobs"}));
     }
     return peer->Send(Response(Type::kWorkFail, {job->handle}));
   }
   AddJob(job, body.size());
-  // After Add: sending may close the peer, which must then be removed from its job.
+  // After AddJob: sending may close the peer, which must then be removed from its job.
   peer->Send(Response(Type::kJobCreated, {job->handle}));
 }
 
@@ -114,24 +114,25 @@
 
 ClientRequest Front::MakeClientRequest(const Job& job, const GearmanFunction& mapped,
                                        std::string_view body) const {
-  const auto [cls, tenant] = mapped;
+  const auto [class_index, tenant] = mapped;
   ClientRequest client_request;
-  client_request.request.class_index = cls;
+  client_request.request.class_index = class_index;
   client_request.request.tenant = tenant;
   client_request.request.wire_id = job.handle;
   client_request.request.body = body;
   client_request.request.expires_at =
       forwarder_->loop()->Now() +
-      config_.settings.classes[static_cast<std::size_t>(cls)].client_timeout_s;
+      config_.settings.classes[static_cast<std::size_t>(class_index)].client_timeout_s;
   // An HTTP worker may run it too, so the key must be valid as a header value.
   char hashed[40];
   std::snprintf(hashed, sizeof hashed, "%016zx%016zx", std::hash<std::string>()(job.unique),
                 std::hash<std::string>()(job.function + '\n' + job.unique));
   if (!job.unique.empty()) client_request.request.key = hashed;
-  if (job.unique.empty() && NeedsDeduplication(cls)) client_request.request.key = job.handle;
+  if (job.unique.empty() && NeedsDeduplication(class_index))
+    client_request.request.key = job.handle;
   client_request.target = config_.gearman_path;
   client_request.forward_headers =
-      "Request-Class: " + config_.classes[static_cast<std::size_t>(cls)] + "\r\n";
+      "Request-Class: " + config_.classes[static_cast<std::size_t>(class_index)] + "\r\n";
   if (!config_.tenants.empty()) {
     client_request.forward_headers +=
         "Tenant: " + config_.tenants[static_cast<std::size_t>(tenant)] + "\r\n";
@@ -147,7 +148,7 @@
   DurableJob job;
   job.function = key.first;
   job.unique = key.second;
-  job.class_name = config_.classes[static_cast<std::size_t>(mapped.cls)];
+  job.class_name = config_.classes[static_cast<std::size_t>(mapped.class_index)];
   if (!config_.tenants.empty()) {
     job.tenant = config_.tenants[static_cast<std::size_t>(mapped.tenant)];
   }
@@ -168,7 +169,7 @@
 }
 
 void Front::Run(const DurableJob& durable_job) {
-  const auto ended = [&](const FinalAnswer& answer) {
+  const auto complete = [&](const FinalAnswer& answer) {
     forwarder_->loop()->Defer([this, handle = durable_job.handle, answer] {
       if (durable_jobs_ != nullptr) durable_jobs_->Complete(handle, answer);
     });
@@ -176,14 +177,14 @@
   const auto mapped = config_.gearman_functions.find(durable_job.function);
   const UniqueKey key{durable_job.function, durable_job.unique};
   using Kind = FinalAnswer::Kind;
-  if (mapped == config_.gearman_functions.end()) {  // another node may have it
-    return ended({.kind = Kind::kRejected, .retry_after_s = kCannotRunRetryS});
+  if (mapped == config_.gearman_functions.end()) {  // another node may map it
+    return complete({.kind = Kind::kRejected, .retry_after_s = kCannotRunRetryS});
   }
   if (!key.second.empty()) {
     EvictFinished();
-    if (finished_.contains(key)) return ended({.kind = Kind::kCompleted});
+    if (finished_.contains(key)) return complete({.kind = Kind::kCompleted});
     if (jobs_by_unique_.contains(key))
-      return ended({.kind = Kind::kRejected, .retry_after_s = kSameUniqueRetryS});
+      return complete({.kind = Kind::kRejected, .retry_after_s = kSameUniqueRetryS});
   }
   auto job = std::make_shared<Job>();
   job->handle = job->durable_handle = durable_job.handle;
@@ -196,7 +197,8 @@
   client_request.request.durable_job = durable_job.handle;
   client_request.request.prior_attempts = durable_job.prior_attempts;
   job->request = forwarder_->Submit(std::move(client_request), this);
-  if (job->request == 0) return ended({.kind = Kind::kRejected, .retry_after_s = kCannotRunRetryS});
+  if (job->request == 0)
+    return complete({.kind = Kind::kRejected, .retry_after_s = kCannotRunRetryS});
   AddJob(job, durable_job.body.size());
 }
 
@@ -283,7 +285,8 @@
       exception = text;
     }
     for (Peer* peer : std::vector<Peer*>(job->waiters)) {
-      if (peer->exceptions()) peer->Send(Response(Type::kWorkException, {job->handle, exception}));
+      if (peer->wants_exceptions())
+        peer->Send(Response(Type::kWorkException, {job->handle, exception}));
       peer->Send(Response(Type::kWorkFail, {job->handle}));
     }
   }
--- a/src/net/gearman/peer.h
+++ b/src/net/gearman/peer.h
@@ -21,7 +21,7 @@
 constexpr std::size_t kMaxBodyBytes = 64 * 1024;             // of a job, as on the HTTP front
 constexpr std::size_t kMaxDataBytes = kMaxBodyBytes + 4096;  // of a packet
 constexpr std::size_t kMaxPartialBytes = 256 * 1024;  // of a job's WORK_DATA and WORK_WARNING
-// A peer that does not read is closed beyond this.
+// A peer with more unsent bytes does not read, and is closed.
 constexpr std::size_t kMaxUnsentBytes = 2 * 1024 * 1024;
 constexpr std::size_t kMaxNameBytes = 256;  // of functions, unique and client ids
 
@@ -52,7 +52,7 @@
   }
   ~Peer() override {
     loop_->deadlines().Drop(&deadline_);
-    for (auto& [handle, task] : assigned_) loop_->deadlines().Drop(&task.limit);
+    for (auto& [handle, task] : assigned_) loop_->deadlines().Drop(&task.limit_timer);
   }
 
   // The name by which the planner knows it as a worker.
@@ -68,17 +68,17 @@
   // Functions registered by CAN_DO, and their time limits in seconds.
   const std::map<std::string, int>& abilities() const { return abilities_; }
   // The client has asked for WORK_EXCEPTION packets.
-  bool exceptions() const { return exceptions_; }
-  // Takes no new attempts, after the administrative command drain.
+  bool wants_exceptions() const { return wants_exceptions_; }
+  // Takes no new attempts, because of the administrative command `drain`.
   bool draining() const { return draining_; }
   // Number of assigned attempts.
-  std::size_t assigned() const { return assigned_.size(); }
+  std::size_t assigned_count() const { return assigned_.size(); }
   // Queued and assigned attempts.
   std::size_t tasks() const { return assigned_.size() + queue_.size(); }
   // Attempts that wait for GRAB_JOB.
   const std::deque<Task>& queue() const { return queue_; }
   // Assigned attempts, by handle.
-  const std::map<std::string, Task, std::less<>>& running() const { return assigned_; }
+  const std::map<std::string, Task, std::less<>>& assigned() const { return assigned_; }
 
   // Writes a packet. Closes the connection if too much is unsent.
   void Send(const std::string& packet) {
@@ -135,8 +135,8 @@
     ReturnQueue(AttemptStatus::kConnectFailed);
     // An attempt is sent by JOB_ASSIGN. If the packet's last byte went out, the job may have run.
     for (auto& [handle, task] : std::exchange(assigned_, {})) {
-      Deadlines::Ticket limit = task.limit;
-      loop_->deadlines().Drop(&limit);
+      Deadlines::Ticket limit_timer = task.limit_timer;
+      loop_->deadlines().Drop(&limit_timer);
       if (task.abandoned) continue;
       const bool unsent = assign_unsent && handle == last_assigned_;
       ReportEnd(task, unsent ? AttemptStatus::kConnectFailed : AttemptStatus::kConnectionLost);
@@ -220,7 +220,7 @@
         if (data != "exceptions") {
           SendError("unknown_option", "Only 'exceptions' is known");
         } else {
-          exceptions_ = true;
+          wants_exceptions_ = true;
           Send(Response(Type::kOptionRes, {data}));
         }
         return true;
@@ -334,10 +334,10 @@
     }
     const auto ability = abilities_.find(task.function);
     if (ability != abilities_.end() && ability->second > 0) {
-      task.limit = loop_->deadlines().At(loop_->Now() + ability->second, [this, handle] {
+      task.limit_timer = loop_->deadlines().At(loop_->Now() + ability->second, [this, handle] {
         const auto it = assigned_.find(handle);
         if (it == assigned_.end()) return;
-        it->second.limit = Deadlines::kNone;
+        it->second.limit_timer = Deadlines::kNone;
         if (it->second.abandoned) return;
         it->second.abandoned = true;  // the worker may still run it
         ReportEnd(it->second, AttemptStatus::kNoResponse);
@@ -389,7 +389,7 @@
       return true;  // WORK_FAIL follows
     }
     Task done = std::move(task);
-    loop_->deadlines().Drop(&done.limit);
+    loop_->deadlines().Drop(&done.limit_timer);
     assigned_.erase(it);
     if (done.abandoned) return true;
     if (type == Type::kWorkFail) return ReportEnd(done, AttemptStatus::kServerError), true;
@@ -448,7 +448,7 @@
   std::map<std::string, Task, std::less<>> assigned_;
   std::size_t messages_ = 0;  // complete messages received
   Deadlines::Ticket deadline_ = Deadlines::kNone;
-  bool exceptions_ = false, sleeping_ = false, draining_ = false, assign_unsent_ = false;
+  bool wants_exceptions_ = false, sleeping_ = false, draining_ = false, assign_unsent_ = false;
 };
 
 }  // namespace millethollow::gearman
--- a/src/net/handover/handover.cpp
+++ b/src/net/handover/handover.cpp
@@ -19,7 +19,7 @@
 // Backpressure limit: with more packets queued, the other end counts as lost.
 constexpr std::size_t kMaxQueuedPackets = 8192;
 constexpr int kMaxPacketsPerTurn = 64;
-constexpr int kPollMs = 5;
+constexpr int kReceivePollMs = 5;
 
 }  // namespace
 
@@ -53,7 +53,7 @@
     if (result == ReceiveResult::kClosed || loop_->Now() >= deadline) return false;
     if (result == ReceiveResult::kFrame) continue;
     pollfd poll_entry{.fd = fd_, .events = POLLIN, .revents = 0};
-    poll(&poll_entry, 1, kPollMs);
+    poll(&poll_entry, 1, kReceivePollMs);
     if (while_waiting) while_waiting();
   }
   return true;
--- a/src/net/handover/hot_restart.cpp
+++ b/src/net/handover/hot_restart.cpp
@@ -62,11 +62,11 @@
         worker.endpoint = frame.GetEndpoint();
         worker.drain_notified_at = frame.F64();
         worker.maintenance_since = frame.F64();
-        ListEntry endpoint{
-            .member = worker.endpoint, .address = frame.Text(), .max_in_flight = frame.U64()};
+        ListEntry entry{
+            .endpoint = worker.endpoint, .address = frame.Text(), .max_in_flight = frame.U64()};
         if (!frame.Complete()) break;
         if (worker.endpoint.readiness != Readiness::kGone)
-          inherited.endpoints.push_back(std::move(endpoint));
+          inherited.endpoints.push_back(std::move(entry));
         inherited.workers.push_back(std::move(worker));
         break;
       }
@@ -283,7 +283,7 @@
   }
   loop_->NotifyClientCapacity();
   const bool present = predecessor_ != nullptr || replaced_;
-  if (std::exchange(reported_present_, present) != present ||
+  if (std::exchange(reported_sibling_present_, present) != present ||
       std::exchange(reported_replaced_, replaced_) != replaced_) {
     dependencies_.planner->OnSiblingProcess(present, replaced_);
   }
--- a/src/net/handover/hot_restart.h
+++ b/src/net/handover/hot_restart.h
@@ -105,7 +105,7 @@
   std::unique_ptr<SiblingListener> listener_;
   std::string last_descriptor_report_;  // the frame
   double workers_down_sent_at_ = 0;     // seconds of the loop's clock
-  bool replaced_ = false, reported_present_ = false, reported_replaced_ = false;
+  bool replaced_ = false, reported_sibling_present_ = false, reported_replaced_ = false;
   Deadlines::Ticket descriptor_report_timer_ = Deadlines::kNone;
 };
 
--- a/src/net/http/client_front.cpp
+++ b/src/net/http/client_front.cpp
@@ -16,8 +16,8 @@
 namespace millethollow::http {
 namespace {
 
-// Lingering close: after the last answer a client may send for so long and so much before the
-// connection is closed, so that it can read the answer first.
+// Lingering close: how long, and how many bytes, a client may send after the last answer before the
+// connection is closed. It lets the client read the answer first.
 constexpr double kLingerS = 0.3;
 constexpr std::size_t kMaxLingerBytes = 256 * 1024;
 constexpr std::size_t kMaxIdBytes = 128;
@@ -165,9 +165,9 @@
   // is ignored.
   if (const std::string* hint = head.Get("Work-Hint")) {
     double microseconds = 0;
-    const bool sane = ParseNumber(*hint, &microseconds) && std::isfinite(microseconds) &&
-                      microseconds > 0 && microseconds <= kMaxTimeoutMs * 1e3;
-    request.size_hint_s = sane ? microseconds / 1e6 : 0;
+    const bool valid = ParseNumber(*hint, &microseconds) && std::isfinite(microseconds) &&
+                       microseconds > 0 && microseconds <= kMaxTimeoutMs * 1e3;
+    request.size_hint_s = valid ? microseconds / 1e6 : 0;
   }
   if (const std::string* info = head.Get("Request-Info")) {
     ForEachPair(*info, ',', [&request](std::string_view name, std::string_view value) {
@@ -216,16 +216,16 @@
     return unread ? 2 : 1;
   }
   void CloseNow(const char* reason) { Finish(reason); }
-  // Closes the connection as after a last answer. A request that crosses the close is not read; its
-  // client sees the end and can retry elsewhere.
+  // Closes the connection as after a last answer. A request that is in flight then is not read;
+  // its client sees the end of the stream and can retry elsewhere.
   void CloseGracefully(const char* reason) {
     close_reason_ = reason;
     Linger();
   }
 
   // Continues a connection that another process handed over.
-  void Restore(bool served, const std::string& unread) {
-    if (served) {
+  void Restore(bool served_before, const std::string& unread) {
+    if (served_before) {
       received_input_ = sent_valid_request_ = true;
       requests_served_ = 1;
       loop_->deadlines().Drop(&deadline_);
@@ -454,9 +454,9 @@
   for (ClientConnection* raw : clients) raw->HandOver();
 }
 
-void ClientFront::AdoptClient(int fd, bool served, const std::string& unread) {
+void ClientFront::AdoptClient(int fd, bool served_before, const std::string& unread) {
   evutil_make_socket_nonblocking(fd);
-  AddClient(fd)->Restore(served, unread);
+  AddClient(fd)->Restore(served_before, unread);
 }
 
 void ClientFront::Accept(evutil_socket_t fd) {
--- a/src/net/http/client_front.h
+++ b/src/net/http/client_front.h
@@ -16,7 +16,8 @@
 
 namespace millethollow::http {
 
-// What a request may name, and how the front answers requests that it rejects itself.
+// The classes and tenants that a request may name, and how the front answers requests that it
+// rejects itself.
 struct FrontOptions {
   std::vector<std::string> classes, tenants;  // names, in the order of the settings
   std::vector<bool> requires_key;             // by class: requests must carry an Idempotency-Key
@@ -51,13 +52,14 @@
   bool AdoptListener(int fd);
   // The descriptor of the listening socket, or -1. The front owns it.
   int listener() const { return listener_.descriptor(); }
-  // Takes over an idle connection of the previous process. `served`: it has sent a valid request
-  // before; `unread`: bytes received there and not yet parsed.
-  void AdoptClient(int fd, bool served, const std::string& unread);
+  // Takes over an idle connection of the previous process. `served_before`: it has sent a valid
+  // request before; `unread`: bytes received there and not yet parsed.
+  void AdoptClient(int fd, bool served_before, const std::string& unread);
   // Hands the clients over to a successor process that serves the same address: stops accepting,
   // and passes each connection to `callback`, which owns `fd` from then on, as soon as it has no
   // request in progress. An empty callback cancels the handover, when the successor has exited.
-  using HandoverCallback = std::function<void(int fd, bool served, const std::string& unread)>;
+  using HandoverCallback =
+      std::function<void(int fd, bool served_before, const std::string& unread)>;
   void HandOver(HandoverCallback callback);
   // Closes the listening socket after accepting what is pending, and closes idle connections. A
   // connection that has just been accepted may still send its first request.
--- a/src/net/http/parser.h
+++ b/src/net/http/parser.h
@@ -91,7 +91,8 @@
   int error_ = 0;
   bool start_line_done_ = false;
   std::string line_, body_;
-  // Checked against limits_; and what is left of the body or of the current chunk.
+  // Bytes of the head and of the body so far, which limits_ bounds, and bytes left of the body or
+  // of the current chunk.
   std::size_t head_bytes_ = 0, body_bytes_ = 0, remaining_bytes_ = 0;
   Head head_;
 };
--- a/src/net/http/worker_pool.cpp
+++ b/src/net/http/worker_pool.cpp
@@ -109,7 +109,7 @@
       // The connection may be made and the request written although libevent has not reported it
       // yet. The attempt must then count as sent.
       if (busy_ && pending_request_.empty() && Drained()) return;
-      Break("connect-timeout");
+      FailConnection("connect-timeout");
     });
     return Connect(address);
   }
@@ -225,8 +225,12 @@
     WriteDurable(std::exchange(pending_request_, {}));
   }
 
-  // Writes a durable job's request at once, since may_act has just been checked: by a later turn,
-  // after a stop of this process, another process may have taken the job over.
+  // Writes a durable job's request at once: by a later turn, after a stop of this process, another
+  // process may have taken the job over. So this process must have checked in the same turn that it
+  // still owns the job. OnConnected does so by may_act. SendRequest does not, on a connection that
+  // is already up: there the planner's attempt recorder has checked it right before the call of
+  // Forwarder::Send. The planner does not consult the recorder for an attempt that it held back
+  // until the endpoint list was current, so such an attempt is written without a check.
   void WriteDurable(const std::string& text) {
     WriteNow(text);
     if (Drained()) OnDrained();
@@ -304,7 +308,8 @@
         if (!line_.empty())
           HandleLine(std::exchange(line_, {}));  // the last line lacks its newline
         if (closed()) return;
-        outcome.status = AttemptStatus::kConnectionLost;  // it ended without a final state
+        outcome.status =
+            AttemptStatus::kConnectionLost;  // the response ended without a final state
       } else {
         const std::string* not_started = head.Get("Not-Started");
         const bool rejected =
@@ -323,7 +328,7 @@
     busy_ = false;
     loop_->deadlines().Drop(&deadline_);
     loop_->deadlines().Drop(&probe_deadline_);
-    pool_->Release(this);
+    pool_->ReturnToIdle(this);
   }
 
   // Reports the outcome of the attempt or probe, once.
@@ -355,13 +360,13 @@
         if (parser_.done()) return Complete();
       }
     }
-    Break(reason);
+    FailConnection(reason);
   }
 
   // Ends a failed connection.
-  void Break(const char* reason) {
+  void FailConnection(const char* reason) {
     // A request that was not sent completely cannot have run; otherwise it may have. connected_
-    // does not tell: its event may come later than the bytes.
+    // does not tell which: libevent may report the connection after the bytes were sent.
     const bool sent = !IsUnsent();
     if (busy_) {
       Report({.status = sent ? AttemptStatus::kConnectionLost : AttemptStatus::kConnectFailed});
@@ -392,14 +397,14 @@
   if (pooled.address_text == address) return;
   pooled.address_text = address;
   const auto parsed = ParseAddress(address);
-  pooled.reachable = parsed.has_value();
+  pooled.has_valid_address = parsed.has_value();
   if (parsed) pooled.address = *parsed;
   for (WorkerConnection* idle : std::vector<WorkerConnection*>(pooled.idle)) idle->Finish("moved");
 }
 
 std::pair<WorkerConnection*, AttemptStatus> WorkerPool::Acquire(const std::string& worker) {
   const auto it = workers_.find(worker);
-  if (it == workers_.end() || !it->second.reachable)
+  if (it == workers_.end() || !it->second.has_valid_address)
     return {nullptr, AttemptStatus::kConnectFailed};
   PooledWorker& pooled = it->second;
   if (WorkerConnection* idle = TakeIdle(&pooled)) return {idle, AttemptStatus::kSucceeded};
@@ -487,7 +492,7 @@
   in_flight_.erase(it);
 }
 
-void WorkerPool::Release(WorkerConnection* connection) {
+void WorkerPool::ReturnToIdle(WorkerConnection* connection) {
   workers_[connection->worker()].idle.push_back(connection);
   connection->BecomeIdle();
   if (handover_) HandOverIdle(connection);
@@ -517,7 +522,7 @@
 void WorkerPool::AdoptIdle(const std::string& worker, double idle_since, int fd) {
   PooledWorker& pooled = workers_[worker];
   DescriptorBudget& budget = forwarder_->loop()->budget();
-  if (!pooled.reachable || budget.WorkersFull()) {
+  if (!pooled.has_valid_address || budget.WorkersFull()) {
     evutil_closesocket(fd);
     return;
   }
--- a/src/net/http/worker_pool.h
+++ b/src/net/http/worker_pool.h
@@ -31,13 +31,14 @@
     std::vector<std::string> columns;
     Counters* counters = nullptr;
     // Whether this process may still act for a durable job. Asked once a new connection is made for
-    // an attempt of the job, right before its request is written. Empty: it is never written then.
+    // an attempt of the job, right before its request is written; empty: it is not written. Not
+    // asked for a connection that is already up: the caller of Send must have checked.
     std::function<bool(const std::string& durable_job)> may_act = {};
   };
   WorkerPool(Forwarder* forwarder, Options options);
   ~WorkerPool() override;
 
-  // Adds a worker from the endpoint list, or updates it. `max_in_flight`: attempts at once; 0: no
+  // Adds a worker from the endpoint list, or updates it. `max_in_flight`: attempts in flight; 0: no
   // limit. If the address changes, idle connections to the old one are closed.
   void SetAddress(const std::string& worker, const std::string& address,
                   std::size_t max_in_flight = 0);
@@ -47,7 +48,7 @@
   void Cancel(RequestId id, int attempt) override;
   void Probe(const std::string& worker) override;
   void CancelUnsent(RequestId id, int attempt) override;
-  // Returns the worker's address and its limit of attempts at once; empty if it is unknown.
+  // Returns the worker's address and its limit of attempts in flight; empty if it is unknown.
   std::pair<std::string, std::size_t> Address(const std::string& worker) const;
   // Hands idle connections over to a successor process, now and whenever one becomes idle:
   // `callback` owns `fd`. `idle_since` is loop time in seconds. An empty callback cancels the
@@ -66,7 +67,7 @@
   struct PooledWorker {
     std::string address_text;
     sockaddr_in address{};
-    bool reachable = false;
+    bool has_valid_address = false;
     std::size_t max_in_flight = 0, in_flight = 0;  // attempts: the limit (0: none), and now
     std::vector<WorkerConnection*> idle;           // the most recently used is last
   };
@@ -75,8 +76,8 @@
   std::pair<WorkerConnection*, AttemptStatus> Acquire(const std::string& worker);
   // Removes a usable connection from the idle list; null if there is none.
   WorkerConnection* TakeIdle(PooledWorker* pooled);
-  // Returns a connection to the idle list.
-  void Release(WorkerConnection* connection);
+  // Puts a connection back into the idle list.
+  void ReturnToIdle(WorkerConnection* connection);
   // Destroys the connection at the end of the loop's turn.
   void Remove(WorkerConnection* connection);
   // Passes an idle connection to the successor process.
--- a/src/net/link/link.cpp
+++ b/src/net/link/link.cpp
@@ -102,7 +102,7 @@
       case FrameKind::kRequestReceived: {
         Request request;
         request.id = frame.U64();
-        const std::string cls = frame.Text();
+        const std::string class_name = frame.Text();
         request.tenant = frame.I32();
         request.wire_id = frame.Text();
         request.affinity = frame.Text();
@@ -114,7 +114,7 @@
         request.retry = frame.U8() != 0;
         request.body_bytes = frame.U64();
         if (!frame.Complete() || !OwnsRequest(request.id)) return false;
-        request.class_index = planner.ClassIndex(cls);
+        request.class_index = planner.ClassIndex(class_name);
         if (request.class_index <
             0) {  //  only one of the two processes has reloaded its configuration
           Answer(request.id, {.kind = FinalAnswer::Kind::kRejected});
@@ -186,8 +186,8 @@
 void PlannerServer::SetWorkerAddress(const std::string& worker, const std::string& address,
                                      std::size_t max_in_flight) {
   const auto at = std::pair{address, max_in_flight};
-  auto [it, fresh] = addresses_.try_emplace(worker, at);
-  if (!fresh && it->second == at) return;
+  auto [it, inserted] = addresses_.try_emplace(worker, at);
+  if (!inserted && it->second == at) return;
   it->second = at;
   for (const auto& [raw, connection] : connections_)
     raw->SetWorkerAddress(worker, address, max_in_flight);
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -29,7 +29,7 @@
 bool Listener::OpenUnix(Loop* loop, const std::string& path, AcceptHandler on_accept,
                         std::string* error) {
   const auto address = UnixAddress(path);
-  if (!address) return *error = "not a socket path: '" + path + "'", false;
+  if (!address) return *error = "Unix socket path is empty or too long: '" + path + "'", false;
   loop_ = loop;
   on_accept_ = std::move(on_accept);
   unlink(path.c_str());  // a process that crashed leaves its socket file behind
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -10,7 +10,8 @@
 namespace millethollow {
 namespace {
 
-constexpr double kMaxTurnS = 0.02;  // of waiting for events and handling them
+// Longest time in one turn for waiting for events and handling them.
+constexpr double kMaxTurnS = 0.02;
 
 template <typename Clock>
 double SecondsSinceEpoch() {
@@ -24,7 +25,7 @@
   // process.
   std::signal(SIGPIPE, SIG_IGN);
   if (base_ == nullptr) throw std::runtime_error("cannot create an event loop");
-  event_base_priority_init(base_.get(), 2);  // ordinary events get the lower one
+  event_base_priority_init(base_.get(), 2);  // ordinary events get the lower priority
   // Under steady load libevent would handle events without returning: this timer ends the turn, so
   // that deadlines and deferred callbacks run.
   const event_callback_fn end_turn = [](evutil_socket_t, short, void* base) {
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -38,8 +38,9 @@
 
   // The budget for a limit of `sockets` open sockets.
   static DescriptorBudget ForSocketLimit(std::size_t sockets) {
-    // 64 are reserved for the listeners, discovery, the sockets between planners, the standard
-    // streams, and sockets that are about to be accepted or closed.
+    // 64 descriptors are reserved for the listeners, discovery, the sockets between planners, the
+    // standard streams, and sockets that are about to be accepted or closed. At least 16 stay
+    // available.
     const std::size_t available = sockets > 80 ? sockets - 64 : 16;
     return {.max_clients = available / 2, .max_workers = available / 2};
   }
@@ -69,7 +70,7 @@
   void OnClientFreed(std::function<void()> callback) {
     client_freed_callbacks_.push_back(std::move(callback));
   }
-  // Takes one client off the budget and notifies.
+  // Takes one client off the budget and runs the callbacks registered by OnClientFreed.
   void ClientFreed();
   // Runs the callbacks registered by OnClientFreed: more clients may be accepted again.
   void NotifyClientCapacity();
--- a/src/net/poll_backoff.h
+++ b/src/net/poll_backoff.h
@@ -15,13 +15,13 @@
 // Discovery serves polls one at a time; it fails those that have been queued for too long (some
 // seconds) or that arrive while its queue is full. A poll that follows an answer immediately
 // continues the node's watch, which costs discovery almost nothing; a later poll starts a new watch
-// and has to queue. In a tier of 32 nodes, new watches after each change kept discovery so busy
-// that a node's polls were rejected eight times in a row. So a watch is continued immediately until
+// and has to queue. In a tier of 32 nodes, new watches after each change can keep discovery so
+// busy that it rejects eight polls of a node in a row. So a watch is continued immediately until
 // discovery rejects such a poll; from then on polls after answers are spread over a window as well,
 // until they succeed again.
 //
 // The delay after a failure is bounded. After a failed poll, a change counts as delivered to the
-// node 6 s after discovery had it, and the node may send to a draining server for the drain grace
+// node 6 s after discovery had it, and the node may send to a draining worker for the drain grace
 // longer. A failed poll, the delay after it and one more poll have to take less than that in total.
 class PollBackoff {
  public:
@@ -74,7 +74,8 @@
   static constexpr double kFirstRetryWindowS = 2.0, kRetryWindowS = 4.0, kRetryWindowGrowth = 3.0,
                           kMaxRetryWindowS = 20.0;
   static constexpr double kMaxSteadyRetriesS = 10.0;
-  // Well within the time for which a list may be used without polling.
+  // Largest window after an answer: well within the time for which a list may be used without
+  // polling.
   static constexpr double kMaxAnswerWindowS = 7.0;
   // Factor by which each answer shrinks the window.
   static constexpr double kWindowDecay = 0.4;
@@ -88,7 +89,7 @@
 };
 
 // Decides when a new process may take requests. The process is bound by discovery's current list
-// from its start, and the list it was configured with may name servers that terminated long ago. So
+// from its start, and the list it was configured with may name workers that terminated long ago. So
 // it takes no request before it has received its first list, unless discovery is unavailable. Times
 // are in seconds on the caller's clock.
 class InitialListGate {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -103,8 +103,8 @@
   void AwaitInitialList();
   void AcceptOnceListReceived();
   void SetAddress(const std::string& worker, const std::string& address, std::size_t max_in_flight);
-  void OnEndpointList(balancing::EndpointListKind kind, const ServerList& list);
-  void ApplyPeersMaintenance(const ServerList& list);
+  void OnEndpointList(balancing::EndpointListKind kind, const EndpointList& list);
+  void ApplyPeersMaintenance(const EndpointList& list);
 
   // The forwarder side (node_forwarder.cpp).
   Status StartForwarder();
--- a/src/node/node_planner.cpp
+++ b/src/node/node_planner.cpp
@@ -46,10 +46,10 @@
   if (!config_.discovery.empty()) CreateDiscovery(seed);
   environment_.parts().peers = peers_.get();
   environment_.parts().discovery = discovery_.get();
-  ServerList endpoint_list;
+  EndpointList endpoint_list;
   std::string reason;
-  if (config_.known_workers != "{}" && !ReadServerList(config_.known_workers, config_.zones,
-                                                       config_.kinds, &endpoint_list, &reason)) {
+  if (config_.known_workers != "{}" && !ReadEndpointList(config_.known_workers, config_.zones,
+                                                         config_.kinds, &endpoint_list, &reason)) {
     return MakeError(ErrorCode::kInvalidArgument, reason);
   }
   if (inherited_state_.complete && !inherited_state_.endpoints.empty()) {
@@ -58,11 +58,11 @@
   }
   if (inherited_state_.complete) ImportInheritedState();
   for (const ListEntry& entry : endpoint_list.entries)
-    SetAddress(entry.member.worker, entry.address, entry.max_in_flight);
+    SetAddress(entry.endpoint.worker, entry.address, entry.max_in_flight);
   if (discovery_) discovery_->SetVersion(endpoint_list.version);
   // A process that replaces another inherits its list, which is current.
   if (discovery_ && forwarder_ && !inherited_state_.complete) AwaitInitialList();
-  planner_->Start(endpoint_list.Members());
+  planner_->Start(endpoint_list.Endpoints());
   if (client_front_) client_front_->SetServing(true);
   return {};
 }
@@ -119,7 +119,7 @@
 
 void Node::CreateDiscovery(std::uint64_t seed) {
   Discovery::Hooks hooks;
-  hooks.on_list = [this](balancing::EndpointListKind kind, const ServerList& list) {
+  hooks.on_list = [this](balancing::EndpointListKind kind, const EndpointList& list) {
     OnEndpointList(kind, list);
   };
   hooks.on_unavailable = [this] {
@@ -166,16 +166,16 @@
   if (planner_server_) planner_server_->SetWorkerAddress(worker, address, max_in_flight);
 }
 
-void Node::OnEndpointList(balancing::EndpointListKind kind, const ServerList& list) {
+void Node::OnEndpointList(balancing::EndpointListKind kind, const EndpointList& list) {
   counters_.endpoint_lists += 1;
   for (const ListEntry& entry : list.entries)
-    SetAddress(entry.member.worker, entry.address, entry.max_in_flight);
+    SetAddress(entry.endpoint.worker, entry.address, entry.max_in_flight);
   if (member_) ApplyPeersMaintenance(list);
-  planner_->OnEndpointsUpdated(kind, list.Members());
+  planner_->OnEndpointsUpdated(kind, list.Endpoints());
   for (const ListEntry& entry : list.entries) {
-    const bool gone = entry.member.readiness == balancing::Readiness::kGone;
-    if (!member_ || entry.member.readiness == balancing::Readiness::kReady) continue;
-    member_->OnWorkerDown(entry.member.worker, entry.member.started_at_s, gone);
+    const bool gone = entry.endpoint.readiness == balancing::Readiness::kGone;
+    if (!member_ || entry.endpoint.readiness == balancing::Readiness::kReady) continue;
+    member_->OnWorkerDown(entry.endpoint.worker, entry.endpoint.started_at_s, gone);
   }
   if (hot_restart_) hot_restart_->SendWorkersDown();
   if (initial_list_gate_) initial_list_gate_->OnList();
@@ -184,14 +184,15 @@
 
 // Adds new workers that are in maintenance at other members as draining, so that they get no
 // requests before they are in maintenance here too.
-void Node::ApplyPeersMaintenance(const ServerList& list) {
+void Node::ApplyPeersMaintenance(const EndpointList& list) {
   for (const ListEntry& entry : list.entries) {
-    if (!member_->InMaintenance(entry.member.worker) || planner_->HasWorker(entry.member.worker))
+    if (!member_->InMaintenance(entry.endpoint.worker) ||
+        planner_->HasWorker(entry.endpoint.worker))
       continue;
-    balancing::Endpoint draining = entry.member;
+    balancing::Endpoint draining = entry.endpoint;
     draining.readiness = balancing::Readiness::kDraining;
     planner_->OnEndpointsUpdated(balancing::EndpointListKind::kIncremental, {draining});
-    SetMaintenance(entry.member.worker, true);
+    SetMaintenance(entry.endpoint.worker, true);
   }
 }
 
--- a/src/node/node_reload.cpp
+++ b/src/node/node_reload.cpp
@@ -18,7 +18,7 @@
 void Node::Reload() {
   Config new_config = config_;
   std::string reason;
-  ServerList endpoint_list;
+  EndpointList endpoint_list;
   ClassChanges class_changes;
   // Without discovery, the endpoint list is part of the configuration.
   const bool fixed_list = planner_ && !discovery_ && new_config.discovery.empty();
@@ -28,8 +28,8 @@
   };
   if (!ReloadConfig(config_path_, class_in_use, &new_config, &class_changes, &reason) ||
       (fixed_list && new_config.known_workers != "{}" &&
-       !ReadServerList(new_config.known_workers, config_.zones, config_.kinds, &endpoint_list,
-                       &reason))) {
+       !ReadEndpointList(new_config.known_workers, config_.zones, config_.kinds, &endpoint_list,
+                         &reason))) {
     LogLine(Level::kError) << "config-rejected reason=\"" << reason << '"';
     counters_.reload_errors += 1;
     return;
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -19,7 +19,7 @@
 using millethollow::simulator_adapter::Adapter;
 
 constexpr std::size_t kReadChunkBytes = 1 << 20;
-constexpr int kIoErrorStatus = 1, kMalformedInputStatus = 2;
+constexpr int kUsageOrIoErrorStatus = 1, kMalformedInputStatus = 2;
 
 // Writes to standard output. Returns false for an error.
 bool WriteAll(std::string_view text) {
@@ -52,7 +52,7 @@
     }
     start = end + 1;
     const std::optional<std::string> reply = adapter->TakeReply();
-    if (reply && !WriteAll(*reply)) return kIoErrorStatus;
+    if (reply && !WriteAll(*reply)) return kUsageOrIoErrorStatus;
   }
   pending->erase(0, start);
   return 0;
@@ -66,7 +66,7 @@
     const ssize_t byte_count = ReadChunk(&chunk);
     if (byte_count < 0) {
       std::perror("simulator_adapter: standard input");
-      return kIoErrorStatus;
+      return kUsageOrIoErrorStatus;
     }
     if (byte_count == 0) break;
     const std::size_t searched = pending.size();
@@ -90,7 +90,7 @@
   if (has_scheduling_file) millethollow::LoadScheduling(argv[2], {}, &options, &error);
   if (!error.empty()) {
     std::cerr << "simulator_adapter: " << error << "\n";
-    return kIoErrorStatus;
+    return kUsageOrIoErrorStatus;
   }
   Adapter adapter(&std::cerr, options);
   return ProcessInput(&adapter);
--- a/tests/crowded_discovery_test.cpp
+++ b/tests/crowded_discovery_test.cpp
@@ -101,7 +101,7 @@
           .address = discovery.address(), .max_poll_interval_s = 10, .zones = {}, .kinds = {}};
       options.seed = 7919 * (node + 1);
       options.nodes = static_cast<int>(nodes);
-      const auto on_list = [this, node](balancing::EndpointListKind, const ServerList& list) {
+      const auto on_list = [this, node](balancing::EndpointListKind, const EndpointList& list) {
         versions[node] = std::max(versions[node], list.version);
       };
       clients.push_back(std::make_unique<Discovery>(
--- a/tests/haproxy_test.cpp
+++ b/tests/haproxy_test.cpp
@@ -53,13 +53,13 @@
   EXPECT_EQ(config.connect_timeout_s, 0.25);
   EXPECT_EQ(config.settings.max_attempts, 3);  // section ship inherits the defaults above it
   EXPECT_EQ(config.max_sockets, 464u);
-  ServerList list;
-  ASSERT_TRUE(ReadServerList(config.known_workers, config.zones, config.kinds, &list, &error));
+  EndpointList list;
+  ASSERT_TRUE(ReadEndpointList(config.known_workers, config.zones, config.kinds, &list, &error));
   ASSERT_EQ(list.entries.size(), 3u);
-  EXPECT_EQ(list.entries[0].member.capacity_hint, 3);
+  EXPECT_EQ(list.entries[0].endpoint.capacity_hint, 3);
   EXPECT_EQ(list.entries[0].max_in_flight, 4u);
-  EXPECT_EQ(list.entries[1].member.readiness, balancing::Readiness::kDraining);
-  EXPECT_EQ(list.entries[2].member.readiness, balancing::Readiness::kDraining);
+  EXPECT_EQ(list.entries[1].endpoint.readiness, balancing::Readiness::kDraining);
+  EXPECT_EQ(list.entries[2].endpoint.readiness, balancing::Readiness::kDraining);
   std::string notes;
   for (const std::string& note : import.notes) notes += note + "\n";
   for (const char* expected :
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -68,11 +68,11 @@
     std::string error;
     EXPECT_TRUE(
         ReadConfig(TestConfig({"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}), &config, &error));
-    ServerList list;
-    EXPECT_TRUE(ReadServerList(config.known_workers, config.zones, config.kinds, &list, &error));
+    EndpointList list;
+    EXPECT_TRUE(ReadEndpointList(config.known_workers, config.zones, config.kinds, &list, &error));
     planner = std::make_unique<Planner>(config.settings, 1, &deadlines, this, &counters);
     forwarder = planner->AddForwarder(&port, true);
-    planner->Start(list.Members());
+    planner->Start(list.Endpoints());
   }
   double Now() override { return now; }
   bool EndpointsOverdue() override { return overdue; }
@@ -287,7 +287,7 @@
       &loop,
       {.address = server.address(), .max_poll_interval_s = 1, .zones = {}, .kinds = {}, .seed = 3},
       {.on_list = [&](balancing::EndpointListKind kind,
-                      const ServerList&) { list_kinds.push_back(kind); },
+                      const EndpointList&) { list_kinds.push_back(kind); },
        .on_unavailable = [&] { ++unavailable; }});
   discovery.SetVersion(2);
   discovery.Subscribe(true);
@@ -332,7 +332,7 @@
                            .drain_grace_s = drain_grace_s,
                            .nodes = nodes},
         Discovery::Hooks{.on_list = [this](balancing::EndpointListKind kind,
-                                           const ServerList&) { list_kinds.push_back(kind); },
+                                           const EndpointList&) { list_kinds.push_back(kind); },
                          .on_unavailable =
                              [this] {
                                ++unavailable;
@@ -517,20 +517,20 @@
 
 // Indented lists are accepted, truncated ones are rejected, and numbers out of range do no harm.
 TEST(Discovery, ReadsIndentedListsAndRejectsMalformedOnes) {
-  ServerList list;
+  EndpointList list;
   std::string error;
   EXPECT_TRUE(
-      ReadServerList("{\n  \"version\": 4,\n  \"full\": true,\n  \"servers\": [\n    {\n \"id\": "
-                     "\"s\"\n}\n  ]\n}\n",
-                     {}, {}, &list, &error));
+      ReadEndpointList("{\n  \"version\": 4,\n  \"full\": true,\n  \"servers\": [\n    {\n \"id\": "
+                       "\"s\"\n}\n  ]\n}\n",
+                       {}, {}, &list, &error));
   EXPECT_EQ(list.entries.size(), 1u);
   for (const char* bad :
        {"{\"version\":4,\"servers\":[{\"id\":\"s\"", "", "[]", "{\"servers\":{}}"}) {
-    EXPECT_FALSE(ReadServerList(bad, {}, {}, &list, &error)) << bad;
+    EXPECT_FALSE(ReadEndpointList(bad, {}, {}, &list, &error)) << bad;
   }
-  EXPECT_TRUE(
-      ReadServerList(R"({"version":1e300,"servers":[{"id":"s","cell":-1e300,"started_ms":1e308}]})",
-                     {}, {}, &list, &error));
+  EXPECT_TRUE(ReadEndpointList(
+      R"({"version":1e300,"servers":[{"id":"s","cell":-1e300,"started_ms":1e308}]})", {}, {}, &list,
+      &error));
 }
 
 TEST(Config, ReportsErrorsInOneLine) {
@@ -554,18 +554,19 @@
 }
 
 TEST(ServerList, ReadsStatesAndStartTimes) {
-  ServerList list;
+  EndpointList list;
   std::string error;
-  ASSERT_TRUE(ReadServerList(R"({"version":43,"full":false,"servers":[{"id":"s","addr":"1.2.3.4:5",
+  ASSERT_TRUE(
+      ReadEndpointList(R"({"version":43,"full":false,"servers":[{"id":"s","addr":"1.2.3.4:5",
       "zone":"b","kind":"m2","cell":3,"state":"terminating","started_ms":1500},{"nameless":1},
       {"id":"t","state":"odd"}]})",
-                             {"a", "b"}, {"m1", "m2"}, &list, &error));
+                       {"a", "b"}, {"m1", "m2"}, &list, &error));
   ASSERT_EQ(list.entries.size(), 2u);
-  EXPECT_EQ(list.entries[0].member.zone, 1);
-  EXPECT_EQ(list.entries[0].member.kind, 1);
-  EXPECT_EQ(list.entries[0].member.started_at_s, 1.5);
-  EXPECT_EQ(list.entries[1].member.readiness, balancing::Readiness::kDraining);
-  EXPECT_FALSE(ReadServerList("{}", {}, {}, &list, &error));
+  EXPECT_EQ(list.entries[0].endpoint.zone, 1);
+  EXPECT_EQ(list.entries[0].endpoint.kind, 1);
+  EXPECT_EQ(list.entries[0].endpoint.started_at_s, 1.5);
+  EXPECT_EQ(list.entries[1].endpoint.readiness, balancing::Readiness::kDraining);
+  EXPECT_FALSE(ReadEndpointList("{}", {}, {}, &list, &error));
 }
 
 }  // namespace
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -55,12 +55,12 @@
                            .nodes = nodes},
         Discovery::Hooks{
             .on_list = [this](EndpointListKind kind,
-                              const ServerList& list) { lists.emplace_back(kind, list); },
+                              const EndpointList& list) { lists.emplace_back(kind, list); },
             .on_unavailable = [] {}});
   }
   Loop loop;
   FakeWorker old_server{&loop}, new_server{&loop};
-  std::vector<std::pair<EndpointListKind, ServerList>> lists;
+  std::vector<std::pair<EndpointListKind, EndpointList>> lists;
   std::unique_ptr<Discovery> discovery;
 };
 
@@ -90,14 +90,14 @@
   };
   discovery->SetAddress(new_server.address());
   ASSERT_TRUE(TurnUntil(loop, [&] { return lists.size() == 2; }));
-  EXPECT_EQ(lists[1].second.entries[0].member.readiness, Readiness::kDraining);
-  EXPECT_EQ(lists[1].second.entries[1].member.readiness, Readiness::kReady);
+  EXPECT_EQ(lists[1].second.entries[0].endpoint.readiness, Readiness::kDraining);
+  EXPECT_EQ(lists[1].second.entries[1].endpoint.readiness, Readiness::kReady);
   RespondWithList(old_server.requests[1], 42, false,
                   Entry("w1", "terminating") + "," + Entry("w2", "in_service"));
   ASSERT_TRUE(TurnUntil(loop, [&] { return lists.size() == 3; }));
   EXPECT_EQ(lists[2].first, EndpointListKind::kIncremental);
   ASSERT_EQ(lists[2].second.entries.size(), 1u);
-  EXPECT_EQ(lists[2].second.entries[0].member.worker, "w1");
+  EXPECT_EQ(lists[2].second.entries[0].endpoint.worker, "w1");
 }
 
 TEST_F(DiscoveryMove, AcceptsALaterStart) {
@@ -107,7 +107,7 @@
   };
   discovery->SetAddress(new_server.address());
   ASSERT_TRUE(TurnUntil(loop, [&] { return lists.size() == 2; }));
-  EXPECT_EQ(lists[1].second.entries[0].member.readiness, Readiness::kReady);
+  EXPECT_EQ(lists[1].second.entries[0].endpoint.readiness, Readiness::kReady);
 }
 
 // Changes at the new server count as known to the node soon after the move. The usual retry
--- a/tests/support/compatibility_settings.h
+++ b/tests/support/compatibility_settings.h
@@ -115,7 +115,7 @@
   lines->Add("connect_timeout_s", config.connect_timeout_s);
   lines->Add("gearman.listen", config.gearman_listen);
   for (const auto& [function, mapping] : config.gearman_functions) {
-    lines->Add("gearman.functions." + function + ".class", mapping.cls);
+    lines->Add("gearman.functions." + function + ".class", mapping.class_index);
     lines->Add("gearman.functions." + function + ".tenant", mapping.tenant);
   }
   lines->Add("gearman.zone", config.gearman_zone);
