--- a/src/net/admin/admin_server.cpp
+++ b/src/net/admin/admin_server.cpp
@@ -48,7 +48,7 @@
     if (closed()) return;
     loop_->deadlines().Drop(&request_timer_);
     Close(reason);
-    server_->DestroyLater(this);
+    server_->Remove(this);
   }
 
  private:
@@ -171,7 +171,7 @@
   }
 }
 
-void AdminServer::DestroyLater(AdminConnection* connection) {
+void AdminServer::Remove(AdminConnection* connection) {
   loop_->Defer([this, connection] { connections_.erase(connection); });
 }
 
--- a/src/net/admin/admin_server.h
+++ b/src/net/admin/admin_server.h
@@ -51,7 +51,8 @@
  private:
   friend class AdminConnection;
   void Accept();
-  void DestroyLater(AdminConnection* connection);
+  // Destroys the connection at the end of the loop's turn.
+  void Remove(AdminConnection* connection);
 
   Loop* loop_;
   Hooks hooks_;
--- a/src/net/gearman/front.cpp
+++ b/src/net/gearman/front.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxFinished = 256;      // results kept for repeats of a job
+constexpr std::size_t kMaxKeptResults = 256;   // for repeats of a job
 constexpr std::size_t kMaxTasksPerWorker = 2;  // one running and one queued
 constexpr int kFirstUnlistedCell = 1 << 20;    // larger than the cells of endpoint lists
 constexpr std::string_view kVersion = "0.1.0";
@@ -108,15 +108,14 @@
   if (forwarder_->link() != nullptr) forwarder_->link()->OnWorkerChanged(endpoint);
 }
 
-void Front::EvictFinished() {
+void Front::EvictKeptResults() {
   const double now = forwarder_->loop()->Now();
-  std::erase_if(finished_,
-                [now](const auto& finished) { return finished.second.expires_at < now; });
-  if (finished_.size() < kMaxFinished) return;
-  finished_.erase(
-      std::min_element(finished_.begin(), finished_.end(), [](const auto& left, const auto& right) {
-        return left.second.expires_at < right.second.expires_at;
-      }));
+  std::erase_if(kept_results_, [now](const auto& entry) { return entry.second.expires_at < now; });
+  if (kept_results_.size() < kMaxKeptResults) return;
+  kept_results_.erase(std::min_element(kept_results_.begin(), kept_results_.end(),
+                                       [](const auto& left, const auto& right) {
+                                         return left.second.expires_at < right.second.expires_at;
+                                       }));
 }
 
 bool Front::Flushed() const {
--- a/src/net/gearman/front.h
+++ b/src/net/gearman/front.h
@@ -95,7 +95,7 @@
   friend class Peer;
   using UniqueKey = std::pair<std::string, std::string>;  // function and unique id
   // The result of a job, kept for repeats of it.
-  struct Finished {
+  struct KeptResult {
     std::string handle, result;
     std::vector<std::pair<Type, std::string>> partial_data;
     double expires_at = 0;  // loop time in seconds
@@ -133,7 +133,7 @@
   // Reports the worker's state to the planner.
   void UpdateWorker(Peer* worker);
   // Discards expired results, and the one that expires first if there are too many.
-  void EvictFinished();
+  void EvictKeptResults();
 
   Forwarder* forwarder_;
   const Config& config_;
@@ -145,7 +145,7 @@
   std::map<RequestId, std::shared_ptr<Job>> jobs_;
   std::map<std::string, std::shared_ptr<Job>, std::less<>> jobs_by_handle_;
   std::map<UniqueKey, std::shared_ptr<Job>> jobs_by_unique_;
-  std::map<UniqueKey, Finished> finished_;
+  std::map<UniqueKey, KeptResult> kept_results_;
   // By request and attempt, while the outcome of a successful attempt is being reported.
   std::map<std::pair<RequestId, int>, std::vector<std::pair<Type, std::string>>> partial_data_;
   std::set<int> name_numbers_;  // in use by peers' names
--- a/src/net/gearman/jobs.cpp
+++ b/src/net/gearman/jobs.cpp
@@ -70,15 +70,15 @@
       if (!background) job->waiters.push_back(peer);
       return peer->Send(Response(Type::kJobCreated, {job->handle}));
     }
-    EvictFinished();
-    const auto ended = finished_.find(key);
-    if (ended != finished_.end()) {
-      const Finished& finished = ended->second;
-      peer->Send(Response(Type::kJobCreated, {finished.handle}));
+    EvictKeptResults();
+    const auto kept = kept_results_.find(key);
+    if (kept != kept_results_.end()) {
+      const KeptResult& result = kept->second;
+      peer->Send(Response(Type::kJobCreated, {result.handle}));
       if (background) return;
-      for (const auto& [kind, part] : finished.partial_data)
-        peer->Send(Response(kind, {finished.handle, part}));
-      return peer->Send(Response(Type::kWorkComplete, {finished.handle, finished.result}));
+      for (const auto& [kind, part] : result.partial_data)
+        peer->Send(Response(kind, {result.handle, part}));
+      return peer->Send(Response(Type::kWorkComplete, {result.handle, result.result}));
     }
   }
   if (background && durable_jobs_ != nullptr) return SubmitDurable(peer, type, key, body);
@@ -181,8 +181,8 @@
     return complete({.kind = Kind::kRejected, .retry_after_s = kCannotRunRetryS});
   }
   if (!key.second.empty()) {
-    EvictFinished();
-    if (finished_.contains(key)) return complete({.kind = Kind::kCompleted});
+    EvictKeptResults();
+    if (kept_results_.contains(key)) return complete({.kind = Kind::kCompleted});
     if (jobs_by_unique_.contains(key))
       return complete({.kind = Kind::kRejected, .retry_after_s = kSameUniqueRetryS});
   }
@@ -271,8 +271,8 @@
         config_.settings.classes[static_cast<std::size_t>(client_request.request.class_index)];
     if (NeedsDeduplication(client_request.request.class_index) && !job->unique.empty() &&
         settings.deduplication_window_s > 0) {
-      EvictFinished();
-      finished_[{job->function, job->unique}] = {
+      EvictKeptResults();
+      kept_results_[{job->function, job->unique}] = {
           job->handle, result, std::move(partial_data),
           forwarder_->loop()->Now() + settings.deduplication_window_s};
     }
--- a/src/net/gearman/packet.cpp
+++ b/src/net/gearman/packet.cpp
@@ -78,8 +78,8 @@
 
 std::optional<Message> Parser::Take() { return std::exchange(complete_, std::nullopt); }
 
-std::optional<std::vector<std::string_view>> Arguments(std::string_view data, std::size_t count,
-                                                       bool last_is_text) {
+std::optional<std::vector<std::string_view>> SplitArguments(std::string_view data,
+                                                            std::size_t count, bool last_is_text) {
   std::vector<std::string_view> parts;
   while (parts.size() + 1 < count) {
     const std::size_t end = data.find('\0');
@@ -92,8 +92,8 @@
   return parts;
 }
 
-std::string Packet(Message::Form form, Type type,
-                   std::initializer_list<std::string_view> arguments) {
+std::string EncodePacket(Message::Form form, Type type,
+                         std::initializer_list<std::string_view> arguments) {
   std::size_t size = arguments.size() > 0 ? arguments.size() - 1 : 0;
   for (const std::string_view argument : arguments) size += argument.size();
   std::string out(form == Message::Form::kRequest ? kRequestMagic : kResponseMagic);
--- a/src/net/gearman/packet.h
+++ b/src/net/gearman/packet.h
@@ -83,12 +83,13 @@
 // Splits a packet's data into `count` arguments, which refer to `data`. The last argument takes the
 // rest, NUL bytes included, unless `last_is_text`: a further separator is an error then. Returns
 // nothing if the data is malformed.
-std::optional<std::vector<std::string_view>> Arguments(std::string_view data, std::size_t count,
-                                                       bool last_is_text = false);
+std::optional<std::vector<std::string_view>> SplitArguments(std::string_view data,
+                                                            std::size_t count,
+                                                            bool last_is_text = false);
 
 // Encodes a packet, with the arguments separated by NUL bytes.
-std::string Packet(Message::Form form, Type type,
-                   std::initializer_list<std::string_view> arguments);
+std::string EncodePacket(Message::Form form, Type type,
+                         std::initializer_list<std::string_view> arguments);
 
 }  // namespace millethollow::gearman
 
--- a/src/net/gearman/peer.h
+++ b/src/net/gearman/peer.h
@@ -27,7 +27,7 @@
 
 // Encodes a packet to a client or a worker.
 inline std::string Response(Type type, std::initializer_list<std::string_view> arguments) {
-  return Packet(Message::Form::kResponse, type, arguments);
+  return EncodePacket(Message::Form::kResponse, type, arguments);
 }
 
 // Replaces whitespace and control characters, at which clients split the text protocol's lines.
@@ -205,7 +205,7 @@
       case Type::kSubmitJobHighBg:
       case Type::kSubmitJobLow:
       case Type::kSubmitJobLowBg: {
-        const auto arguments = Arguments(data, 3);
+        const auto arguments = SplitArguments(data, 3);
         if (!arguments || (*arguments)[0].empty() || (*arguments)[0].size() > kMaxNameBytes ||
             (*arguments)[1].size() > kMaxNameBytes) {
           return false;
@@ -235,7 +235,7 @@
         if (data.empty() || data.size() > kMaxNameBytes) return false;
         return AddAbility(data, 0);
       case Type::kCanDoTimeout: {
-        const auto arguments = Arguments(data, 2, true);
+        const auto arguments = SplitArguments(data, 2, true);
         int seconds = 0;
         if (!arguments || (*arguments)[0].empty() || (*arguments)[0].size() > kMaxNameBytes)
           return false;
@@ -265,18 +265,18 @@
       case Type::kAllYours:
         return true;
       case Type::kWorkStatus: {
-        const auto arguments = Arguments(data, 3, true);
+        const auto arguments = SplitArguments(data, 3, true);
         return arguments && HandleProgress((*arguments)[0], (*arguments)[1], (*arguments)[2]);
       }
       case Type::kWorkData:
       case Type::kWorkWarning:
       case Type::kWorkException:
       case Type::kWorkComplete: {
-        const auto arguments = Arguments(data, 2);
+        const auto arguments = SplitArguments(data, 2);
         return arguments && HandleWork(message.type, (*arguments)[0], (*arguments)[1]);
       }
       case Type::kWorkFail: {
-        const auto arguments = Arguments(data, 1, true);
+        const auto arguments = SplitArguments(data, 1, true);
         return arguments && HandleWork(message.type, (*arguments)[0], {});
       }
       default:
--- a/src/net/handover/hot_restart.cpp
+++ b/src/net/handover/hot_restart.cpp
@@ -81,7 +81,7 @@
         inherited.endpoint_list_version = static_cast<long long>(frame.U64());
         inherited.complete = frame.Complete();
         break;
-      default:  // meant for a sibling that serves already; what matters is sent again later
+      default:  // sent before the state, which includes what this process needs of it
         break;
     }
     if (fd >= 0) close(fd);
--- a/src/net/http/worker_pool.cpp
+++ b/src/net/http/worker_pool.cpp
@@ -308,8 +308,8 @@
         if (!line_.empty())
           HandleLine(std::exchange(line_, {}));  // the last line lacks its newline
         if (closed()) return;
-        outcome.status =
-            AttemptStatus::kConnectionLost;  // the response ended without a final state
+        // The response ended without a final state.
+        outcome.status = AttemptStatus::kConnectionLost;
       } else {
         const std::string* not_started = head.Get("Not-Started");
         const bool rejected =
--- a/src/net/link/link.cpp
+++ b/src/net/link/link.cpp
@@ -66,7 +66,8 @@
     Adopt(fd);
     forwarder_number_ = server->planner_->AddForwarder(this, false);
     FramedConnection::Send(Writer(FrameKind::kForwarderNumber).U64(forwarder_number_).Finish());
-    for (const auto& [name, at] : server->addresses_) SetWorkerAddress(name, at.first, at.second);
+    for (const auto& [name, address] : server->addresses_)
+      SetWorkerAddress(name, address.first, address.second);
   }
   void SetWorkerAddress(const std::string& name, const std::string& address,
                         std::size_t max_in_flight) {
@@ -115,8 +116,8 @@
         request.body_bytes = frame.U64();
         if (!frame.Complete() || !OwnsRequest(request.id)) return false;
         request.class_index = planner.ClassIndex(class_name);
-        if (request.class_index <
-            0) {  //  only one of the two processes has reloaded its configuration
+        // Unknown if only one of the two processes has reloaded its configuration.
+        if (request.class_index < 0) {
           Answer(request.id, {.kind = FinalAnswer::Kind::kRejected});
           return true;
         }
@@ -185,10 +186,10 @@
 
 void PlannerServer::SetWorkerAddress(const std::string& worker, const std::string& address,
                                      std::size_t max_in_flight) {
-  const auto at = std::pair{address, max_in_flight};
-  auto [it, inserted] = addresses_.try_emplace(worker, at);
-  if (!inserted && it->second == at) return;
-  it->second = at;
+  const auto address_and_limit = std::pair{address, max_in_flight};
+  auto [it, inserted] = addresses_.try_emplace(worker, address_and_limit);
+  if (!inserted && it->second == address_and_limit) return;
+  it->second = address_and_limit;
   for (const auto& [raw, connection] : connections_)
     raw->SetWorkerAddress(worker, address, max_in_flight);
 }
--- a/src/net/link/link.h
+++ b/src/net/link/link.h
@@ -39,6 +39,7 @@
   Planner* planner_;
   Listener listener_;
   std::map<ForwarderConnection*, std::unique_ptr<ForwarderConnection>> connections_;
+  // Address and limit of requests in flight, by worker.
   std::map<std::string, std::pair<std::string, std::size_t>> addresses_;
 };
 
--- a/src/net/poll_backoff.h
+++ b/src/net/poll_backoff.h
@@ -35,7 +35,7 @@
   double InitialDelay(double random) const { return startup_window_s_ * random; }
   // After an answer. 0 means to poll immediately, which continues the watch.
   double DelayAfterAnswer(double random) {
-    waited_s_ = 0;
+    failure_delays_s_ = 0;
     window_s_ = std::max(min_window_s_, std::min(kMaxAnswerWindowS, window_s_ * kWindowDecay));
     if (!spread_polls_) return 0;
     spread_polls_ = window_s_ > min_window_s_;
@@ -45,15 +45,15 @@
   void OnImmediatePollRejected() { spread_polls_ = true; }
   // After a failed poll: exponential backoff with jitter, which starts over with the next answer.
   double DelayAfterFailure(double random) {
-    const bool first_failure = waited_s_ == 0;
+    const bool first_failure = failure_delays_s_ == 0;
     // After failures for this long, discovery may be too overloaded to answer anyone. It recovers
     // only once fewer nodes poll, so the window grows.
     window_s_ = first_failure ? kFirstRetryWindowS
-                : waited_s_ < kMaxSteadyRetriesS
+                : failure_delays_s_ < kWindowGrowthAfterS
                     ? kRetryWindowS
                     : std::min(kRetryWindowGrowth * window_s_, kMaxRetryWindowS);
     const double wait_s = window_s_ * (kMinRetryShare + (1 - kMinRetryShare) * random);
-    waited_s_ += wait_s;
+    failure_delays_s_ += wait_s;
     return wait_s;
   }
   // After a long poll that timed out. That does not indicate overload, and the changes it should
@@ -70,10 +70,10 @@
   // Smallest delay after an answer, as a share of the window: bounds the rate of polls.
   static constexpr double kMinAnswerShare = 0.6;
   // The window after the first failure, the window after further ones, and the factor and the limit
-  // of its growth once the delays after failures add up to kMaxSteadyRetriesS.
+  // of its growth once the delays after failures add up to kWindowGrowthAfterS.
   static constexpr double kFirstRetryWindowS = 2.0, kRetryWindowS = 4.0, kRetryWindowGrowth = 3.0,
                           kMaxRetryWindowS = 20.0;
-  static constexpr double kMaxSteadyRetriesS = 10.0;
+  static constexpr double kWindowGrowthAfterS = 10.0;
   // Largest window after an answer: well within the time for which a list may be used without
   // polling.
   static constexpr double kMaxAnswerWindowS = 7.0;
@@ -84,8 +84,8 @@
   static constexpr double kMaxTimeoutWindowS = 0.8;
 
   double startup_window_s_, min_window_s_, window_s_;
-  bool spread_polls_ = false;  // an immediate poll was rejected
-  double waited_s_ = 0;        // sum of the delays after failures since the last answer
+  bool spread_polls_ = false;    // an immediate poll was rejected
+  double failure_delays_s_ = 0;  // sum of the delays after failures since the last answer
 };
 
 // Decides when a new process may take requests. The process is bound by discovery's current list
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -174,7 +174,8 @@
   std::vector<std::string> expected;
   for (std::uint32_t type = 1; type <= 42; ++type) {
     const std::string data(random() % 40, static_cast<char>('a' + type % 20));
-    stream += gearman::Packet(Message::Form::kRequest, static_cast<Type>(type), {data, "\0x"sv});
+    stream +=
+        gearman::EncodePacket(Message::Form::kRequest, static_cast<Type>(type), {data, "\0x"sv});
     expected.push_back(std::to_string(type) + data + "\0\0x"s.substr(0, 3));
     if (type % 5 == 0) {
       stream += "status\r\n";
@@ -202,8 +203,8 @@
   gearman::Parser wrong(1000), large(10), line(10);
   wrong.Feed("\0REX"sv);
   EXPECT_STREQ(wrong.error(), "bad_magic");
-  large.Feed(
-      gearman::Packet(gearman::Message::Form::kRequest, gearman::Type::kEchoReq, {"01234567890"}));
+  large.Feed(gearman::EncodePacket(gearman::Message::Form::kRequest, gearman::Type::kEchoReq,
+                                   {"01234567890"}));
   EXPECT_STREQ(large.error(), "packet_too_large");
   line.Feed(std::string(5000, 'x'));
   EXPECT_STREQ(line.error(), "line_too_long");
@@ -212,8 +213,8 @@
 TEST(GearmanParser, SurvivesRandomBytes) {
   std::mt19937 random(kSeed);
   for (int round = 0; round < 3000; ++round) {
-    std::string text = gearman::Packet(gearman::Message::Form::kRequest, gearman::Type::kSubmitJob,
-                                       {"f", "u", "data"}) +
+    std::string text = gearman::EncodePacket(gearman::Message::Form::kRequest,
+                                             gearman::Type::kSubmitJob, {"f", "u", "data"}) +
                        "workers\n";
     for (int mutations = static_cast<int>(random() % 8); mutations > 0; --mutations) {
       text[random() % text.size()] = static_cast<char>(random());
@@ -225,7 +226,7 @@
       ASSERT_TRUE(count > 0 || parser.error() != nullptr);
       position += count;
       if (const auto message = parser.Take())
-        gearman::Arguments(message->data, 1 + random() % 4, round % 2 == 0);
+        gearman::SplitArguments(message->data, 1 + random() % 4, round % 2 == 0);
     }
   }
 }
--- a/tests/planner_test.cpp
+++ b/tests/planner_test.cpp
@@ -553,7 +553,7 @@
       std::string::npos);
 }
 
-TEST(ServerList, ReadsStatesAndStartTimes) {
+TEST(EndpointList, ReadsStatesAndStartTimes) {
   EndpointList list;
   std::string error;
   ASSERT_TRUE(
--- a/tests/support/support.cpp
+++ b/tests/support/support.cpp
@@ -94,7 +94,7 @@
 }
 
 void GearmanPeer::Send(gearman::Type type, std::initializer_list<std::string_view> arguments) {
-  Write(gearman::Packet(gearman::Message::Form::kRequest, type, arguments));
+  Write(gearman::EncodePacket(gearman::Message::Form::kRequest, type, arguments));
 }
 
 std::vector<std::string> GearmanPeer::ResponsesOf(gearman::Type type) const {
