--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -308,7 +308,7 @@
     });
     return;
   }
-  if (std::exchange(awaiting_first_list_, false)) KeepUnavailable(&list);
+  if (std::exchange(awaiting_first_list_, false)) KeepUnavailableDraining(&list);
   RecordUnavailable(list);
   if (is_fetch) {
     Drop(connection);
@@ -350,7 +350,7 @@
 // The first list of a new address may be older than the last one of the old address, so a worker
 // that was draining or gone returns to service by it only with a later start time. Once all changes
 // count as delivered, the complete list is fetched again and used as it is.
-void Discovery::KeepUnavailable(EndpointList* list) {
+void Discovery::KeepUnavailableDraining(EndpointList* list) {
   bool any_changed = false;
   for (ListEntry& entry : list->entries) {
     const auto it = unavailable_.find(entry.endpoint.worker);
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -103,7 +103,7 @@
   void DropFailed(DiscoveryConnection* connection, const char* reason);
   void Drop(DiscoveryConnection* connection);
   void OnOldAddressAnswer(const std::string& body);
-  void KeepUnavailable(EndpointList* list);
+  void KeepUnavailableDraining(EndpointList* list);
   void RecordUnavailable(const EndpointList& list);
 
   Loop* loop_;
