--- a/bench/scale/axis_workers.cpp
+++ b/bench/scale/axis_workers.cpp
@@ -197,10 +197,10 @@
                     static_cast<double>(indented_bytes) / static_cast<double>(kMaxListBytes));
   Samples read_times;
   for (int i = 0; i < counts.list_readings; ++i) {
-    ServerList list;
+    EndpointList list;
     std::string error;
     const Stopwatch watch;
-    const bool read = ReadServerList(compact_list, ZoneNames(), KindNames(), &list, &error);
+    const bool read = ReadEndpointList(compact_list, ZoneNames(), KindNames(), &list, &error);
     read_times.Add(watch.Nanoseconds());
     if (!read || list.entries.size() != static_cast<std::size_t>(workers)) {
       throw std::runtime_error("cannot read the endpoint list: " + error);
--- a/src/net/gearman/front.h
+++ b/src/net/gearman/front.h
@@ -44,7 +44,7 @@
   bool abandoned = false;      // ended here after the assignment: the worker's result is discarded
   std::vector<std::pair<Type, std::string>> partial_data;  // WORK_DATA and WORK_WARNING received
   std::size_t partial_bytes = 0;
-  Deadlines::TimerId limit = Deadlines::kNone;  // from CAN_DO_TIMEOUT
+  Deadlines::TimerId limit_timer = Deadlines::kNone;  // time limit from CAN_DO_TIMEOUT
 };
 
 // Owns the listening socket, the connections and the jobs. `forwarder`, `config` and `counters`
@@ -71,8 +71,8 @@
   void AnnounceWorkers();
   // Closes the listening socket.
   void StopListening() { listener_.Close(); }
-  // Stores background jobs there from now on; it calls Run() for them. Null: they are kept in
-  // memory only. The caller owns it.
+  // Stores background jobs in `durable_jobs` from now on, which calls Run() for each of them.
+  // Null: they are kept in memory only. The caller owns `durable_jobs`.
   void SetDurableJobs(DurableJobs* durable_jobs) { durable_jobs_ = durable_jobs; }
 
   // ResponseHandler
@@ -95,7 +95,7 @@
   friend class Peer;
   using UniqueKey = std::pair<std::string, std::string>;  // function and unique id
   // The result of a job, kept for repeats of it.
-  struct Finished {
+  struct KeptResult {
     std::string handle, result;
     std::vector<std::pair<Type, std::string>> partial_data;
     double expires_at = 0;  // loop time in seconds
@@ -114,12 +114,13 @@
                                   std::string_view body) const;
   // Adds the job to the maps; `bytes`: the size of its body.
   void AddJob(const std::shared_ptr<Job>& job, std::size_t bytes);
-  // Removes a closed client from the jobs that it waits for.
+  // Removes a closed client from the jobs that it waits for, and cancels those that no client
+  // waits for any more.
   void Detach(Peer* peer);
   // Removes the job from the maps.
   void RemoveJob(const std::shared_ptr<Job>& job);
   // Whether a repeat of a job of this class must join the job or get its kept result.
-  bool NeedsDeduplication(int cls) const;
+  bool NeedsDeduplication(int class_index) const;
   // These return null if there is no such job.
   std::shared_ptr<Job> FindByHandle(std::string_view handle) const;
   std::shared_ptr<Job> FindByRequest(RequestId id) const;
@@ -132,7 +133,7 @@
   // Reports the worker's state to the planner.
   void UpdateWorker(Peer* worker);
   // Discards expired results, and the one that expires first if there are too many.
-  void EvictFinished();
+  void EvictKeptResults();
 
   Forwarder* forwarder_;
   const Config& config_;
@@ -144,7 +145,7 @@
   std::map<RequestId, std::shared_ptr<Job>> jobs_;
   std::map<std::string, std::shared_ptr<Job>, std::less<>> jobs_by_handle_;
   std::map<UniqueKey, std::shared_ptr<Job>> jobs_by_unique_;
-  std::map<UniqueKey, Finished> finished_;
+  std::map<UniqueKey, KeptResult> kept_results_;
   // By request and attempt, while the outcome of a successful attempt is being reported.
   std::map<std::pair<RequestId, int>, std::vector<std::pair<Type, std::string>>> partial_data_;
   std::set<int> name_numbers_;  // in use by peers' names
