--- a/src/simulator_adapter/field_reader.cpp
+++ b/src/simulator_adapter/field_reader.cpp
@@ -41,7 +41,7 @@
 
 std::uint64_t FieldReader::RequiredUnsigned(std::string_view name) {
   const std::optional<std::uint64_t> value = ParseUnsigned(TextOrEmpty(name));
-  if (!value) Fail("missing or malformed '" + std::string(name) + "'");
+  if (!value) Fail("missing or bad '" + std::string(name) + "'");
   return value.value_or(0);
 }
 
